--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	@bad=$$(gofmt -l .); if [ -n "$$bad" ]; then echo "not formatted: $$bad"; exit 1; fi
 	go vet ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
 # EDGE_CONFIG names the router's configuration, as on the platform.
 run: build
