--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,9 @@
 .PHONY: build test lint run
 
+# bin/limelab is the earlier name of bin/limeladder-sim: calls of that name go on working.
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
+	ln -sf limeladder-sim bin/limelab
 
 test:
 	go test -count=1 -p 1 ./...
--- a/cmd/limelab/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -1,4 +1,4 @@
-// Command limelab is the laboratory: it plays routers before emulated db machines and says what came of it.
+// Command limeladder-sim is the laboratory: it plays routers before emulated db machines and says what came of it.
 package main
 
 import (
@@ -14,10 +14,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"limeladder/internal/lab/figures"
-	"limeladder/internal/lab/report"
-	"limeladder/internal/lab/scenario"
-	"limeladder/internal/lab/trial"
+	"limeladder/internal/simulation/experiment"
+	"limeladder/internal/simulation/report"
+	"limeladder/internal/simulation/scenario"
+	"limeladder/internal/simulation/stats"
 )
 
 type commands struct {
@@ -34,10 +34,10 @@
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("limelab"), kong.Description("Plays routers before emulated db machines."), kong.UsageOnError())
+	k := kong.Parse(&c, kong.Name("limeladder-sim"), kong.Description("Plays routers before emulated db machines."), kong.UsageOnError())
 	k.BindTo(os.Stdout, (*io.Writer)(nil))
 	if err := k.Run(); err != nil {
-		fmt.Fprintf(os.Stderr, "limelab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "limeladder-sim: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -83,13 +83,13 @@
 	if err != nil {
 		return err
 	}
-	arms := []trial.Arm{}
+	arms := []experiment.Arm{}
 	for _, file := range c.Arms {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return err
 		}
-		a, err := trial.ReadArm(strings.TrimSuffix(filepath.Base(file), ".toml"), string(text))
+		a, err := experiment.ReadArm(strings.TrimSuffix(filepath.Base(file), ".toml"), string(text))
 		if err != nil {
 			return err
 		}
@@ -110,8 +110,8 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	byArm, names, short, broken, n := map[string][]trial.Line{}, []string{}, 0, 0, 0
-	err = trial.Run(s, arms, c.Seed, c.Seeds, workers, revision(), func(l trial.Line) error {
+	byArm, names, short, broken, n := map[string][]experiment.Line{}, []string{}, 0, 0, 0
+	err = experiment.Run(s, arms, c.Seed, c.Seeds, workers, revision(), func(l experiment.Line) error {
 		n++
 		if byArm[l.Arm] == nil {
 			names = append(names, l.Arm)
@@ -164,9 +164,9 @@
 }
 
 // effects prints what one set of results has over another.
-func effects(out io.Writer, a, b []trial.Line) {
+func effects(out io.Writer, a, b []experiment.Line) {
 	last := ""
-	for _, e := range trial.Effects(a, b, scenario.Figures) {
+	for _, e := range experiment.Effects(a, b, scenario.Figures) {
 		if e.Scenario != last {
 			last = e.Scenario
 			fmt.Fprintf(out, "\n%s: %s against %s, %d pairs of seeds, 95 percent\n", e.Scenario, e.ArmB, e.ArmA, e.Pairs)
@@ -186,13 +186,13 @@
 
 // Run compares.
 func (c *compareCommand) Run(out io.Writer) error {
-	var sets [2][]trial.Line
+	var sets [2][]experiment.Line
 	for i, name := range []string{c.A, c.B} {
 		f, err := os.Open(name)
 		if err != nil {
 			return err
 		}
-		sets[i], err = trial.Read(name, f)
+		sets[i], err = experiment.Read(name, f)
 		f.Close()
 		if err != nil {
 			return err
@@ -202,7 +202,7 @@
 			sets[i][j].Arm = sets[i][j].Revision
 		}
 	}
-	if len(trial.Effects(sets[0], sets[1], scenario.Figures)) == 0 {
+	if len(experiment.Effects(sets[0], sets[1], scenario.Figures)) == 0 {
 		return fmt.Errorf("%s and %s have no scenario, arm and seed in common", c.A, c.B)
 	}
 	effects(out, sets[0], sets[1])
@@ -220,7 +220,7 @@
 	off, sum := 0, 0.0
 	fmt.Fprintln(out, "| seed | fleet | planned | possible | kept | planned refused | not served | banks with none left |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds); seed++ {
-		f, err := figures.Foresee(seed)
+		f, err := stats.Foresee(seed)
 		if err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 func (c *checkCommand) Run(out io.Writer) error {
 	off := 0
 	fmt.Fprintln(out, "| figure | wanted | emulated | unit | off |\n| --- | --- | --- | --- | --- |")
-	for _, f := range figures.All(c.Seed) {
+	for _, f := range stats.All(c.Seed) {
 		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", f.Name, f.Want, f.Got, f.Unit, 100*f.Off())
 		if !(f.Off() <= c.Most && f.Off() >= -c.Most) {
 			off++
--- a/cmd/limelab/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -91,7 +91,7 @@
 
 // The program itself: its table is right, and its exit code tells.
 func TestProgram(t *testing.T) {
-	bin := filepath.Join(t.TempDir(), "limelab")
+	bin := filepath.Join(t.TempDir(), "limeladder-sim")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := exec.Command(dir+"/limelab", "up", "--listen", listen)
+	up := exec.Command(dir+"/limeladder-sim", "up", "--listen", listen)
 	pipe, err := up.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/limelab/rig.go
+++ b/cmd/limeladder-sim/rig.go
@@ -5,8 +5,8 @@
 	"io"
 	"os"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/rig"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/multiprocess"
 )
 
 type rigCommand struct {
@@ -40,21 +40,21 @@
 			return err
 		}
 		if c.Scenario == "" {
-			s.Config = rig.Random(seed)
-			fmt.Fprint(out, rig.Script(s.Config))
+			s.Config = multiprocess.Random(seed)
+			fmt.Fprint(out, multiprocess.Script(s.Config))
 		}
-		play := func(o rig.Options) (*rig.Result, error) {
+		play := func(o multiprocess.Options) (*multiprocess.Result, error) {
 			o.Program, o.Deploy = program, deploy
 			if o.Dir, err = os.MkdirTemp(c.Keep, "rig"); err != nil {
 				return nil, err
 			}
-			res, err := rig.Run(o)
+			res, err := multiprocess.Run(o)
 			if err == nil && c.Keep == "" && len(res.Broken) == 0 {
 				os.RemoveAll(o.Dir)
 			}
 			return res, err
 		}
-		res, err := play(rig.Options{Config: s.Config, Seed: seed})
+		res, err := play(multiprocess.Options{Config: s.Config, Seed: seed})
 		if err != nil {
 			return err
 		}
@@ -79,11 +79,11 @@
 		}
 		fmt.Fprintln(out, "  timeline:", res.Timeline)
 		if len(s.Config.Faults) > 1 && c.Shrink > 0 {
-			small, err := rig.Shrink(rig.Options{Config: s.Config, Seed: seed}, c.Shrink, play)
+			small, err := multiprocess.Shrink(multiprocess.Options{Config: s.Config, Seed: seed}, c.Shrink, play)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "the smallest script found that breaks a rule:\n%s", rig.Script(small))
+			fmt.Fprintf(out, "the smallest script found that breaks a rule:\n%s", multiprocess.Script(small))
 		}
 	}
 	if bad > 0 {
@@ -93,7 +93,7 @@
 }
 
 // asFleet is what a scenario's expectations are held against; what a rig does not measure is left out.
-func asFleet(seed uint64, r *rig.Result) *fleet.Result {
+func asFleet(seed uint64, r *multiprocess.Result) *fleet.Result {
 	out := &fleet.Result{Seed: seed, Worth: r.Worth, Whole: r.Whole, Window: r.Window, Class: r.Class, Worst: r.Worst, Tally: r.Tally, Seconds: r.Seconds, Rules: map[string]int{}}
 	for _, b := range r.Broken {
 		out.Rules[b.Rule]++
--- a/cmd/limelab/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -17,16 +17,16 @@
 	"syscall"
 	"time"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/load"
-	"limeladder/internal/lab/report"
-	"limeladder/internal/lab/scenario"
-	"limeladder/internal/lab/standins"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/load"
+	"limeladder/internal/simulation/report"
+	"limeladder/internal/simulation/scenario"
 )
 
 // stand is emulated machines and discovery with the real program before them.
 type stand struct {
-	host   *standins.Host
+	host   *emulator.Host
 	cmd    *exec.Cmd
 	dir    string
 	addr   string
@@ -72,10 +72,10 @@
 			s.stop()
 		}
 	}()
-	if s.dir, err = os.MkdirTemp("", "limelab"); err != nil {
+	if s.dir, err = os.MkdirTemp("", "limeladder-sim"); err != nil {
 		return nil, err
 	}
-	if s.host, err = standins.New(cfg, seed); err != nil {
+	if s.host, err = emulator.New(cfg, seed); err != nil {
 		return nil, err
 	}
 	s.addr = listen
@@ -218,7 +218,7 @@
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		fmt.Fprintf(out, "  %-6s %s\n", id, members[id])
 	}
-	fmt.Fprintf(out, "\nLoad: limelab load %s --rate %.0f. Stop with Ctrl-C.\n", st.addr, s.Config.Rate())
+	fmt.Fprintf(out, "\nLoad: limeladder-sim load %s --rate %.0f. Stop with Ctrl-C.\n", st.addr, s.Config.Rate())
 }
 
 // played is a scenario's run on sockets, as a report shows it.
--- a/cmd/limeladder/changeover.go
+++ b/cmd/limeladder/changeover.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/changeover"
 	"limeladder/internal/config"
+	"limeladder/internal/failover"
 )
 
 // holdThrough turns on the holding of writes through changes of primary, if deploy/limeladder.toml says so.
@@ -22,15 +22,15 @@
 	for _, k := range cfg.Balance.Classes {
 		known[k.Name] = k
 	}
-	classes := map[string]changeover.Class{}
+	classes := map[string]failover.Class{}
 	for i, name := range c.Classes {
 		k, ok := known[name]
 		if !ok || k.Need != balance.NeedUpdate && k.Need != balance.NeedLatest {
 			return fmt.Errorf("changeover.classes[%d]: %q is no class that needs the primary", i, name)
 		}
-		classes[name] = changeover.Class{Worth: k.Worth, Work: k.Aim / 10}
+		classes[name] = failover.Class{Worth: k.Worth, Work: k.Aim / 10}
 	}
-	d.core.HoldThrough(changeover.Config{Instances: cfg.Balance.Instances, Classes: classes, Count: cmp.Or(c.Count, d.lim.Held),
+	d.core.HoldThrough(failover.Config{Instances: cfg.Balance.Instances, Classes: classes, Count: cmp.Or(c.Count, d.lim.Held),
 		Bytes: cmp.Or(c.Bytes, d.lim.HeldBytes), Time: c.Time, Margin: d.lim.AnswerBefore, MaxAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
 	return nil
 }
--- a/cmd/limeladder/changeover_bench_test.go
+++ b/cmd/limeladder/changeover_bench_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
-	"limeladder/internal/standin/check"
+	"limeladder/internal/testserver"
+	"limeladder/internal/testserver/check"
 )
 
 // BenchmarkPrimaryChange loses the primary of a bank of three, with 50 jobs a second whose clients wait 2.5 s, without and
@@ -99,7 +99,7 @@
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				c := standin.Dial(b, r.addr)
+				c := testserver.Dial(b, r.addr)
 				j := check.Job{ID: fmt.Sprint("held-", i), Sent: time.Now(), Deadline: 3 * time.Second}
 				c.Send(pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=job,d=3000,cluster=7 */ SELECT 1", j.ID)))
 				a := c.Until('Z')
--- a/cmd/limeladder/changeover_test.go
+++ b/cmd/limeladder/changeover_test.go
@@ -18,15 +18,15 @@
 
 	"limeladder/internal/config"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
-	"limeladder/internal/standin/check"
+	"limeladder/internal/testserver"
+	"limeladder/internal/testserver/check"
 )
 
 // scene is a router in this process and banks of three db machines, whose primary changes while clients ask.
 type scene struct {
 	t        testing.TB
 	d        *daemon
-	banks    [][]*standin.DB
+	banks    [][]*testserver.DB
 	addr     string
 	second   string
 	mu       sync.Mutex
@@ -53,7 +53,7 @@
 func newScene(t testing.TB, banks int, hold bool, deadline time.Duration) *scene {
 	s := &scene{t: t, state: map[string]string{}, news: make(chan bool, 99), ended: make(chan bool), deadline: deadline, version: 1}
 	for range banks {
-		s.banks = append(s.banks, []*standin.DB{standin.NewDB(t, true, nil), standin.NewDB(t, false, nil), standin.NewDB(t, false, nil)})
+		s.banks = append(s.banks, []*testserver.DB{testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil), testserver.NewDB(t, false, nil)})
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -86,7 +86,7 @@
 	go func() { s.d.run(); close(s.ended) }()
 	s.addr, s.second = s.d.fronts[0].listener.Addr().String(), s.d.fronts[1].listener.Addr().String()
 	for ready := false; !ready; time.Sleep(time.Millisecond) {
-		c := standin.Dial(t, s.addr)
+		c := testserver.Dial(t, s.addr)
 		c.Send(pgwire.AppendQuery(nil, ""))
 		ready = c.Until('Z').Types == "IZ"
 		c.Close()
@@ -115,7 +115,7 @@
 }
 
 // tell changes what the list says of a db machine.
-func (s *scene) tell(db *standin.DB, state string) {
+func (s *scene) tell(db *testserver.DB, state string) {
 	s.mu.Lock()
 	s.state[db.Addr] = state
 	s.version++
@@ -127,7 +127,7 @@
 }
 
 // lead makes a db machine the primary.
-func (s *scene) lead(db *standin.DB) {
+func (s *scene) lead(db *testserver.DB) {
 	db.Lead(true)
 	s.mu.Lock()
 	s.leads = append(s.leads, lead{db.Addr, time.Now()})
@@ -151,7 +151,7 @@
 			p = pgwire.AppendBind(p, pgwire.BindMessage{Rest: []byte{0, 0, 0, 0, 0, 0}})
 			p = pgwire.Append(pgwire.AppendExecute(p, "", 0), 'S')
 		}
-		c := standin.Dial(s.t, addr)
+		c := testserver.Dial(s.t, addr)
 		defer c.Close()
 		j := check.Job{ID: id, Sent: time.Now(), Deadline: s.deadline}
 		c.Send(p)
@@ -178,7 +178,7 @@
 // asks is a client that writes and then reads what it has written, and one that reads what is newest. Replicas are too far
 // behind for both.
 func (s *scene) asks(id string, bank int) {
-	c := standin.Dial(s.t, s.addr)
+	c := testserver.Dial(s.t, s.addr)
 	defer c.Close()
 	for _, class := range []string{"fresh", "job", "own"} {
 		j := check.Job{ID: id + "-" + class, Sent: time.Now(), Deadline: s.deadline, Fresh: class != "job"}
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -12,29 +12,29 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/clients"
+	"limeladder/internal/adminapi"
+	"limeladder/internal/backend"
 	"limeladder/internal/config"
-	"limeladder/internal/extended"
-	"limeladder/internal/handover"
+	"limeladder/internal/discovery"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/frontend"
+	"limeladder/internal/frontend/extendedquery"
+	"limeladder/internal/hotrestart"
 	"limeladder/internal/limits"
-	"limeladder/internal/list"
-	"limeladder/internal/loop"
-	"limeladder/internal/operator"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/sock"
 	"limeladder/internal/store"
+	"limeladder/internal/transport"
 )
 
 // daemon is the assembled program.
 type daemon struct {
 	log      *slog.Logger
 	lim      limits.Limits
-	loop     *loop.Loop
-	engine   *sock.Engine
+	loop     *eventloop.Loop
+	engine   *transport.Engine
 	core     *router.Router
-	pool     *servers.Pool
-	watcher  *list.Watcher
+	pool     *backend.Pool
+	watcher  *discovery.Watcher
 	fronts   []front
 	ending   bool // SIGTERM has come
 	draining bool // and the listeners are closed
@@ -44,12 +44,12 @@
 	told     bool                    // discovery has answered
 	latest   map[string]config.Entry // the list as it stands, by id; its version is
 	version  int64
-	two      bool            // another process of this router is alive
-	hinted   bool            // what an earlier start knew of primaries is told to the core
-	operator *sock.Listener  // nil = off
-	known    map[string]bool // the db machines that discovery has named, ever
-	order    []string        // the same, in the order it did
-	shared   *handover.Shared
+	two      bool                // another process of this router is alive
+	hinted   bool                // what an earlier start knew of primaries is told to the core
+	operator *transport.Listener // nil = off
+	known    map[string]bool     // the db machines that discovery has named, ever
+	order    []string            // the same, in the order it did
+	shared   *hotrestart.Shared
 	full     limits.Limits // while no other process of this router is alive
 	dep      config.Deploy
 	serving  bool // clients may come
@@ -59,8 +59,8 @@
 
 // front is one address where clients connect.
 type front struct {
-	*clients.Front
-	listener *sock.Listener
+	*frontend.Front
+	listener *transport.Listener
 }
 
 func newDaemon(cfg *config.Config, dep config.Deploy, log *slog.Logger) (*daemon, error) {
@@ -68,7 +68,7 @@
 	for _, c := range cfg.Balance.Classes {
 		longest = max(longest, c.GiveUp)
 	}
-	d := &daemon{log: log, loop: loop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
+	d := &daemon{log: log, loop: eventloop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
 	d.lim = limits.For(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
 		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).Among(cfg.Balance.Instances)
 	if !cfg.Balance.Ask {
@@ -81,15 +81,15 @@
 		d.lim.Clients /= 2 // both fronts share the descriptors
 	}
 	d.full, d.dep, d.passed = d.lim, dep, cfg.Inherited > 0
-	var left handover.State
-	if d.shared, left = handover.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.First() {
+	var left hotrestart.State
+	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.First() {
 		d.two = true
 		log.Info("another process of this router serves")
 		d.lim = d.full.Lean()
 	}
 	d.memory()
 	var err error
-	if d.engine, err = sock.New(d.loop, cfg.Limits.Sockets, d.lim.Inbox); err != nil {
+	if d.engine, err = transport.New(d.loop, cfg.Limits.Sockets, d.lim.Inbox); err != nil {
 		return nil, err
 	}
 	if d.record, err = startRecording(d.loop, d.lim, dep, cfg.Name, cfg.SeedValue, log); err != nil {
@@ -107,10 +107,10 @@
 		return nil, err
 	}
 	d.watchSites(cfg)
-	d.pool = servers.New(d.loop, d.engine, d.lim, log)
-	d.watcher = list.New(d.loop, d.engine, d.lim, log, cfg.Discovery, d)
+	d.pool = backend.New(d.loop, d.engine, d.lim, log)
+	d.watcher = discovery.New(d.loop, d.engine, d.lim, log, cfg.Discovery, d)
 	d.core.Connect(d.pool, d.watcher)
-	if err := d.listen("listen", cfg.Inherited, cfg.Listen, clients.Platform); err != nil {
+	if err := d.listen("listen", cfg.Inherited, cfg.Listen, frontend.Platform); err != nil {
 		return nil, err
 	}
 	if err := d.second(); err != nil {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.Urgent, log, operator.New(d.loop, d.lim, log, d).Accept)
+		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.Urgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
 		log.Info("listening", "front", "operator", "addr", ln.Addr().String())
 	}
 	known := config.List{}
@@ -178,7 +178,7 @@
 	if addr == "" || d.draining {
 		return nil
 	}
-	err := d.listen("extended.listen", 0, addr, extended.New(d.core))
+	err := d.listen("extended.listen", 0, addr, extendedquery.New(d.core))
 	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.First() {
 		d.loop.After(d.lim.Share, func() {
 			if err := d.second(); err != nil {
@@ -221,16 +221,16 @@
 }
 
 // listen opens a front, on the socket that was inherited or, where that is 0, on one of its own.
-func (d *daemon) listen(field string, inherited int, addr string, speak func(*clients.Conn) clients.Speaker) (err error) {
+func (d *daemon) listen(field string, inherited int, addr string, speak func(*frontend.Conn) frontend.Speaker) (err error) {
 	var ln net.Listener
 	if inherited > 0 {
-		if ln, err = sock.Inherit(inherited, addr); err != nil {
+		if ln, err = transport.Inherit(inherited, addr); err != nil {
 			return fmt.Errorf("EDGE_INHERITED_FD: %w", err)
 		}
 	} else if ln, err = net.Listen("tcp", addr); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
-	f := clients.New(d.loop, d.lim, d.log, d.core, speak)
+	f := frontend.New(d.loop, d.lim, d.log, d.core, speak)
 	if d.record != nil {
 		f.Name()
 	}
--- a/cmd/limeladder/daemon_test.go
+++ b/cmd/limeladder/daemon_test.go
@@ -17,7 +17,7 @@
 
 	"limeladder/internal/config"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 const settings = `{"Instances":1,"Locality":"a","Discovery":"ask","Lanes":[
@@ -39,12 +39,12 @@
 // was taken.
 func TestLife(t *testing.T) {
 	asked, goOn := make(chan bool, 9), make(chan bool)
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if id == "slow" {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	stop := make(chan bool)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,13 +87,13 @@
 	platform, second := d.fronts[0].listener.Addr().String(), d.fronts[1].listener.Addr().String()
 
 	for ready := false; !ready; time.Sleep(time.Millisecond) {
-		c := standin.Dial(t, platform)
+		c := testserver.Dial(t, platform)
 		c.Send(pgwire.AppendQuery(nil, ""))
 		ready = c.Until('Z').Types == "IZ"
 		c.Close()
 	}
 	for i, addr := range []string{platform, second} {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql(fmt.Sprint("r", i), "job")))
 		if a := c.Until('Z'); a.Types != "TDCZ" || db.Runs(fmt.Sprint("r", i)) != 1 {
 			t.Fatalf("%s: %+v", addr, a)
@@ -109,14 +109,14 @@
 		}
 	}
 
-	slow := standin.Dial(t, platform)
+	slow := testserver.Dial(t, platform)
 	slow.Send(pgwire.AppendQuery(nil, sql("slow", "job")))
 	<-asked
 	d.loop.Post(d.drain)
-	late := standin.Dial(t, platform) // the platform still sends connections for a while
+	late := testserver.Dial(t, platform) // the platform still sends connections for a while
 	late.Send(pgwire.AppendQuery(nil, sql("late", "job")))
 	close(goOn)
-	for name, c := range map[string]*standin.Client{"slow": slow, "late": late} {
+	for name, c := range map[string]*testserver.Client{"slow": slow, "late": late} {
 		if a := c.Until('Z'); a.Types != "TDCZ" || db.Runs(name) != 1 {
 			t.Fatalf("%s: %+v", name, a)
 		}
@@ -243,14 +243,14 @@
 // finished, idle clients are closed, the second front and the store move over. The first one then ends in order.
 func TestUpgrade(t *testing.T) {
 	asked, goOn := make(chan bool, 9), make(chan bool)
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if id == "slow" {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
-	barred := standin.NewDB(t, false, nil)
+	barred := testserver.NewDB(t, false, nil)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
@@ -301,7 +301,7 @@
 	first, operator := start()
 	call(operator, "db-machines/s3/suspend", 404)
 	call(operator, "db-machines/s2/suspend", 200)
-	slow, idle := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
+	slow, idle := testserver.Dial(t, ln.Addr().String()), testserver.Dial(t, ln.Addr().String())
 	slow.Send(pgwire.AppendQuery(nil, sql("slow", "job")))
 	<-asked
 	_, operator = start()
@@ -333,7 +333,7 @@
 					break
 				}
 			}
-			c := standin.Dial(t, addr)
+			c := testserver.Dial(t, addr)
 			c.Send(pgwire.AppendQuery(nil, sql(fmt.Sprint(addr, i), "look")))
 			if a := c.Until('Z'); a.Value != db.Addr {
 				t.Fatalf("%s: %+v", addr, a)
--- a/cmd/limeladder/deployment_test.go
+++ b/cmd/limeladder/deployment_test.go
@@ -13,14 +13,14 @@
 
 	"limeladder/internal/config"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // pushedGrace is the shortest grace of the deployments that there are, slack the bench's own.
 const pushedGrace, pushedSlack = 500 * time.Millisecond, 50 * time.Millisecond
 
 // pushed is a router's configuration where lists are pushed to an agent.
-func pushed(t *testing.T, agent *standin.Agent, known ...config.Entry) *config.Config {
+func pushed(t *testing.T, agent *testserver.Agent, known ...config.Entry) *config.Config {
 	t.Helper()
 	text := strings.Replace(configText(agent.Addr), `"Discovery":"ask"`,
 		fmt.Sprintf(`"Discovery":"push","Contract":{"DrainGraceNs":%d}`, pushedGrace), 1)
@@ -49,10 +49,10 @@
 }
 
 // bank is a primary and two replicas, and an agent that has their list.
-func bank(t *testing.T, act func(typ byte, id string) standin.Act) (dbs []*standin.DB, list []config.Entry, agent *standin.Agent) {
+func bank(t *testing.T, act func(typ byte, id string) testserver.Act) (dbs []*testserver.DB, list []config.Entry, agent *testserver.Agent) {
 	t.Helper()
 	for i, id := range []string{"p", "a", "b"} {
-		db := standin.NewDB(t, i == 0, act)
+		db := testserver.NewDB(t, i == 0, act)
 		dbs = append(dbs, db)
 		mode := "read-only"
 		if i == 0 {
@@ -60,7 +60,7 @@
 		}
 		list = append(list, config.Entry{ID: id, Addr: db.Addr, Zone: "a", Cell: 7, State: "ready", Mode: mode})
 	}
-	agent, err := standin.NewAgent(list...)
+	agent, err := testserver.NewAgent(list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 func ask(t *testing.T, d *daemon, name string, clients int, stop chan bool) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for i := range clients {
-		c := standin.Dial(t, d.fronts[0].listener.Addr().String())
+		c := testserver.Dial(t, d.fronts[0].listener.Addr().String())
 		all.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -94,7 +94,7 @@
 
 // kept says that nothing came to a machine later than the grace after the agent was sent that it drains, but from told on where
 // the agent could not be heard before.
-func kept(t *testing.T, db *standin.DB, told time.Time) {
+func kept(t *testing.T, db *testserver.DB, told time.Time) {
 	t.Helper()
 	for _, w := range db.Log().Whole {
 		if late := w.At.Sub(told); late > pushedGrace+pushedSlack {
@@ -151,11 +151,11 @@
 func TestPushedDrainWhileRequestsWait(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	const slow = 900 * time.Millisecond // until a connection is welcomed: longer than the grace
-	dbs, list, agent := bank(t, func(typ byte, id string) standin.Act {
+	dbs, list, agent := bank(t, func(typ byte, id string) testserver.Act {
 		if typ == 0 {
-			return standin.Act{Delay: slow}
+			return testserver.Act{Delay: slow}
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	stop := make(chan bool)
 	cfg := pushed(t, agent, list...)
@@ -260,7 +260,7 @@
 		return s.n, s.ready
 	}
 	for n := 0; ; n++ {
-		c := standin.Dial(t, ln.Addr().String())
+		c := testserver.Dial(t, ln.Addr().String())
 		c.Send(pgwire.AppendQuery(nil, sql(fmt.Sprint("r", n), "look")))
 		if a := c.Until('Z'); a.Value == "" {
 			t.Fatalf("%+v", a)
--- a/cmd/limeladder/endings_test.go
+++ b/cmd/limeladder/endings_test.go
@@ -14,7 +14,7 @@
 	"limeladder/internal/config"
 	"limeladder/internal/limits"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // do runs f in the daemon's loop.
@@ -31,17 +31,17 @@
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	dbs, list, agent := bank(t, func(typ byte, id string) standin.Act {
+	dbs, list, agent := bank(t, func(typ byte, id string) testserver.Act {
 		if id == "slow" {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	d := serve(t, pushed(t, agent, list...))
 	ready(t, d)
 	addr := d.fronts[0].listener.Addr().String()
-	slow, rests := standin.Dial(t, addr), standin.Dial(t, addr)
+	slow, rests := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	rests.Send(query(sql("r", "look")))
 	rests.Until('Z')
 	slow.Send(query(sql("slow", "job")))
@@ -82,8 +82,8 @@
 // operators and discovery are kept back, and when it is back the router serves by itself.
 func TestIdleClientsLeaveRoomForTheRest(t *testing.T) {
 	const sockets = 128
-	db := standin.NewDB(t, true, nil)
-	agent, err := standin.NewAgent(config.Entry{ID: "p", Addr: db.Addr, Zone: "a", Cell: 7, State: "ready", Mode: "read-write"})
+	db := testserver.NewDB(t, true, nil)
+	agent, err := testserver.NewAgent(config.Entry{ID: "p", Addr: db.Addr, Zone: "a", Cell: 7, State: "ready", Mode: "read-write"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	if err := agent.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c := standin.Dial(t, addr) // those that only stay make room
+	c := testserver.Dial(t, addr) // those that only stay make room
 	for end := time.Now().Add(20 * time.Second); ; {
 		c.Send(query(sql(fmt.Sprint("r", time.Now().UnixNano()), "job")))
 		if a := c.Until('Z'); a.Types == "TDCZ" {
@@ -166,7 +166,7 @@
 	d := serve(t, pushed(t, agent, list...))
 	ready(t, d)
 	addr := d.fronts[0].listener.Addr().String()
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(query(sql("r", "look")))
 	c.Until('Z')
 	ours := map[int]bool{}
@@ -215,15 +215,15 @@
 // elsewhere, a write is failed once and never sent again, and the router goes on.
 func TestHalfALineEndsItsAttemptOnly(t *testing.T) {
 	for cut := 1; cut < 60; cut += 7 {
-		dbs, list, agent := bank(t, func(typ byte, id string) standin.Act {
+		dbs, list, agent := bank(t, func(typ byte, id string) testserver.Act {
 			if typ == 'Q' && id == "w" {
-				return standin.Act{Cut: cut}
+				return testserver.Act{Cut: cut}
 			}
-			return standin.Act{}
+			return testserver.Act{}
 		})
 		d := serve(t, pushed(t, agent, list...))
 		ready(t, d)
-		c := standin.Dial(t, d.fronts[0].listener.Addr().String())
+		c := testserver.Dial(t, d.fronts[0].listener.Addr().String())
 		c.Send(append(query(sql("w", "job")), query(sql("then", "job"))...))
 		if a := c.Until('Z'); a.Types != "EZ" || a.Code != "08007" {
 			t.Errorf("cut at %d: %+v", cut, a)
--- a/cmd/limeladder/holding_test.go
+++ b/cmd/limeladder/holding_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
-	"limeladder/internal/standin/check"
+	"limeladder/internal/testserver"
+	"limeladder/internal/testserver/check"
 )
 
 // cells is on-call's view of what is held.
@@ -50,7 +50,7 @@
 	ask := func(prefix string, n int) {
 		for i := range n {
 			done.Add(1)
-			c := standin.Dial(t, r.addr)
+			c := testserver.Dial(t, r.addr)
 			go func() {
 				defer done.Done()
 				defer c.Close()
@@ -143,9 +143,9 @@
 	r.file("deploy.toml", fmt.Sprintf("[changeover]\nclasses = [\"job\"]\n[store]\nname = \"n1\"\nfolder = %q\n[store.peers]\nn1 = %q\n", r.dir+"/store", freeAddr(t)))
 	r.start()
 	r.ask("one", "job", 1, 2500)
-	for i, from := range []*standin.DB{r.a, r.b} {
+	for i, from := range []*testserver.DB{r.a, r.b} {
 		from.Lead(false)
-		[]*standin.DB{r.b, r.a}[i].Lead(true)
+		[]*testserver.DB{r.b, r.a}[i].Lead(true)
 		if codes := r.ask(fmt.Sprint("change", i), "job", 1, 2500); codes[0] != "" {
 			t.Fatalf("%v", codes)
 		}
--- a/cmd/limeladder/pipeline_test.go
+++ b/cmd/limeladder/pipeline_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // A write at the head of a pipeline is held by its db machine beyond the time of one behind it. The reads behind it are done meanwhile; the
@@ -18,16 +18,16 @@
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	dbs, list, agent := bank(t, func(typ byte, id string) standin.Act {
+	dbs, list, agent := bank(t, func(typ byte, id string) testserver.Act {
 		if id == "head" {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	d := serve(t, pushed(t, agent, list...))
 	ready(t, d)
-	runs := func(id string, of ...*standin.DB) (n int) {
+	runs := func(id string, of ...*testserver.DB) (n int) {
 		for _, db := range of {
 			n += db.Runs(id)
 		}
@@ -36,7 +36,7 @@
 	within := func(id, class string, d int) []byte {
 		return query(fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=7 */ SELECT 1", id, class, d))
 	}
-	c := standin.Dial(t, d.fronts[0].listener.Addr().String())
+	c := testserver.Dial(t, d.fronts[0].listener.Addr().String())
 	sent := time.Now()
 	c.Send(slices.Concat(within("head", "job", 2500), within("r1", "look", 2500), within("r2", "look", 2500), within("w1", "job", 300),
 		within("r3", "look", 2500), within("w2", "job", 2500)))
@@ -70,14 +70,14 @@
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	dbs, list, agent := bank(t, func(typ byte, id string) standin.Act {
+	dbs, list, agent := bank(t, func(typ byte, id string) testserver.Act {
 		if id == "head" {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
-	other, err := standin.NewAgent(list...)
+	other, err := testserver.NewAgent(list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	cfg := pushed(t, agent, list...)
 	d := serve(t, cfg)
 	ready(t, d)
-	c := standin.Dial(t, d.fronts[0].listener.Addr().String())
+	c := testserver.Dial(t, d.fronts[0].listener.Addr().String())
 	late := query(sql("late", "look"))
 	c.Send(slices.Concat(query(sql("head", "job")), query(sql("r1", "look")), query(sql("w", "job")), late[:20]))
 	<-asked
--- a/cmd/limeladder/record.go
+++ b/cmd/limeladder/record.go
@@ -15,8 +15,8 @@
 	"limeladder/balance"
 	"limeladder/internal/audit"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
 	"limeladder/internal/spool"
@@ -27,7 +27,7 @@
 // records and carry them. All methods belong to the loop's goroutine and work on nil, which is off.
 type recording struct {
 	log      *slog.Logger
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	lim      limits.Limits
 	dep      config.Deploy
 	recorder *audit.Recorder
@@ -39,7 +39,7 @@
 }
 
 // startRecording starts what deploy/limeladder.toml turns on, or returns nil.
-func startRecording(l *loop.Loop, lim limits.Limits, dep config.Deploy, name string, seed uint64, log *slog.Logger) (*recording, error) {
+func startRecording(l *eventloop.Loop, lim limits.Limits, dep config.Deploy, name string, seed uint64, log *slog.Logger) (*recording, error) {
 	c, a := dep.Syslog, dep.Audit
 	if !c.On() {
 		return nil, nil
--- a/cmd/limeladder/record_bench_test.go
+++ b/cmd/limeladder/record_bench_test.go
@@ -17,9 +17,9 @@
 
 	"limeladder/internal/audit"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
-	"limeladder/internal/standin/collector"
 	"limeladder/internal/syslog"
+	"limeladder/internal/testserver"
+	"limeladder/internal/testserver/collector"
 )
 
 // BenchmarkRecordPath takes answers from the loop's side to a collector's socket, chained; on one core with -cpu 1.
@@ -114,7 +114,7 @@
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				c := standin.Dial(b, addrs[arm])
+				c := testserver.Dial(b, addrs[arm])
 				defer c.Close()
 				var mine []time.Duration
 				for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); {
--- a/cmd/limeladder/record_test.go
+++ b/cmd/limeladder/record_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
-	"limeladder/internal/standin/collector"
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
+	"limeladder/internal/testserver"
+	"limeladder/internal/testserver/collector"
 )
 
 // rig is a router in a process of its own, with discovery, two db machines and collectors around it.
@@ -33,7 +33,7 @@
 	list   string
 	news   chan bool
 	server *httptest.Server
-	a, b   *standin.DB
+	a, b   *testserver.DB
 }
 
 func freeAddr(t testing.TB) string {
@@ -45,8 +45,8 @@
 	return ln.Addr().String()
 }
 
-func newRig(t testing.TB, act func(typ byte, id string) standin.Act) *rig {
-	r := &rig{t: t, dir: t.TempDir(), news: make(chan bool, 9), a: standin.NewDB(t, true, act), b: standin.NewDB(t, false, act)}
+func newRig(t testing.TB, act func(typ byte, id string) testserver.Act) *rig {
+	r := &rig{t: t, dir: t.TempDir(), news: make(chan bool, 9), a: testserver.NewDB(t, true, act), b: testserver.NewDB(t, false, act)}
 	r.list = fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s1","addr":%q,"zone":"a","cell":7,"state":"ready","mode":"read-write"},
 		{"id":"s2","addr":%q,"zone":"a","cell":7,"state":"ready"}]}`, r.a.Addr, r.b.Addr)
 	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -158,7 +158,7 @@
 // ask sends n requests of a class one after the other and returns the codes of their answers.
 func (r *rig) ask(prefix, class string, n, wait int) (codes []string) {
 	r.t.Helper()
-	c := standin.Dial(r.t, r.addr)
+	c := testserver.Dial(r.t, r.addr)
 	defer c.Close()
 	for i := range n {
 		c.Send(pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s-%d,c=%s,d=%d,cluster=7 */ SELECT 1", prefix, i, class, wait)))
@@ -170,7 +170,7 @@
 // value is one of a message's.
 func value(t testing.TB, p []byte, elem, name string) string {
 	t.Helper()
-	var m syslogread.Message
+	var m parser.Message
 	if err := m.Read(p); err != nil {
 		t.Fatalf("%v: %q", err, p)
 	}
@@ -256,7 +256,7 @@
 // record tells what happened, and the file is proved whole.
 func TestRecordOfEachAnswer(t *testing.T) {
 	asked := make(chan bool, 9)
-	r := newRig(t, func(typ byte, id string) (a standin.Act) {
+	r := newRig(t, func(typ byte, id string) (a testserver.Act) {
 		switch {
 		case typ != 'Q':
 		case strings.HasPrefix(id, "own"):
@@ -287,7 +287,7 @@
 		t.Fatal(err)
 	}
 	r.ask("own", "look", 3, 2500)
-	leaver := standin.Dial(t, r.addr)
+	leaver := testserver.Dial(t, r.addr)
 	leaver.Send(pgwire.AppendQuery(nil, sql("left", "look")))
 	<-asked
 	leaver.Close()
--- a/cmd/limeladder/sites.go
+++ b/cmd/limeladder/sites.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"limeladder/internal/config"
-	"limeladder/internal/sites"
+	"limeladder/internal/sitefailover"
 )
 
 // watchSites turns the watch of whole sites on, and what it leads to, if deploy/limeladder.toml says so.
@@ -18,9 +18,9 @@
 	if !d.dep.Sites.Watch {
 		return
 	}
-	d.core.WatchSites(sites.Watch(cfg.Balance.Zone, cfg.Balance.ColdFor, d.lim.Listed))
+	d.core.WatchSites(sitefailover.Watch(cfg.Balance.Zone, cfg.Balance.ColdFor, d.lim.Listed))
 	if d.dep.Sites.Act {
-		d.core.ActOnSites(sites.DoorConfig{Spread: cfg.Balance.MaxRetryAfter}, sites.RampConfig{First: cfg.Balance.ColdFrom, Over: cfg.Balance.ColdFor}, cfg.SeedValue)
+		d.core.ActOnSites(sitefailover.DoorConfig{Spread: cfg.Balance.MaxRetryAfter}, sitefailover.RampConfig{First: cfg.Balance.ColdFrom, Over: cfg.Balance.ColdFor}, cfg.SeedValue)
 	}
 }
 
@@ -38,7 +38,7 @@
 
 // refusedView is what is refused at the door now, pacedView a site that is not used for all it can do.
 type refusedView struct {
-	sites.Share
+	sitefailover.Share
 	SinceMs int64 `json:"since_ms"`
 }
 
@@ -89,7 +89,7 @@
 		if v.SinceMs >= 0 {
 			since = (time.Duration(v.SinceMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 		}
-		if v.State != sites.Well.String() {
+		if v.State != sitefailover.Well.String() {
 			kind = " (" + v.Kind + ")"
 		}
 		fmt.Fprintf(t, "%s\t%s%s\t%d\t%d\t%s\t%s\n", v.Site, v.State, kind, v.Machines, v.Down, since, v.Evidence)
@@ -106,7 +106,7 @@
 		fmt.Fprintf(&b, "refused at the door: bank %d %s, %.0f%%, the %s short, for %v\n", x.Bank, x.Class, 100*x.Part, x.Where, (time.Duration(x.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
 	}
 	b.WriteString("\n")
-	sites.Table(&b, plans)
+	sitefailover.Table(&b, plans)
 	return strings.TrimRight(b.String(), "\n"), false
 }
 
--- a/cmd/limeladder/sites_test.go
+++ b/cmd/limeladder/sites_test.go
@@ -12,20 +12,20 @@
 	"time"
 
 	"limeladder/internal/config"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // sitesRouter is a router before two banks over two sites, with the watch of sites on.
-func sitesRouter(t *testing.T) (d *daemon, dbs map[string]*standin.DB, op string) {
+func sitesRouter(t *testing.T) (d *daemon, dbs map[string]*testserver.DB, op string) {
 	t.Helper()
-	dbs = map[string]*standin.DB{}
+	dbs = map[string]*testserver.DB{}
 	var list []config.Entry
 	for _, x := range []struct {
 		id, site string
 		bank     int64
 		primary  bool
 	}{{"a1", "n", 7, true}, {"a2", "s", 7, false}, {"b1", "s", 8, true}, {"b2", "n", 8, false}} {
-		db := standin.NewDB(t, x.primary, nil)
+		db := testserver.NewDB(t, x.primary, nil)
 		dbs[x.id] = db
 		mode := "read-only"
 		if x.primary {
@@ -33,7 +33,7 @@
 		}
 		list = append(list, config.Entry{ID: x.id, Addr: db.Addr, Zone: x.site, Cell: x.bank, State: "ready", Mode: mode})
 	}
-	agent, err := standin.NewAgent(list...)
+	agent, err := testserver.NewAgent(list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	stop := make(chan bool)
 	// Reads of both banks, and writes.
 	both := func(name string) {
-		c := standin.Dial(t, d.fronts[0].listener.Addr().String())
+		c := testserver.Dial(t, d.fronts[0].listener.Addr().String())
 		go func() {
 			for n := 0; ; n++ {
 				select {
--- a/cmd/limeladder/size_test.go
+++ b/cmd/limeladder/size_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // The smallest router that the settings may give, one of 350, that knows a list of 1,024 db machines and gets it again, indented and in pieces: it
@@ -30,7 +30,7 @@
 			"\n                        \"cell\": %d,\n                        \"state\": \"ready\",\n                        \"mode\": %q\n                }", id, addr, cell, mode)
 	}
 	for i, id := range []string{"p", "a", "b"} {
-		entry(id, standin.NewDB(t, i == 0, nil).Addr, map[bool]string{true: "read-write", false: "read-only"}[i == 0], 7)
+		entry(id, testserver.NewDB(t, i == 0, nil).Addr, map[bool]string{true: "read-write", false: "read-only"}[i == 0], 7)
 	}
 	for i := 3; i < machines; i++ {
 		entry(fmt.Sprint("s-", i), "127.0.0.1:1", "read-only", 8+i%60)
@@ -73,7 +73,7 @@
 	served, answered := make([]int, clients), make([]int, clients)
 	var all sync.WaitGroup
 	for i := range clients {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/internal/operator/call.go
+++ b/internal/adminapi/call.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"bytes"
--- a/internal/operator/operator.go
+++ b/internal/adminapi/operator.go
@@ -1,6 +1,6 @@
-// Package operator is where operators call: HTTP/1.1, one call to a connection. It runs beside all clients' work, so its
+// Package adminapi is where operators call: HTTP/1.1, one call to a connection. It runs beside all clients' work, so its
 // connections are few, have places of their own, and enter the loop by Loop.Urgent.
-package operator
+package adminapi
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Router is what operators act on. Every done is called once, in the loop.
@@ -43,7 +43,7 @@
 
 // Server answers operators' calls. All of it runs in the loop's goroutine.
 type Server struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	lim    limits.Limits
 	log    *slog.Logger
 	router Router
@@ -51,12 +51,12 @@
 }
 
 // New returns a Server; its connections come by Accept.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, r Router) *Server {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, r Router) *Server {
 	return &Server{loop: l, lim: lim, log: log, router: r}
 }
 
 // Accept takes a new connection.
-func (s *Server) Accept(c *sock.Conn) sock.Handler {
+func (s *Server) Accept(c *transport.Conn) transport.Handler {
 	k := &conn{server: s, sock: c}
 	s.open = append(s.open, k)
 	k.timer = s.loop.After(s.lim.CallWhole, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
@@ -75,8 +75,8 @@
 // conn is one caller.
 type conn struct {
 	server *Server
-	sock   *sock.Conn
-	timer  *loop.Timer
+	sock   *transport.Conn
+	timer  *eventloop.Timer
 	buf    []byte
 	whole  bool // its call has come
 	told   bool // its answer is written
--- a/internal/operator/operator_test.go
+++ b/internal/adminapi/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 var valid = []string{
@@ -86,9 +86,9 @@
 	return cell == 7 && limit > 0, r.off
 }
 
-func serve(t *testing.T) (l *loop.Loop, addr string) {
-	l = loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+func serve(t *testing.T) (l *eventloop.Loop, addr string) {
+	l = eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/audit/carry_test.go
+++ b/internal/audit/carry_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"limeladder/internal/audit"
-	"limeladder/internal/standin/collector"
 	"limeladder/internal/syslog"
+	"limeladder/internal/testserver/collector"
 )
 
 // 10,000 hostile records over each transport: the collector has each of them as it was written, and the strict parser
--- a/internal/audit/encode_test.go
+++ b/internal/audit/encode_test.go
@@ -10,7 +10,7 @@
 	"limeladder/balance"
 	"limeladder/internal/audit"
 	"limeladder/internal/syslog"
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
 )
 
 var key = audit.Key{Name: "k-2026", Secret: [32]byte{7, 7, 7}}
@@ -62,7 +62,7 @@
 // check reads a message strictly and compares what has come with what was given, up to a legal cut.
 func check(t testing.TB, e audit.Event, msg []byte, most int) {
 	t.Helper()
-	var m syslogread.Message
+	var m parser.Message
 	if err := m.Read(msg); err != nil {
 		t.Fatalf("%v: %q", err, msg)
 	}
@@ -88,7 +88,7 @@
 			}
 			return
 		}
-		if got, err := syslogread.Plain(v); err != nil || got != want {
+		if got, err := parser.Plain(v); err != nil || got != want {
 			t.Fatalf("%s: %q, %v, given was %q", name, got, err, want)
 		}
 	}
@@ -108,7 +108,7 @@
 			for _, p := range x.Params {
 				if string(p.Name) == "try" {
 					part := strings.SplitN(string(p.Value), ",", 3)
-					if node, err := syslogread.Plain([]byte(part[2])); err != nil || node != v.Attempts[i].Node {
+					if node, err := parser.Plain([]byte(part[2])); err != nil || node != v.Attempts[i].Node {
 						t.Fatalf("try %d: %q, given was %q", i, node, v.Attempts[i].Node)
 					}
 					i++
@@ -124,7 +124,7 @@
 	case audit.Note:
 		fits("event", "topic", v.Topic)
 		if !isCut {
-			if text, err := syslogread.Plain(m.Text); err != nil || text != v.Text {
+			if text, err := parser.Plain(m.Text); err != nil || text != v.Text {
 				t.Fatalf("MSG %q, given was %q", text, v.Text)
 			}
 		}
@@ -217,7 +217,7 @@
 		if rec.Seq != uint64(i)+1 {
 			t.Fatalf("%+v", rec)
 		}
-		var m syslogread.Message
+		var m parser.Message
 		if err := m.Read(enc.Encode(rec)); err != nil { // the time since the start would be less than nothing
 			t.Fatal(err)
 		}
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -14,7 +14,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
 )
 
 // Options say how strictly a file is looked at.
@@ -176,7 +176,7 @@
 
 // File reads one file. The error is one of reading; what is wrong with the content is a fault.
 func (v *Verifier) File(name string, r io.Reader) error {
-	frames := syslogread.NewFrames(r, v.opt.Most)
+	frames := parser.NewFrames(r, v.opt.Most)
 	work := make(chan *block, v.opt.Workers)
 	line := make(chan *block, 2*v.opt.Workers)
 	go func() {
@@ -218,7 +218,7 @@
 		}
 		switch {
 		case b.err == nil, b.err == io.EOF:
-		case errors.Is(b.err, syslogread.ErrCut), errors.Is(b.err, syslogread.ErrFrame), errors.Is(b.err, syslogread.ErrLong):
+		case errors.Is(b.err, parser.ErrCut), errors.Is(b.err, parser.ErrFrame), errors.Is(b.err, parser.ErrLong):
 			v.fault(Fault{File: name, Message: b.index, Offset: b.at, What: b.err.Error() + ": the rest can't be read"})
 		default:
 			failed = b.err
@@ -230,7 +230,7 @@
 // worker parses and hashes.
 type worker struct {
 	v      *Verifier
-	msg    syslogread.Message
+	msg    parser.Message
 	hashes map[string]*blake3.Hasher
 	words  map[string]string // starts, kinds and keys that were seen: the same bytes need no memory of their own
 	sum    [32]byte
@@ -297,13 +297,13 @@
 			case "link":
 				ok = copy(it.link[:], p.Value) == len(p.Value) && len(p.Value) == linkText
 			case "seq":
-				it.seq, ok = syslogread.Number(p.Value)
+				it.seq, ok = parser.Number(p.Value)
 			case "count":
-				it.count, ok = syslogread.Number(p.Value)
+				it.count, ok = parser.Number(p.Value)
 			case "first":
-				it.first, ok = syslogread.Number(p.Value)
+				it.first, ok = parser.Number(p.Value)
 			case "last":
-				it.last, ok = syslogread.Number(p.Value)
+				it.last, ok = parser.Number(p.Value)
 			case "key":
 				it.key = w.word(p.Value)
 			case "mac":
--- a/internal/servers/conn.go
+++ b/internal/backend/conn.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"bytes"
@@ -8,21 +8,21 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // conn is a connection to a db machine. It carries one call at a time.
 type conn struct {
 	machine *machine
 	since   int // machine.left when it was dialled
-	sock    *sock.Conn
+	sock    *transport.Conn
 	reader  *pgwire.Reader
-	welcome *loop.Timer // until it is welcomed
-	rest    *loop.Timer // until it may carry the next call
-	stall   *loop.Timer // until what has begun to come goes on
+	welcome *eventloop.Timer // until it is welcomed
+	rest    *eventloop.Timer // until it may carry the next call
+	stall   *eventloop.Timer // until what has begun to come goes on
 	ready   bool
 	ended   bool
 	dialing bool // the system still has the dial
@@ -51,7 +51,7 @@
 	p.open++
 	k.dialing = true
 	k.welcome = p.loop.After(p.lim.Connect, func() { k.broken() })
-	p.engine.Dial(m.addr, p.lim.Connect, func(c *sock.Conn, err error) sock.Handler {
+	p.engine.Dial(m.addr, p.lim.Connect, func(c *transport.Conn, err error) transport.Handler {
 		if k.dialing = false; k.ended {
 			k.left()
 		}
--- a/internal/servers/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 	"limeladder/balance"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // A client goes while the connection for its attempt comes up: nothing is written there.
@@ -18,12 +18,12 @@
 	dialled, welcome := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(welcome) })
 	defer release() // its stand-in waits for it
-	db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
 			dialled <- true
 			<-welcome
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	l := lim()
 	l.Connect, l.Redial = 10*time.Second, 20*time.Second
@@ -106,7 +106,7 @@
 
 // A dial that is given up has a descriptor until the system ends it, and counts until then.
 func TestADialThatIsGivenUpCountsUntilItEnds(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	r := start(t, lim(), db.Addr)
 	first, then := make(chan int, 1), make(chan int, 1)
 	r.loop.Post(func() {
--- a/internal/servers/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"sync"
@@ -8,7 +8,7 @@
 	"limeladder/balance"
 	"limeladder/internal/config"
 	"limeladder/internal/router"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // What the list says of a machine binds what waits for a connection to it: nothing is written there any more, whichever way
@@ -33,14 +33,14 @@
 			dialled, welcome := make(chan bool, 9), make(chan bool)
 			release := sync.OnceFunc(func() { close(welcome) })
 			defer release() // its stand-in waits for it
-			db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+			db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 				if typ == 0 {
 					dialled <- true
 					<-welcome
 				}
-				return standin.Act{}
+				return testserver.Act{}
 			})
-			there := standin.NewDB(t, true, func(byte, string) standin.Act { return standin.Act{} })
+			there := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{} })
 			l := lim()
 			l.Connect, l.Redial = 3*time.Second, 20*time.Second
 			r := start(t, l, db.Addr)
--- a/internal/servers/probe.go
+++ b/internal/backend/probe.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"math"
--- a/internal/servers/servers.go
+++ b/internal/backend/servers.go
@@ -1,5 +1,5 @@
-// Package servers holds the connections to the db machines and carries attempts and probes over them.
-package servers
+// Package backend holds the connections to the db machines and carries attempts and probes over them.
+package backend
 
 import (
 	"log/slog"
@@ -7,11 +7,11 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Job is what a front wants written to a db machine; router.Job holds one.
@@ -34,8 +34,8 @@
 
 // Pool holds the connections, by db machine. All of it runs in the loop's goroutine.
 type Pool struct {
-	loop     *loop.Loop
-	engine   *sock.Engine
+	loop     *eventloop.Loop
+	engine   *transport.Engine
 	lim      limits.Limits
 	log      *slog.Logger
 	startup  []byte
@@ -59,7 +59,7 @@
 }
 
 // New returns a Pool that knows no db machine.
-func New(l *loop.Loop, e *sock.Engine, lim limits.Limits, log *slog.Logger) *Pool {
+func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger) *Pool {
 	p := &Pool{loop: l, engine: e, lim: lim, log: log, machines: map[string]*machine{}, barred: map[string]bool{},
 		startup: pgwire.AppendStartup(nil, "user", "portal", "database", "crm")}
 	p.sweep()
@@ -246,8 +246,8 @@
 	done    func(router.Result)
 
 	conn            *conn // once its messages are written
-	connect, redial *loop.Timer
-	timer           *loop.Timer
+	connect, redial *eventloop.Timer
+	timer           *eventloop.Timer
 	over            bool
 }
 
--- a/internal/servers/servers_test.go
+++ b/internal/backend/servers_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 type job string
@@ -31,13 +31,13 @@
 
 type rig struct {
 	t    *testing.T
-	loop *loop.Loop
+	loop *eventloop.Loop
 	pool *Pool
 }
 
 func start(t *testing.T, lim limits.Limits, addr string) *rig {
-	l := loop.New()
-	e, err := sock.New(l, 256, lim.Inbox)
+	l := eventloop.New()
+	e, err := transport.New(l, 256, lim.Inbox)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,11 +81,11 @@
 func TestAConnectionIsKeptAndUsedInTimeOnly(t *testing.T) {
 	for idle, want := range map[time.Duration]int32{time.Minute: 1, -1: 3} {
 		var dials atomic.Int32
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
 				dials.Add(1)
 			}
-			return standin.Act{}
+			return testserver.Act{}
 		})
 		l := lim()
 		l.Idle = idle
@@ -107,11 +107,11 @@
 	for code, want := range map[string]balance.Status{"53300": balance.Busy, "25006": balance.Miss, "72000": balance.Miss,
 		"XX000": balance.Error, "08P01": balance.Error, "23505": balance.Done} {
 		for _, fatal := range []bool{false, true} {
-			db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+			db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 				if typ == 0 {
-					return standin.Act{}
+					return testserver.Act{}
 				}
-				return standin.Act{Code: code, Fatal: fatal}
+				return testserver.Act{Code: code, Fatal: fatal}
 			})
 			r := start(t, lim(), db.Addr)
 			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Answer.(*Answer).Code != code {
@@ -177,22 +177,22 @@
 	}
 	for name, c := range map[string]struct {
 		at   byte
-		act  standin.Act
+		act  testserver.Act
 		want balance.Status
 	}{
-		"at the welcome":     {0, standin.Act{Break: true}, balance.ConnectFailed},
-		"silent welcome":     {0, standin.Act{Silent: true}, balance.ConnectFailed},
-		"before the answer":  {'Q', standin.Act{Break: true}, balance.Reset},
-		"within the answer":  {'Q', standin.Act{Cut: 30}, balance.Reset},
-		"before ready":       {'Q', standin.Act{Cut: 75}, balance.Reset},
-		"behind the answer":  {'Q', standin.Act{Cut: 1000}, balance.Done},
-		"behind the welcome": {0, standin.Act{Cut: 1000}, balance.Reset},
+		"at the welcome":     {0, testserver.Act{Break: true}, balance.ConnectFailed},
+		"silent welcome":     {0, testserver.Act{Silent: true}, balance.ConnectFailed},
+		"before the answer":  {'Q', testserver.Act{Break: true}, balance.Reset},
+		"within the answer":  {'Q', testserver.Act{Cut: 30}, balance.Reset},
+		"before ready":       {'Q', testserver.Act{Cut: 75}, balance.Reset},
+		"behind the answer":  {'Q', testserver.Act{Cut: 1000}, balance.Done},
+		"behind the welcome": {0, testserver.Act{Cut: 1000}, balance.Reset},
 	} {
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == c.at {
 				return c.act
 			}
-			return standin.Act{}
+			return testserver.Act{}
 		})
 		x := start(t, lim(), db.Addr).try("a", 0)
 		if x.Status != c.want && !(name == "behind the welcome" && x.Status == balance.ConnectFailed) {
@@ -229,7 +229,7 @@
 		"too long":  {long(5<<20, 0), 0, balance.Error, false},
 		"kept":      {long(50_000, 0), 0, balance.Done, false},
 	} {
-		db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 			if typ == 'Q' && id == "a" {
 				a.Spoil = func([]byte) []byte { return c.answer }
 				if c.cut > 0 {
@@ -284,7 +284,7 @@
 
 // When an answer began to come is told apart from its end.
 func TestSlowAnswer(t *testing.T) {
-	db := standin.NewDB(t, true, func(typ byte, _ string) (a standin.Act) {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
 		if typ == 'Q' {
 			a.Spoil = func(p []byte) []byte { return p[:20] }
 			a.Behind = long(4, 0)[20:]
@@ -308,18 +308,18 @@
 
 // A send that a slow connection has held up past the age its data may have is not made.
 func TestTooLateToSend(t *testing.T) {
-	db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
-			return standin.Act{Delay: 60 * time.Millisecond}
+			return testserver.Act{Delay: 60 * time.Millisecond}
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	r := start(t, lim(), db.Addr)
 	if x := r.try("a", 20*time.Millisecond); x.Status != balance.Skipped || db.Runs("a") != 0 {
 		t.Fatalf("%+v", x)
 	}
 	// Nor is a connection waited for beyond that.
-	silent := standin.NewDB(t, true, func(typ byte, _ string) standin.Act { return standin.Act{Silent: true} })
+	silent := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: true} })
 	l := lim()
 	l.Connect = 20 * time.Second
 	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.Skipped {
@@ -336,12 +336,12 @@
 // The answer to a cancelled attempt must not be taken for that of the next.
 func TestLateAnswerMeetsNobody(t *testing.T) {
 	asked := make(chan bool, 9)
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if typ == 'Q' && id == "slow" {
 			asked <- true
-			return standin.Act{Delay: 30 * time.Millisecond}
+			return testserver.Act{Delay: 30 * time.Millisecond}
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	r := start(t, lim(), db.Addr)
 	r.try("first", 0)
@@ -369,7 +369,7 @@
 }
 
 func TestProbe(t *testing.T) {
-	db := standin.NewDB(t, false, nil)
+	db := testserver.NewDB(t, false, nil)
 	r := start(t, lim(), db.Addr)
 	done := make(chan router.Result, 9)
 	ask := func() { r.loop.Post(func() { r.pool.Probe("n", func(x router.Result) { done <- x }) }) }
@@ -378,7 +378,7 @@
 	if x := r.end(done); x.Status != balance.Done || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
 		t.Fatalf("%+v", x)
 	}
-	silent := standin.NewDB(t, false, func(typ byte, _ string) standin.Act { return standin.Act{Silent: typ == 'Q'} })
+	silent := testserver.NewDB(t, false, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: typ == 'Q'} })
 	r = start(t, lim(), silent.Addr)
 	ask()
 	if x := r.end(done); x.Status != balance.TimedOut {
@@ -420,7 +420,7 @@
 		"error too late":  join(status, column, value, tag, pgwire.AppendError(nil, pgwire.Error{Code: "53300"})),
 	} {
 		var dials atomic.Int32
-		db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 			if typ == 0 {
 				dials.Add(1)
 			}
@@ -447,7 +447,7 @@
 	for size, want := range map[int]balance.Status{400_000: balance.Done, l.Answer: balance.Error} {
 		value := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(size))
 		value = append(value, make([]byte, size)...)
-		db := standin.NewDB(t, true, func(typ byte, _ string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
 			if typ == 'Q' {
 				a.Spoil = func(p []byte) []byte {
 					end := bytes.IndexByte(p, 'D')
@@ -466,11 +466,11 @@
 func TestBehindAnAnswer(t *testing.T) {
 	copied := bytes.Join([][]byte{pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")),
 		pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x05stray")), pgwire.Append(nil, 'C', []byte("SELECT 1\x00")), pgwire.AppendReady(nil)}, nil)
-	for name, act := range map[string]standin.Act{"later": {Behind: copied},
+	for name, act := range map[string]testserver.Act{"later": {Behind: copied},
 		"at once": {Spoil: func(p []byte) []byte { return append(p, copied...) }}, "a part": {Behind: copied[:7]}} {
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
-				return standin.Act{}
+				return testserver.Act{}
 			}
 			return act
 		})
--- a/internal/list/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"io"
@@ -8,20 +8,20 @@
 	"time"
 
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 // follow starts a watch that goes on by itself, at an agent, within a grace.
-func follow(t *testing.T, grace time.Duration) (told, *standin.Agent) {
-	a, err := standin.NewAgent(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "ready"})
+func follow(t *testing.T, grace time.Duration) (told, *testserver.Agent) {
+	a, err := testserver.NewAgent(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+	l := eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,10 @@
 // Where lists are pushed nobody calls Track: the watch goes on by itself through every failure, and hears what came meanwhile.
 func TestFollowGoesOnByItself(t *testing.T) {
 	drain := config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "draining"}
-	for name, fail := range map[string]func(a *standin.Agent) (back func()){
-		"silent": func(a *standin.Agent) func() { a.Silent(true); return func() { a.Silent(false) } },
-		"busy":   func(a *standin.Agent) func() { a.Fault(503); return func() { a.Fault(0) } },
-		"away": func(a *standin.Agent) func() {
+	for name, fail := range map[string]func(a *testserver.Agent) (back func()){
+		"silent": func(a *testserver.Agent) func() { a.Silent(true); return func() { a.Silent(false) } },
+		"busy":   func(a *testserver.Agent) func() { a.Fault(503); return func() { a.Fault(0) } },
+		"away": func(a *testserver.Agent) func() {
 			a.Stop()
 			return func() {
 				if err := a.Start(); err != nil {
--- a/internal/list/http.go
+++ b/internal/discovery/http.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bytes"
--- a/internal/list/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package list follows discovery's list of db machines by HTTP/1.1 watches.
-package list
+// Package discovery follows discovery's list of db machines by HTTP/1.1 watches.
+package discovery
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 	"time"
 
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Sink is told what discovery says.
@@ -30,8 +30,8 @@
 // decision module does (Track): it spreads the calls of the whole fleet. Where lists are pushed to an agent on the router's own
 // machine a call costs nobody anything, and the watch goes on by itself (Follow).
 type Watcher struct {
-	loop   *loop.Loop
-	engine *sock.Engine
+	loop   *eventloop.Loop
+	engine *transport.Engine
 	lim    limits.Limits
 	log    *slog.Logger
 	addr   string
@@ -42,23 +42,23 @@
 	older   int    // answers in a row that were older than the newest list,
 	bad     int    // or could not be believed for any reason
 	fault   string // that was logged last, "" = the last answer was good
-	conn    *sock.Conn
-	reply   *response     // of the call that is out, nil = none
-	limit   *loop.Timer   // its deadline
-	at      time.Duration // when it was made,
-	wait    time.Duration // how long discovery may wait with its answer,
-	slack   time.Duration // and how long beyond that the answer may take to begin
-	cameAt  time.Duration // when the newest piece of the answer came, 0 = none has
-	text    []byte        // the call
-	reused  bool          // it went out on a connection that had carried another
-	dials   int           // the newest dial; an older one that comes up late is closed
-	pace    *pace         // of a watch that goes on by itself, nil = Track is called after each failure
-	again   *loop.Timer   // the next call, where it waits
+	conn    *transport.Conn
+	reply   *response        // of the call that is out, nil = none
+	limit   *eventloop.Timer // its deadline
+	at      time.Duration    // when it was made,
+	wait    time.Duration    // how long discovery may wait with its answer,
+	slack   time.Duration    // and how long beyond that the answer may take to begin
+	cameAt  time.Duration    // when the newest piece of the answer came, 0 = none has
+	text    []byte           // the call
+	reused  bool             // it went out on a connection that had carried another
+	dials   int              // the newest dial; an older one that comes up late is closed
+	pace    *pace            // of a watch that goes on by itself, nil = Track is called after each failure
+	again   *eventloop.Timer // the next call, where it waits
 	stopped bool
 }
 
 // New returns a Watcher that asks nothing before Track or Follow.
-func New(l *loop.Loop, e *sock.Engine, lim limits.Limits, log *slog.Logger, addr string, s Sink) *Watcher {
+func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger, addr string, s Sink) *Watcher {
 	return &Watcher{loop: l, engine: e, lim: lim, log: log, addr: addr, whole: true, sink: s}
 }
 
@@ -154,7 +154,7 @@
 	w.reused = false
 	w.dials++
 	mine := w.dials
-	w.engine.Dial(w.addr, w.lim.Connect, func(c *sock.Conn, err error) sock.Handler {
+	w.engine.Dial(w.addr, w.lim.Connect, func(c *transport.Conn, err error) transport.Handler {
 		if mine != w.dials {
 			if c != nil {
 				c.Close()
--- a/internal/list/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"fmt"
@@ -15,9 +15,9 @@
 	"time"
 
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 func answers() []string {
@@ -77,10 +77,10 @@
 func (s told) Told(l config.List)     { s.lists <- l }
 func (s told) ListFailed(silent bool) { s.fails <- silent }
 
-func watch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (told, *Watcher, *loop.Loop) {
+func watch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (told, *Watcher, *eventloop.Loop) {
 	srv := httptest.NewServer(h)
-	l := loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+	l := eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 }
 
 // in runs f in the loop.
-func in(l *loop.Loop, f func()) {
+func in(l *eventloop.Loop, f func()) {
 	done := make(chan bool)
 	l.Post(func() { f(); close(done) })
 	<-done
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs the one goroutine that owns all state of the program. Sockets hand it what has come.
-package loop
+// Package eventloop runs the one goroutine that owns all state of the program. Sockets hand it what has come.
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"slices"
--- a/internal/changeover/model.go
+++ b/internal/failover/model.go
@@ -1,7 +1,7 @@
-// Package changeover models the change of a bank's primary, holds the writes that come meanwhile, and lets them out to the
+// Package failover models the change of a bank's primary, holds the writes that come meanwhile, and lets them out to the
 // successor. It is pure: time is passed in, draws come from a seed, and what is to be done is returned as actions. It never
 // picks a server; it says when the decision module is asked.
-package changeover
+package failover
 
 import (
 	"cmp"
--- a/internal/changeover/model_test.go
+++ b/internal/failover/model_test.go
@@ -1,4 +1,4 @@
-package changeover
+package failover
 
 import (
 	"fmt"
--- a/internal/clients/clients.go
+++ b/internal/frontend/clients.go
@@ -1,6 +1,6 @@
-// Package clients holds the connections of clients, and is the thin front for the platform's protocol: simple
+// Package frontend holds the connections of clients, and is the thin front for the platform's protocol: simple
 // queries, one statement each, over plain PostgreSQL connections.
-package clients
+package frontend
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Core takes requests.
@@ -38,7 +38,7 @@
 
 // Front holds the connections of clients. All of it runs in the loop's goroutine.
 type Front struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	lim       limits.Limits
 	log       *slog.Logger
 	core      Core
@@ -50,15 +50,15 @@
 	finishing time.Duration // since when also those are closed that have no request in hand, 0 = they are not
 	named     bool          // requests say whose they are
 	conns     map[*Conn]struct{}
-	buffered  int         // bytes of all clients that are kept for them, or have come of what they may ask next
-	ahead     int         // bytes that have come of clients that are owed an answer
-	next      *loop.Timer // the next sweep
+	buffered  int              // bytes of all clients that are kept for them, or have come of what they may ask next
+	ahead     int              // bytes that have come of clients that are owed an answer
+	next      *eventloop.Timer // the next sweep
 	sweeps    int
 }
 
 // New returns a Front that is not ready yet. speak makes the Speaker of each connection. It is called before the loop
 // runs.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Core, speak func(*Conn) Speaker) *Front {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, c Core, speak func(*Conn) Speaker) *Front {
 	f := &Front{loop: l, lim: lim, log: log, core: c, speak: speak, conns: map[*Conn]struct{}{}}
 	l.Post(f.sweep)
 	return f
@@ -74,7 +74,7 @@
 func (f *Front) Ready() { f.ready = true }
 
 // Accept takes a new connection. The listener bounds how many there are.
-func (f *Front) Accept(s *sock.Conn) sock.Handler {
+func (f *Front) Accept(s *transport.Conn) transport.Handler {
 	now := f.loop.Now()
 	c := &Conn{front: f, sock: s, reader: pgwire.NewReader(f.lim.Message, f.lim.Startup), openAt: now, lastAt: now, tookAt: now}
 	c.speaker = f.speak(c)
@@ -222,7 +222,7 @@
 type Conn struct {
 	front   *Front
 	speaker Speaker
-	sock    *sock.Conn
+	sock    *transport.Conn
 	reader  *pgwire.Reader
 	started bool
 	asked   bool // a message has come since the start
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"encoding/binary"
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/backend"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 // core answers requests by their class, in the loop.
 type core struct {
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	taken atomic.Int32
 
 	turned atomic.Int32
@@ -60,14 +60,14 @@
 			text := q.Job.(*Query).Messages(q.Deadline)
 			p := pgwire.Append(nil, 'T', []byte{0, 0})
 			p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
-			c.Served(&servers.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
+			c.Served(&backend.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
 		case "refused":
 			c.Refused(1500 * time.Millisecond)
 		case "failed":
 			c.Failed("it may have run")
 		case "long", "cut":
 			k.source = &source{k: k, c: c, left: longest, cut: q.Class == "cut"}
-			c.Begun(&servers.Answer{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
+			c.Begun(&backend.Answer{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
 			c.Part(binary.BigEndian.AppendUint32([]byte{'D'}, longest+4))
 			k.source.run()
 		}
@@ -108,7 +108,7 @@
 	}
 	if s.left == 0 && !s.held {
 		s.left = -1
-		s.c.Served(&servers.Answer{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
+		s.c.Served(&backend.Answer{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
 	}
 }
 
@@ -116,13 +116,13 @@
 
 func (k *core) Leave(id string) { k.left <- id }
 
-func start(t testing.TB) (f *Front, k *core, l *loop.Loop, addr string) {
+func start(t testing.TB) (f *Front, k *core, l *eventloop.Loop, addr string) {
 	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
 }
 
-func startWith(t testing.TB, lim limits.Limits) (f *Front, k *core, l *loop.Loop, addr string) {
-	l = loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+func startWith(t testing.TB, lim limits.Limits) (f *Front, k *core, l *eventloop.Loop, addr string) {
+	l = eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 
 func TestAnswers(t *testing.T) {
 	f, _, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, ""))
 	if a := c.Until('Z'); a.Code != pgwire.CannotConnectNow || a.Types != "EZ" {
 		t.Fatalf("%+v before it is ready", a)
@@ -157,7 +157,7 @@
 		p = pgwire.AppendQuery(p, text)
 	}
 	c.Send(p)
-	for i, want := range []standin.Answer{{Types: "IZ"}, {Types: "TDCZ"}, {Types: "EZ", Code: "53300", Detail: "1500"},
+	for i, want := range []testserver.Answer{{Types: "IZ"}, {Types: "TDCZ"}, {Types: "EZ", Code: "53300", Detail: "1500"},
 		{Types: "EZ", Code: "42601"}, {Types: "EZ", Code: "42601"}, {Types: "EZ", Code: "08007"}} {
 		a := c.Until('Z')
 		if i == 1 && !strings.Contains(a.Value, "id=i-served,c=served,d=900,cluster=1") {
@@ -210,7 +210,7 @@
 
 func TestLeaving(t *testing.T) {
 	_, k, _, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(pgwire.AppendQuery(nil, sql("served")), sql("held")))
 	if a := c.Until('Z'); a.Types != "TDCZ" { // the held one is taken in the same turn of the loop
 		t.Fatalf("%+v", a)
@@ -224,7 +224,7 @@
 // While the program ends, a connection closes behind the answer in hand, and at once where none is.
 func TestDrain(t *testing.T) {
 	f, _, l, addr := start(t)
-	idle, busy := standin.Dial(t, addr), standin.Dial(t, addr)
+	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	l.Post(func() { f.Drain(false) })
 	if a := idle.Until('Z'); !a.Ended {
 		t.Fatalf("%+v", a)
@@ -232,7 +232,7 @@
 	if a := busy.Until('Z'); !a.Ended {
 		t.Fatalf("%+v", a)
 	}
-	late := standin.Dial(t, addr)
+	late := testserver.Dial(t, addr)
 	late.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := late.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -264,13 +264,13 @@
 		}
 		c.Close()
 	}
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
 	}
 	for name, p := range map[string][]byte{"type": {'?', 0, 0, 0, 4}, "length": {'Q', 0x7f, 0, 0, 0}, "body": {'Q', 0, 0, 0, 5, 'x'}} {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(p)
 		if a := c.Until('Z'); !a.Ended || a.Code != pgwire.ProtocolViolation {
 			t.Errorf("%s: %+v", name, a)
@@ -291,10 +291,10 @@
 
 func testRoom(t *testing.T, lim limits.Limits) {
 	_, k, _, addr := startWith(t, lim)
-	busy := standin.Dial(t, addr)
+	busy := testserver.Dial(t, addr)
 	busy.Send(pgwire.AppendQuery(nil, sql("held")))
 	for range 8 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql("served")))
 		if a := c.Until('Z'); a.Types != "TDCZ" {
 			t.Fatalf("%+v", a)
@@ -307,7 +307,7 @@
 		}
 		defer c.Close()
 	}
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -325,7 +325,7 @@
 	large := func(class string) []byte {
 		return pgwire.AppendQuery(nil, sql(class)+strings.Repeat(" ", 60_000))
 	}
-	held, c := standin.Dial(t, addr), standin.Dial(t, addr)
+	held, c := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	c.Send(large("served"))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -402,7 +402,7 @@
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	lim.ClientFirst, lim.ClientPart = 200*time.Millisecond, 200*time.Millisecond
 	_, _, _, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	p := pgwire.AppendQuery(nil, sql("served"))
 	for len(p) > 0 {
 		n := min(len(p), 7)
@@ -437,7 +437,7 @@
 }
 
 // sweeps counts the front's sweeps within d.
-func sweeps(l *loop.Loop, f *Front, d time.Duration) int {
+func sweeps(l *eventloop.Loop, f *Front, d time.Duration) int {
 	at := func() int {
 		got := make(chan int)
 		l.Post(func() { got <- f.sweeps })
@@ -454,7 +454,7 @@
 func TestSweepGrain(t *testing.T) {
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	f, _, l, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -476,7 +476,7 @@
 	tight.ClientsEasy, tight.ClientsTight = 1, 2
 	f, _, l, addr = startWith(t, tight)
 	for range 3 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql("served")))
 		c.Until('Z')
 	}
--- a/internal/clients/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"bytes"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/backend"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/servers"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // until waits for what the test has set in motion.
@@ -25,14 +25,14 @@
 }
 
 // do runs f in the loop.
-func do(l *loop.Loop, f func()) {
+func do(l *eventloop.Loop, f func()) {
 	done := make(chan bool)
 	l.Post(func() { f(); close(done) })
 	<-done
 }
 
 // only is the one connection of the front.
-func only(t *testing.T, f *Front, l *loop.Loop) (c *Conn) {
+func only(t *testing.T, f *Front, l *eventloop.Loop) (c *Conn) {
 	t.Helper()
 	until(t, "one connection", func() bool {
 		do(l, func() {
@@ -48,7 +48,7 @@
 // A client that goes has gone at once, however much it has sent ahead: its request is given up, and nothing of the rest is taken.
 func TestAClientThatSentAheadAndGoes(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("waits")))
 	until(t, "it is taken", func() bool { return k.len() == 1 })
 	conn := only(t, f, l)
@@ -76,7 +76,7 @@
 // yet to be told.
 func TestNothingSentAheadIsBegunBehindTheEnd(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(append(pgwire.AppendQuery(nil, sql("waits")), pgwire.AppendQuery(nil, sql("served"))...))
 	until(t, "it is taken", func() bool { return k.len() == 1 })
 	conn := only(t, f, l)
@@ -87,7 +87,7 @@
 	busy, free, answered := make(chan bool), make(chan bool), make(chan bool)
 	l.Post(func() { close(busy); <-free })
 	l.Post(func() { // the answer is in the queue before the end is
-		k.clients[0].Served(&servers.Answer{})
+		k.clients[0].Served(&backend.Answer{})
 		close(answered)
 	})
 	<-busy
@@ -105,7 +105,7 @@
 func TestFinishCrossesNothing(t *testing.T) {
 	f, k, l, addr := start(t)
 	do(l, f.Ready)
-	part, fresh, rests := standin.Dial(t, addr), standin.Dial(t, addr), standin.Dial(t, addr)
+	part, fresh, rests := testserver.Dial(t, addr), testserver.Dial(t, addr), testserver.Dial(t, addr)
 	rests.Send(pgwire.AppendQuery(nil, sql("served")))
 	rests.Until('Z')
 	fresh.Send(pgwire.AppendQuery(nil, sql("served")))
@@ -122,11 +122,11 @@
 		})
 		return came
 	})
-	fresh = standin.Dial(t, addr)
+	fresh = testserver.Dial(t, addr)
 	do(l, func() { f.Drain(false); f.Finish() })
 	part.Send(p[20:])
 	fresh.Send(pgwire.AppendQuery(nil, sql("served")))
-	for name, c := range map[string]*standin.Client{"in part": part, "fresh": fresh} {
+	for name, c := range map[string]*testserver.Client{"in part": part, "fresh": fresh} {
 		if a := c.Until('Z'); a.Types != "TDCZ" {
 			t.Errorf("%s: %+v", name, a)
 		}
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	half := standin.Dial(t, addr)
+	half := testserver.Dial(t, addr)
 	half.Send(pgwire.AppendQuery(nil, sql("served"))[:20])
 	until(t, "both are there", func() (ok bool) {
 		do(l, func() { ok = f.Open() == 2 })
--- a/internal/extended/extended.go
+++ b/internal/frontend/extendedquery/extended.go
@@ -1,18 +1,18 @@
-// Package extended is the second front: the PostgreSQL wire protocol with extended queries, and simple ones. It
+// Package extendedquery is the second front: the PostgreSQL wire protocol with extended queries, and simple ones. It
 // makes requests of them for the same core, under the same rules as the platform's front.
 //
 // Prepared statements and portals belong to the client's connection. Nothing of them stays at a db machine: each
 // attempt brings its own Parse and Bind, so it may go wherever the core sends it.
-package extended
+package extendedquery
 
 import (
 	"time"
 
-	"limeladder/internal/clients"
+	"limeladder/internal/backend"
+	"limeladder/internal/frontend"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/requestcomment"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/statement"
 )
 
 // Classes tells which classes write.
@@ -22,15 +22,15 @@
 const ahead = 16 << 10
 
 // New returns the front's speaker for one connection.
-func New(classes Classes) func(*clients.Conn) clients.Speaker {
-	return func(c *clients.Conn) clients.Speaker {
+func New(classes Classes) func(*frontend.Conn) frontend.Speaker {
+	return func(c *frontend.Conn) frontend.Speaker {
 		return &session{conn: c, classes: classes, statements: map[string]*prepared{}, portals: map[string]*portal{}}
 	}
 }
 
 // session is what one connection of a client holds. A unit of work goes from one Sync to the next.
 type session struct {
-	conn       *clients.Conn
+	conn       *frontend.Conn
 	classes    Classes
 	statements map[string]*prepared
 	portals    map[string]*portal
@@ -43,7 +43,7 @@
 
 type prepared struct {
 	pgwire.ParseMessage
-	head statement.Head
+	head requestcomment.Head
 }
 
 type portal struct {
@@ -198,7 +198,7 @@
 		return nil
 	}
 	p := &prepared{ParseMessage: m}
-	if p.head, err = statement.Parse(m.Query); err != nil {
+	if p.head, err = requestcomment.Parse(m.Query); err != nil {
 		s.error(pgwire.BadStatement, err.Error())
 		return nil
 	}
@@ -313,7 +313,7 @@
 func (s *session) take(q router.Request) {
 	if err := s.conn.Take(q, s); err != nil {
 		s.conn.Fault()
-		s.out = pgwire.AppendError(s.out, clients.Unfit(err))
+		s.out = pgwire.AppendError(s.out, frontend.Unfit(err))
 		s.settle(true)
 		s.after = nil // it is passed over, like all up to Sync
 	}
@@ -324,7 +324,7 @@
 	if err != nil {
 		return err
 	}
-	job, blank := clients.Simple(sql)
+	job, blank := frontend.Simple(sql)
 	if blank {
 		for name := range s.portals { // it ends the unit of work, like any simple query
 			s.drop(name)
@@ -386,7 +386,7 @@
 
 // Begun implements router.Client.
 func (s *session) Begun(a router.Answer, f router.Flow) {
-	s.append(a.(*servers.Answer))
+	s.append(a.(*backend.Answer))
 	p := s.out
 	s.out = nil
 	s.conn.Stream(p, f)
@@ -400,14 +400,14 @@
 
 // Served implements router.Client.
 func (s *session) Served(a router.Answer) {
-	answer := a.(*servers.Answer)
+	answer := a.(*backend.Answer)
 	w := s.running
 	s.append(answer)
 	s.ended(answer.Code != "" && w.stmt != nil)
 }
 
 // append adds what an answer says to the client.
-func (s *session) append(answer *servers.Answer) {
+func (s *session) append(answer *backend.Answer) {
 	r := pgwire.NewReader(len(answer.Messages)+5, 0)
 	r.Feed(answer.Messages)
 	for {
@@ -424,12 +424,12 @@
 
 // Refused implements router.Client.
 func (s *session) Refused(after time.Duration) {
-	s.out = pgwire.AppendError(s.out, clients.Refusal(after))
+	s.out = pgwire.AppendError(s.out, frontend.Refusal(after))
 	s.ended(true)
 }
 
 // Failed implements router.Client.
 func (s *session) Failed(why string) {
-	s.out = pgwire.AppendError(s.out, clients.Failure(why))
+	s.out = pgwire.AppendError(s.out, frontend.Failure(why))
 	s.ended(true)
 }
--- a/internal/extended/extended_test.go
+++ b/internal/frontend/extendedquery/extended_test.go
@@ -1,4 +1,4 @@
-package extended
+package extendedquery
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/clients"
+	"limeladder/internal/backend"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/frontend"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 type nobody struct{}
@@ -27,23 +27,23 @@
 // world is the whole path from a client to db machines.
 type world struct {
 	addr string
-	loop *loop.Loop
+	loop *eventloop.Loop
 	core *router.Router
-	pool *servers.Pool
+	pool *backend.Pool
 
-	front *clients.Front
+	front *frontend.Front
 }
 
-func start(t *testing.T, dbs ...*standin.DB) *world {
+func start(t *testing.T, dbs ...*testserver.DB) *world {
 	t.Helper()
 	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second), dbs...)
 }
 
-func startWith(t *testing.T, lim limits.Limits, dbs ...*standin.DB) *world {
+func startWith(t *testing.T, lim limits.Limits, dbs ...*testserver.DB) *world {
 	t.Helper()
-	l := loop.New()
+	l := eventloop.New()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e, err := sock.New(l, 1024, 1<<20)
+	e, err := transport.New(l, 1024, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,9 +56,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{loop: l, core: core, pool: servers.New(l, e, lim, log)}
+	w := &world{loop: l, core: core, pool: backend.New(l, e, lim, log)}
 	core.Connect(w.pool, nobody{})
-	w.front = clients.New(l, lim, log, core, New(core))
+	w.front = frontend.New(l, lim, log, core, New(core))
 	w.front.Ready()
 	ln, err := e.Listen("127.0.0.1:0", lim.Clients, log, w.front.Accept)
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // list tells the router of db machines, named by their addresses.
-func (w *world) list(full bool, state string, dbs ...*standin.DB) {
+func (w *world) list(full bool, state string, dbs ...*testserver.DB) {
 	l, b := config.List{Full: full}, balance.List{Kind: balance.ListDelta}
 	for i, d := range dbs {
 		e := config.Entry{ID: d.Addr, Addr: d.Addr, Zone: "a", Cell: 7, State: state}
@@ -115,9 +115,9 @@
 }
 
 func TestUnit(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	w := start(t, db)
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	c.Send(both("r1", "look", 2000))
 	if a := c.Until('Z'); a.Types != "12TDCZ" || a.Value != db.Addr || db.Runs("r1") != 1 {
 		t.Fatalf("%+v", a)
@@ -171,16 +171,16 @@
 					continue
 				}
 				id, broke := fmt.Sprintf("%s-%d-%d", class, at, cut), 0
-				act := func(typ byte, is string) standin.Act {
+				act := func(typ byte, is string) testserver.Act {
 					if broke > 0 || typ != at || typ != 0 && is != id {
-						return standin.Act{}
+						return testserver.Act{}
 					}
 					broke++
-					return standin.Act{Break: cut == 0, Cut: cut}
+					return testserver.Act{Break: cut == 0, Cut: cut}
 				}
-				db := standin.NewDB(t, true, act)
+				db := testserver.NewDB(t, true, act)
 				w := start(t, db)
-				c := standin.Dial(t, w.addr)
+				c := testserver.Dial(t, w.addr)
 				c.Send(both(id, class, 1500))
 				a := c.Until('Z')
 				runs := db.Runs(id)
@@ -209,16 +209,16 @@
 	for code, want := range map[string]string{"53300": "", "25006": "", "72000": "", "XX000": "08007", "57P01": "08007", "23505": "23505"} {
 		for _, fatal := range []bool{false, true} {
 			id, told := "e"+code, 0
-			act := func(typ byte, is string) standin.Act {
+			act := func(typ byte, is string) testserver.Act {
 				if told > 0 || typ != 'E' || is != id {
-					return standin.Act{}
+					return testserver.Act{}
 				}
 				told++
-				return standin.Act{Code: code, Fatal: fatal}
+				return testserver.Act{Code: code, Fatal: fatal}
 			}
-			one, two := standin.NewDB(t, true, act), standin.NewDB(t, true, nil)
+			one, two := testserver.NewDB(t, true, act), testserver.NewDB(t, true, nil)
 			w := start(t, one, two)
-			c := standin.Dial(t, w.addr)
+			c := testserver.Dial(t, w.addr)
 			c.Send(both(id, "job", 2500))
 			a := c.Until('Z')
 			if a.Code != want || one.Runs(id)+two.Runs(id) > 1 || want == "" && a.Types != "12TDCZ" {
@@ -229,11 +229,11 @@
 }
 
 func TestDeadline(t *testing.T) {
-	silent := func(typ byte, id string) standin.Act { return standin.Act{Silent: typ == 'E'} }
-	db := standin.NewDB(t, true, silent)
+	silent := func(typ byte, id string) testserver.Act { return testserver.Act{Silent: typ == 'E'} }
+	db := testserver.NewDB(t, true, silent)
 	w := start(t, db)
 	for class, want := range map[string]string{"job": pgwire.UnknownOutcome, "look": pgwire.TooManyConnections} {
-		c := standin.Dial(t, w.addr)
+		c := testserver.Dial(t, w.addr)
 		at := time.Now()
 		c.Send(both("d-"+class, class, 400))
 		a := c.Until('Z')
@@ -248,9 +248,9 @@
 
 // A statement prepared while one replica served reaches another once that one drains.
 func TestDrainedReplica(t *testing.T) {
-	primary, one, two := standin.NewDB(t, true, nil), standin.NewDB(t, false, nil), standin.NewDB(t, false, nil)
+	primary, one, two := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil), testserver.NewDB(t, false, nil)
 	w := start(t, primary, one)
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	c.Send(append(prepare("s", sql("r", "look", 1900)), unit("s")...))
 	if a := c.Until('Z'); a.Value != one.Addr {
 		t.Fatalf("%+v", a)
@@ -277,12 +277,12 @@
 }
 
 func TestTurnedAway(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	w := start(t, db)
 	head := "/* id=x,c=look,d=900,cluster=7 */ "
 	for _, text := range []string{"BEGIN", "COPY facts FROM STDIN", "SET x = 1", "SELECT 1; SELECT 2", "INSERT INTO facts VALUES (1)",
 		"WITH a AS (DELETE FROM facts RETURNING 1) SELECT 1", "SELECT 1 INTO t", "SELECT 'a", "SELECT $a$ x", "/* x", "commit"} {
-		c := standin.Dial(t, w.addr)
+		c := testserver.Dial(t, w.addr)
 		c.Send(append(prepare("", head+text), unit("")...))
 		if a := c.Until('Z'); a.Types != "EZ" || a.Code != pgwire.NotSupported {
 			t.Errorf("%s: %+v", text, a)
@@ -292,7 +292,7 @@
 			t.Errorf("%s: %+v", text, a)
 		}
 	}
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	b := pgwire.AppendBind(nil, pgwire.BindMessage{Statement: "j", Rest: values})
 	job := pgwire.AppendExecute(append(prepare("j", sql("j", "job", 900)), b...), "", 0)
 	for _, behind := range [][]byte{b, pgwire.Append(nil, 'H'), pgwire.AppendExecute(nil, "", 0), prepare("k", sql("k", "look", 900))} {
@@ -321,7 +321,7 @@
 	}
 	p = append(prepare("", sql("x2", "look", 2500)), pgwire.AppendBind(nil, pgwire.BindMessage{Rest: values})...)
 	p = pgwire.AppendExecute(p, "", 0)
-	c = standin.Dial(t, w.addr)
+	c = testserver.Dial(t, w.addr)
 	for range 2 * ahead / 5 {
 		p = pgwire.AppendTarget(p, 'C', 'S', "none")
 	}
@@ -332,12 +332,12 @@
 	// A client that leaves before Sync has run nothing, nor has one that says good-bye; one that breaks the protocol is told, and closed.
 	c.Send(job)
 	c.Close()
-	c = standin.Dial(t, w.addr)
+	c = testserver.Dial(t, w.addr)
 	c.Send(pgwire.Append(append([]byte(nil), job...), 'X'))
 	if a := c.Until('Z'); !a.Ended {
 		t.Errorf("%+v", a)
 	}
-	c = standin.Dial(t, w.addr)
+	c = testserver.Dial(t, w.addr)
 	c.Send([]byte{'B', 0, 0, 0, 5, 9})
 	if a := c.Until('Z'); !a.Ended || a.Code != pgwire.ProtocolViolation {
 		t.Errorf("%+v", a)
@@ -350,15 +350,15 @@
 // What is unfit, or asks under the id of another's open request, gets an error and reaches no db machine.
 func TestUnfit(t *testing.T) {
 	asked, goOn := make(chan bool, 9), make(chan bool)
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if typ == 'E' {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	w := start(t, db)
-	first, c := standin.Dial(t, w.addr), standin.Dial(t, w.addr)
+	first, c := testserver.Dial(t, w.addr), testserver.Dial(t, w.addr)
 	first.Send(both("open", "look", 2500))
 	<-asked
 	for _, p := range [][]byte{both("open", "look", 2500), both("other", "none", 2500), both("other", "look", 0),
@@ -376,14 +376,14 @@
 
 // A unit of work that does not go on ends its connection, however it was begun; what waits in it has run nothing.
 func TestUnitThatStops(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	lim.ClientUnit, lim.ClientPart = 100*time.Millisecond, 100*time.Millisecond
 	w := startWith(t, lim, db)
 	job := both("j", "job", 2500)
 	for name, p := range map[string][]byte{"no sync": job[:len(job)-5], "half a message": job[:len(job)-2], "half a parse": job[:20],
 		"only parse": prepare("", sql("j", "job", 2500))} {
-		c := standin.Dial(t, w.addr)
+		c := testserver.Dial(t, w.addr)
 		c.Send(p)
 		if a := c.Until('Z'); !a.Ended || a.Code != pgwire.ProtocolViolation {
 			t.Errorf("%s: %+v", name, a)
@@ -397,7 +397,7 @@
 // A spoilt answer is no answer here either: a read goes to another, a job has failed, once.
 func TestSpoilt(t *testing.T) {
 	spoilt := 0
-	db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+	db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 		if spoilt++; typ == 'S' && id == "j" || typ == 'S' && id == "r" && spoilt < 8 {
 			a.Spoil = func(p []byte) []byte {
 				i := strings.IndexByte(string(p), 'D')
@@ -408,7 +408,7 @@
 		return a
 	})
 	w := start(t, db)
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	c.Send(both("r", "look", 2500))
 	if a := c.Until('Z'); a.Types != "12TDCZ" || a.Value != db.Addr {
 		t.Errorf("%+v", a)
@@ -422,14 +422,14 @@
 // A drained router says no to an empty query here too, serves what a newcomer brings, closes behind the answer, and
 // serves as before once it is activated. A suspended db machine gets nothing.
 func TestDrainedAndSuspended(t *testing.T) {
-	a, b := standin.NewDB(t, true, nil), standin.NewDB(t, false, nil)
+	a, b := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	w := start(t, a, b)
 	do := func(f func()) {
 		done := make(chan bool)
 		w.loop.Post(func() { f(); close(done) })
 		<-done
 	}
-	old := standin.Dial(t, w.addr)
+	old := testserver.Dial(t, w.addr)
 	do(func() { w.front.Empty(true); w.core.Suspend(b.Addr, true) })
 	old.Send(pgwire.AppendQuery(nil, ""))
 	if x := old.Until('Z'); x.Code != pgwire.CannotConnectNow {
@@ -438,18 +438,18 @@
 	if x := old.Until('Z'); !x.Ended {
 		t.Fatalf("%+v", x)
 	}
-	late, quiet := standin.Dial(t, w.addr), standin.Dial(t, w.addr)
+	late, quiet := testserver.Dial(t, w.addr), testserver.Dial(t, w.addr)
 	late.Send(both("late", "look", 2000))
 	if x := late.Until('Z'); x.Value == "" || x.Value == b.Addr {
 		t.Fatalf("%+v", x)
 	}
-	for _, c := range []*standin.Client{late, quiet} {
+	for _, c := range []*testserver.Client{late, quiet} {
 		if x := c.Until('Z'); !x.Ended {
 			t.Fatalf("%+v", x)
 		}
 	}
 	do(func() { w.front.Empty(false); w.core.Suspend(b.Addr, false) })
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	c.Send(pgwire.AppendQuery(nil, ""))
 	if x := c.Until('Z'); x.Code != "" {
 		t.Fatalf("%+v", x)
@@ -466,7 +466,7 @@
 // A long value passes here too, in each way to ask for it, and what stands around it stays in step.
 func TestLongValue(t *testing.T) {
 	value := strings.Repeat("v", 2<<20)
-	db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+	db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 		if (typ == 'S' || typ == 'Q') && id != "" {
 			a.Spoil = func(p []byte) []byte {
 				i := strings.IndexByte(string(p), 'C') // CommandComplete stands behind the row
@@ -479,7 +479,7 @@
 		return a
 	})
 	w := start(t, db)
-	c := standin.Dial(t, w.addr)
+	c := testserver.Dial(t, w.addr)
 	for i, p := range [][]byte{both("r1", "look", 2500), pgwire.AppendQuery(nil, sql("r2", "look", 2500)), both("r3", "job", 2500)} {
 		c.Send(p)
 		if a := c.Until('Z'); a.Value != value || !strings.HasSuffix(a.Types, "TDCZ") {
--- a/internal/extended/job.go
+++ b/internal/frontend/extendedquery/job.go
@@ -1,12 +1,12 @@
-package extended
+package extendedquery
 
 import (
 	"strings"
 	"time"
 
-	"limeladder/internal/clients"
+	"limeladder/internal/backend"
+	"limeladder/internal/frontend"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/servers"
 )
 
 // Messages implements servers.Job: the statement is prepared anew on whichever db machine the attempt goes to, and
@@ -39,7 +39,7 @@
 }
 
 // Whole implements servers.Job.
-func (w *work) Whole(a *servers.Answer) bool {
+func (w *work) Whole(a *backend.Answer) bool {
 	rest, ok := strings.CutPrefix(string(a.Types), "1")
 	if !ok {
 		return false
@@ -64,7 +64,7 @@
 }
 
 // Begins implements servers.Job.
-func (w *work) Begins(a *servers.Answer) bool {
+func (w *work) Begins(a *backend.Answer) bool {
 	want := "12"
 	if w.describe {
 		want = "12T"
@@ -73,10 +73,10 @@
 }
 
 // rows is a simple query that may give any number of rows, or none.
-type rows struct{ *clients.Query }
+type rows struct{ *frontend.Query }
 
 // Whole implements servers.Job.
-func (r rows) Whole(a *servers.Answer) bool {
+func (r rows) Whole(a *backend.Answer) bool {
 	rest, described := strings.CutPrefix(string(a.Types), "T")
 	if described {
 		rest = strings.TrimLeft(rest, "D")
@@ -85,4 +85,4 @@
 }
 
 // Begins implements servers.Job.
-func (r rows) Begins(a *servers.Answer) bool { return strings.TrimRight(string(a.Types), "D") == "T" }
+func (r rows) Begins(a *backend.Answer) bool { return strings.TrimRight(string(a.Types), "D") == "T" }
--- a/internal/extended/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -1,4 +1,4 @@
-package extended
+package extendedquery
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // A unit of work that waited behind another one for all of its time is refused and not run: its time runs from when it came. The one
@@ -17,14 +17,14 @@
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if id == "head" && typ == 'E' {
 			asked <- true
 			<-goOn
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
-	c := standin.Dial(t, start(t, db).addr)
+	c := testserver.Dial(t, start(t, db).addr)
 	c.Send(slices.Concat(prepare("a", sql("head", "job", 2500)), prepare("b", sql("late", "job", 300)), prepare("c", sql("next", "job", 2500)),
 		pgwire.Append(nil, 'S')))
 	c.Until('Z')
@@ -50,9 +50,9 @@
 // A read of a session that was sent before its client had read the answer to its write, in the same bytes or across the answer's way, carries
 // the position of before. It sees the write all the same.
 func TestAUnitSentAcrossAWriteSeesIt(t *testing.T) {
-	first, second := standin.NewDB(t, true, nil), standin.NewDB(t, false, nil)
+	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	second.Behind(time.Minute)
-	c := standin.Dial(t, start(t, first, second).addr)
+	c := testserver.Dial(t, start(t, first, second).addr)
 	old := time.Now().Add(-2 * time.Minute).UnixMilli()
 	read := func(id string) []byte {
 		return prepare(id, fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */ SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''", id, old))
--- a/internal/extended/plain.go
+++ b/internal/frontend/extendedquery/plain.go
@@ -1,4 +1,4 @@
-package extended
+package extendedquery
 
 import (
 	"errors"
--- a/internal/extended/random_test.go
+++ b/internal/frontend/extendedquery/random_test.go
@@ -1,4 +1,4 @@
-package extended
+package extendedquery
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"testing"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // Any messages in any order, cut anywhere, leave the connection in step: what is asked behind them is answered, and
 // no job runs more often than it was executed.
 func TestRandomOrders(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	w := start(t, db)
 	rng := rand.New(rand.NewPCG(11, 12))
 	for round := range 150 {
@@ -39,7 +39,7 @@
 			}
 		}
 		p = pgwire.AppendQuery(pgwire.Append(p, 'S'), "SELECT 'the end'")
-		c := standin.Dial(t, w.addr)
+		c := testserver.Dial(t, w.addr)
 		for len(p) > 0 {
 			n := 1 + rng.IntN(len(p))
 			c.Send(p[:n])
--- a/internal/clients/job.go
+++ b/internal/frontend/job.go
@@ -1,18 +1,18 @@
-package clients
+package frontend
 
 import (
 	"strings"
 	"time"
 
+	"limeladder/internal/backend"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/servers"
-	"limeladder/internal/statement"
+	"limeladder/internal/requestcomment"
 )
 
 // Query is a simple query on its way to a db machine.
 type Query struct {
 	sql  string
-	head statement.Head
+	head requestcomment.Head
 }
 
 // Simple makes a job of a simple query, or says that it is an empty one.
@@ -21,8 +21,8 @@
 }
 
 // Head reads the statement's comment; it has to be called, and to give no error, before the job is handed on.
-func (q *Query) Head() (h statement.Head, err error) {
-	q.head, err = statement.Parse(q.sql)
+func (q *Query) Head() (h requestcomment.Head, err error) {
+	q.head, err = requestcomment.Parse(q.sql)
 	return q.head, err
 }
 
@@ -35,12 +35,12 @@
 func (q *Query) Size() int { return len(q.sql) }
 
 // Whole implements servers.Job: one row of one column, from a command such as the statement's.
-func (q *Query) Whole(a *servers.Answer) bool {
+func (q *Query) Whole(a *backend.Answer) bool {
 	return string(a.Types) == "TDC" && a.Shape.Columns == 1 && q.Fits(a.Shape.Tag)
 }
 
 // Begins implements servers.Job.
-func (q *Query) Begins(a *servers.Answer) bool { return string(a.Types) == "T" && a.Shape.Columns == 1 }
+func (q *Query) Begins(a *backend.Answer) bool { return string(a.Types) == "T" && a.Shape.Columns == 1 }
 
 // Fits says whether a command tag is one that the statement can have.
 func (q *Query) Fits(tag string) bool {
--- a/internal/clients/line.go
+++ b/internal/frontend/line.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"time"
--- a/internal/clients/pipeline_bench_test.go
+++ b/internal/frontend/pipeline_bench_test.go
@@ -1,11 +1,11 @@
-package clients
+package frontend
 
 import (
 	"bytes"
 	"testing"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // BenchmarkOneRequest is a client that asks one thing at a time, over a socket and the front to a core that answers at once.
@@ -16,7 +16,7 @@
 
 func ahead(b *testing.B, n int) {
 	_, _, _, addr := start(b)
-	c := standin.Dial(b, addr)
+	c := testserver.Dial(b, addr)
 	p := bytes.Repeat(pgwire.AppendQuery(nil, sql("refused")), n)
 	for b.Loop() {
 		c.Send(p)
--- a/internal/clients/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/backend"
 	"limeladder/internal/limits"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // Classes of the test's core that it does not answer by itself: "free" reads wait for nothing, "sees" waits for writes, "own" for those of
@@ -26,10 +26,10 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT 1", id, class))
 }
 
-func value(text string) *servers.Answer {
+func value(text string) *backend.Answer {
 	p := pgwire.Append(nil, 'T', []byte{0, 0})
 	p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, []byte(text))
-	return &servers.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))}
+	return &backend.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))}
 }
 
 // labels are the ids of what the core was given so far, in order.
@@ -71,7 +71,7 @@
 }
 
 // told reads the values that come, by their ids, or the codes of errors.
-func told(t *testing.T, c *standin.Client, want ...string) {
+func told(t *testing.T, c *testserver.Client, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		a := c.Until('Z')
@@ -92,7 +92,7 @@
 // A request that waited behind another one came when its last byte did: its client's time runs from then, not from its turn.
 func TestTheTimeOfWhatWaitsRunsFromWhenItCame(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(append(pgwire.AppendQuery(nil, sql("waits")), pgwire.AppendQuery(nil, sql("served"))...))
 	until(t, "the head is taken", func() bool { return k.len() == 1 })
 	conn := only(t, f, l)
@@ -102,7 +102,7 @@
 	})
 	came := l.Now()
 	until(t, "time has passed", func() bool { return l.Now() > came+50*time.Millisecond })
-	do(l, func() { k.clients[0].Served(&servers.Answer{}) })
+	do(l, func() { k.clients[0].Served(&backend.Answer{}) })
 	c.Until('Z')
 	if q := k.newest.Load(); q.Class != "served" || q.At > came {
 		t.Fatalf("%s counts from %v behind its coming", q.Class, q.At-came)
@@ -112,7 +112,7 @@
 // The same of what lies in the reader, since the one before it waits.
 func TestTheTimeOfWhatIsNotCutYetRunsFromWhenItCame(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "waits"), ask("c", "free")))
 	taken(t, k, "a")
 	conn := only(t, f, l)
@@ -137,7 +137,7 @@
 func TestReadsOfOneConnectionAreInHandTogether(t *testing.T) {
 	for _, n := range []int{10, 100} {
 		_, k, l, addr := start(t)
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		var all []byte
 		var ids []string
 		for i := range n {
@@ -184,7 +184,7 @@
 // Others go on beside it.
 func TestOrderOfEffects(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("w", "waits"), ask("d", "free"), ask("s", "sees"), ask("e", "free")))
 	conn := only(t, f, l)
 	waits := func(what string) {
@@ -217,7 +217,7 @@
 // A read of a session that was sent behind a write of it gets the write's position, which its client could not know; others don't.
 func TestAPipelinedReadSeesItsSessionsWrite(t *testing.T) {
 	_, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	of := func(id, class, session string) []byte {
 		return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1,after=5 */ SELECT data FROM facts WHERE code = '%s'", id, class, session))
 	}
@@ -301,7 +301,7 @@
 func TestFaultsAmongPipelinedRequests(t *testing.T) {
 	f, k, l, addr := start(t)
 	do(l, f.Ready)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("x", "odd"), pgwire.AppendQuery(nil, ""), ask("b", "free"), pgwire.AppendQuery(nil, "SET a = 1"),
 		ask("c", "free"), ask("d", "free"), ask("e", "waits")))
 	taken(t, k, "a", "b", "c", "d")
@@ -326,7 +326,7 @@
 		k.odd = func() { deepest = max(deepest, runtime.Callers(0, make([]uintptr, 4096))) }
 	})
 	const n = 900
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	var want []string
 	for range n {
 		want = append(want, "42601")
@@ -344,7 +344,7 @@
 func TestGarbageBehindPipelinedRequests(t *testing.T) {
 	for name, bad := range map[string][]byte{"type": {'?', 0, 0, 0, 4}, "length": {'Q', 0x7f, 0, 0, 0}, "body": {'Q', 0, 0, 0, 5, 'x'}} {
 		_, k, l, addr := start(t)
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(batch(ask("a", "free"), ask("b", "free"), bad, ask("c", "free")))
 		taken(t, k, "a", "b")
 		k.serve("b")
@@ -364,7 +364,7 @@
 // A client that says goodbye behind its requests still gets their answers, and an end.
 func TestTerminateBehindPipelinedRequests(t *testing.T) {
 	_, k, _, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free"), pgwire.Append(nil, 'X'), ask("c", "free")))
 	taken(t, k, "a", "b")
 	k.serve("b", "a")
@@ -378,7 +378,7 @@
 // A client that goes takes with it all that it has in hand, and what waits is not begun.
 func TestAClientThatPipelinesAndGoes(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("w", "waits"), ask("c", "free")))
 	conn := only(t, f, l)
 	until(t, "the write waits", func() (is bool) { do(l, func() { is = len(conn.line) == 3 }); return is })
@@ -400,7 +400,7 @@
 // With the process about to end, all that was sent ahead is answered, then the connection ends; nothing of it is lost.
 func TestDrainOfPipelinedRequests(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("w", "waits"), ask("b", "free")))
 	taken(t, k, "a")
 	do(l, func() { f.Drain(false); f.Finish() })
@@ -417,7 +417,7 @@
 // The same of a connection that has requests in hand and nothing else on its way: neither the drain nor its end cuts it off.
 func TestEndOfADrainWithRequestsInHand(t *testing.T) {
 	f, k, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free")))
 	taken(t, k, "a", "b")
 	do(l, func() { f.Drain(false); f.Finish() })
@@ -433,7 +433,7 @@
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	lim.Buffered = 2*lim.Stream + 4000 // for one beside the first
 	f, k, l, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("c", "free"), ask("d", "free")))
 	conn := only(t, f, l)
 	until(t, "the third waits", func() (is bool) { do(l, func() { is = len(conn.line) == 3 }); return is })
@@ -457,9 +457,9 @@
 	f, k, l, addr := startWith(t, lim)
 	const floods = 20
 	ahead := bytes.Repeat(pgwire.AppendQuery(nil, sql("served")), lim.Ahead/len(pgwire.AppendQuery(nil, sql("served"))))
-	var all []*standin.Client
+	var all []*testserver.Client
 	for range floods {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql("waits")))
 		all = append(all, c)
 	}
@@ -471,7 +471,7 @@
 		do(l, func() { is = f.ahead > lim.Buffered })
 		return is
 	})
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	p := pgwire.AppendQuery(nil, sql("served")+strings.Repeat(" ", 60_000))
 	for range 3 {
 		c.Send(p[:30_000])
@@ -486,7 +486,7 @@
 func TestAnswersThatWaitForOthersAreBounded(t *testing.T) {
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	f, k, l, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(ask("a", "free"))
 	taken(t, k, "a")
 	conn := only(t, f, l)
@@ -524,7 +524,7 @@
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	for _, inOrder := range []bool{true, false} {
 		f, k, l, addr := startWith(t, lim)
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		long := strings.Repeat("x", 60_000)
 		n := lim.Together
 		if n*len(long) < lim.Unread+lim.Send {
@@ -570,7 +570,7 @@
 func TestLongAnswerBehindAnother(t *testing.T) {
 	for _, when := range []string{"whole", "cut before its turn", "cut after it"} {
 		_, k, l, addr := start(t)
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(batch(ask("a", "free"), ask("long", "free"), ask("c", "free")))
 		taken(t, k, "a", "long", "c")
 		k.serve("c")
@@ -578,7 +578,7 @@
 		p := value("long").Messages
 		do(l, func() {
 			r := k.client("long")
-			r.Begun(&servers.Answer{Messages: p[:7]}, h)
+			r.Begun(&backend.Answer{Messages: p[:7]}, h)
 			r.Part(p[7:12])
 			if !slices.Equal(h.held, []bool{true}) {
 				t.Errorf("held: %v", h.held)
@@ -602,7 +602,7 @@
 			}
 			end := bytes.IndexByte(p, 'C')
 			r.Part(p[12:end])
-			r.Served(&servers.Answer{Messages: p[end:]})
+			r.Served(&backend.Answer{Messages: p[end:]})
 		})
 		switch when {
 		case "whole":
@@ -623,7 +623,7 @@
 func TestLongAnswerBehindAnotherOfASlowReader(t *testing.T) {
 	for _, when := range []string{"whole", "cut", "begun then", "begun then and cut"} {
 		f, k, l, addr := start(t)
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(batch(ask("a", "free"), ask("long", "free"), ask("c", "free")))
 		taken(t, k, "a", "long", "c")
 		k.serve("c")
@@ -632,7 +632,7 @@
 		conn := only(t, f, l)
 		begin := func() {
 			r := k.client("long")
-			r.Begun(&servers.Answer{Messages: p[:7]}, h)
+			r.Begun(&backend.Answer{Messages: p[:7]}, h)
 			r.Part(p[7:12])
 		}
 		rows := bytes.Repeat(value(strings.Repeat("x", 60_000)).Messages, 15) // more than the client and the system take unread
@@ -640,7 +640,7 @@
 			if !strings.HasPrefix(when, "begun then") {
 				begin()
 			}
-			k.client("a").Served(&servers.Answer{Messages: rows})
+			k.client("a").Served(&backend.Answer{Messages: rows})
 			if len(conn.line) != 2 || !conn.choked {
 				t.Errorf("%d answers are owed, choked: %t", len(conn.line), conn.choked)
 			}
@@ -658,7 +658,7 @@
 			r.Part(p[12:20]) // was under way
 			end := bytes.IndexByte(p, 'C')
 			r.Part(p[20:end])
-			r.Served(&servers.Answer{Messages: p[end:]})
+			r.Served(&backend.Answer{Messages: p[end:]})
 		})
 		if a := c.Until('Z'); a.Types != strings.Repeat("TDC", 15)+"Z" {
 			t.Fatalf("%s: %s", when, a.Types)
@@ -690,7 +690,7 @@
 		front, k, l, addr := start(t)
 		do(l, front.Ready)
 		before := l.Now() // many pieces share the moment of one before them
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		var all []byte
 		var want []string
 		asked := 0
--- a/internal/clients/simple.go
+++ b/internal/frontend/simple.go
@@ -1,11 +1,11 @@
-package clients
+package frontend
 
 import (
 	"time"
 
+	"limeladder/internal/backend"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
 )
 
 // Platform returns the Speaker of the platform's protocol.
@@ -71,10 +71,10 @@
 type reply struct{ Turn }
 
 // Served implements router.Client.
-func (r *reply) Served(a router.Answer) { r.Answer(pgwire.AppendReady(a.(*servers.Answer).Messages)) }
+func (r *reply) Served(a router.Answer) { r.Answer(pgwire.AppendReady(a.(*backend.Answer).Messages)) }
 
 // Begun implements router.Client.
-func (r *reply) Begun(a router.Answer, f router.Flow) { r.Stream(a.(*servers.Answer).Messages, f) }
+func (r *reply) Begun(a router.Answer, f router.Flow) { r.Stream(a.(*backend.Answer).Messages, f) }
 
 // Refused implements router.Client.
 func (r *reply) Refused(after time.Duration) { r.error(Refusal(after)) }
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,6 +1,6 @@
-// Package handover is what a process shares with the one that replaces it, while both serve: who is alone, what operators
+// Package hotrestart is what a process shares with the one that replaces it, while both serve: who is alone, what operators
 // have asked for, which db machines were ever listed, and the list as discovery told it last. It is a folder of the router's own under $TMPDIR.
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"io"
--- a/internal/statement/statement.go
+++ b/internal/requestcomment/statement.go
@@ -1,5 +1,5 @@
-// Package statement reads the comment in front of a statement, which says how the request is to be routed.
-package statement
+// Package requestcomment reads the comment in front of a statement, which says how the request is to be routed.
+package requestcomment
 
 import (
 	"errors"
--- a/internal/statement/statement_test.go
+++ b/internal/requestcomment/statement_test.go
@@ -1,4 +1,4 @@
-package statement
+package requestcomment
 
 import (
 	"errors"
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/changeover"
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/failover"
 )
 
 // What waited unread behind others for all of its time is refused at once, and nothing of it is sent on.
@@ -53,10 +53,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := time.Hour
-			l := loop.On(func() time.Duration { return clock })
+			l := eventloop.On(func() time.Duration { return clock })
 			r, p := startOn(t, l, c.primary)
 			if c.hold {
-				r.HoldThrough(changeover.Config{Instances: 1, Classes: map[string]changeover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}},
+				r.HoldThrough(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}},
 					Count: 20_000, Bytes: 1 << 30, Margin: 10 * time.Millisecond}, 1, nil)
 				r.act(balance.Lead{Group: 0, Node: "n1"}) // it leads no more, and nobody follows
 			}
--- a/internal/router/hold.go
+++ b/internal/router/hold.go
@@ -8,8 +8,8 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/changeover"
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/failover"
 )
 
 // The stage between admit and route: what asks for a primary is held while its bank changes its own. changeover.Model
@@ -17,20 +17,20 @@
 
 // holder is the model and the timer that wakes it.
 type holder struct {
-	model   *changeover.Model
-	classes map[string]changeover.Class
-	timer   *loop.Timer
+	model   *failover.Model
+	classes map[string]failover.Class
+	timer   *eventloop.Timer
 	at      time.Duration                                 // when the timer is due
 	change  func(bank int64, term uint64, primary string) // told of each successor, nil = nobody is
 }
 
 // HoldThrough turns holding on. It is called before the first list.
-func (r *Router) HoldThrough(cfg changeover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
-	r.holder = &holder{model: changeover.New(cfg, seed), classes: cfg.Classes, change: change}
+func (r *Router) HoldThrough(cfg failover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
+	r.holder = &holder{model: failover.New(cfg, seed), classes: cfg.Classes, change: change}
 }
 
 // Banks is what those on call see of the changes; nil where nothing is held.
-func (r *Router) Banks() []changeover.View {
+func (r *Router) Banks() []failover.View {
 	if r.holder == nil {
 		return nil
 	}
@@ -66,7 +66,7 @@
 		size = s.Size()
 	}
 	now := r.loop.Now()
-	h.model.Hold(now, changeover.Request{ID: q.id, Bank: q.Group, Class: q.Class, Client: r.whose(q), Deadline: q.At + q.Deadline, Size: size})
+	h.model.Hold(now, failover.Request{ID: q.id, Bank: q.Group, Class: q.Class, Client: r.whose(q), Deadline: q.At + q.Deadline, Size: size})
 	r.wakeHolder(now + 10*time.Millisecond)
 	return true
 }
@@ -109,18 +109,18 @@
 	if h == nil {
 		return
 	}
-	end := changeover.Nothing
+	end := failover.Nothing
 	switch res.Status {
 	case balance.Done:
-		end = changeover.Fine
+		end = failover.Fine
 	case balance.Miss:
-		if end = changeover.Fine; r.Writes(q.Class) {
-			end = changeover.Replica
+		if end = failover.Fine; r.Writes(q.Class) {
+			end = failover.Replica
 		}
 	case balance.Busy:
-		end = changeover.Full
+		end = failover.Full
 	case balance.ConnectFailed, balance.Reset:
-		end = changeover.Unreached
+		end = failover.Unreached
 	}
 	class := ""
 	if q.waits && res.Status == balance.Done {
@@ -132,14 +132,14 @@
 	}
 }
 
-func role(r balance.Role) changeover.Role {
+func role(r balance.Role) failover.Role {
 	switch r {
 	case balance.RolePrimary:
-		return changeover.RolePrimary
+		return failover.RolePrimary
 	case balance.RoleReplica:
-		return changeover.RoleReplica
+		return failover.RoleReplica
 	}
-	return changeover.RoleUnknown
+	return failover.RoleUnknown
 }
 
 func (r *Router) reported(node string, res Result) {
@@ -175,9 +175,9 @@
 	if h == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
-	var in []changeover.Member
+	var in []failover.Member
 	for _, e := range l.Entries {
-		in = append(in, changeover.Member{Node: e.Node, Bank: e.Group, Out: e.State == balance.Draining, Gone: e.State == balance.Gone})
+		in = append(in, failover.Member{Node: e.Node, Bank: e.Group, Out: e.State == balance.Draining, Gone: e.State == balance.Gone})
 	}
 	h.model.Listed(r.loop.Now(), in, l.Kind != balance.ListDelta)
 }
@@ -223,23 +223,23 @@
 	}
 }
 
-func (r *Router) change(a changeover.Action) {
+func (r *Router) change(a failover.Action) {
 	h := r.holder
 	switch a.Kind {
-	case changeover.Release:
+	case failover.Release:
 		if q := r.inHand[a.ID]; q != nil && q.parked && !q.over {
 			q.parked = false
 			r.enter(q)
 		}
-	case changeover.GiveUp:
+	case failover.GiveUp:
 		if q := r.inHand[a.ID]; q != nil && q.parked {
 			q.parked = false
 			r.log.Debug("held in vain", "request", q.Label, "class", q.Class, "why", a.Why.String())
 			r.refuse(q, a.After)
 		}
-	case changeover.Probe:
+	case failover.Probe:
 		r.probe(a.Node, false)
-	case changeover.Withdraw:
+	case failover.Withdraw:
 		var out []*request
 		for _, q := range r.inHand {
 			if q.waits && q.Group == a.Bank {
@@ -250,7 +250,7 @@
 		for _, q := range out {
 			r.withdraw(q)
 		}
-	case changeover.Changed:
+	case failover.Changed:
 		phase, term, primary, last := h.model.Bank(a.Bank)
 		text := "bank " + strconv.FormatInt(a.Bank, 10) + ": " + phase.String() + ", term " + strconv.FormatUint(term, 10) + ", " + last.Evidence.String()
 		r.log.Info("changeover", "bank", a.Bank, "phase", phase.String(), "term", term, "primary", primary, "evidence", last.Evidence.String(), "node", last.Node)
--- a/internal/router/hold_bench_test.go
+++ b/internal/router/hold_bench_test.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/changeover"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/failover"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 )
 
 // quick plays db machines that answer at once.
-type quick struct{ l *loop.Loop }
+type quick struct{ l *eventloop.Loop }
 
 func (k quick) Start(a Attempt, done func(Result)) Call {
 	k.l.Post(func() { done(Result{Status: balance.Done, Role: balance.RolePrimary}) })
@@ -35,8 +35,8 @@
 func (quick) Failed(string)                        {}
 func (quick) Served(Answer)                        {}
 
-func steady(b testing.TB, hold, primary bool) (*Router, *loop.Loop) {
-	l := loop.New()
+func steady(b testing.TB, hold, primary bool) (*Router, *eventloop.Loop) {
+	l := eventloop.New()
 	lim := limits.For(192, 8192, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MostTries: 4, Classes: []balance.Class{
 		{Name: "job", Aim: 100 * time.Millisecond, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedUpdate, Effect: balance.Unsafe}}}, 1, nil)
@@ -45,7 +45,7 @@
 	}
 	r.Connect(quick{l}, quick{l})
 	if hold {
-		r.HoldThrough(changeover.Config{Instances: 1, Classes: map[string]changeover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}}, Count: 20_000, Bytes: 1 << 30,
+		r.HoldThrough(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}}, Count: 20_000, Bytes: 1 << 30,
 			Margin: 10 * time.Millisecond}, 1, nil)
 	}
 	r.List(balance.List{Kind: balance.ListFull, Entries: []balance.Entry{{Node: "n1", Zone: "a", State: balance.Ready, Primary: primary}, {Node: "n2", Zone: "a", State: balance.Ready}}})
--- a/internal/router/hold_test.go
+++ b/internal/router/hold_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // slowly plays db machines that answer when they are told to.
 type slowly struct {
 	quick
-	l    *loop.Loop
+	l    *eventloop.Loop
 	open []func(Result)
 }
 
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -3,7 +3,7 @@
 import (
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/sites"
+	"limeladder/internal/sitefailover"
 )
 
 // List passes on what discovery has told.
@@ -64,7 +64,7 @@
 	case balance.Lead:
 		r.believe(a)
 		if r.sites != nil && a.Believed {
-			r.sites.events = append(r.sites.events, sites.Leads{Bank: a.Group, Machine: a.Node})
+			r.sites.events = append(r.sites.events, sitefailover.Leads{Bank: a.Group, Machine: a.Node})
 		}
 		r.record(audit.Primary{Group: a.Group, Node: a.Node, Believed: a.Believed, Why: a.Why})
 	case balance.Log:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,8 +8,8 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 )
 
 // Job is what a front wants done. Only the front and the servers look inside.
@@ -108,7 +108,7 @@
 
 // Router owns the decision module and all requests in hand.
 type Router struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	lim       limits.Limits
 	log       *slog.Logger
 	module    *balance.Router
@@ -125,7 +125,7 @@
 	inHand  map[string]*request
 	open    map[string]bool // the labels of those that are owed an answer
 	last    uint64          // the number of the newest request
-	wake    *loop.Timer
+	wake    *eventloop.Timer
 	endAt   time.Duration // what is taken from now on is answered by then, 0 = in its own time
 	count   Counts
 }
@@ -136,7 +136,7 @@
 	id     string
 	client Client
 	dieAt  time.Duration
-	timer  *loop.Timer
+	timer  *eventloop.Timer
 	tries  int
 	mayRun bool // an attempt was written that is not proved to have had no effect
 	call   Call // the attempt that is out
@@ -154,7 +154,7 @@
 }
 
 // New returns a Router that has yet to hear of any db machine. With a nil Audit nothing is recorded.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, cfg balance.Config, seed uint64, a Audit) (*Router, error) {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, cfg balance.Config, seed uint64, a Audit) (*Router, error) {
 	m, err := balance.New(cfg, seed)
 	if err != nil {
 		return nil, err
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -11,8 +11,8 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 )
 
 // peer plays servers, watcher and events, and keeps the calls that are out.
@@ -57,7 +57,7 @@
 	gone                    bool
 	after                   time.Duration
 	at                      time.Duration
-	l                       *loop.Loop
+	l                       *eventloop.Loop
 }
 
 func (o *owed) Gone(bool) bool              { return o.gone }
@@ -69,14 +69,14 @@
 func (o *owed) Failed(string)               { o.failed++; o.at = o.l.Now() }
 func (o *owed) total() int                  { return o.served + o.refused + o.failed }
 
-func start(t *testing.T) (*Router, *peer, *loop.Loop) {
-	l := loop.New()
+func start(t *testing.T) (*Router, *peer, *eventloop.Loop) {
+	l := eventloop.New()
 	r, p := startOn(t, l, true)
 	return r, p, l
 }
 
 // startOn is start on a loop that the test made; the primary may be missing.
-func startOn(t *testing.T, l *loop.Loop, primary bool) (*Router, *peer) {
+func startOn(t *testing.T, l *eventloop.Loop, primary bool) (*Router, *peer) {
 	p := &peer{t: t, written: true}
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", Cancel: true,
@@ -93,7 +93,7 @@
 }
 
 // play runs the loop for a while; do is called in it first.
-func play(r *Router, l *loop.Loop, d time.Duration, do func()) {
+func play(r *Router, l *eventloop.Loop, d time.Duration, do func()) {
 	l.Post(do)
 	l.Post(func() { l.After(d, l.Stop) })
 	l.Run(r.Step)
--- a/internal/router/sites.go
+++ b/internal/router/sites.go
@@ -6,8 +6,8 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/loop"
-	"limeladder/internal/sites"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/sitefailover"
 )
 
 // What the core tells of whole sites, and the plans for their loss. sites.Model judges and sites.Make plans; sites.Door says at the door
@@ -16,20 +16,20 @@
 
 // watcherOfSites is the model, and what has happened since it was looked at.
 type watcherOfSites struct {
-	model  *sites.Model
-	events []sites.Event
-	timer  *loop.Timer
-	meter  sites.Meter
-	use    sites.Uses
+	model  *sitefailover.Model
+	events []sitefailover.Event
+	timer  *eventloop.Timer
+	meter  sitefailover.Meter
+	use    sitefailover.Uses
 	costs  map[string]float64
-	before map[sites.Key]float64 // what was asked for when a site was lost: nil while all are well
-	door   *sites.Door           // nil = nothing is refused
-	ramp   *sites.Ramp           // nil = no return is paced
+	before map[sitefailover.Key]float64 // what was asked for when a site was lost: nil while all are well
+	door   *sitefailover.Door           // nil = nothing is refused
+	ramp   *sitefailover.Ramp           // nil = no return is paced
 }
 
 // WatchSites turns it on. It is called before the first list.
-func (r *Router) WatchSites(cfg sites.Config) {
-	r.sites = &watcherOfSites{model: sites.New(cfg), costs: map[string]float64{}}
+func (r *Router) WatchSites(cfg sitefailover.Config) {
+	r.sites = &watcherOfSites{model: sitefailover.New(cfg), costs: map[string]float64{}}
 	r.survey(0)
 }
 
@@ -62,12 +62,12 @@
 
 // ActOnSites lets what is known of sites bind: requests are refused at the door while a site is lost, and its return is paced. It is called
 // behind WatchSites.
-func (r *Router) ActOnSites(door sites.DoorConfig, ramp sites.RampConfig, seed uint64) {
-	r.sites.door, r.sites.ramp = sites.NewDoor(door, seed), sites.NewRamp(ramp)
+func (r *Router) ActOnSites(door sitefailover.DoorConfig, ramp sitefailover.RampConfig, seed uint64) {
+	r.sites.door, r.sites.ramp = sitefailover.NewDoor(door, seed), sitefailover.NewRamp(ramp)
 }
 
 // Refusals are what is refused at the door, Paces the sites whose return is paced or bound.
-func (r *Router) Refusals() []sites.Share {
+func (r *Router) Refusals() []sitefailover.Share {
 	if r.sites == nil || r.sites.door == nil {
 		return nil
 	}
@@ -75,7 +75,7 @@
 }
 
 // Paces: see Refusals.
-func (r *Router) Paces() []sites.Pace {
+func (r *Router) Paces() []sitefailover.Pace {
 	if r.sites == nil || r.sites.ramp == nil {
 		return nil
 	}
@@ -92,7 +92,7 @@
 		known = known || v.Site == site
 	}
 	if known {
-		b := sites.Bound{Site: site, Part: part}
+		b := sitefailover.Bound{Site: site, Part: part}
 		if length > 0 {
 			b.Until = r.loop.Now() + length
 		}
@@ -104,7 +104,7 @@
 }
 
 // Sites is what those on call see; nil where they are not watched.
-func (r *Router) Sites() []sites.View {
+func (r *Router) Sites() []sitefailover.View {
 	if r.sites == nil {
 		return nil
 	}
@@ -112,17 +112,17 @@
 }
 
 // Plans is what the loss of each site would mean as of now; nil where sites are not watched.
-func (r *Router) Plans() []sites.Loss {
+func (r *Router) Plans() []sitefailover.Loss {
 	w := r.sites
 	if w == nil {
 		return nil
 	}
-	return sites.Make(r.sitesInput(false))
+	return sitefailover.Make(r.sitesInput(false))
 }
 
 // sitesInput is what a plan is made of, with what each machine can do in the long run, or now: cold ones little.
-func (r *Router) sitesInput(now bool) sites.Input {
-	w, in := r.sites, sites.Input{}
+func (r *Router) sitesInput(now bool) sitefailover.Input {
+	w, in := r.sites, sitefailover.Input{}
 	// Where work waits, attempts take longer than their work: a member carries as much work as the attempts that may be out.
 	work, mean := 0.0, 0.0
 	for name, seen := range w.meter.Classes(r.loop.Now()) {
@@ -143,7 +143,7 @@
 		if now {
 			up, carry = s.Up && !w.model.Lost(s.Zone), carry*s.Warmth
 		}
-		in.Members = append(in.Members, sites.Member{ID: s.Node, Site: s.Zone, Bank: s.Group, Primary: s.Primary, Up: up && !w.model.Down(s.Node), Carry: carry})
+		in.Members = append(in.Members, sitefailover.Member{ID: s.Node, Site: s.Zone, Bank: s.Group, Primary: s.Primary, Up: up && !w.model.Down(s.Node), Carry: carry})
 	})
 	for k, rate := range w.meter.Rates(r.loop.Now()) {
 		c := r.classes[k.Class]
@@ -153,7 +153,7 @@
 			rate = min(rate, w.before[k])
 		}
 		cost := w.cost(r.module, k.Class)
-		in.Demands = append(in.Demands, sites.Demand{Class: k.Class, Bank: k.Bank, Rate: rate, Work: cost, Worth: c.Worth,
+		in.Demands = append(in.Demands, sitefailover.Demand{Class: k.Class, Bank: k.Bank, Rate: rate, Work: cost, Worth: c.Worth,
 			Strong: c.Need == balance.NeedUpdate || c.Need == balance.NeedLatest})
 	}
 	return in
@@ -173,7 +173,7 @@
 	if w == nil || w.door == nil {
 		return 0, false
 	}
-	refused, after = w.door.Ask(sites.Key{Class: q.Class, Bank: q.Group})
+	refused, after = w.door.Ask(sitefailover.Key{Class: q.Class, Bank: q.Group})
 	return after, refused
 }
 
@@ -189,7 +189,7 @@
 	if length > 0 {
 		until = r.loop.Now() + length
 	}
-	r.sites.events = append(r.sites.events, sites.Declare{Site: site, Until: until})
+	r.sites.events = append(r.sites.events, sitefailover.Declare{Site: site, Until: until})
 	r.Step()
 	return known
 }
@@ -197,7 +197,7 @@
 // asks counts a request that is taken.
 func (r *Router) asks(q *request) {
 	if r.sites != nil && !q.Retry { // a repeat asks for the same once more, not for more
-		r.sites.meter.Asked(r.loop.Now(), sites.Key{Class: q.Class, Bank: q.Group})
+		r.sites.meter.Asked(r.loop.Now(), sitefailover.Key{Class: q.Class, Bank: q.Group})
 	}
 }
 
@@ -218,15 +218,15 @@
 	switch res.Status {
 	case balance.Skipped, balance.Cancelled: // it says nothing of the machine
 	case balance.ConnectFailed:
-		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Refused})
+		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Refused})
 	case balance.Reset:
-		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Reset})
+		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Reset})
 	case balance.TimedOut:
-		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Silent})
+		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Silent})
 	default:
-		w.events = append(w.events, sites.Heard{Machine: node})
+		w.events = append(w.events, sitefailover.Heard{Machine: node})
 		if res.Role == balance.RoleReplica && res.Position > 0 {
-			w.events = append(w.events, sites.Applied{Machine: node, Upto: res.Position})
+			w.events = append(w.events, sitefailover.Applied{Machine: node, Upto: res.Position})
 		}
 	}
 }
@@ -237,14 +237,14 @@
 	if w == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
-	states := map[balance.State]sites.ListState{balance.Ready: sites.Ready, balance.Draining: sites.Draining, balance.Gone: sites.Gone}
+	states := map[balance.State]sitefailover.ListState{balance.Ready: sitefailover.Ready, balance.Draining: sitefailover.Draining, balance.Gone: sitefailover.Gone}
 	var all []string
 	for _, e := range l.Entries {
-		w.events = append(w.events, sites.Listed{Machine: e.Node, Site: e.Zone, Bank: e.Group, State: states[e.State]})
+		w.events = append(w.events, sitefailover.Listed{Machine: e.Node, Site: e.Zone, Bank: e.Group, State: states[e.State]})
 		all = append(all, e.Node)
 	}
 	if l.Kind != balance.ListDelta {
-		w.events = append(w.events, sites.Whole{Machines: all})
+		w.events = append(w.events, sitefailover.Whole{Machines: all})
 	}
 }
 
@@ -259,7 +259,7 @@
 	r.judgeSites(events)
 }
 
-func (r *Router) judgeSites(events []sites.Event) {
+func (r *Router) judgeSites(events []sitefailover.Event) {
 	w, now := r.sites, r.loop.Now()
 	wake := time.Duration(0)
 	at := func(t time.Duration) {
@@ -269,7 +269,7 @@
 	}
 	for _, a := range w.model.Step(now, events) {
 		switch a := a.(type) {
-		case sites.Changed:
+		case sitefailover.Changed:
 			r.log.Info("site", "site", a.Site, "from", a.From.String(), "to", a.To.String(), "kind", a.Kind.String(), "evidence", a.Evidence)
 			r.record(audit.Note{Topic: "site", Text: a.Site + " is " + a.To.String() + ", " + a.Kind.String() + ": " + a.Evidence})
 			switch troubled := w.model.Troubled(); {
@@ -282,13 +282,13 @@
 			if w.ramp != nil {
 				w.ramp.Moved(now, a.Site, a.To, w.model.Flaps(a.Site))
 			}
-		case sites.Wake:
+		case sitefailover.Wake:
 			at(a.At)
 		}
 	}
 	if w.door != nil {
 		was := w.door.Open()
-		w.door.Look(now, w.model.Troubled(), func() sites.Input { return r.sitesInput(true) })
+		w.door.Look(now, w.model.Troubled(), func() sitefailover.Input { return r.sitesInput(true) })
 		if is := w.door.Open(); is != was {
 			r.log.Info("site door", "open", is)
 		}
--- a/internal/router/sites_test.go
+++ b/internal/router/sites_test.go
@@ -6,17 +6,17 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/sites"
+	"limeladder/internal/sitefailover"
 )
 
 // lossy is a router with a site that operators have declared lost, asked for far more than is left can do; act says whether that binds.
 func lossy(t *testing.T, act bool) (r *Router, p *peer, all []*owed) {
 	t.Helper()
 	r, p, l := start(t)
-	r.WatchSites(sites.Watch("a", time.Second, 100))
+	r.WatchSites(sitefailover.Watch("a", time.Second, 100))
 	r.sites.costs["look"] = 99 // as a plan of long ago had it
 	if act {
-		r.ActOnSites(sites.DoorConfig{Spread: time.Second}, sites.RampConfig{First: 0.2, Over: time.Second}, 3)
+		r.ActOnSites(sitefailover.DoorConfig{Spread: time.Second}, sitefailover.RampConfig{First: 0.2, Over: time.Second}, 3)
 	}
 	r.List(balance.List{Kind: balance.ListFull, Entries: []balance.Entry{
 		{Node: "n1", Zone: "a", State: balance.Ready, Primary: true}, {Node: "n2", Zone: "b", State: balance.Ready}}})
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the JSON dialect of the pipe into the events of package balance, and its actions back.
-package wire
+// Package simprotocol turns the JSON dialect of the pipe into the events of package balance, and its actions back.
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"errors"
--- a/internal/lab/standins/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -1,4 +1,4 @@
-package standins
+package emulator
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"time"
 
 	"limeladder/internal/config"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/model"
 )
 
 // directory is discovery over HTTP: whole lists, and watches from a version on. For one router it is the same as an agent that lists
--- a/internal/lab/standins/host.go
+++ b/internal/simulation/emulator/host.go
@@ -1,6 +1,6 @@
-// Package standins is the laboratory's skin on sockets: the machines of the model behind listeners on loopback that speak
+// Package emulator is the laboratory's skin on sockets: the machines of the model behind listeners on loopback that speak
 // PostgreSQL, and discovery over HTTP, so that the real program runs before them. The model's clock follows the system's.
-package standins
+package emulator
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 // Visit is a statement that has come whole to a machine over one connection.
@@ -71,7 +71,7 @@
 	}
 	for _, x := range cfg.Faults {
 		if x.What == "cut" || x.What == "routers" || x.What == "suspend" || slices.Contains(fleet.RigFaults, x.What) {
-			return nil, fmt.Errorf("faults: %s needs more than one process: limelab rig", x.What)
+			return nil, fmt.Errorf("faults: %s needs more than one process: limeladder-sim rig", x.What)
 		}
 	}
 	begin := time.Now()
--- a/internal/lab/standins/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -1,4 +1,4 @@
-package standins
+package emulator
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"time"
 
 	"limeladder/internal/config"
-	"limeladder/internal/lab/fleet"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/testserver"
 )
 
 func small(change func(*fleet.Config)) fleet.Config {
@@ -52,7 +52,7 @@
 // Statements take their time, and are answered by what the machine is.
 func TestStatements(t *testing.T) {
 	h, at := newHost(t, nil)
-	a, b := standin.Dial(t, at["db1a"]), standin.Dial(t, at["db1b"])
+	a, b := testserver.Dial(t, at["db1a"]), testserver.Dial(t, at["db1b"])
 	begin := time.Now()
 	a.Send(text("submit-job", 30*time.Millisecond, 0))
 	if x := a.Until('Z'); x.Code != "" || x.Types != "TDCZ" || !strings.HasPrefix(x.Value, "db1a ") || time.Since(begin) < 30*time.Millisecond {
@@ -90,8 +90,8 @@
 // nothing until it goes on; a place too many is turned away.
 func TestFaults(t *testing.T) {
 	h, at := newHost(t, func(c *fleet.Config) { c.Kind.Conns = 2 })
-	a := standin.Dial(t, at["db1a"])
-	standin.Dial(t, at["db1a"])
+	a := testserver.Dial(t, at["db1a"])
+	testserver.Dial(t, at["db1a"])
 	c, err := net.Dial("tcp", at["db1a"])
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 		}
 		return err == nil
 	})
-	b := standin.Dial(t, at["db1b"])
+	b := testserver.Dial(t, at["db1b"])
 	h.Befall(fleet.Fault{What: "hang", Who: []string{"db1b"}, For: 300 * time.Millisecond})
 	begin := time.Now()
 	b.Send(text("queue-view", time.Millisecond, 0))
--- a/internal/lab/standins/session.go
+++ b/internal/simulation/emulator/session.go
@@ -1,4 +1,4 @@
-package standins
+package emulator
 
 import (
 	"encoding/binary"
@@ -8,10 +8,10 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/statement"
+	"limeladder/internal/requestcomment"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 // What a session reads at most.
@@ -253,7 +253,7 @@
 
 // run lets a statement run and adds its answer. It says whether it was served.
 func (x *session) run(sql string, simple bool) bool {
-	head, err := statement.Parse(sql)
+	head, err := requestcomment.Parse(sql)
 	if err != nil {
 		x.fail(pgwire.ProtocolViolation, err.Error())
 		return false
--- a/internal/lab/trial/trial.go
+++ b/internal/simulation/experiment/trial.go
@@ -1,5 +1,5 @@
-// Package trial plays a scenario's arms with the same seeds and says what the difference is, and whether chance explains it.
-package trial
+// Package experiment plays a scenario's arms with the same seeds and says what the difference is, and whether chance explains it.
+package experiment
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/scenario"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/scenario"
 )
 
 // Arm changes what a scenario says of the routers, and nothing else.
--- a/internal/lab/trial/trial_test.go
+++ b/internal/simulation/experiment/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package experiment
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"limeladder/internal/lab/scenario"
+	"limeladder/internal/simulation/scenario"
 )
 
 // deploy restarts one machine after the other, which come back cold: what routers know of cold machines decides.
--- a/internal/lab/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/router"
+	"limeladder/internal/simulation/model"
 )
 
 // request is what a client wants, over all its tries. It implements router.Client.
--- a/internal/lab/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/model"
 )
 
 // Class is one kind of request.
--- a/internal/lab/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/limits"
+	"limeladder/internal/simulation/model"
 )
 
 // directory is discovery: it hears of changes late and tells them to those who watch. Where it is asked it serves one call after
--- a/internal/lab/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/model"
-	"limeladder/internal/sites"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+	"limeladder/internal/sitefailover"
 )
 
 // start is where virtual time begins: times must not be 0, which means none.
@@ -56,7 +56,7 @@
 func Run(cfg Config, seed uint64) (*Result, error) {
 	for _, x := range cfg.Faults {
 		if slices.Contains(RigFaults, x.What) {
-			return nil, fmt.Errorf("faults: %s needs processes: limelab rig", x.What)
+			return nil, fmt.Errorf("faults: %s needs processes: limeladder-sim rig", x.What)
 		}
 	}
 	f, err := build(cfg, seed)
@@ -79,7 +79,7 @@
 
 // Foresee plays a fleet that loses a site at a moment and does not get it back, and returns what its routers planned for that just before,
 // each for its own part of the work, beside what came.
-func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sites.Loss, got *Result, err error) {
+func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sitefailover.Loss, got *Result, err error) {
 	cfg.Sites = SitesWatch
 	cfg.Faults = append(slices.Clone(cfg.Faults), Fault{At: at, What: "kill", Who: []string{"zone:" + site}, Part: 1})
 	f, err := build(cfg, seed)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/router"
+	"limeladder/internal/simulation/model"
 )
 
 func shortly(faults ...Fault) Config {
--- a/internal/lab/fleet/observe.go
+++ b/internal/simulation/fleet/observe.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/model"
 )
 
 // ending is how a request ended for its client.
--- a/internal/lab/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/changeover"
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/failover"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/router"
-	"limeladder/internal/sites"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+	"limeladder/internal/sitefailover"
 )
 
 // instance is one router: its core on a loop of virtual time, and its connections.
@@ -20,7 +20,7 @@
 	f       *Fleet
 	number  int
 	zone    string
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	core    *router.Router
 	peers   map[string]*peer
 	alive   bool
@@ -59,7 +59,7 @@
 func (r *instance) start() error {
 	f := r.f
 	r.life++
-	r.loop = loop.On(f.clock.Now)
+	r.loop = eventloop.On(f.clock.Now)
 	r.peers = map[string]*peer{}
 	lim := limits.For(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longest)
 	cfg := f.cfg.balance(r.zone)
@@ -70,21 +70,21 @@
 	r.core = core
 	core.Connect(r, r)
 	if len(f.cfg.Hold) > 0 {
-		classes := map[string]changeover.Class{}
+		classes := map[string]failover.Class{}
 		for _, k := range cfg.Classes {
 			for _, name := range f.cfg.Hold {
 				if k.Name == name {
-					classes[name] = changeover.Class{Worth: k.Worth, Work: k.Aim / 10}
+					classes[name] = failover.Class{Worth: k.Worth, Work: k.Aim / 10}
 				}
 			}
 		}
-		core.HoldThrough(changeover.Config{Instances: cfg.Instances, Classes: classes, Count: lim.Held, Bytes: lim.HeldBytes,
+		core.HoldThrough(failover.Config{Instances: cfg.Instances, Classes: classes, Count: lim.Held, Bytes: lim.HeldBytes,
 			Margin: lim.AnswerBefore, MaxAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
-		core.WatchSites(sites.Watch(cfg.Zone, cfg.ColdFor, f.cfg.Banks*f.cfg.Members))
+		core.WatchSites(sitefailover.Watch(cfg.Zone, cfg.ColdFor, f.cfg.Banks*f.cfg.Members))
 		if f.cfg.Sites == SitesAct {
-			core.ActOnSites(sites.DoorConfig{Spread: cfg.MaxRetryAfter}, sites.RampConfig{First: cfg.ColdFrom, Over: cfg.ColdFor}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
+			core.ActOnSites(sitefailover.DoorConfig{Spread: cfg.MaxRetryAfter}, sitefailover.RampConfig{First: cfg.ColdFrom, Over: cfg.ColdFor}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
 		}
 	}
 	r.alive = true
--- a/internal/lab/fleet/top.go
+++ b/internal/simulation/fleet/top.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/model"
 )
 
 // top is what a policy could get that sees the true state of every machine at every moment, and moves work about as a fluid: a bound
--- a/internal/lab/load/load.go
+++ b/internal/simulation/load/load.go
@@ -19,9 +19,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/standins"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
 )
 
 // Options say what is asked for.
@@ -420,7 +420,7 @@
 	}
 	a := answer{code: "no connection"}
 	if c != nil {
-		text := standins.Statement(fmt.Sprintf("l%d.%d", q.id, q.tries), q.class.Name, left, int64(q.session%r.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
+		text := emulator.Statement(fmt.Sprintf("l%d.%d", q.id, q.tries), q.class.Name, left, int64(q.session%r.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
 		var err error
 		if a, err = c.ask(text, r.o.Extended, left+200*time.Millisecond); err != nil {
 			c.c.Close()
--- a/internal/lab/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
-	"limeladder/internal/lab/standins"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 func options(addr string) Options {
@@ -82,14 +82,14 @@
 	}
 }
 
-func hostFor(t *testing.T, change ...func(*fleet.Config)) (*standins.Host, string) {
+func hostFor(t *testing.T, change ...func(*fleet.Config)) (*emulator.Host, string) {
 	t.Helper()
 	c := fleet.Default()
 	c.Banks, c.Members, c.Kind.Errors = 1, 1, 0
 	for _, f := range change {
 		f(&c)
 	}
-	h, err := standins.New(c, 1)
+	h, err := emulator.New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/model/bank.go
+++ b/internal/simulation/model/bank.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"limeladder/internal/lab/event"
+	"limeladder/internal/simulation/event"
 )
 
 // Bank is a primary and its replicas.
--- a/internal/lab/model/machine.go
+++ b/internal/simulation/model/machine.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"limeladder/internal/lab/event"
+	"limeladder/internal/simulation/event"
 )
 
 // State is what has become of a machine.
--- a/internal/lab/model/model.go
+++ b/internal/simulation/model/model.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"limeladder/internal/lab/event"
+	"limeladder/internal/simulation/event"
 )
 
 // Kind describes db machines of one sort.
--- a/internal/lab/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/event"
+	"limeladder/internal/simulation/event"
 )
 
 const begin = 1000 * time.Second
--- a/internal/lab/rig/check/check.go
+++ b/internal/simulation/multiprocess/check/check.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"limeladder/internal/lab/rig/history"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 // Rules are the figures of the contract, and what the rig can't tell more finely than.
--- a/internal/lab/rig/check/check_test.go
+++ b/internal/simulation/multiprocess/check/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	h "limeladder/internal/lab/rig/history"
+	h "limeladder/internal/simulation/multiprocess/history"
 )
 
 const ms = time.Millisecond
--- a/internal/lab/rig/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/rig/history"
-	"limeladder/internal/lab/standins"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 // Door is a way to one router from one site.
@@ -324,7 +324,7 @@
 	}
 	id := fmt.Sprintf("q%d.%d.%d", q.number, q.tries, q.again)
 	life := d.Life()
-	text := standins.Statement(id, q.class.Name, left, int64(q.session%c.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
+	text := emulator.Statement(id, q.class.Name, left, int64(q.session%c.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
 	k.c.SetDeadline(time.Now().Add(left + time.Second))
 	c.log.Add(history.Asked{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Life: life, Within: left, Write: q.class.Need == balance.NeedUpdate})
 	_, err := k.c.Write(pgwire.AppendQuery(nil, text))
--- a/internal/lab/rig/relay/relay.go
+++ b/internal/simulation/multiprocess/faultproxy/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries connections between the parts of a rig, so that what befalls the ways between them can be a step of a script.
+// Package faultproxy carries connections between the parts of a rig, so that what befalls the ways between them can be a step of a script.
 // It owns the connections and the bytes on their way; it reads nothing of them.
-package relay
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/lab/rig/relay/relay_test.go
+++ b/internal/simulation/multiprocess/faultproxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/rig/process.go
+++ b/internal/simulation/multiprocess/process.go
@@ -1,4 +1,4 @@
-package rig
+package multiprocess
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"limeladder/internal/lab/rig/history"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 // process is one router: its files and addresses stay, its process comes and goes.
--- a/internal/lab/rig/random.go
+++ b/internal/simulation/multiprocess/random.go
@@ -1,4 +1,4 @@
-package rig
+package multiprocess
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
+	"limeladder/internal/simulation/fleet"
 )
 
 // Base is a small fleet for a rig: two or three sites, a router or two in each, banks over all of them, and little load, so that a
--- a/internal/lab/rig/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -1,7 +1,7 @@
-// Package rig plays a scenario with several real processes of the program: db machines, discovery and clients are the laboratory's, in
+// Package multiprocess plays a scenario with several real processes of the program: db machines, discovery and clients are the laboratory's, in
 // sites, and all that goes between them and the routers goes through relays, so that what befalls processes and ways is a step of a
 // script. It drives; what happened is in package history, what it means in package check.
-package rig
+package multiprocess
 
 import (
 	"bufio"
@@ -15,12 +15,12 @@
 	"sync"
 	"time"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/rig/check"
-	"limeladder/internal/lab/rig/clients"
-	"limeladder/internal/lab/rig/history"
-	"limeladder/internal/lab/rig/relay"
-	"limeladder/internal/lab/standins"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/multiprocess/check"
+	"limeladder/internal/simulation/multiprocess/clients"
+	"limeladder/internal/simulation/multiprocess/faultproxy"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 // The most that a rig starts.
@@ -30,7 +30,7 @@
 )
 
 // discovery stands in no site.
-var discovery = relay.Point{Name: "discovery"}
+var discovery = faultproxy.Point{Name: "discovery"}
 
 // Options say what is played, and with what.
 type Options struct {
@@ -60,11 +60,11 @@
 type Rig struct {
 	o       Options
 	log     *history.Log
-	net     *relay.Net
-	host    *standins.Host
+	net     *faultproxy.Net
+	host    *emulator.Host
 	routers []*process
 	views   []*view
-	points  map[string]relay.Point
+	points  map[string]faultproxy.Point
 	by      sync.Map // a machine's remote address: who dialled
 	begin   time.Time
 	steps   sync.WaitGroup
@@ -75,7 +75,7 @@
 type dialler struct {
 	router string
 	life   int
-	held   *relay.Held
+	held   *faultproxy.Held
 }
 
 // Run plays a scenario and checks it. An error means that it could not be played.
@@ -98,7 +98,7 @@
 	if o.Notice == 0 {
 		o.Notice = 2 * time.Second
 	}
-	r := &Rig{o: o, log: history.New(), net: relay.New(o.Seed), points: map[string]relay.Point{}, stop: make(chan struct{})}
+	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Point{}, stop: make(chan struct{})}
 	defer r.end()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	cfg := r.o.Config
 	cfg.Faults = nil // they come from here
 	var err error
-	if r.host, err = standins.New(cfg, r.o.Seed); err != nil {
+	if r.host, err = emulator.New(cfg, r.o.Seed); err != nil {
 		return err
 	}
 	r.host.Observe(observer{r})
@@ -128,7 +128,7 @@
 func (r *Rig) router(i int, name, site string) error {
 	cfg := &r.o.Config
 	p := &process{Name: name, Site: site, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, log: r.log}
-	me := relay.Point{Name: name, Site: site}
+	me := faultproxy.Point{Name: name, Site: site}
 	r.points[name] = me
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
@@ -136,11 +136,11 @@
 	if err := os.WriteFile(filepath.Join(p.dir, "limeladder.toml"), []byte(r.o.Deploy), 0o600); err != nil {
 		return err
 	}
-	ways := map[string]*relay.Link{}
+	ways := map[string]*faultproxy.Link{}
 	for id, m := range r.host.Members() {
-		at := relay.Point{Name: id, Site: r.host.Zone(id)}
-		l, err := r.net.Link(me, at, func() string { return m }, relay.Watch{
-			Dialled: func(local string, held *relay.Held) { r.by.Store(local, dialler{name, p.Life(), held}) },
+		at := faultproxy.Point{Name: id, Site: r.host.Zone(id)}
+		l, err := r.net.Link(me, at, func() string { return m }, faultproxy.Watch{
+			Dialled: func(local string, held *faultproxy.Held) { r.by.Store(local, dialler{name, p.Life(), held}) },
 			GivenUp: func(local string) { r.log.Add(history.GivenUp{Router: name, Member: id, Conn: local}) },
 		})
 		if err != nil {
@@ -159,7 +159,7 @@
 	}
 	r.views = append(r.views, v)
 	// An agent is on the router's own machine; this way then stands for discovery's to the agent.
-	way, err := r.net.Link(me, discovery, func() string { return v.listen }, relay.Watch{})
+	way, err := r.net.Link(me, discovery, func() string { return v.listen }, faultproxy.Watch{})
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 	listen, operator := ip+":6432", ip+":9600"
 	p.began = v.began
 	p.settings = func() ([]byte, error) {
-		text, err := r.host.SettingsFor(standins.Seat{Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
+		text, err := r.host.SettingsFor(emulator.Seat{Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
 			Seed: r.o.Seed<<20 + uint64(i)<<8 + uint64(p.Life()+1)})
 		if err == nil && r.o.Harm != nil {
 			text = r.o.Harm(text)
@@ -182,7 +182,7 @@
 		return text, err
 	}
 	r.routers = append(r.routers, p)
-	r.points["listen:"+name] = relay.Point{Name: listen}
+	r.points["listen:"+name] = faultproxy.Point{Name: listen}
 	return p.start()
 }
 
@@ -205,9 +205,9 @@
 func (r *Rig) doors() (own, others map[string][]clients.Door, err error) {
 	own, others = map[string][]clients.Door{}, map[string][]clients.Door{}
 	for _, site := range r.o.Config.Zones {
-		from := relay.Point{Name: "clients:" + site, Site: site}
+		from := faultproxy.Point{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
-			l, err := r.net.Link(from, relay.Point{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, relay.Watch{})
+			l, err := r.net.Link(from, faultproxy.Point{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, faultproxy.Watch{})
 			if err != nil {
 				return nil, nil, err
 			}
@@ -305,13 +305,13 @@
 			}()
 		}
 	case "cut", "delay", "trickle":
-		w := relay.Way{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
+		w := faultproxy.Way{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
 		for _, name := range f.Who {
 			from, to, both := ends(name)
 			r.trouble(from, to, both, text, f.For)
 			r.set(from, to, both, w)
 			r.later(now+f.For, func() {
-				r.set(from, to, both, relay.Way{})
+				r.set(from, to, both, faultproxy.Way{})
 				r.log.Add(history.Step{Text: "end of " + text})
 			})
 		}
@@ -338,7 +338,7 @@
 	return d
 }
 
-func (r *Rig) set(from, to string, both bool, w relay.Way) {
+func (r *Rig) set(from, to string, both bool, w faultproxy.Way) {
 	r.net.Set(from, to, w)
 	if both {
 		r.net.Set(to, from, w)
@@ -359,9 +359,9 @@
 // is asked may not come.
 func (r *Rig) trouble(from, to string, both bool, what string, length time.Duration) {
 	for _, p := range r.routers {
-		me := relay.Point{Name: p.Name, Site: p.Site}
+		me := faultproxy.Point{Name: p.Name, Site: p.Site}
 		for _, site := range r.o.Config.Zones {
-			c := relay.Point{Name: "clients:" + site, Site: site}
+			c := faultproxy.Point{Name: "clients:" + site, Site: site}
 			if c.Is(from) && me.Is(to) || me.Is(from) && c.Is(to) || both && (c.Is(to) && me.Is(from) || me.Is(to) && c.Is(from)) {
 				p.note("its way to "+c.Name+": "+what, length)
 				break
@@ -428,17 +428,17 @@
 	if d, ok := o.r.by.Load(remote); ok {
 		return d.(dialler)
 	}
-	return dialler{router: "?", held: &relay.Held{}}
+	return dialler{router: "?", held: &faultproxy.Held{}}
 }
 
 // Came implements standins.Observer.
-func (o observer) Came(v standins.Visit) {
+func (o observer) Came(v emulator.Visit) {
 	d := o.who(v.Remote)
 	o.r.log.Add(history.Came{ID: v.ID, Conn: v.Remote, Class: v.Class, Router: d.router, Life: d.life, Member: v.Member, Held: d.held.For(), Write: v.Write, Led: v.Led, See: v.See})
 }
 
 // Ended implements standins.Observer.
-func (o observer) Ended(v standins.Visit, e standins.Ending, gone bool) {
+func (o observer) Ended(v emulator.Visit, e emulator.Ending, gone bool) {
 	d := o.who(v.Remote)
 	o.r.log.Add(history.Ran{ID: v.ID, Router: d.router, Life: d.life, Member: v.Member, Served: !gone && e.Outcome == 0, Gone: gone, Primary: e.Primary, Position: e.Position})
 }
--- a/internal/lab/rig/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package multiprocess
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/rig/check"
-	"limeladder/internal/lab/rig/history"
-	"limeladder/internal/lab/scenario"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/multiprocess/check"
+	"limeladder/internal/simulation/multiprocess/history"
+	"limeladder/internal/simulation/scenario"
 )
 
 // program is the router, built once for all tests.
--- a/internal/lab/rig/sites_test.go
+++ b/internal/simulation/multiprocess/sites_test.go
@@ -1,4 +1,4 @@
-package rig
+package multiprocess
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/fleet"
+	"limeladder/internal/simulation/fleet"
 )
 
 // acting turns on all that a router does about whole sites.
--- a/internal/lab/rig/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -1,4 +1,4 @@
-package rig
+package multiprocess
 
 import (
 	"encoding/json"
@@ -9,16 +9,16 @@
 	"time"
 
 	"limeladder/internal/config"
-	"limeladder/internal/lab/rig/history"
-	"limeladder/internal/lab/rig/relay"
-	"limeladder/internal/lab/standins"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/multiprocess/faultproxy"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 // view is discovery as one router meets it: the addresses are those of its own ways to the machines. Where lists are pushed it is the
 // agent on the router's machine: it has what reached it, and says nothing while discovery is away.
 type view struct {
-	host   *standins.Host
-	net    *relay.Net
+	host   *emulator.Host
+	net    *faultproxy.Net
 	log    *history.Log
 	router *process
 	pushed bool
--- a/internal/lab/report/report.go
+++ b/internal/simulation/report/report.go
@@ -18,8 +18,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/scenario"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/scenario"
 )
 
 // Run is what a report is made of.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -16,7 +16,7 @@
 	"go.starlark.net/syntax"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
+	"limeladder/internal/simulation/fleet"
 )
 
 // Scenario is one.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/fleet"
+	"limeladder/internal/simulation/fleet"
 )
 
 // What stands in a script is what is played.
--- a/internal/lab/figures/figures.go
+++ b/internal/simulation/stats/figures.go
@@ -1,15 +1,15 @@
-// Package figures holds the emulator against what it is to be like: closed forms where there are any, otherwise the figures
+// Package stats holds the emulator against what it is to be like: closed forms where there are any, otherwise the figures
 // of the account that its machines are set to. The tests and the table in the docs are made of it.
-package figures
+package stats
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 // Figure is one that is held against another.
--- a/internal/lab/figures/figures_test.go
+++ b/internal/simulation/stats/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package stats
 
 import (
 	"math"
--- a/internal/lab/figures/foresight.go
+++ b/internal/simulation/stats/foresight.go
@@ -1,11 +1,11 @@
-package figures
+package stats
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"limeladder/internal/lab/fleet"
+	"limeladder/internal/simulation/fleet"
 )
 
 // Foresight is what routers planned for the loss of a site, beside what came of it in the laboratory.
--- a/internal/sites/door_test.go
+++ b/internal/sitefailover/door_test.go
@@ -1,4 +1,4 @@
-package sites
+package sitefailover
 
 import (
 	"fmt"
--- a/internal/sites/evidence.go
+++ b/internal/sitefailover/evidence.go
@@ -1,6 +1,6 @@
-// Package sites tells from a router's own evidence what has become of whole sites, and plans what the loss of each would mean. It does no
+// Package sitefailover tells from a router's own evidence what has become of whole sites, and plans what the loss of each would mean. It does no
 // I/O, holds no clock and draws nothing: time and events come from the caller. It decides no request's way.
-package sites
+package sitefailover
 
 import (
 	"fmt"
--- a/internal/sites/view.go
+++ b/internal/sitefailover/view.go
@@ -1,4 +1,4 @@
-package sites
+package sitefailover
 
 // What a Model says of sites and machines to those who ask.
 
--- a/internal/store/data/data.go
+++ b/internal/store/fsm/data.go
@@ -1,7 +1,7 @@
-// Package data is what the replicated log amounts to: records with revisions, changes of several of them at once that hold
+// Package fsm is what the replicated log amounts to: records with revisions, changes of several of them at once that hold
 // only if nothing has changed meanwhile, what has changed since a revision, and the history of configurations. It is pure:
 // the same changes in the same order give the same state, byte for byte, on every member.
-package data
+package fsm
 
 import (
 	"cmp"
--- a/internal/store/data/snapshot.go
+++ b/internal/store/fsm/snapshot.go
@@ -1,4 +1,4 @@
-package data
+package fsm
 
 import (
 	"bytes"
--- a/internal/store/secret_test.go
+++ b/internal/store/secret_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/standin/collector"
-	"limeladder/internal/store/data"
+	"limeladder/internal/store/fsm"
+	"limeladder/internal/testserver/collector"
 )
 
 // vouch writes a member's files.
@@ -69,7 +69,7 @@
 		for name, s := range all {
 			n++
 			eventually(t, what+": "+name+" commits", func() bool {
-				r, err := s.Commit(data.Change{ID: fmt.Sprint(n), Ops: []data.Op{{Key: "n", Value: []byte(fmt.Sprint(n))}}})
+				r, err := s.Commit(fsm.Change{ID: fmt.Sprint(n), Ops: []fsm.Op{{Key: "n", Value: []byte(fmt.Sprint(n))}}})
 				return err == nil && r.Fault == ""
 			})
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,7 +16,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"limeladder/internal/store/data"
+	"limeladder/internal/store/fsm"
 )
 
 // Config says who this member is and where all of them are reached.
@@ -37,7 +37,7 @@
 	wal     *wal
 	stream  *stream
 	state   *state
-	queue   chan data.Change
+	queue   chan fsm.Change
 	seq     atomic.Uint64 // of the ids that this member has given
 	quit    chan struct{}
 	done    sync.WaitGroup
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{cfg: cfg, log: log, wal: w, state: &state{data: data.New(data.Usual())},
-		queue: make(chan data.Change, cfg.Queue), quit: make(chan struct{})}
+	s := &Store{cfg: cfg, log: log, wal: w, state: &state{data: fsm.New(fsm.Usual())},
+		queue: make(chan fsm.Change, cfg.Queue), quit: make(chan struct{})}
 	if w.torn > 0 {
 		log.Warn("store: torn data dropped", "file", w.path, "bytes", w.torn)
 	}
@@ -125,7 +125,7 @@
 // Put queues a write and says whether there was room. It never waits.
 func (s *Store) Put(key string, value []byte) bool {
 	select {
-	case s.queue <- data.Change{Author: s.cfg.Name, At: time.Duration(time.Now().UnixNano()), Ops: []data.Op{{Key: key, Value: append([]byte(nil), value...)}}}:
+	case s.queue <- fsm.Change{Author: s.cfg.Name, At: time.Duration(time.Now().UnixNano()), Ops: []fsm.Op{{Key: key, Value: append([]byte(nil), value...)}}}:
 		return true
 	default:
 		s.dropped.Add(1)
@@ -171,26 +171,26 @@
 // Commit has a change carried out by the peers and returns what came of it, once a majority has it. An error says that this is
 // not known: the same change, with the same id, may be committed again and is carried out once. It blocks, and is not for
 // the path of a request.
-func (s *Store) Commit(c data.Change) (data.Result, error) {
+func (s *Store) Commit(c fsm.Change) (fsm.Result, error) {
 	if c.ID == "" {
 		c.ID = s.id()
 	}
 	p, err := c.Encode()
 	if err != nil {
-		return data.Result{}, err
+		return fsm.Result{}, err
 	}
 	if s.raft.State() != raft.Leader {
 		addr, _ := s.raft.LeaderWithID()
 		if addr == "" {
-			return data.Result{}, ErrNoLeader
+			return fsm.Result{}, ErrNoLeader
 		}
 		if p, err = s.stream.forward(string(addr), p); err != nil {
-			return data.Result{}, err
+			return fsm.Result{}, err
 		}
 	} else if p, err = s.apply(p); err != nil {
-		return data.Result{}, err
+		return fsm.Result{}, err
 	}
-	var r data.Result
+	var r fsm.Result
 	err = json.Unmarshal(p, &r)
 	return r, err
 }
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	switch r := f.Response().(type) {
-	case data.Result:
+	case fsm.Result:
 		return json.Marshal(r)
 	case error:
 		return nil, r
@@ -214,40 +214,40 @@
 }
 
 // Read returns a record as this member has it; List all whose keys begin with prefix.
-func (s *Store) Read(key string) (data.Record, bool) {
+func (s *Store) Read(key string) (fsm.Record, bool) {
 	s.state.mu.RLock()
 	defer s.state.mu.RUnlock()
 	return s.state.data.Get(key)
 }
 
 // List returns the records whose keys begin with prefix, in order, and the revision that they are of.
-func (s *Store) List(prefix string) ([]data.Record, uint64) {
+func (s *Store) List(prefix string) ([]fsm.Record, uint64) {
 	s.state.mu.RLock()
 	defer s.state.mu.RUnlock()
 	return s.state.data.List(prefix), s.state.data.Revision()
 }
 
 // History returns the configurations that were under a key, oldest first.
-func (s *Store) History(key string) []data.Past {
+func (s *Store) History(key string) []fsm.Past {
 	s.state.mu.RLock()
 	defer s.state.mu.RUnlock()
 	return s.state.data.History(key)
 }
 
 // Rollback brings back what stood under a key at a revision, unless somebody changes it meanwhile.
-func (s *Store) Rollback(key string, revision uint64, author string) (data.Result, error) {
+func (s *Store) Rollback(key string, revision uint64, author string) (fsm.Result, error) {
 	s.state.mu.RLock()
 	c, err := s.state.data.Rollback(key, revision)
 	s.state.mu.RUnlock()
 	if err != nil {
-		return data.Result{}, err
+		return fsm.Result{}, err
 	}
 	c.Author, c.At = author, time.Duration(time.Now().UnixNano())
 	return s.Commit(c)
 }
 
 // Since returns what has changed behind a revision, as far as this member has it.
-func (s *Store) Since(revision uint64) ([]data.Event, error) {
+func (s *Store) Since(revision uint64) ([]fsm.Event, error) {
 	s.state.mu.RLock()
 	defer s.state.mu.RUnlock()
 	return s.state.data.Since(revision)
@@ -265,7 +265,7 @@
 // state is what the log amounts to.
 type state struct {
 	mu   sync.RWMutex
-	data *data.State
+	data *fsm.State
 }
 
 func (s *state) get(key string) ([]byte, bool) {
@@ -277,7 +277,7 @@
 
 // Apply implements raft.FSM.
 func (s *state) Apply(l *raft.Log) any {
-	c, err := data.Decode(l.Data)
+	c, err := fsm.Decode(l.Data)
 	if err != nil {
 		return err
 	}
@@ -301,7 +301,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := data.Restore(p, data.Usual())
+	d, err := fsm.Restore(p, fsm.Usual())
 	if err != nil {
 		return err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"limeladder/internal/store/data"
+	"limeladder/internal/store/fsm"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -97,7 +97,7 @@
 }
 
 func TestPutNeverWaits(t *testing.T) {
-	s := &Store{queue: make(chan data.Change, 2)}
+	s := &Store{queue: make(chan fsm.Change, 2)}
 	for range 5 {
 		s.Put("k", nil)
 	}
@@ -212,9 +212,9 @@
 			s.Close()
 		}
 	}()
-	commit := func(name string, c data.Change) data.Result {
+	commit := func(name string, c fsm.Change) fsm.Result {
 		t.Helper()
-		var r data.Result
+		var r fsm.Result
 		eventually(t, "a majority", func() (ok bool) {
 			var err error
 			r, err = all[name].Commit(c)
@@ -237,10 +237,10 @@
 	zero := uint64(0)
 	won := 0
 	for name := range addrs { // each wants to be the first
-		r := commit(name, data.Change{ID: "once-" + name, Author: name, Ops: []data.Op{{Key: "lock", Kind: data.Config, Value: []byte(name), If: &zero}, {Key: "by", Value: []byte(name)}}})
+		r := commit(name, fsm.Change{ID: "once-" + name, Author: name, Ops: []fsm.Op{{Key: "lock", Kind: fsm.Config, Value: []byte(name), If: &zero}, {Key: "by", Value: []byte(name)}}})
 		if r.Fault == "" {
 			won++
-		} else if r.Fault != data.Conflict || r.Key != "lock" {
+		} else if r.Fault != fsm.Conflict || r.Key != "lock" {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 	first, _ := leader.Read("lock")
 	for range 3 { // an answer that is lost: the same change comes again
-		if r := commit("m1", data.Change{ID: "same", Ops: []data.Op{{Key: "lock", Kind: data.Config, Value: []byte("x"), If: &first.Revision}}}); r.Fault != "" {
+		if r := commit("m1", fsm.Change{ID: "same", Ops: []fsm.Op{{Key: "lock", Kind: fsm.Config, Value: []byte("x"), If: &first.Revision}}}); r.Fault != "" {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -272,7 +272,7 @@
 		t.Errorf("%+v %v", e, err)
 	}
 	for i := range 20 { // beyond a snapshot
-		commit("m2", data.Change{Ops: []data.Op{{Key: "n", Value: []byte{byte(i)}}}})
+		commit("m2", fsm.Change{Ops: []fsm.Op{{Key: "n", Value: []byte{byte(i)}}}})
 	}
 	all["m0"].Close()
 	open("m0")
@@ -280,7 +280,7 @@
 	all["m1"].Close()
 	all["m2"].Close()
 	eventually(t, "nobody leads", func() bool {
-		_, err := all["m0"].Commit(data.Change{Ops: []data.Op{{Key: "n"}}})
+		_, err := all["m0"].Commit(fsm.Change{Ops: []fsm.Op{{Key: "n"}}})
 		return errors.Is(err, ErrNoLeader)
 	})
 	if !has(all["m0"], "n", "\x13")() {
--- a/internal/syslogread/frame.go
+++ b/internal/syslog/parser/frame.go
@@ -1,4 +1,4 @@
-package syslogread
+package parser
 
 import (
 	"bufio"
--- a/internal/syslogread/message.go
+++ b/internal/syslog/parser/message.go
@@ -1,7 +1,7 @@
-// Package syslogread reads what collectors get: RFC 5424 messages, strictly, and the framing of RFC 6587. It shares no
+// Package parser reads what collectors get: RFC 5424 messages, strictly, and the framing of RFC 6587. It shares no
 // code with the writer, so that a mistake of one is not one of the other. It is written by hand: the grammar on a parser
 // library, which stands beside it in the tests, is far too slow for the proof of a day's file (docs/design/syslog.md).
-package syslogread
+package parser
 
 import (
 	"bytes"
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"limeladder/internal/spool"
-	"limeladder/internal/standin/collector"
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
+	"limeladder/internal/testserver/collector"
 )
 
 // world is a sender and what it may meet.
@@ -116,7 +116,7 @@
 			last := -1
 			for _, m := range c.Messages() {
 				var id int
-				var p syslogread.Message
+				var p parser.Message
 				if err := p.Read(m); err != nil {
 					w.t.Fatalf("%v: %q", err, m)
 				}
--- a/internal/standin/agent.go
+++ b/internal/testserver/agent.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"encoding/json"
--- a/internal/standin/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -15,7 +15,7 @@
 	"time"
 	"unsafe"
 
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
 )
 
 // Options say what a collector is.
@@ -322,13 +322,13 @@
 			}
 		}
 	}
-	frames := syslogread.NewFrames(conn, c.opt.Most)
+	frames := parser.NewFrames(conn, c.opt.Most)
 	for n := 1; ; n++ {
 		c.wait()
 		p, err := frames.Next()
 		if err != nil {
 			// A message that the connection's end cuts off is no breach: it comes again on another one.
-			if errors.Is(err, syslogread.ErrFrame) || errors.Is(err, syslogread.ErrLong) {
+			if errors.Is(err, parser.ErrFrame) || errors.Is(err, parser.ErrLong) {
 				c.mu.Lock()
 				if c.fault == nil {
 					c.fault = err
--- a/internal/standin/standin.go
+++ b/internal/testserver/standin.go
@@ -1,6 +1,6 @@
-// Package standin has the other ends that tests meet on loopback: a db machine that counts what it runs, and a
+// Package testserver has the other ends that tests meet on loopback: a db machine that counts what it runs, and a
 // client. Neither is part of the program.
-package standin
+package testserver
 
 import (
 	"encoding/binary"
@@ -13,8 +13,8 @@
 	"time"
 
 	"limeladder/internal/pgwire"
-	"limeladder/internal/standin/check"
-	"limeladder/internal/statement"
+	"limeladder/internal/requestcomment"
+	"limeladder/internal/testserver/check"
 )
 
 // Act is what a db machine does when a message has come.
@@ -230,7 +230,7 @@
 			case 'X':
 				return
 			}
-			h, err := statement.Parse(sql)
+			h, err := requestcomment.Parse(sql)
 			a := d.decide(m.Type, h.ID)
 			time.Sleep(a.Delay)
 			cut = max(cut, a.Cut)
--- a/internal/sock/arrivals.go
+++ b/internal/transport/arrivals.go
@@ -1,4 +1,4 @@
-package sock
+package transport
 
 import (
 	"time"
--- a/internal/sock/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -1,4 +1,4 @@
-package sock
+package transport
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // However many marks are asked for, few are kept, the moment told is never later than the true one, and exact while there is room.
@@ -47,7 +47,7 @@
 // Bytes that wait, at the loop or in the system's buffer because the connection is read no further, have the moment at which they
 // came, not that at which they are looked at.
 func TestCameAtOfWhatIsNotRead(t *testing.T) {
-	l := loop.New()
+	l := eventloop.New()
 	e, err := New(l, 1024, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sock/sock.go
+++ b/internal/transport/sock.go
@@ -1,6 +1,6 @@
-// Package sock puts nbio's sockets under the loop: whatever happens on a connection is told in the loop's
+// Package transport puts nbio's sockets under the loop: whatever happens on a connection is told in the loop's
 // goroutine, in order.
-package sock
+package transport
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 	"github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // Handler is told what happens on a connection. After Closed nothing more comes.
@@ -34,7 +34,7 @@
 
 // Engine owns the poller.
 type Engine struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	nb        *nbio.Engine
 	inbox     int
 	finishing int     // connections that are being finished; owned by the loop, like all below
@@ -58,7 +58,7 @@
 
 // New starts the poller. maxFiles bounds the descriptors it has room for, inbox the bytes of one connection that may
 // wait for the loop: beyond them it is not read until the loop has looked at them.
-func New(l *loop.Loop, maxFiles, inbox int) (*Engine, error) {
+func New(l *eventloop.Loop, maxFiles, inbox int) (*Engine, error) {
 	logging.SetLevel(logging.LevelNone)
 	// nbio keeps a table of this many entries; its default follows the hard limit and may take 16 MB.
 	if nbio.MaxOpenFiles > maxFiles+64 {
@@ -134,7 +134,7 @@
 	finishing bool
 	within    time.Duration // to take more of what was written
 	before    int64         // what it had taken when that was looked at last
-	timer     *loop.Timer
+	timer     *eventloop.Timer
 	over      atomic.Bool // the peer has ended it, or it is closed
 
 	file sync.Mutex // held while the descriptor is used past nbio,
--- a/internal/sock/sock_test.go
+++ b/internal/transport/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package transport
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/lesismal/nbio"
 
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // echo sends back what comes.
@@ -33,8 +33,8 @@
 }
 func (s *sink) Closed(err error) { s.done <- "closed" }
 
-func start(t *testing.T) (*loop.Loop, *Engine) {
-	l := loop.New()
+func start(t *testing.T) (*eventloop.Loop, *Engine) {
+	l := eventloop.New()
 	e, err := New(l, 1024, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 
 // Stop ends although a connection comes up in the middle of it.
 func TestStopDoesNotHang(t *testing.T) {
-	l := loop.New()
+	l := eventloop.New()
 	e, err := New(l, 1024, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 // peer ends the connection behind it. So does one whose connection is held.
 func TestFlood(t *testing.T) {
 	const inbox, total = 64 << 10, 6 << 20
-	l := loop.New()
+	l := eventloop.New()
 	e, err := New(l, 1024, inbox)
 	if err != nil {
 		t.Fatal(err)
