--- a/balance/balance.go
+++ b/balance/balance.go
@@ -49,8 +49,8 @@
 )
 
 // New returns a Router that has yet to see its first list.
-func New(cfg Config, seed uint64) (*Router, error) {
-	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*node{},
+func New(cfg Config, seed uint64) (*Balancer, error) {
+	r := &Balancer{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*node{},
 		groups: map[int64]*group{}, classes: map[string]*class{}, tenants: map[string]*bucket{},
 		reqs: map[string]*request{}, sessions: map[int64]commit{}, repeats: retryMost, probes: probeFirst,
 		barred: map[string]bool{}, paced: map[string]float64{}, trackGap: trialFirst}
@@ -58,17 +58,17 @@
 		return nil, err
 	}
 	for _, c := range cfg.Classes {
-		if c.Aim <= 0 {
-			c.Aim = c.GiveUp
+		if c.LatencyObjective <= 0 {
+			c.LatencyObjective = c.ClientTimeout
 		}
-		r.classes[c.Name] = &class{Class: c, lat: c.Aim.Seconds() / 5, work: c.Aim.Seconds() / 5}
-		if c.Need == NeedBounded && (r.bound == 0 || c.Bound < r.bound) {
-			r.bound = c.Bound
+		r.classes[c.Name] = &class{Class: c, lat: c.LatencyObjective.Seconds() / 5, work: c.LatencyObjective.Seconds() / 5}
+		if c.Consistency == ConsistencyBounded && (r.bound == 0 || c.MaxStaleness < r.bound) {
+			r.bound = c.MaxStaleness
 		}
-		r.session = r.session || c.Need == NeedSession
+		r.session = r.session || c.Consistency == ConsistencySession
 	}
 	for _, t := range cfg.Tenants {
-		rate := t.Rate / r.instances()
+		rate := t.Quota / r.instances()
 		// Danger: where the rate is under one a second a second's worth never makes one request.
 		r.tenants[t.Name] = &bucket{rate: rate, most: max(rate, creditMost), level: max(rate, creditMost)}
 	}
@@ -79,7 +79,7 @@
 
 // Step takes what happened at now and returns what to do, in order. All events count before anything is
 // sent.
-func (r *Router) Step(now Time, events []Event) []Action {
+func (r *Balancer) Step(now Time, events []Event) []Action {
 	// Danger: time in which this instance did not run is no member's silence nor slowness.
 	if now-stall > r.wakeAt {
 		r.awake = now
@@ -87,19 +87,19 @@
 	r.now, r.acts, r.due = now, nil, never
 	for _, e := range events {
 		switch e := e.(type) {
-		case List:
+		case EndpointList:
 			r.onList(e)
 		case Request:
 			r.onRequest(e)
-		case Outcome:
+		case AttemptResult:
 			r.onOutcome(e)
-		case ProbeResult:
+		case HealthCheckResult:
 			r.onProbe(e)
 		case Suspend:
 			r.onSuspend(e)
-		case Pace:
-			r.paced[e.Zone] = e.Part
-		case ClientGone:
+		case ZoneCapacity:
+			r.paced[e.Zone] = e.Share
+		case ClientDisconnected:
 			if q := r.reqs[e.ID]; q != nil {
 				r.close(q)
 			}
@@ -123,16 +123,16 @@
 	if r.wakeAt <= now+beat {
 		r.wakeAt = never
 	}
-	if at := max(r.due, now+max(beat, r.cfg.Resolution)); at < r.wakeAt && r.due < never {
+	if at := max(r.due, now+max(beat, r.cfg.TimerResolution)); at < r.wakeAt && r.due < never {
 		r.wakeAt = at
-		r.do(Timer{In: at - now})
+		r.do(Timer{After: at - now})
 	}
 	return r.acts
 }
 
 // ---- List
 
-func (r *Router) onList(l List) {
+func (r *Balancer) onList(l EndpointList) {
 	if l.Kind == ListFailed || l.Kind == ListSilent {
 		r.tracked, r.trackAt = false, r.now+r.unheard(l.Kind)
 		return
@@ -142,44 +142,44 @@
 	}
 	seen := map[string]bool{}
 	for _, e := range l.Entries {
-		seen[e.Node] = true
+		seen[e.Endpoint] = true
 		r.entry(e)
 	}
 	if l.Kind != ListDelta {
 		for _, g := range r.order {
 			for _, n := range g.members {
-				if !seen[n.id] && n.state != Gone {
-					r.leave(n, Gone)
+				if !seen[n.id] && n.state != EndpointRemoved {
+					r.leave(n, EndpointRemoved)
 				}
 			}
 		}
 	}
 }
 
-func (r *Router) entry(e Entry) {
-	n := r.nodes[e.Node]
+func (r *Balancer) entry(e EndpointEntry) {
+	n := r.nodes[e.Endpoint]
 	if n == nil {
-		if e.State == Gone {
+		if e.State == EndpointRemoved {
 			return
 		}
 		g := r.group(e.Group)
-		n = &node{id: e.Node, group: g, state: Ready, readyAt: e.ReadyAt, limit: r.startLimit(),
-			slow: stretch / 2, least: stretch / 2, barred: r.barred[e.Node]}
-		r.nodes[e.Node] = n
+		n = &node{id: e.Endpoint, group: g, state: EndpointReady, readyAt: e.StartedAt, limit: r.startLimit(),
+			slow: stretch / 2, least: stretch / 2, barred: r.barred[e.Endpoint]}
+		r.nodes[e.Endpoint] = n
 		g.members = append(g.members, n)
 		slices.SortFunc(g.members, byID)
 	}
-	if n.zone = e.Zone; e.State != Ready {
+	if n.zone = e.Zone; e.State != EndpointReady {
 		r.leave(n, e.State)
 		return
 	}
-	if e.ReadyAt > n.readyAt {
-		n.readyAt, n.limit, n.creditAt = e.ReadyAt, r.startLimit(), 0
-		if n.group.primary == n && e.ReadyAt > n.group.claimAt {
+	if e.StartedAt > n.readyAt {
+		n.readyAt, n.limit, n.creditAt = e.StartedAt, r.startLimit(), 0
+		if n.group.primary == n && e.StartedAt > n.group.claimAt {
 			r.soil(n.group, "it restarted")
 		}
 	}
-	n.state = Ready
+	n.state = EndpointReady
 	// The list may lag by seconds: it counts only where no answer or probe has said anything newer.
 	if e.Primary && !n.leader && n.group.state != usable && n.denied == 0 {
 		r.lead(n)
@@ -187,11 +187,11 @@
 	n.leader = e.Primary
 }
 
-func (r *Router) leave(n *node, s State) {
-	if n.state != Gone {
+func (r *Balancer) leave(n *node, s EndpointState) {
+	if n.state != EndpointRemoved {
 		n.goneAt = r.now
 	}
-	n.state, n.drained = s, n.drained || s == Draining
+	n.state, n.drained = s, n.drained || s == EndpointDraining
 	if n.group.primary == n {
 		r.soil(n.group, "it leaves")
 	}
@@ -199,13 +199,13 @@
 
 // onSuspend bars a member until operators let it back in. Danger: the list goes on calling it ready, or does
 // again once it is back; so the bar stands beside the list's state.
-func (r *Router) onSuspend(e Suspend) {
-	r.barred[e.Node] = e.Out
-	n := r.nodes[e.Node]
-	if n == nil || n.barred == e.Out {
+func (r *Balancer) onSuspend(e Suspend) {
+	r.barred[e.Endpoint] = e.Suspended
+	n := r.nodes[e.Endpoint]
+	if n == nil || n.barred == e.Suspended {
 		return
 	}
-	if n.barred = e.Out; n.barred {
+	if n.barred = e.Suspended; n.barred {
 		r.leave(n, n.state)
 		return
 	}
@@ -213,11 +213,11 @@
 	r.probes, n.group.doubts = max(r.probes, probeFirst), true
 }
 
-func (r *Router) askList() {
-	if r.cfg.Ask && !r.tracked && r.now >= r.trackAt {
+func (r *Balancer) askList() {
+	if r.cfg.PollDiscovery && !r.tracked && r.now >= r.trackAt {
 		r.tracked, r.askedAt = true, r.now
-		r.do(Track{})
-	} else if r.cfg.Ask && !r.tracked {
+		r.do(PollEndpointList{})
+	} else if r.cfg.PollDiscovery && !r.tracked {
 		r.due = min(r.due, r.trackAt)
 	}
 }
@@ -225,7 +225,7 @@
 // ---- Role map
 
 // claim notes that n was primary at the given time. Newer evidence wins; older evidence is dropped.
-func (r *Router) claim(n *node, at Time) {
+func (r *Balancer) claim(n *node, at Time) {
 	g := n.group
 	if at <= n.denied || n.barred {
 		return
@@ -243,7 +243,7 @@
 }
 
 // deny notes that n was no primary at the given time.
-func (r *Router) deny(n *node, at Time) {
+func (r *Balancer) deny(n *node, at Time) {
 	n.denied = max(n.denied, at)
 	if n.group.primary == n && at >= n.group.claimAt {
 		r.soil(n.group, "it says replica")
@@ -252,12 +252,12 @@
 
 // leads says that a primary in doubt still leads: its group goes on committing and no other has claimed it.
 // Danger: a primary that this instance alone cannot reach still is the only one to take writes: go on trying.
-func (r *Router) leads(n *node) bool {
+func (r *Balancer) leads(n *node) bool {
 	return n.refused && n.group.primary == n && n.denied <= n.since &&
 		slices.ContainsFunc(n.group.members, func(m *node) bool { return m != n && m.pos > n.since+probeGap })
 }
 
-func (r *Router) soil(g *group, why string) {
+func (r *Balancer) soil(g *group, why string) {
 	if g.state == usable {
 		g.state, g.dirtyAt, g.trial, g.lookAt, g.lookGap = dirty, r.now, nil, r.now, probeGap
 		r.waver(g, why)
@@ -265,7 +265,7 @@
 }
 
 // strong picks the member for a write or a fresh read, or nil to hold it.
-func (r *Router) strong(q *request) *node {
+func (r *Balancer) strong(q *request) *node {
 	g := q.group
 	if g.state == usable {
 		if r.allowed(q, g.primary) {
@@ -273,7 +273,7 @@
 		}
 		return nil
 	}
-	if t := g.trial; q.class.Need != NeedUpdate || t != nil && !t.ended && r.now-t.at < patience(t) {
+	if t := g.trial; q.class.Consistency != ConsistencyWrite || t != nil && !t.ended && r.now-t.at < patience(t) {
 		return nil
 	}
 	// Rounds in sorted order over those that have not denied since the doubt arose, one write at a time: a
@@ -289,7 +289,7 @@
 
 // ---- Positions
 
-func (r *Router) learn(n *node, role Role, pos, at Time) {
+func (r *Balancer) learn(n *node, role Role, pos, at Time) {
 	if role == RolePrimary {
 		r.claim(n, at)
 	} else if role == RoleReplica {
@@ -301,7 +301,7 @@
 }
 
 // available says whether the data of n is recent enough for a weak read that is sent now.
-func (r *Router) available(q *request, n *node) bool {
+func (r *Balancer) available(q *request, n *node) bool {
 	need := r.needs(q)
 	if n.pos >= need {
 		return true
@@ -309,21 +309,21 @@
 	// Where members check for themselves any replica may be tried, but one that said it is further behind.
 	// Danger: one that was behind when last asked, seconds ago, would stay out for good, its primary loaded.
 	behind := r.now-n.lag < need && r.now-n.lagAt < inUse
-	return r.cfg.Checks != ChecksNone && !behind && !slices.Contains(q.missed, n)
+	return r.cfg.FreshnessCheck != FreshnessCheckNone && !behind && !slices.Contains(q.missed, n)
 }
 
-func (r *Router) onProbe(e ProbeResult) {
-	n := r.nodes[e.Node]
+func (r *Balancer) onProbe(e HealthCheckResult) {
+	n := r.nodes[e.Endpoint]
 	if n == nil {
 		return
 	}
 	n.probing = false
-	if e.Status != Done {
-		if r.cfg.Checks == ChecksNone {
+	if e.Status != StatusDone {
+		if r.cfg.FreshnessCheck == FreshnessCheckNone {
 			n.lag = max(n.lag, inUse)
 		}
-		n.away = n.away || n.suspect && e.Status != Busy
-		if n.breaks > 0 && e.Status != Reset {
+		n.away = n.away || n.suspect && e.Status != StatusBusy
+		if n.breaks > 0 && e.Status != StatusReset {
 			r.unreachable(n)
 		}
 		if n.suspect {
@@ -334,7 +334,7 @@
 	}
 	n.proven = true
 	if e.Position > 0 && e.Position <= r.now {
-		if lag := r.now - e.Position; lag < n.lag || r.cfg.Checks == ChecksNone {
+		if lag := r.now - e.Position; lag < n.lag || r.cfg.FreshnessCheck == FreshnessCheckNone {
 			n.lag, n.lagAt = lag, r.now
 		}
 		r.learn(n, e.Role, e.Position, e.Position) // a report is as old as a primary's position in it
@@ -343,7 +343,7 @@
 
 // probe asks members of g for reports. Danger: hundreds of instances that ask at will are a storm. Probes are
 // paid from what requests have earned, sent only where something waits, and further apart each time.
-func (r *Router) probe(g *group) {
+func (r *Balancer) probe(g *group) {
 	idle := g.asked && len(g.held) == 0 && g.wantedAt != r.now && !g.doubts
 	if g.usedAt == 0 || r.now-g.usedAt > inUse || idle {
 		return
@@ -385,22 +385,22 @@
 	}
 }
 
-func (r *Router) askable(n *node, gap time.Duration) bool {
+func (r *Balancer) askable(n *node, gap time.Duration) bool {
 	since := r.now - n.probedAt
-	return r.cfg.Probes && !n.barred && r.probes >= 1 && since >= gap && (!n.probing || since > inUse)
+	return r.cfg.HealthChecks && !n.barred && r.probes >= 1 && since >= gap && (!n.probing || since > inUse)
 }
 
-func (r *Router) ask(n *node, gap time.Duration) {
+func (r *Balancer) ask(n *node, gap time.Duration) {
 	if r.askable(n, gap) {
 		n.probing, n.probedAt = true, r.now
 		r.probes--
-		r.do(Probe{Node: n.id})
+		r.do(HealthCheck{Endpoint: n.id})
 	}
 }
 
 // ---- Requests
 
-func (r *Router) onRequest(e Request) {
+func (r *Balancer) onRequest(e Request) {
 	c := r.classes[e.Class]
 	if c == nil {
 		r.do(Fail{ID: e.ID})
@@ -410,72 +410,72 @@
 	}
 	if r.groups[e.Group] == nil && len(r.nodes) > 0 {
 		// Danger: a client may make up any group; each would be kept and looked at for ever.
-		r.do(Refuse{ID: e.ID, RetryAfter: min(r.cfg.MaxRetryAfter, c.Aim)})
+		r.do(Reject{ID: e.ID, RetryAfter: min(r.cfg.MaxRetryAfter, c.LatencyObjective)})
 		return
 	}
 	g := r.group(e.Group)
-	q := &request{id: e.ID, class: c, group: g, key: e.Key, at: r.now, worth: c.Worth, tried: e.Tried}
-	q.dieAt = r.now + e.Expires
+	q := &request{id: e.ID, class: c, group: g, key: e.SessionID, at: r.now, worth: c.PriorityWeight, tried: e.PriorAttempts}
+	q.dieAt = r.now + e.TimeLeft
 	// Danger: work for a client that comes back is lost once its aim has passed. Where retries are marked, a
 	// wait below the usual one was cut by the end of all its tries, so the rest of them has gone.
-	c.wait = max(c.wait, e.Expires)
+	c.wait = max(c.wait, e.TimeLeft)
 	gone := time.Duration(0)
-	if e.Retry && e.Expires < c.wait-time.Millisecond {
-		gone = max(0, c.GiveUp-e.Expires)
+	if e.Retry && e.TimeLeft < c.wait-time.Millisecond {
+		gone = max(0, c.ClientTimeout-e.TimeLeft)
 	}
-	q.aimAt = min(q.dieAt, r.now+c.Aim-gone+time.Duration(c.AimStretch*float64(e.Estimate)))
-	switch c.Need {
-	case NeedLatest:
+	q.aimAt = min(q.dieAt, r.now+c.LatencyObjective-gone+time.Duration(c.ObjectiveStretch*float64(e.EstimatedWork)))
+	switch c.Consistency {
+	case ConsistencyLatest:
 		q.need = r.now
-	case NeedSession:
-		if r.cfg.ClientTokens && e.SinceLast > 0 {
-			q.need = r.now - e.SinceLast + time.Millisecond // commits are rounded up by at most this
-		} else if !r.cfg.ClientTokens {
-			q.need = r.sessions[e.Key].at
+	case ConsistencySession:
+		if r.cfg.ClientSessionTokens && e.SinceSessionWrite > 0 {
+			q.need = r.now - e.SinceSessionWrite + time.Millisecond // commits are rounded up by at most this
+		} else if !r.cfg.ClientSessionTokens {
+			q.need = r.sessions[e.SessionID].at
 		}
 	}
 	if t := r.tenants[e.Tenant]; t != nil {
 		t.level = min(t.most, t.level+t.rate*(r.now-t.at).Seconds())
 		t.at = r.now
 		if t.level < 1 {
-			q.worth *= r.cfg.OverShareWorth
+			q.worth *= r.cfg.OverQuotaWeight
 		} else {
 			t.level--
 		}
 	}
 	g.usedAt = r.now
-	if c.seen++; e.Tried == 0 { // one that is handed in again has earned its part
-		r.probes = min(probeMost, r.probes+probeSpend/max(r.cfg.ProbePrice, probeSpend/4))
+	if c.seen++; e.PriorAttempts == 0 { // one that is handed in again has earned its part
+		r.probes = min(probeMost, r.probes+probeSpend/max(r.cfg.HealthCheckCost, probeSpend/4))
 		r.repeats = min(retryMost, r.repeats+retryEarn)
 	}
 	r.reqs[q.id] = q
 	g.held = append(g.held, q)
 }
 
-func (r *Router) close(q *request) {
+func (r *Balancer) close(q *request) {
 	if q.over = true; q.out == 0 {
 		delete(r.reqs, q.id)
 	}
 }
 
 // finish answers a request that is given up on, at once. A refusal says that a retry does no harm.
-func (r *Router) finish(q *request) {
+func (r *Balancer) finish(q *request) {
 	r.turned(q)
-	if q.mayRun && (q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Scope != ScopeAll) {
+	if q.mayRun && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentWithKey && q.class.IdempotencyScope != ScopeAll) {
 		r.do(Fail{ID: q.id})
 	} else {
 		// Told wherever clients can hear it: one that comes back at once meets what turned it away.
-		r.do(Refuse{ID: q.id, RetryAfter: min(r.cfg.MaxRetryAfter, q.class.Aim)})
+		r.do(Reject{ID: q.id, RetryAfter: min(r.cfg.MaxRetryAfter, q.class.LatencyObjective)})
 	}
 	r.close(q)
 }
 
 // again holds a request whose attempt ended without an answer, or gives it up.
-func (r *Router) again(q *request, cost float64) {
+func (r *Balancer) again(q *request, cost float64) {
 	if q.over || q.out > 0 {
 		return
 	}
-	if q.mayRun && q.class.Effect == Unsafe || r.cfg.MostTries > 0 && q.spent() >= r.cfg.MostTries ||
+	if q.mayRun && q.class.Idempotency == NonIdempotent || r.cfg.MaxAttempts > 0 && q.spent() >= r.cfg.MaxAttempts ||
 		r.repeats < cost {
 		q.ended = true // answered in this step, once all events are read: the client may have left
 	} else {
@@ -485,15 +485,15 @@
 }
 
 // useless is the time from which a send could no longer bring an answer in useful time.
-func (r *Router) useless(q *request) Time {
+func (r *Balancer) useless(q *request) Time {
 	end := q.dieAt - 2*beat
-	if q.class.LateShare == 0 {
+	if q.class.LateWeightShare == 0 {
 		end = min(end, q.aimAt)
 	}
 	end -= seconds(q.class.lat / 2)
 	// Danger: a write held for its primary is often served after half of its time. Giving it up then pays
 	// only where holding it for longer, in vain, has a price.
-	if !q.written && (q.class.Effect == Safe || r.cfg.HeldBack > 0) {
+	if !q.written && (q.class.Idempotency == Idempotent || r.cfg.LateRejectCost > 0) {
 		end = min(end, q.half()-beat)
 	}
 	return end
@@ -503,14 +503,14 @@
 // Danger: what is held and never sent keeps its client from asking again, of the next primary or elsewhere.
 func (q *request) half() Time { return q.at + (q.dieAt-q.at)/2 - beat }
 
-func (r *Router) dispatch(g *group) {
+func (r *Balancer) dispatch(g *group) {
 	if len(g.held) == 0 {
 		return
 	}
 	for _, q := range g.held {
 		// Worth by the chance of an answer within the aim, per work: what is sent too late only loads.
 		in := 1 - math.Exp(-max(0, (q.aimAt-r.now).Seconds())/q.class.lat)
-		q.rank = q.worth / q.class.lat * (in + q.class.LateShare*(1-in))
+		q.rank = q.worth / q.class.lat * (in + q.class.LateWeightShare*(1-in))
 		if q.rank > r.best {
 			r.best, r.bestLat = q.rank, q.class.lat
 		}
@@ -537,7 +537,7 @@
 	}
 }
 
-func (r *Router) send(q *request, n *node) {
+func (r *Balancer) send(q *request, n *node) {
 	a := &attempt{req: q, node: n, at: r.now, leg: len(q.tries)}
 	if len(n.out) == 0 {
 		n.progress = r.now
@@ -546,7 +546,7 @@
 	q.tries, n.out = append(q.tries, a), append(n.out, a)
 	q.out, n.eager = q.out+1, false
 	r.due = min(r.due, r.now+patience(n.out...)+1)
-	if q.group.state != usable && q.class.Need == NeedUpdate {
+	if q.group.state != usable && q.class.Consistency == ConsistencyWrite {
 		q.group.trial = a
 	}
 	if n.suspect || r.sick(n) && r.now >= n.trialAt {
@@ -561,22 +561,22 @@
 		n.credit, n.luckAt = n.credit-cost, 0
 	}
 	by := Time(0)
-	if q.class.Need == NeedBounded && n != q.group.primary && r.cfg.Checks == ChecksNone {
+	if q.class.Consistency == ConsistencyBounded && n != q.group.primary && r.cfg.FreshnessCheck == FreshnessCheckNone {
 		// Danger: a connection that has to be opened first delays the send, and the bound counts from there.
-		by = n.pos + q.class.Bound
+		by = n.pos + q.class.MaxStaleness
 	}
 	if !q.written && (by == 0 || q.half() < by) {
 		by = q.half() // waiting for a connection is waiting all the same
 	}
-	if end := q.ranAt + q.class.Window - beat; q.mayRun && q.class.Effect == Keyed && (by == 0 || end < by) {
+	if end := q.ranAt + q.class.IdempotencyWindow - beat; q.mayRun && q.class.Idempotency == IdempotentWithKey && (by == 0 || end < by) {
 		by = end // Danger: behind the window the repeat would run again, however early it was decided
 	}
-	r.do(Send{ID: q.id, Node: n.id, By: by})
+	r.do(Send{ID: q.id, Endpoint: n.id, NotAfter: by})
 }
 
 // ---- Outcomes
 
-func (r *Router) onOutcome(e Outcome) {
+func (r *Balancer) onOutcome(e AttemptResult) {
 	q := r.reqs[e.ID]
 	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.tries) || q.tries[e.Attempt].ended {
 		return
@@ -586,9 +586,9 @@
 	a.ended, q.out = true, q.out-1
 	n.out = slices.DeleteFunc(n.out, func(b *attempt) bool { return a == b })
 	pos := e.Position
-	if e.Status == Done && q.class.Need == NeedUpdate {
+	if e.Status == StatusDone && q.class.Consistency == ConsistencyWrite {
 		at := cmp.Or(pos, r.now) // a commit that is not told is taken as late as it can be
-		if q.key != 0 && !r.cfg.ClientTokens && at > r.sessions[q.key].at {
+		if q.key != 0 && !r.cfg.ClientSessionTokens && at > r.sessions[q.key].at {
 			r.sessions[q.key] = commit{at, q.group}
 		}
 		pos -= time.Millisecond // a commit is rounded up
@@ -598,7 +598,7 @@
 		// A role is claimed for the time of the send, and a read does not restore what a miss has taken.
 		if e.Role == RoleReplica {
 			r.learn(n, e.Role, pos, r.now)
-		} else if q.class.Need == NeedUpdate || n.claimed >= n.denied {
+		} else if q.class.Consistency == ConsistencyWrite || n.claimed >= n.denied {
 			r.learn(n, e.Role, pos, a.at)
 		}
 		if pos > 0 && pos <= r.now {
@@ -606,55 +606,55 @@
 		}
 	}
 	q.over = q.over || e.Finished
-	if e.Status <= Busy || e.Status == Miss { // it answered
+	if e.Status <= StatusBusy || e.Status == StatusMiss { // it answered
 		n.progress = r.now
 	}
-	q.written = q.written || e.Status != ConnectFailed && e.Status != Skipped
+	q.written = q.written || e.Status != StatusConnectFailed && e.Status != StatusNotSent
 	cost := 1.0
 	switch e.Status {
-	case Done:
+	case StatusDone:
 		if !a.begun {
-			r.served(q, n, e.Took)
+			r.served(q, n, e.Elapsed)
 		}
-	case Miss:
+	case StatusMiss:
 		cost = 0
 		q.missed = append(q.missed, n)
-		if q.class.Need == NeedUpdate {
+		if q.class.Consistency == ConsistencyWrite {
 			r.deny(n, r.now)
 		} else {
 			n.lag, n.lagAt = max(n.lag, r.now-r.needs(q)+1), r.now
 		}
-	case Busy:
+	case StatusBusy:
 		cost = 0
 		// Danger: what is turned away at once comes back at once, and keeps a full member full.
 		if r.now >= n.restAt {
 			n.limit = max(r.leastLimit(), n.limit*(1-giveWay))
 		}
 		n.restAt = r.now + seconds(q.class.lat/2)
-	case Error:
+	case StatusError:
 		r.failed(n)
-	case Reset, ConnectFailed:
+	case StatusReset, StatusConnectFailed:
 		// Danger: a path that breaks connections, several in a row too, is no outage of the member. One that
 		// has died takes no new ones either; a probe settles it. Harm: a dead one may get a few more.
-		if e.Status == ConnectFailed { // nothing ran: the same again, but not at once
+		if e.Status == StatusConnectFailed { // nothing ran: the same again, but not at once
 			n.restAt = r.now + seconds(q.class.lat/2)
 			n.away = n.away || n.suspect
 			n.refusals++
 		}
 		r.failed(n)
 		n.breaks++
-		if n.refusals >= deadAfter || !r.cfg.Probes && n.breaks >= deadAfter {
+		if n.refusals >= deadAfter || !r.cfg.HealthChecks && n.breaks >= deadAfter {
 			r.unreachable(n)
 		} else {
 			r.ask(n, 0)
 		}
-	case TimedOut:
+	case StatusTimedOut:
 		// Danger: when clients give up, the served alone hide the crowding. It counts as the aim or more.
 		if !a.lost { // a connection that has fallen silent is no crowd
-			r.crowd(n, max(1, e.Took.Seconds()/q.class.Aim.Seconds()))
+			r.crowd(n, max(1, e.Elapsed.Seconds()/q.class.LatencyObjective.Seconds()))
 		}
 	}
-	if slices.Contains([]Status{Error, TimedOut, Reset, Cancelled}, e.Status) && !q.mayRun {
+	if slices.Contains([]Status{StatusError, StatusTimedOut, StatusReset, StatusCancelled}, e.Status) && !q.mayRun {
 		q.mayRun, q.ranAt, q.ranZone = true, a.at, n.zone
 	}
 	if q.over {
@@ -665,7 +665,7 @@
 }
 
 // failed counts a failure of a member. It is sick only beyond what its peers suffer from.
-func (r *Router) failed(n *node) {
+func (r *Balancer) failed(n *node) {
 	n.errs += smooth * (1 - n.errs)
 	if r.sick(n) && n.trialAt < r.now {
 		n.backoff = trialFirst
@@ -675,17 +675,17 @@
 }
 
 // sick members are the last choice for weak reads but for some trials; strong work has no other place.
-func (r *Router) sick(n *node) bool {
+func (r *Balancer) sick(n *node) bool {
 	least := n.errs
 	for _, m := range n.group.members {
-		if m.state == Ready && m != n.group.primary {
+		if m.state == EndpointReady && m != n.group.primary {
 			least = min(least, m.errs)
 		}
 	}
 	return n.errs > errorShare+least
 }
 
-func (r *Router) unreachable(n *node) {
+func (r *Balancer) unreachable(n *node) {
 	n.refused = true
 	r.doubt(n, "cannot be reached")
 	if n.group.primary == n {
@@ -693,14 +693,14 @@
 	}
 }
 
-func (r *Router) served(q *request, n *node, took time.Duration) {
+func (r *Balancer) served(q *request, n *node, took time.Duration) {
 	n.errs -= smooth * n.errs
 	n.breaks, n.refusals = 0, 0
 	n.work += q.class.work
 	if r.awake != r.now {
 		// The more instances, the fewer answers each sees: they count for more.
 		q.class.lat += smooth / 5 * min(5, 1+r.instances()/10) * (took.Seconds() - q.class.lat)
-		r.crowd(n, took.Seconds()/q.class.Aim.Seconds())
+		r.crowd(n, took.Seconds()/q.class.LatencyObjective.Seconds())
 	}
 	q.class.work = min(q.class.lat, q.class.work*(1+drift))
 	if n.suspect {
@@ -716,9 +716,9 @@
 
 // ---- Pick
 
-func (r *Router) pick(q *request) *node {
+func (r *Balancer) pick(q *request) *node {
 	g := q.group
-	if q.class.Need == NeedUpdate || q.class.Need == NeedLatest {
+	if q.class.Consistency == ConsistencyWrite || q.class.Consistency == ConsistencyLatest {
 		return r.strong(q)
 	}
 	var own, far, sick []*node
@@ -762,7 +762,7 @@
 		}
 		// A report comes much sooner than the primary's work is done, if what it told last would do.
 		soon := n.probing && r.now-n.probedAt < probeGap/2 || !n.suspect && r.askable(n, probeGap)
-		wait = wait || soon && r.cfg.Checks == ChecksNone && r.now-n.lag >= r.needs(q)
+		wait = wait || soon && r.cfg.FreshnessCheck == FreshnessCheckNone && r.now-n.lag >= r.needs(q)
 		n.wantedAt = r.now
 	}
 	if wait {
@@ -785,18 +785,18 @@
 // ---- Guards
 
 // allowed is the one place that every send passes.
-func (r *Router) allowed(q *request, n *node) bool {
+func (r *Balancer) allowed(q *request, n *node) bool {
 	switch {
 	case n.group != q.group, q.over, q.out > 0:
 		return false
-	case n.barred, n.state != Ready && (n.drained || n.state == Draining || !r.cfg.SoftRemoval):
+	case n.barred, n.state != EndpointReady && (n.drained || n.state == EndpointDraining || !r.cfg.SoftRemoval):
 		return false // Danger: a member that drains must get nothing new, from the moment that this is known
-	case q.mayRun && q.class.Effect == Unsafe:
+	case q.mayRun && q.class.Idempotency == NonIdempotent:
 		return false
-	case q.mayRun && q.class.Effect == Keyed && (r.now-q.ranAt >= q.class.Window-beat ||
-		q.class.Scope == ScopeZone && n.zone != q.ranZone):
+	case q.mayRun && q.class.Idempotency == IdempotentWithKey && (r.now-q.ranAt >= q.class.IdempotencyWindow-beat ||
+		q.class.IdempotencyScope == ScopeZone && n.zone != q.ranZone):
 		return false
-	case q.class.Need == NeedSession || q.class.Need == NeedBounded:
+	case q.class.Consistency == ConsistencySession || q.class.Consistency == ConsistencyBounded:
 		if n != q.group.primary && !r.available(q, n) {
 			return false
 		}
@@ -805,13 +805,13 @@
 }
 
 // able says whether n can take q, however recent its data.
-func (r *Router) able(q *request, n *node) bool {
+func (r *Balancer) able(q *request, n *node) bool {
 	if n.suspect {
 		// Danger: what a silent member takes is lost. One trial at a time, after a probe has come back.
-		if n.tried() || r.now < n.trialAt || r.cfg.Probes && !n.proven && r.probes >= 1 && !r.leads(n) {
+		if n.tried() || r.now < n.trialAt || r.cfg.HealthChecks && !n.proven && r.probes >= 1 && !r.leads(n) {
 			return false
 		}
-		if q.class.Effect == Unsafe && n.claimed <= n.since && !n.refused {
+		if q.class.Idempotency == NonIdempotent && n.claimed <= n.since && !n.refused {
 			return false
 		}
 	}
@@ -826,7 +826,7 @@
 // up. Danger: one attempt of each of hundreds of instances at once is a flood, and a cold member falls over
 // when all together send it too much. Where the share of this instance is under one attempt it is earned
 // over time, from a drawn start that spreads them. Harm: a burst at one waits though members are idle.
-func (r *Router) afford(q *request, n *node) (ok bool, cost, most float64) {
+func (r *Balancer) afford(q *request, n *node) (ok bool, cost, most float64) {
 	warm := r.warmth(n)
 	rate := n.limit * warm
 	if rate >= 1 && warm == 1 {
@@ -837,7 +837,7 @@
 	if warm < 1 {
 		// Nothing is known of capacity but what warm members did; each can do one request at a time at
 		// least.
-		least := coldShare * r.cfg.FallMultiple * warm * max(r.peak, 1/r.instances())
+		least := coldShare * r.cfg.OverloadMultiple * warm * max(r.peak, 1/r.instances())
 		if least < rate {
 			cost, rate = q.class.work, least
 		}
@@ -856,10 +856,10 @@
 }
 
 // warmth is the part of its capacity that a member has at least.
-func (r *Router) warmth(n *node) float64 {
+func (r *Balancer) warmth(n *node) float64 {
 	from := max(n.readyAt, n.revived)
-	if age := r.now - from; from > 0 && age < r.cfg.ColdFor {
-		return r.pace(n) * (r.cfg.ColdFrom + (1-r.cfg.ColdFrom)*max(0, age.Seconds())/r.cfg.ColdFor.Seconds())
+	if age := r.now - from; from > 0 && age < r.cfg.SlowStartWindow {
+		return r.pace(n) * (r.cfg.SlowStartFrom + (1-r.cfg.SlowStartFrom)*max(0, age.Seconds())/r.cfg.SlowStartWindow.Seconds())
 	}
 	return r.pace(n)
 }
@@ -871,12 +871,12 @@
 func patience(out ...*attempt) time.Duration {
 	lat := 0.0
 	for _, a := range out {
-		lat = max(lat, a.req.class.lat, a.node.slow*a.req.class.Aim.Seconds())
+		lat = max(lat, a.req.class.lat, a.node.slow*a.req.class.LatencyObjective.Seconds())
 	}
 	return max(stall, seconds(lat*(1.5+5/float64(len(out)))))
 }
 
-func (r *Router) doubt(n *node, why string) {
+func (r *Balancer) doubt(n *node, why string) {
 	if !n.suspect {
 		// Danger: one that fails and recovers by turns takes what it gets. It earns trust back later.
 		if r.now-n.since > relapse*trialLast {
@@ -891,7 +891,7 @@
 }
 
 // watch looks for members that make no progress, and takes back what is safe to take back.
-func (r *Router) watch() {
+func (r *Balancer) watch() {
 	kept := r.busy[:0]
 	for _, n := range r.busy {
 		if len(n.out) == 0 {
@@ -916,7 +916,7 @@
 					r.finish(q)
 				}
 			}
-			if a.aborted || !n.suspect && !a.lost || q.over || q.class.Effect != Safe || !r.cfg.Cancel ||
+			if a.aborted || !n.suspect && !a.lost || q.over || q.class.Idempotency != Idempotent || !r.cfg.Cancellation ||
 				r.repeats < 1 {
 				continue
 			}
@@ -937,7 +937,7 @@
 
 // live are the attempts whose answers still say something of the member. Danger: one whose connection has
 // fallen silent, while the member answers what was sent later, made a busy member look dead. It is given up.
-func (r *Router) live(n *node) []*attempt {
+func (r *Balancer) live(n *node) []*attempt {
 	live := r.scratch[:0] // each step looks at all that is out
 	defer func() { r.scratch = live }()
 	for _, a := range n.out {
@@ -955,7 +955,7 @@
 
 // measure counts what warm members do for this instance. Danger: what idle ones do is no capacity. The
 // busiest of each group come near it, in the mean: the most of few samples is chance, and all add theirs up.
-func (r *Router) measure() {
+func (r *Balancer) measure() {
 	r.counts++
 	weight, sum, groups := max(smooth, 1/r.counts), 0.0, 0.0
 	for _, g := range r.order {
@@ -981,7 +981,7 @@
 // ---- Load
 
 // crowd moves the limit of a member by the part of the aim that an attempt took.
-func (r *Router) crowd(n *node, part float64) {
+func (r *Balancer) crowd(n *node, part float64) {
 	few := n.limit < 1
 	weight, cut := smooth, min(smooth, smooth/10*max(2, r.instances()))
 	if few {
--- a/balance/state.go
+++ b/balance/state.go
@@ -40,7 +40,7 @@
 type node struct {
 	id, zone         string
 	group            *group
-	state            State
+	state            EndpointState
 	drained, leader  bool // it was listed as draining; the list calls it primary
 	barred, eager    bool // operators have taken it out; they have let it back in and it was not used since
 	readyAt, revived Time // when it started, or answered again after it could not be reached
@@ -100,7 +100,7 @@
 }
 
 // lesser is how far a request ranks below half of the best: 0 = not at all, 1 = it is worth nothing.
-func (r *Router) lesser(q *request) float64 {
+func (r *Balancer) lesser(q *request) float64 {
 	return max(0, 1-2*q.rank/max(r.best, math.SmallestNonzeroFloat64))
 }
 
@@ -118,17 +118,17 @@
 }
 
 // fresh says whether n was recent enough for a bounded read when it last told.
-func (r *Router) fresh(n *node) bool { return r.bound == 0 || n.lag <= r.bound }
+func (r *Balancer) fresh(n *node) bool { return r.bound == 0 || n.lag <= r.bound }
 
 // aged says that the position of n is no longer of use for a bounded read, though n may be recent enough.
-func (r *Router) aged(n *node) bool { return r.bound > 0 && r.now-n.pos > r.bound }
+func (r *Balancer) aged(n *node) bool { return r.bound > 0 && r.now-n.pos > r.bound }
 
 // needs is the position that a read has to see.
-func (r *Router) needs(q *request) Time {
-	switch q.class.Need {
-	case NeedBounded:
-		return r.now - q.class.Bound
-	case NeedAny:
+func (r *Balancer) needs(q *request) Time {
+	switch q.class.Consistency {
+	case ConsistencyBounded:
+		return r.now - q.class.MaxStaleness
+	case ConsistencyAny:
 		return 0
 	}
 	return q.need
@@ -136,12 +136,12 @@
 
 // catchUp is how long a report of n says enough: one that was behind the bound needs about the time by which it was, and
 // where nobody leads the group all stand still, so asking again gets rarer by itself.
-func (r *Router) catchUp(n *node) time.Duration {
+func (r *Balancer) catchUp(n *node) time.Duration {
 	return max(probeGap, min(n.lag-r.bound, 2*roundGap))
 }
 
 // dear says how little a report of n is likely to be of use to a bounded read: less if it was behind, then if it is far.
-func (r *Router) dear(n *node) (d int) {
+func (r *Balancer) dear(n *node) (d int) {
 	if !r.fresh(n) {
 		d = 2
 	}
@@ -152,7 +152,7 @@
 }
 
 // dearer compares members by how dear a report is that is of use to a bounded read, then by whose turn it is.
-func (r *Router) dearer(a, b *node) int {
+func (r *Balancer) dearer(a, b *node) int {
 	return cmp.Or(cmp.Compare(r.dear(a), r.dear(b)), cmp.Compare(a.probedAt, b.probedAt))
 }
 
@@ -161,10 +161,10 @@
 //
 // Danger: one that waits for longer than the contract lets it go without asking counts as told of what it has not heard.
 // However many there are, the first calls and one more each still fall within that time.
-func (r *Router) turns() time.Duration {
+func (r *Balancer) turns() time.Duration {
 	spread := time.Duration(max(0, r.cfg.Instances-3)) * listTurn
-	if r.cfg.AskWithin > 0 {
-		spread = min(spread, r.cfg.AskWithin*2/5)
+	if r.cfg.PollWithin > 0 {
+		spread = min(spread, r.cfg.PollWithin*2/5)
 	}
 	return spread
 }
@@ -175,7 +175,7 @@
 // Danger: what a silent service had to tell counts as told all the same, soon after, and the time in which sends must end
 // runs. Who has heard nothing asks again within a part of that time that leaves the call its 2 s, each time: calls that are not
 // heard cost nothing.
-func (r *Router) unheard(k ListKind) time.Duration {
+func (r *Balancer) unheard(k EndpointListKind) time.Duration {
 	if gap := min(r.trackGap, r.cfg.DrainGrace/2); k == ListSilent && gap > 0 {
 		return gap/8 + time.Duration(r.rng.Int64N(int64(gap)))*7/8
 	}
@@ -216,7 +216,7 @@
 }
 
 // in says whether it may get anything at all.
-func (n *node) in() bool { return n.state == Ready && !n.barred }
+func (n *node) in() bool { return n.state == EndpointReady && !n.barred }
 
 // tried says whether an attempt is out whose answer would say something of the member.
 func (n *node) tried() bool {
@@ -234,7 +234,7 @@
 }
 
 // Router decides for one instance.
-type Router struct {
+type Balancer struct {
 	cfg      Config
 	rng      *rand.Rand
 	now      Time
@@ -278,17 +278,17 @@
 // never is later than any instant.
 const never = Time(math.MaxInt64)
 
-func (r *Router) instances() float64 { return float64(r.cfg.Instances) }
+func (r *Balancer) instances() float64 { return float64(r.cfg.Instances) }
 
 // startLimit shares out the first limit. A share under one attempt must fit uneven arrivals: it starts wider.
-func (r *Router) startLimit() float64 {
+func (r *Balancer) startLimit() float64 {
 	return max(firstLimit/r.instances(), min(1, firstShare/r.instances()))
 }
 
-func (r *Router) leastLimit() float64 { return min(1, leastAll/r.instances()) }
+func (r *Balancer) leastLimit() float64 { return min(1, leastAll/r.instances()) }
 
 // pace is the part of its power that a member may be used for: less than 1 while its zone's return is paced.
-func (r *Router) pace(n *node) float64 {
+func (r *Balancer) pace(n *node) float64 {
 	if part, ok := r.paced[n.zone]; ok {
 		return part
 	}
@@ -298,14 +298,14 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // MostTries is how many attempts a request may have, 0 = any number.
-func (r *Router) MostTries() int { return r.cfg.MostTries }
+func (r *Balancer) MaxAttempts() int { return r.cfg.MaxAttempts }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Balancer) do(a Action) { r.acts = append(r.acts, a) }
 
-func (r *Router) log(format string, args ...any) { r.do(Log{Text: fmt.Sprintf(format, args...)}) }
+func (r *Balancer) log(format string, args ...any) { r.do(LogLine{Text: fmt.Sprintf(format, args...)}) }
 
 // lead takes n for its group's primary, and says whether that is news.
-func (r *Router) lead(n *node) bool {
+func (r *Balancer) lead(n *node) bool {
 	g := n.group
 	if g.primary == n && g.state == usable {
 		return false
@@ -313,14 +313,14 @@
 	// One that was lost and says again that it leads is tried at once: its group takes no writes elsewhere.
 	g.primary, g.state, n.trialAt = n, usable, min(n.trialAt, r.now)
 	r.log("group %d: primary is %s", g.id, n.id)
-	r.do(Lead{Group: g.id, Node: n.id, Believed: true})
+	r.do(PrimaryUpdate{Group: g.id, Endpoint: n.id, Confirmed: true})
 	return true
 }
 
 func byID(a, b *node) int { return cmp.Compare(a.id, b.id) }
 
 // longest is the mean time of an attempt of the slowest class.
-func (r *Router) longest() float64 {
+func (r *Balancer) longest() float64 {
 	most := 0.0
 	for _, c := range r.classes {
 		most = max(most, c.lat)
@@ -333,12 +333,12 @@
 // Danger: where no class is bounded no read is hurt by a log that is held up. Taken for a bound of 0, all reads went to the last
 // replica of each group. Those that take about as long as bounded reads hold up the log no longer than these do anywhere. Kept apart
 // all the same, they and the bounded reads there crowded some replicas while others idled.
-func (r *Router) long(c *class) bool {
-	if c.Need != NeedAny || r.bound == 0 || c.lat <= longShare*r.bound.Seconds() {
+func (r *Balancer) long(c *class) bool {
+	if c.Consistency != ConsistencyAny || r.bound == 0 || c.lat <= longShare*r.bound.Seconds() {
 		return false
 	}
 	for _, k := range r.cfg.Classes {
-		if k.Need == NeedBounded && c.work < longTimes*r.classes[k.Name].work {
+		if k.Consistency == ConsistencyBounded && c.work < longTimes*r.classes[k.Name].work {
 			return false
 		}
 	}
@@ -350,7 +350,7 @@
 // Danger: where the share of an instance is under one attempt no limit makes long reads spill over. They wait in one replica's
 // queue, of all instances together, until they time out, while others idle. There they get as large a part of the group as
 // long reads are of the work: that is the same at each instance, whatever traffic it has.
-func (r *Router) last(g *group, among []*node) []*node {
+func (r *Balancer) last(g *group, among []*node) []*node {
 	takers := r.takers(g)
 	own := slices.DeleteFunc(slices.Clone(among), func(n *node) bool { return !slices.Contains(takers, n) })
 	if len(own) == 0 {
@@ -360,7 +360,7 @@
 }
 
 // takers are the replicas of a group that take its long reads.
-func (r *Router) takers(g *group) (all []*node) {
+func (r *Balancer) takers(g *group) (all []*node) {
 	for _, n := range g.members {
 		if n.in() && n != g.primary {
 			all = append(all, n)
@@ -386,7 +386,7 @@
 // Danger: an instance whose share is under one attempt sees a refusal of a group now and then, and holds back a few of very many: that
 // frees no replica. There long reads have a part of the group of their own (takers).
 // Danger: where the log is applied too slowly whoever reads, as on a slow machine, holding long reads back gains nothing.
-func (r *Router) yields(q *request, n *node) bool {
+func (r *Balancer) yields(q *request, n *node) bool {
 	g, c := q.group, q.class
 	if n == g.primary || !r.long(c) || r.startLimit() < 1 {
 		return false
@@ -409,8 +409,8 @@
 }
 
 // turned notes a request that is given up.
-func (r *Router) turned(q *request) {
-	if g := q.group; !q.written && q.class.Need == NeedBounded && !g.lost() {
+func (r *Balancer) turned(q *request) {
+	if g := q.group; !q.written && q.class.Consistency == ConsistencyBounded && !g.lost() {
 		g.shortBy, g.shortAt = g.short(r.now)+q.worth, r.now
 	}
 }
@@ -427,8 +427,8 @@
 // the share of one instance is a few requests half of what it gets in the contract's time is little enough. Where it is less, all may
 // have saved no more than the budget leaves beside what they get meanwhile. That can be less than one request for each: then
 // luck says who may send one (coldCredit).
-func (r *Router) savings(rate, least, cost float64) float64 {
-	window := r.cfg.FallFor.Seconds()
+func (r *Balancer) savings(rate, least, cost float64) float64 {
+	window := r.cfg.OverloadWindow.Seconds()
 	if half := rate * window / 2; half >= cost {
 		return half
 	}
@@ -439,7 +439,7 @@
 
 // coldCredit counts the credit of a cold member and says whether it covers a request. Of one that costs more than can be saved up so
 // large a part is sent as the credit is of the cost: who sends is drawn anew in the time that the savings take to come.
-func (r *Router) coldCredit(n *node, rate, most, cost float64) bool {
+func (r *Balancer) coldCredit(n *node, rate, most, cost float64) bool {
 	if n.creditAt == 0 { // drawn, so that instances do not all send at once
 		n.credit, n.creditAt, n.luckAt = most*r.rng.Float64(), r.now, 0
 	}
@@ -456,17 +456,17 @@
 
 // heavy says that a request alone would take more than half of the budget, and is more than the usual work. Danger: no share of a
 // budget that is smaller than one such request keeps within it.
-func (r *Router) heavy(q *request, least float64) bool {
+func (r *Balancer) heavy(q *request, least float64) bool {
 	work, seen := 0.0, 0.0
 	for _, c := range r.cfg.Classes { // in their order: sums in another differ
 		k := r.classes[c.Name]
 		work, seen = work+k.seen*k.work, seen+k.seen
 	}
-	return q.class.work > max(least*r.instances()*r.cfg.FallFor.Seconds()/2, work/max(1, seen))
+	return q.class.work > max(least*r.instances()*r.cfg.OverloadWindow.Seconds()/2, work/max(1, seen))
 }
 
 // longPart is the part of the work asked of this instance that long reads are.
-func (r *Router) longPart() float64 {
+func (r *Balancer) longPart() float64 {
 	long, all := 0.0, 0.0
 	for _, c := range r.cfg.Classes { // in their order: sums in another differ
 		k := r.classes[c.Name]
@@ -483,7 +483,7 @@
 // Danger: where no replica of a group is recent enough, the reads of hundreds of instances meet at its primary, one of each
 // at a time. That is more than it can do, all of them are late, and its writes with them. No limit tells an instance whose
 // share is under one attempt; each learns it from its own few answers, and those that it hits make room for the others.
-func (r *Router) ease(n *node, part float64) {
+func (r *Balancer) ease(n *node, part float64) {
 	if part < 1 {
 		n.easeBy /= 2
 		return
@@ -498,7 +498,7 @@
 // look asks round for the primary of g, each member once a round and the one not asked for longest first. Danger: in a fixed
 // order, out of what a small instance earns, only the first is ever asked. A round goes on as probes are earned; the next
 // one waits, longer each time.
-func (r *Router) look(g *group) {
+func (r *Balancer) look(g *group) {
 	turn := slices.Clone(g.members)
 	slices.SortStableFunc(turn, func(a, b *node) int { return cmp.Compare(a.probedAt, b.probedAt) })
 	for _, n := range turn {
@@ -515,12 +515,12 @@
 }
 
 // waver tells that a group's primary is in doubt.
-func (r *Router) waver(g *group, why string) {
+func (r *Balancer) waver(g *group, why string) {
 	r.log("group %d: primary %s in doubt: %s", g.id, g.primary.id, why)
-	r.do(Lead{Group: g.id, Node: g.primary.id, Why: why})
+	r.do(PrimaryUpdate{Group: g.id, Endpoint: g.primary.id, Reason: why})
 }
 
-func (r *Router) group(id int64) *group {
+func (r *Balancer) group(id int64) *group {
 	g := r.groups[id]
 	if g == nil {
 		g = &group{id: id}
@@ -533,7 +533,7 @@
 
 // forget drops what would add up for ever: members that are gone, groups without members, and commits that all members
 // of their group are known to have. One that has only left the list may come back where removal is soft.
-func (r *Router) forget() {
+func (r *Balancer) forget() {
 	for _, c := range r.classes {
 		c.seen *= 1 - drift
 		// Danger: after a flood little of a class is sent, since it takes so long, and nothing shows that it no longer does.
@@ -547,7 +547,7 @@
 	}
 	for _, g := range r.order {
 		g.members = slices.DeleteFunc(g.members, func(n *node) bool {
-			old := n.state == Gone && len(n.out) == 0 && r.now-n.goneAt >= keep
+			old := n.state == EndpointRemoved && len(n.out) == 0 && r.now-n.goneAt >= keep
 			if old {
 				delete(r.nodes, n.id)
 			}
@@ -562,7 +562,7 @@
 		return empty
 	})
 	for key, c := range r.sessions {
-		behind := func(n *node) bool { return n.state == Ready && n.pos < c.at }
+		behind := func(n *node) bool { return n.state == EndpointReady && n.pos < c.at }
 		if !slices.ContainsFunc(c.group.members, behind) {
 			delete(r.sessions, key)
 		}
@@ -570,30 +570,30 @@
 }
 
 // Sight is what an instance makes of a member, for those who look on.
-type Sight struct {
-	Node, Zone string
-	Group      int64
-	Primary    bool    // it is believed to be its group's
-	Up         bool    // it can be sent something now
-	In         bool    // it is ready and not taken out, whatever is thought of it at this moment
-	Limit      float64 // attempts that may be out, for this instance
-	Rate       float64 // work done for this instance, seconds a second, moving mean
-	Warmth     float64 // the part of its power that it may be used for now
+type EndpointView struct {
+	Endpoint, Zone   string
+	Group            int64
+	Primary          bool    // it is believed to be its group's
+	Available        bool    // it can be sent something now
+	InService        bool    // it is ready and not taken out, whatever is thought of it at this moment
+	ConcurrencyLimit float64 // attempts that may be out, for this instance
+	WorkRate         float64 // work done for this instance, seconds a second, moving mean
+	CapacityShare    float64 // the part of its power that it may be used for now
 }
 
 // Sights calls f with each member that is listed, in the order of groups and ids.
-func (r *Router) Sights(f func(Sight)) {
+func (r *Balancer) EndpointViews(f func(EndpointView)) {
 	for _, g := range r.order {
 		for _, n := range g.members {
-			if n.state != Gone {
-				f(Sight{n.id, n.zone, g.id, g.primary == n && g.state == usable, n.in() && !n.suspect, n.in(), n.limit, n.rate, r.warmth(n)})
+			if n.state != EndpointRemoved {
+				f(EndpointView{n.id, n.zone, g.id, g.primary == n && g.state == usable, n.in() && !n.suspect, n.in(), n.limit, n.rate, r.warmth(n)})
 			}
 		}
 	}
 }
 
 // Does is the work that a member does for this instance, seconds a second, moving mean, and whether it is warm.
-func (r *Router) Does(name string) (rate float64, warm bool) {
+func (r *Balancer) EndpointWorkRate(name string) (rate float64, warm bool) {
 	if n := r.nodes[name]; n != nil {
 		return n.rate, r.warmth(n) == 1
 	}
@@ -601,7 +601,7 @@
 }
 
 // Cost is what requests of a class cost a member, seconds: the least seen, forgotten slowly, and the moving mean with waiting.
-func (r *Router) Cost(name string) (work, mean float64) {
+func (r *Balancer) ClassCost(name string) (work, mean float64) {
 	if c := r.classes[name]; c != nil {
 		return c.work, c.lat
 	}
