--- a/internal/servers/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 	"limeladder/balance"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // A client goes while the connection for its attempt comes up: nothing is written there.
@@ -18,12 +18,12 @@
 	dialled, welcome := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(welcome) })
 	defer release() // its stand-in waits for it
-	db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
 			dialled <- true
 			<-welcome
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	l := lim()
 	l.Connect, l.Redial = 10*time.Second, 20*time.Second
@@ -40,10 +40,10 @@
 	<-dialled
 	gone.Store(true)
 	release()
-	if x := r.end(done); x.Status != balance.Skipped || db.Runs("a") != 0 {
+	if x := r.end(done); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
 		t.Fatalf("%+v, %d runs", x, db.Runs("a"))
 	}
-	if x := r.try("b", 0); x.Status != balance.Done { // its connection is there for the next
+	if x := r.try("b", 0); x.Status != balance.StatusDone { // its connection is there for the next
 		t.Fatalf("%+v", x)
 	}
 }
@@ -97,7 +97,7 @@
 				r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + time.Second, Begun: func(router.Answer, router.Flow) { begun <- true },
 					Part: func([]byte) {}}, func(x router.Result) { done <- x })
 			})
-			if x := r.end(done); x.Status != balance.Error || len(begun) != 1 {
+			if x := r.end(done); x.Status != balance.StatusError || len(begun) != 1 {
 				t.Fatalf("%+v, begun %d times", x, len(begun))
 			}
 		})
@@ -106,7 +106,7 @@
 
 // A dial that is given up has a descriptor until the system ends it, and counts until then.
 func TestADialThatIsGivenUpCountsUntilItEnds(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	r := start(t, lim(), db.Addr)
 	first, then := make(chan int, 1), make(chan int, 1)
 	r.loop.Post(func() {
--- a/internal/servers/servers.go
+++ b/internal/backend/servers.go
@@ -1,5 +1,5 @@
-// Package servers holds the connections to the db machines and carries attempts and probes over them.
-package servers
+// Package backend holds the connections to the db machines and carries attempts and probes over them.
+package backend
 
 import (
 	"log/slog"
@@ -7,11 +7,11 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Job is what a front wants written to a db machine; router.Job holds one.
@@ -34,8 +34,8 @@
 
 // Pool holds the connections, by db machine. All of it runs in the loop's goroutine.
 type Pool struct {
-	loop     *loop.Loop
-	engine   *sock.Engine
+	loop     *eventloop.Loop
+	engine   *transport.Engine
 	lim      limits.Limits
 	log      *slog.Logger
 	startup  []byte
@@ -59,7 +59,7 @@
 }
 
 // New returns a Pool that knows no db machine.
-func New(l *loop.Loop, e *sock.Engine, lim limits.Limits, log *slog.Logger) *Pool {
+func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger) *Pool {
 	p := &Pool{loop: l, engine: e, lim: lim, log: log, machines: map[string]*machine{}, barred: map[string]bool{},
 		startup: pgwire.AppendStartup(nil, "user", "portal", "database", "crm")}
 	p.sweep()
@@ -173,7 +173,7 @@
 	c := &call{pool: p, job: probe{}, until: p.loop.Now() + p.lim.Probe}
 	c.done = func(r router.Result) {
 		c.timer.Stop()
-		if a, ok := r.Answer.(*Answer); ok && r.Status == balance.Done {
+		if a, ok := r.Answer.(*Answer); ok && r.Status == balance.StatusDone {
 			r.Role, r.Position, r.Use = report(a)
 		}
 		done(r)
@@ -183,7 +183,7 @@
 		if m := p.machines[node]; m != nil {
 			m.hangUp() // what is silent to a probe is silent on every connection
 		}
-		done(router.Result{Status: balance.TimedOut})
+		done(router.Result{Status: balance.StatusTimedOut})
 	})
 	p.start(node, c)
 }
@@ -191,12 +191,12 @@
 func (p *Pool) start(node string, c *call) {
 	m := p.machines[node]
 	if m == nil || m.addr == "" || m.barred {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	c.machine = m
 	if c.late(p.loop.Now()) {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	for len(m.idle) > 0 {
@@ -211,13 +211,13 @@
 		}
 	}
 	if !p.room(m) && m.opening+m.resting == 0 {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	m.waiting = append(m.waiting, c)
-	within, status := p.lim.Connect, balance.ConnectFailed
+	within, status := p.lim.Connect, balance.StatusConnectFailed
 	if left := c.by - p.loop.Now(); c.by > 0 && left < within {
-		within, status = left, balance.Skipped // it may not be written any more then
+		within, status = left, balance.StatusNotSent // it may not be written any more then
 	}
 	c.connect = p.loop.After(within, func() {
 		m.drop(c)
@@ -246,8 +246,8 @@
 	done    func(router.Result)
 
 	conn            *conn // once its messages are written
-	connect, redial *loop.Timer
-	timer           *loop.Timer
+	connect, redial *eventloop.Timer
+	timer           *eventloop.Timer
 	over            bool
 }
 
@@ -314,7 +314,7 @@
 	m.left++
 	m.hangUp()
 	for _, c := range m.waiting {
-		m.pool.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		m.pool.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 	}
 	m.waiting = nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,8 +8,8 @@
 
 	"limeladder/balance"
 	"limeladder/internal/audit"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 )
 
 // Job is what a front wants done. Only the front and the servers look inside.
@@ -108,10 +108,10 @@
 
 // Router owns the decision module and all requests in hand.
 type Router struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	lim       limits.Limits
 	log       *slog.Logger
-	module    *balance.Router
+	module    *balance.Balancer
 	servers   Servers
 	watcher   Watcher
 	audit     Audit           // nil = nothing is recorded
@@ -125,7 +125,7 @@
 	inHand  map[string]*request
 	open    map[string]bool // the labels of those that are owed an answer
 	last    uint64          // the number of the newest request
-	wake    *loop.Timer
+	wake    *eventloop.Timer
 	endAt   time.Duration // what is taken from now on is answered by then, 0 = in its own time
 	count   Counts
 }
@@ -136,7 +136,7 @@
 	id     string
 	client Client
 	dieAt  time.Duration
-	timer  *loop.Timer
+	timer  *eventloop.Timer
 	tries  int
 	mayRun bool // an attempt was written that is not proved to have had no effect
 	call   Call // the attempt that is out
@@ -154,12 +154,12 @@
 }
 
 // New returns a Router that has yet to hear of any db machine. With a nil Audit nothing is recorded.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, cfg balance.Config, seed uint64, a Audit) (*Router, error) {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, cfg balance.Config, seed uint64, a Audit) (*Router, error) {
 	m, err := balance.New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{loop: l, lim: lim, log: log, module: m, audit: a, classes: map[string]balance.Class{}, probes: cfg.Probes, instances: cfg.Instances,
+	r := &Router{loop: l, lim: lim, log: log, module: m, audit: a, classes: map[string]balance.Class{}, probes: cfg.HealthChecks, instances: cfg.Instances,
 		inHand: map[string]*request{}, open: map[string]bool{}}
 	for _, c := range cfg.Classes {
 		r.classes[c.Name] = c
@@ -179,7 +179,7 @@
 // Writes says whether the requests of a class may change data, so that they must not run twice.
 func (r *Router) Writes(class string) bool {
 	c := r.classes[class]
-	return c.Effect != balance.Safe || c.Need == balance.NeedUpdate
+	return c.Idempotency != balance.Idempotent || c.Consistency == balance.ConsistencyWrite
 }
 
 // Order is what a request waits for of those that were sent before it on the same connection.
@@ -191,6 +191,6 @@
 
 // Order tells the order of a class's requests.
 func (r *Router) Order(class string) Order {
-	n := r.classes[class].Need
-	return Order{Writes: r.Writes(class), Sees: n == balance.NeedSession, SeesAll: n == balance.NeedLatest}
+	n := r.classes[class].Consistency
+	return Order{Writes: r.Writes(class), Sees: n == balance.ConsistencySession, SeesAll: n == balance.ConsistencyLatest}
 }
--- a/internal/lab/standins/host.go
+++ b/internal/simulation/emulator/host.go
@@ -1,6 +1,6 @@
-// Package standins is the laboratory's skin on sockets: the machines of the model behind listeners on loopback that speak
+// Package emulator is the laboratory's skin on sockets: the machines of the model behind listeners on loopback that speak
 // PostgreSQL, and discovery over HTTP, so that the real program runs before them. The model's clock follows the system's.
-package standins
+package emulator
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 // Visit is a statement that has come whole to a machine over one connection.
@@ -71,7 +71,7 @@
 	}
 	for _, x := range cfg.Faults {
 		if x.What == "cut" || x.What == "routers" || x.What == "suspend" || slices.Contains(fleet.RigFaults, x.What) {
-			return nil, fmt.Errorf("faults: %s needs more than one process: limelab rig", x.What)
+			return nil, fmt.Errorf("faults: %s needs more than one process: limeladder-sim rig", x.What)
 		}
 	}
 	begin := time.Now()
@@ -289,18 +289,18 @@
 	needs := []string{"loose", "recent", "own_writes", "latest", "update"}
 	for _, k := range c.Classes {
 		effect := "safe"
-		if k.Effect != 0 {
+		if k.Idempotency != 0 {
 			effect = "unsafe"
 		}
-		lanes = append(lanes, lane{k.Name, int64(k.Aim), int64(k.GiveUp), k.Worth, k.LateShare, effect})
-		words, bounds = append(words, needs[k.Need]), append(bounds, int64(k.Bound))
+		lanes = append(lanes, lane{k.Name, int64(k.LatencyObjective), int64(k.ClientTimeout), k.PriorityWeight, k.LateWeightShare, effect})
+		words, bounds = append(words, needs[k.Consistency]), append(bounds, int64(k.MaxStaleness))
 	}
 	type object map[string]any
 	discovery, guards := "ask", "reject"
 	if c.Pushed {
 		discovery = "push"
 	}
-	if c.Checks == balance.ChecksNone {
+	if c.Checks == balance.FreshnessCheckNone {
 		guards = "silent"
 	}
 	return json.MarshalIndent(object{
--- a/internal/lab/standins/session.go
+++ b/internal/simulation/emulator/session.go
@@ -1,4 +1,4 @@
-package standins
+package emulator
 
 import (
 	"encoding/binary"
@@ -8,10 +8,10 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/pgwire"
-	"limeladder/internal/statement"
+	"limeladder/internal/requestcomment"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 // What a session reads at most.
@@ -253,7 +253,7 @@
 
 // run lets a statement run and adds its answer. It says whether it was served.
 func (x *session) run(sql string, simple bool) bool {
-	head, err := statement.Parse(sql)
+	head, err := requestcomment.Parse(sql)
 	if err != nil {
 		x.fail(pgwire.ProtocolViolation, err.Error())
 		return false
@@ -273,10 +273,10 @@
 			w.Write, w.Long = fleet.Update(k), k.Long
 		}
 		see := head.After
-		if k != nil && k.Need == balance.NeedBounded {
-			see = h.clock.Now() - k.Bound
+		if k != nil && k.Consistency == balance.ConsistencyBounded {
+			see = h.clock.Now() - k.MaxStaleness
 		}
-		if h.cfg.Checks != balance.ChecksNone {
+		if h.cfg.Checks != balance.FreshnessCheckNone {
 			w.See = see
 		}
 		v.Write, v.See, v.Led = w.Write, see, m.Led()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/event"
-	"limeladder/internal/lab/model"
-	"limeladder/internal/sites"
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+	"limeladder/internal/sitefailover"
 )
 
 // start is where virtual time begins: times must not be 0, which means none.
@@ -42,7 +42,7 @@
 // Count is what was done, over all routers.
 type Count struct {
 	Attempts, Dials, Probes, Calls uint64
-	Ends                           [balance.Miss + 1]uint64
+	Ends                           [balance.StatusMiss + 1]uint64
 	Events                         uint64
 }
 
@@ -56,7 +56,7 @@
 func Run(cfg Config, seed uint64) (*Result, error) {
 	for _, x := range cfg.Faults {
 		if slices.Contains(RigFaults, x.What) {
-			return nil, fmt.Errorf("faults: %s needs processes: limelab rig", x.What)
+			return nil, fmt.Errorf("faults: %s needs processes: limeladder-sim rig", x.What)
 		}
 	}
 	f, err := build(cfg, seed)
@@ -79,7 +79,7 @@
 
 // Foresee plays a fleet that loses a site at a moment and does not get it back, and returns what its routers planned for that just before,
 // each for its own part of the work, beside what came.
-func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sites.Loss, got *Result, err error) {
+func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sitefailover.Loss, got *Result, err error) {
 	cfg.Sites = SitesWatch
 	cfg.Faults = append(slices.Clone(cfg.Faults), Fault{At: at, What: "kill", Who: []string{"zone:" + site}, Part: 1})
 	f, err := build(cfg, seed)
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, k := range cfg.Classes {
-		f.longest = max(f.longest, k.GiveUp)
+		f.longest = max(f.longest, k.ClientTimeout)
 	}
 	f.offered = cfg.Rate()
 	f.sessions = make([]session, max(1, cfg.Sessions))
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/router"
+	"limeladder/internal/simulation/model"
 )
 
 func shortly(faults ...Fault) Config {
@@ -230,7 +230,7 @@
 		}
 	}
 	c := Default()
-	c.Classes[0].Need = balance.NeedBounded
+	c.Classes[0].Consistency = balance.ConsistencyBounded
 	if err := c.Check(); err != nil {
 		t.Error(fmt.Sprint(err))
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/lab/fleet"
-	"limeladder/internal/lab/model"
-	"limeladder/internal/lab/standins"
+	"limeladder/internal/simulation/emulator"
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/model"
 )
 
 func options(addr string) Options {
@@ -82,14 +82,14 @@
 	}
 }
 
-func hostFor(t *testing.T, change ...func(*fleet.Config)) (*standins.Host, string) {
+func hostFor(t *testing.T, change ...func(*fleet.Config)) (*emulator.Host, string) {
 	t.Helper()
 	c := fleet.Default()
 	c.Banks, c.Members, c.Kind.Errors = 1, 1, 0
 	for _, f := range change {
 		f(&c)
 	}
-	h, err := standins.New(c, 1)
+	h, err := emulator.New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	o := options(addr)
 	o.Length, o.Rate = time.Second, 400
 	for i := range o.Classes {
-		o.Classes[i].GiveUp, o.Classes[i].Work.Mean = 400*time.Millisecond, 50*time.Millisecond
+		o.Classes[i].ClientTimeout, o.Classes[i].Work.Mean = 400*time.Millisecond, 50*time.Millisecond
 	}
 	r, err := Run(o)
 	if err != nil {
