--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -258,8 +258,10 @@
 	if extended {
 		addr = st.second
 	}
-	got, err := load.Run(load.Options{Addr: addr, Extended: extended, Rate: cfg.Rate(), Length: cfg.Length, Conns: 1000, Arrivals: arrivalsOf(cfg), Bursts: cfg.Bursts, Shape: cfg.Shape, Classes: cfg.Classes,
-		Banks: cfg.Banks, Sessions: cfg.Sessions, Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Seed: seed, Open: &open, Progress: progress})
+	got, err := load.Run(load.Options{
+		Addr: addr, Extended: extended, Rate: cfg.Rate(), Length: cfg.Length, Conns: 1000, Arrivals: arrivalsOf(cfg), Bursts: cfg.Bursts, Shape: cfg.Shape, Classes: cfg.Classes,
+		Banks: cfg.Banks, Sessions: cfg.Sessions, Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Seed: seed, Open: &open, Progress: progress,
+	})
 	close(stop)
 	<-stopped
 	after := st.host.Count()
@@ -383,8 +385,10 @@
 		return err
 	}
 	cfg := s.Config
-	o := load.Options{Addr: c.Addr, Extended: c.Extended, Rate: cfg.Rate(), Length: cfg.Length, Conns: c.Conns, Arrivals: c.Arrivals, Bursts: c.Bursts, Shape: cfg.Shape, Classes: slices.Clone(cfg.Classes),
-		Banks: cfg.Banks, Sessions: cfg.Sessions, Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Seed: c.Seed}
+	o := load.Options{
+		Addr: c.Addr, Extended: c.Extended, Rate: cfg.Rate(), Length: cfg.Length, Conns: c.Conns, Arrivals: c.Arrivals, Bursts: c.Bursts, Shape: cfg.Shape, Classes: slices.Clone(cfg.Classes),
+		Banks: cfg.Banks, Sessions: cfg.Sessions, Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Seed: c.Seed,
+	}
 	if c.Rate != 0 {
 		o.Rate = c.Rate
 	}
--- a/internal/adminapi/operator_test.go
+++ b/internal/adminapi/operator_test.go
@@ -76,12 +76,15 @@
 func (r *router) Sites(table bool) (string, bool) {
 	return map[bool]string{true: "site", false: "{}"}[table], r.off
 }
+
 func (r *router) Declare(site string, length time.Duration) (ok bool, known []string, off bool) {
 	return site == "n", []string{"n", "s"}, r.off
 }
+
 func (r *router) Pace(site string, part float64, length time.Duration) (ok bool, known []string, off bool) {
 	return site == "n" && part <= 1 && (length > 0 || part == 1), []string{"n", "s"}, r.off
 }
+
 func (r *router) Changeover(cell int64, limit time.Duration) (known, off bool) {
 	return cell == 7 && limit > 0, r.off
 }
@@ -127,19 +130,52 @@
 		call string
 		want int
 	}{
-		{"GET /v1/readyz", 200}, {"POST /v1/readyz", 405}, {"GET /v1/nothing", 404}, {"GET /", 404},
-		{"GET /v1/cells", 200}, {"POST /v1/cells", 405}, {"POST /v1/cells/7/changeover", 200}, {"POST /v1/cells/7/changeover?limit=2s", 200},
-		{"POST /v1/cells/7/changeover?limit=2", 400}, {"POST /v1/cells/7/changeover?limit=2h", 400}, {"POST /v1/cells/8/changeover", 404},
-		{"POST /v1/cells/x/changeover", 404}, {"GET /v1/cells/7/changeover", 405}, {"POST /v1/cells/7/changeover?%zz", 400},
-		{"GET /v1/sites", 200}, {"GET /v1/sites?as=table", 200}, {"POST /v1/sites", 405}, {"POST /v1/sites/n/lost", 200}, {"POST /v1/sites/n/lost?limit=30s", 200},
-		{"POST /v1/sites/n/pace?part=0.5", 200}, {"POST /v1/sites/n/pace?part=0&limit=30s", 200}, {"POST /v1/sites/n/free", 200}, {"POST /v1/sites/x/pace?part=1", 404},
-		{"POST /v1/sites/n/pace", 400}, {"POST /v1/sites/n/pace?part=2", 400}, {"POST /v1/sites/n/pace?part=NaN", 400}, {"POST /v1/sites/n/pace?part=-1", 400},
-		{"POST /v1/sites/n/pace?part=1&limit=25h", 400}, {"GET /v1/sites/n/pace?part=1", 405},
-		{"POST /v1/sites/n/found", 200}, {"POST /v1/sites/x/lost", 404}, {"POST /v1/sites/n/lost?limit=0s", 400}, {"POST /v1/sites/n/lost?limit=25h", 400}, {"GET /v1/sites/n/lost", 405},
-		{"POST /v1/db-machines/s-1/suspend", 200}, {"POST /v1/db-machines/s-1/resume", 200}, {"POST /v1/db-machines/s-1/stop", 404},
-		{"POST /v1/db-machines/s-2/suspend", 404}, {"POST /v1/db-machines//suspend", 404}, {"GET /v1/db-machines/s-1/suspend", 405},
-		{"POST /v1/router/drain", 200}, {"GET /v1/readyz", 503}, {"POST /v1/router/activate", 200}, {"GET /v1/readyz", 200},
-		{"POST /v1/router/stop", 404}, {"junk", 400},
+		{"GET /v1/readyz", 200},
+		{"POST /v1/readyz", 405},
+		{"GET /v1/nothing", 404},
+		{"GET /", 404},
+		{"GET /v1/cells", 200},
+		{"POST /v1/cells", 405},
+		{"POST /v1/cells/7/changeover", 200},
+		{"POST /v1/cells/7/changeover?limit=2s", 200},
+		{"POST /v1/cells/7/changeover?limit=2", 400},
+		{"POST /v1/cells/7/changeover?limit=2h", 400},
+		{"POST /v1/cells/8/changeover", 404},
+		{"POST /v1/cells/x/changeover", 404},
+		{"GET /v1/cells/7/changeover", 405},
+		{"POST /v1/cells/7/changeover?%zz", 400},
+		{"GET /v1/sites", 200},
+		{"GET /v1/sites?as=table", 200},
+		{"POST /v1/sites", 405},
+		{"POST /v1/sites/n/lost", 200},
+		{"POST /v1/sites/n/lost?limit=30s", 200},
+		{"POST /v1/sites/n/pace?part=0.5", 200},
+		{"POST /v1/sites/n/pace?part=0&limit=30s", 200},
+		{"POST /v1/sites/n/free", 200},
+		{"POST /v1/sites/x/pace?part=1", 404},
+		{"POST /v1/sites/n/pace", 400},
+		{"POST /v1/sites/n/pace?part=2", 400},
+		{"POST /v1/sites/n/pace?part=NaN", 400},
+		{"POST /v1/sites/n/pace?part=-1", 400},
+		{"POST /v1/sites/n/pace?part=1&limit=25h", 400},
+		{"GET /v1/sites/n/pace?part=1", 405},
+		{"POST /v1/sites/n/found", 200},
+		{"POST /v1/sites/x/lost", 404},
+		{"POST /v1/sites/n/lost?limit=0s", 400},
+		{"POST /v1/sites/n/lost?limit=25h", 400},
+		{"GET /v1/sites/n/lost", 405},
+		{"POST /v1/db-machines/s-1/suspend", 200},
+		{"POST /v1/db-machines/s-1/resume", 200},
+		{"POST /v1/db-machines/s-1/stop", 404},
+		{"POST /v1/db-machines/s-2/suspend", 404},
+		{"POST /v1/db-machines//suspend", 404},
+		{"GET /v1/db-machines/s-1/suspend", 405},
+		{"POST /v1/router/drain", 200},
+		{"GET /v1/readyz", 503},
+		{"POST /v1/router/activate", 200},
+		{"GET /v1/readyz", 200},
+		{"POST /v1/router/stop", 404},
+		{"junk", 400},
 	} {
 		if got := ask(t, addr, c.call); got != c.want {
 			t.Errorf("%s: %d, not %d", c.call, got, c.want)
--- a/internal/audit/carry_test.go
+++ b/internal/audit/carry_test.go
@@ -37,8 +37,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, err := syslog.NewSender(syslog.Options{Collectors: []syslog.Collector{p}, TLS: &tls.Config{RootCAs: ca.Pool}, Window: 256 << 10, Connect: 5 * time.Second,
-				Stall: 10 * time.Second, First: time.Millisecond, Last: time.Second, Prefer: time.Hour}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			s, err := syslog.NewSender(syslog.Options{
+				Collectors: []syslog.Collector{p}, TLS: &tls.Config{RootCAs: ca.Pool}, Window: 256 << 10, Connect: 5 * time.Second,
+				Stall: 10 * time.Second, First: time.Millisecond, Last: time.Second, Prefer: time.Hour,
+			}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/audit/encode.go
+++ b/internal/audit/encode.go
@@ -216,9 +216,11 @@
 
 // ends are the words for how an attempt ended.
 func ends() []string {
-	return []string{balance.StatusDone: "done", balance.StatusError: "error", balance.StatusBusy: "busy", balance.StatusTimedOut: "timed-out",
+	return []string{
+		balance.StatusDone: "done", balance.StatusError: "error", balance.StatusBusy: "busy", balance.StatusTimedOut: "timed-out",
 		balance.StatusConnectFailed: "connect-failed", balance.StatusReset: "reset", balance.StatusCancelled: "cancelled",
-		balance.StatusNotSent: "skipped", balance.StatusMiss: "miss"}
+		balance.StatusNotSent: "skipped", balance.StatusMiss: "miss",
+	}
 }
 
 func (e *Encoder) answer(a *Answer) string {
--- a/internal/audit/encode_test.go
+++ b/internal/audit/encode_test.go
@@ -16,9 +16,11 @@
 var key = audit.Key{Name: "k-2026", Secret: [32]byte{7, 7, 7}}
 
 func encoder(t testing.TB, most int, k *audit.Key) *audit.Encoder {
-	e, err := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
+	e, err := audit.NewEncoder(audit.EncoderOptions{
+		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
 		Enterprise: 4294967295, Most: most, Software: "limeladder", Version: "(devel)", Start: audit.Stem(time.Unix(1.8e9, 0), 1), Began: time.Unix(1.8e9, 0),
-		Refused: "53300", Failed: "08007", Key: k, Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} }})
+		Refused: "53300", Failed: "08007", Key: k, Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,11 +50,19 @@
 	case 2:
 		return audit.Note{Topic: s(), Text: s()}
 	case 3:
-		return []audit.Event{audit.List{Version: rng.Int64()}, audit.Router{State: s()}, audit.Reload{What: s(), Err: s()}, audit.Start{Router: s(), Key: s()},
-			audit.End{Taken: rng.Uint64()}, audit.Dropped{Count: rng.Uint64(), First: rng.Uint64(), Last: rng.Uint64()}}[rng.IntN(6)]
+		return []audit.Event{
+			audit.List{Version: rng.Int64()},
+			audit.Router{State: s()},
+			audit.Reload{What: s(), Err: s()},
+			audit.Start{Router: s(), Key: s()},
+			audit.End{Taken: rng.Uint64()},
+			audit.Dropped{Count: rng.Uint64(), First: rng.Uint64(), Last: rng.Uint64()},
+		}[rng.IntN(6)]
+	}
+	a := &audit.Answer{
+		Request: s(), Class: s(), Tenant: s(), Client: s(), Node: s(), Group: rng.Int64(), Outcome: audit.Outcome(rng.IntN(5)), Why: s(),
+		Writes: rng.IntN(2) == 0, MayRun: rng.IntN(2) == 0, Queued: time.Duration(rng.Int64N(1e9)), Total: time.Duration(rng.Int64N(1e10)), Retry: time.Duration(rng.Int64N(1e9)),
 	}
-	a := &audit.Answer{Request: s(), Class: s(), Tenant: s(), Client: s(), Node: s(), Group: rng.Int64(), Outcome: audit.Outcome(rng.IntN(5)), Why: s(),
-		Writes: rng.IntN(2) == 0, MayRun: rng.IntN(2) == 0, Queued: time.Duration(rng.Int64N(1e9)), Total: time.Duration(rng.Int64N(1e10)), Retry: time.Duration(rng.Int64N(1e9))}
 	for range rng.IntN(5) {
 		a.Attempts = append(a.Attempts, audit.Attempt{Node: s(), End: balance.Status(rng.IntN(10) - 1), Took: time.Duration(rng.Int64N(1e9))})
 	}
@@ -177,8 +187,10 @@
 
 // What goes first is MSG, then parameters by rank; what explains a record stays to the last.
 func TestOrderOfCuts(t *testing.T) {
-	e := &audit.Answer{Request: "request-1", Class: "job", Tenant: "tenant-1", Client: "127.0.0.1:9", Group: 7, Node: "node-1", Outcome: audit.Failed,
-		Why: "a long reason " + strings.Repeat("w", 60), Attempts: []audit.Attempt{{Node: "node-1"}}}
+	e := &audit.Answer{
+		Request: "request-1", Class: "job", Tenant: "tenant-1", Client: "127.0.0.1:9", Group: 7, Node: "node-1", Outcome: audit.Failed,
+		Why: "a long reason " + strings.Repeat("w", 60), Attempts: []audit.Attempt{{Node: "node-1"}},
+	}
 	order := []string{" a long reason", "swVersion=", "isSynced=", "why=", "try=", "tenant=", "node=", "sequenceId=", "class="}
 	gone := 0
 	for most := 1100; most >= 480; most-- {
--- a/internal/audit/queue_test.go
+++ b/internal/audit/queue_test.go
@@ -181,9 +181,11 @@
 	if err != nil || len(keys) != 2 || keys[0].Name != "b" || keys[1].Name != "a" || keys[0].Secret[31] != 0xbc {
 		t.Fatalf("%v %v", keys, err)
 	}
-	for _, bad := range []string{"", "current", "current = \"c\"\n[keys]\na = \"" + secret + "\"", "current = \"a\"\n[keys]\na = \"" + secret[1:] + "\"",
+	for _, bad := range []string{
+		"", "current", "current = \"c\"\n[keys]\na = \"" + secret + "\"", "current = \"a\"\n[keys]\na = \"" + secret[1:] + "\"",
 		"current = \"a\"\n[keys]\na = \"g" + secret[1:] + "\"", "current = \"a b\"\n[keys]\n\"a b\" = \"" + secret + "\"", "current = \"a\"\nx = 1\n[keys]\na = \"" + secret + "\"",
-		"current = \"\"\n[keys]\n\"\" = \"" + secret + "\""} {
+		"current = \"\"\n[keys]\n\"\" = \"" + secret + "\"",
+	} {
 		if _, err := ParseKeys([]byte(bad)); err == nil || len(err.Error()) > 200 {
 			t.Errorf("%q: %v", bad, err)
 		}
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -41,8 +41,10 @@
 
 // NewShipper starts one.
 func NewShipper(opt ShipperOptions, q *Queue, e *Encoder, sink Sink) *Shipper {
-	s := &Shipper{opt: opt, queue: q, enc: e, sink: sink, keys: make(chan Key, 1), quit: make(chan time.Time, 1),
-		done: make(chan struct{}), headAt: opt.Now()}
+	s := &Shipper{
+		opt: opt, queue: q, enc: e, sink: sink, keys: make(chan Key, 1), quit: make(chan time.Time, 1),
+		done: make(chan struct{}), headAt: opt.Now(),
+	}
 	go s.run()
 	return s
 }
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -15,8 +15,10 @@
 
 // corpus are the messages of one start: n answers with heads between them, from START to the last head.
 func corpus(t testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
-	e, err := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
-		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0]})
+	e, err := audit.NewEncoder(audit.EncoderOptions{
+		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
+		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0],
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -190,15 +190,18 @@
 	a, b := t.heap[i], t.heap[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
+
 func (t *timers) Swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
 	t.heap[i].index, t.heap[j].index = i, j
 }
+
 func (t *timers) Push(x any) {
 	e := x.(*Timer)
 	e.index = len(t.heap)
 	t.heap = append(t.heap, e)
 }
+
 func (t *timers) Pop() any {
 	n := len(t.heap) - 1
 	e := t.heap[n]
--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -86,8 +86,14 @@
 // AppendWelcome adds what a server says to a startup message it takes.
 func AppendWelcome(dst []byte) []byte {
 	dst = Append(dst, 'R', []byte{0, 0, 0, 0})
-	for _, p := range [][2]string{{"server_version", "16.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
-		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"}} {
+	for _, p := range [][2]string{
+		{"server_version", "16.0"},
+		{"server_encoding", "UTF8"},
+		{"client_encoding", "UTF8"},
+		{"DateStyle", "ISO, MDY"},
+		{"integer_datetimes", "on"},
+		{"standard_conforming_strings", "on"},
+	} {
 		dst = AppendPair(dst, p[0], p[1])
 	}
 	dst = Append(dst, 'K', make([]byte, 8)) // no cancel key: a cancel request is not served
--- a/internal/requestcomment/statement_test.go
+++ b/internal/requestcomment/statement_test.go
@@ -18,9 +18,11 @@
 	if got := h.WithDeadline(example, 77900*time.Microsecond); got != want {
 		t.Fatal(got)
 	}
-	for sql, want := range map[string]error{"": ErrNone, "SELECT 1": ErrNone, "/* id=1": ErrNone, "/* */ x": ErrForm,
+	for sql, want := range map[string]error{
+		"": ErrNone, "SELECT 1": ErrNone, "/* id=1": ErrNone, "/* */ x": ErrForm,
 		"/* id=1,c=a,d=5 */ x": ErrForm, "/* id=1,c=a,d=-5,cluster=1 */": ErrForm, "/* id=1,c=a,d=x,cluster=1 */": ErrForm,
-		"/* id=1,c=a,d=5,d=6,cluster=1 */": ErrForm, "/* id=1,c=a,d=99999999999,cluster=1 */": ErrForm} {
+		"/* id=1,c=a,d=5,d=6,cluster=1 */": ErrForm, "/* id=1,c=a,d=99999999999,cluster=1 */": ErrForm,
+	} {
 		if _, err := Parse(sql); !errors.Is(err, want) {
 			t.Errorf("%q: %v", sql, err)
 		}
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -81,9 +81,11 @@
 	ReadyAtNs      int64
 }
 
-var statuses = map[string]balance.Status{"done": balance.StatusDone, "err": balance.StatusError, "busy": balance.StatusBusy,
+var statuses = map[string]balance.Status{
+	"done": balance.StatusDone, "err": balance.StatusError, "busy": balance.StatusBusy,
 	"etimedout": balance.StatusTimedOut, "econnrefused": balance.StatusConnectFailed, "econnreset": balance.StatusReset,
-	"ecanceled": balance.StatusCancelled, "skipped": balance.StatusNotSent, "enoent": balance.StatusMiss}
+	"ecanceled": balance.StatusCancelled, "skipped": balance.StatusNotSent, "enoent": balance.StatusMiss,
+}
 
 // Decoder reads batches. It remembers the numbered node lists, which belong to the process.
 type Decoder struct {
@@ -153,8 +155,10 @@
 	if r.Cmd == "Pool" {
 		list := make([]balance.EndpointEntry, len(r.Members))
 		for i, m := range r.Members {
-			list[i] = balance.EndpointEntry{Endpoint: m.Node, Zone: m.Locality, Group: m.Group, State: balance.EndpointState(m.Lifecycle),
-				Primary: m.Leader == 1, StartedAt: time.Duration(m.ReadyAtNs)}
+			list[i] = balance.EndpointEntry{
+				Endpoint: m.Node, Zone: m.Locality, Group: m.Group, State: balance.EndpointState(m.Lifecycle),
+				Primary: m.Leader == 1, StartedAt: time.Duration(m.ReadyAtNs),
+			}
 		}
 		d.pools[r.Slot] = list
 		return nil, nil
@@ -187,17 +191,21 @@
 		}
 		e.Event = l
 	case "Request":
-		e.Event = balance.Request{ID: r.Ticket, Class: r.TierClass, Tenant: string(r.Project),
+		e.Event = balance.Request{
+			ID: r.Ticket, Class: r.TierClass, Tenant: string(r.Project),
 			Group: int64(r.PartitionNo), SessionID: r.ClientKey, TimeLeft: time.Duration(r.ExpiresInNs),
 			SinceSessionWrite: time.Duration(r.SinceWriteMs * 1e6), EstimatedWork: time.Duration(r.EstimateNs),
-			Retry: r.AgainByClient}
+			Retry: r.AgainByClient,
+		}
 	case "Outcome":
 		s, ok := statuses[r.Reason]
 		if !ok {
 			return nil, fmt.Errorf("Reason: unknown word %q", r.Reason)
 		}
-		o := balance.AttemptResult{ID: r.Ticket, Attempt: r.Leg, Endpoint: r.Node, Status: s, Elapsed: took,
-			Finished: r.Finished, Role: role(r.Stand % 4)}
+		o := balance.AttemptResult{
+			ID: r.Ticket, Attempt: r.Leg, Endpoint: r.Node, Status: s, Elapsed: took,
+			Finished: r.Finished, Role: role(r.Stand % 4),
+		}
 		if ms := r.Stand / 4; ms > 0 {
 			o.Position = d.zero[r.Who] + time.Duration(ms)*time.Millisecond
 		}
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -32,11 +32,14 @@
 
 func TestStart(t *testing.T) {
 	e := decode(t, NewDecoder(), start)[0]
-	want := balance.Config{Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
+	want := balance.Config{
+		Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
 		FreshnessCheck: balance.FreshnessCheckWait, ClientSessionTokens: true, HealthChecks: true,
 		HealthCheckCost: 0.5, MaxAttempts: 3, SlowStartFrom: 0.5, OverloadMultiple: 2, Classes: []balance.Class{
 			{Name: "r", LatencyObjective: 5, ClientTimeout: 9, PriorityWeight: 2, LateWeightShare: 0.5, IdempotencyScope: balance.ScopeAll, Consistency: balance.ConsistencyBounded, MaxStaleness: 4},
-			{Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite}}}
+			{Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite},
+		},
+	}
 	if e.Start.Seed != 1<<64-1 || !reflect.DeepEqual(e.Start.Config, want) {
 		t.Fatalf("got %+v", e.Start)
 	}
@@ -49,15 +52,23 @@
 		in   string
 		want balance.Event
 	}{
-		{`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":"p","SinceWriteMs":1.5,"ExpiresInNs":7,"ClientKey":8,"PartitionNo":11,"TierClass":"r","EstimateNs":3,"AgainByClient":true}`,
-			balance.Request{ID: "t", Class: "r", Tenant: "p", Group: 11, SessionID: 8, TimeLeft: 7, SinceSessionWrite: 1500 * time.Microsecond, EstimatedWork: 3, Retry: true}},
+		{
+			`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":"p","SinceWriteMs":1.5,"ExpiresInNs":7,"ClientKey":8,"PartitionNo":11,"TierClass":"r","EstimateNs":3,"AgainByClient":true}`,
+			balance.Request{ID: "t", Class: "r", Tenant: "p", Group: 11, SessionID: 8, TimeLeft: 7, SinceSessionWrite: 1500 * time.Microsecond, EstimatedWork: 3, Retry: true},
+		},
 		{`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":0,"TierClass":"w"}`, balance.Request{ID: "t", Class: "w"}},
-		{`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Node":"n","Reason":"done","TookNs":5,"Finished":true,"Stand":4001}`,
-			balance.AttemptResult{ID: "t", Endpoint: "n", Status: balance.StatusDone, Elapsed: 5, Finished: true, Role: balance.RolePrimary, Position: 2 * time.Second}},
-		{`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Leg":2,"Reason":"enoent","Stand":2}`,
-			balance.AttemptResult{ID: "t", Attempt: 2, Status: balance.StatusMiss, Role: balance.RoleReplica}},
-		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"done","TookNs":5,"Telemetry":{"x0":1.5,"x1":0}}`,
-			balance.HealthCheckResult{Endpoint: "n", Elapsed: 5, Role: balance.RoleReplica, Position: 2500 * time.Millisecond}},
+		{
+			`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Node":"n","Reason":"done","TookNs":5,"Finished":true,"Stand":4001}`,
+			balance.AttemptResult{ID: "t", Endpoint: "n", Status: balance.StatusDone, Elapsed: 5, Finished: true, Role: balance.RolePrimary, Position: 2 * time.Second},
+		},
+		{
+			`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Leg":2,"Reason":"enoent","Stand":2}`,
+			balance.AttemptResult{ID: "t", Attempt: 2, Status: balance.StatusMiss, Role: balance.RoleReplica},
+		},
+		{
+			`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"done","TookNs":5,"Telemetry":{"x0":1.5,"x1":0}}`,
+			balance.HealthCheckResult{Endpoint: "n", Elapsed: 5, Role: balance.RoleReplica, Position: 2500 * time.Millisecond},
+		},
 		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"etimedout"}`, balance.HealthCheckResult{Endpoint: "n", Status: balance.StatusTimedOut}},
 		{`{"cmd":"Left","Who":"router-0","Ticket":"t"}`, balance.ClientDisconnected{ID: "t"}},
 		{`{"cmd":"FirstByte","Who":"router-0","Ticket":"t","Leg":1}`, balance.FirstByte{ID: "t", Attempt: 1}},
@@ -78,7 +89,8 @@
 	es := decode(t, NewDecoder(), pool("a")+","+list+","+pool("b")+","+list)
 	for i, node := range []string{"a", "b"} {
 		want := balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
-			{Endpoint: node, Zone: "z", Group: 4, State: balance.EndpointReady, Primary: true, StartedAt: 6}}}
+			{Endpoint: node, Zone: "z", Group: 4, State: balance.EndpointReady, Primary: true, StartedAt: 6},
+		}}
 		if !reflect.DeepEqual(es[i].Event, want) {
 			t.Errorf("list %d: %+v", i, es[i].Event)
 		}
@@ -122,9 +134,16 @@
 
 func TestActions(t *testing.T) {
 	var r Reply
-	r.Add("router-1", []balance.Action{balance.Send{ID: "t", Endpoint: "n"}, balance.Reject{ID: "t", RetryAfter: 6},
-		balance.Fail{ID: "t"}, balance.Cancel{ID: "t"}, balance.HealthCheck{Endpoint: "n"}, balance.Timer{After: 7}, balance.PollEndpointList{},
-		balance.LogLine{Text: "<x>"}})
+	r.Add("router-1", []balance.Action{
+		balance.Send{ID: "t", Endpoint: "n"},
+		balance.Reject{ID: "t", RetryAfter: 6},
+		balance.Fail{ID: "t"},
+		balance.Cancel{ID: "t"},
+		balance.HealthCheck{Endpoint: "n"},
+		balance.Timer{After: 7},
+		balance.PollEndpointList{},
+		balance.LogLine{Text: "<x>"},
+	})
 	r.Crash("router-2", "why")
 	got, err := r.Encode()
 	want := `{"do":[{"cmd":"Attempt","Who":"router-1","Ticket":"t","Node":"n"},` +
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -306,13 +306,19 @@
 	return json.MarshalIndent(object{
 		"name": s.Name, "listen": s.Listen, "operator": s.Operator, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", s.Seed), "known": s.Known,
 		"limits": object{"cores": 1, "memory_mb": c.MemoryMB, "sockets": c.Sockets},
-		"settings": object{"Instances": c.Routers, "Locality": s.Zone, "Discovery": discovery, "ResolutionNs": 5_000_000, "Lanes": lanes,
+		"settings": object{
+			"Instances": c.Routers, "Locality": s.Zone, "Discovery": discovery, "ResolutionNs": 5_000_000, "Lanes": lanes,
 			"Extra": object{"Guards": guards, "TokenMode": "client", "NeedsByClass": words, "LagAllowedNs": bounds, "OriginTimeNs": 1},
-			"Limits": object{"Cancelling": c.Cancel, "Probes": true, "RetryAfter": true, "MaxRetryAfterNs": int64(c.Comeback), "ConnIdleNs": int64(c.ConnIdle),
-				"ConnectTimeoutNs": int64(c.ConnectWithin), "MostTries": c.MostTries},
+			"Limits": object{
+				"Cancelling": c.Cancel, "Probes": true, "RetryAfter": true, "MaxRetryAfterNs": int64(c.Comeback), "ConnIdleNs": int64(c.ConnIdle),
+				"ConnectTimeoutNs": int64(c.ConnectWithin), "MostTries": c.MostTries,
+			},
 			"Prices": object{"Probe": c.ProbePrice},
-			"Contract": object{"AskWithinNs": 5_000_000_000, "DrainGraceNs": int64(c.Grace), "ColdNs": int64(c.Kind.ColdFor), "FallNs": int64(c.Kind.FallFor), "ColdFrom": c.Kind.ColdFrom,
-				"FallMultiple": c.Kind.FallMultiple}},
+			"Contract": object{
+				"AskWithinNs": 5_000_000_000, "DrainGraceNs": int64(c.Grace), "ColdNs": int64(c.Kind.ColdFor), "FallNs": int64(c.Kind.FallFor), "ColdFrom": c.Kind.ColdFrom,
+				"FallMultiple": c.Kind.FallMultiple,
+			},
+		},
 	}, "", " ")
 }
 
--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -94,8 +94,10 @@
 		case balance.ConsistencyLatest:
 			q.see = now
 		}
-		x := router.Request{Label: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
-			Deadline: q.until - now - f.cfg.Client, At: now, Retry: q.tries > 1, Job: q}
+		x := router.Request{
+			Label: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
+			Deadline: q.until - now - f.cfg.Client, At: now, Retry: q.tries > 1, Job: q,
+		}
 		if q.class.Consistency == balance.ConsistencySession {
 			x.After = q.see
 		}
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -59,10 +59,10 @@
 	ProbePrice, HeldBack    float64
 	Cancel                  bool
 	Checks                  balance.FreshnessCheck // what a machine does with a read that it is too far behind for
-	Hold                    []string       // classes whose requests are held through a change of primary
-	Sites                   string         // what routers do about whole sites: one of SitesOff and so on
-	HarmColdBudget          bool           // the routers know nothing of cold machines: a change that does harm
-	Salt                    uint64         // the routers draw otherwise, the world does not: what chance alone does
+	Hold                    []string               // classes whose requests are held through a change of primary
+	Sites                   string                 // what routers do about whole sites: one of SitesOff and so on
+	HarmColdBudget          bool                   // the routers know nothing of cold machines: a change that does harm
+	Salt                    uint64                 // the routers draw otherwise, the world does not: what chance alone does
 
 	Faults []Fault
 }
@@ -117,22 +117,36 @@
 	ms := time.Millisecond
 	return Config{
 		Routers: 3, Zones: []string{"a", "b", "c"}, Banks: 4, Members: 3, Length: 40 * time.Second, Use: 0.4,
-		Kind: model.Kind{Cores: 3, Speed: 1, Slots: 24, Room: 60, Thrash: 0.12, ThrashAt: 5, ColdFrom: 0.16, ColdFor: 18 * time.Second,
+		Kind: model.Kind{
+			Cores: 3, Speed: 1, Slots: 24, Room: 60, Thrash: 0.12, ThrashAt: 5, ColdFrom: 0.16, ColdFor: 18 * time.Second,
 			FallMultiple: 2.5, FallFor: 2 * time.Second, FallBack: 6 * time.Second, Conns: 480, FullTax: 0.06, Handshake: 4 * ms,
-			ProbeWork: 300 * time.Microsecond, Refresh: 120 * ms, Noise: 0.08, Errors: 0.0005, DropsLate: true},
-		Follow: model.Follow{Ship: 8 * ms, Apply: 12 * ms, Detect: [2]time.Duration{time.Second, 3 * time.Second},
-			Stand: [2]time.Duration{0, 500 * ms}, HandOver: [2]time.Duration{470 * ms, 940 * ms}, Resync: 500 * ms},
+			ProbeWork: 300 * time.Microsecond, Refresh: 120 * ms, Noise: 0.08, Errors: 0.0005, DropsLate: true,
+		},
+		Follow: model.Follow{
+			Ship: 8 * ms, Apply: 12 * ms, Detect: [2]time.Duration{time.Second, 3 * time.Second},
+			Stand: [2]time.Duration{0, 500 * ms}, HandOver: [2]time.Duration{470 * ms, 940 * ms}, Resync: 500 * ms,
+		},
 		Classes: []Class{
-			{Class: balance.Class{Name: "queue-view", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms},
-				Share: 0.42, Work: model.Dist{Mean: 65 * ms, CV: 1.1}},
-			{Class: balance.Class{Name: "own-jobs", LatencyObjective: 400 * ms, ClientTimeout: 1500 * ms, PriorityWeight: 2, LateWeightShare: 0.3, Consistency: balance.ConsistencySession},
-				Share: 0.3, Work: model.Dist{Mean: 50 * ms, Exp: true}},
-			{Class: balance.Class{Name: "audit-report", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: balance.ConsistencyAny},
-				Share: 0.02, Work: model.Dist{Mean: 1100 * ms, CV: 1}, Long: true},
-			{Class: balance.Class{Name: "key-check", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: balance.ConsistencyLatest},
-				Share: 0.18, Work: model.Dist{Mean: 30 * ms, Exp: true}},
-			{Class: balance.Class{Name: "submit-job", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
-				Share: 0.08, Work: model.Dist{Mean: 100 * ms, Exp: true}},
+			{
+				Class: balance.Class{Name: "queue-view", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms},
+				Share: 0.42, Work: model.Dist{Mean: 65 * ms, CV: 1.1},
+			},
+			{
+				Class: balance.Class{Name: "own-jobs", LatencyObjective: 400 * ms, ClientTimeout: 1500 * ms, PriorityWeight: 2, LateWeightShare: 0.3, Consistency: balance.ConsistencySession},
+				Share: 0.3, Work: model.Dist{Mean: 50 * ms, Exp: true},
+			},
+			{
+				Class: balance.Class{Name: "audit-report", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: balance.ConsistencyAny},
+				Share: 0.02, Work: model.Dist{Mean: 1100 * ms, CV: 1}, Long: true,
+			},
+			{
+				Class: balance.Class{Name: "key-check", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: balance.ConsistencyLatest},
+				Share: 0.18, Work: model.Dist{Mean: 30 * ms, Exp: true},
+			},
+			{
+				Class: balance.Class{Name: "submit-job", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
+				Share: 0.08, Work: model.Dist{Mean: 100 * ms, Exp: true},
+			},
 		},
 		Same: 200 * time.Microsecond, Cross: ms, Client: 700 * time.Microsecond, Jitter: 0.2,
 		Notice: [2]time.Duration{870 * ms, 4300 * ms}, Silent: [2]time.Duration{6600 * ms, 12 * time.Second},
@@ -189,9 +203,11 @@
 
 // balance is what each router is told.
 func (c *Config) balance(zone string) balance.Config {
-	b := balance.Config{Instances: c.Routers, Zone: zone, PollDiscovery: !c.Pushed, PollWithin: 5 * time.Second, DrainGrace: c.Grace, TimerResolution: 5 * time.Millisecond, FreshnessCheck: c.Checks, ClientSessionTokens: true,
+	b := balance.Config{
+		Instances: c.Routers, Zone: zone, PollDiscovery: !c.Pushed, PollWithin: 5 * time.Second, DrainGrace: c.Grace, TimerResolution: 5 * time.Millisecond, FreshnessCheck: c.Checks, ClientSessionTokens: true,
 		HealthChecks: true, HealthCheckCost: c.ProbePrice, LateRejectCost: c.HeldBack, Cancellation: c.Cancel, RetryAfter: true, MaxRetryAfter: c.Comeback, MaxAttempts: c.MostTries,
-		SlowStartFrom: c.Kind.ColdFrom, SlowStartWindow: c.Kind.ColdFor, OverloadMultiple: c.Kind.FallMultiple, OverloadWindow: c.Kind.FallFor}
+		SlowStartFrom: c.Kind.ColdFrom, SlowStartWindow: c.Kind.ColdFor, OverloadMultiple: c.Kind.FallMultiple, OverloadWindow: c.Kind.FallFor,
+	}
 	if c.HarmColdBudget {
 		b.SlowStartFrom, b.SlowStartWindow = 1, 0
 	}
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -108,8 +108,10 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	f := &Fleet{cfg: cfg, seed: seed, clock: event.New(start), machine: map[string]*model.Machine{}, cuts: map[string]bool{},
-		rng: rand.New(rand.NewPCG(seed, 2)), net: rand.New(rand.NewPCG(seed, 3)), burst: 1}
+	f := &Fleet{
+		cfg: cfg, seed: seed, clock: event.New(start), machine: map[string]*model.Machine{}, cuts: map[string]bool{},
+		rng: rand.New(rand.NewPCG(seed, 2)), net: rand.New(rand.NewPCG(seed, 3)), burst: 1,
+	}
 	f.world = model.New(f.clock, seed)
 	for b := range cfg.Banks {
 		bank := f.world.AddBank(int64(b+1), cfg.Follow)
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -78,8 +78,10 @@
 				}
 			}
 		}
-		core.HoldThrough(failover.Config{Instances: cfg.Instances, Classes: classes, Count: lim.Held, Bytes: lim.HeldBytes,
-			Margin: lim.AnswerBefore, MaxAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
+		core.HoldThrough(failover.Config{
+			Instances: cfg.Instances, Classes: classes, Count: lim.Held, Bytes: lim.HeldBytes,
+			Margin: lim.AnswerBefore, MaxAfter: cfg.MaxRetryAfter,
+		}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
 		core.WatchSites(sitefailover.Watch(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -208,8 +208,10 @@
 	if len(o.Tenants) == 0 {
 		o.Tenants = []Tenant{{"limelab", 1}}
 	}
-	r := &runner{o: o, sessions: make([]session, o.Sessions), res: &Result{Tenants: map[string]*fleet.Tally{}, Tally: map[string]*fleet.Tally{}, Latency: map[string]*hdrhistogram.Histogram{}, Lateness: hdrhistogram.New(1, longestUs, digits), Codes: map[string]int{},
-		Seconds: make([]fleet.Second, int((o.Length+time.Second-1)/time.Second))}}
+	r := &runner{o: o, sessions: make([]session, o.Sessions), res: &Result{
+		Tenants: map[string]*fleet.Tally{}, Tally: map[string]*fleet.Tally{}, Latency: map[string]*hdrhistogram.Histogram{}, Lateness: hdrhistogram.New(1, longestUs, digits), Codes: map[string]int{},
+		Seconds: make([]fleet.Second, int((o.Length+time.Second-1)/time.Second)),
+	}}
 	r.res.Latency[""] = hdrhistogram.New(1, longestUs, digits)
 	for _, k := range o.Classes {
 		r.res.Tally[k.Name], r.res.Latency[k.Name] = &fleet.Tally{}, hdrhistogram.New(1, longestUs, digits)
--- a/internal/simulation/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -170,8 +170,10 @@
 	if ends != r.Came || r.Codes["53300"] == 0 || r.Whole > 0.2 {
 		t.Errorf("%d of %d ended, %v, %.2f", ends, r.Came, r.Codes, r.Whole)
 	}
-	for want, f := range map[string]func(*Options){"addr:": func(o *Options) { o.Addr = "10.0.0.1:5432" }, "rate:": func(o *Options) { o.Rate = 0 }, "length:": func(o *Options) { o.Length = 0 },
-		"connections:": func(o *Options) { o.Conns = 0 }, "classes, ": func(o *Options) { o.Classes = nil }, "arrivals:": func(o *Options) { o.Arrivals = "odd" }, "tenants:": func(o *Options) { o.Tenants = []Tenant{{"", 1}} }} {
+	for want, f := range map[string]func(*Options){
+		"addr:": func(o *Options) { o.Addr = "10.0.0.1:5432" }, "rate:": func(o *Options) { o.Rate = 0 }, "length:": func(o *Options) { o.Length = 0 },
+		"connections:": func(o *Options) { o.Conns = 0 }, "classes, ": func(o *Options) { o.Classes = nil }, "arrivals:": func(o *Options) { o.Arrivals = "odd" }, "tenants:": func(o *Options) { o.Tenants = []Tenant{{"", 1}} },
+	} {
 		o := options(addr)
 		f(&o)
 		if _, err := Run(o); err == nil || !strings.HasPrefix(err.Error(), want) {
--- a/internal/simulation/model/machine.go
+++ b/internal/simulation/model/machine.go
@@ -508,11 +508,13 @@
 	r[i], r[j] = r[j], r[i]
 	r[i].index, r[j].index = i, j
 }
+
 func (r *running) Push(x any) {
 	w := x.(*Work)
 	w.index = len(*r)
 	*r = append(*r, w)
 }
+
 func (r *running) Pop() any {
 	n := len(*r) - 1
 	w := (*r)[n]
--- a/internal/simulation/multiprocess/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -76,8 +76,10 @@
 
 // New returns Clients that ask nothing before Run. The fronts begin to look for routers at once.
 func New(o Options, log *history.Log) *Clients {
-	c := &Clients{o: o, log: log, rng: rand.New(rand.NewPCG(o.Seed, 23)), fronts: map[string]*front{}, wrote: make([]time.Duration, max(1, o.Sessions)),
-		res: Result{Tally: map[string]*fleet.Tally{}}, stop: make(chan struct{})}
+	c := &Clients{
+		o: o, log: log, rng: rand.New(rand.NewPCG(o.Seed, 23)), fronts: map[string]*front{}, wrote: make([]time.Duration, max(1, o.Sessions)),
+		res: Result{Tally: map[string]*fleet.Tally{}}, stop: make(chan struct{}),
+	}
 	for _, k := range o.Classes {
 		c.res.Tally[k.Name] = &fleet.Tally{}
 	}
@@ -199,8 +201,10 @@
 		x -= c.o.Classes[i].Share
 	}
 	c.last++
-	return &request{class: k, site: sites[c.rng.IntN(len(sites))], session: c.rng.IntN(len(c.wrote)), need: max(time.Microsecond, k.Work.Draw(c.rng)),
-		honours: c.rng.Float64() < c.o.Honour, number: c.last}
+	return &request{
+		class: k, site: sites[c.rng.IntN(len(sites))], session: c.rng.IntN(len(c.wrote)), need: max(time.Microsecond, k.Work.Draw(c.rng)),
+		honours: c.rng.Float64() < c.o.Honour, number: c.last,
+	}
 }
 
 func (c *Clients) second(q *request) *fleet.Second {
--- a/internal/simulation/multiprocess/history/history.go
+++ b/internal/simulation/multiprocess/history/history.go
@@ -104,15 +104,19 @@
 func (c Came) String() string {
 	return fmt.Sprintf("statement %s comes to %s from %s.%d", c.ID, c.Member, c.Router, c.Life)
 }
+
 func (r Ran) String() string {
 	return fmt.Sprintf("statement %s ends at %s: served %v, its connection gone %v", r.ID, r.Member, r.Served, r.Gone)
 }
+
 func (g GivenUp) String() string {
 	return fmt.Sprintf("%s gives up its connection %s to %s", g.Router, g.Conn, g.Member)
 }
+
 func (t Told) String() string {
 	return fmt.Sprintf("%s.%d is told that %s is %s", t.Router, t.Life, t.Member, t.State)
 }
+
 func (p Process) String() string {
 	if p.Ready {
 		return fmt.Sprintf("%s.%d is ready", p.Router, p.Life)
--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -174,8 +174,10 @@
 	listen, operator := ip+":6432", ip+":9600"
 	p.began = v.began
 	p.settings = func() ([]byte, error) {
-		text, err := r.host.SettingsFor(emulator.Seat{Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
-			Seed: r.o.Seed<<20 + uint64(i)<<8 + uint64(p.Life()+1)})
+		text, err := r.host.SettingsFor(emulator.Seat{
+			Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
+			Seed: r.o.Seed<<20 + uint64(i)<<8 + uint64(p.Life()+1),
+		})
 		if err == nil && r.o.Harm != nil {
 			text = r.o.Harm(text)
 		}
@@ -232,8 +234,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := clients.New(clients.Options{Sites: own, Others: others, Rate: cfg.Rate(), Shape: cfg.Shape, Classes: cfg.Classes, Banks: cfg.Banks, Sessions: cfg.Sessions,
-		Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Notice: r.o.Notice, Seed: r.o.Seed}, r.log)
+	c := clients.New(clients.Options{
+		Sites: own, Others: others, Rate: cfg.Rate(), Shape: cfg.Shape, Classes: cfg.Classes, Banks: cfg.Banks, Sessions: cfg.Sessions,
+		Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Notice: r.o.Notice, Seed: r.o.Seed,
+	}, r.log)
 	for end := time.Now().Add(30 * time.Second); c.Up() < cfg.Routers; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return nil, fmt.Errorf("%d of %d routers are ready after 30 s; their logs end with %s", c.Up(), cfg.Routers, r.lastWords())
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -272,39 +272,49 @@
 
 func (r *reader) fleet(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	c := &r.s.Config
-	return starlark.None, set(args, kw, map[string]field{"routers": whole(&c.Routers, 1, 2000), "banks": whole(&c.Banks, 1, 5000), "members": whole(&c.Members, 1, 50), "spares": whole(&c.Spares, 0, 50),
+	return starlark.None, set(args, kw, map[string]field{
+		"routers": whole(&c.Routers, 1, 2000), "banks": whole(&c.Banks, 1, 5000), "members": whole(&c.Members, 1, 50), "spares": whole(&c.Spares, 0, 50),
 		"zones": texts(&c.Zones), "memory_mb": whole(&c.MemoryMB, 16, 1<<16), "sockets": whole(&c.Sockets, 128, 1<<20), "tries": whole(&c.MostTries, 0, 1000),
 		"grace_ms": span(&c.Grace, time.Millisecond), "sites": text(&c.Sites), "come_back_s": span(&c.Comeback, time.Second), "checks": checks(&c.Checks),
 		"probe_price": float(&c.ProbePrice, 0, 1), "held_back": float(&c.HeldBack, 0, 1), "cancel": truth(&c.Cancel), "harm_cold_budget": truth(&c.HarmColdBudget),
-		"connect_ms": span(&c.ConnectWithin, time.Millisecond), "idle_s": span(&c.ConnIdle, time.Second)})
+		"connect_ms": span(&c.ConnectWithin, time.Millisecond), "idle_s": span(&c.ConnIdle, time.Second),
+	})
 }
 
 func (r *reader) machine(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	k := &r.s.Config.Kind
-	return starlark.None, set(args, kw, map[string]field{"cores": whole(&k.Cores, 1, 1024), "speed": float(&k.Speed, 0.001, 1000), "slots": whole(&k.Slots, 1, 1<<16), "room": whole(&k.Room, 0, 1<<20),
+	return starlark.None, set(args, kw, map[string]field{
+		"cores": whole(&k.Cores, 1, 1024), "speed": float(&k.Speed, 0.001, 1000), "slots": whole(&k.Slots, 1, 1<<16), "room": whole(&k.Room, 0, 1<<20),
 		"thrash": float(&k.Thrash, 0, 10), "thrash_at": float(&k.ThrashAt, 0, 1000), "cold_from": float(&k.ColdFrom, 0.01, 1), "cold_s": span(&k.ColdFor, time.Second),
 		"warm_by_work": truth(&k.WarmByWork), "fall_multiple": float(&k.FallMultiple, 0.1, 1000), "fall_s": span(&k.FallFor, time.Second), "fall_back_s": span(&k.FallBack, time.Second),
 		"connections": whole(&k.Conns, 0, 1<<20), "full_tax": float(&k.FullTax, 0, 0.95), "handshake_ms": span(&k.Handshake, time.Millisecond), "probe_ms": span(&k.ProbeWork, time.Millisecond),
-		"refresh_ms": span(&k.Refresh, time.Millisecond), "noise": float(&k.Noise, 0, 10), "errors": float(&k.Errors, 0, 1), "cancel_stops": truth(&k.CancelAll), "drops_late": truth(&k.DropsLate)})
+		"refresh_ms": span(&k.Refresh, time.Millisecond), "noise": float(&k.Noise, 0, 10), "errors": float(&k.Errors, 0, 1), "cancel_stops": truth(&k.CancelAll), "drops_late": truth(&k.DropsLate),
+	})
 }
 
 func (r *reader) follow(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	f := &r.s.Config.Follow
-	return starlark.None, set(args, kw, map[string]field{"ship_ms": span(&f.Ship, time.Millisecond), "apply_ms": span(&f.Apply, time.Millisecond), "detect_s": spans(&f.Detect, time.Second),
-		"stand_s": spans(&f.Stand, time.Second), "hand_over_s": spans(&f.HandOver, time.Second), "resync_s": span(&f.Resync, time.Second)})
+	return starlark.None, set(args, kw, map[string]field{
+		"ship_ms": span(&f.Ship, time.Millisecond), "apply_ms": span(&f.Apply, time.Millisecond), "detect_s": spans(&f.Detect, time.Second),
+		"stand_s": spans(&f.Stand, time.Second), "hand_over_s": spans(&f.HandOver, time.Second), "resync_s": span(&f.Resync, time.Second),
+	})
 }
 
 func (r *reader) network(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	c := &r.s.Config
-	return starlark.None, set(args, kw, map[string]field{"same_ms": span(&c.Same, time.Millisecond), "cross_ms": span(&c.Cross, time.Millisecond), "client_ms": span(&c.Client, time.Millisecond),
+	return starlark.None, set(args, kw, map[string]field{
+		"same_ms": span(&c.Same, time.Millisecond), "cross_ms": span(&c.Cross, time.Millisecond), "client_ms": span(&c.Client, time.Millisecond),
 		"jitter": float(&c.Jitter, 0, 10), "notice_s": spans(&c.Notice, time.Second), "silent_s": spans(&c.Silent, time.Second), "call_ms": span(&c.Call, time.Millisecond),
-		"call_within_s": span(&c.CallWithin, time.Second), "pushed": truth(&c.Pushed), "role_lag_s": spans(&c.RoleLag, time.Second)})
+		"call_within_s": span(&c.CallWithin, time.Second), "pushed": truth(&c.Pushed), "role_lag_s": spans(&c.RoleLag, time.Second),
+	})
 }
 
 func (r *reader) clients(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	c := &r.s.Config
-	return starlark.None, set(args, kw, map[string]field{"retries": whole(&c.Retries, 0, 1000), "honour": float(&c.Honour, 0, 1), "backoff_ms": span(&c.Backoff, time.Millisecond),
-		"leave": float(&c.Leave, 0, 1), "sessions": whole(&c.Sessions, 1, 1<<20), "roam": float(&c.Roam, 0, 1)})
+	return starlark.None, set(args, kw, map[string]field{
+		"retries": whole(&c.Retries, 0, 1000), "honour": float(&c.Honour, 0, 1), "backoff_ms": span(&c.Backoff, time.Millisecond),
+		"leave": float(&c.Leave, 0, 1), "sessions": whole(&c.Sessions, 1, 1<<20), "roam": float(&c.Roam, 0, 1),
+	})
 }
 
 func (r *reader) traffic(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
@@ -332,9 +342,11 @@
 	k, need, safe := fleet.Class{}, "any", true
 	k.Work.Exp = true
 	k.PriorityWeight, k.LateWeightShare = 1, 0.2
-	err := set(args, kw, map[string]field{"name": text(&k.Name), "share": float(&k.Share, 0, 1000), "work_ms": span(&k.Work.Mean, time.Millisecond), "cv": float(&k.Work.CV, 0, 20),
+	err := set(args, kw, map[string]field{
+		"name": text(&k.Name), "share": float(&k.Share, 0, 1000), "work_ms": span(&k.Work.Mean, time.Millisecond), "cv": float(&k.Work.CV, 0, 20),
 		"aim_ms": span(&k.LatencyObjective, time.Millisecond), "deadline_ms": span(&k.ClientTimeout, time.Millisecond), "worth": float(&k.PriorityWeight, 0, 1e6), "late": float(&k.LateWeightShare, 0, 1),
-		"need": text(&need), "bound_ms": span(&k.MaxStaleness, time.Millisecond), "safe": truth(&safe), "long": truth(&k.Long)})
+		"need": text(&need), "bound_ms": span(&k.MaxStaleness, time.Millisecond), "safe": truth(&safe), "long": truth(&k.Long),
+	})
 	var ok bool
 	if k.Consistency, ok = needs[need]; err == nil && !ok {
 		err = fmt.Errorf("need: nothing is called %s", need)
--- a/internal/simulation/stats/figures.go
+++ b/internal/simulation/stats/figures.go
@@ -238,8 +238,10 @@
 
 // changes are how long a bank has no primary, in the mean of many.
 func changes(seed uint64) (all []Figure) {
-	f := model.Follow{Detect: [2]time.Duration{time.Second, 3 * time.Second}, Stand: [2]time.Duration{0, 500 * time.Millisecond},
-		HandOver: [2]time.Duration{470 * time.Millisecond, 940 * time.Millisecond}}
+	f := model.Follow{
+		Detect: [2]time.Duration{time.Second, 3 * time.Second}, Stand: [2]time.Duration{0, 500 * time.Millisecond},
+		HandOver: [2]time.Duration{470 * time.Millisecond, 940 * time.Millisecond},
+	}
 	const rounds = 400
 	for _, x := range []struct {
 		how  string
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -52,7 +52,8 @@
 func TestBad(t *testing.T) {
 	head := "<7>1 - - - - - "
 	var m Message
-	for _, s := range []string{"", "<", "<192>1 - - - - - -", "<07>1 - - - - - -", "<7>2 - - - - - -", "<7>1  - - - - -", "<7>1 - - - - -", "7>1 - - - - - -",
+	for _, s := range []string{
+		"", "<", "<192>1 - - - - - -", "<07>1 - - - - - -", "<7>2 - - - - - -", "<7>1  - - - - -", "<7>1 - - - - -", "7>1 - - - - - -",
 		"<7>1 2003-13-11T22:14:15Z - - - - -", "<7>1 2003-02-29T22:14:15Z - - - - -", "<7>1 2003-02-28T24:14:15Z - - - - -", "<7>1 2003-02-28T22:14:60Z - - - - -",
 		"<7>1 2003-02-28t22:14:15Z - - - - -", "<7>1 2003-02-28T22:14:15z - - - - -", "<7>1 2003-02-28T22:14:15.1234567Z - - - - -", "<7>1 2003-02-28T22:14:15.Z - - - - -",
 		"<7>1 2003-02-28T22:14:15 - - - - -", "<7>1 2003-02-28T22:14:15+24:00 - - - - -", "<7>1 - " + strings.Repeat("h", 256) + " - - - -",
@@ -62,7 +63,8 @@
 		head + `[a@1][a@1]`, head + "[" + strings.Repeat("a", 31) + "@1]", head + `[a@1 ="x"]`, head + `[a@1 b="x"c="y"]`,
 		head + `[meta sequenceId="0"]`, head + `[meta sequenceId="2147483648"]`, head + `[meta x="1"]`, head + `[timeQuality isSynced="2"]`,
 		head + `[timeQuality isSynced="0" syncAccuracy="1"]`, head + `[timeQuality tzKnown="1" syncAccuracy="1"]`, head + `[origin software="` + strings.Repeat("s", 49) + `"]`,
-		head + "- \xef\xbb\xbf\xff"} {
+		head + "- \xef\xbb\xbf\xff",
+	} {
 		if m.Read([]byte(s)) == nil {
 			t.Errorf("taken: %q", s)
 		}
@@ -154,8 +156,10 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for text, want := range map[string]error{"5 abc": ErrCut, "0 ": ErrFrame, "05 abcde": ErrFrame, "1001 ": ErrLong, "99999999999999999999 ": ErrLong, "5x": ErrFrame, "x": ErrFrame,
-		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut} {
+	for text, want := range map[string]error{
+		"5 abc": ErrCut, "0 ": ErrFrame, "05 abcde": ErrFrame, "1001 ": ErrLong, "99999999999999999999 ": ErrLong, "5x": ErrFrame, "x": ErrFrame,
+		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut,
+	} {
 		if _, err := NewFrames(strings.NewReader(text), 1000).Next(); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, %v wanted", text, err, want)
 		}
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -112,8 +112,10 @@
 
 // NewSender starts to send. It finds what earlier processes have left in the spool.
 func NewSender(opt Options, log *slog.Logger) (*Sender, error) {
-	s := &Sender{opt: opt, log: log, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}),
-		start: time.Now(), using: -1, filled: time.Now(), adopted: time.Now()}
+	s := &Sender{
+		opt: opt, log: log, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}),
+		start: time.Now(), using: -1, filled: time.Now(), adopted: time.Now(),
+	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.turn = *NewFailover(len(opt.Collectors), opt.Seed, opt.First, opt.Last)
 	if opt.Spool != "" {
@@ -182,8 +184,10 @@
 
 // Stats returns what was done so far.
 func (s *Sender) Stats() Stats {
-	return Stats{Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connects.Load(), Spooled: s.spooled.Load(),
-		Lost: s.lost.Load(), SpoolErrs: s.errs.Load(), Skipped: s.skipped.Load(), Connected: s.connected.Load()}
+	return Stats{
+		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connects.Load(), Spooled: s.spooled.Load(),
+		Lost: s.lost.Load(), SpoolErrs: s.errs.Load(), Skipped: s.skipped.Load(), Connected: s.connected.Load(),
+	}
 }
 
 // Change sets other collectors; what is on its way to an old one is finished first.
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -36,8 +36,10 @@
 	if w.cert, _, _, err = w.ca.Issue("collector.example", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	w.opt = Options{TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine", Disk: spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
-		Connect: 2 * time.Second, Stall: time.Second, First: 5 * time.Millisecond, Last: 50 * time.Millisecond, Prefer: time.Hour}
+	w.opt = Options{
+		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine", Disk: spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
+		Connect: 2 * time.Second, Stall: time.Second, First: 5 * time.Millisecond, Last: 50 * time.Millisecond, Prefer: time.Hour,
+	}
 	return w
 }
 
@@ -396,8 +398,10 @@
 	strange, _, _, _ := other.Issue("collector.example", time.Now().Add(time.Hour))
 	w := newWorld(t)
 	old, _, _, _ := w.ca.Issue("collector.example", time.Now().Add(-time.Minute))
-	for name, conf := range map[string]*tls.Config{"strange": {Certificates: []tls.Certificate{strange}}, "old": {Certificates: []tls.Certificate{old}},
-		"1.1": {Certificates: []tls.Certificate{w.cert}, MaxVersion: tls.VersionTLS11}} {
+	for name, conf := range map[string]*tls.Config{
+		"strange": {Certificates: []tls.Certificate{strange}}, "old": {Certificates: []tls.Certificate{old}},
+		"1.1": {Certificates: []tls.Certificate{w.cert}, MaxVersion: tls.VersionTLS11},
+	} {
 		w := newWorld(t)
 		w.opt.TLS = &tls.Config{RootCAs: w.ca.Pool, MinVersion: tls.VersionTLS12}
 		c := w.collector(collector.Options{Network: "tls", TLS: conf})
--- a/internal/testserver/collector/certs.go
+++ b/internal/testserver/collector/certs.go
@@ -29,8 +29,10 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in authority"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	t := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in authority"}, NotBefore: time.Now().Add(-time.Hour),
+		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
@@ -50,9 +52,11 @@
 	if err != nil {
 		return cert, nil, nil, err
 	}
-	t := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: until,
+	t := &x509.Certificate{
+		SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: until,
 		DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	a.next++
 	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
 	if err != nil {
