--- a/internal/audit/encode_test.go
+++ b/internal/audit/encode_test.go
@@ -15,14 +15,14 @@
 
 var key = audit.Key{Name: "k-2026", Secret: [32]byte{7, 7, 7}}
 
-func encoder(t testing.TB, most int, k *audit.Key) *audit.Encoder {
+func encoder(tb testing.TB, most int, k *audit.Key) *audit.Encoder {
 	e, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
 		Enterprise: 4294967295, Most: most, Software: "limeladder", Version: "(devel)", Start: audit.Stem(time.Unix(1.8e9, 0), 1), Began: time.Unix(1.8e9, 0),
 		Refused: "53300", Failed: "08007", Key: k, Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} },
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return e
 }
@@ -70,36 +70,36 @@
 }
 
 // check reads a message strictly and compares what has come with what was given, up to a legal cut.
-func check(t testing.TB, e audit.Event, msg []byte, most int) {
-	t.Helper()
+func check(tb testing.TB, e audit.Event, msg []byte, most int) {
+	tb.Helper()
 	var m parser.Message
 	if err := m.Read(msg); err != nil {
-		t.Fatalf("%v: %q", err, msg)
+		tb.Fatalf("%v: %q", err, msg)
 	}
 	if len(msg) > most {
-		t.Fatalf("%d bytes of %d", len(msg), most)
+		tb.Fatalf("%d bytes of %d", len(msg), most)
 	}
 	own := m.Find("audit@4294967295")
 	for _, name := range []string{"start", "link"} {
 		if v, ok := own.Find(name); !ok || len(v) == 0 {
-			t.Fatalf("no %s: %q", name, msg)
+			tb.Fatalf("no %s: %q", name, msg)
 		}
 	}
 	cut, isCut := own.Find("cut")
 	if !isCut && len(msg) < most/2 && m.Find("origin") == nil {
-		t.Fatalf("parts are missing without a word: %q", msg)
+		tb.Fatalf("parts are missing without a word: %q", msg)
 	}
 	fits := func(elem, name, want string) {
-		t.Helper()
+		tb.Helper()
 		v, ok := m.Find(elem + "@4294967295").Find(name)
 		if !ok {
 			if !isCut || string(cut) == "msg" {
-				t.Fatalf("%s is gone without a word: %q", name, msg)
+				tb.Fatalf("%s is gone without a word: %q", name, msg)
 			}
 			return
 		}
 		if got, err := parser.Plain(v); err != nil || got != want {
-			t.Fatalf("%s: %q, %v, given was %q", name, got, err, want)
+			tb.Fatalf("%s: %q, %v, given was %q", name, got, err, want)
 		}
 	}
 	switch v := e.(type) {
@@ -119,13 +119,13 @@
 				if string(p.Name) == "try" {
 					part := strings.SplitN(string(p.Value), ",", 3)
 					if node, err := parser.Plain([]byte(part[2])); err != nil || node != v.Attempts[i].Node {
-						t.Fatalf("try %d: %q, given was %q", i, node, v.Attempts[i].Node)
+						tb.Fatalf("try %d: %q, given was %q", i, node, v.Attempts[i].Node)
 					}
 					i++
 				}
 			}
 			if i != len(v.Attempts) {
-				t.Fatalf("%d of %d attempts", i, len(v.Attempts))
+				tb.Fatalf("%d of %d attempts", i, len(v.Attempts))
 			}
 		}
 	case audit.Drain:
@@ -135,14 +135,14 @@
 		fits("event", "topic", v.Topic)
 		if !isCut {
 			if text, err := parser.Plain(m.Text); err != nil || text != v.Text {
-				t.Fatalf("MSG %q, given was %q", text, v.Text)
+				tb.Fatalf("MSG %q, given was %q", text, v.Text)
 			}
 		}
 	case audit.Primary:
 		fits("event", "node", v.Node)
 	}
 	if ascii := !slices.ContainsFunc(m.Text, func(c byte) bool { return c >= 0x80 }); !m.Marked && !ascii || m.Marked && ascii && !isCut {
-		t.Fatalf("byte order mark %v before %q", m.Marked, m.Text)
+		tb.Fatalf("byte order mark %v before %q", m.Marked, m.Text)
 	}
 }
 
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -14,13 +14,13 @@
 )
 
 // corpus are the messages of one start: n answers with heads between them, from START to the last head.
-func corpus(t testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
+func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
 	e, err := audit.NewEncoder(audit.EncoderOptions{
 		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
 		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0],
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	seq := uint64(0)
 	add := func(ev audit.Event) {
@@ -30,7 +30,7 @@
 	head := func(next *audit.Key) {
 		p, err := e.Chain(time.Unix(1.8e9, int64(seq)*1e6), next)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		msgs = append(msgs, bytes.Clone(p))
 	}
@@ -72,12 +72,12 @@
 
 func lines(msgs [][]byte) []byte { return append(bytes.Join(msgs, []byte("\n")), '\n') }
 
-func look(t testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
-	t.Helper()
+func look(tb testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
+	tb.Helper()
 	v := verify.New(opt)
 	for i, p := range files {
 		if err := v.File(fmt.Sprint("file", i), bytes.NewReader(p)); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return v.Report()
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -24,42 +24,42 @@
 	return msgs
 }
 
-func create(t testing.TB, root string, opt Options) *Spool {
-	t.Helper()
+func create(tb testing.TB, root string, opt Options) *Spool {
+	tb.Helper()
 	s, err := Create(root, "one", opt)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
 // drain reads all that is left, as delivered.
-func drain(t testing.TB, s *Spool) (out []string) {
-	t.Helper()
+func drain(tb testing.TB, s *Spool) (out []string) {
+	tb.Helper()
 	for !s.Empty() {
 		msgs, err := s.Next(nil, 5, 60)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		for _, m := range msgs {
 			out = append(out, string(m))
 		}
 		s.Delivered(s.Reading())
 		if len(msgs) == 0 && !s.Empty() {
-			t.Fatalf("nothing comes, %d bytes are left", s.Size())
+			tb.Fatalf("nothing comes, %d bytes are left", s.Size())
 		}
 	}
 	return out
 }
 
-func same(t testing.TB, got []string, want [][]byte) {
-	t.Helper()
+func same(tb testing.TB, got []string, want [][]byte) {
+	tb.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d messages, %d wanted", len(got), len(want))
+		tb.Fatalf("%d messages, %d wanted", len(got), len(want))
 	}
 	for i := range got {
 		if got[i] != string(want[i]) {
-			t.Fatalf("%d: %q, %q wanted", i, got[i], want[i])
+			tb.Fatalf("%d: %q, %q wanted", i, got[i], want[i])
 		}
 	}
 }
--- a/internal/syslog/parser/grammar_test.go
+++ b/internal/syslog/parser/grammar_test.go
@@ -38,8 +38,8 @@
 	Value string `parser:"@Value"`
 }
 
-func newGrammar(t testing.TB) *grammar {
-	t.Helper()
+func newGrammar(tb testing.TB) *grammar {
+	tb.Helper()
 	name := `[!#-<>-\\^-~]{1,32}`
 	// A field that only begins with the sign is no NILVALUE.
 	word := func(next string) []lexer.Rule {
@@ -61,11 +61,11 @@
 		"End":      {{Name: "Text", Pattern: `(?s) .*`}},
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p, err := participle.Build[gMessage](participle.Lexer(lex))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return &grammar{p}
 }
--- a/internal/testserver/standin.go
+++ b/internal/testserver/standin.go
@@ -49,13 +49,13 @@
 
 // NewDB starts a db machine. act, if not nil, is asked at each message of a statement with the given id; type 0 is
 // the startup message.
-func NewDB(t testing.TB, primary bool, act func(typ byte, id string) Act) *DB {
-	t.Helper()
+func NewDB(tb testing.TB, primary bool, act func(typ byte, id string) Act) *DB {
+	tb.Helper()
 	d := &DB{Addr: "127.0.0.1:0", primary: primary, act: act, runs: map[string]int{}, conns: map[net.Conn]bool{}}
 	if err := d.Start(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { d.Stop(); d.Hang(false) })
+	tb.Cleanup(func() { d.Stop(); d.Hang(false) })
 	return d
 }
 
@@ -374,17 +374,17 @@
 }
 
 // Dial connects and waits for the welcome.
-func Dial(t testing.TB, addr string) *Client {
-	t.Helper()
+func Dial(tb testing.TB, addr string) *Client {
+	tb.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	k := &Client{t: t, c: c, r: pgwire.NewReader(8<<20, 0)}
+	tb.Cleanup(func() { c.Close() })
+	k := &Client{t: tb, c: c, r: pgwire.NewReader(8<<20, 0)}
 	k.Send(pgwire.AppendStartup(nil, "user", "portal", "database", "crm"))
 	if a := k.Until('Z'); a.Code != "" {
-		t.Fatalf("not welcome: %+v", a)
+		tb.Fatalf("not welcome: %+v", a)
 	}
 	return k
 }
