--- a/cmd/limeladder/changeover.go
+++ b/cmd/limeladder/changeover.go
@@ -28,10 +28,10 @@
 		if !ok || k.Consistency != balance.ConsistencyWrite && k.Consistency != balance.ConsistencyLatest {
 			return fmt.Errorf("changeover.classes[%d]: %q is no class that needs the primary", i, name)
 		}
-		classes[name] = failover.Class{Worth: k.PriorityWeight, Work: k.LatencyObjective / 10}
+		classes[name] = failover.Class{PriorityWeight: k.PriorityWeight, Work: k.LatencyObjective / 10}
 	}
-	d.core.HoldThrough(failover.Config{Instances: cfg.Balance.Instances, Classes: classes, Count: cmp.Or(c.Count, d.lim.Held),
-		Bytes: cmp.Or(c.Bytes, d.lim.HeldBytes), Time: c.Time, Margin: d.lim.AnswerBefore, MaxAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
+	d.core.EnableFailoverQueue(failover.Config{Instances: cfg.Balance.Instances, Classes: classes, MaxPending: cmp.Or(c.Count, d.lim.Held),
+		MaxPendingBytes: cmp.Or(c.Bytes, d.lim.HeldBytes), MaxPendingTime: c.Time, DeadlineMargin: d.lim.AnswerBefore, MaxRetryAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
 	return nil
 }
 
@@ -55,20 +55,20 @@
 		return
 	}
 	if d.store == nil || !d.store.Ready() || !d.told {
-		d.loop.After(d.lim.Share, d.hint)
+		d.loop.AfterFunc(d.lim.Share, d.hint)
 		return
 	}
 	d.hinted = true
-	for _, v := range d.core.Banks() {
+	for _, v := range d.core.FailoverViews() {
 		var s succession
-		p, ok := d.store.Get("primary/" + strconv.FormatInt(v.Bank, 10))
+		p, ok := d.store.Get("primary/" + strconv.FormatInt(v.Group, 10))
 		if ok && json.Unmarshal(p, &s) == nil {
-			d.core.Hint(v.Bank, s.Term, s.Primary)
+			d.core.RestoreTerm(v.Group, s.Term, s.Primary)
 		}
 	}
-	for _, v := range d.core.Banks() {
+	for _, v := range d.core.FailoverViews() {
 		if v.Primary != "" {
-			d.succeeded(v.Bank, v.Term, v.Primary)
+			d.succeeded(v.Group, v.Term, v.Primary)
 		}
 	}
 }
@@ -104,11 +104,11 @@
 	}
 	now := d.loop.Now()
 	cells := []cell{}
-	for _, v := range d.core.Banks() {
-		c := cell{Cell: v.Bank, Phase: v.Phase.String(), Term: v.Term, Primary: v.Primary, SinceMs: v.Since.Milliseconds(), Held: v.Held, OldestMs: v.Oldest.Milliseconds(),
-			Out: v.Out, Released: v.Released, GivenUp: v.GivenUp, History: []step{}}
+	for _, v := range d.core.FailoverViews() {
+		c := cell{Cell: v.Group, Phase: v.Phase.String(), Term: v.Term, Primary: v.Primary, SinceMs: v.Since.Milliseconds(), Held: v.Pending, OldestMs: v.OldestPending.Milliseconds(),
+			Out: v.ReleasedInFlight, Released: v.Released, GivenUp: v.Rejected, History: []step{}}
 		for _, l := range v.History {
-			c.History = append(c.History, step{(now - l.At).Milliseconds(), l.From.String(), l.To.String(), l.Evidence.String(), l.Node, l.Term})
+			c.History = append(c.History, step{(now - l.At).Milliseconds(), l.From.String(), l.To.String(), l.Evidence.String(), l.Endpoint, l.Term})
 		}
 		cells = append(cells, c)
 	}
@@ -125,7 +125,7 @@
 	if len(d.dep.Changeover.Classes) == 0 {
 		return false, true
 	}
-	known = d.core.Announce(id, limit)
+	known = d.core.AnnounceFailover(id, limit)
 	if known {
 		d.record.note("changeover", fmt.Sprintf("operators announce a change of the primary of bank %d within %v", id, limit))
 	}
--- a/cmd/limeladder/changeover_test.go
+++ b/cmd/limeladder/changeover_test.go
@@ -280,13 +280,13 @@
 		old.Lead(false)
 	case "is announced":
 		r := make(chan bool)
-		s.d.loop.Urgent(func() { s.d.Changeover(int64(7+bank), 3*time.Second); close(r) })
+		s.d.loop.PostUrgent(func() { s.d.Changeover(int64(7+bank), 3*time.Second); close(r) })
 		<-r
 		pause(gap / 3)
 		old.Lead(false)
 	case "is suspended":
 		r := make(chan bool)
-		s.d.loop.Urgent(func() { s.d.Suspend(old.Addr, true, func(bool) { close(r) }) })
+		s.d.loop.PostUrgent(func() { s.d.Suspend(old.Addr, true, func(bool) { close(r) }) })
 		<-r
 		old.Lead(false)
 		s.mu.Lock()
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -49,7 +49,7 @@
 	operator *transport.Listener // nil = off
 	known    map[string]bool     // the db machines that discovery has named, ever
 	order    []string            // the same, in the order it did
-	shared   *hotrestart.Shared
+	shared   *hotrestart.SharedState
 	full     limits.Limits // while no other process of this router is alive
 	dep      config.Deploy
 	serving  bool // clients may come
@@ -82,7 +82,7 @@
 	}
 	d.full, d.dep, d.passed = d.lim, dep, cfg.Inherited > 0
 	var left hotrestart.State
-	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.First() {
+	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.StartedAlone() {
 		d.two = true
 		log.Info("another process of this router serves")
 		d.lim = d.full.Lean()
@@ -95,7 +95,7 @@
 	if d.record, err = startRecording(d.loop, d.lim, dep, cfg.Name, cfg.SeedValue, log); err != nil {
 		return nil, err
 	}
-	if d.shared.First() { // otherwise the other process has it: it is opened once that is gone
+	if d.shared.StartedAlone() { // otherwise the other process has it: it is opened once that is gone
 		if d.store, err = d.openStore(); err != nil {
 			return nil, err
 		}
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.Urgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
+		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.PostUrgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
 		log.Info("listening", "front", "operator", "addr", ln.Addr().String())
 	}
 	known := config.List{}
@@ -129,7 +129,7 @@
 		known = *cfg.Known
 	}
 	d.loop.Post(func() {
-		d.Listed(left.Listed)
+		d.KnownEndpointsAdded(left.KnownEndpoints)
 		for id := range left.Suspended {
 			d.suspend(id, true, "another process")
 		}
@@ -140,16 +140,16 @@
 		d.hint()
 		first := d.lim.ListFirst
 		if d.lim.ListKnown && len(known.Servers) > 0 {
-			d.watcher.From(known.Version)
+			d.watcher.ResumeFrom(known.Version)
 			first = 0
 		}
 		if !cfg.Balance.PollDiscovery { // otherwise the decision module says when
-			d.watcher.Follow(cfg.SeedValue)
+			d.watcher.FollowPushed(cfg.SeedValue)
 		}
-		d.loop.After(first, d.ready)
+		d.loop.AfterFunc(first, d.ready)
 		d.report()
 	})
-	d.shared.Follow(d.lim.Share, d.loop.Urgent, d)
+	d.shared.Watch(d.lim.Share, d.loop.PostUrgent, d)
 	return d, nil
 }
 
@@ -179,8 +179,8 @@
 		return nil
 	}
 	err := d.listen("extended.listen", 0, addr, extendedquery.New(d.core))
-	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.First() {
-		d.loop.After(d.lim.Share, func() {
+	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.StartedAlone() {
+		d.loop.AfterFunc(d.lim.Share, func() {
 			if err := d.second(); err != nil {
 				d.log.Error("the second front stays closed", "err", err)
 			}
@@ -214,10 +214,10 @@
 // report logs and keeps the counters now and then.
 func (d *daemon) report() {
 	c := d.core.Counts()
-	d.log.Info("counts", "taken", c.Taken, "served", c.Served, "refused", c.Refused, "failed", c.Failed, "left", c.Left,
-		"attempts", fmt.Sprint(c.Attempts), "inhand", d.core.InHand(), "clients", d.clients())
+	d.log.Info("counts", "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed, "left", c.Disconnected,
+		"attempts", fmt.Sprint(c.Attempts), "inhand", d.core.InFlight(), "clients", d.clients())
 	d.keep("counts/"+d.name, c)
-	d.loop.After(d.lim.Report, d.report)
+	d.loop.AfterFunc(d.lim.Report, d.report)
 }
 
 // listen opens a front, on the socket that was inherited or, where that is 0, on one of its own.
@@ -273,12 +273,12 @@
 func (d *daemon) run() {
 	d.loop.Run(func() {
 		d.core.Step()
-		if d.draining && d.core.InHand() == 0 && d.clients() == 0 && d.engine.Finishing() == 0 {
+		if d.draining && d.core.InFlight() == 0 && d.clients() == 0 && d.engine.Finishing() == 0 {
 			d.loop.Stop()
 		}
 	})
 	c := d.core.Counts()
-	d.log.Info("ended", "taken", c.Taken, "served", c.Served, "refused", c.Refused, "failed", c.Failed, "left", c.Left,
+	d.log.Info("ended", "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed, "left", c.Disconnected,
 		"attempts", fmt.Sprint(c.Attempts))
 	d.record.end(c)
 	if d.store != nil {
@@ -291,7 +291,7 @@
 }
 
 // Told implements list.Sink.
-func (d *daemon) Told(l config.List) {
+func (d *daemon) EndpointListReceived(l config.List) {
 	kind := balance.ListDelta
 	if l.Full {
 		kind = balance.ListFull
@@ -308,7 +308,7 @@
 }
 
 func (d *daemon) listed(l config.List, kind balance.EndpointListKind) {
-	d.pool.List(l)
+	d.pool.UpdateEndpoints(l)
 	b := balance.EndpointList{Kind: kind}
 	var ids []string
 	for _, e := range l.Servers {
@@ -324,19 +324,19 @@
 	}
 	d.merge(l, kind)
 	d.record.listed(l, kind)
-	if d.core.List(b); len(ids) > 0 {
-		d.Listed(ids)
-		d.shared.List(ids)
+	if d.core.UpdateEndpoints(b); len(ids) > 0 {
+		d.KnownEndpointsAdded(ids)
+		d.shared.AddKnownEndpoints(ids)
 	}
 }
 
 // ListFailed implements list.Sink.
-func (d *daemon) ListFailed(silent bool) {
+func (d *daemon) PollFailed(silent bool) {
 	kind := balance.ListFailed
 	if silent {
 		kind = balance.ListSilent
 	}
-	d.core.List(balance.EndpointList{Kind: kind})
+	d.core.UpdateEndpoints(balance.EndpointList{Kind: kind})
 	if d.told || d.store == nil {
 		return
 	}
@@ -352,7 +352,7 @@
 func (d *daemon) reload(cfg *config.Config) {
 	d.log.Info("reloaded", "discovery", cfg.Discovery)
 	d.record.reloaded("configuration", nil)
-	d.watcher.Move(cfg.Discovery)
+	d.watcher.MoveTo(cfg.Discovery)
 }
 
 // heed acts on signals until the program ends.
@@ -399,7 +399,7 @@
 	if d.passed {
 		accept = 0 // the next process has the socket: what comes from now on is its own
 	}
-	d.loop.After(accept, func() {
+	d.loop.AfterFunc(accept, func() {
 		for _, f := range d.fronts {
 			f.listener.Close()
 		}
@@ -411,8 +411,8 @@
 				}
 			}
 			d.draining = true
-			d.core.EndBy(until) // clients send on every connection that stays open
+			d.core.SetShutdownDeadline(until) // clients send on every connection that stays open
 		})
 	})
-	d.loop.After(d.lim.DrainMost, d.loop.Stop)
+	d.loop.AfterFunc(d.lim.DrainMost, d.loop.Stop)
 }
--- a/cmd/limeladder/deployment_test.go
+++ b/cmd/limeladder/deployment_test.go
@@ -255,7 +255,7 @@
 			ready bool
 		}
 		ch := make(chan state)
-		fresh.loop.Post(func() { ch <- state{fresh.core.Counts().Taken, fresh.serving} })
+		fresh.loop.Post(func() { ch <- state{fresh.core.Counts().Accepted, fresh.serving} })
 		s := <-ch
 		return s.n, s.ready
 	}
--- a/cmd/limeladder/operate.go
+++ b/cmd/limeladder/operate.go
@@ -24,7 +24,7 @@
 	}
 	d.suspend(id, out, "operator")
 	// Guards the ban across an upgrade: it is in the folder before the operator has his yes.
-	d.shared.Suspend(id, out, func() { d.loop.Urgent(func() { done(true) }) })
+	d.shared.SetSuspended(id, out, func() { d.loop.PostUrgent(func() { done(true) }) })
 }
 
 func (d *daemon) suspend(id string, out bool, by string) {
@@ -40,7 +40,7 @@
 // Drain implements operator.Router.
 func (d *daemon) Drain(on bool, done func()) {
 	d.empty(on, "operator")
-	d.shared.Drain(on, func() { d.loop.Urgent(done) })
+	d.shared.SetDrained(on, func() { d.loop.PostUrgent(done) })
 }
 
 func (d *daemon) empty(on bool, by string) {
@@ -63,7 +63,7 @@
 func (d *daemon) Drained(on bool) { d.empty(on, "another process") }
 
 // Listed implements handover.Sink.
-func (d *daemon) Listed(ids []string) {
+func (d *daemon) KnownEndpointsAdded(ids []string) {
 	for _, id := range ids {
 		if !d.known[id] {
 			d.known[id] = true
@@ -100,12 +100,12 @@
 		l.Servers = append(l.Servers, d.latest[id])
 	}
 	if p, err := json.Marshal(l); err == nil {
-		d.shared.Hear(p)
+		d.shared.ShareEndpointList(p)
 	}
 }
 
 // Heard implements handover.Sink. What discovery itself has told this process stands.
-func (d *daemon) Heard(list []byte) {
+func (d *daemon) EndpointListShared(list []byte) {
 	var l config.List
 	if d.told || json.Unmarshal(list, &l) != nil || len(l.Servers) == 0 {
 		return
@@ -116,7 +116,7 @@
 
 // Alone implements handover.Sink. Guards the router's memory and descriptors, which the platform counts over both
 // processes: each goes by a half while there are two.
-func (d *daemon) Alone(alone bool) {
+func (d *daemon) AloneChanged(alone bool) {
 	d.log.Info("processes of this router", "alone", alone)
 	d.two = !alone
 	d.pass()
@@ -124,7 +124,7 @@
 		d.lim = d.full.Lean()
 	}
 	d.memory()
-	d.pool.Limit(d.lim)
+	d.pool.SetLimits(d.lim)
 	for _, f := range d.fronts {
 		f.Limit(d.lim)
 		f.listener.Resize(d.places())
--- a/cmd/limeladder/record.go
+++ b/cmd/limeladder/record.go
@@ -100,7 +100,7 @@
 
 func (r *recording) tick() {
 	r.recorder.Tick()
-	r.loop.After(r.lim.AuditTick, r.tick)
+	r.loop.AfterFunc(r.lim.AuditTick, r.tick)
 }
 
 // audit is what the core reports to.
@@ -198,7 +198,7 @@
 		return
 	}
 	if len(dep.Audit.Loaded) > 0 && dep.Audit.Loaded[0] != r.dep.Audit.Loaded[0] && !r.shipper.Use(dep.Audit.Loaded[0]) {
-		r.loop.After(r.lim.AuditTick, func() { r.change(dep) })
+		r.loop.AfterFunc(r.lim.AuditTick, func() { r.change(dep) })
 		return
 	}
 	r.recorder.Rule(policy)
@@ -213,7 +213,7 @@
 	if r == nil {
 		return
 	}
-	r.recorder.End(audit.End{Taken: c.Taken, Served: c.Served, Refused: c.Refused, Failed: c.Failed, Left: c.Left})
+	r.recorder.End(audit.End{Taken: c.Accepted, Served: c.Served, Refused: c.Rejected, Failed: c.Failed, Left: c.Disconnected})
 	left := r.shipper.Close(r.flush / 2)
 	r.sender.Close(r.flush / 2)
 	s := r.sender.Stats()
--- a/cmd/limeladder/sites.go
+++ b/cmd/limeladder/sites.go
@@ -18,9 +18,9 @@
 	if !d.dep.Sites.Watch {
 		return
 	}
-	d.core.WatchSites(sitefailover.Watch(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Listed))
+	d.core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Listed))
 	if d.dep.Sites.Act {
-		d.core.ActOnSites(sitefailover.DoorConfig{Spread: cfg.Balance.MaxRetryAfter}, sitefailover.RampConfig{First: cfg.Balance.SlowStartFrom, Over: cfg.Balance.SlowStartWindow}, cfg.SeedValue)
+		d.core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.Balance.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.Balance.SlowStartFrom, Duration: cfg.Balance.SlowStartWindow}, cfg.SeedValue)
 	}
 }
 
@@ -38,7 +38,7 @@
 
 // refusedView is what is refused at the door now, pacedView a site that is not used for all it can do.
 type refusedView struct {
-	sitefailover.Share
+	sitefailover.RejectedShare
 	SinceMs int64 `json:"since_ms"`
 }
 
@@ -55,26 +55,26 @@
 	}
 	now := d.loop.Now()
 	views := []siteView{}
-	for _, v := range d.core.Sites() {
+	for _, v := range d.core.SiteViews() {
 		since := int64(-1)
 		if v.Since > 0 {
 			since = (now - v.Since).Milliseconds()
 		}
-		views = append(views, siteView{v.Site, v.State.String(), v.Kind.String(), since, v.Evidence, v.Machines, v.Down, v.Flaps})
+		views = append(views, siteView{v.Site, v.State.String(), v.Kind.String(), since, v.Evidence, v.Endpoints, v.Down, v.Flaps})
 	}
-	plans, refused, paced := d.core.Plans(), []refusedView{}, []pacedView{}
-	for _, s := range d.core.Refusals() {
+	plans, refused, paced := d.core.SiteLossPlans(), []refusedView{}, []pacedView{}
+	for _, s := range d.core.SiteRejectedShares() {
 		refused = append(refused, refusedView{s, (now - s.Since).Milliseconds()})
 	}
-	for _, p := range d.core.Paces() {
-		v := pacedView{p.Site, p.Part, 0}
+	for _, p := range d.core.SiteRamps() {
+		v := pacedView{p.Site, p.Share, 0}
 		if p.Until > 0 {
 			v.BoundMs = (p.Until - now).Milliseconds()
 		}
 		paced = append(paced, v)
 	}
 	if !table {
-		p, err := json.Marshal(map[string]any{"sites": views, "plans": plans, "refused": refused, "paced": paced, "turned_away": d.core.Counts().Turned})
+		p, err := json.Marshal(map[string]any{"sites": views, "plans": plans, "refused": refused, "paced": paced, "turned_away": d.core.Counts().RejectedForSiteLoss})
 		if err != nil {
 			d.log.Error("sites", "err", err)
 			return "{}", false
@@ -89,7 +89,7 @@
 		if v.SinceMs >= 0 {
 			since = (time.Duration(v.SinceMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 		}
-		if v.State != sitefailover.Well.String() {
+		if v.State != sitefailover.SiteHealthy.String() {
 			kind = " (" + v.Kind + ")"
 		}
 		fmt.Fprintf(t, "%s\t%s%s\t%d\t%d\t%s\t%s\n", v.Site, v.State, kind, v.Machines, v.Down, since, v.Evidence)
@@ -103,10 +103,10 @@
 		b.WriteString("\n")
 	}
 	for _, x := range refused {
-		fmt.Fprintf(&b, "refused at the door: bank %d %s, %.0f%%, the %s short, for %v\n", x.Bank, x.Class, 100*x.Part, x.Where, (time.Duration(x.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
+		fmt.Fprintf(&b, "refused at the door: bank %d %s, %.0f%%, the %s short, for %v\n", x.Group, x.Class, 100*x.Share, x.Saturated, (time.Duration(x.SinceMs) * time.Millisecond).Round(100*time.Millisecond))
 	}
 	b.WriteString("\n")
-	sitefailover.Table(&b, plans)
+	sitefailover.WriteTable(&b, plans)
 	return strings.TrimRight(b.String(), "\n"), false
 }
 
@@ -115,10 +115,10 @@
 	if !d.dep.Sites.Watch {
 		return false, nil, true
 	}
-	for _, v := range d.core.Sites() {
+	for _, v := range d.core.SiteViews() {
 		known = append(known, v.Site)
 	}
-	if ok = d.core.Declare(site, length); ok {
+	if ok = d.core.DeclareSiteLost(site, length); ok {
 		text := "operators declare " + site + " lost for " + length.String()
 		if length == 0 {
 			text = "operators leave " + site + " to the evidence"
@@ -130,10 +130,10 @@
 
 // Pace implements operator.Router.
 func (d *daemon) Pace(site string, part float64, length time.Duration) (ok bool, known []string, off bool) {
-	if ok, off = d.core.BindSite(site, part, length); off {
+	if ok, off = d.core.LimitSiteRamp(site, part, length); off {
 		return false, nil, true
 	}
-	for _, v := range d.core.Sites() {
+	for _, v := range d.core.SiteViews() {
 		known = append(known, v.Site)
 	}
 	if ok {
--- a/internal/adminapi/operator.go
+++ b/internal/adminapi/operator.go
@@ -59,7 +59,7 @@
 func (s *Server) Accept(c *transport.Conn) transport.Handler {
 	k := &conn{server: s, sock: c}
 	s.open = append(s.open, k)
-	k.timer = s.loop.After(s.lim.CallWhole, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
+	k.timer = s.loop.AfterFunc(s.lim.CallWhole, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
 	// Guards the next caller: those that finish no call must not hold all places until their time is up.
 	if len(s.open) > s.lim.Operators/2 {
 		for _, o := range s.open {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -30,7 +30,7 @@
 	idleAt  time.Duration
 
 	// of the answer that is coming in
-	answer *Answer
+	answer *Response
 	cameAt time.Duration     // when it began to, 0 = it has not
 	begun  bool              // it is passed on as it comes
 	row    *pgwire.RowStream // the row that is being passed on, nil = none is
@@ -50,7 +50,7 @@
 	m.opening++
 	p.open++
 	k.dialing = true
-	k.welcome = p.loop.After(p.lim.Connect, func() { k.broken() })
+	k.welcome = p.loop.AfterFunc(p.lim.Connect, func() { k.broken() })
 	p.engine.Dial(m.addr, p.lim.Connect, func(c *transport.Conn, err error) transport.Handler {
 		if k.dialing = false; k.ended {
 			k.left()
@@ -182,7 +182,7 @@
 	}
 	k.stall.Stop()
 	if !k.ended && !k.held && (k.reader.Waiting() > 0 || k.call != nil && (k.begun || k.closing())) {
-		k.stall = k.machine.pool.loop.After(within, func() { k.spoilt("it stops within an answer") })
+		k.stall = k.machine.pool.loop.AfterFunc(within, func() { k.spoilt("it stops within an answer") })
 	}
 }
 
@@ -191,12 +191,12 @@
 func (k *conn) begin() bool {
 	lim := &k.machine.pool.lim
 	typ, length, have, ok := k.reader.Begun()
-	if ok && length > lim.Answer && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.Begins(k.answer)) {
+	if ok && length > lim.Answer && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.StartsResponse(k.answer)) {
 		k.spoilt("a message too long to keep") // and it can't be passed on either
 		return false
 	}
 	if !ok || typ != 'D' || length <= lim.Stream || len(have) < lim.Begin || k.call == nil || k.call.begun == nil || k.code != "" ||
-		!k.call.job.Begins(k.answer) {
+		!k.call.job.StartsResponse(k.answer) {
 		return false
 	}
 	if err := pgwire.NewRowStream(length).Feed(have); err != nil {
@@ -295,7 +295,7 @@
 	case 'Z':
 		c := k.call
 		r := k.result()
-		c.Hold(false) // the last of a long answer may have come while its client took no more
+		c.SetPaused(false) // the last of a long answer may have come while its client took no more
 		k.call, c.conn = nil, nil
 		if len(m.Body) != 1 || m.Body[0] != 'I' || k.reader.Waiting() > 0 {
 			k.end() // an open transaction or bytes that belong to no request: not to be used again
@@ -318,7 +318,7 @@
 		return
 	}
 	if k.begun && m.Type == 'D' {
-		if !k.call.job.Begins(k.answer) {
+		if !k.call.job.StartsResponse(k.answer) {
 			k.spoilt("more rows than were asked for") // and they might never end
 			return
 		}
@@ -356,10 +356,10 @@
 // result says how the call ended. Codes that concern the statement itself go back to the client as they came;
 // those of PROTOCOL's table are outcomes for the module.
 func (k *conn) result() router.Result {
-	r := router.Result{Role: k.role, Position: k.pos, At: k.cameAt}
+	r := router.Result{Role: k.role, Position: k.pos, ResponseStartedAt: k.cameAt}
 	switch {
-	case k.code == "" && k.call.job.Whole(k.answer):
-		r.Status, r.Answer = balance.StatusDone, k.answer
+	case k.code == "" && k.call.job.Complete(k.answer):
+		r.Status, r.Response = balance.StatusDone, k.answer
 	case k.code == "", bytes.ContainsAny(k.answer.Types, "DC"):
 		k.bad = true // what a spoilt answer claims is not believed
 		return router.Result{Status: balance.StatusError}
@@ -369,7 +369,7 @@
 		r.Status = balance.StatusMiss
 	case k.code != "" && strings.Contains("21 22 23 26 34 42 44 0A", k.code[:2]):
 		k.answer.Code = k.code
-		r.Status, r.Answer, r.Code = balance.StatusDone, k.answer, k.code
+		r.Status, r.Response, r.Code = balance.StatusDone, k.answer, k.code
 	default:
 		r.Status = balance.StatusError
 	}
@@ -381,7 +381,7 @@
 func (k *conn) pause() {
 	m := k.machine
 	m.resting++
-	k.rest = m.pool.loop.After(m.pool.lim.Rest, func() {
+	k.rest = m.pool.loop.AfterFunc(m.pool.lim.Rest, func() {
 		k.rest = nil
 		m.resting--
 		// start looks at the socket of an idle connection; here it counts where one waits for it.
@@ -443,7 +443,7 @@
 		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return false
 	}
-	k.answer, k.code, k.role, k.pos = &Answer{Shape: pgwire.NewShape()}, "", balance.RoleUnknown, 0
+	k.answer, k.code, k.role, k.pos = &Response{Shape: pgwire.NewShape()}, "", balance.RoleUnknown, 0
 	k.begun, k.row, k.cameAt, k.beside = false, nil, 0, 0
 	if err := k.sock.Write(c.job.Messages(c.until - now)); err != nil {
 		// Nothing was written whole, so the call may go out on another connection.
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -31,8 +31,8 @@
 	var gone atomic.Bool
 	done, waits := make(chan router.Result, 9), make(chan bool, 1)
 	r.loop.Post(func() {
-		c := r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 20*time.Second, Gone: gone.Load}, func(x router.Result) { done <- x })
-		waits <- c.Waiting()
+		c := r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 20*time.Second, Abandoned: gone.Load}, func(x router.Result) { done <- x })
+		waits <- c.NotWritten()
 	})
 	if !<-waits {
 		t.Error("it waits for a connection and says that it does not")
@@ -94,8 +94,8 @@
 			r := start(t, lim(), endless(t, more))
 			done, begun := make(chan router.Result, 9), make(chan bool, 9)
 			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + time.Second, Begun: func(router.Answer, router.Flow) { begun <- true },
-					Part: func([]byte) {}}, func(x router.Result) { done <- x })
+				r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + time.Second, OnResponseStarted: func(router.Response, router.Flow) { begun <- true },
+					OnResponsePart: func([]byte) {}}, func(x router.Result) { done <- x })
 			})
 			if x := r.end(done); x.Status != balance.StatusError || len(begun) != 1 {
 				t.Fatalf("%+v, begun %d times", x, len(begun))
--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -46,11 +46,11 @@
 			r := start(t, l, db.Addr)
 			done := make(chan router.Result, 9)
 			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 20*time.Second}, func(x router.Result) { done <- x })
-				r.pool.Probe("n", func(x router.Result) { done <- x })
+				r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 20*time.Second}, func(x router.Result) { done <- x })
+				r.pool.HealthCheck("n", func(x router.Result) { done <- x })
 			})
 			<-dialled
-			r.loop.Post(func() { r.pool.List(news(db.Addr, there.Addr)) })
+			r.loop.Post(func() { r.pool.UpdateEndpoints(news(db.Addr, there.Addr)) })
 			for range 2 {
 				if x := r.end(done); x.Status != balance.StatusNotSent {
 					t.Fatalf("%+v", x)
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -15,14 +15,14 @@
 
 func (probe) Messages(time.Duration) []byte { return pgwire.AppendQuery(nil, "SHOW stats") }
 
-func (probe) Whole(a *Answer) bool { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
+func (probe) Complete(a *Response) bool { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
 
 // Begins implements Job: no report is long.
-func (probe) Begins(*Answer) bool { return false }
+func (probe) StartsResponse(*Response) bool { return false }
 
 // report reads role, position and use from a report such as x0=1767225600.123,x1=0,util=0.61. Of one that can't be read to
 // its end nothing is believed.
-func report(a *Answer) (role balance.Role, pos time.Duration, use float64) {
+func report(a *Response) (role balance.Role, pos time.Duration, use float64) {
 	r := pgwire.NewReader(len(a.Messages)+5, 0)
 	r.Feed(a.Messages)
 	for {
--- a/internal/backend/servers.go
+++ b/internal/backend/servers.go
@@ -19,13 +19,13 @@
 	// Messages are the messages to write, up to the one that ends with ReadyForQuery.
 	Messages(left time.Duration) []byte
 	// Whole says whether an answer is complete and one to this job. Each of its messages has its type's form.
-	Whole(a *Answer) bool
+	Complete(a *Response) bool
 	// Begins says whether a may be the start of such an answer, with a long row to follow.
-	Begins(a *Answer) bool
+	StartsResponse(a *Response) bool
 }
 
 // Answer is what came back before ReadyForQuery, as it came, without what concerns the connection only.
-type Answer struct {
+type Response struct {
 	Messages []byte
 	Types    []byte
 	Shape    pgwire.Shape
@@ -67,7 +67,7 @@
 }
 
 // List takes the addresses that discovery names.
-func (p *Pool) List(l config.List) {
+func (p *Pool) UpdateEndpoints(l config.List) {
 	seen := map[string]bool{}
 	for _, e := range l.Servers {
 		seen[e.ID] = true
@@ -112,7 +112,7 @@
 }
 
 // Limit sets new limits. What is beyond them is closed as it becomes idle.
-func (p *Pool) Limit(lim limits.Limits) { p.lim = lim }
+func (p *Pool) SetLimits(lim limits.Limits) { p.lim = lim }
 
 // Close ends all idle connections and keeps none from now on.
 func (p *Pool) Close() {
@@ -132,7 +132,7 @@
 	}
 	for p.open > p.lim.Connections && p.shed() {
 	}
-	p.loop.After(p.lim.Sweep, p.sweep)
+	p.loop.AfterFunc(p.lim.Sweep, p.sweep)
 }
 
 // room says whether one more connection may be opened, and closes an idle one elsewhere to make room.
@@ -162,23 +162,23 @@
 }
 
 // Start implements router.Servers.
-func (p *Pool) Start(a router.Attempt, done func(router.Result)) router.Call {
-	c := &call{pool: p, job: a.Job.(Job), until: a.Until, by: a.By, begun: a.Begun, part: a.Part, gone: a.Gone, done: done}
-	p.start(a.Node, c)
+func (p *Pool) Start(a router.Attempt, done func(router.Result)) router.AttemptHandle {
+	c := &call{pool: p, job: a.Job.(Job), until: a.Deadline, by: a.NotAfter, begun: a.OnResponseStarted, part: a.OnResponsePart, gone: a.Abandoned, done: done}
+	p.start(a.Endpoint, c)
 	return c
 }
 
 // Probe implements router.Servers.
-func (p *Pool) Probe(node string, done func(router.Result)) {
+func (p *Pool) HealthCheck(node string, done func(router.Result)) {
 	c := &call{pool: p, job: probe{}, until: p.loop.Now() + p.lim.Probe}
 	c.done = func(r router.Result) {
 		c.timer.Stop()
-		if a, ok := r.Answer.(*Answer); ok && r.Status == balance.StatusDone {
-			r.Role, r.Position, r.Use = report(a)
+		if a, ok := r.Response.(*Response); ok && r.Status == balance.StatusDone {
+			r.Role, r.Position, r.Utilization = report(a)
 		}
 		done(r)
 	}
-	c.timer = p.loop.After(p.lim.Probe, func() {
+	c.timer = p.loop.AfterFunc(p.lim.Probe, func() {
 		c.Cancel()
 		if m := p.machines[node]; m != nil {
 			m.hangUp() // what is silent to a probe is silent on every connection
@@ -219,12 +219,12 @@
 	if left := c.by - p.loop.Now(); c.by > 0 && left < within {
 		within, status = left, balance.StatusNotSent // it may not be written any more then
 	}
-	c.connect = p.loop.After(within, func() {
+	c.connect = p.loop.AfterFunc(within, func() {
 		m.drop(c)
 		c.finish(router.Result{Status: status})
 	})
 	// Guards against a lost SYN: the system would send the next one only after a second.
-	c.redial = p.loop.After(p.lim.Redial, func() {
+	c.redial = p.loop.AfterFunc(p.lim.Redial, func() {
 		if p.room(m) {
 			m.dial()
 		}
@@ -240,7 +240,7 @@
 	job     Job
 	until   time.Duration
 	by      time.Duration
-	begun   func(router.Answer, router.Flow) // nil = its answer is kept whole
+	begun   func(router.Response, router.Flow) // nil = its answer is kept whole
 	part    func(p []byte)
 	gone    func() bool // nobody waits for it any more, nil = somebody does
 	done    func(router.Result)
@@ -266,7 +266,7 @@
 }
 
 // Waiting implements router.Call.
-func (c *call) Waiting() bool { return !c.over && c.conn == nil }
+func (c *call) NotWritten() bool { return !c.over && c.conn == nil }
 
 // Cancel implements router.Call.
 func (c *call) Cancel() (written bool) {
@@ -290,9 +290,9 @@
 }
 
 // Hold implements router.Flow.
-func (c *call) Hold(on bool) {
+func (c *call) SetPaused(on bool) {
 	if c.conn != nil {
-		c.conn.sock.Hold(on)
+		c.conn.sock.SetPaused(on)
 		c.conn.held = on
 		c.conn.watch()
 	}
--- a/internal/backend/servers_test.go
+++ b/internal/backend/servers_test.go
@@ -26,8 +26,8 @@
 func (j job) Messages(left time.Duration) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=job,d=%d,cluster=1 */ INSERT", string(j), left.Milliseconds()))
 }
-func (job) Begins(a *Answer) bool { return string(a.Types) == "T" }
-func (job) Whole(a *Answer) bool  { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
+func (job) StartsResponse(a *Response) bool { return string(a.Types) == "T" }
+func (job) Complete(a *Response) bool       { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
 
 type rig struct {
 	t    *testing.T
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t, l, New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	r.pool.List(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
+	r.pool.UpdateEndpoints(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
 	go l.Run(func() {})
 	t.Cleanup(func() { l.Stop(); e.Stop() })
 	return r
@@ -58,9 +58,9 @@
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
 		now := r.loop.Now()
-		a := router.Attempt{Node: "n", Job: job(id), Until: now + 10*time.Second}
+		a := router.Attempt{Endpoint: "n", Job: job(id), Deadline: now + 10*time.Second}
 		if by != 0 {
-			a.By = now + by
+			a.NotAfter = now + by
 		}
 		r.pool.Start(a, func(x router.Result) { done <- x })
 	})
@@ -114,7 +114,7 @@
 				return testserver.Act{Code: code, Fatal: fatal}
 			})
 			r := start(t, lim(), db.Addr)
-			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Answer.(*Answer).Code != code {
+			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Response.(*Response).Code != code {
 				t.Errorf("%s, fatal %v: %+v", code, fatal, x)
 			}
 		}
@@ -151,7 +151,7 @@
 	done := make(chan router.Result, attempts)
 	r.loop.Post(func() {
 		for i := range attempts {
-			r.pool.Start(router.Attempt{Node: "n", Job: job(fmt.Sprint(i)), Until: r.loop.Now() + 10*time.Second},
+			r.pool.Start(router.Attempt{Endpoint: "n", Job: job(fmt.Sprint(i)), Deadline: r.loop.Now() + 10*time.Second},
 				func(x router.Result) { done <- x })
 		}
 	})
@@ -247,20 +247,20 @@
 		done := make(chan router.Result, 9)
 		r.loop.Post(func() {
 			var flow router.Flow
-			a := router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 10*time.Second, Begun: func(a router.Answer, f router.Flow) {
+			a := router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second, OnResponseStarted: func(a router.Response, f router.Flow) {
 				begun, flow = true, f
-				got = append(got, a.(*Answer).Messages...)
+				got = append(got, a.(*Response).Messages...)
 			}}
-			a.Part = func(p []byte) {
+			a.OnResponsePart = func(p []byte) {
 				got = append(got, p...)
 				if !held && len(got) > 1<<20 {
 					held = true
-					flow.Hold(true)
-					r.loop.After(2*l.StreamStall, func() { // being held is no stall
+					flow.SetPaused(true)
+					r.loop.AfterFunc(2*l.StreamStall, func() { // being held is no stall
 						if len(got) > 1<<20+256<<10 {
 							t.Errorf("%s: %d bytes came while it was held", name, len(got))
 						}
-						flow.Hold(false)
+						flow.SetPaused(false)
 					})
 				}
 			}
@@ -271,7 +271,7 @@
 			t.Errorf("%s: %v, begun %v", name, x.Status, begun)
 		}
 		if x.Status == balance.StatusDone {
-			got = append(got, x.Answer.(*Answer).Messages...)
+			got = append(got, x.Response.(*Response).Messages...)
 			if want := c.answer[:len(c.answer)-6]; !bytes.Equal(got, want) {
 				t.Errorf("%s: %d bytes, not %d", name, len(got), len(want))
 			}
@@ -296,13 +296,13 @@
 	var end time.Duration
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
-		r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 10*time.Second}, func(x router.Result) {
+		r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second}, func(x router.Result) {
 			end = r.loop.Now()
 			done <- x
 		})
 	})
-	if x := r.end(done); x.Status != balance.StatusDone || end-x.At < 90*time.Millisecond {
-		t.Fatalf("%v: began %v before its end", x.Status, end-x.At)
+	if x := r.end(done); x.Status != balance.StatusDone || end-x.ResponseStartedAt < 90*time.Millisecond {
+		t.Fatalf("%v: began %v before its end", x.Status, end-x.ResponseStartedAt)
 	}
 }
 
@@ -345,9 +345,9 @@
 	})
 	r := start(t, lim(), db.Addr)
 	r.try("first", 0)
-	call, written := make(chan router.Call, 1), make(chan bool, 1)
+	call, written := make(chan router.AttemptHandle, 1), make(chan bool, 1)
 	r.loop.Post(func() {
-		call <- r.pool.Start(router.Attempt{Node: "n", Job: job("slow"), Until: r.loop.Now() + time.Minute}, func(x router.Result) {
+		call <- r.pool.Start(router.Attempt{Endpoint: "n", Job: job("slow"), Deadline: r.loop.Now() + time.Minute}, func(x router.Result) {
 			t.Errorf("a cancelled attempt ended: %+v", x)
 		})
 	})
@@ -372,7 +372,7 @@
 	db := testserver.NewDB(t, false, nil)
 	r := start(t, lim(), db.Addr)
 	done := make(chan router.Result, 9)
-	ask := func() { r.loop.Post(func() { r.pool.Probe("n", func(x router.Result) { done <- x }) }) }
+	ask := func() { r.loop.Post(func() { r.pool.HealthCheck("n", func(x router.Result) { done <- x }) }) }
 	ask()
 	now := time.Duration(time.Now().UnixNano())
 	if x := r.end(done); x.Status != balance.StatusDone || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
@@ -387,7 +387,7 @@
 	for text, want := range map[string]time.Duration{"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
 		`{"x0": 1767225600.5, "x1": 1}`: 1767225600500 * time.Millisecond, "x0=nan,x1=1": 0, "x1=1,x0=-5": 0, "x0=1767225600,x1=7": 0} {
 		p := pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, byte(len(text))}, []byte(text))
-		if role, pos, _ := report(&Answer{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
+		if role, pos, _ := report(&Response{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
 			t.Errorf("%s: %v %v", text, role, pos)
 		}
 	}
@@ -479,7 +479,7 @@
 		r := start(t, l, db.Addr)
 		for i := range 4 {
 			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Answer.(*Answer).Messages, []byte("stray")) {
+			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Response.(*Response).Messages, []byte("stray")) {
 				t.Fatalf("%s: %+v", name, x)
 			}
 		}
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -29,7 +29,7 @@
 	lim := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace)
 	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), a.Addr, s)
 	go l.Run(func() {})
-	l.Post(func() { w.Follow(7) })
+	l.Post(func() { w.FollowPushed(7) })
 	t.Cleanup(func() { l.Post(w.Stop); l.Stop(); e.Stop(); a.Stop() })
 	if got := next(t, s); !got.Full || len(got.Servers) != 1 {
 		t.Fatalf("%+v", got)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -17,11 +17,11 @@
 )
 
 // Sink is told what discovery says.
-type Sink interface {
-	Told(l config.List)
+type Listener interface {
+	EndpointListReceived(l config.List)
 	// ListFailed says that a call has ended without a list; silent, that discovery has not turned it away: nothing was heard
 	// of it, or nothing that can be believed.
-	ListFailed(silent bool)
+	PollFailed(silent bool)
 }
 
 // Watcher keeps one call out at a time. All of it runs in the loop's goroutine.
@@ -35,7 +35,7 @@
 	lim    limits.Limits
 	log    *slog.Logger
 	addr   string
-	sink   Sink
+	sink   Listener
 
 	version int64  // of the newest list
 	whole   bool   // the next call asks for the whole list: this discovery has given none yet
@@ -58,35 +58,35 @@
 }
 
 // New returns a Watcher that asks nothing before Track or Follow.
-func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger, addr string, s Sink) *Watcher {
+func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger, addr string, s Listener) *Watcher {
 	return &Watcher{loop: l, engine: e, lim: lim, log: log, addr: addr, whole: true, sink: s}
 }
 
 // From says that the list of that version is known: only what has changed since is asked for.
-func (w *Watcher) From(version int64) { w.version, w.whole = version, false }
+func (w *Watcher) ResumeFrom(version int64) { w.version, w.whole = version, false }
 
 // Move goes on at another address, with the whole list first: the versions of two discoveries need not agree. What
 // the old one may still say, or its closing, is no more heard.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) MoveTo(addr string) {
 	if addr == w.addr {
 		return
 	}
 	w.addr, w.whole, w.version = addr, true, 0
 	w.drop()
-	w.Track()
+	w.Poll()
 }
 
 // Track starts to follow the list; after a failure it has to be called again.
-func (w *Watcher) Track() {
+func (w *Watcher) Poll() {
 	if w.reply == nil && !w.stopped {
 		w.call()
 	}
 }
 
 // Follow starts to follow the list and goes on by itself after each failure, within Limits.ListAgain: nobody has to call Track.
-func (w *Watcher) Follow(seed uint64) {
+func (w *Watcher) FollowPushed(seed uint64) {
 	w.pace = &pace{most: w.lim.ListAgain, rng: rand.New(rand.NewPCG(seed, followStream))}
-	w.Track()
+	w.Poll()
 }
 
 // followStream tells the draws of this package from others of the same seed.
@@ -127,7 +127,7 @@
 		slack = w.lim.WatchSlack
 	}
 	w.at, w.wait, w.slack, w.cameAt = w.loop.Now(), wait, slack, 0
-	w.limit = w.loop.After(wait+slack, w.late)
+	w.limit = w.loop.AfterFunc(wait+slack, w.late)
 	w.text = fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, w.addr)
 	if w.conn != nil {
 		w.reused = true
@@ -144,7 +144,7 @@
 func (w *Watcher) late() {
 	gap, now, end := min(w.lim.Stall, w.slack/4), w.loop.Now(), w.at+w.wait+2*w.slack
 	if now < end && (w.cameAt > 0 && now-w.cameAt < gap || w.conn != nil && !w.conn.Quiet()) {
-		w.limit = w.loop.After(min(gap, end-now), w.late)
+		w.limit = w.loop.AfterFunc(min(gap, end-now), w.late)
 		return
 	}
 	w.silent(errors.New("no answer in time"))
@@ -250,12 +250,12 @@
 	if w.pace != nil {
 		w.pace.heard()
 	}
-	w.sink.Told(l)
+	w.sink.EndpointListReceived(l)
 	switch early := w.loop.Now()-w.at < w.wait/2; {
 	case w.stopped, w.reply != nil:
 	case early && !l.Full && len(l.Servers) == 0:
 		// Guards the router's part of a core against a discovery that does not wait. The watch still goes on.
-		w.again = w.loop.After(w.lim.WatchGap, w.call)
+		w.again = w.loop.AfterFunc(w.lim.WatchGap, w.call)
 	default:
 		w.call() // at once: a watch goes on only if its next call comes within 200 ms
 	}
@@ -306,7 +306,7 @@
 		return
 	}
 	if w.pace != nil {
-		w.again = w.loop.After(w.pace.failed(), w.Track)
+		w.again = w.loop.AfterFunc(w.pace.failed(), w.Poll)
 	}
-	w.sink.ListFailed(silent)
+	w.sink.PollFailed(silent)
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -74,8 +74,8 @@
 	fails chan bool
 }
 
-func (s told) Told(l config.List)     { s.lists <- l }
-func (s told) ListFailed(silent bool) { s.fails <- silent }
+func (s told) EndpointListReceived(l config.List) { s.lists <- l }
+func (s told) PollFailed(silent bool)             { s.fails <- silent }
 
 func watch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (told, *Watcher, *eventloop.Loop) {
 	srv := httptest.NewServer(h)
@@ -87,7 +87,7 @@
 	s := told{make(chan config.List, 99), make(chan bool, 99)}
 	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), srv.Listener.Addr().String(), s)
 	go l.Run(func() {})
-	l.Post(w.Track)
+	l.Post(w.Poll)
 	t.Cleanup(func() { l.Post(w.Stop); l.Stop(); e.Stop(); srv.CloseClientConnections(); srv.Close() })
 	return s, w, l
 }
@@ -207,7 +207,7 @@
 					if silent == (name == "busy" || name == "reset" || strings.HasSuffix(name, "without end")) {
 						t.Fatalf("silent: %v", silent)
 					}
-					l.Post(w.Track)
+					l.Post(w.Poll)
 				case got := <-s.lists:
 					t.Fatalf("%+v", got)
 				case <-time.After(20 * time.Second):
@@ -368,7 +368,7 @@
 					if silent != (i <= olderMost) { // it was written, so it counts as told; but not for ever at once
 						t.Fatalf("fault %d: asked for again soon: %v", i, silent)
 					}
-					l.Post(w.Track)
+					l.Post(w.Poll)
 				case got := <-s.lists:
 					t.Fatalf("%+v", got)
 				case <-time.After(20 * time.Second):
@@ -418,7 +418,7 @@
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"new","state":"ready"}]}`, lists, lists == 1)
 	}))
 	defer other.Close()
-	l.Post(func() { w.Move(other.Listener.Addr().String()) })
+	l.Post(func() { w.MoveTo(other.Listener.Addr().String()) })
 	for i := range 3 {
 		got := heard(t, s)
 		if got.Servers[0].ID != "new" || got.Full != (i == 0) {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,7 +29,7 @@
 }
 
 // On returns a Loop that goes by another clock. Nothing runs it but Turn: it is for models in virtual time.
-func On(clock func() time.Duration) *Loop {
+func NewWithClock(clock func() time.Duration) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
@@ -54,7 +54,7 @@
 
 // Urgent hands the loop a function that does not wait for what Post has queued; any goroutine may call it. Guards those
 // who run the router against its load: with a full queue an ordinary turn may be seconds away.
-func (l *Loop) Urgent(f func()) {
+func (l *Loop) PostUrgent(f func()) {
 	l.mu.Lock()
 	l.urgent = append(l.urgent, f)
 	l.pressing.Store(true)
@@ -94,7 +94,7 @@
 }
 
 // After calls f in the loop once d has passed. Only the loop's goroutine may call it.
-func (l *Loop) After(d time.Duration, f func()) *Timer {
+func (l *Loop) AfterFunc(d time.Duration, f func()) *Timer {
 	l.timers.seq++
 	t := &Timer{at: l.Now() + d, seq: l.timers.seq, f: f, loop: l}
 	heap.Push(&l.timers, t)
@@ -102,7 +102,7 @@
 }
 
 // At is when it is due, or was.
-func (t *Timer) At() time.Duration { return t.at }
+func (t *Timer) Due() time.Duration { return t.at }
 
 // Stop forgets the call; it may be called on nil and again.
 func (t *Timer) Stop() {
@@ -113,7 +113,7 @@
 
 // Turn does what has come and what is due, and calls after behind it, until nothing is left to do now. It returns when the
 // next timer is due, 0 = there is none.
-func (l *Loop) Turn(after func()) (next time.Duration) {
+func (l *Loop) RunOnce(after func()) (next time.Duration) {
 	var spare []func()
 	for {
 		spare = l.round(spare)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,9 +10,9 @@
 func TestOrderAndTimers(t *testing.T) {
 	l := New()
 	var got []int
-	stopped := l.After(time.Millisecond, func() { got = append(got, 99) })
-	l.After(20*time.Millisecond, func() { got = append(got, 5); l.Stop() })
-	l.After(10*time.Millisecond, func() { got = append(got, 4) })
+	stopped := l.AfterFunc(time.Millisecond, func() { got = append(got, 99) })
+	l.AfterFunc(20*time.Millisecond, func() { got = append(got, 5); l.Stop() })
+	l.AfterFunc(10*time.Millisecond, func() { got = append(got, 4) })
 	for i := range 3 {
 		l.Post(func() { got = append(got, i+1) })
 	}
@@ -53,7 +53,7 @@
 		l.Post(func() {
 			n++
 			if i == 3 {
-				l.Urgent(func() { at = n })
+				l.PostUrgent(func() { at = n })
 			}
 		})
 	}
@@ -67,16 +67,16 @@
 // By another clock nothing moves but what Turn is called for, and what a function hands in for now is done in the same turn.
 func TestTurn(t *testing.T) {
 	now := time.Second
-	l := On(func() time.Duration { return now })
+	l := NewWithClock(func() time.Duration { return now })
 	var got []int
-	l.After(10*time.Millisecond, func() { got = append(got, 3) })
-	l.After(0, func() { got = append(got, 1); l.Post(func() { got = append(got, 2) }) })
+	l.AfterFunc(10*time.Millisecond, func() { got = append(got, 3) })
+	l.AfterFunc(0, func() { got = append(got, 1); l.Post(func() { got = append(got, 2) }) })
 	steps := 0
-	if next := l.Turn(func() { steps++ }); next != now+10*time.Millisecond || !slices.Equal(got, []int{1, 2}) || steps != 2 {
+	if next := l.RunOnce(func() { steps++ }); next != now+10*time.Millisecond || !slices.Equal(got, []int{1, 2}) || steps != 2 {
 		t.Fatalf("%v, next %v, %d steps", got, next, steps)
 	}
 	now += 10 * time.Millisecond
-	if next := l.Turn(func() { steps++ }); next != 0 || !slices.Equal(got, []int{1, 2, 3}) {
+	if next := l.RunOnce(func() { steps++ }); next != 0 || !slices.Equal(got, []int{1, 2, 3}) {
 		t.Fatalf("%v, next %v", got, next)
 	}
 }
--- a/internal/failover/hold.go
+++ b/internal/failover/hold.go
@@ -69,9 +69,9 @@
 }
 
 // Holds says whether a request of that class and bank would be held now, rather than given to the module.
-func (m *Model) Holds(id int64, class string) bool {
+func (m *Tracker) ShouldQueue(id int64, class string) bool {
 	b := m.banks[id]
-	if b == nil || !b.in() && (b.phase != SuccessorSeen || len(b.queue) == 0) {
+	if b == nil || !b.in() && (b.phase != PhaseSuccessorSeen || len(b.queue) == 0) {
 		return false
 	}
 	_, ok := m.cfg.Classes[class]
@@ -79,17 +79,17 @@
 }
 
 // Held says whether a request is held.
-func (m *Model) Held(id string) bool { return m.held[id] != nil }
+func (m *Tracker) IsPending(id string) bool { return m.held[id] != nil }
 
 // Hold takes a request. What can't be answered in time is given up at once; where there is no room the least valuable one
 // goes, of the client that has the most.
-func (m *Model) Hold(now time.Duration, q Request) {
+func (m *Tracker) Enqueue(now time.Duration, q Request) {
 	if m.held[q.ID] != nil {
 		return
 	}
-	h := &hold{Request: q, bank: m.bank(q.Bank), worth: m.cfg.Classes[q.Class].Worth, at: now, latest: m.latest(q)}
+	h := &hold{Request: q, bank: m.bank(q.Group), worth: m.cfg.Classes[q.Class].PriorityWeight, at: now, latest: m.latest(q)}
 	if now >= h.latest {
-		m.giveUp(h, TooLate, now)
+		m.giveUp(h, ReasonDeadline, now)
 		return
 	}
 	k := m.byName[q.Client]
@@ -113,10 +113,10 @@
 	}
 	heap.Push(&h.bank.queue, h)
 	m.bytes += q.Size
-	for len(m.held) > m.cfg.Count || m.bytes > m.cfg.Bytes {
+	for len(m.held) > m.cfg.MaxPending || m.bytes > m.cfg.MaxPendingBytes {
 		least := m.least()
 		m.drop(least)
-		m.giveUp(least, NoRoom, now)
+		m.giveUp(least, ReasonQueueFull, now)
 	}
 	if m.held[q.ID] != nil {
 		m.let(h.bank, now)
@@ -130,7 +130,7 @@
 
 // least is the least valuable one of the client that has the most held: of the least worth, and among equals the one that
 // came last, since it has waited least.
-func (m *Model) least() *hold {
+func (m *Tracker) least() *hold {
 	k := m.clients[0]
 	least := k.held[0]
 	for _, h := range k.held[1:] {
@@ -143,10 +143,12 @@
 
 // latest is the last moment in which it is of use to let a request out: the client's deadline, less the answer's way, less
 // what it takes to serve it.
-func (m *Model) latest(q Request) time.Duration { return q.Deadline - m.cfg.Margin - m.expect(q.Class) }
+func (m *Tracker) latest(q Request) time.Duration {
+	return q.Deadline - m.cfg.DeadlineMargin - m.expect(q.Class)
+}
 
 // expect is the time that a request of a class takes once it is sent.
-func (m *Model) expect(class string) time.Duration {
+func (m *Tracker) expect(class string) time.Duration {
 	if w := m.work[class]; w != nil {
 		return *w
 	}
@@ -154,7 +156,7 @@
 }
 
 // drop takes a request out of the queue.
-func (m *Model) drop(h *hold) {
+func (m *Tracker) drop(h *hold) {
 	delete(m.held, h.ID)
 	heap.Remove(&h.bank.queue, h.index)
 	m.bytes -= h.Size
@@ -172,14 +174,14 @@
 	}
 }
 
-func (m *Model) giveUp(h *hold, why Reason, now time.Duration) {
+func (m *Tracker) giveUp(h *hold, why Reason, now time.Duration) {
 	h.bank.givenUp[why]++
-	m.do(Action{Kind: GiveUp, ID: h.ID, Bank: h.bank.id, After: m.after(h.bank, now), Why: why})
+	m.do(Action{Kind: ActionReject, ID: h.ID, Group: h.bank.id, RetryAfter: m.after(h.bank, now), Reason: why})
 }
 
 // after is when a client may come back: when the change is over, as far as those before it tell. It is drawn from a
 // quarter more, so that those who are sent away do not return together.
-func (m *Model) after(b *bank, now time.Duration) time.Duration {
+func (m *Tracker) after(b *bank, now time.Duration) time.Duration {
 	left := againLeast
 	if b.in() {
 		left = max(againLeast, m.usual-(now-b.changed))
@@ -188,18 +190,18 @@
 		}
 	}
 	left += time.Duration(m.rng.Int64N(int64(left/4) + 1))
-	if m.cfg.MaxAfter > 0 {
-		left = min(left, m.cfg.MaxAfter)
+	if m.cfg.MaxRetryAfter > 0 {
+		left = min(left, m.cfg.MaxRetryAfter)
 	}
 	return left
 }
 
 // Busy says whether anything is held, or let out and not answered.
-func (m *Model) Busy() bool { return len(m.held)+m.outs > 0 }
+func (m *Tracker) InProgress() bool { return len(m.held)+m.outs > 0 }
 
 // Done says that a request is answered, or that its client has left.
-func (m *Model) Done(now time.Duration, bank int64, id string) {
-	if !m.Busy() {
+func (m *Tracker) RequestDone(now time.Duration, bank int64, id string) {
+	if !m.InProgress() {
 		return
 	}
 	if h := m.held[id]; h != nil {
@@ -213,19 +215,19 @@
 }
 
 // expire gives up what can't be answered in time any more, and what was held for as long as any may be.
-func (m *Model) expire(b *bank, now time.Duration) {
+func (m *Tracker) expire(b *bank, now time.Duration) {
 	for len(b.queue) > 0 && now >= b.queue[0].latest {
 		h := b.queue[0]
 		m.drop(h)
-		m.giveUp(h, TooLate, now)
+		m.giveUp(h, ReasonDeadline, now)
 	}
-	if m.cfg.Time <= 0 || now < b.oldest+m.cfg.Time || len(b.queue) == 0 {
+	if m.cfg.MaxPendingTime <= 0 || now < b.oldest+m.cfg.MaxPendingTime || len(b.queue) == 0 {
 		return
 	}
 	var old []*hold
 	b.oldest = now
 	for _, h := range b.queue {
-		if now-h.at >= m.cfg.Time {
+		if now-h.at >= m.cfg.MaxPendingTime {
 			old = append(old, h)
 		} else {
 			b.oldest = min(b.oldest, h.at)
@@ -233,25 +235,25 @@
 	}
 	for _, h := range old {
 		m.drop(h)
-		m.giveUp(h, TooLong, now)
+		m.giveUp(h, ReasonQueueTimeout, now)
 	}
 }
 
 // let lets out what the window has room for, the earliest deadline first.
-func (m *Model) let(b *bank, now time.Duration) {
-	if b.phase != SuccessorSeen {
+func (m *Tracker) let(b *bank, now time.Duration) {
+	if b.phase != PhaseSuccessorSeen {
 		return
 	}
 	for len(b.queue) > 0 && float64(len(b.out)) < b.window {
 		h := b.queue[0]
 		m.drop(h)
 		if now >= h.latest {
-			m.giveUp(h, TooLate, now)
+			m.giveUp(h, ReasonDeadline, now)
 			continue
 		}
 		b.out[h.ID] = true
 		m.outs++
 		b.released++
-		m.do(Action{Kind: Release, ID: h.ID, Bank: b.id})
+		m.do(Action{Kind: ActionRelease, ID: h.ID, Group: b.id})
 	}
 }
--- a/internal/failover/model.go
+++ b/internal/failover/model.go
@@ -15,12 +15,12 @@
 
 // The phases.
 const (
-	Steady Phase = iota
-	Suspected
-	Lost
-	HandingOver
-	SuccessorSeen
-	Settled
+	PhaseSteady Phase = iota
+	PhaseSuspected
+	PhasePrimaryLost
+	PhaseSwitchover
+	PhaseSuccessorSeen
+	PhaseSettled
 )
 
 func (p Phase) String() string {
@@ -32,20 +32,20 @@
 
 // The kinds of evidence.
 const (
-	NoEvidence   Evidence = iota
-	Refused               // a connection to the primary was refused, or broke
-	Silence               // it answers nothing, against its own pattern
-	ProbeFailed           // nor does it answer a probe
-	NoPrimary             // it says that it takes no writes (25006)
-	Doubted               // the module has come to doubt it
-	Draining              // the list says that it drains, or is gone
-	Barred                // operators have taken it out
-	Announced             // operators have announced a change
-	Answered              // it answers after all
-	Believed              // the module believes a primary
-	ReleasedAll           // what was held is out
-	Quiet                 // nothing has spoken against it for a while
-	LimitReached          // the time that operators gave has passed
+	EvidenceNone                Evidence = iota
+	EvidenceConnectionRefused            // a connection to the primary was refused, or broke
+	EvidenceSilence                      // it answers nothing, against its own pattern
+	EvidenceHealthCheckFailed            // nor does it answer a probe
+	EvidenceNotPrimary                   // it says that it takes no writes (25006)
+	EvidencePrimarySuspect               // the module has come to doubt it
+	EvidenceDraining                     // the list says that it drains, or is gone
+	EvidenceSuspended                    // operators have taken it out
+	EvidenceAnnounced                    // operators have announced a change
+	EvidenceAnswered                     // it answers after all
+	EvidencePrimaryObserved              // the module believes a primary
+	EvidenceQueueReleased                // what was held is out
+	EvidenceQuiet                        // nothing has spoken against it for a while
+	EvidenceAnnouncementExpired          // the time that operators gave has passed
 )
 
 func (e Evidence) String() string {
@@ -58,24 +58,24 @@
 	Instances int // routers that share the banks
 	Classes   map[string]Class
 
-	Count int           // requests that are held, in all banks together
-	Bytes int           // of their statements
-	Time  time.Duration // the longest that one is held
+	MaxPending      int           // requests that are held, in all banks together
+	MaxPendingBytes int           // of their statements
+	MaxPendingTime  time.Duration // the longest that one is held
 
-	Margin   time.Duration // before a client's deadline its answer has to be on its way
-	MaxAfter time.Duration // the longest return time that is told, 0 = no limit
+	DeadlineMargin time.Duration // before a client's deadline its answer has to be on its way
+	MaxRetryAfter  time.Duration // the longest return time that is told, 0 = no limit
 }
 
 // Class is one whose requests are held.
 type Class struct {
-	Worth float64
-	Work  time.Duration // what it takes until something is learned
+	PriorityWeight float64
+	Work           time.Duration // what it takes until something is learned
 }
 
 // Request is one that asks for a primary.
 type Request struct {
 	ID       string
-	Bank     int64
+	Group    int64
 	Class    string
 	Client   string        // who is treated fairly; "" is one of its own
 	Deadline time.Duration // when its client gives up
@@ -84,12 +84,12 @@
 
 // Action is something the caller has to do, in order.
 type Action struct {
-	Kind  ActionKind
-	ID    string        // Release, GiveUp
-	Node  string        // Probe
-	Bank  int64         // Withdraw, Changed
-	After time.Duration // GiveUp: when to come back
-	Why   Reason        // GiveUp
+	Kind       ActionKind
+	ID         string        // Release, GiveUp
+	Endpoint   string        // Probe
+	Group      int64         // Withdraw, Changed
+	RetryAfter time.Duration // GiveUp: when to come back
+	Reason     Reason        // GiveUp
 }
 
 // ActionKind tells actions apart.
@@ -97,11 +97,11 @@
 
 // The kinds of actions.
 const (
-	Release  ActionKind = iota // hand it to the module
-	GiveUp                     // it can't be served in time, or there is no room for it: answer at once
-	Probe                      // ask a member for a report
-	Withdraw                   // take back from the module what it holds for the bank's primary, and offer it again
-	Changed                    // the phase of a bank is another one
+	ActionRelease      ActionKind = iota // hand it to the module
+	ActionReject                         // it can't be served in time, or there is no room for it: answer at once
+	ActionHealthCheck                    // ask a member for a report
+	ActionWithdraw                       // take back from the module what it holds for the bank's primary, and offer it again
+	ActionPhaseChanged                   // the phase of a bank is another one
 )
 
 // Reason says why a held request was given up.
@@ -109,9 +109,9 @@
 
 // The reasons.
 const (
-	TooLate Reason = iota // no answer could come in time any more
-	NoRoom                // over the bound, and the least valuable
-	TooLong               // held for as long as any may be
+	ReasonDeadline     Reason = iota // no answer could come in time any more
+	ReasonQueueFull                  // over the bound, and the least valuable
+	ReasonQueueTimeout               // held for as long as any may be
 	reasons
 )
 
@@ -141,7 +141,7 @@
 )
 
 // Model is the state of all banks. Only one goroutine may use it.
-type Model struct {
+type Tracker struct {
 	cfg     Config
 	rng     *rand.Rand
 	banks   map[int64]*bank
@@ -177,17 +177,17 @@
 	nextAsk  time.Duration
 	gap      time.Duration
 	credit   float64 // rounds of probes that are paid for
-	history  []Line
+	history  []Transition
 	released uint64
 	givenUp  [reasons]uint64
 }
 
 // Line is a step in a bank's history.
-type Line struct {
+type Transition struct {
 	At       time.Duration
 	From, To Phase
 	Evidence Evidence
-	Node     string
+	Endpoint string
 	Term     uint64
 }
 
@@ -217,24 +217,24 @@
 }
 
 // New returns a Model that knows no bank.
-func New(cfg Config, seed uint64) *Model {
-	return &Model{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0xc4a)), banks: map[int64]*bank{}, nodes: map[string]*member{}, held: map[string]*hold{},
+func New(cfg Config, seed uint64) *Tracker {
+	return &Tracker{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0xc4a)), banks: map[int64]*bank{}, nodes: map[string]*member{}, held: map[string]*hold{},
 		byName: map[string]*client{}, work: map[string]*time.Duration{}, usual: changeUsual}
 }
 
 // Actions returns what is to be done since the last call.
-func (m *Model) Actions() []Action {
+func (m *Tracker) Actions() []Action {
 	acts := m.acts
 	m.acts = nil
 	return acts
 }
 
 // Pending says whether there is anything to do.
-func (m *Model) Pending() bool { return len(m.acts) > 0 }
+func (m *Tracker) HasActions() bool { return len(m.acts) > 0 }
 
-func (m *Model) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Tracker) do(a Action) { m.acts = append(m.acts, a) }
 
-func (m *Model) bank(id int64) *bank {
+func (m *Tracker) bank(id int64) *bank {
 	b := m.banks[id]
 	if b == nil {
 		b = &bank{id: id, out: map[string]bool{}}
@@ -246,63 +246,65 @@
 }
 
 // in says whether writes of the bank are held.
-func (b *bank) in() bool { return b.phase == Suspected || b.phase == Lost || b.phase == HandingOver }
+func (b *bank) in() bool {
+	return b.phase == PhaseSuspected || b.phase == PhasePrimaryLost || b.phase == PhaseSwitchover
+}
 
 // move takes a bank to another phase.
-func (m *Model) move(b *bank, to Phase, why Evidence, node string, now time.Duration) {
+func (m *Tracker) move(b *bank, to Phase, why Evidence, node string, now time.Duration) {
 	if b.phase == to {
 		return
 	}
 	from := b.phase
-	if !b.in() && (to == Suspected || to == Lost || to == HandingOver) {
-		if from == Steady || from == Settled {
+	if !b.in() && (to == PhaseSuspected || to == PhasePrimaryLost || to == PhaseSwitchover) {
+		if from == PhaseSteady || from == PhaseSettled {
 			b.changed = now
 		}
 		b.gap, b.credit = probeFirst, 0
 		b.nextAsk = now + time.Duration(m.rng.Int64N(int64(min(probeSlow, probeShare/10*time.Duration(1+m.cfg.Instances)))))
-		m.do(Action{Kind: Withdraw, Bank: b.id})
+		m.do(Action{Kind: ActionWithdraw, Group: b.id})
 	}
 	b.phase, b.since = to, now
 	if len(b.history) == evidenceKept {
 		b.history = append(b.history[:0], b.history[1:]...)
 	}
-	b.history = append(b.history, Line{At: now, From: from, To: to, Evidence: why, Node: node, Term: b.term})
-	m.do(Action{Kind: Changed, Bank: b.id})
+	b.history = append(b.history, Transition{At: now, From: from, To: to, Evidence: why, Endpoint: node, Term: b.term})
+	m.do(Action{Kind: ActionPhaseChanged, Group: b.id})
 }
 
 // ---- What is told
 
 // Member is one entry of a list.
-type Member struct {
-	Node string
-	Bank int64
-	Out  bool // it drains
-	Gone bool // it is to be forgotten, once another one leads
+type Endpoint struct {
+	ID       string
+	Group    int64
+	Draining bool // it drains
+	Removed  bool // it is to be forgotten, once another one leads
 }
 
 // Listed notes members of banks. What it does not name stays as it was, or is gone where it is the whole list.
-func (m *Model) Listed(now time.Duration, members []Member, whole bool) {
+func (m *Tracker) UpdateEndpoints(now time.Duration, members []Endpoint, whole bool) {
 	named := map[string]bool{}
 	for _, e := range members {
-		named[e.Node] = true
-		n := m.nodes[e.Node]
-		if e.Gone {
+		named[e.ID] = true
+		n := m.nodes[e.ID]
+		if e.Removed {
 			m.gone(n, now)
 			continue
 		}
-		if n != nil && n.bank.id != e.Bank {
+		if n != nil && n.bank.id != e.Group {
 			m.forget(n)
 			n = nil
 		}
-		b := m.bank(e.Bank)
+		b := m.bank(e.Group)
 		if n == nil {
-			n = &member{id: e.Node, bank: b, lenient: 1}
-			m.nodes[e.Node] = n
+			n = &member{id: e.ID, bank: b, lenient: 1}
+			m.nodes[e.ID] = n
 			b.members = append(b.members, n)
 			slices.SortFunc(b.members, func(a, b *member) int { return cmp.Compare(a.id, b.id) })
 		}
-		if n.out = e.Out; n.out && b.primary == n && !b.in() {
-			m.move(b, HandingOver, Draining, n.id, now)
+		if n.out = e.Draining; n.out && b.primary == n && !b.in() {
+			m.move(b, PhaseSwitchover, EvidenceDraining, n.id, now)
 		}
 	}
 	if !whole {
@@ -318,19 +320,19 @@
 }
 
 // gone forgets a member that is not listed any more.
-func (m *Model) gone(n *member, now time.Duration) {
+func (m *Tracker) gone(n *member, now time.Duration) {
 	switch {
 	case n == nil:
 	case n.bank.primary != n:
 		m.forget(n)
 	default:
 		if n.out = true; !n.bank.in() {
-			m.move(n.bank, HandingOver, Draining, n.id, now)
+			m.move(n.bank, PhaseSwitchover, EvidenceDraining, n.id, now)
 		}
 	}
 }
 
-func (m *Model) forget(n *member) {
+func (m *Tracker) forget(n *member) {
 	delete(m.nodes, n.id)
 	n.bank.members = slices.DeleteFunc(n.bank.members, func(o *member) bool { return o == n })
 	if n.bank.primary == n {
@@ -339,26 +341,26 @@
 }
 
 // Suspend notes that operators have taken a member out, or let it back in.
-func (m *Model) Suspend(now time.Duration, node string, out bool) {
+func (m *Tracker) Suspend(now time.Duration, node string, out bool) {
 	n := m.nodes[node]
 	if n == nil {
 		return
 	}
 	if n.barred = out; out && n.bank.primary == n && !n.bank.in() {
-		m.move(n.bank, HandingOver, Barred, n.id, now)
+		m.move(n.bank, PhaseSwitchover, EvidenceSuspended, n.id, now)
 	}
 }
 
 // Announce says that operators are about to change a bank's primary: its writes are held from now on, until another one is
 // believed or the time has passed. It says whether the bank is known.
-func (m *Model) Announce(now time.Duration, id int64, within time.Duration) bool {
+func (m *Tracker) Announce(now time.Duration, id int64, within time.Duration) bool {
 	b := m.banks[id]
 	if b == nil {
 		return false
 	}
 	b.limit = now + within
-	if b.phase != HandingOver {
-		m.move(b, HandingOver, Announced, name(b.primary), now)
+	if b.phase != PhaseSwitchover {
+		m.move(b, PhaseSwitchover, EvidenceAnnounced, name(b.primary), now)
 	}
 	return true
 }
@@ -371,7 +373,7 @@
 }
 
 // Believe notes whom the module takes for a bank's primary.
-func (m *Model) Believe(now time.Duration, id int64, node string) {
+func (m *Tracker) ObservePrimary(now time.Duration, id int64, node string) {
 	b, n := m.bank(id), m.nodes[node]
 	if n == nil {
 		n = &member{id: node, bank: b, lenient: 1}
@@ -379,47 +381,47 @@
 		b.members = append(b.members, n)
 		slices.SortFunc(b.members, func(a, b *member) int { return cmp.Compare(a.id, b.id) })
 	}
-	first := b.primary == nil && b.phase == Steady
+	first := b.primary == nil && b.phase == PhaseSteady
 	fresh := b.primary != n
 	if fresh {
 		b.term++
 	}
 	b.doubted = false
-	if b.primary = n; first || b.phase == Steady && !fresh {
+	if b.primary = n; first || b.phase == PhaseSteady && !fresh {
 		return
 	}
-	if b.phase == HandingOver && !fresh && b.limit > now {
+	if b.phase == PhaseSwitchover && !fresh && b.limit > now {
 		return // an announced change: the old one leads until another does
 	}
 	n.failures, n.heard = 0, now
-	m.seen(b, Believed, now)
+	m.seen(b, EvidencePrimaryObserved, now)
 }
 
 // seen lets the bank's writes out.
-func (m *Model) seen(b *bank, why Evidence, now time.Duration) {
-	if b.in() && why == Believed {
+func (m *Tracker) seen(b *bank, why Evidence, now time.Duration) {
+	if b.in() && why == EvidencePrimaryObserved {
 		m.usual += time.Duration(smooth * float64(now-b.changed-m.usual))
 	}
 	b.limit = 0
 	b.window = max(1, windowFirst/float64(max(1, m.cfg.Instances)))
-	m.move(b, SuccessorSeen, why, name(b.primary), now)
+	m.move(b, PhaseSuccessorSeen, why, name(b.primary), now)
 	b.since, b.settleAt = now, now+settleFor
 	m.let(b, now)
 }
 
 // Doubt notes that the module has come to doubt a bank's primary.
-func (m *Model) Doubt(now time.Duration, id int64, node string) {
+func (m *Tracker) SuspectPrimary(now time.Duration, id int64, node string) {
 	b := m.bank(id)
 	if b.primary != nil && b.primary.id != node {
 		return
 	}
-	if b.doubted = true; b.phase != HandingOver {
-		m.move(b, Lost, Doubted, node, now)
+	if b.doubted = true; b.phase != PhaseSwitchover {
+		m.move(b, PhasePrimaryLost, EvidencePrimarySuspect, node, now)
 	}
 }
 
 // Hint is what an earlier start knew: the term goes on from there, and the primary is asked first. It may come late.
-func (m *Model) Hint(id int64, term uint64, node string) {
+func (m *Tracker) RestoreTerm(id int64, term uint64, node string) {
 	b := m.bank(id)
 	if b.primary != nil && b.primary.id != node {
 		term++ // it comes late: another one has followed meanwhile
@@ -433,26 +435,26 @@
 // ---- Attempts and probes
 
 // Sent notes an attempt at a member.
-func (m *Model) Sent(now time.Duration, node, id string) {
+func (m *Tracker) AttemptSent(now time.Duration, node, id string) {
 	if n := m.nodes[node]; n != nil && n.bank.primary == n {
 		n.waiting = append(n.waiting, attempt{id, now})
 	}
 }
 
 // How an attempt or a probe ended, as far as a change of primary is concerned.
-type End uint8
+type AttemptEnd uint8
 
 // The ends.
 const (
-	Fine      End = iota // it answered
-	Replica              // it answered that it takes no writes
-	Unreached            // refused, or broke: nothing is known of what stands behind it
-	Nothing              // taken back, or its time ended: says nothing by itself
-	Full                 // turned away
+	EndAnswered     AttemptEnd = iota // it answered
+	EndNotPrimary                     // it answered that it takes no writes
+	EndUnreachable                    // refused, or broke: nothing is known of what stands behind it
+	EndInconclusive                   // taken back, or its time ended: says nothing by itself
+	EndRejected                       // turned away
 )
 
 // Ended notes the end of an attempt. pos is the position that it told, 0 = none; class and took are those of a request that was served.
-func (m *Model) Ended(now time.Duration, node, id string, end End, role Role, pos time.Duration, class string, took time.Duration) {
+func (m *Tracker) AttemptEnded(now time.Duration, node, id string, end AttemptEnd, role Role, pos time.Duration, class string, took time.Duration) {
 	n := m.nodes[node]
 	if n == nil {
 		return
@@ -469,14 +471,14 @@
 		delete(b.out, id)
 		m.outs--
 		switch end {
-		case Fine:
+		case EndAnswered:
 			b.window = min(windowMost, b.window+1)
-		case Full:
+		case EndRejected:
 			b.window = max(1, b.window/2)
 		}
 	}
 	switch end {
-	case Fine:
+	case EndAnswered:
 		if took > 0 && class != "" {
 			m.learn(n, took)
 			w := m.work[class]
@@ -491,21 +493,21 @@
 		if role == RolePrimary && b.in() && n != b.primary {
 			m.ask(n, now) // the module believes a report sooner than an answer
 		}
-	case Full:
+	case EndRejected:
 		m.answered(n, now)
-	case Replica:
+	case EndNotPrimary:
 		n.heard = now
 		if n == b.primary && !b.in() {
-			m.move(b, HandingOver, NoPrimary, n.id, now)
+			m.move(b, PhaseSwitchover, EvidenceNotPrimary, n.id, now)
 		}
-	case Unreached:
+	case EndUnreachable:
 		m.unreached(n, now)
 	}
 	m.let(b, now)
 }
 
 // Reported notes the end of a probe.
-func (m *Model) Reported(now time.Duration, node string, answered bool, role Role, pos time.Duration) {
+func (m *Tracker) HealthCheckEnded(now time.Duration, node string, answered bool, role Role, pos time.Duration) {
 	n := m.nodes[node]
 	if n == nil {
 		return
@@ -514,16 +516,16 @@
 	if !answered {
 		if n == n.bank.primary {
 			n.failures++
-			if n.bank.phase == Suspected {
-				m.move(n.bank, Lost, ProbeFailed, n.id, now)
+			if n.bank.phase == PhaseSuspected {
+				m.move(n.bank, PhasePrimaryLost, EvidenceHealthCheckFailed, n.id, now)
 			}
 		}
 		return
 	}
 	m.place(n, pos, now)
 	if n == n.bank.primary && role == RoleReplica {
-		if n.heard = now; !n.bank.in() || n.bank.phase == Suspected {
-			m.move(n.bank, HandingOver, NoPrimary, n.id, now)
+		if n.heard = now; !n.bank.in() || n.bank.phase == PhaseSuspected {
+			m.move(n.bank, PhaseSwitchover, EvidenceNotPrimary, n.id, now)
 		}
 		return
 	}
@@ -540,14 +542,14 @@
 	RoleReplica
 )
 
-func (m *Model) place(n *member, pos, now time.Duration) {
+func (m *Tracker) place(n *member, pos, now time.Duration) {
 	if pos > n.pos {
 		n.pos, n.posAt = pos, now
 	}
 }
 
 // learn keeps a member's own pattern.
-func (m *Model) learn(n *member, took time.Duration) {
+func (m *Tracker) learn(n *member, took time.Duration) {
 	s := took.Seconds()
 	if n.seen++; n.seen == 1 {
 		n.mean, n.dev = s, s/2
@@ -565,17 +567,17 @@
 }
 
 // answered lifts a suspicion of a primary that answers.
-func (m *Model) answered(n *member, now time.Duration) {
+func (m *Tracker) answered(n *member, now time.Duration) {
 	n.heard, n.failures = now, 0
 	b := n.bank
-	if n != b.primary || b.phase != Suspected && (b.phase != Lost || b.doubted || n.out || n.barred) {
+	if n != b.primary || b.phase != PhaseSuspected && (b.phase != PhasePrimaryLost || b.doubted || n.out || n.barred) {
 		return
 	}
 	n.lenient = min(8, n.lenient*1.5) // the pattern was too tight
-	m.seen(b, Answered, now)
+	m.seen(b, EvidenceAnswered, now)
 }
 
-func (m *Model) unreached(n *member, now time.Duration) {
+func (m *Tracker) unreached(n *member, now time.Duration) {
 	n.failures++
 	b := n.bank
 	if n != b.primary {
@@ -583,17 +585,17 @@
 	}
 	switch {
 	case !b.in():
-		m.move(b, Suspected, Refused, n.id, now)
+		m.move(b, PhaseSuspected, EvidenceConnectionRefused, n.id, now)
 		m.ask(n, now)
-	case b.phase == Suspected && n.failures > 1:
-		m.move(b, Lost, Refused, n.id, now)
+	case b.phase == PhaseSuspected && n.failures > 1:
+		m.move(b, PhasePrimaryLost, EvidenceConnectionRefused, n.id, now)
 	}
 }
 
 // ---- Time
 
 // Tick looks at silence, deadlines and probes, and returns when it wants to be called next, 0 = when something happens.
-func (m *Model) Tick(now time.Duration) (next time.Duration) {
+func (m *Tracker) Tick(now time.Duration) (next time.Duration) {
 	due := func(at time.Duration) {
 		if next == 0 || at < next {
 			next = max(at, now+time.Millisecond)
@@ -603,28 +605,28 @@
 		n := b.primary
 		if n != nil && !b.in() && len(n.waiting) > 0 {
 			if at := max(n.heard, n.waiting[0].at) + n.patience(); now >= at {
-				m.move(b, Suspected, Silence, n.id, now)
+				m.move(b, PhaseSuspected, EvidenceSilence, n.id, now)
 				m.ask(n, now)
 			} else {
 				due(at)
 			}
 		}
 		switch {
-		case b.phase == Suspected && now-b.since >= suspectFor:
-			m.move(b, Lost, Silence, name(n), now)
-		case b.phase == Suspected:
+		case b.phase == PhaseSuspected && now-b.since >= suspectFor:
+			m.move(b, PhasePrimaryLost, EvidenceSilence, name(n), now)
+		case b.phase == PhaseSuspected:
 			due(b.since + suspectFor)
-		case b.phase == HandingOver && b.limit > 0 && now >= b.limit:
+		case b.phase == PhaseSwitchover && b.limit > 0 && now >= b.limit:
 			if b.limit = 0; n != nil && !n.out && !n.barred && n.failures == 0 {
-				m.seen(b, LimitReached, now) // nothing came of it
+				m.seen(b, EvidenceAnnouncementExpired, now) // nothing came of it
 			} else {
-				m.move(b, Lost, LimitReached, name(n), now)
+				m.move(b, PhasePrimaryLost, EvidenceAnnouncementExpired, name(n), now)
 			}
-		case b.phase == HandingOver && b.limit > 0:
+		case b.phase == PhaseSwitchover && b.limit > 0:
 			due(b.limit)
-		case b.phase == SuccessorSeen:
+		case b.phase == PhaseSuccessorSeen:
 			if len(b.queue) == 0 && len(b.out) == 0 || now >= b.settleAt && len(b.queue) == 0 {
-				m.move(b, Settled, ReleasedAll, name(n), now)
+				m.move(b, PhaseSettled, EvidenceQueueReleased, name(n), now)
 				due(now + settleFor)
 			} else {
 				due(min(b.settleAt, now+settleFor/4))
@@ -635,9 +637,9 @@
 				b.settleAt = now + settleFor
 				m.let(b, now)
 			}
-		case b.phase == Settled && now-b.since >= settleFor:
-			m.move(b, Steady, Quiet, name(n), now)
-		case b.phase == Settled:
+		case b.phase == PhaseSettled && now-b.since >= settleFor:
+			m.move(b, PhaseSteady, EvidenceQuiet, name(n), now)
+		case b.phase == PhaseSettled:
 			due(b.since + settleFor)
 		}
 		if b.in() {
@@ -646,8 +648,8 @@
 		}
 		if m.expire(b, now); len(b.queue) > 0 {
 			due(b.queue[0].latest)
-			if m.cfg.Time > 0 {
-				due(b.oldest + m.cfg.Time)
+			if m.cfg.MaxPendingTime > 0 {
+				due(b.oldest + m.cfg.MaxPendingTime)
 			}
 		}
 	}
@@ -657,7 +659,7 @@
 // look asks members who might be the successor: those with the most log first, and densely while something is held that pays
 // for it. Danger: at a rate of its own each of many routers with a write or two would keep the bank busy with reports. Each
 // draws its own moments.
-func (m *Model) look(b *bank, now time.Duration) {
+func (m *Tracker) look(b *bank, now time.Duration) {
 	if now < b.nextAsk {
 		return
 	}
@@ -678,7 +680,7 @@
 func (b *bank) paid() bool { return len(b.queue) > 0 && b.credit >= 1 }
 
 // likely are the members that may be asked, the likeliest successor first.
-func (m *Model) likely(b *bank) []*member {
+func (m *Tracker) likely(b *bank) []*member {
 	var out []*member
 	for _, n := range b.members {
 		if !n.out && !n.barred {
@@ -687,7 +689,7 @@
 	}
 	slices.SortStableFunc(out, func(x, y *member) int {
 		// An old primary that is lost comes last, whatever its log.
-		if old := b.phase != Suspected; (x == b.primary) != (y == b.primary) {
+		if old := b.phase != PhaseSuspected; (x == b.primary) != (y == b.primary) {
 			if (x == b.primary) == old {
 				return 1
 			}
@@ -698,10 +700,10 @@
 	return out
 }
 
-func (m *Model) ask(n *member, now time.Duration) {
+func (m *Tracker) ask(n *member, now time.Duration) {
 	if n.out || n.barred || n.asking && now-n.askedAt < probeWait {
 		return
 	}
 	n.asking, n.askedAt = true, now
-	m.do(Action{Kind: Probe, Node: n.id})
+	m.do(Action{Kind: ActionHealthCheck, Endpoint: n.id})
 }
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -12,19 +12,19 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Instances: 1, Classes: map[string]Class{"job": {Worth: 1, Work: 10 * ms}, "small": {Worth: 0.1, Work: 10 * ms}}, Count: 20, Bytes: 2000, Margin: 10 * ms}
+	return Config{Instances: 1, Classes: map[string]Class{"job": {PriorityWeight: 1, Work: 10 * ms}, "small": {PriorityWeight: 0.1, Work: 10 * ms}}, MaxPending: 20, MaxPendingBytes: 2000, DeadlineMargin: 10 * ms}
 }
 
-func listed(m *Model, banks int) {
-	var in []Member
+func listed(m *Tracker, banks int) {
+	var in []Endpoint
 	for b := range banks {
 		for i := range 3 {
-			in = append(in, Member{Node: fmt.Sprintf("n%d-%d", b, i), Bank: int64(b)})
+			in = append(in, Endpoint{ID: fmt.Sprintf("n%d-%d", b, i), Group: int64(b)})
 		}
 	}
-	m.Listed(0, in, true)
+	m.UpdateEndpoints(0, in, true)
 	for b := range banks {
-		m.Believe(0, int64(b), fmt.Sprintf("n%d-0", b))
+		m.ObservePrimary(0, int64(b), fmt.Sprintf("n%d-0", b))
 	}
 	m.Actions()
 }
@@ -32,7 +32,7 @@
 // world plays the core around a model and checks what it asks.
 type world struct {
 	t     *rapid.T
-	m     *Model
+	m     *Tracker
 	now   time.Duration
 	state map[string]string // of requests: held, out, over
 	due   map[string]time.Duration
@@ -42,30 +42,30 @@
 }
 
 func (w *world) carry() {
-	for w.m.Pending() {
+	for w.m.HasActions() {
 		for _, a := range w.m.Actions() {
 			switch a.Kind {
-			case Release:
+			case ActionRelease:
 				if w.state[a.ID] != "held" {
 					w.t.Fatalf("%s is let out, it is %s", a.ID, w.state[a.ID])
 				}
-				phase, _, primary, _ := w.m.Bank(a.Bank)
-				if phase != SuccessorSeen || primary == "" {
+				phase, _, primary, _ := w.m.Group(a.Group)
+				if phase != PhaseSuccessorSeen || primary == "" {
 					w.t.Fatalf("%s is let out while %v, to %q", a.ID, phase, primary)
 				}
 				w.state[a.ID], w.whose[a.ID] = "out", primary
-			case GiveUp:
+			case ActionReject:
 				if w.state[a.ID] != "held" && w.state[a.ID] != "new" {
 					w.t.Fatalf("%s is given up, it is %s", a.ID, w.state[a.ID])
 				}
-				if a.After <= 0 {
+				if a.RetryAfter <= 0 {
 					w.t.Fatalf("%s is given up without a time to come back", a.ID)
 				}
 				w.state[a.ID] = "over"
-			case Probe:
-				n := w.m.nodes[a.Node]
+			case ActionHealthCheck:
+				n := w.m.nodes[a.Endpoint]
 				if n == nil || n.out || n.barred {
-					w.t.Fatalf("%s is asked though it is out", a.Node)
+					w.t.Fatalf("%s is asked though it is out", a.Endpoint)
 				}
 			}
 		}
@@ -74,7 +74,7 @@
 	for id, s := range w.state {
 		if s == "held" {
 			held++
-			if !w.m.Held(id) {
+			if !w.m.IsPending(id) {
 				w.t.Fatalf("%s is lost", id)
 			}
 		}
@@ -90,7 +90,7 @@
 		}
 		w.terms[b.id] = b.term
 	}
-	if held != len(w.m.held) || held != inBanks || held > w.m.cfg.Count || bytes != w.m.bytes || bytes > w.m.cfg.Bytes {
+	if held != len(w.m.held) || held != inBanks || held > w.m.cfg.MaxPending || bytes != w.m.bytes || bytes > w.m.cfg.MaxPendingBytes {
 		w.t.Fatalf("%d held, %d known, %d in banks, %d bytes", held, len(w.m.held), inBanks, bytes)
 	}
 	names := 0
@@ -108,7 +108,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		if rapid.Bool().Draw(t, "timed") {
-			cfg.Time = 300 * ms
+			cfg.MaxPendingTime = 300 * ms
 		}
 		w := &world{t: t, m: New(cfg, rapid.Uint64().Draw(t, "seed")), now: time.Second, state: map[string]string{}, due: map[string]time.Duration{}, bank: map[string]int64{},
 			terms: map[int64]uint64{}, whose: map[string]string{}}
@@ -123,16 +123,16 @@
 			switch rapid.IntRange(0, 13).Draw(t, "event") {
 			case 0, 1, 2, 3:
 				n++
-				q := Request{ID: fmt.Sprint("q", n), Bank: bank, Class: []string{"job", "small"}[rapid.IntRange(0, 1).Draw(t, "class")], Client: []string{"", "a", "b"}[rapid.IntRange(0, 2).Draw(t, "client")],
+				q := Request{ID: fmt.Sprint("q", n), Group: bank, Class: []string{"job", "small"}[rapid.IntRange(0, 1).Draw(t, "class")], Client: []string{"", "a", "b"}[rapid.IntRange(0, 2).Draw(t, "client")],
 					Deadline: w.now + time.Duration(rapid.IntRange(0, 500).Draw(t, "wait"))*ms, Size: rapid.IntRange(0, 400).Draw(t, "size")}
-				if w.m.Holds(bank, q.Class) {
+				if w.m.ShouldQueue(bank, q.Class) {
 					w.state[q.ID], w.due[q.ID], w.bank[q.ID] = "new", q.Deadline, bank
-					w.m.Hold(w.now, q)
-					if w.m.Held(q.ID) {
+					w.m.Enqueue(w.now, q)
+					if w.m.IsPending(q.ID) {
 						w.state[q.ID] = "held"
 					} else if w.state[q.ID] == "new" {
 						for _, a := range w.m.acts { // let out or given up at once
-							if a.ID == q.ID && a.Kind == Release {
+							if a.ID == q.ID && a.Kind == ActionRelease {
 								w.state[q.ID] = "held"
 							}
 						}
@@ -140,33 +140,33 @@
 					// Others that made room are in the actions.
 				}
 			case 4:
-				w.m.Ended(w.now, node(), "x", Unreached, RoleUnknown, 0, "", 0)
+				w.m.AttemptEnded(w.now, node(), "x", EndUnreachable, RoleUnknown, 0, "", 0)
 			case 5:
-				w.m.Ended(w.now, node(), "x", Replica, RoleReplica, 0, "", 0)
+				w.m.AttemptEnded(w.now, node(), "x", EndNotPrimary, RoleReplica, 0, "", 0)
 			case 6:
-				w.m.Reported(w.now, node(), rapid.Bool().Draw(t, "answered"), Role(rapid.IntRange(0, 2).Draw(t, "role")), w.now)
+				w.m.HealthCheckEnded(w.now, node(), rapid.Bool().Draw(t, "answered"), Role(rapid.IntRange(0, 2).Draw(t, "role")), w.now)
 			case 7:
-				w.m.Believe(w.now, bank, fmt.Sprintf("n%d-%d", bank, rapid.IntRange(0, 2).Draw(t, "leader")))
+				w.m.ObservePrimary(w.now, bank, fmt.Sprintf("n%d-%d", bank, rapid.IntRange(0, 2).Draw(t, "leader")))
 			case 8:
-				_, _, p, _ := w.m.Bank(bank)
-				w.m.Doubt(w.now, bank, p)
+				_, _, p, _ := w.m.Group(bank)
+				w.m.SuspectPrimary(w.now, bank, p)
 			case 9:
 				w.m.Announce(w.now, bank, 200*ms)
 			case 10:
 				w.m.Suspend(w.now, node(), rapid.Bool().Draw(t, "barred"))
 			case 11:
 				id := node()
-				w.m.Listed(w.now, []Member{{Node: id, Bank: int64(id[1] - '0'), Out: rapid.Bool().Draw(t, "drains"), Gone: rapid.IntRange(0, 9).Draw(t, "gone") == 0}}, false)
+				w.m.UpdateEndpoints(w.now, []Endpoint{{ID: id, Group: int64(id[1] - '0'), Draining: rapid.Bool().Draw(t, "drains"), Removed: rapid.IntRange(0, 9).Draw(t, "gone") == 0}}, false)
 			case 12:
 				for id, s := range w.state {
 					if s == "held" || s == "out" {
-						w.m.Done(w.now, w.bank[id], id)
+						w.m.RequestDone(w.now, w.bank[id], id)
 						w.state[id] = "over"
 						break
 					}
 				}
 			case 13:
-				w.m.Sent(w.now, node(), "x")
+				w.m.AttemptSent(w.now, node(), "x")
 			}
 			w.m.Tick(w.now)
 			w.carry()
@@ -184,7 +184,7 @@
 	})
 }
 
-func kinds(m *Model) (out []ActionKind) {
+func kinds(m *Tracker) (out []ActionKind) {
 	for _, a := range m.Actions() {
 		out = append(out, a.Kind)
 	}
@@ -194,55 +194,60 @@
 // Each phase is reached by its evidence, and by no other's claim.
 func TestPhases(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(m *Model)
+		do   func(m *Tracker)
 		want Phase
 		why  Evidence
 	}{
-		"one refused connection": {func(m *Model) { m.Ended(1, "n0-0", "a", Unreached, 0, 0, "", 0) }, Suspected, Refused},
-		"two": {func(m *Model) {
-			m.Ended(1, "n0-0", "a", Unreached, 0, 0, "", 0)
-			m.Ended(2, "n0-0", "b", Unreached, 0, 0, "", 0)
-		}, Lost, Refused},
-		"of a replica": {func(m *Model) { m.Ended(1, "n0-1", "a", Unreached, 0, 0, "", 0) }, Steady, NoEvidence},
-		"silence": {func(m *Model) {
-			m.Sent(0, "n0-0", "a")
+		"one refused connection": {func(m *Tracker) { m.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSuspected, EvidenceConnectionRefused},
+		"two": {func(m *Tracker) {
+			m.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0)
+			m.AttemptEnded(2, "n0-0", "b", EndUnreachable, 0, 0, "", 0)
+		}, PhasePrimaryLost, EvidenceConnectionRefused},
+		"of a replica": {func(m *Tracker) { m.AttemptEnded(1, "n0-1", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSteady, EvidenceNone},
+		"silence": {func(m *Tracker) {
+			m.AttemptSent(0, "n0-0", "a")
 			m.Tick(patienceLeast)
-		}, Suspected, Silence},
-		"none yet": {func(m *Model) {
-			m.Sent(0, "n0-0", "a")
+		}, PhaseSuspected, EvidenceSilence},
+		"none yet": {func(m *Tracker) {
+			m.AttemptSent(0, "n0-0", "a")
 			m.Tick(patienceLeast - 1)
-		}, Steady, NoEvidence},
-		"long silence": {func(m *Model) {
-			m.Sent(0, "n0-0", "a")
+		}, PhaseSteady, EvidenceNone},
+		"long silence": {func(m *Tracker) {
+			m.AttemptSent(0, "n0-0", "a")
 			m.Tick(patienceLeast)
 			m.Tick(patienceLeast + suspectFor)
-		}, Lost, Silence},
-		"it answers after all": {func(m *Model) {
-			m.Sent(0, "n0-0", "a")
+		}, PhasePrimaryLost, EvidenceSilence},
+		"it answers after all": {func(m *Tracker) {
+			m.AttemptSent(0, "n0-0", "a")
 			m.Tick(patienceLeast)
-			m.Ended(100*ms, "n0-0", "a", Fine, RolePrimary, 0, "job", 100*ms)
-		}, SuccessorSeen, Answered},
-		"25006":                  {func(m *Model) { m.Ended(1, "n0-0", "a", Replica, RoleReplica, 0, "job", 0) }, HandingOver, NoPrimary},
-		"a report":               {func(m *Model) { m.Reported(1, "n0-0", true, RoleReplica, 0) }, HandingOver, NoPrimary},
-		"a probe fails unasked":  {func(m *Model) { m.Reported(1, "n0-0", false, 0, 0) }, Steady, NoEvidence},
-		"a drain":                {func(m *Model) { m.Listed(1, []Member{{Node: "n0-0", Out: true}}, false) }, HandingOver, Draining},
-		"a replica's drain":      {func(m *Model) { m.Listed(1, []Member{{Node: "n0-1", Out: true}}, false) }, Steady, NoEvidence},
-		"not listed":             {func(m *Model) { m.Listed(1, []Member{{Node: "n0-1"}, {Node: "n0-2"}}, true) }, HandingOver, Draining},
-		"a suspend":              {func(m *Model) { m.Suspend(1, "n0-0", true) }, HandingOver, Barred},
-		"an announcement":        {func(m *Model) { m.Announce(1, 0, time.Second) }, HandingOver, Announced},
-		"the module's doubt":     {func(m *Model) { m.Doubt(1, 0, "n0-0") }, Lost, Doubted},
-		"of one that was":        {func(m *Model) { m.Doubt(1, 0, "n0-2") }, Steady, NoEvidence},
-		"nothing came of it":     {func(m *Model) { m.Announce(1, 0, time.Second); m.Tick(time.Second + 1) }, SuccessorSeen, LimitReached},
-		"a successor":            {func(m *Model) { m.Doubt(1, 0, "n0-0"); m.Believe(2, 0, "n0-1") }, SuccessorSeen, Believed},
-		"announced, still leads": {func(m *Model) { m.Announce(1, 0, time.Second); m.Believe(2, 0, "n0-0") }, HandingOver, Announced},
-		"doubted, answers alone": {func(m *Model) { m.Doubt(1, 0, "n0-0"); m.Reported(2, "n0-0", true, RolePrimary, 1) }, Lost, Doubted},
-		"settled":                {func(m *Model) { m.Doubt(1, 0, "n0-0"); m.Believe(2, 0, "n0-1"); m.Tick(3) }, Settled, ReleasedAll},
-		"steady again":           {func(m *Model) { m.Doubt(1, 0, "n0-0"); m.Believe(2, 0, "n0-1"); m.Tick(3); m.Tick(3 + settleFor) }, Steady, Quiet},
+			m.AttemptEnded(100*ms, "n0-0", "a", EndAnswered, RolePrimary, 0, "job", 100*ms)
+		}, PhaseSuccessorSeen, EvidenceAnswered},
+		"25006":                  {func(m *Tracker) { m.AttemptEnded(1, "n0-0", "a", EndNotPrimary, RoleReplica, 0, "job", 0) }, PhaseSwitchover, EvidenceNotPrimary},
+		"a report":               {func(m *Tracker) { m.HealthCheckEnded(1, "n0-0", true, RoleReplica, 0) }, PhaseSwitchover, EvidenceNotPrimary},
+		"a probe fails unasked":  {func(m *Tracker) { m.HealthCheckEnded(1, "n0-0", false, 0, 0) }, PhaseSteady, EvidenceNone},
+		"a drain":                {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false) }, PhaseSwitchover, EvidenceDraining},
+		"a replica's drain":      {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-1", Draining: true}}, false) }, PhaseSteady, EvidenceNone},
+		"not listed":             {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-1"}, {ID: "n0-2"}}, true) }, PhaseSwitchover, EvidenceDraining},
+		"a suspend":              {func(m *Tracker) { m.Suspend(1, "n0-0", true) }, PhaseSwitchover, EvidenceSuspended},
+		"an announcement":        {func(m *Tracker) { m.Announce(1, 0, time.Second) }, PhaseSwitchover, EvidenceAnnounced},
+		"the module's doubt":     {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0") }, PhasePrimaryLost, EvidencePrimarySuspect},
+		"of one that was":        {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-2") }, PhaseSteady, EvidenceNone},
+		"nothing came of it":     {func(m *Tracker) { m.Announce(1, 0, time.Second); m.Tick(time.Second + 1) }, PhaseSuccessorSeen, EvidenceAnnouncementExpired},
+		"a successor":            {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.ObservePrimary(2, 0, "n0-1") }, PhaseSuccessorSeen, EvidencePrimaryObserved},
+		"announced, still leads": {func(m *Tracker) { m.Announce(1, 0, time.Second); m.ObservePrimary(2, 0, "n0-0") }, PhaseSwitchover, EvidenceAnnounced},
+		"doubted, answers alone": {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.HealthCheckEnded(2, "n0-0", true, RolePrimary, 1) }, PhasePrimaryLost, EvidencePrimarySuspect},
+		"settled":                {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.ObservePrimary(2, 0, "n0-1"); m.Tick(3) }, PhaseSettled, EvidenceQueueReleased},
+		"steady again": {func(m *Tracker) {
+			m.SuspectPrimary(1, 0, "n0-0")
+			m.ObservePrimary(2, 0, "n0-1")
+			m.Tick(3)
+			m.Tick(3 + settleFor)
+		}, PhaseSteady, EvidenceQuiet},
 	} {
 		m := New(config(), 1)
 		listed(m, 1)
 		c.do(m)
-		if phase, _, _, last := m.Bank(0); phase != c.want || last.Evidence != c.why {
+		if phase, _, _, last := m.Group(0); phase != c.want || last.Evidence != c.why {
 			t.Errorf("%s: %v by %v, %v by %v wanted", name, phase, last.Evidence, c.want, c.why)
 		}
 	}
@@ -251,24 +256,24 @@
 // What is held goes out earliest deadline first, few at once, more with answers, fewer when turned away.
 func TestReleaseIsASlowStart(t *testing.T) {
 	cfg := config()
-	cfg.Count, cfg.Bytes, cfg.Instances = 1000, 1<<20, 4
+	cfg.MaxPending, cfg.MaxPendingBytes, cfg.Instances = 1000, 1<<20, 4
 	m := New(cfg, 1)
 	listed(m, 1)
-	m.Doubt(1, 0, "n0-0")
-	if !slices.Contains(kinds(m), Withdraw) {
+	m.SuspectPrimary(1, 0, "n0-0")
+	if !slices.Contains(kinds(m), ActionWithdraw) {
 		t.Fatal("the module keeps what it holds")
 	}
 	for i := range 100 {
-		m.Hold(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 9), Deadline: time.Second + time.Duration((i*37)%100)*ms})
+		m.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 9), Deadline: time.Second + time.Duration((i*37)%100)*ms})
 	}
 	if k := kinds(m); len(k) != 0 {
 		t.Fatalf("%v", k)
 	}
-	m.Believe(3, 0, "n0-1")
+	m.ObservePrimary(3, 0, "n0-1")
 	var out []string
 	take := func() (n int) {
 		for _, a := range m.Actions() {
-			if a.Kind == Release {
+			if a.Kind == ActionRelease {
 				out = append(out, a.ID)
 				n++
 			}
@@ -279,13 +284,13 @@
 		t.Fatalf("%d at first", n)
 	}
 	for i := 0; len(out) < 60; i++ {
-		m.Ended(4, "n0-1", out[i], Fine, RolePrimary, 0, "job", 10*ms)
+		m.AttemptEnded(4, "n0-1", out[i], EndAnswered, RolePrimary, 0, "job", 10*ms)
 		if n := take(); n > 2 {
 			t.Fatalf("%d for one answer", n)
 		}
 	}
 	before := len(m.banks[0].out)
-	m.Ended(5, "n0-1", out[len(out)-1], Full, RolePrimary, 0, "", 0)
+	m.AttemptEnded(5, "n0-1", out[len(out)-1], EndRejected, RolePrimary, 0, "", 0)
 	if n := take(); n != 0 || before < 10 {
 		t.Fatalf("%d go out behind a refusal, %d were", n, before)
 	}
@@ -304,21 +309,21 @@
 func TestWhoGoesFirst(t *testing.T) {
 	m := New(config(), 1)
 	listed(m, 1)
-	m.Doubt(0, 0, "n0-0")
+	m.SuspectPrimary(0, 0, "n0-0")
 	m.Actions()
-	m.Hold(1, Request{ID: "late", Class: "job", Client: "a", Deadline: 20 * ms})
-	if a := m.Actions(); len(a) != 1 || a[0].Kind != GiveUp || a[0].Why != TooLate || a[0].After < changeUsual || a[0].After > changeUsual*5/4 {
+	m.Enqueue(1, Request{ID: "late", Class: "job", Client: "a", Deadline: 20 * ms})
+	if a := m.Actions(); len(a) != 1 || a[0].Kind != ActionReject || a[0].Reason != ReasonDeadline || a[0].RetryAfter < changeUsual || a[0].RetryAfter > changeUsual*5/4 {
 		t.Fatalf("%+v", a)
 	}
 	for i := range 19 {
-		m.Hold(2, Request{ID: fmt.Sprint("a", i), Class: "job", Client: "a", Deadline: time.Minute})
+		m.Enqueue(2, Request{ID: fmt.Sprint("a", i), Class: "job", Client: "a", Deadline: time.Minute})
 	}
-	m.Hold(2, Request{ID: "b0", Class: "small", Client: "b", Deadline: time.Minute})
-	m.Hold(3, Request{ID: "b1", Class: "small", Client: "b", Deadline: time.Minute})
-	m.Hold(4, Request{ID: "a-small", Class: "small", Client: "a", Deadline: time.Minute})
+	m.Enqueue(2, Request{ID: "b0", Class: "small", Client: "b", Deadline: time.Minute})
+	m.Enqueue(3, Request{ID: "b1", Class: "small", Client: "b", Deadline: time.Minute})
+	m.Enqueue(4, Request{ID: "a-small", Class: "small", Client: "a", Deadline: time.Minute})
 	var gone []string
 	for _, a := range m.Actions() {
-		if a.Kind != GiveUp || a.Why != NoRoom {
+		if a.Kind != ActionReject || a.Reason != ReasonQueueFull {
 			t.Fatalf("%+v", a)
 		}
 		gone = append(gone, a.ID)
@@ -327,9 +332,9 @@
 		t.Fatalf("%v", gone)
 	}
 	// A longer change than usual is told of as such.
-	m.Hold(10*time.Second, Request{ID: "now", Class: "job", Deadline: 10*time.Second + ms})
+	m.Enqueue(10*time.Second, Request{ID: "now", Class: "job", Deadline: 10*time.Second + ms})
 	for _, a := range m.Actions() {
-		if a.ID == "now" && a.After < 4*time.Second {
+		if a.ID == "now" && a.RetryAfter < 4*time.Second {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -341,20 +346,20 @@
 	for seed := range uint64(20) {
 		m := New(config(), seed)
 		listed(m, 1)
-		m.Reported(0, "n0-2", true, RoleReplica, 500)
-		m.Reported(0, "n0-1", true, RoleReplica, 400)
-		m.Doubt(time.Second, 0, "n0-0")
-		m.Hold(time.Second, Request{ID: "q", Class: "job", Deadline: time.Hour})
+		m.HealthCheckEnded(0, "n0-2", true, RoleReplica, 500)
+		m.HealthCheckEnded(0, "n0-1", true, RoleReplica, 400)
+		m.SuspectPrimary(time.Second, 0, "n0-0")
+		m.Enqueue(time.Second, Request{ID: "q", Class: "job", Deadline: time.Hour})
 		m.Actions()
 		var asked []string
 		rounds := map[time.Duration]bool{}
 		for now := time.Second; now < 21*time.Second; now += ms {
 			m.Tick(now)
 			for _, a := range m.Actions() {
-				if a.Kind == Probe {
-					asked = append(asked, a.Node)
+				if a.Kind == ActionHealthCheck {
+					asked = append(asked, a.Endpoint)
 					rounds[now] = true
-					m.Reported(now, a.Node, a.Node != "n0-0", RoleReplica, 0)
+					m.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
 				}
 			}
 			if len(rounds) == 2 && len(firsts) <= int(seed) {
@@ -385,17 +390,17 @@
 		for seed := range uint64(routers) {
 			m := New(cfg, seed)
 			listed(m, 1)
-			m.Doubt(time.Second, 0, "n0-0")
+			m.SuspectPrimary(time.Second, 0, "n0-0")
 			for now := time.Second; now < time.Second+length; now += ms {
 				if i := int((now - time.Second) / (250 * ms)); (now-time.Second)%(250*ms) == 0 && i < held {
-					m.Hold(now, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Hour})
+					m.Enqueue(now, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Hour})
 				}
 				m.Tick(now)
 				for _, a := range m.Actions() {
-					if a.Kind == Probe {
+					if a.Kind == ActionHealthCheck {
 						all++
 						second[now.Truncate(100*ms)]++
-						m.Reported(now, a.Node, a.Node != "n0-0", RoleReplica, 0)
+						m.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
 					}
 				}
 			}
@@ -422,18 +427,18 @@
 // A hint is where terms go on from, and no belief.
 func TestHint(t *testing.T) {
 	m := New(config(), 1)
-	m.Listed(0, []Member{{Node: "a", Bank: 1}, {Node: "b", Bank: 1}}, true)
-	m.Hint(1, 41, "b")
-	if _, term, primary, _ := m.Bank(1); term != 41 || primary != "" {
+	m.UpdateEndpoints(0, []Endpoint{{ID: "a", Group: 1}, {ID: "b", Group: 1}}, true)
+	m.RestoreTerm(1, 41, "b")
+	if _, term, primary, _ := m.Group(1); term != 41 || primary != "" {
 		t.Fatalf("%d %q", term, primary)
 	}
 	if got := m.likely(m.banks[1]); got[0].id != "b" {
 		t.Fatalf("%s goes first", got[0].id)
 	}
-	m.Believe(1, 1, "a")
-	m.Hint(1, 7, "b")
-	m.Hint(1, 42, "a")
-	if _, term, primary, _ := m.Bank(1); term != 42 || primary != "a" {
+	m.ObservePrimary(1, 1, "a")
+	m.RestoreTerm(1, 7, "b")
+	m.RestoreTerm(1, 42, "a")
+	if _, term, primary, _ := m.Group(1); term != 42 || primary != "a" {
 		t.Fatalf("%d %q", term, primary)
 	}
 }
@@ -442,21 +447,21 @@
 	const n = 10_000
 	for b.Loop() {
 		cfg := config()
-		cfg.Count, cfg.Bytes = n, 1<<30
+		cfg.MaxPending, cfg.MaxPendingBytes = n, 1<<30
 		m := New(cfg, 1)
 		listed(m, 1)
-		m.Doubt(1, 0, "n0-0")
+		m.SuspectPrimary(1, 0, "n0-0")
 		for i := range n {
-			m.Hold(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 100), Deadline: time.Second + time.Duration(i*7919%n)*ms})
+			m.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 100), Deadline: time.Second + time.Duration(i*7919%n)*ms})
 		}
 		m.Actions()
-		m.Believe(3, 0, "n0-1")
+		m.ObservePrimary(3, 0, "n0-1")
 		out := 0
-		for m.Pending() {
+		for m.HasActions() {
 			for _, a := range m.Actions() {
-				if a.Kind == Release {
+				if a.Kind == ActionRelease {
 					out++
-					m.Ended(4, "n0-1", a.ID, Fine, RolePrimary, 0, "job", ms)
+					m.AttemptEnded(4, "n0-1", a.ID, EndAnswered, RolePrimary, 0, "job", ms)
 				}
 			}
 		}
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -20,12 +20,12 @@
 // Core takes requests.
 type Core interface {
 	// Take refuses with an error what must not reach a db machine.
-	Take(q router.Request, c router.Client) (id string, err error)
-	Leave(id string)
+	Accept(q router.Request, c router.Client) (id string, err error)
+	Disconnect(id string)
 	// Order tells what a class's requests wait for of those before them on the same connection.
-	Order(class string) router.Order
+	OrderingOf(class string) router.Ordering
 	// Turn enters a request that is refused for want of room.
-	Turn(q router.Request, after time.Duration)
+	RecordRejection(q router.Request, after time.Duration)
 }
 
 // Speaker works on the messages of one connection.
@@ -113,7 +113,7 @@
 	}
 	f.room(now)
 	f.sweeps++
-	f.next = f.loop.After(f.grain(unread > 0), f.sweep)
+	f.next = f.loop.AfterFunc(f.grain(unread > 0), f.sweep)
 }
 
 // grain is the time to the next sweep. Harm: at a fixed fine grain every router of a fleet wakes twenty times a second
@@ -140,9 +140,9 @@
 
 // soon brings the next sweep to the fine grain, where something has come that needs it.
 func (f *Front) soon() {
-	if f.next != nil && f.loop.Now()+f.lim.ClientSweep < f.next.At() {
+	if f.next != nil && f.loop.Now()+f.lim.ClientSweep < f.next.Due() {
 		f.next.Stop()
-		f.next = f.loop.After(f.lim.ClientSweep, f.sweep)
+		f.next = f.loop.AfterFunc(f.lim.ClientSweep, f.sweep)
 	}
 }
 
@@ -311,21 +311,21 @@
 	f.buffered -= c.kept
 	c.kept = 0
 	if c.flow != nil {
-		c.flow.Hold(false) // the rest of its answer is read all the same, and meets nobody
+		c.flow.SetPaused(false) // the rest of its answer is read all the same, and meets nobody
 		c.flow = nil
 	}
 	if c.request != "" {
-		f.core.Leave(c.request)
+		f.core.Disconnect(c.request)
 		c.request = ""
 	}
 	line := c.line
 	c.line = nil
 	for _, t := range line {
 		if t.flow != nil {
-			t.flow.Hold(false)
+			t.flow.SetPaused(false)
 		}
 		if t.id != "" {
-			f.core.Leave(t.id)
+			f.core.Disconnect(t.id)
 		}
 	}
 }
@@ -371,7 +371,7 @@
 	if full && c.partAt > 0 {
 		c.moreAt = f.loop.Now() // that nothing more comes is not its fault
 	}
-	c.sock.Hold(full || busy && c.held > f.lim.Ahead)
+	c.sock.SetPaused(full || busy && c.held > f.lim.Ahead)
 	if full {
 		f.soon() // what is held back waits for the sweep to find room again
 	}
@@ -398,7 +398,7 @@
 		c.next()
 	}
 	if c.flow != nil && c.sock.Unsent() <= c.front.lim.High {
-		c.flow.Hold(false)
+		c.flow.SetPaused(false)
 	}
 }
 
@@ -422,7 +422,7 @@
 		c.front.soon() // what is not taken counts against all clients' bound
 	}
 	if c.flow != nil && c.sock.Unsent() > c.front.lim.High {
-		c.flow.Hold(true)
+		c.flow.SetPaused(true)
 		c.sock.Await(c.front.lim.Low)
 	}
 }
@@ -556,14 +556,14 @@
 // nothing was taken.
 func (c *Conn) Take(q router.Request, to router.Client) (err error) {
 	q.Tenant, q.Client = c.user, c.from
-	if c.front.core.Order(q.Class).Sees {
-		q.After = c.commits.see(&q)
+	if c.front.core.OrderingOf(q.Class).ReadsOwnWrites {
+		q.MinPosition = c.commits.see(&q)
 	}
 	if !c.Hold(c.size) {
-		c.front.core.Turn(q, roomAfter)
+		c.front.core.RecordRejection(q, roomAfter)
 		return errRoom
 	}
-	if c.request, err = c.front.core.Take(q, to); err != nil {
+	if c.request, err = c.front.core.Accept(q, to); err != nil {
 		c.Release(c.size)
 	} else {
 		c.taken, c.session, c.group = c.size, q.Session, q.Group
--- a/internal/frontend/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -38,18 +38,18 @@
 }
 
 // Order has "waits" stand for writes, "free" for reads that wait for nothing and "own" for those that see their session's writes.
-func (k *core) Order(class string) router.Order {
-	return router.Order{Writes: class == "waits", Sees: class == "own", SeesAll: class != "free" && class != "own"}
+func (k *core) OrderingOf(class string) router.Ordering {
+	return router.Ordering{Writes: class == "waits", ReadsOwnWrites: class == "own", ReadsAllWrites: class != "free" && class != "own"}
 }
 
-func (k *core) Turn(router.Request, time.Duration) { k.turned.Add(1) }
+func (k *core) RecordRejection(router.Request, time.Duration) { k.turned.Add(1) }
 
-func (k *core) Take(q router.Request, c router.Client) (string, error) {
+func (k *core) Accept(q router.Request, c router.Client) (string, error) {
 	if q.Class == "odd" {
 		if k.odd != nil {
 			k.odd()
 		}
-		return "", router.ErrClass
+		return "", router.ErrUnknownClass
 	}
 	k.newest.Store(&q)
 	k.asked, k.clients = append(k.asked, q), append(k.clients, c)
@@ -60,15 +60,15 @@
 			text := q.Job.(*Query).Messages(q.Deadline)
 			p := pgwire.Append(nil, 'T', []byte{0, 0})
 			p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
-			c.Served(&backend.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
+			c.Served(&backend.Response{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
 		case "refused":
-			c.Refused(1500 * time.Millisecond)
+			c.Rejected(1500 * time.Millisecond)
 		case "failed":
 			c.Failed("it may have run")
 		case "long", "cut":
 			k.source = &source{k: k, c: c, left: longest, cut: q.Class == "cut"}
-			c.Begun(&backend.Answer{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
-			c.Part(binary.BigEndian.AppendUint32([]byte{'D'}, longest+4))
+			c.ResponseStarted(&backend.Response{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
+			c.ResponsePart(binary.BigEndian.AppendUint32([]byte{'D'}, longest+4))
 			k.source.run()
 		}
 	})
@@ -86,7 +86,7 @@
 	most      int
 }
 
-func (s *source) Hold(on bool) {
+func (s *source) SetPaused(on bool) {
 	if s.held = on; !on {
 		s.k.loop.Post(s.run)
 	}
@@ -96,25 +96,25 @@
 	for !s.held && s.left > 0 {
 		n := min(s.left, 10_000)
 		s.left -= n
-		s.c.Part(make([]byte, n))
+		s.c.ResponsePart(make([]byte, n))
 		if c, ok := s.c.(*reply); ok {
 			s.most = max(s.most, c.conn.sock.Unsent())
 		}
 		if s.cut && s.left < longest/2 {
 			s.left = 0
-			s.c.Cut()
+			s.c.ResponseTruncated()
 			return
 		}
 	}
 	if s.left == 0 && !s.held {
 		s.left = -1
-		s.c.Served(&backend.Answer{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
+		s.c.Served(&backend.Response{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
 	}
 }
 
 func (k *core) len() int { return int(k.taken.Load()) }
 
-func (k *core) Leave(id string) { k.left <- id }
+func (k *core) Disconnect(id string) { k.left <- id }
 
 func start(t testing.TB) (f *Front, k *core, l *eventloop.Loop, addr string) {
 	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
--- a/internal/frontend/commits.go
+++ b/internal/frontend/commits.go
@@ -53,7 +53,7 @@
 
 // see is the position that a read of a session has to see.
 func (m *commits) see(q *router.Request) time.Duration {
-	after := q.After
+	after := q.MinPosition
 	if len(m.own)+len(m.groups) == 0 {
 		return after
 	}
--- a/internal/frontend/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -87,7 +87,7 @@
 	busy, free, answered := make(chan bool), make(chan bool), make(chan bool)
 	l.Post(func() { close(busy); <-free })
 	l.Post(func() { // the answer is in the queue before the end is
-		k.clients[0].Served(&backend.Answer{})
+		k.clients[0].Served(&backend.Response{})
 		close(answered)
 	})
 	<-busy
--- a/internal/frontend/extendedquery/extended.go
+++ b/internal/frontend/extendedquery/extended.go
@@ -16,7 +16,7 @@
 )
 
 // Classes tells which classes write.
-type Classes interface{ Writes(class string) bool }
+type Classes interface{ IsWrite(class string) bool }
 
 // ahead is the number of bytes of answers that may wait for Flush or Sync.
 const ahead = 16 << 10
@@ -141,7 +141,7 @@
 	return false
 }
 
-func (s *session) write(w *work) bool { return w.execute && s.classes.Writes(w.stmt.head.Class) }
+func (s *session) write(w *work) bool { return w.execute && s.classes.IsWrite(w.stmt.head.Class) }
 
 func (s *session) error(code, text string) {
 	s.out = pgwire.AppendError(s.out, pgwire.Error{Code: code, Message: text})
@@ -202,7 +202,7 @@
 		s.error(pgwire.BadStatement, err.Error())
 		return nil
 	}
-	if err := Plain(m.Query, s.classes.Writes(p.head.Class)); err != nil {
+	if err := Plain(m.Query, s.classes.IsWrite(p.head.Class)); err != nil {
 		s.error(pgwire.NotSupported, err.Error())
 		return nil
 	}
@@ -306,7 +306,7 @@
 	s.next, s.running = nil, w
 	h := w.stmt.head
 	s.take(router.Request{Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		At: w.at, After: h.After, Retry: h.Retry, Job: w})
+		ReceivedAt: w.at, MinPosition: h.After, Retry: h.Retry, Job: w})
 }
 
 // take hands a request to the core, and answers one that is unfit.
@@ -339,7 +339,7 @@
 		s.sync()
 		return nil
 	}
-	if err := Plain(sql, s.classes.Writes(h.Class)); err != nil {
+	if err := Plain(sql, s.classes.IsWrite(h.Class)); err != nil {
 		s.error(pgwire.NotSupported, err.Error())
 		s.sync()
 		return nil
@@ -347,7 +347,7 @@
 	s.running = &work{ready: true}
 	s.flush()
 	s.take(router.Request{Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		At: s.conn.CameAt(), After: h.After, Retry: h.Retry, Job: rows{job}})
+		ReceivedAt: s.conn.CameAt(), MinPosition: h.After, Retry: h.Retry, Job: rows{job}})
 	return nil
 }
 
@@ -379,35 +379,35 @@
 }
 
 // Gone implements router.Client.
-func (s *session) Gone(look bool) bool { return s.conn.Gone(look) }
+func (s *session) Disconnected(look bool) bool { return s.conn.Gone(look) }
 
 // Committed implements router.Committer.
 func (s *session) Committed(position time.Duration) { s.conn.Committed(position) }
 
 // Begun implements router.Client.
-func (s *session) Begun(a router.Answer, f router.Flow) {
-	s.append(a.(*backend.Answer))
+func (s *session) ResponseStarted(a router.Response, f router.Flow) {
+	s.append(a.(*backend.Response))
 	p := s.out
 	s.out = nil
 	s.conn.Stream(p, f)
 }
 
 // Part implements router.Client.
-func (s *session) Part(p []byte) { s.conn.Part(p) }
+func (s *session) ResponsePart(p []byte) { s.conn.Part(p) }
 
 // Cut implements router.Client.
-func (s *session) Cut() { s.conn.Cut() }
+func (s *session) ResponseTruncated() { s.conn.Cut() }
 
 // Served implements router.Client.
-func (s *session) Served(a router.Answer) {
-	answer := a.(*backend.Answer)
+func (s *session) Served(a router.Response) {
+	answer := a.(*backend.Response)
 	w := s.running
 	s.append(answer)
 	s.ended(answer.Code != "" && w.stmt != nil)
 }
 
 // append adds what an answer says to the client.
-func (s *session) append(answer *backend.Answer) {
+func (s *session) append(answer *backend.Response) {
 	r := pgwire.NewReader(len(answer.Messages)+5, 0)
 	r.Feed(answer.Messages)
 	for {
@@ -423,7 +423,7 @@
 }
 
 // Refused implements router.Client.
-func (s *session) Refused(after time.Duration) {
+func (s *session) Rejected(after time.Duration) {
 	s.out = pgwire.AppendError(s.out, frontend.Refusal(after))
 	s.ended(true)
 }
--- a/internal/frontend/extendedquery/extended_test.go
+++ b/internal/frontend/extendedquery/extended_test.go
@@ -22,7 +22,7 @@
 
 type nobody struct{}
 
-func (nobody) Track() {}
+func (nobody) Poll() {}
 
 // world is the whole path from a client to db machines.
 type world struct {
@@ -83,7 +83,7 @@
 		l.Servers, b.Entries = append(l.Servers, e), append(b.Entries, entry)
 	}
 	done := make(chan bool)
-	w.loop.Post(func() { w.pool.List(l); w.core.List(b); close(done) })
+	w.loop.Post(func() { w.pool.UpdateEndpoints(l); w.core.UpdateEndpoints(b); close(done) })
 	if !full {
 		<-done
 	}
--- a/internal/frontend/extendedquery/job.go
+++ b/internal/frontend/extendedquery/job.go
@@ -39,7 +39,7 @@
 }
 
 // Whole implements servers.Job.
-func (w *work) Whole(a *backend.Answer) bool {
+func (w *work) Complete(a *backend.Response) bool {
 	rest, ok := strings.CutPrefix(string(a.Types), "1")
 	if !ok {
 		return false
@@ -64,7 +64,7 @@
 }
 
 // Begins implements servers.Job.
-func (w *work) Begins(a *backend.Answer) bool {
+func (w *work) StartsResponse(a *backend.Response) bool {
 	want := "12"
 	if w.describe {
 		want = "12T"
@@ -76,7 +76,7 @@
 type rows struct{ *frontend.Query }
 
 // Whole implements servers.Job.
-func (r rows) Whole(a *backend.Answer) bool {
+func (r rows) Complete(a *backend.Response) bool {
 	rest, described := strings.CutPrefix(string(a.Types), "T")
 	if described {
 		rest = strings.TrimLeft(rest, "D")
@@ -85,4 +85,6 @@
 }
 
 // Begins implements servers.Job.
-func (r rows) Begins(a *backend.Answer) bool { return strings.TrimRight(string(a.Types), "D") == "T" }
+func (r rows) StartsResponse(a *backend.Response) bool {
+	return strings.TrimRight(string(a.Types), "D") == "T"
+}
--- a/internal/frontend/job.go
+++ b/internal/frontend/job.go
@@ -35,12 +35,14 @@
 func (q *Query) Size() int { return len(q.sql) }
 
 // Whole implements servers.Job: one row of one column, from a command such as the statement's.
-func (q *Query) Whole(a *backend.Answer) bool {
+func (q *Query) Complete(a *backend.Response) bool {
 	return string(a.Types) == "TDC" && a.Shape.Columns == 1 && q.Fits(a.Shape.Tag)
 }
 
 // Begins implements servers.Job.
-func (q *Query) Begins(a *backend.Answer) bool { return string(a.Types) == "T" && a.Shape.Columns == 1 }
+func (q *Query) StartsResponse(a *backend.Response) bool {
+	return string(a.Types) == "T" && a.Shape.Columns == 1
+}
 
 // Fits says whether a command tag is one that the statement can have.
 func (q *Query) Fits(tag string) bool {
--- a/internal/frontend/line.go
+++ b/internal/frontend/line.go
@@ -19,7 +19,7 @@
 	conn  *Conn
 	q     router.Request
 	to    Reply
-	order router.Order
+	order router.Ordering
 	state state
 	text  bool        // it answers no request
 	id    string      // the core's handle, "" = it is not in its hands
@@ -51,10 +51,10 @@
 // Join hands a request to the core as soon as those before it on the connection let it, and t its place for the answer.
 func (c *Conn) Join(t *Turn, q router.Request, to Reply) {
 	q.Tenant, q.Client = c.user, c.from
-	*t = Turn{conn: c, q: q, to: to, order: c.front.core.Order(q.Class)}
+	*t = Turn{conn: c, q: q, to: to, order: c.front.core.OrderingOf(q.Class)}
 	c.line = append(c.line, t)
 	if !c.Hold(c.size) {
-		c.front.core.Turn(q, roomAfter)
+		c.front.core.RecordRejection(q, roomAfter)
 		to.Unfit(errRoom)
 		return
 	}
@@ -67,10 +67,10 @@
 	if n := len(c.line); n > 0 && c.line[n-1].state == waiting && c.may(c.line[n-1]) {
 		t := c.line[n-1]
 		t.state = inHand
-		if t.order.Sees {
-			t.q.After = c.commits.see(&t.q)
+		if t.order.ReadsOwnWrites {
+			t.q.MinPosition = c.commits.see(&t.q)
 		}
-		id, err := c.front.core.Take(t.q, t.to)
+		id, err := c.front.core.Accept(t.q, t.to)
 		if err != nil {
 			t.to.Unfit(err)
 			return
@@ -90,7 +90,7 @@
 			continue
 		}
 		before++
-		sees := t.order.SeesAll || t.order.Sees && u.q.Session == t.q.Session
+		sees := t.order.ReadsAllWrites || t.order.ReadsOwnWrites && u.q.Session == t.q.Session
 		if t.order.Writes || u.order.Writes && sees || t.q.Label != "" && t.q.Label == u.q.Label {
 			return false
 		}
@@ -134,7 +134,7 @@
 }
 
 // Gone implements router.Client.
-func (t *Turn) Gone(look bool) bool { return t.conn.Gone(look) }
+func (t *Turn) Disconnected(look bool) bool { return t.conn.Gone(look) }
 
 // Committed implements router.Committer.
 func (t *Turn) Committed(position time.Duration) {
@@ -178,7 +178,7 @@
 		t.begin(p)
 		return
 	}
-	f.Hold(true)
+	f.SetPaused(true)
 	t.keep(p)
 }
 
@@ -189,7 +189,7 @@
 }
 
 // Part passes on the next piece. What the source had under way when it was held is kept.
-func (t *Turn) Part(p []byte) {
+func (t *Turn) ResponsePart(p []byte) {
 	switch {
 	case t.conn.ended:
 	case t.begun:
@@ -227,7 +227,7 @@
 		if t.flow != nil && !t.begun {
 			t.begin(p)
 			if !c.ended && c.sock.Unsent() <= c.front.lim.High {
-				t.flow.Hold(false)
+				t.flow.SetPaused(false)
 			}
 		}
 		return
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -26,10 +26,10 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT 1", id, class))
 }
 
-func value(text string) *backend.Answer {
+func value(text string) *backend.Response {
 	p := pgwire.Append(nil, 'T', []byte{0, 0})
 	p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, []byte(text))
-	return &backend.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))}
+	return &backend.Response{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))}
 }
 
 // labels are the ids of what the core was given so far, in order.
@@ -102,10 +102,10 @@
 	})
 	came := l.Now()
 	until(t, "time has passed", func() bool { return l.Now() > came+50*time.Millisecond })
-	do(l, func() { k.clients[0].Served(&backend.Answer{}) })
+	do(l, func() { k.clients[0].Served(&backend.Response{}) })
 	c.Until('Z')
-	if q := k.newest.Load(); q.Class != "served" || q.At > came {
-		t.Fatalf("%s counts from %v behind its coming", q.Class, q.At-came)
+	if q := k.newest.Load(); q.Class != "served" || q.ReceivedAt > came {
+		t.Fatalf("%s counts from %v behind its coming", q.Class, q.ReceivedAt-came)
 	}
 }
 
@@ -126,8 +126,8 @@
 	taken(t, k, "a", "b", "c")
 	do(l, func() {
 		for _, q := range k.asked {
-			if q.At > came {
-				t.Errorf("%s counts from %v behind its coming", q.Label, q.At-came)
+			if q.ReceivedAt > came {
+				t.Errorf("%s counts from %v behind its coming", q.Label, q.ReceivedAt-came)
 			}
 		}
 	})
@@ -235,8 +235,8 @@
 			if q.Label == "own" {
 				want = 7 * time.Second
 			}
-			if q.After != want {
-				t.Errorf("%s has to see %v, not %v", q.Label, q.After, want)
+			if q.MinPosition != want {
+				t.Errorf("%s has to see %v, not %v", q.Label, q.MinPosition, want)
 			}
 		}
 	})
@@ -260,8 +260,8 @@
 		c.Send(at(later.id, later.tells))
 		until(t, later.id, func() bool { return k.len() == 5+i })
 		do(l, func() {
-			if q := k.asked[4+i]; q.After != later.sees {
-				t.Errorf("%s has to see %v, not %v: %s", later.id, q.After, later.sees, later.afterwards)
+			if q := k.asked[4+i]; q.MinPosition != later.sees {
+				t.Errorf("%s has to see %v, not %v: %s", later.id, q.MinPosition, later.sees, later.afterwards)
 			}
 		})
 		k.serve(later.id)
@@ -278,21 +278,21 @@
 		m.note(fmt.Sprint("s", i), int64(i%4), time.Duration(i+1)*time.Second)
 	}
 	for i := range n {
-		q := router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), After: 1}
+		q := router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: 1}
 		if got, most := m.see(&q), time.Duration(n)*time.Second; got < time.Duration(i+1)*time.Second || got > most || got/time.Second%4 != time.Duration(i+1)%4 {
 			t.Fatalf("session %d has to see %v", i, got)
 		}
 	}
-	if q := (router.Request{Session: "s1", Group: 77, After: 5}); m.see(&q) != 5 {
+	if q := (router.Request{Session: "s1", Group: 77, MinPosition: 5}); m.see(&q) != 5 {
 		t.Error("another group's writes are asked of it")
 	}
 	if len(m.own) > commitsMost || len(m.groups) != 4 {
 		t.Errorf("%d sessions and %d groups are kept", len(m.own), len(m.groups))
 	}
 	for i := range n { // all that are told apart show that they know of theirs; the others have not
-		m.see(&router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), After: time.Duration(n) * time.Second})
+		m.see(&router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: time.Duration(n) * time.Second})
 	}
-	if q := (router.Request{Session: "s0", Group: 0, After: 1}); len(m.own) != 0 || m.see(&q) < time.Second {
+	if q := (router.Request{Session: "s0", Group: 0, MinPosition: 1}); len(m.own) != 0 || m.see(&q) < time.Second {
 		t.Errorf("with %d sessions told apart another one has to see %v", len(m.own), m.see(&q))
 	}
 }
@@ -305,7 +305,7 @@
 	c.Send(batch(ask("a", "free"), ask("x", "odd"), pgwire.AppendQuery(nil, ""), ask("b", "free"), pgwire.AppendQuery(nil, "SET a = 1"),
 		ask("c", "free"), ask("d", "free"), ask("e", "waits")))
 	taken(t, k, "a", "b", "c", "d")
-	do(l, func() { k.client("c").Refused(time.Second); k.client("b").Failed("why") })
+	do(l, func() { k.client("c").Rejected(time.Second); k.client("b").Failed("why") })
 	k.serve("d", "a")
 	for i, want := range []string{"TDCZ", "EZ42601", "IZ", "EZ08007", "EZ42601", "EZ53300", "TDCZ"} {
 		if a := c.Until('Z'); a.Types+a.Code != want {
@@ -563,7 +563,7 @@
 // halt is a source that only notes whether it is held.
 type halt struct{ held []bool }
 
-func (h *halt) Hold(on bool) { h.held = append(h.held, on) }
+func (h *halt) SetPaused(on bool) { h.held = append(h.held, on) }
 
 // A long answer behind another one is held at its db machine until its turn, and passed on from there. One that breaks off before its
 // turn is an error in its place; one that does later ends the connection.
@@ -578,13 +578,13 @@
 		p := value("long").Messages
 		do(l, func() {
 			r := k.client("long")
-			r.Begun(&backend.Answer{Messages: p[:7]}, h)
-			r.Part(p[7:12])
+			r.ResponseStarted(&backend.Response{Messages: p[:7]}, h)
+			r.ResponsePart(p[7:12])
 			if !slices.Equal(h.held, []bool{true}) {
 				t.Errorf("held: %v", h.held)
 			}
 			if when == "cut before its turn" {
-				r.Cut()
+				r.ResponseTruncated()
 			}
 		})
 		k.serve("a")
@@ -597,12 +597,12 @@
 				t.Errorf("held: %v", h.held)
 			}
 			if when == "cut after it" {
-				r.Cut()
+				r.ResponseTruncated()
 				return
 			}
 			end := bytes.IndexByte(p, 'C')
-			r.Part(p[12:end])
-			r.Served(&backend.Answer{Messages: p[end:]})
+			r.ResponsePart(p[12:end])
+			r.Served(&backend.Response{Messages: p[end:]})
 		})
 		switch when {
 		case "whole":
@@ -632,15 +632,15 @@
 		conn := only(t, f, l)
 		begin := func() {
 			r := k.client("long")
-			r.Begun(&backend.Answer{Messages: p[:7]}, h)
-			r.Part(p[7:12])
+			r.ResponseStarted(&backend.Response{Messages: p[:7]}, h)
+			r.ResponsePart(p[7:12])
 		}
 		rows := bytes.Repeat(value(strings.Repeat("x", 60_000)).Messages, 15) // more than the client and the system take unread
 		do(l, func() {
 			if !strings.HasPrefix(when, "begun then") {
 				begin()
 			}
-			k.client("a").Served(&backend.Answer{Messages: rows})
+			k.client("a").Served(&backend.Response{Messages: rows})
 			if len(conn.line) != 2 || !conn.choked {
 				t.Errorf("%d answers are owed, choked: %t", len(conn.line), conn.choked)
 			}
@@ -652,13 +652,13 @@
 				t.Errorf("%s, held: %v", when, h.held)
 			}
 			if strings.HasSuffix(when, "cut") {
-				r.Cut()
+				r.ResponseTruncated()
 				return
 			}
-			r.Part(p[12:20]) // was under way
+			r.ResponsePart(p[12:20]) // was under way
 			end := bytes.IndexByte(p, 'C')
-			r.Part(p[20:end])
-			r.Served(&backend.Answer{Messages: p[end:]})
+			r.ResponsePart(p[20:end])
+			r.Served(&backend.Response{Messages: p[end:]})
 		})
 		if a := c.Until('Z'); a.Types != strings.Repeat("TDC", 15)+"Z" {
 			t.Fatalf("%s: %s", when, a.Types)
@@ -750,8 +750,8 @@
 		}
 		do(l, func() {
 			for _, q := range k.asked {
-				if q.At < before || q.At > l.Now() {
-					t.Errorf("%s came at %v", q.Label, q.At)
+				if q.ReceivedAt < before || q.ReceivedAt > l.Now() {
+					t.Errorf("%s came at %v", q.Label, q.ReceivedAt)
 				}
 			}
 		})
--- a/internal/frontend/simple.go
+++ b/internal/frontend/simple.go
@@ -64,26 +64,30 @@
 	}
 	r := &reply{}
 	c.Join(&r.Turn, router.Request{Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		At: c.CameAt(), After: h.After, Retry: h.Retry, Job: job}, r)
+		ReceivedAt: c.CameAt(), MinPosition: h.After, Retry: h.Retry, Job: job}, r)
 }
 
 // reply words the answer to one request.
 type reply struct{ Turn }
 
 // Served implements router.Client.
-func (r *reply) Served(a router.Answer) { r.Answer(pgwire.AppendReady(a.(*backend.Answer).Messages)) }
+func (r *reply) Served(a router.Response) {
+	r.Answer(pgwire.AppendReady(a.(*backend.Response).Messages))
+}
 
 // Begun implements router.Client.
-func (r *reply) Begun(a router.Answer, f router.Flow) { r.Stream(a.(*backend.Answer).Messages, f) }
+func (r *reply) ResponseStarted(a router.Response, f router.Flow) {
+	r.Stream(a.(*backend.Response).Messages, f)
+}
 
 // Refused implements router.Client.
-func (r *reply) Refused(after time.Duration) { r.error(Refusal(after)) }
+func (r *reply) Rejected(after time.Duration) { r.error(Refusal(after)) }
 
 // Failed implements router.Client.
 func (r *reply) Failed(why string) { r.error(Failure(why)) }
 
 // Cut implements router.Client.
-func (r *reply) Cut() {
+func (r *reply) ResponseTruncated() {
 	r.Turn.Cut(pgwire.AppendReady(pgwire.AppendError(nil, Failure("its answer broke off"))))
 }
 
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -19,26 +19,26 @@
 )
 
 // Sink is told what the other process has changed. Its methods are called by post.
-type Sink interface {
+type Listener interface {
 	Suspended(id string, out bool)
 	Drained(on bool)
-	Listed(ids []string)
+	KnownEndpointsAdded(ids []string)
 	// Heard brings the whole list as the other process has it from discovery now.
-	Heard(list []byte)
+	EndpointListShared(list []byte)
 	// Alone says whether this is the only process from now on.
-	Alone(alone bool)
+	AloneChanged(alone bool)
 }
 
 // State is what the folder holds.
 type State struct {
-	Suspended map[string]bool
-	Drained   bool
-	Listed    []string
-	List      []byte // the list that a process heard last while another one was there; it may be old
+	Suspended      map[string]bool
+	Drained        bool
+	KnownEndpoints []string
+	EndpointList   []byte // the list that a process heard last while another one was there; it may be old
 }
 
 // Shared is the folder. Its methods, but for Open's work, only queue what a goroutine of its own does.
-type Shared struct {
+type SharedState struct {
 	dir    string // "" = there is none: all of it stays in this process
 	log    *slog.Logger
 	most   int // ids kept
@@ -58,8 +58,8 @@
 
 // Open reads the folder of the router that listens at the given address. Without a root, or where it can't be written,
 // nothing is shared. most bounds the ids of db machines that are kept.
-func Open(root, listen string, most int, log *slog.Logger) (*Shared, State) {
-	s := &Shared{log: log, most: most, jobs: make(chan func(), 256), stop: make(chan struct{}), done: make(chan struct{}), first: true, alone: true}
+func Open(root, listen string, most int, log *slog.Logger) (*SharedState, State) {
+	s := &SharedState{log: log, most: most, jobs: make(chan func(), 256), stop: make(chan struct{}), done: make(chan struct{}), first: true, alone: true}
 	if root == "" {
 		return s, s.seen
 	}
@@ -91,10 +91,10 @@
 func lock(f *os.File) bool { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil }
 
 // First says whether no other process served when this one started.
-func (s *Shared) First() bool { return s.first }
+func (s *SharedState) StartedAlone() bool { return s.first }
 
 // Follow starts to look at the folder now and then. What the other process has changed is told to sink by post.
-func (s *Shared) Follow(every time.Duration, post func(func()), sink Sink) {
+func (s *SharedState) Watch(every time.Duration, post func(func()), sink Listener) {
 	go func() {
 		defer close(s.done)
 		tick := time.NewTicker(every)
@@ -116,7 +116,7 @@
 }
 
 // Close ends it; what is queued is written first.
-func (s *Shared) Close() {
+func (s *SharedState) Close() {
 	close(s.stop)
 	<-s.done
 	for _, f := range []*os.File{s.serves, s.next, s.edit} {
@@ -127,7 +127,7 @@
 }
 
 // look compares the folder with what it was.
-func (s *Shared) look(post func(func()), sink Sink) {
+func (s *SharedState) look(post func(func()), sink Listener) {
 	if s.dir == "" {
 		return
 	}
@@ -153,11 +153,11 @@
 	if was.Drained != now.Drained {
 		post(func() { sink.Drained(now.Drained) })
 	}
-	if !slices.Equal(now.Listed, was.Listed) {
-		post(func() { sink.Listed(now.Listed) })
+	if !slices.Equal(now.KnownEndpoints, was.KnownEndpoints) {
+		post(func() { sink.KnownEndpointsAdded(now.KnownEndpoints) })
 	}
-	if !bytes.Equal(now.List, was.List) {
-		post(func() { sink.Heard(now.List) })
+	if !bytes.Equal(now.EndpointList, was.EndpointList) {
+		post(func() { sink.EndpointListShared(now.EndpointList) })
 	}
 	// Only a process that waits to serve alone holds the other lock for long. The one that serves tries it in passing.
 	serves, alone := lock(s.serves), lock(s.next) // it is the same to hold one already
@@ -167,14 +167,14 @@
 	alone = alone && serves
 	if alone != s.alone {
 		s.alone = alone
-		post(func() { sink.Alone(alone) })
+		post(func() { sink.AloneChanged(alone) })
 	}
 }
 
 // read reads the folder. Files that are stale or broken are passed over: no process may fail on what another has left.
-func (s *Shared) read() {
+func (s *SharedState) read() {
 	s.reads++
-	now := State{Suspended: map[string]bool{}, Listed: s.seen.Listed, List: s.seen.List}
+	now := State{Suspended: map[string]bool{}, KnownEndpoints: s.seen.KnownEndpoints, EndpointList: s.seen.EndpointList}
 	entries, err := os.ReadDir(filepath.Join(s.dir, "suspended"))
 	if err != nil {
 		return
@@ -187,18 +187,18 @@
 	_, err = os.Stat(filepath.Join(s.dir, "drained"))
 	now.Drained = err == nil
 	if s.changed("listed", &s.listed) {
-		now.Listed = union(now.Listed, s.ids(), s.most)
+		now.KnownEndpoints = union(now.KnownEndpoints, s.ids(), s.most)
 	}
 	if s.changed("list", &s.list) {
 		if p, err := os.ReadFile(filepath.Join(s.dir, "list")); err == nil {
-			now.List = p
+			now.EndpointList = p
 		}
 	}
 	s.seen = now
 }
 
 // changed says whether a file is another one than when this was asked last.
-func (s *Shared) changed(file string, last *fs.FileInfo) bool {
+func (s *SharedState) changed(file string, last *fs.FileInfo) bool {
 	i, err := os.Stat(filepath.Join(s.dir, file))
 	// Guards against two changes within one tick of the file system's clock: the time alone would hide the second.
 	if was := *last; err != nil || was != nil && os.SameFile(i, was) && i.ModTime() == was.ModTime() && i.Size() == was.Size() {
@@ -208,7 +208,7 @@
 	return true
 }
 
-func (s *Shared) ids() (ids []string) {
+func (s *SharedState) ids() (ids []string) {
 	p, err := os.ReadFile(filepath.Join(s.dir, "listed"))
 	if err != nil || json.Unmarshal(p, &ids) != nil {
 		return nil
@@ -236,7 +236,7 @@
 }
 
 // Suspend notes that operators have taken a db machine out, or let it back in. done is called once the file says so.
-func (s *Shared) Suspend(id string, out bool, done func()) {
+func (s *SharedState) SetSuspended(id string, out bool, done func()) {
 	s.do(func() {
 		if s.put(filepath.Join("suspended", name(id)), []byte(id), out) {
 			seen := map[string]bool{}
@@ -253,7 +253,7 @@
 }
 
 // Drain notes that operators have drained the router, or activated it.
-func (s *Shared) Drain(on bool, done func()) {
+func (s *SharedState) SetDrained(on bool, done func()) {
 	s.do(func() {
 		if s.put("drained", nil, on) {
 			s.seen.Drained = on
@@ -263,34 +263,34 @@
 }
 
 // List notes db machines that discovery has named.
-func (s *Shared) List(ids []string) {
+func (s *SharedState) AddKnownEndpoints(ids []string) {
 	s.do(func() {
 		if s.dir == "" {
 			return
 		}
 		if !lock(s.edit) { // guards what the other process is adding
-			time.AfterFunc(10*time.Millisecond, func() { s.List(ids) })
+			time.AfterFunc(10*time.Millisecond, func() { s.AddKnownEndpoints(ids) })
 			return
 		}
 		defer syscall.Flock(int(s.edit.Fd()), syscall.LOCK_UN)
 		all := union(s.ids(), ids, s.most) // the other process may have named others
 		if p, err := json.Marshal(all); err == nil && s.put("listed", p, true) {
-			s.seen.Listed = union(s.seen.Listed, ids, s.most)
+			s.seen.KnownEndpoints = union(s.seen.KnownEndpoints, ids, s.most)
 		}
 	})
 }
 
 // Hear notes the whole list as this process has it from discovery, for the other one: where that can't hear discovery itself, it
 // would go by a list from before its start.
-func (s *Shared) Hear(list []byte) {
+func (s *SharedState) ShareEndpointList(list []byte) {
 	s.do(func() {
 		if s.put("list", list, true) {
-			s.seen.List = list
+			s.seen.EndpointList = list
 		}
 	})
 }
 
-func (s *Shared) do(f func()) {
+func (s *SharedState) do(f func()) {
 	if s.dir == "" {
 		go f() // there is nothing to write, and no goroutine need be waited for
 		return
@@ -303,7 +303,7 @@
 }
 
 // put makes a file say p, or removes it. A file is renamed into place: the other process never reads half of it.
-func (s *Shared) put(file string, p []byte, there bool) bool {
+func (s *SharedState) put(file string, p []byte, there bool) bool {
 	if s.dir == "" {
 		return false
 	}
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -24,11 +24,11 @@
 	told  chan func()
 }
 
-func (s *sink) Suspended(id string, out bool) { s.out[id] = out; s.last = id }
-func (s *sink) Drained(on bool)               { s.drain = on; s.last = "drain" }
-func (s *sink) Listed(ids []string)           { s.ids = ids; s.last = "ids" }
-func (s *sink) Heard(list []byte)             { s.list = string(list); s.last = "list" }
-func (s *sink) Alone(alone bool)              { s.alone = alone; s.last = "alone" }
+func (s *sink) Suspended(id string, out bool)    { s.out[id] = out; s.last = id }
+func (s *sink) Drained(on bool)                  { s.drain = on; s.last = "drain" }
+func (s *sink) KnownEndpointsAdded(ids []string) { s.ids = ids; s.last = "ids" }
+func (s *sink) EndpointListShared(list []byte)   { s.list = string(list); s.last = "list" }
+func (s *sink) AloneChanged(alone bool)          { s.alone = alone; s.last = "alone" }
 
 func (s *sink) wait(t *testing.T, want string) {
 	t.Helper()
@@ -42,10 +42,10 @@
 	}
 }
 
-func open(t *testing.T, root string) (*Shared, State, *sink) {
+func open(t *testing.T, root string) (*SharedState, State, *sink) {
 	s, left := Open(root, "127.0.0.1:1", 3, quiet)
 	k := &sink{out: map[string]bool{}, told: make(chan func(), 99)}
-	s.Follow(time.Millisecond, func(f func()) { k.told <- f }, k)
+	s.Watch(time.Millisecond, func(f func()) { k.told <- f }, k)
 	return s, left, k
 }
 
@@ -53,23 +53,23 @@
 func TestTwoProcesses(t *testing.T) {
 	root := t.TempDir()
 	a, _, ka := open(t, root)
-	if !a.First() {
+	if !a.StartedAlone() {
 		t.Fatal("not alone")
 	}
 	b, _, kb := open(t, root)
-	if b.First() {
+	if b.StartedAlone() {
 		t.Fatal("alone beside another")
 	}
 	ka.wait(t, "alone")
 	wait := make(chan bool, 9)
 	done := func() { wait <- true }
-	a.Suspend("s/1", true, done)
+	a.SetSuspended("s/1", true, done)
 	kb.wait(t, "s/1")
-	b.Suspend("s-2", true, done)
+	b.SetSuspended("s-2", true, done)
 	ka.wait(t, "s-2")
-	b.Suspend("s/1", false, done)
+	b.SetSuspended("s/1", false, done)
 	ka.wait(t, "s/1")
-	a.Drain(true, done)
+	a.SetDrained(true, done)
 	kb.wait(t, "drain")
 	for range 4 {
 		<-wait
@@ -77,19 +77,19 @@
 	if ka.alone || ka.out["s/1"] || !ka.out["s-2"] || !kb.drain {
 		t.Fatalf("%+v %+v", ka, kb)
 	}
-	a.List([]string{"x", "y"})
+	a.AddKnownEndpoints([]string{"x", "y"})
 	kb.wait(t, "ids")
-	b.List([]string{"y", "z"})
+	b.AddKnownEndpoints([]string{"y", "z"})
 	ka.wait(t, "ids")
-	a.List([]string{"u"}) // the oldest is dropped beyond three
+	a.AddKnownEndpoints([]string{"u"}) // the oldest is dropped beyond three
 	kb.wait(t, "ids")
 	a.Close()
 	kb.wait(t, "alone")
 	b.Close()
 	c, left, _ := open(t, root)
 	defer c.Close()
-	if !kb.alone || !c.First() || !left.Drained || !left.Suspended["s-2"] || left.Suspended["s/1"] || !slices.Equal(left.Listed, kb.ids) ||
-		!slices.Equal(left.Listed, []string{"y", "z", "u"}) {
+	if !kb.alone || !c.StartedAlone() || !left.Drained || !left.Suspended["s-2"] || left.Suspended["s/1"] || !slices.Equal(left.KnownEndpoints, kb.ids) ||
+		!slices.Equal(left.KnownEndpoints, []string{"y", "z", "u"}) {
 		t.Fatalf("%+v", left)
 	}
 }
@@ -100,7 +100,7 @@
 	root := t.TempDir()
 	s, _, _ := open(t, root)
 	done := make(chan bool)
-	s.Suspend("s-1", true, func() { close(done) })
+	s.SetSuspended("s-1", true, func() { close(done) })
 	<-done
 	dir := s.dir
 	s.Close()
@@ -113,7 +113,7 @@
 			os.WriteFile(filepath.Join(dir, f), p[:rng.IntN(len(p)+1)], 0o600)
 		}
 		s, left, _ := open(t, root)
-		if !left.Suspended["s-1"] || len(left.Suspended) != 1 || len(left.Listed) > 0 {
+		if !left.Suspended["s-1"] || len(left.Suspended) != 1 || len(left.KnownEndpoints) > 0 {
 			t.Fatalf("round %d: %+v", i, left)
 		}
 		s.Close()
@@ -122,11 +122,11 @@
 	os.WriteFile(file, nil, 0o600)
 	for _, root := range []string{"", file, "/dev/null"} {
 		s, left := Open(root, "127.0.0.1:1", 3, quiet)
-		s.Follow(time.Millisecond, func(f func()) { f() }, &sink{})
+		s.Watch(time.Millisecond, func(f func()) { f() }, &sink{})
 		done := make(chan bool)
-		s.Suspend("s-1", true, func() { close(done) })
+		s.SetSuspended("s-1", true, func() { close(done) })
 		<-done
-		if !s.First() || len(left.Suspended) > 0 {
+		if !s.StartedAlone() || len(left.Suspended) > 0 {
 			t.Fatal(root)
 		}
 		s.Close()
@@ -160,21 +160,21 @@
 func TestListPassesOn(t *testing.T) {
 	root := t.TempDir()
 	before, _, _ := open(t, root)
-	before.Hear([]byte("left over"))
+	before.ShareEndpointList([]byte("left over"))
 	before.Close()
 	a, left, ka := open(t, root)
-	if string(left.List) != "left over" {
-		t.Fatalf("%q", left.List)
+	if string(left.EndpointList) != "left over" {
+		t.Fatalf("%q", left.EndpointList)
 	}
 	b, _, kb := open(t, root)
 	ka.wait(t, "alone")
 	for _, list := range []string{"one", "two"} {
-		a.Hear([]byte(list))
+		a.ShareEndpointList([]byte(list))
 		if kb.wait(t, "list"); kb.list != list {
 			t.Fatalf("%q", kb.list)
 		}
 	}
-	b.Hear([]byte("three"))
+	b.ShareEndpointList([]byte("three"))
 	if ka.wait(t, "list"); ka.list != "three" {
 		t.Fatalf("%q", ka.list)
 	}
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -21,14 +21,14 @@
 	}
 	r.asks(q)
 	if after, refused := r.turnedAway(q); refused {
-		r.count.Turned++
+		r.count.RejectedForSiteLoss++
 		r.loop.Post(func() { r.refuseFor(q, after, "a site is lost and there is no place for it") })
 		return
 	}
 	r.inHand[q.id] = q
 	// The module ends what it holds in time; the timer is for attempts that are out, and guards against a
 	// request that would stay without any answer.
-	q.timer = r.loop.After(q.dieAt-r.loop.Now(), func() { r.expire(q) })
+	q.timer = r.loop.AfterFunc(q.dieAt-r.loop.Now(), func() { r.expire(q) })
 	if r.holder != nil {
 		_, q.waits = r.holder.classes[q.Class]
 	}
@@ -46,8 +46,8 @@
 		h.Write([]byte(q.Session))
 		e.SessionID = int64(h.Sum64()>>11) | 1
 	}
-	if q.After > 0 {
-		e.SinceSessionWrite = max(1, now-q.After)
+	if q.MinPosition > 0 {
+		e.SinceSessionWrite = max(1, now-q.MinPosition)
 	}
 	r.pending = append(r.pending, e)
 }
--- a/internal/router/book.go
+++ b/internal/router/book.go
@@ -9,10 +9,10 @@
 
 // Counts is what has happened since the start.
 type Counts struct {
-	Taken, Served, Refused, Failed, Left uint64
-	Turned                               uint64 // of those refused, at the door while a site was lost
-	Expired                              uint64 // of those refused, because their time was over before they could be begun
-	Attempts                             [balance.StatusMiss + 1]uint64
+	Accepted, Served, Rejected, Failed, Disconnected uint64
+	RejectedForSiteLoss                              uint64 // of those refused, at the door while a site was lost
+	Expired                                          uint64 // of those refused, because their time was over before they could be begun
+	Attempts                                         [balance.StatusMiss + 1]uint64
 }
 
 // Counts returns a copy of the counters.
@@ -29,15 +29,15 @@
 	r.ended(q, res.Status)
 	// Guards the module's sight of load: how long a slow peer takes over an answer says nothing of how busy it is.
 	took := now - q.sentAt
-	if res.At > 0 {
-		took = res.At - q.sentAt
+	if res.ResponseStartedAt > 0 {
+		took = res.ResponseStartedAt - q.sentAt
 	}
 	if res.Status == balance.StatusDone {
 		r.heard(q, res, took, now) // before its end is told: an answer that is not counted lets no more out
-		if c, ok := q.client.(Committer); ok && !q.over && res.Position > 0 && res.Code == "" && r.Writes(q.Class) {
+		if c, ok := q.client.(Committer); ok && !q.over && res.Position > 0 && res.Code == "" && r.IsWrite(q.Class) {
 			c.Committed(res.Position)
 		}
-		r.serve(q, res.Answer, res.Code)
+		r.serve(q, res.Response, res.Code)
 	} else if q.began {
 		r.cut(q)
 	}
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -18,12 +18,12 @@
 		var at time.Duration
 		play(r, l, 50*time.Millisecond, func() {
 			at = l.Now()
-			if _, err := r.Take(Request{Class: class, Deadline: 200 * time.Millisecond, At: at - 195*time.Millisecond, Job: 1}, o); err != nil {
+			if _, err := r.Accept(Request{Class: class, Deadline: 200 * time.Millisecond, ReceivedAt: at - 195*time.Millisecond, Job: 1}, o); err != nil {
 				t.Error(err)
 			}
 		})
-		if o.refused != 1 || o.total() != 1 || o.after <= 0 || len(p.calls) > 0 || r.InHand() != 0 || r.Counts().Expired != 1 {
-			t.Fatalf("%s: %+v, %d sent, %d in hand, %+v", class, o, len(p.calls), r.InHand(), r.Counts())
+		if o.refused != 1 || o.total() != 1 || o.after <= 0 || len(p.calls) > 0 || r.InFlight() != 0 || r.Counts().Expired != 1 {
+			t.Fatalf("%s: %+v, %d sent, %d in hand, %+v", class, o, len(p.calls), r.InFlight(), r.Counts())
 		}
 	}
 }
@@ -35,10 +35,10 @@
 	var at time.Duration
 	play(r, l, time.Second, func() {
 		at = l.Now()
-		r.Take(Request{Class: "look", Deadline: 900 * time.Millisecond, At: at - 200*time.Millisecond, Job: 1}, o)
+		r.Accept(Request{Class: "look", Deadline: 900 * time.Millisecond, ReceivedAt: at - 200*time.Millisecond, Job: 1}, o)
 	})
-	if len(p.calls) != 1 || p.calls[0].a.Until != at+690*time.Millisecond {
-		t.Fatalf("%d sent, until %v", len(p.calls), p.calls[0].a.Until-at)
+	if len(p.calls) != 1 || p.calls[0].a.Deadline != at+690*time.Millisecond {
+		t.Fatalf("%d sent, until %v", len(p.calls), p.calls[0].a.Deadline-at)
 	}
 	if o.refused != 1 || o.total() != 1 {
 		t.Fatalf("%+v", o)
@@ -53,11 +53,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := time.Hour
-			l := eventloop.On(func() time.Duration { return clock })
+			l := eventloop.NewWithClock(func() time.Duration { return clock })
 			r, p := startOn(t, l, c.primary)
 			if c.hold {
-				r.HoldThrough(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}},
-					Count: 20_000, Bytes: 1 << 30, Margin: 10 * time.Millisecond}, 1, nil)
+				r.EnableFailoverQueue(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {PriorityWeight: 1, Work: 10 * time.Millisecond}},
+					MaxPending: 20_000, MaxPendingBytes: 1 << 30, DeadlineMargin: 10 * time.Millisecond}, 1, nil)
 				r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"}) // it leads no more, and nobody follows
 			}
 			type owing struct {
@@ -74,16 +74,16 @@
 					class = "look"
 				}
 				all = append(all, owing{&owed{l: l}, class, at + deadline - r.answerBefore(deadline), at})
-				l.After(at-clock, func() {
-					if _, err := r.Take(Request{Class: class, Label: fmt.Sprint("r", i), Deadline: deadline, At: at, Job: i}, all[i].o); err != nil {
+				l.AfterFunc(at-clock, func() {
+					if _, err := r.Accept(Request{Class: class, Label: fmt.Sprint("r", i), Deadline: deadline, ReceivedAt: at, Job: i}, all[i].o); err != nil {
 						t.Error(err)
 					}
 				})
 			}
 			for end := clock + 8*time.Second; clock < end; {
-				next := l.Turn(r.Step)
+				next := l.RunOnce(r.Step)
 				if c.hold {
-					held = max(held, r.Banks()[0].Held)
+					held = max(held, r.FailoverViews()[0].Pending)
 				}
 				if next == 0 {
 					break
@@ -101,8 +101,8 @@
 					t.Errorf("r%d, a %s: %d answers, at %v of %v", i, a.class, a.o.total(), a.o.at-a.arrived, a.meant-a.arrived)
 				}
 			}
-			if r.InHand() != 0 {
-				t.Errorf("%d in hand", r.InHand())
+			if r.InFlight() != 0 {
+				t.Errorf("%d in hand", r.InFlight())
 			}
 		})
 	}
--- a/internal/router/hold.go
+++ b/internal/router/hold.go
@@ -17,7 +17,7 @@
 
 // holder is the model and the timer that wakes it.
 type holder struct {
-	model   *failover.Model
+	model   *failover.Tracker
 	classes map[string]failover.Class
 	timer   *eventloop.Timer
 	at      time.Duration                                 // when the timer is due
@@ -25,12 +25,12 @@
 }
 
 // HoldThrough turns holding on. It is called before the first list.
-func (r *Router) HoldThrough(cfg failover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
+func (r *Router) EnableFailoverQueue(cfg failover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
 	r.holder = &holder{model: failover.New(cfg, seed), classes: cfg.Classes, change: change}
 }
 
 // Banks is what those on call see of the changes; nil where nothing is held.
-func (r *Router) Banks() []failover.View {
+func (r *Router) FailoverViews() []failover.GroupView {
 	if r.holder == nil {
 		return nil
 	}
@@ -38,7 +38,7 @@
 }
 
 // Announce says that operators are about to change a bank's primary, and whether the bank is known.
-func (r *Router) Announce(bank int64, within time.Duration) bool {
+func (r *Router) AnnounceFailover(bank int64, within time.Duration) bool {
 	if r.holder == nil {
 		return false
 	}
@@ -48,16 +48,16 @@
 }
 
 // Hint is what an earlier start knew of a bank.
-func (r *Router) Hint(bank int64, term uint64, primary string) {
+func (r *Router) RestoreTerm(bank int64, term uint64, primary string) {
 	if r.holder != nil {
-		r.holder.model.Hint(bank, term, primary)
+		r.holder.model.RestoreTerm(bank, term, primary)
 	}
 }
 
 // holds takes a request into the model's queue, if its bank is in change.
 func (r *Router) holds(q *request) bool {
 	h := r.holder
-	if h == nil || !h.model.Holds(q.Group, q.Class) {
+	if h == nil || !h.model.ShouldQueue(q.Group, q.Class) {
 		return false
 	}
 	q.parked = true
@@ -66,7 +66,7 @@
 		size = s.Size()
 	}
 	now := r.loop.Now()
-	h.model.Hold(now, failover.Request{ID: q.id, Bank: q.Group, Class: q.Class, Client: r.whose(q), Deadline: q.At + q.Deadline, Size: size})
+	h.model.Enqueue(now, failover.Request{ID: q.id, Group: q.Group, Class: q.Class, Client: r.whose(q), Deadline: q.ReceivedAt + q.Deadline, Size: size})
 	r.wakeHolder(now + 10*time.Millisecond)
 	return true
 }
@@ -83,7 +83,7 @@
 	if q.over || q.parked || q.call != nil || q.mayRun || q.began {
 		return
 	}
-	if !r.holder.model.Holds(q.Group, q.Class) {
+	if !r.holder.model.ShouldQueue(q.Group, q.Class) {
 		return
 	}
 	if r.module.MaxAttempts() > 0 && q.before+q.tries >= r.module.MaxAttempts() {
@@ -98,7 +98,7 @@
 // sent tells of an attempt.
 func (r *Router) sent(q *request) {
 	if q.waits {
-		r.holder.model.Sent(q.sentAt, q.node, q.id)
+		r.holder.model.AttemptSent(q.sentAt, q.node, q.id)
 		r.wakeHolder(q.sentAt + 50*time.Millisecond)
 	}
 }
@@ -109,24 +109,24 @@
 	if h == nil {
 		return
 	}
-	end := failover.Nothing
+	end := failover.EndInconclusive
 	switch res.Status {
 	case balance.StatusDone:
-		end = failover.Fine
+		end = failover.EndAnswered
 	case balance.StatusMiss:
-		if end = failover.Fine; r.Writes(q.Class) {
-			end = failover.Replica
+		if end = failover.EndAnswered; r.IsWrite(q.Class) {
+			end = failover.EndNotPrimary
 		}
 	case balance.StatusBusy:
-		end = failover.Full
+		end = failover.EndRejected
 	case balance.StatusConnectFailed, balance.StatusReset:
-		end = failover.Unreached
+		end = failover.EndUnreachable
 	}
 	class := ""
 	if q.waits && res.Status == balance.StatusDone {
 		class = q.Class
 	}
-	h.model.Ended(now, q.node, q.id, end, role(res.Role), res.Position, class, took)
+	h.model.AttemptEnded(now, q.node, q.id, end, role(res.Role), res.Position, class, took)
 	if q.waits && res.Status != balance.StatusDone {
 		r.withdraw(q)
 	}
@@ -144,7 +144,7 @@
 
 func (r *Router) reported(node string, res Result) {
 	if h := r.holder; h != nil {
-		h.model.Reported(r.loop.Now(), node, res.Status == balance.StatusDone, role(res.Role), res.Position)
+		h.model.HealthCheckEnded(r.loop.Now(), node, res.Status == balance.StatusDone, role(res.Role), res.Position)
 	}
 }
 
@@ -154,12 +154,12 @@
 		return
 	}
 	if !a.Confirmed {
-		h.model.Doubt(r.loop.Now(), a.Group, a.Endpoint)
+		h.model.SuspectPrimary(r.loop.Now(), a.Group, a.Endpoint)
 		return
 	}
-	_, before, _, _ := h.model.Bank(a.Group)
-	h.model.Believe(r.loop.Now(), a.Group, a.Endpoint)
-	if _, term, primary, _ := h.model.Bank(a.Group); term != before && h.change != nil {
+	_, before, _, _ := h.model.Group(a.Group)
+	h.model.ObservePrimary(r.loop.Now(), a.Group, a.Endpoint)
+	if _, term, primary, _ := h.model.Group(a.Group); term != before && h.change != nil {
 		h.change(a.Group, term, primary)
 	}
 }
@@ -175,17 +175,17 @@
 	if h == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
-	var in []failover.Member
+	var in []failover.Endpoint
 	for _, e := range l.Entries {
-		in = append(in, failover.Member{Node: e.Endpoint, Bank: e.Group, Out: e.State == balance.EndpointDraining, Gone: e.State == balance.EndpointRemoved})
+		in = append(in, failover.Endpoint{ID: e.Endpoint, Group: e.Group, Draining: e.State == balance.EndpointDraining, Removed: e.State == balance.EndpointRemoved})
 	}
-	h.model.Listed(r.loop.Now(), in, l.Kind != balance.ListDelta)
+	h.model.UpdateEndpoints(r.loop.Now(), in, l.Kind != balance.ListDelta)
 }
 
 // released tells that a request is answered.
 func (r *Router) released(q *request) {
-	if q.waits && r.holder.model.Busy() {
-		r.holder.model.Done(r.loop.Now(), q.Group, q.id)
+	if q.waits && r.holder.model.InProgress() {
+		r.holder.model.RequestDone(r.loop.Now(), q.Group, q.id)
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	h.timer.Stop()
 	h.at = at
-	h.timer = r.loop.After(at-r.loop.Now(), func() {
+	h.timer = r.loop.AfterFunc(at-r.loop.Now(), func() {
 		h.timer = nil
 		r.tickHolder()
 	})
@@ -212,10 +212,10 @@
 // changes carries out what the model asks.
 func (r *Router) changes() {
 	h := r.holder
-	if h == nil || !h.model.Pending() {
+	if h == nil || !h.model.HasActions() {
 		return
 	}
-	for h.model.Pending() {
+	for h.model.HasActions() {
 		for _, a := range h.model.Actions() {
 			r.change(a)
 		}
@@ -226,34 +226,36 @@
 func (r *Router) change(a failover.Action) {
 	h := r.holder
 	switch a.Kind {
-	case failover.Release:
+	case failover.ActionRelease:
 		if q := r.inHand[a.ID]; q != nil && q.parked && !q.over {
 			q.parked = false
 			r.enter(q)
 		}
-	case failover.GiveUp:
+	case failover.ActionReject:
 		if q := r.inHand[a.ID]; q != nil && q.parked {
 			q.parked = false
-			r.log.Debug("held in vain", "request", q.Label, "class", q.Class, "why", a.Why.String())
-			r.refuse(q, a.After)
+			r.log.Debug("held in vain", "request", q.Label, "class", q.Class, "why", a.Reason.String())
+			r.refuse(q, a.RetryAfter)
 		}
-	case failover.Probe:
-		r.probe(a.Node, false)
-	case failover.Withdraw:
+	case failover.ActionHealthCheck:
+		r.probe(a.Endpoint, false)
+	case failover.ActionWithdraw:
 		var out []*request
 		for _, q := range r.inHand {
-			if q.waits && q.Group == a.Bank {
+			if q.waits && q.Group == a.Group {
 				out = append(out, q)
 			}
 		}
-		slices.SortFunc(out, func(a, b *request) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.id, b.id)) })
+		slices.SortFunc(out, func(a, b *request) int {
+			return cmp.Or(cmp.Compare(a.ReceivedAt, b.ReceivedAt), cmp.Compare(a.id, b.id))
+		})
 		for _, q := range out {
 			r.withdraw(q)
 		}
-	case failover.Changed:
-		phase, term, primary, last := h.model.Bank(a.Bank)
-		text := "bank " + strconv.FormatInt(a.Bank, 10) + ": " + phase.String() + ", term " + strconv.FormatUint(term, 10) + ", " + last.Evidence.String()
-		r.log.Info("changeover", "bank", a.Bank, "phase", phase.String(), "term", term, "primary", primary, "evidence", last.Evidence.String(), "node", last.Node)
+	case failover.ActionPhaseChanged:
+		phase, term, primary, last := h.model.Group(a.Group)
+		text := "bank " + strconv.FormatInt(a.Group, 10) + ": " + phase.String() + ", term " + strconv.FormatUint(term, 10) + ", " + last.Evidence.String()
+		r.log.Info("changeover", "bank", a.Group, "phase", phase.String(), "term", term, "primary", primary, "evidence", last.Evidence.String(), "node", last.Endpoint)
 		r.record(audit.Note{Topic: "changeover", Text: text})
 	}
 }
--- a/internal/router/hold_bench_test.go
+++ b/internal/router/hold_bench_test.go
@@ -18,22 +18,24 @@
 // quick plays db machines that answer at once.
 type quick struct{ l *eventloop.Loop }
 
-func (k quick) Start(a Attempt, done func(Result)) Call {
+func (k quick) Start(a Attempt, done func(Result)) AttemptHandle {
 	k.l.Post(func() { done(Result{Status: balance.StatusDone, Role: balance.RolePrimary}) })
 	return k
 }
-func (quick) Waiting() bool                        { return false }
-func (quick) Gone(bool) bool                       { return false }
-func (quick) Cancel() bool                         { return true }
-func (quick) Probe(node string, done func(Result)) { done(Result{Status: balance.StatusTimedOut}) }
-func (quick) Suspend(string, bool)                 {}
-func (quick) Track()                               {}
-func (quick) Begun(Answer, Flow)                   {}
-func (quick) Part([]byte)                          {}
-func (quick) Cut()                                 {}
-func (quick) Refused(time.Duration)                {}
-func (quick) Failed(string)                        {}
-func (quick) Served(Answer)                        {}
+func (quick) NotWritten() bool       { return false }
+func (quick) Disconnected(bool) bool { return false }
+func (quick) Cancel() bool           { return true }
+func (quick) HealthCheck(node string, done func(Result)) {
+	done(Result{Status: balance.StatusTimedOut})
+}
+func (quick) Suspend(string, bool)           {}
+func (quick) Poll()                          {}
+func (quick) ResponseStarted(Response, Flow) {}
+func (quick) ResponsePart([]byte)            {}
+func (quick) ResponseTruncated()             {}
+func (quick) Rejected(time.Duration)         {}
+func (quick) Failed(string)                  {}
+func (quick) Served(Response)                {}
 
 func steady(b testing.TB, hold, primary bool) (*Router, *eventloop.Loop) {
 	l := eventloop.New()
@@ -45,10 +47,10 @@
 	}
 	r.Connect(quick{l}, quick{l})
 	if hold {
-		r.HoldThrough(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}}, Count: 20_000, Bytes: 1 << 30,
-			Margin: 10 * time.Millisecond}, 1, nil)
+		r.EnableFailoverQueue(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {PriorityWeight: 1, Work: 10 * time.Millisecond}}, MaxPending: 20_000, MaxPendingBytes: 1 << 30,
+			DeadlineMargin: 10 * time.Millisecond}, 1, nil)
 	}
-	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
+	r.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
 	r.Step()
 	return r, l
 }
@@ -66,7 +68,7 @@
 						l.Stop()
 						return
 					}
-					r.Take(Request{Class: "job", Label: strconv.Itoa(n), Deadline: time.Second, At: l.Now()}, quick{l})
+					r.Accept(Request{Class: "job", Label: strconv.Itoa(n), Deadline: time.Second, ReceivedAt: l.Now()}, quick{l})
 					l.Post(func() { l.Post(next) })
 				}
 				b.ResetTimer()
@@ -95,11 +97,11 @@
 			before := heap()
 			const n = 10_000
 			for i := range n {
-				r.Take(Request{Class: "job", Label: strconv.Itoa(i), Client: strconv.Itoa(i % 500), Deadline: 3 * time.Second, At: l.Now()}, quick{l})
+				r.Accept(Request{Class: "job", Label: strconv.Itoa(i), Client: strconv.Itoa(i % 500), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, quick{l})
 			}
 			r.Step()
-			if v := r.Banks(); hold && (len(v) != 1 || v[0].Held != n) || r.InHand() != n {
-				b.Fatalf("%+v, %d in hand", v, r.InHand())
+			if v := r.FailoverViews(); hold && (len(v) != 1 || v[0].Pending != n) || r.InFlight() != n {
+				b.Fatalf("%+v, %d in hand", v, r.InFlight())
 			}
 			b.ReportMetric((heap()-before)/(1<<20), fmt.Sprintf("MiB-holding-%v", hold))
 			runtime.KeepAlive(r)
--- a/internal/router/hold_test.go
+++ b/internal/router/hold_test.go
@@ -16,7 +16,7 @@
 	open []func(Result)
 }
 
-func (s *slowly) Start(a Attempt, done func(Result)) Call {
+func (s *slowly) Start(a Attempt, done func(Result)) AttemptHandle {
 	s.open = append(s.open, done)
 	return s
 }
@@ -38,16 +38,16 @@
 	out := func(want int) {
 		t.Helper()
 		r.Step()
-		if v := r.Banks()[0]; v.Out != want {
-			t.Fatalf("%d out, not %d: %+v", v.Out, want, v)
+		if v := r.FailoverViews()[0]; v.ReleasedInFlight != want {
+			t.Fatalf("%d out, not %d: %+v", v.ReleasedInFlight, want, v)
 		}
 	}
 	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 	for i := range 500 {
-		r.Take(Request{Class: "job", Label: strconv.Itoa(i), Deadline: 3 * time.Second, At: l.Now()}, quick{l})
+		r.Accept(Request{Class: "job", Label: strconv.Itoa(i), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, quick{l})
 	}
 	r.Step()
-	if v := r.Banks()[0]; v.Held != 500 || len(s.open) != 0 {
+	if v := r.FailoverViews()[0]; v.Pending != 500 || len(s.open) != 0 {
 		t.Fatalf("%+v, %d sent", v, len(s.open))
 	}
 	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1", Confirmed: true})
@@ -55,7 +55,7 @@
 	s.answer(balance.StatusDone)
 	out(16)
 	s.answer(balance.StatusDone)
-	if v := r.Banks()[0]; v.Out < 24 || v.Out > 32 {
+	if v := r.FailoverViews()[0]; v.ReleasedInFlight < 24 || v.ReleasedInFlight > 32 {
 		t.Fatalf("%+v", v)
 	}
 	for range 6 {
@@ -63,7 +63,7 @@
 		s.answer(balance.StatusDone)
 	}
 	r.Step()
-	if v := r.Banks()[0]; v.Out < 64 {
-		t.Fatalf("%d out behind eight rounds of answers", v.Out)
+	if v := r.FailoverViews()[0]; v.ReleasedInFlight < 64 {
+		t.Fatalf("%d out behind eight rounds of answers", v.ReleasedInFlight)
 	}
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -32,9 +32,9 @@
 	class := r.classes[q.Class]
 	a.Request, a.Class, a.Group, a.Tenant, a.Client, a.Node = q.Label, q.Class, q.Group, q.Tenant, q.Client, q.node
 	a.Outcome, a.Writes = o, class.Idempotency != balance.Idempotent || class.Consistency == balance.ConsistencyWrite
-	a.Attempts, a.Worked, a.Total, a.Queued = q.attempts, q.worked, now-q.At, now-q.At
+	a.Attempts, a.Worked, a.Total, a.Queued = q.attempts, q.worked, now-q.ReceivedAt, now-q.ReceivedAt
 	if q.tries > 0 {
-		a.Queued = q.firstAt - q.At
+		a.Queued = q.firstAt - q.ReceivedAt
 	}
 	if q.call != nil { // it is answered while an attempt is out
 		a.Attempts = append(a.Attempts, audit.Attempt{Node: q.node, End: audit.Out, Took: now - q.sentAt})
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -9,7 +9,7 @@
 
 // The final answers. Each request gets one of them, once.
 
-func (r *Router) serve(q *request, a Answer, code string) {
+func (r *Router) serve(q *request, a Response, code string) {
 	if q.over {
 		return
 	}
@@ -22,13 +22,13 @@
 
 // begin passes on an answer that has begun to come. From here on no time of the request's own ends it, and no other attempt
 // takes its place: what the db machine still gives must not be cut off.
-func (r *Router) begin(q *request, leg int, a Answer, f Flow) {
+func (r *Router) begin(q *request, leg int, a Response, f Flow) {
 	q.began = true
 	q.timer.Stop()
 	q.timer = nil
 	r.pending = append(r.pending, balance.FirstByte{ID: q.id, Attempt: leg})
 	if !q.over {
-		q.client.Begun(a, f)
+		q.client.ResponseStarted(a, f)
 	}
 }
 
@@ -39,9 +39,9 @@
 	}
 	r.end(q)
 	r.count.Failed++
-	r.log.Debug("cut", "request", q.Label, "class", q.Class, "after", r.loop.Now()-q.At)
+	r.log.Debug("cut", "request", q.Label, "class", q.Class, "after", r.loop.Now()-q.ReceivedAt)
 	r.answered(q, audit.Cut, audit.Answer{Why: "its answer broke off"})
-	q.client.Cut()
+	q.client.ResponseTruncated()
 	r.forget(q)
 }
 
@@ -53,13 +53,13 @@
 		return
 	}
 	r.end(q)
-	r.count.Refused++
-	r.log.Debug("refused", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.At, "why", why)
+	r.count.Rejected++
+	r.log.Debug("refused", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.ReceivedAt, "why", why)
 	if after <= 0 {
 		after = r.lim.ComeAgain // a refusal always says when to come back
 	}
 	r.answered(q, audit.Refused, audit.Answer{Retry: after, Why: why})
-	q.client.Refused(after)
+	q.client.Rejected(after)
 	r.forget(q)
 }
 
@@ -69,7 +69,7 @@
 	}
 	r.end(q)
 	r.count.Failed++
-	r.log.Debug("failed", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.At, "why", why)
+	r.log.Debug("failed", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.ReceivedAt, "why", why)
 	r.answered(q, audit.Failed, audit.Answer{Why: why})
 	q.client.Failed(why)
 	r.forget(q)
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -7,7 +7,7 @@
 )
 
 // List passes on what discovery has told.
-func (r *Router) List(l balance.EndpointList) {
+func (r *Router) UpdateEndpoints(l balance.EndpointList) {
 	r.pending = append(r.pending, l)
 	r.listed(l)
 	r.listedSites(l)
@@ -58,13 +58,13 @@
 		r.probe(a.Endpoint, true)
 	case balance.Timer:
 		r.wake.Stop()
-		r.wake = r.loop.After(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
+		r.wake = r.loop.AfterFunc(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
 	case balance.PollEndpointList:
-		r.watcher.Track()
+		r.watcher.Poll()
 	case balance.PrimaryUpdate:
 		r.believe(a)
 		if r.sites != nil && a.Confirmed {
-			r.sites.events = append(r.sites.events, sitefailover.Leads{Bank: a.Group, Machine: a.Endpoint})
+			r.sites.events = append(r.sites.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
 		}
 		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
 	case balance.LogLine:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -16,22 +16,22 @@
 type Job any
 
 // Answer is what a db machine said to a job. Only the front and the servers look inside.
-type Answer any
+type Response any
 
 // Client is the front's side of one request; exactly one of Served, Refused, Failed and Cut is called, once.
 type Client interface {
 	// Begun says that a long answer is passed on as it comes: this is what stands before its long row. Part brings the
 	// row, piece by piece, and Served what stands behind it.
-	Begun(a Answer, f Flow)
-	Part(p []byte)
-	Cut() // what was passed on is not whole, and the client has to see that
+	ResponseStarted(a Response, f Flow)
+	ResponsePart(p []byte)
+	ResponseTruncated() // what was passed on is not whole, and the client has to see that
 
-	Served(Answer)
-	Refused(after time.Duration) // a repeat does no harm: come again after this
-	Failed(why string)           // nothing is promised
+	Served(Response)
+	Rejected(after time.Duration) // a repeat does no harm: come again after this
+	Failed(why string)            // nothing is promised
 
 	// Gone says that the client has left, though Leave was not called yet. look asks the system too, which knows first.
-	Gone(look bool) bool
+	Disconnected(look bool) bool
 }
 
 // Committer is a Client that is told, right before its answer, what position its write has.
@@ -42,64 +42,64 @@
 // Flow is the source of an answer that is passed on as it comes.
 type Flow interface {
 	// Hold stops it, or lets it go on.
-	Hold(on bool)
+	SetPaused(on bool)
 }
 
 // Request is what a front has taken.
 type Request struct {
-	Label    string // the client's own name for it, for the log
-	Class    string
-	Group    int64
-	Session  string
-	Deadline time.Duration // the client gives up this long after its send
-	At       time.Duration // when its last byte had come, on the loop's clock
-	After    time.Duration // a position that it has to see, 0 = none
-	Retry    bool
-	Job      Job
-	Tenant   string // whose request it is, for the record; "" = not known
-	Client   string // and from where
+	Label       string // the client's own name for it, for the log
+	Class       string
+	Group       int64
+	Session     string
+	Deadline    time.Duration // the client gives up this long after its send
+	ReceivedAt  time.Duration // when its last byte had come, on the loop's clock
+	MinPosition time.Duration // a position that it has to see, 0 = none
+	Retry       bool
+	Job         Job
+	Tenant      string // whose request it is, for the record; "" = not known
+	Client      string // and from where
 }
 
 // Attempt is one try at one db machine.
 type Attempt struct {
-	Node  string
-	Job   Job
-	Until time.Duration // the router stops waiting then
-	By    time.Duration // not to be written later than this, 0 = no such limit
-
-	Begun func(Answer, Flow) // a long answer begins to come: what stands before its long row
-	Part  func(p []byte)     // the next piece of it
-	Gone  func() bool        // nobody waits for it any more: it is not to be written, nil = somebody does
+	Endpoint string
+	Job      Job
+	Deadline time.Duration // the router stops waiting then
+	NotAfter time.Duration // not to be written later than this, 0 = no such limit
+
+	OnResponseStarted func(Response, Flow) // a long answer begins to come: what stands before its long row
+	OnResponsePart    func(p []byte)       // the next piece of it
+	Abandoned         func() bool          // nobody waits for it any more: it is not to be written, nil = somebody does
 }
 
 // Result ends an attempt or a probe.
 type Result struct {
-	Status   balance.Status
-	Role     balance.Role
-	Position time.Duration
-	Answer   Answer
-	Code     string        // the error that the answer passes on, "" = none
-	At       time.Duration // when its answer began to come, 0 = none did
-	Use      float64       // of a probe: the part of what the machine can do that all its work takes, 0 = not told
+	Status            balance.Status
+	Role              balance.Role
+	Position          time.Duration
+	Response          Response
+	Code              string        // the error that the answer passes on, "" = none
+	ResponseStartedAt time.Duration // when its answer began to come, 0 = none did
+	Utilization       float64       // of a probe: the part of what the machine can do that all its work takes, 0 = not told
 }
 
 // Call is an attempt under way.
-type Call interface {
+type AttemptHandle interface {
 	// Cancel gives it up and says whether it may have reached the db machine. Its end is not reported any more.
 	Cancel() (written bool)
 	// Waiting says that nothing of it was written yet.
-	Waiting() bool
+	NotWritten() bool
 }
 
 // Servers reaches the db machines.
-type Servers interface {
-	Start(a Attempt, done func(Result)) Call
-	Probe(node string, done func(Result))
+type Backends interface {
+	Start(a Attempt, done func(Result)) AttemptHandle
+	HealthCheck(node string, done func(Result))
 	Suspend(node string, out bool)
 }
 
 // Watcher follows the list of db machines.
-type Watcher interface{ Track() }
+type DiscoveryPoller interface{ Poll() }
 
 // Audit takes what is recorded. Record never blocks and makes no system call.
 type Audit interface {
@@ -112,8 +112,8 @@
 	lim       limits.Limits
 	log       *slog.Logger
 	module    *balance.Balancer
-	servers   Servers
-	watcher   Watcher
+	servers   Backends
+	watcher   DiscoveryPoller
 	audit     Audit           // nil = nothing is recorded
 	holder    *holder         // nil = nothing is held through a change of primary
 	sites     *watcherOfSites // nil = whole sites are not watched
@@ -138,8 +138,8 @@
 	dieAt  time.Duration
 	timer  *eventloop.Timer
 	tries  int
-	mayRun bool // an attempt was written that is not proved to have had no effect
-	call   Call // the attempt that is out
+	mayRun bool          // an attempt was written that is not proved to have had no effect
+	call   AttemptHandle // the attempt that is out
 	node   string
 	sentAt time.Duration
 	began  bool // its answer is passed on as it comes
@@ -168,29 +168,29 @@
 }
 
 // Connect names the peers; it is called once, before anything else.
-func (r *Router) Connect(s Servers, w Watcher) { r.servers, r.watcher = s, w }
+func (r *Router) Connect(s Backends, w DiscoveryPoller) { r.servers, r.watcher = s, w }
 
 // EndBy lets what is taken from now on be answered by then, though its client may wait longer: the process may be ended after that.
-func (r *Router) EndBy(at time.Duration) { r.endAt = at }
+func (r *Router) SetShutdownDeadline(at time.Duration) { r.endAt = at }
 
 // InHand is the number of requests that are owed an answer or have an attempt out.
-func (r *Router) InHand() int { return len(r.inHand) }
+func (r *Router) InFlight() int { return len(r.inHand) }
 
 // Writes says whether the requests of a class may change data, so that they must not run twice.
-func (r *Router) Writes(class string) bool {
+func (r *Router) IsWrite(class string) bool {
 	c := r.classes[class]
 	return c.Idempotency != balance.Idempotent || c.Consistency == balance.ConsistencyWrite
 }
 
 // Order is what a request waits for of those that were sent before it on the same connection.
-type Order struct {
-	Writes  bool // it may change data: it waits for all of them, so that none sees what came later
-	Sees    bool // it has to see what its session has written before: it waits for those writes,
-	SeesAll bool // or what anybody has
+type Ordering struct {
+	Writes         bool // it may change data: it waits for all of them, so that none sees what came later
+	ReadsOwnWrites bool // it has to see what its session has written before: it waits for those writes,
+	ReadsAllWrites bool // or what anybody has
 }
 
 // Order tells the order of a class's requests.
-func (r *Router) Order(class string) Order {
+func (r *Router) OrderingOf(class string) Ordering {
 	n := r.classes[class].Consistency
-	return Order{Writes: r.Writes(class), Sees: n == balance.ConsistencySession, SeesAll: n == balance.ConsistencyLatest}
+	return Ordering{Writes: r.IsWrite(class), ReadsOwnWrites: n == balance.ConsistencySession, ReadsAllWrites: n == balance.ConsistencyLatest}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -32,7 +32,7 @@
 	status balance.Status
 }
 
-func (p *peer) Start(a Attempt, done func(Result)) Call {
+func (p *peer) Start(a Attempt, done func(Result)) AttemptHandle {
 	c := &call{p: p, a: a, done: done}
 	for _, o := range p.calls {
 		if !o.over && o.a.Job == a.Job {
@@ -42,13 +42,15 @@
 	p.calls = append(p.calls, c)
 	return c
 }
-func (p *peer) Probe(node string, done func(Result)) { done(Result{Status: balance.StatusTimedOut}) }
-func (p *peer) Track()                               {}
-func (p *peer) Suspend(string, bool)                 {}
-func (p *peer) Record(e audit.Event)                 { p.events = append(p.events, e) }
-func (c *call) Cancel() bool                         { c.over = true; return c.p.written }
-func (c *call) Waiting() bool                        { return !c.over && !c.p.written }
-func (c *call) end(s balance.Status)                 { c.over, c.status = true, s; c.done(Result{Status: s}) }
+func (p *peer) HealthCheck(node string, done func(Result)) {
+	done(Result{Status: balance.StatusTimedOut})
+}
+func (p *peer) Poll()                {}
+func (p *peer) Suspend(string, bool) {}
+func (p *peer) Record(e audit.Event) { p.events = append(p.events, e) }
+func (c *call) Cancel() bool         { c.over = true; return c.p.written }
+func (c *call) NotWritten() bool     { return !c.over && !c.p.written }
+func (c *call) end(s balance.Status) { c.over, c.status = true, s; c.done(Result{Status: s}) }
 
 // owed counts the answers to one request.
 type owed struct {
@@ -60,14 +62,14 @@
 	l                       *eventloop.Loop
 }
 
-func (o *owed) Gone(bool) bool              { return o.gone }
-func (o *owed) Begun(Answer, Flow)          { o.begun++ }
-func (o *owed) Part(p []byte)               { o.parts += len(p) }
-func (o *owed) Cut()                        { o.cut++ }
-func (o *owed) Served(Answer)               { o.served++; o.at = o.l.Now() }
-func (o *owed) Refused(after time.Duration) { o.refused++; o.after = after; o.at = o.l.Now() }
-func (o *owed) Failed(string)               { o.failed++; o.at = o.l.Now() }
-func (o *owed) total() int                  { return o.served + o.refused + o.failed }
+func (o *owed) Disconnected(bool) bool         { return o.gone }
+func (o *owed) ResponseStarted(Response, Flow) { o.begun++ }
+func (o *owed) ResponsePart(p []byte)          { o.parts += len(p) }
+func (o *owed) ResponseTruncated()             { o.cut++ }
+func (o *owed) Served(Response)                { o.served++; o.at = o.l.Now() }
+func (o *owed) Rejected(after time.Duration)   { o.refused++; o.after = after; o.at = o.l.Now() }
+func (o *owed) Failed(string)                  { o.failed++; o.at = o.l.Now() }
+func (o *owed) total() int                     { return o.served + o.refused + o.failed }
 
 func start(t *testing.T) (*Router, *peer, *eventloop.Loop) {
 	l := eventloop.New()
@@ -87,7 +89,7 @@
 		t.Fatal(err)
 	}
 	r.Connect(p, p)
-	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+	r.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
 		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
 	return r, p
 }
@@ -95,7 +97,7 @@
 // play runs the loop for a while; do is called in it first.
 func play(r *Router, l *eventloop.Loop, d time.Duration, do func()) {
 	l.Post(do)
-	l.Post(func() { l.After(d, l.Stop) })
+	l.Post(func() { l.AfterFunc(d, l.Stop) })
 	l.Run(r.Step)
 }
 
@@ -107,7 +109,7 @@
 		var at time.Duration
 		play(r, l, 200*time.Millisecond, func() {
 			at = l.Now()
-			r.Take(Request{Class: class, Deadline: 120 * time.Millisecond, At: at, Job: 1}, o)
+			r.Accept(Request{Class: class, Deadline: 120 * time.Millisecond, ReceivedAt: at, Job: 1}, o)
 		})
 		if len(p.calls) == 0 || !p.calls[0].over {
 			t.Fatalf("%s: its attempt is still out", class)
@@ -121,8 +123,8 @@
 		if o.refused == 1 && o.after <= 0 {
 			t.Fatal("a refusal that does not say when to come back")
 		}
-		if r.InHand() != 0 {
-			t.Fatalf("%d in hand", r.InHand())
+		if r.InFlight() != 0 {
+			t.Fatalf("%d in hand", r.InFlight())
 		}
 	}
 }
@@ -134,19 +136,19 @@
 		r, p, l := start(t)
 		o := &owed{l: l}
 		play(r, l, 400*time.Millisecond, func() {
-			r.Take(Request{Class: "look", Deadline: 120 * time.Millisecond, At: l.Now(), Job: 1}, o)
-			l.After(20*time.Millisecond, func() {
-				p.calls[0].a.Begun(nil, nil)
-				p.calls[0].a.Part(make([]byte, 7))
+			r.Accept(Request{Class: "look", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
+			l.AfterFunc(20*time.Millisecond, func() {
+				p.calls[0].a.OnResponseStarted(nil, nil)
+				p.calls[0].a.OnResponsePart(make([]byte, 7))
 				r.act(balance.Cancel{ID: "1", Attempt: 0})
 			})
-			l.After(300*time.Millisecond, func() {
-				p.calls[0].a.Part(make([]byte, 7))
+			l.AfterFunc(300*time.Millisecond, func() {
+				p.calls[0].a.OnResponsePart(make([]byte, 7))
 				p.calls[0].end(end)
 			})
 		})
-		if done := end == balance.StatusDone; o.begun != 1 || o.parts != 14 || o.total()+o.cut != 1 || done != (o.served == 1) || len(p.calls) != 1 || r.InHand() != 0 {
-			t.Errorf("%v: %+v, %d attempts, %d in hand", end, o, len(p.calls), r.InHand())
+		if done := end == balance.StatusDone; o.begun != 1 || o.parts != 14 || o.total()+o.cut != 1 || done != (o.served == 1) || len(p.calls) != 1 || r.InFlight() != 0 {
+			t.Errorf("%v: %+v, %d attempts, %d in hand", end, o, len(p.calls), r.InFlight())
 		}
 		var recorded []*audit.Answer
 		for _, e := range p.events {
@@ -167,9 +169,9 @@
 	var took time.Duration
 	play(r, l, 200*time.Millisecond, func() {
 		at := l.Now()
-		r.Take(Request{Class: "look", Deadline: time.Second, At: at, Job: 1}, &owed{l: l})
-		l.After(150*time.Millisecond, func() {
-			p.calls[0].done(Result{Status: balance.StatusDone, At: at + 10*time.Millisecond})
+		r.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: at, Job: 1}, &owed{l: l})
+		l.AfterFunc(150*time.Millisecond, func() {
+			p.calls[0].done(Result{Status: balance.StatusDone, ResponseStartedAt: at + 10*time.Millisecond})
 			took = r.pending[len(r.pending)-1].(balance.AttemptResult).Elapsed
 		})
 	})
@@ -183,7 +185,7 @@
 	p.written = false
 	o := &owed{l: l}
 	play(r, l, 200*time.Millisecond, func() {
-		r.Take(Request{Class: "job", Deadline: 120 * time.Millisecond, At: l.Now(), Job: 1}, o)
+		r.Accept(Request{Class: "job", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
 	})
 	if o.refused != 1 || o.total() != 1 {
 		t.Fatalf("%+v", o)
@@ -195,17 +197,17 @@
 	r.lim.Requests = 1
 	a, b, c := &owed{l: l}, &owed{l: l}, &owed{l: l}
 	play(r, l, 50*time.Millisecond, func() {
-		for want, q := range map[error]Request{ErrClass: {Class: "none", Deadline: time.Second}, ErrDeadline: {Class: "look"}} {
-			if _, err := r.Take(q, a); err != want {
+		for want, q := range map[error]Request{ErrUnknownClass: {Class: "none", Deadline: time.Second}, ErrNoTimeLeft: {Class: "look"}} {
+			if _, err := r.Accept(q, a); err != want {
 				t.Errorf("%v, not %v", err, want)
 			}
 		}
-		r.Take(Request{Label: "b", Class: "look", Deadline: time.Second, At: l.Now(), Job: 2}, b)
+		r.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, b)
 		// It would be given what another client has asked for.
-		if _, err := r.Take(Request{Label: "b", Class: "look", Deadline: time.Second, At: l.Now(), Job: 4}, a); err != ErrOpen {
+		if _, err := r.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 4}, a); err != ErrDuplicateRequest {
 			t.Error(err)
 		}
-		r.Take(Request{Class: "look", Deadline: time.Second, At: l.Now(), Job: 3}, c)
+		r.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, c)
 	})
 	if a.total() != 0 || b.total() != 0 || c.refused != 1 || c.after <= 0 {
 		t.Fatalf("%+v %+v %+v", a, b, c)
@@ -228,13 +230,13 @@
 		}
 		o := &owed{l: l}
 		class := []string{"look", "job"}[rng.IntN(2)]
-		id, _ := r.Take(Request{Class: class, Label: fmt.Sprint(class, n), Deadline: time.Duration(20+rng.IntN(80)) * time.Millisecond,
-			At: l.Now(), Job: fmt.Sprintf("%s%d", class, n)}, o)
+		id, _ := r.Accept(Request{Class: class, Label: fmt.Sprint(class, n), Deadline: time.Duration(20+rng.IntN(80)) * time.Millisecond,
+			ReceivedAt: l.Now(), Job: fmt.Sprintf("%s%d", class, n)}, o)
 		ids = append(ids, id)
 		all = append(all, o)
 		if i := rng.IntN(len(all)); rng.IntN(6) == 0 && all[i].total() == 0 {
 			left[i] = true
-			r.Leave(ids[i])
+			r.Disconnect(ids[i])
 		}
 		for _, c := range p.calls {
 			if !c.over && rng.IntN(3) == 0 {
@@ -242,7 +244,7 @@
 					balance.StatusReset, balance.StatusNotSent, balance.StatusMiss}[rng.IntN(8)])
 			}
 		}
-		l.After(time.Millisecond, tick)
+		l.AfterFunc(time.Millisecond, tick)
 	}
 	play(r, l, 800*time.Millisecond, tick)
 	may := map[any]bool{}
@@ -264,8 +266,8 @@
 			outcomes[a.Outcome]++
 		}
 	}
-	if c := r.Counts(); len(recorded) != len(all) || uint64(outcomes[audit.Served]) != c.Served || uint64(outcomes[audit.Refused]) != c.Refused ||
-		uint64(outcomes[audit.Failed]) != c.Failed || uint64(outcomes[audit.Left]) != c.Left {
+	if c := r.Counts(); len(recorded) != len(all) || uint64(outcomes[audit.Served]) != c.Served || uint64(outcomes[audit.Refused]) != c.Rejected ||
+		uint64(outcomes[audit.Failed]) != c.Failed || uint64(outcomes[audit.Left]) != c.Disconnected {
 		t.Fatalf("%d records of %d requests: %v, counted %+v", len(recorded), len(all), outcomes, c)
 	}
 	for id, a := range recorded {
@@ -283,8 +285,8 @@
 			t.Fatalf("request %d, left %v: %+v", i, left[i], o)
 		}
 	}
-	if r.InHand() != 0 || len(r.open) != 0 {
-		t.Fatalf("%d in hand, %d open", r.InHand(), len(r.open))
+	if r.InFlight() != 0 || len(r.open) != 0 {
+		t.Fatalf("%d in hand, %d open", r.InFlight(), len(r.open))
 	}
 }
 
@@ -294,11 +296,11 @@
 		r, p, l := start(t)
 		o := &owed{l: l}
 		play(r, l, 100*time.Millisecond, func() {
-			id, _ := r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, o)
-			l.After(20*time.Millisecond, func() { r.Leave(id) })
+			id, _ := r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+			l.AfterFunc(20*time.Millisecond, func() { r.Disconnect(id) })
 		})
-		if len(p.calls) != 1 || p.calls[0].over != given || o.total() != 0 || (r.InHand() == 0) != given {
-			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InHand())
+		if len(p.calls) != 1 || p.calls[0].over != given || o.total() != 0 || (r.InFlight() == 0) != given {
+			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
 		}
 	}
 }
@@ -309,23 +311,23 @@
 	for _, class := range []string{"look", "job"} {
 		r, p, l := start(t)
 		o := &owed{l: l, gone: true}
-		play(r, l, 100*time.Millisecond, func() { r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, o) })
-		if len(p.calls) != 0 || o.total() != 0 || r.InHand() != 0 || r.Counts().Left != 1 {
-			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InHand())
+		play(r, l, 100*time.Millisecond, func() { r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o) })
+		if len(p.calls) != 0 || o.total() != 0 || r.InFlight() != 0 || r.Counts().Disconnected != 1 {
+			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
 		}
 
 		// It goes between two attempts.
 		r, p, l = start(t)
 		o = &owed{l: l}
 		play(r, l, 200*time.Millisecond, func() {
-			r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, o)
-			l.After(20*time.Millisecond, func() {
+			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+			l.AfterFunc(20*time.Millisecond, func() {
 				o.gone = true
 				p.calls[0].end(balance.StatusBusy)
 			})
 		})
-		if len(p.calls) != 1 || o.total() != 0 || r.InHand() != 0 {
-			t.Errorf("%s, a further one: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InHand())
+		if len(p.calls) != 1 || o.total() != 0 || r.InFlight() != 0 {
+			t.Errorf("%s, a further one: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
 		}
 
 		// It leaves while its attempt waits for a connection; the attempt asks again right before it is written.
@@ -333,17 +335,17 @@
 		p.written = false
 		o = &owed{l: l}
 		play(r, l, 100*time.Millisecond, func() {
-			id, _ := r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, o)
-			l.After(20*time.Millisecond, func() {
+			id, _ := r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+			l.AfterFunc(20*time.Millisecond, func() {
 				o.gone = true
-				if !p.calls[0].a.Gone() {
+				if !p.calls[0].a.Abandoned() {
 					t.Errorf("%s: its attempt is still wanted", class)
 				}
-				r.Leave(id)
+				r.Disconnect(id)
 			})
 		})
-		if len(p.calls) != 1 || !p.calls[0].over || o.total() != 0 || r.InHand() != 0 {
-			t.Errorf("%s, waiting: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InHand())
+		if len(p.calls) != 1 || !p.calls[0].over || o.total() != 0 || r.InFlight() != 0 {
+			t.Errorf("%s, waiting: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
 		}
 	}
 }
@@ -354,11 +356,11 @@
 		r, _, l := start(t)
 		early, late, last := &owed{l: l}, &owed{l: l}, &owed{l: l}
 		play(r, l, 400*time.Millisecond, func() {
-			r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, early)
-			r.EndBy(l.Now() + 100*time.Millisecond)
-			r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 2}, late)
-			l.After(150*time.Millisecond, func() {
-				r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 3}, last)
+			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, early)
+			r.SetShutdownDeadline(l.Now() + 100*time.Millisecond)
+			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, late)
+			l.AfterFunc(150*time.Millisecond, func() {
+				r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, last)
 			})
 		})
 		if early.total() != 0 && early.at <= late.at || late.total() != 1 || last.refused != 1 || last.total() != 1 {
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -20,13 +20,13 @@
 	}
 	r.sent(q)
 	ended := false // the servers may report the end before Start returns
-	call := r.servers.Start(Attempt{Node: a.Endpoint, Job: q.Job, Until: q.dieAt, By: a.NotAfter, Begun: func(a Answer, f Flow) {
+	call := r.servers.Start(Attempt{Endpoint: a.Endpoint, Job: q.Job, Deadline: q.dieAt, NotAfter: a.NotAfter, OnResponseStarted: func(a Response, f Flow) {
 		r.begin(q, leg, a, f)
-	}, Part: func(p []byte) {
+	}, OnResponsePart: func(p []byte) {
 		if !q.over {
-			q.client.Part(p)
+			q.client.ResponsePart(p)
 		}
-	}, Gone: func() bool { return q.over || q.client.Gone(r.loop.Now()-q.At > waitedFor) }}, func(res Result) {
+	}, Abandoned: func() bool { return q.over || q.client.Disconnected(r.loop.Now()-q.ReceivedAt > waitedFor) }}, func(res Result) {
 		ended = true
 		q.call = nil
 		r.book(q, leg, res)
@@ -70,7 +70,7 @@
 // probe asks for a report that the module wants, or the holder.
 func (r *Router) probe(node string, own bool) {
 	at := r.loop.Now()
-	r.servers.Probe(node, func(res Result) {
+	r.servers.HealthCheck(node, func(res Result) {
 		r.evidence(node, res)
 		if !own && res.Status != balance.StatusDone {
 			// The module waits longer for a member with each probe that fails: the holder's are many more than its own.
--- a/internal/router/sites.go
+++ b/internal/router/sites.go
@@ -16,19 +16,19 @@
 
 // watcherOfSites is the model, and what has happened since it was looked at.
 type watcherOfSites struct {
-	model  *sitefailover.Model
+	model  *sitefailover.Monitor
 	events []sitefailover.Event
 	timer  *eventloop.Timer
-	meter  sitefailover.Meter
-	use    sitefailover.Uses
+	meter  sitefailover.DemandMeter
+	use    sitefailover.UtilizationTracker
 	costs  map[string]float64
-	before map[sitefailover.Key]float64 // what was asked for when a site was lost: nil while all are well
-	door   *sitefailover.Door           // nil = nothing is refused
-	ramp   *sitefailover.Ramp           // nil = no return is paced
+	before map[sitefailover.DemandKey]float64 // what was asked for when a site was lost: nil while all are well
+	door   *sitefailover.AdmissionController  // nil = nothing is refused
+	ramp   *sitefailover.RecoveryRamp         // nil = no return is paced
 }
 
 // WatchSites turns it on. It is called before the first list.
-func (r *Router) WatchSites(cfg sitefailover.Config) {
+func (r *Router) EnableSiteMonitor(cfg sitefailover.Config) {
 	r.sites = &watcherOfSites{model: sitefailover.New(cfg), costs: map[string]float64{}}
 	r.survey(0)
 }
@@ -45,7 +45,7 @@
 	if !r.probes {
 		return
 	}
-	r.loop.After(surveyEvery*time.Duration(max(1, r.instances/surveyAll)), func() {
+	r.loop.AfterFunc(surveyEvery*time.Duration(max(1, r.instances/surveyAll)), func() {
 		var all []string
 		r.module.EndpointViews(func(s balance.EndpointView) {
 			if s.Available {
@@ -55,36 +55,36 @@
 		if len(all) > 0 {
 			r.probe(all[turn%len(all)], false)
 		}
-		r.sites.use.Forget(func(id string) bool { return r.sites.model.Site(id) != "" })
+		r.sites.use.Retain(func(id string) bool { return r.sites.model.SiteOf(id) != "" })
 		r.survey(turn + 1)
 	})
 }
 
 // ActOnSites lets what is known of sites bind: requests are refused at the door while a site is lost, and its return is paced. It is called
 // behind WatchSites.
-func (r *Router) ActOnSites(door sitefailover.DoorConfig, ramp sitefailover.RampConfig, seed uint64) {
-	r.sites.door, r.sites.ramp = sitefailover.NewDoor(door, seed), sitefailover.NewRamp(ramp)
+func (r *Router) EnableSiteAdmission(door sitefailover.AdmissionConfig, ramp sitefailover.RecoveryRampConfig, seed uint64) {
+	r.sites.door, r.sites.ramp = sitefailover.NewAdmissionController(door, seed), sitefailover.NewRecoveryRamp(ramp)
 }
 
 // Refusals are what is refused at the door, Paces the sites whose return is paced or bound.
-func (r *Router) Refusals() []sitefailover.Share {
+func (r *Router) SiteRejectedShares() []sitefailover.RejectedShare {
 	if r.sites == nil || r.sites.door == nil {
 		return nil
 	}
-	return r.sites.door.Shares()
+	return r.sites.door.RejectedShares()
 }
 
 // Paces: see Refusals.
-func (r *Router) Paces() []sitefailover.Pace {
+func (r *Router) SiteRamps() []sitefailover.SiteRamp {
 	if r.sites == nil || r.sites.ramp == nil {
 		return nil
 	}
-	return r.sites.ramp.Paces()
+	return r.sites.ramp.Ramps()
 }
 
 // BindSite is an operators' word on a site's return: no more than part of its power for so long; 0 for length takes it back. It says whether
 // the site is known, and whether returns are paced here at all.
-func (r *Router) BindSite(site string, part float64, length time.Duration) (known, off bool) {
+func (r *Router) LimitSiteRamp(site string, part float64, length time.Duration) (known, off bool) {
 	if r.sites == nil || r.sites.ramp == nil {
 		return false, true
 	}
@@ -92,11 +92,11 @@
 		known = known || v.Site == site
 	}
 	if known {
-		b := sitefailover.Bound{Site: site, Part: part}
+		b := sitefailover.RampLimit{Site: site, Share: part}
 		if length > 0 {
 			b.Until = r.loop.Now() + length
 		}
-		r.sites.ramp.Bind(b)
+		r.sites.ramp.SetLimit(b)
 		r.judgeSites(nil)
 		r.Step()
 	}
@@ -104,7 +104,7 @@
 }
 
 // Sites is what those on call see; nil where they are not watched.
-func (r *Router) Sites() []sitefailover.View {
+func (r *Router) SiteViews() []sitefailover.SiteView {
 	if r.sites == nil {
 		return nil
 	}
@@ -112,20 +112,20 @@
 }
 
 // Plans is what the loss of each site would mean as of now; nil where sites are not watched.
-func (r *Router) Plans() []sitefailover.Loss {
+func (r *Router) SiteLossPlans() []sitefailover.SiteLossPlan {
 	w := r.sites
 	if w == nil {
 		return nil
 	}
-	return sitefailover.Make(r.sitesInput(false))
+	return sitefailover.PlanLosses(r.sitesInput(false))
 }
 
 // sitesInput is what a plan is made of, with what each machine can do in the long run, or now: cold ones little.
-func (r *Router) sitesInput(now bool) sitefailover.Input {
-	w, in := r.sites, sitefailover.Input{}
+func (r *Router) sitesInput(now bool) sitefailover.PlanInput {
+	w, in := r.sites, sitefailover.PlanInput{}
 	// Where work waits, attempts take longer than their work: a member carries as much work as the attempts that may be out.
 	work, mean := 0.0, 0.0
-	for name, seen := range w.meter.Classes(r.loop.Now()) {
+	for name, seen := range w.meter.RatesByClass(r.loop.Now()) {
 		c, m := r.module.ClassCost(name)
 		work, mean = work+seen*c, mean+seen*m
 	}
@@ -133,7 +133,7 @@
 	if mean > 0 {
 		each = min(1, work/mean)
 	}
-	fair, told := w.use.Fair()
+	fair, told := w.use.FairCapacity()
 	r.module.EndpointViews(func(s balance.EndpointView) {
 		carry := fair
 		if !told {
@@ -141,9 +141,9 @@
 		}
 		up := s.InService // a moment's doubt is no reason to plan without a machine
 		if now {
-			up, carry = s.Available && !w.model.Lost(s.Zone), carry*s.CapacityShare
+			up, carry = s.Available && !w.model.IsLost(s.Zone), carry*s.CapacityShare
 		}
-		in.Members = append(in.Members, sitefailover.Member{ID: s.Endpoint, Site: s.Zone, Bank: s.Group, Primary: s.Primary, Up: up && !w.model.Down(s.Endpoint), Carry: carry})
+		in.Endpoints = append(in.Endpoints, sitefailover.PlanEndpoint{ID: s.Endpoint, Site: s.Zone, Group: s.Group, Primary: s.Primary, Available: up && !w.model.IsDown(s.Endpoint), Capacity: carry})
 	})
 	for k, rate := range w.meter.Rates(r.loop.Now()) {
 		c := r.classes[k.Class]
@@ -153,15 +153,15 @@
 			rate = min(rate, w.before[k])
 		}
 		cost := w.cost(r.module, k.Class)
-		in.Demands = append(in.Demands, sitefailover.Demand{Class: k.Class, Bank: k.Bank, Rate: rate, Work: cost, Worth: c.PriorityWeight,
-			Strong: c.Consistency == balance.ConsistencyWrite || c.Consistency == balance.ConsistencyLatest})
+		in.Demands = append(in.Demands, sitefailover.Demand{Class: k.Class, Group: k.Group, Rate: rate, Work: cost, PriorityWeight: c.PriorityWeight,
+			NeedsPrimary: c.Consistency == balance.ConsistencyWrite || c.Consistency == balance.ConsistencyLatest})
 	}
 	return in
 }
 
 // cost is the work of a request of a class. What is known of it in a loss is its waiting too: what was known before holds then.
 func (w *watcherOfSites) cost(m *balance.Balancer, class string) float64 {
-	if work, _ := m.ClassCost(class); !w.model.Troubled() || w.costs[class] == 0 {
+	if work, _ := m.ClassCost(class); !w.model.AnyLost() || w.costs[class] == 0 {
 		w.costs[class] = work
 	}
 	return w.costs[class]
@@ -173,12 +173,12 @@
 	if w == nil || w.door == nil {
 		return 0, false
 	}
-	refused, after = w.door.Ask(sitefailover.Key{Class: q.Class, Bank: q.Group})
+	refused, after = w.door.ShouldReject(sitefailover.DemandKey{Class: q.Class, Group: q.Group})
 	return after, refused
 }
 
 // Declare is an operators' word that a site is lost, for so long; 0 takes it back. It says whether the site is known.
-func (r *Router) Declare(site string, length time.Duration) (known bool) {
+func (r *Router) DeclareSiteLost(site string, length time.Duration) (known bool) {
 	if r.sites == nil {
 		return false
 	}
@@ -189,7 +189,7 @@
 	if length > 0 {
 		until = r.loop.Now() + length
 	}
-	r.sites.events = append(r.sites.events, sitefailover.Declare{Site: site, Until: until})
+	r.sites.events = append(r.sites.events, sitefailover.DeclareLost{Site: site, Until: until})
 	r.Step()
 	return known
 }
@@ -197,7 +197,7 @@
 // asks counts a request that is taken.
 func (r *Router) asks(q *request) {
 	if r.sites != nil && !q.Retry { // a repeat asks for the same once more, not for more
-		r.sites.meter.Asked(r.loop.Now(), sitefailover.Key{Class: q.Class, Bank: q.Group})
+		r.sites.meter.Record(r.loop.Now(), sitefailover.DemandKey{Class: q.Class, Group: q.Group})
 	}
 }
 
@@ -207,26 +207,26 @@
 	if w == nil {
 		return
 	}
-	if res.Use > 0 && !w.model.Troubled() { // what they do for this router is a mean of seconds: in a loss it says little of their use now
+	if res.Utilization > 0 && !w.model.AnyLost() { // what they do for this router is a mean of seconds: in a loss it says little of their use now
 		if rate, warm := r.module.EndpointWorkRate(node); warm {
-			w.use.Told(node, rate, res.Use)
+			w.use.Record(node, rate, res.Utilization)
 		}
 	}
 	if w.ramp != nil && res.Status != balance.StatusNotSent && res.Status != balance.StatusCancelled && res.Status != balance.StatusMiss {
-		w.ramp.Ended(w.model.Site(node), res.Status != balance.StatusDone)
+		w.ramp.RecordOutcome(w.model.SiteOf(node), res.Status != balance.StatusDone)
 	}
 	switch res.Status {
 	case balance.StatusNotSent, balance.StatusCancelled: // it says nothing of the machine
 	case balance.StatusConnectFailed:
-		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Refused})
+		w.events = append(w.events, sitefailover.AttemptFailed{Endpoint: node, Failure: sitefailover.FailureRefused})
 	case balance.StatusReset:
-		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Reset})
+		w.events = append(w.events, sitefailover.AttemptFailed{Endpoint: node, Failure: sitefailover.FailureReset})
 	case balance.StatusTimedOut:
-		w.events = append(w.events, sitefailover.Failed{Machine: node, Why: sitefailover.Silent})
+		w.events = append(w.events, sitefailover.AttemptFailed{Endpoint: node, Failure: sitefailover.FailureTimeout})
 	default:
-		w.events = append(w.events, sitefailover.Heard{Machine: node})
+		w.events = append(w.events, sitefailover.EndpointAnswered{Endpoint: node})
 		if res.Role == balance.RoleReplica && res.Position > 0 {
-			w.events = append(w.events, sitefailover.Applied{Machine: node, Upto: res.Position})
+			w.events = append(w.events, sitefailover.ReplicaApplied{Endpoint: node, Position: res.Position})
 		}
 	}
 }
@@ -237,14 +237,14 @@
 	if w == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
-	states := map[balance.EndpointState]sitefailover.ListState{balance.EndpointReady: sitefailover.Ready, balance.EndpointDraining: sitefailover.Draining, balance.EndpointRemoved: sitefailover.Gone}
+	states := map[balance.EndpointState]sitefailover.EndpointState{balance.EndpointReady: sitefailover.EndpointReady, balance.EndpointDraining: sitefailover.EndpointDraining, balance.EndpointRemoved: sitefailover.EndpointRemoved}
 	var all []string
 	for _, e := range l.Entries {
-		w.events = append(w.events, sitefailover.Listed{Machine: e.Endpoint, Site: e.Zone, Bank: e.Group, State: states[e.State]})
+		w.events = append(w.events, sitefailover.EndpointListed{Endpoint: e.Endpoint, Site: e.Zone, Group: e.Group, State: states[e.State]})
 		all = append(all, e.Endpoint)
 	}
 	if l.Kind != balance.ListDelta {
-		w.events = append(w.events, sitefailover.Whole{Machines: all})
+		w.events = append(w.events, sitefailover.EndpointListComplete{Endpoints: all})
 	}
 }
 
@@ -269,10 +269,10 @@
 	}
 	for _, a := range w.model.Step(now, events) {
 		switch a := a.(type) {
-		case sitefailover.Changed:
+		case sitefailover.StateChanged:
 			r.log.Info("site", "site", a.Site, "from", a.From.String(), "to", a.To.String(), "kind", a.Kind.String(), "evidence", a.Evidence)
 			r.record(audit.Note{Topic: "site", Text: a.Site + " is " + a.To.String() + ", " + a.Kind.String() + ": " + a.Evidence})
-			switch troubled := w.model.Troubled(); {
+			switch troubled := w.model.AnyLost(); {
 			case troubled && w.before == nil:
 				w.before = w.meter.Rates(now)
 				clear(w.costs) // they may be as old as the last plan that anybody asked for
@@ -280,29 +280,29 @@
 				w.before = nil
 			}
 			if w.ramp != nil {
-				w.ramp.Moved(now, a.Site, a.To, w.model.Flaps(a.Site))
+				w.ramp.SiteStateChanged(now, a.Site, a.To, w.model.Flaps(a.Site))
 			}
 		case sitefailover.Wake:
 			at(a.At)
 		}
 	}
 	if w.door != nil {
-		was := w.door.Open()
-		w.door.Look(now, w.model.Troubled(), func() sitefailover.Input { return r.sitesInput(true) })
-		if is := w.door.Open(); is != was {
+		was := w.door.AdmitsAll()
+		w.door.Update(now, w.model.AnyLost(), func() sitefailover.PlanInput { return r.sitesInput(true) })
+		if is := w.door.AdmitsAll(); is != was {
 			r.log.Info("site door", "open", is)
 		}
-		at(w.door.Due())
-		paced, due := w.ramp.Look(now)
+		at(w.door.NextUpdate())
+		paced, due := w.ramp.Update(now)
 		at(due)
 		for _, p := range paced {
-			r.log.Info("site pace", "site", p.Site, "part", p.Part, "why", p.Why)
-			r.record(audit.Note{Topic: "site", Text: fmt.Sprintf("%s is used for %.0f%% of what it can do: %s", p.Site, 100*p.Part, p.Why)})
-			r.pending = append(r.pending, balance.ZoneCapacity{Zone: p.Site, Share: p.Part})
+			r.log.Info("site pace", "site", p.Site, "part", p.Share, "why", p.Reason)
+			r.record(audit.Note{Topic: "site", Text: fmt.Sprintf("%s is used for %.0f%% of what it can do: %s", p.Site, 100*p.Share, p.Reason)})
+			r.pending = append(r.pending, balance.ZoneCapacity{Zone: p.Site, Share: p.Share})
 		}
 	}
 	w.timer.Stop()
 	if wake > 0 {
-		w.timer = r.loop.After(max(0, wake-now), func() { r.judgeSites(nil) })
+		w.timer = r.loop.AfterFunc(max(0, wake-now), func() { r.judgeSites(nil) })
 	}
 }
