--- a/internal/router/sites_test.go
+++ b/internal/router/sites_test.go
@@ -13,12 +13,12 @@
 func lossy(t *testing.T, act bool) (r *Router, p *peer, all []*owed) {
 	t.Helper()
 	r, p, l := start(t)
-	r.WatchSites(sitefailover.Watch("a", time.Second, 100))
+	r.EnableSiteMonitor(sitefailover.DefaultConfig("a", time.Second, 100))
 	r.sites.costs["look"] = 99 // as a plan of long ago had it
 	if act {
-		r.ActOnSites(sitefailover.DoorConfig{Spread: time.Second}, sitefailover.RampConfig{First: 0.2, Over: time.Second}, 3)
+		r.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: time.Second}, sitefailover.RecoveryRampConfig{InitialShare: 0.2, Duration: time.Second}, 3)
 	}
-	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+	r.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
 		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: true}, {Endpoint: "n2", Zone: "b", State: balance.EndpointReady}}})
 	play(r, l, 1500*time.Millisecond, func() {
 		answered, sent := 0, []int{}
@@ -32,16 +32,16 @@
 			for range 8 {
 				o := &owed{l: l}
 				all = append(all, o)
-				if _, err := r.Take(Request{Class: "look", Deadline: 400 * time.Millisecond, At: l.Now(), Job: o}, o); err != nil {
+				if _, err := r.Accept(Request{Class: "look", Deadline: 400 * time.Millisecond, ReceivedAt: l.Now(), Job: o}, o); err != nil {
 					t.Error(err)
 				}
 			}
 		}
 		for i := range 400 {
-			l.After(time.Duration(i)*2*time.Millisecond, ask)
+			l.AfterFunc(time.Duration(i)*2*time.Millisecond, ask)
 		}
-		l.After(400*time.Millisecond, func() { // what is asked for is known by then
-			if !r.Declare("b", time.Minute) || r.Declare("c", time.Minute) {
+		l.AfterFunc(400*time.Millisecond, func() { // what is asked for is known by then
+			if !r.DeclareSiteLost("b", time.Minute) || r.DeclareSiteLost("c", time.Minute) {
 				t.Error("sites are not known by name")
 			}
 		})
@@ -53,7 +53,7 @@
 // clients heed, counted, and with the reason in the record.
 func TestTurnedAwayWhileASiteIsLost(t *testing.T) {
 	r, p, all := lossy(t, true)
-	turned := r.Counts().Turned
+	turned := r.Counts().RejectedForSiteLoss
 	if turned < 50 || turned > uint64(len(all))*99/100 {
 		t.Fatalf("%d of %d turned away", turned, len(all))
 	}
@@ -77,21 +77,21 @@
 			t.Fatalf("%+v", o)
 		}
 	}
-	if got := r.Refusals(); len(got) != 1 || got[0].Class != "look" || got[0].Part <= 0 {
+	if got := r.SiteRejectedShares(); len(got) != 1 || got[0].Class != "look" || got[0].Share <= 0 {
 		t.Errorf("%+v", got)
 	}
-	if known, off := r.BindSite("b", 0.5, time.Minute); !known || off || len(r.Paces()) != 1 {
-		t.Errorf("%v %v %v", known, off, r.Paces())
+	if known, off := r.LimitSiteRamp("b", 0.5, time.Minute); !known || off || len(r.SiteRamps()) != 1 {
+		t.Errorf("%v %v %v", known, off, r.SiteRamps())
 	}
 }
 
 // Where nothing binds nothing is turned away, whatever is known.
 func TestWatchingSitesTurnsNobodyAway(t *testing.T) {
 	r, _, _ := lossy(t, false)
-	if n := r.Counts().Turned; n != 0 || r.Refusals() != nil {
+	if n := r.Counts().RejectedForSiteLoss; n != 0 || r.SiteRejectedShares() != nil {
 		t.Errorf("%d turned away", n)
 	}
-	if _, off := r.BindSite("b", 0.5, time.Minute); !off {
+	if _, off := r.LimitSiteRamp("b", 0.5, time.Minute); !off {
 		t.Error("a pace is taken though none binds")
 	}
 }
--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -95,11 +95,11 @@
 			q.see = now
 		}
 		x := router.Request{Label: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
-			Deadline: q.until - now - f.cfg.Client, At: now, Retry: q.tries > 1, Job: q}
+			Deadline: q.until - now - f.cfg.Client, ReceivedAt: now, Retry: q.tries > 1, Job: q}
 		if q.class.Consistency == balance.ConsistencySession {
-			x.After = q.see
+			x.MinPosition = q.see
 		}
-		id, err := r.core.Take(x, q)
+		id, err := r.core.Accept(x, q)
 		if err != nil {
 			q.again(0)
 			return
@@ -119,7 +119,7 @@
 }
 
 // Served implements router.Client.
-func (q *request) Served(a router.Answer) {
+func (q *request) Served(a router.Response) {
 	if !q.answered() {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // Refused implements router.Client.
-func (q *request) Refused(after time.Duration) {
+func (q *request) Rejected(after time.Duration) {
 	if q.answered() {
 		q.f.obs.refused(q)
 		q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() { q.again(after) })
@@ -154,12 +154,12 @@
 }
 
 // Gone implements router.Client: the model tells at once.
-func (q *request) Gone(bool) bool { return q.left }
+func (q *request) Disconnected(bool) bool { return q.left }
 
 // Begun, Part and Cut implement router.Client; answers of the model are short.
-func (q *request) Begun(router.Answer, router.Flow) {}
-func (q *request) Part([]byte)                      {}
-func (q *request) Cut()                             { q.Failed("cut") }
+func (q *request) ResponseStarted(router.Response, router.Flow) {}
+func (q *request) ResponsePart([]byte)                          {}
+func (q *request) ResponseTruncated()                           { q.Failed("cut") }
 
 // again asks once more, as clients do.
 func (q *request) again(after time.Duration) {
@@ -188,7 +188,7 @@
 	}
 	q.left = true
 	if q.at != nil && q.at.alive && q.at.life == q.life && q.answers == 0 {
-		q.at.core.Leave(q.handle)
+		q.at.core.Disconnect(q.handle)
 		q.at.turn()
 	}
 	q.end(gone)
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -121,7 +121,7 @@
 	l := balance.EndpointList{Kind: balance.ListFull, Entries: a.entries}
 	w.have = a.version
 	r.told(l)
-	r.core.List(l)
+	r.core.UpdateEndpoints(l)
 	r.turn()
 }
 
@@ -152,7 +152,7 @@
 	w.lost = true
 	r.later(end+lim.WatchSlack-now, func() {
 		w.lost, w.follows = false, false
-		r.core.List(balance.EndpointList{Kind: balance.ListSilent})
+		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 	})
 }
 
@@ -163,7 +163,7 @@
 	if w.cut() {
 		r.later(r.f.cfg.ConnectWithin, func() {
 			w.out, w.follows = false, false
-			r.core.List(balance.EndpointList{Kind: balance.ListSilent})
+			r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 		})
 		return
 	}
@@ -174,7 +174,7 @@
 		}
 		over = true
 		w.out, w.follows = false, false
-		r.core.List(balance.EndpointList{Kind: balance.ListFailed})
+		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFailed})
 		r.turn()
 	})
 	r.f.clock.After(r.f.jitter(r.f.cfg.Cross), func() {
@@ -195,7 +195,7 @@
 			}
 			w.out, w.follows, w.have, w.began = false, true, d.Version, r.f.clock.Now()
 			r.told(l)
-			r.core.List(l)
+			r.core.UpdateEndpoints(l)
 			r.turn()
 		})
 	})
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -79,7 +79,7 @@
 
 // Foresee plays a fleet that loses a site at a moment and does not get it back, and returns what its routers planned for that just before,
 // each for its own part of the work, beside what came.
-func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sitefailover.Loss, got *Result, err error) {
+func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sitefailover.SiteLossPlan, got *Result, err error) {
 	cfg.Sites = SitesWatch
 	cfg.Faults = append(slices.Clone(cfg.Faults), Fault{At: at, What: "kill", Who: []string{"zone:" + site}, Part: 1})
 	f, err := build(cfg, seed)
@@ -88,7 +88,7 @@
 	}
 	f.clock.At(start+at-time.Millisecond, func() {
 		for _, r := range f.routers {
-			for _, l := range r.core.Plans() {
+			for _, l := range r.core.SiteLossPlans() {
 				if l.Site == site {
 					told = append(told, l)
 				}
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -119,7 +119,7 @@
 	f.seen(rt, write, p)
 	twice := &request{f: f, id: 4, class: &f.cfg.Classes[0], session: &f.sessions[0]}
 	for range 2 {
-		rt.Start(router.Attempt{Node: m.ID, Job: twice}, func(router.Result) {})
+		rt.Start(router.Attempt{Endpoint: m.ID, Job: twice}, func(router.Result) {})
 	}
 	f.ran(write, m, f.clock.Now(), 0)
 	f.ran(read, m, f.clock.Now()-1, read.see)
@@ -252,7 +252,7 @@
 		f.obs.came(q)
 		ended := 0
 		f.clock.After(when, func() { f.cuts["a>db1a"] = true })
-		f.clock.After(time.Nanosecond, func() { r.Start(router.Attempt{Node: m.ID, Job: q}, func(router.Result) { ended++ }) })
+		f.clock.After(time.Nanosecond, func() { r.Start(router.Attempt{Endpoint: m.ID, Job: q}, func(router.Result) { ended++ }) })
 		f.clock.Run(f.clock.Now() + 500*time.Millisecond)
 		ran := m.Served() - before
 		if ended != 0 || (ran == 1) != (when == 30*time.Millisecond) {
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -59,7 +59,7 @@
 func (r *instance) start() error {
 	f := r.f
 	r.life++
-	r.loop = eventloop.On(f.clock.Now)
+	r.loop = eventloop.NewWithClock(f.clock.Now)
 	r.peers = map[string]*peer{}
 	lim := limits.For(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longest)
 	cfg := f.cfg.balance(r.zone)
@@ -74,24 +74,24 @@
 		for _, k := range cfg.Classes {
 			for _, name := range f.cfg.Hold {
 				if k.Name == name {
-					classes[name] = failover.Class{Worth: k.PriorityWeight, Work: k.LatencyObjective / 10}
+					classes[name] = failover.Class{PriorityWeight: k.PriorityWeight, Work: k.LatencyObjective / 10}
 				}
 			}
 		}
-		core.HoldThrough(failover.Config{Instances: cfg.Instances, Classes: classes, Count: lim.Held, Bytes: lim.HeldBytes,
-			Margin: lim.AnswerBefore, MaxAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
+		core.EnableFailoverQueue(failover.Config{Instances: cfg.Instances, Classes: classes, MaxPending: lim.Held, MaxPendingBytes: lim.HeldBytes,
+			DeadlineMargin: lim.AnswerBefore, MaxRetryAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
-		core.WatchSites(sitefailover.Watch(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
+		core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
 		if f.cfg.Sites == SitesAct {
-			core.ActOnSites(sitefailover.DoorConfig{Spread: cfg.MaxRetryAfter}, sitefailover.RampConfig{First: cfg.SlowStartFrom, Over: cfg.SlowStartWindow}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
+			core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.SlowStartFrom, Duration: cfg.SlowStartWindow}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
 		}
 	}
 	r.alive = true
 	r.watch = watcher{r: r}
 	l := f.directory.list(balance.ListCached)
 	r.told(l)
-	core.List(l)
+	core.UpdateEndpoints(l)
 	if f.cfg.Pushed {
 		r.watch.follow()
 	}
@@ -125,7 +125,7 @@
 	var next time.Duration
 	for r.again = true; r.again; {
 		r.again = false
-		next = r.loop.Turn(r.core.Step)
+		next = r.loop.RunOnce(r.core.Step)
 	}
 	r.turning = false
 	if next == 0 || next == r.due && r.timer != nil {
@@ -191,8 +191,8 @@
 }
 
 // Start implements router.Servers.
-func (r *instance) Start(a router.Attempt, done func(router.Result)) router.Call {
-	c := &call{r: r, p: r.peer(a.Node), q: a.Job.(*request), done: done, by: a.By}
+func (r *instance) Start(a router.Attempt, done func(router.Result)) router.AttemptHandle {
+	c := &call{r: r, p: r.peer(a.Endpoint), q: a.Job.(*request), done: done, by: a.NotAfter}
 	r.f.count.Attempts++
 	if c.q.live++; c.q.live > 1 {
 		r.f.obs.fault("attempts", "%v has %d attempts of request %d out", r, c.q.live, c.q.id)
@@ -323,7 +323,7 @@
 	if c.over {
 		return
 	}
-	res := router.Result{Position: pos, Role: balance.RoleReplica, Answer: pos}
+	res := router.Result{Position: pos, Role: balance.RoleReplica, Response: pos}
 	if primary {
 		res.Role = balance.RolePrimary
 	}
@@ -358,7 +358,7 @@
 }
 
 // Waiting implements router.Call.
-func (c *call) Waiting() bool { return !c.over && !c.written }
+func (c *call) NotWritten() bool { return !c.over && !c.written }
 
 // Cancel implements router.Call.
 func (c *call) Cancel() bool {
@@ -382,7 +382,7 @@
 }
 
 // Probe implements router.Servers.
-func (r *instance) Probe(node string, done func(router.Result)) {
+func (r *instance) HealthCheck(node string, done func(router.Result)) {
 	p := r.peer(node)
 	if p == nil || p.barred {
 		r.later(0, func() { done(router.Result{Status: balance.StatusTimedOut}) })
@@ -410,7 +410,7 @@
 				limit.Stop()
 				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Use: rep.Use}
+					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Utilization: rep.Use}
 					if rep.Primary {
 						res.Role = balance.RolePrimary
 					}
@@ -432,6 +432,6 @@
 }
 
 // Track implements router.Watcher.
-func (r *instance) Track() { r.watch.track() }
+func (r *instance) Poll() { r.watch.track() }
 
 func (r *instance) String() string { return fmt.Sprintf("router %d", r.number) }
--- a/internal/sitefailover/door.go
+++ b/internal/sitefailover/door.go
@@ -19,29 +19,29 @@
 )
 
 // DoorConfig bounds a Door.
-type DoorConfig struct {
-	Spread time.Duration // those refused are asked to come back within this, the longest that clients heed; 0 = a second
+type AdmissionConfig struct {
+	RetrySpread time.Duration // those refused are asked to come back within this, the longest that clients heed; 0 = a second
 }
 
 // Share is what is refused of a class of a bank, and why.
-type Share struct {
-	Bank   int64         `json:"bank"`
-	Class  string        `json:"class"`
-	Where  string        `json:"where"`   // what is short: primary or replicas
-	Part   float64       `json:"part"`    // of what is asked for
-	Since  time.Duration `json:"-"`       // on the caller's clock
-	Ended  bool          `json:"ends"`    // it is on its way down
-	ByPlan float64       `json:"by_plan"` // what the plan alone would refuse
+type RejectedShare struct {
+	Group        int64         `json:"bank"`
+	Class        string        `json:"class"`
+	Saturated    string        `json:"where"`   // what is short: primary or replicas
+	Share        float64       `json:"part"`    // of what is asked for
+	Since        time.Duration `json:"-"`       // on the caller's clock
+	Ending       bool          `json:"ends"`    // it is on its way down
+	PlannedShare float64       `json:"by_plan"` // what the plan alone would refuse
 }
 
 // Door turns away, while a site is lost, as much of the cheapest work as the plan surely finds no place for. It works by shares: routers that
 // know nothing of each other refuse together about what is too much.
-type Door struct {
-	cfg    DoorConfig
+type AdmissionController struct {
+	cfg    AdmissionConfig
 	rng    *rand.Rand
 	open   bool // nothing is refused
 	next   time.Duration
-	shares map[Key]*share
+	shares map[DemandKey]*share
 }
 
 // Resources of a bank.
@@ -67,20 +67,20 @@
 }
 
 // NewDoor returns a Door that is open.
-func NewDoor(cfg DoorConfig, seed uint64) *Door {
-	if cfg.Spread <= 0 {
-		cfg.Spread = time.Second
+func NewAdmissionController(cfg AdmissionConfig, seed uint64) *AdmissionController {
+	if cfg.RetrySpread <= 0 {
+		cfg.RetrySpread = time.Second
 	}
-	return &Door{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 5)), open: true, shares: map[Key]*share{}}
+	return &AdmissionController{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 5)), open: true, shares: map[DemandKey]*share{}}
 }
 
 // Open says that nothing is refused.
-func (d *Door) Open() bool { return d.open }
+func (d *AdmissionController) AdmitsAll() bool { return d.open }
 
 // Ask is a request at the door: whether it is turned away, and after what time it may come again.
 //
 // Each class of a bank is refused evenly, by a debt that starts anywhere: that is the share to the last request, however few come.
-func (d *Door) Ask(k Key) (refused bool, after time.Duration) {
+func (d *AdmissionController) ShouldReject(k DemandKey) (refused bool, after time.Duration) {
 	if d.open {
 		return false, 0
 	}
@@ -94,14 +94,14 @@
 	s.debt--
 	// The room that is missing will be missing for a while: half of the time that clients heed at least, drawn, so that those
 	// sent away do not return together.
-	return true, d.cfg.Spread/2 + time.Duration(d.rng.Int64N(int64(d.cfg.Spread/2)+1))
+	return true, d.cfg.RetrySpread/2 + time.Duration(d.rng.Int64N(int64(d.cfg.RetrySpread/2)+1))
 }
 
 // Due says when Look wants to be called next, 0 = it is open and waits for a site.
-func (d *Door) Due() time.Duration { return d.next }
+func (d *AdmissionController) NextUpdate() time.Duration { return d.next }
 
 // Look moves the shares. troubled says that some site is lost; in is what is there now, lost machines left out.
-func (d *Door) Look(now time.Duration, troubled bool, in func() Input) {
+func (d *AdmissionController) Update(now time.Duration, troubled bool, in func() PlanInput) {
 	if !troubled && d.open {
 		d.next = 0
 		return
@@ -141,12 +141,12 @@
 
 // plan wants what in can't carry to be refused: by bank and resource as much work as the plan finds no place for, less what it may be
 // off by, from the least worth for its work on.
-func (d *Door) plan(in Input) {
+func (d *AdmissionController) plan(in PlanInput) {
 	for _, b := range gather(in) {
 		c := b.carry("")
 		var all, over [2]float64
 		for i, x := range b.demands {
-			w := resource(x.Strong)
+			w := resource(x.NeedsPrimary)
 			all[w] += x.Rate * x.Work
 			over[w] += (1 - c.served[i]) * x.Rate * x.Work
 		}
@@ -158,10 +158,10 @@
 			most := math.Min(mostShed, mostPart*left/all[w])
 			for i := len(b.demands) - 1; i >= 0; i-- {
 				x := b.demands[i]
-				if resource(x.Strong) != w {
+				if resource(x.NeedsPrimary) != w {
 					continue
 				}
-				work, k := x.Rate*x.Work, Key{x.Class, b.id}
+				work, k := x.Rate*x.Work, DemandKey{x.Class, b.id}
 				part := math.Max(0, math.Min(most, left/work))
 				left -= part * work
 				s := d.shares[k]
@@ -179,14 +179,14 @@
 }
 
 // Shares are what is refused now, in the order of banks, the most refused first.
-func (d *Door) Shares() (out []Share) {
+func (d *AdmissionController) RejectedShares() (out []RejectedShare) {
 	for k, s := range d.shares {
 		if s.part > 0 {
-			out = append(out, Share{k.Bank, k.Class, whereName[s.where], s.part, s.since, s.want < s.part, s.plan})
+			out = append(out, RejectedShare{k.Group, k.Class, whereName[s.where], s.part, s.since, s.want < s.part, s.plan})
 		}
 	}
-	slices.SortFunc(out, func(a, b Share) int {
-		return cmp.Or(cmp.Compare(a.Bank, b.Bank), cmp.Compare(b.Part, a.Part), cmp.Compare(a.Class, b.Class))
+	slices.SortFunc(out, func(a, b RejectedShare) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(b.Share, a.Share), cmp.Compare(a.Class, b.Class))
 	})
 	return out
 }
--- a/internal/sitefailover/door_test.go
+++ b/internal/sitefailover/door_test.go
@@ -12,26 +12,26 @@
 const sec = time.Second
 
 // left is a bank of a primary and replicas that can each do carry, asked for reads of two worths and writes.
-func left(carry float64, up int, cheap, dear, writes float64) Input {
-	in := Input{}
+func left(carry float64, up int, cheap, dear, writes float64) PlanInput {
+	in := PlanInput{}
 	for i := range up {
-		in.Members = append(in.Members, Member{ID: fmt.Sprint("m", i), Site: "n", Bank: 1, Primary: i == 0, Up: true, Carry: carry})
+		in.Endpoints = append(in.Endpoints, PlanEndpoint{ID: fmt.Sprint("m", i), Site: "n", Group: 1, Primary: i == 0, Available: true, Capacity: carry})
 	}
 	in.Demands = []Demand{{"cheap", 1, cheap, 0.1, 1, false}, {"dear", 1, dear, 0.1, 3, false}, {"write", 1, writes, 0.1, 6, true}}
 	return in
 }
 
 // steady lets a door look for so long.
-func steady(d *Door, at *time.Duration, troubled bool, in Input, length time.Duration) {
+func steady(d *AdmissionController, at *time.Duration, troubled bool, in PlanInput, length time.Duration) {
 	for end := *at + length; *at < end; *at += doorTick {
-		d.Look(*at, troubled, func() Input { return in })
+		d.Update(*at, troubled, func() PlanInput { return in })
 	}
 }
 
-func parts(d *Door) map[string]float64 {
+func parts(d *AdmissionController) map[string]float64 {
 	out := map[string]float64{}
-	for _, s := range d.Shares() {
-		out[s.Class] = s.Part
+	for _, s := range d.RejectedShares() {
+		out[s.Class] = s.Share
 	}
 	return out
 }
@@ -39,11 +39,11 @@
 // What is refused is the cheapest, as much as has surely no place, by rising shares; no class bears all, and all of it ends, one step after
 // the other, once the site is well.
 func TestDoorRefusesTheCheapestFirst(t *testing.T) {
-	d, at := NewDoor(DoorConfig{Spread: 2 * sec}, 1), sec
+	d, at := NewAdmissionController(AdmissionConfig{RetrySpread: 2 * sec}, 1), sec
 	// 6 seconds of work a second where 3.8 can be done: 2.2 too much, less 15 percent that the plan may be off by.
 	in := left(2, 2, 20, 20, 10)
 	in.Demands[2].Rate = 20
-	d.Look(at, true, func() Input { return in })
+	d.Update(at, true, func() PlanInput { return in })
 	if got := parts(d); got["cheap"] > rise+1e-9 {
 		t.Errorf("at once: %v", got)
 	}
@@ -59,11 +59,11 @@
 	if now := parts(d)["cheap"]; now < before-fall-1e-9 || now >= before {
 		t.Errorf("from %.2f to %.2f in a tick", before, now)
 	}
-	steady(d, &at, false, Input{}, 20*sec)
-	if !d.Open() || len(d.Shares()) > 0 || d.Due() != 0 {
-		t.Errorf("still shut: %v", d.Shares())
+	steady(d, &at, false, PlanInput{}, 20*sec)
+	if !d.AdmitsAll() || len(d.RejectedShares()) > 0 || d.NextUpdate() != 0 {
+		t.Errorf("still shut: %v", d.RejectedShares())
 	}
-	if refused, _ := d.Ask(Key{"cheap", 1}); refused {
+	if refused, _ := d.ShouldReject(DemandKey{"cheap", 1}); refused {
 		t.Error("refused at an open door")
 	}
 }
@@ -75,11 +75,11 @@
 	refused, want := 0, 0.0
 	after := map[time.Duration]int{}
 	for seed := range uint64(routers) {
-		d, at := NewDoor(DoorConfig{Spread: 2 * sec}, seed), sec
+		d, at := NewAdmissionController(AdmissionConfig{RetrySpread: 2 * sec}, seed), sec
 		steady(d, &at, true, left(2, 2, 20, 20, 10), 10*sec)
 		want = parts(d)["cheap"]
 		for range each {
-			if is, wait := d.Ask(Key{"cheap", 1}); is {
+			if is, wait := d.ShouldReject(DemandKey{"cheap", 1}); is {
 				refused++
 				after[wait.Round(100*time.Millisecond)]++
 				if wait < sec || wait > 2*sec {
@@ -102,12 +102,12 @@
 // always something of each is let in, a bank without anyone is left to the module, and every refusal ends.
 func TestDoorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, at := NewDoor(DoorConfig{}, rapid.Uint64().Draw(t, "seed")), sec
+		d, at := NewAdmissionController(AdmissionConfig{}, rapid.Uint64().Draw(t, "seed")), sec
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
-			in := Input{}
+			in := PlanInput{}
 			for b := range rapid.IntRange(1, 3).Draw(t, "banks") {
 				for i := range rapid.IntRange(0, 4).Draw(t, "members") {
-					in.Members = append(in.Members, Member{ID: fmt.Sprint(b, i), Site: "n", Bank: int64(b), Primary: i == 0, Up: rapid.Bool().Draw(t, "up"), Carry: rapid.Float64Range(0, 5).Draw(t, "carry")})
+					in.Endpoints = append(in.Endpoints, PlanEndpoint{ID: fmt.Sprint(b, i), Site: "n", Group: int64(b), Primary: i == 0, Available: rapid.Bool().Draw(t, "up"), Capacity: rapid.Float64Range(0, 5).Draw(t, "carry")})
 				}
 				for i := range rapid.IntRange(0, 4).Draw(t, "classes") {
 					in.Demands = append(in.Demands, Demand{fmt.Sprint("c", i), int64(b), rapid.Float64Range(0, 100).Draw(t, "rate"), rapid.Float64Range(0.001, 2).Draw(t, "work"), rapid.Float64Range(0, 10).Draw(t, "worth"), i == 0})
@@ -115,23 +115,23 @@
 			}
 			troubled := rapid.Bool().Draw(t, "troubled")
 			steady(d, &at, troubled, in, 15*sec)
-			share := map[Key]float64{}
-			for _, s := range d.Shares() {
-				share[Key{s.Class, s.Bank}] = s.Part
-				if s.Part > mostShed+1e-9 || s.Part <= 0 {
+			share := map[DemandKey]float64{}
+			for _, s := range d.RejectedShares() {
+				share[DemandKey{s.Class, s.Group}] = s.Share
+				if s.Share > mostShed+1e-9 || s.Share <= 0 {
 					t.Fatalf("%+v", s)
 				}
 			}
-			if !troubled && !d.Open() && len(share) > 0 && d.Due() == 0 {
+			if !troubled && !d.AdmitsAll() && len(share) > 0 && d.NextUpdate() == 0 {
 				t.Fatal("shut for ever")
 			}
 			for _, b := range gather(in) {
 				c := b.carry("")
 				var over, refused [2]float64
 				for i, x := range b.demands {
-					w := resource(x.Strong)
+					w := resource(x.NeedsPrimary)
 					over[w] += (1 - c.served[i]) * x.Rate * x.Work
-					refused[w] += share[Key{x.Class, b.id}] * x.Rate * x.Work
+					refused[w] += share[DemandKey{x.Class, b.id}] * x.Rate * x.Work
 				}
 				for w := range over {
 					if troubled && (c.lead == nil && refused[w] > 0 || refused[w] > over[w]+1e-6) {
@@ -140,9 +140,9 @@
 				}
 			}
 		}
-		steady(d, &at, false, Input{}, 15*sec)
-		if !d.Open() {
-			t.Fatalf("does not end: %v", d.Shares())
+		steady(d, &at, false, PlanInput{}, 15*sec)
+		if !d.AdmitsAll() {
+			t.Fatalf("does not end: %v", d.RejectedShares())
 		}
 	})
 }
@@ -150,11 +150,11 @@
 // The same seed and input refuse the same.
 func TestDoorIsDetermined(t *testing.T) {
 	play := func() (out []time.Duration) {
-		d, at := NewDoor(DoorConfig{Spread: sec}, 9), sec
+		d, at := NewAdmissionController(AdmissionConfig{RetrySpread: sec}, 9), sec
 		steady(d, &at, true, left(1, 2, 20, 20, 10), 5*sec)
 		for range 50 {
 			for _, c := range []string{"cheap", "dear", "write"} {
-				_, after := d.Ask(Key{c, 1})
+				_, after := d.ShouldReject(DemandKey{c, 1})
 				out = append(out, after)
 			}
 		}
@@ -168,27 +168,27 @@
 // A first return is not paced; one that goes again as it comes back is, the slower the more often, is taken back at a relapse, and reaches
 // all of it in the end. What operators say binds beside that, and ends by itself.
 func TestRamp(t *testing.T) {
-	r, at := NewRamp(RampConfig{First: 0.2, Over: 8 * sec}), sec
-	r.Moved(at, "s", Lost, 0)
-	r.Moved(at, "s", Returning, 0)
-	if got, due := r.Look(at); len(got) > 0 || due > 0 {
+	r, at := NewRecoveryRamp(RecoveryRampConfig{InitialShare: 0.2, Duration: 8 * sec}), sec
+	r.SiteStateChanged(at, "s", SiteLost, 0)
+	r.SiteStateChanged(at, "s", SiteRecovering, 0)
+	if got, due := r.Update(at); len(got) > 0 || due > 0 {
 		t.Fatalf("a first return is paced: %v %v", got, due)
 	}
 	length := func(flaps int, bad func(step int) bool) (steps int, least float64) {
-		r := NewRamp(RampConfig{First: 0.2, Over: 8 * sec})
-		r.Moved(at, "s", Lost, flaps)
-		r.Moved(at, "s", Returning, flaps)
+		r := NewRecoveryRamp(RecoveryRampConfig{InitialShare: 0.2, Duration: 8 * sec})
+		r.SiteStateChanged(at, "s", SiteLost, flaps)
+		r.SiteStateChanged(at, "s", SiteRecovering, flaps)
 		least = 1
 		now := at
 		for steps = 0; steps < 400; steps++ {
 			for range 10 {
-				r.Ended("s", bad(steps))
-				r.Ended("elsewhere", true)
+				r.RecordOutcome("s", bad(steps))
+				r.RecordOutcome("elsewhere", true)
 			}
-			paced, due := r.Look(now)
+			paced, due := r.Update(now)
 			for _, p := range paced {
-				least = min(least, p.Part)
-				if p.Part == 1 {
+				least = min(least, p.Share)
+				if p.Share == 1 {
 					return steps, least
 				}
 			}
@@ -209,12 +209,12 @@
 	if always, _ := length(1, func(int) bool { return true }); always < 400 {
 		t.Errorf("back after %d steps though all fails", always)
 	}
-	r.Bind(Bound{"s", 0, at + 3*sec})
-	got, due := r.Look(at)
-	if len(got) != 1 || got[0].Part != 0 || due != at+3*sec || len(r.Paces()) != 1 {
+	r.SetLimit(RampLimit{"s", 0, at + 3*sec})
+	got, due := r.Update(at)
+	if len(got) != 1 || got[0].Share != 0 || due != at+3*sec || len(r.Ramps()) != 1 {
 		t.Errorf("%v %v", got, due)
 	}
-	if got, due = r.Look(due); len(got) != 1 || got[0].Part != 1 || due != 0 || len(r.Paces()) != 0 {
+	if got, due = r.Update(due); len(got) != 1 || got[0].Share != 1 || due != 0 || len(r.Ramps()) != 0 {
 		t.Errorf("%v %v", got, due)
 	}
 }
@@ -222,33 +222,33 @@
 // Machines' power shows in what they do for this router beside how busy they are with all of them, however noisy single reports are, and
 // though the router sends to some of them only.
 func TestUses(t *testing.T) {
-	var u Uses
-	if _, told := u.Fair(); told {
+	var u UtilizationTracker
+	if _, told := u.FairCapacity(); told {
 		t.Error("known before any report")
 	}
 	for i := range 60 {
 		// Two routers alike: each sends to one machine only. A machine can do 1, half of it for each router.
-		u.Told("near", 0.3, 0.3+0.25*math.Sin(float64(i)))
-		u.Told("far", 0, 0.3+0.25*math.Cos(float64(i)))
+		u.Record("near", 0.3, 0.3+0.25*math.Sin(float64(i)))
+		u.Record("far", 0, 0.3+0.25*math.Cos(float64(i)))
 	}
-	if got, told := u.Fair(); !told || math.Abs(got-0.5) > 0.06 {
+	if got, told := u.FairCapacity(); !told || math.Abs(got-0.5) > 0.06 {
 		t.Errorf("%.2f %v", got, told)
 	}
-	u.Forget(func(id string) bool { return id == "near" })
+	u.Retain(func(id string) bool { return id == "near" })
 	if len(u.told) != 1 {
 		t.Errorf("%d kept", len(u.told))
 	}
 	for i := range 2 * useMost {
-		u.Told(fmt.Sprint(i), 1, 1)
+		u.Record(fmt.Sprint(i), 1, 1)
 	}
 	if len(u.told) > useMost {
 		t.Errorf("%d kept", len(u.told))
 	}
-	var idle Uses
+	var idle UtilizationTracker
 	for range 60 {
-		idle.Told("m", 0.001, 0.001)
+		idle.Record("m", 0.001, 0.001)
 	}
-	if _, told := idle.Fair(); told {
+	if _, told := idle.FairCapacity(); told {
 		t.Error("idle machines tell nothing of their power")
 	}
 }
--- a/internal/sitefailover/evidence.go
+++ b/internal/sitefailover/evidence.go
@@ -10,19 +10,19 @@
 )
 
 // State is what a site is taken for.
-type State uint8
+type SiteState uint8
 
 // A site is well; suspected once most of what is known of it fails; lost once that lasts; returning once it answers again; settled when it
 // has answered for a while. Settled becomes well.
 const (
-	Well State = iota
-	Suspected
-	Lost
-	Returning
-	Settled
+	SiteHealthy SiteState = iota
+	SiteSuspected
+	SiteLost
+	SiteRecovering
+	SiteSettled
 )
 
-func (s State) String() string {
+func (s SiteState) String() string {
 	return [...]string{"well", "suspected", "lost", "returning", "settled"}[s]
 }
 
@@ -30,11 +30,11 @@
 type Kind uint8
 
 const (
-	Unclear   Kind = iota
-	SiteLost       // its machines are lost: nothing speaks for their being alive
-	CutOff         // this router can't reach it, and it lives: its banks go on committing
-	Alone          // this router reaches no other site than its own, or none at all: the fault is on its side as likely
-	Discovery      // the list says that its machines have gone
+	KindUnclear     Kind = iota
+	KindLost             // its machines are lost: nothing speaks for their being alive
+	KindPartitioned      // this router can't reach it, and it lives: its banks go on committing
+	KindIsolated         // this router reaches no other site than its own, or none at all: the fault is on its side as likely
+	KindRemoved          // the list says that its machines have gone
 )
 
 func (k Kind) String() string {
@@ -43,11 +43,11 @@
 
 // Config bounds a Model. Zero values are not allowed.
 type Config struct {
-	Own    string        // the router's own site, "" = not known
-	Window time.Duration // evidence older than this says nothing of a machine that is not down
-	Hold   time.Duration // a suspicion has to last so long
-	Settle time.Duration // a site that has come back is watched for so long: as long as cold machines take to get warm
-	Most   int           // machines that are followed at most
+	OwnSite        string        // the router's own site, "" = not known
+	EvidenceWindow time.Duration // evidence older than this says nothing of a machine that is not down
+	SuspicionTime  time.Duration // a suspicion has to last so long
+	SettleTime     time.Duration // a site that has come back is watched for so long: as long as cold machines take to get warm
+	MaxEndpoints   int           // machines that are followed at most
 }
 
 // Evidence of a site is looked at over watchWindow: a router with little traffic hears of a machine now and then. A suspicion lasts
@@ -58,8 +58,8 @@
 )
 
 // Watch is how a router in a site of its own watches all of them, where machines take so long to get warm; most bounds their number.
-func Watch(own string, cold time.Duration, most int) Config {
-	return Config{Own: own, Window: watchWindow, Hold: watchHold, Settle: max(watchWindow, cold), Most: most}
+func DefaultConfig(own string, cold time.Duration, most int) Config {
+	return Config{OwnSite: own, EvidenceWindow: watchWindow, SuspicionTime: watchHold, SettleTime: max(watchWindow, cold), MaxEndpoints: most}
 }
 
 // The shares of a site's known machines.
@@ -74,76 +74,76 @@
 type Event interface{ event() }
 
 // Listed is one machine of a list.
-type Listed struct {
-	Machine, Site string
-	Bank          int64
-	State         ListState
+type EndpointListed struct {
+	Endpoint, Site string
+	Group          int64
+	State          EndpointState
 }
 
 // ListState is what a list says of a machine.
-type ListState uint8
+type EndpointState uint8
 
 const (
-	Ready ListState = iota
-	Draining
-	Gone
+	EndpointReady EndpointState = iota
+	EndpointDraining
+	EndpointRemoved
 )
 
 // Whole says that the list had these machines and no others.
-type Whole struct{ Machines []string }
+type EndpointListComplete struct{ Endpoints []string }
 
 // Heard: a machine has answered anything at all.
-type Heard struct{ Machine string }
+type EndpointAnswered struct{ Endpoint string }
 
 // Failed: it has not.
-type Failed struct {
-	Machine string
-	Why     Failure
+type AttemptFailed struct {
+	Endpoint string
+	Failure  Failure
 }
 
 // Failure is how.
 type Failure uint8
 
 const (
-	Refused Failure = iota // no connection came up
-	Reset                  // one broke
-	Silent                 // nothing came in time
+	FailureRefused Failure = iota // no connection came up
+	FailureReset                  // one broke
+	FailureTimeout                // nothing came in time
 )
 
 // Leads: a bank's primary is believed to be a machine.
-type Leads struct {
-	Bank    int64
-	Machine string
+type PrimaryObserved struct {
+	Group    int64
+	Endpoint string
 }
 
 // Applied: a replica has said that it has applied all commits of its bank up to a moment. A primary that can't be reached lives if
 // that moment lies behind its failure.
-type Applied struct {
-	Machine string
-	Upto    time.Duration
+type ReplicaApplied struct {
+	Endpoint string
+	Position time.Duration
 }
 
 // Declare is an operator's word that a site is lost, until a moment; 0 takes it back.
-type Declare struct {
+type DeclareLost struct {
 	Site  string
 	Until time.Duration
 }
 
-func (Listed) event()  {}
-func (Whole) event()   {}
-func (Heard) event()   {}
-func (Failed) event()  {}
-func (Leads) event()   {}
-func (Applied) event() {}
-func (Declare) event() {}
+func (EndpointListed) event()       {}
+func (EndpointListComplete) event() {}
+func (EndpointAnswered) event()     {}
+func (AttemptFailed) event()        {}
+func (PrimaryObserved) event()      {}
+func (ReplicaApplied) event()       {}
+func (DeclareLost) event()          {}
 
 // Action is what the caller is told.
 type Action interface{ action() }
 
 // Changed: a site is taken for something else.
-type Changed struct {
+type StateChanged struct {
 	Site     string
-	From, To State
+	From, To SiteState
 	Kind     Kind
 	Evidence string
 }
@@ -151,8 +151,8 @@
 // Wake asks for a Step by then.
 type Wake struct{ At time.Duration }
 
-func (Changed) action() {}
-func (Wake) action()    {}
+func (StateChanged) action() {}
+func (Wake) action()         {}
 
 // machine is what is known of one.
 type machine struct {
@@ -172,7 +172,7 @@
 type site struct {
 	name     string
 	machines map[string]*machine
-	state    State
+	state    SiteState
 	kind     Kind
 	since    time.Duration
 	calm     time.Duration // since when few of it are down, 0 = they are not
@@ -183,7 +183,7 @@
 }
 
 // Model follows all sites.
-type Model struct {
+type Monitor struct {
 	cfg      Config
 	now      time.Duration
 	machines map[string]*machine
@@ -192,37 +192,37 @@
 }
 
 // New returns a Model that knows nothing.
-func New(cfg Config) *Model {
-	return &Model{cfg: cfg, machines: map[string]*machine{}, sites: map[string]*site{}, leads: map[int64]string{}}
+func New(cfg Config) *Monitor {
+	return &Monitor{cfg: cfg, machines: map[string]*machine{}, sites: map[string]*site{}, leads: map[int64]string{}}
 }
 
 // Step takes what has happened by now and returns what has changed, in the order of the sites' names.
-func (m *Model) Step(now time.Duration, events []Event) []Action {
+func (m *Monitor) Step(now time.Duration, events []Event) []Action {
 	m.now = now
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
+		case EndpointListed:
 			m.listed(e)
-		case Whole:
+		case EndpointListComplete:
 			m.whole(e)
-		case Heard:
-			if x := m.machines[e.Machine]; x != nil {
+		case EndpointAnswered:
+			if x := m.machines[e.Endpoint]; x != nil {
 				x.heard, x.bad, x.fails, x.gone, x.lives = now, 0, 0, false, false
 			}
-		case Failed:
-			if x := m.machines[e.Machine]; x != nil {
+		case AttemptFailed:
+			if x := m.machines[e.Endpoint]; x != nil {
 				if x.fails++; x.bad == 0 {
 					x.bad = now
 				}
-				x.why = e.Why
+				x.why = e.Failure
 			}
-		case Leads:
-			m.leads[e.Bank] = e.Machine
-		case Applied:
-			if x := m.machines[e.Machine]; x != nil {
-				m.applied(x.bank, e.Upto)
+		case PrimaryObserved:
+			m.leads[e.Group] = e.Endpoint
+		case ReplicaApplied:
+			if x := m.machines[e.Endpoint]; x != nil {
+				m.applied(x.bank, e.Position)
 			}
-		case Declare:
+		case DeclareLost:
 			if s := m.sites[e.Site]; s != nil {
 				s.declared = e.Until
 			}
@@ -231,17 +231,17 @@
 	return m.judge()
 }
 
-func (m *Model) listed(e Listed) {
-	x := m.machines[e.Machine]
+func (m *Monitor) listed(e EndpointListed) {
+	x := m.machines[e.Endpoint]
 	if x == nil {
-		if e.State == Gone || len(m.machines) >= m.cfg.Most {
+		if e.State == EndpointRemoved || len(m.machines) >= m.cfg.MaxEndpoints {
 			return
 		}
-		x = &machine{id: e.Machine}
-		m.machines[e.Machine] = x
+		x = &machine{id: e.Endpoint}
+		m.machines[e.Endpoint] = x
 	}
 	first := x.site == ""
-	x.bank = e.Bank
+	x.bank = e.Group
 	if x.site != e.Site || m.sites[e.Site] == nil {
 		m.leave(x)
 		x.site = e.Site
@@ -253,16 +253,16 @@
 		s.machines[x.id] = x
 	}
 	s := m.sites[e.Site]
-	if first && s.state != Well {
+	if first && s.state != SiteHealthy {
 		s.fresh++
 	}
 	x.off = 0
 	switch e.State {
-	case Ready:
+	case EndpointReady:
 		x.drains, x.gone = false, false
-	case Draining:
+	case EndpointDraining:
 		x.drains = true
-	case Gone:
+	case EndpointRemoved:
 		x.gone = !x.drains
 	}
 	m.replace(s)
@@ -270,7 +270,7 @@
 
 // replace forgets machines that have gone, one for each new one. Danger: a site that returns under new ids is held to be half lost, or lost
 // again, by those that nobody will see any more.
-func (m *Model) replace(s *site) {
+func (m *Monitor) replace(s *site) {
 	for _, id := range slices.Sorted(maps.Keys(s.machines)) {
 		if s.fresh > 0 && s.machines[id].gone {
 			s.fresh--
@@ -280,14 +280,14 @@
 }
 
 // whole forgets what is no more listed. One that failed before it went keeps counting while its site is not well: it was lost.
-func (m *Model) whole(e Whole) {
+func (m *Monitor) whole(e EndpointListComplete) {
 	named := map[string]bool{}
-	for _, id := range e.Machines {
+	for _, id := range e.Endpoints {
 		named[id] = true
 	}
 	for id, x := range m.machines {
 		if !named[id] {
-			if s := m.sites[x.site]; s != nil && s.state != Well && x.down(m.now, m.cfg.Window) {
+			if s := m.sites[x.site]; s != nil && s.state != SiteHealthy && x.down(m.now, m.cfg.EvidenceWindow) {
 				if x.gone = !x.drains; x.off == 0 {
 					x.off = m.now
 				}
@@ -302,12 +302,12 @@
 // forgetAfter is how long a machine that no list names any more goes on to speak of its site's loss.
 const forgetAfter = 10 * time.Minute
 
-func (m *Model) drop(x *machine) {
+func (m *Monitor) drop(x *machine) {
 	m.leave(x)
 	delete(m.machines, x.id)
 }
 
-func (m *Model) leave(x *machine) {
+func (m *Monitor) leave(x *machine) {
 	if s := m.sites[x.site]; s != nil {
 		if delete(s.machines, x.id); len(s.machines) == 0 {
 			delete(m.sites, x.site)
@@ -335,21 +335,21 @@
 	return float64(f.down) / float64(f.known())
 }
 
-func (m *Model) count(s *site, f *figures) {
+func (m *Monitor) count(s *site, f *figures) {
 	for _, x := range s.machines {
 		switch {
 		case x.drains:
-		case x.down(m.now, m.cfg.Window):
+		case x.down(m.now, m.cfg.EvidenceWindow):
 			f.down++
 			f.banks[x.bank] = true
-		case x.heard > 0 && m.now-x.heard <= m.cfg.Window:
+		case x.heard > 0 && m.now-x.heard <= m.cfg.EvidenceWindow:
 			f.fine++
 		}
 	}
 }
 
 // judge moves each site to the state that the evidence gives it.
-func (m *Model) judge() (acts []Action) {
+func (m *Monitor) judge() (acts []Action) {
 	for _, x := range m.machines {
 		if x.off > 0 && m.now-x.off > forgetAfter {
 			m.drop(x)
@@ -372,19 +372,19 @@
 				continue
 			}
 			others.down, others.fine = others.down+g.down, others.fine+g.fine
-			reached = reached || o != m.cfg.Own && g.fine > 0
+			reached = reached || o != m.cfg.OwnSite && g.fine > 0
 		}
 		if c, ok := m.move(s, f, others, reached); ok {
 			acts = append(acts, c)
 		}
-		if s.state != Well {
-			if next := m.now + m.cfg.Hold/4; wake == 0 || next < wake {
+		if s.state != SiteHealthy {
+			if next := m.now + m.cfg.SuspicionTime/4; wake == 0 || next < wake {
 				wake = next
 			}
 		}
 		for _, x := range s.machines { // a single failure speaks once it has lasted
-			if x.bad > 0 && !x.down(m.now, m.cfg.Window) {
-				if next := x.bad + m.cfg.Window/4; wake == 0 || next < wake {
+			if x.bad > 0 && !x.down(m.now, m.cfg.EvidenceWindow) {
+				if next := x.bad + m.cfg.EvidenceWindow/4; wake == 0 || next < wake {
 					wake = next
 				}
 			}
@@ -397,7 +397,7 @@
 }
 
 // failing says whether a site's figures speak against the site as a whole.
-func (m *Model) failing(s *site, f, others figures) bool {
+func (m *Monitor) failing(s *site, f, others figures) bool {
 	if f.known() == 0 || f.share() < mostDown || 2*f.known() < m.here(s) {
 		return false
 	}
@@ -411,7 +411,7 @@
 }
 
 // here is how many machines of a site are not told to leave.
-func (m *Model) here(s *site) (n int) {
+func (m *Monitor) here(s *site) (n int) {
 	for _, x := range s.machines {
 		if !x.drains {
 			n++
@@ -420,7 +420,7 @@
 	return n
 }
 
-func (m *Model) banks(s *site) int {
+func (m *Monitor) banks(s *site) int {
 	seen := map[int64]bool{}
 	for _, x := range s.machines {
 		if !x.drains {
@@ -431,7 +431,7 @@
 }
 
 // lives says that something speaks for a site that can't be reached: a bank whose primary is there has committed since it failed.
-func (m *Model) lives(s *site) bool {
+func (m *Monitor) lives(s *site) bool {
 	for bank, id := range m.leads {
 		if x := s.machines[id]; x != nil && x.bank == bank && x.lives {
 			return true
@@ -441,14 +441,14 @@
 }
 
 // applied notes up to when a bank has committed. Later than the window behind a failure it may be a successor's commits that are seen.
-func (m *Model) applied(bank int64, upto time.Duration) {
-	if x := m.machines[m.leads[bank]]; x != nil && x.bad > 0 && upto > x.bad+m.cfg.Window/4 && upto <= x.bad+m.cfg.Window {
+func (m *Monitor) applied(bank int64, upto time.Duration) {
+	if x := m.machines[m.leads[bank]]; x != nil && x.bad > 0 && upto > x.bad+m.cfg.EvidenceWindow/4 && upto <= x.bad+m.cfg.EvidenceWindow {
 		x.lives = true
 	}
 }
 
 // kindOf is what the evidence says the fault is.
-func (m *Model) kindOf(s *site, others figures, reached bool) Kind {
+func (m *Monitor) kindOf(s *site, others figures, reached bool) Kind {
 	gone := 0
 	for _, x := range s.machines {
 		if x.gone {
@@ -457,19 +457,19 @@
 	}
 	switch {
 	case m.lives(s):
-		return CutOff
+		return KindPartitioned
 	case gone > 0 && 2*gone >= m.here(s):
-		return Discovery
+		return KindRemoved
 	case others.fine == 0, !reached && len(m.sites) > 2:
-		return Alone
-	case len(m.sites) <= 2 && s.name != m.cfg.Own && m.cfg.Own != "":
-		return Unclear // of two sites one can't tell by itself which side the fault is on
+		return KindIsolated
+	case len(m.sites) <= 2 && s.name != m.cfg.OwnSite && m.cfg.OwnSite != "":
+		return KindUnclear // of two sites one can't tell by itself which side the fault is on
 	}
-	return SiteLost
+	return KindLost
 }
 
 // move takes a site from one state to the next, one step at a time.
-func (m *Model) move(s *site, f, others figures, reached bool) (c Changed, moved bool) {
+func (m *Monitor) move(s *site, f, others figures, reached bool) (c StateChanged, moved bool) {
 	bad := m.failing(s, f, others)
 	said := s.declared > m.now
 	if f.share() > fewDown {
@@ -477,50 +477,50 @@
 	} else if s.calm == 0 {
 		s.calm = m.now
 	}
-	wait := m.cfg.Hold << min(s.flaps, mostFlaps)
-	settle := m.cfg.Settle << min(s.flaps, mostFlaps)
+	wait := m.cfg.SuspicionTime << min(s.flaps, mostFlaps)
+	settle := m.cfg.SettleTime << min(s.flaps, mostFlaps)
 	next := s.state
 	switch s.state {
-	case Well, Settled:
+	case SiteHealthy, SiteSettled:
 		switch {
 		case said:
-			next = Lost
+			next = SiteLost
 		case bad:
-			next = Suspected
-		case s.state == Settled && m.now-s.since >= settle:
-			next, s.flaps = Well, max(0, s.flaps-1)
+			next = SiteSuspected
+		case s.state == SiteSettled && m.now-s.since >= settle:
+			next, s.flaps = SiteHealthy, max(0, s.flaps-1)
 		}
-	case Suspected:
+	case SiteSuspected:
 		switch {
-		case said, bad && m.now-s.since >= m.cfg.Hold:
-			next = Lost
-		case !bad && f.share() < mostDown, !bad && m.now-s.since >= 2*m.cfg.Window:
-			next = Well
+		case said, bad && m.now-s.since >= m.cfg.SuspicionTime:
+			next = SiteLost
+		case !bad && f.share() < mostDown, !bad && m.now-s.since >= 2*m.cfg.EvidenceWindow:
+			next = SiteHealthy
 		}
-	case Lost:
+	case SiteLost:
 		// What has been lost for a moment has to answer for longer each time.
-		if !said && (f.fine > 0 || f.down == 0) && f.share() < mostDown && m.now-s.since >= wait-m.cfg.Hold {
-			next = Returning
+		if !said && (f.fine > 0 || f.down == 0) && f.share() < mostDown && m.now-s.since >= wait-m.cfg.SuspicionTime {
+			next = SiteRecovering
 		}
-	case Returning:
+	case SiteRecovering:
 		switch {
 		case said, bad:
-			next, s.flaps = Lost, s.flaps+1
+			next, s.flaps = SiteLost, s.flaps+1
 		case s.calm > 0 && m.now-s.calm >= settle:
-			next = Settled
+			next = SiteSettled
 		}
 	}
 	if next == s.state {
-		if s.state == Lost || s.state == Suspected {
+		if s.state == SiteLost || s.state == SiteSuspected {
 			s.kind = m.kindOf(s, others, reached) // it may become clear later
 		}
 		return c, false
 	}
-	c = Changed{Site: s.name, From: s.state, To: next}
-	if next == Suspected || next == Lost {
+	c = StateChanged{Site: s.name, From: s.state, To: next}
+	if next == SiteSuspected || next == SiteLost {
 		s.kind = m.kindOf(s, others, reached)
-	} else if next == Well {
-		s.kind = Unclear
+	} else if next == SiteHealthy {
+		s.kind = KindUnclear
 	}
 	s.evidence = fmt.Sprintf("%d of %d known machines down (%s), %d of %d elsewhere", f.down, f.known(), m.reasons(s), others.down, others.known())
 	if said {
@@ -528,18 +528,18 @@
 	}
 	c.Kind, c.Evidence = s.kind, s.evidence
 	s.state, s.since = next, m.now
-	if next == Well {
+	if next == SiteHealthy {
 		s.fresh = 0
 	}
 	return c, true
 }
 
 // reasons says how a site's machines fail.
-func (m *Model) reasons(s *site) string {
+func (m *Monitor) reasons(s *site) string {
 	n := map[string]int{}
 	for _, x := range s.machines {
 		switch {
-		case x.drains || !x.down(m.now, m.cfg.Window):
+		case x.drains || !x.down(m.now, m.cfg.EvidenceWindow):
 		case x.gone:
 			n["gone"]++
 		default:
--- a/internal/sitefailover/evidence_test.go
+++ b/internal/sitefailover/evidence_test.go
@@ -13,18 +13,18 @@
 const ms = time.Millisecond
 
 func config(own string) Config {
-	return Config{Own: own, Window: 2 * time.Second, Hold: 500 * ms, Settle: 4 * time.Second, Most: 500}
+	return Config{OwnSite: own, EvidenceWindow: 2 * time.Second, SuspicionTime: 500 * ms, SettleTime: 4 * time.Second, MaxEndpoints: 500}
 }
 
 // world drives a Model: in each step every machine that can answers, the others fail.
 type world struct {
 	t     *testing.T
-	m     *Model
+	m     *Monitor
 	now   time.Duration
 	ids   []string
 	site  map[string]string
 	bad   map[string]Failure
-	seen  []Changed
+	seen  []StateChanged
 	extra []Event
 }
 
@@ -36,9 +36,9 @@
 		for _, s := range names {
 			id := fmt.Sprintf("%s%d", s, b)
 			w.ids, w.site[id] = append(w.ids, id), s
-			events = append(events, Listed{Machine: id, Site: s, Bank: int64(b)})
+			events = append(events, EndpointListed{Endpoint: id, Site: s, Group: int64(b)})
 		}
-		events = append(events, Leads{Bank: int64(b), Machine: fmt.Sprintf("%s%d", names[b%len(names)], b)})
+		events = append(events, PrimaryObserved{Group: int64(b), Endpoint: fmt.Sprintf("%s%d", names[b%len(names)], b)})
 	}
 	w.step(0, events...)
 	return w
@@ -48,7 +48,7 @@
 	w.now += d
 	for _, a := range w.m.Step(w.now, events) {
 		switch a := a.(type) {
-		case Changed:
+		case StateChanged:
 			w.seen = append(w.seen, a)
 		case Wake:
 			if a.At <= w.now {
@@ -64,9 +64,9 @@
 		var events []Event
 		for _, id := range w.ids {
 			if why, bad := w.bad[id]; bad {
-				events = append(events, Failed{id, why})
+				events = append(events, AttemptFailed{id, why})
 			} else {
-				events = append(events, Heard{id})
+				events = append(events, EndpointAnswered{id})
 			}
 		}
 		w.step(50*ms, append(events, w.extra...)...)
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *world) is(site string, want State, kind Kind) {
+func (w *world) is(site string, want SiteState, kind Kind) {
 	w.t.Helper()
 	for _, v := range w.m.Views() {
 		if v.Site == site {
@@ -105,26 +105,26 @@
 
 // A site that is lost is suspected at once, lost once it lasts, and comes back by way of returning and settled.
 func TestSiteIsLostAndReturns(t *testing.T) {
-	for _, why := range []Failure{Refused, Reset, Silent} {
+	for _, why := range []Failure{FailureRefused, FailureReset, FailureTimeout} {
 		w := newWorld(t, "n", 4, "n", "s", "w")
 		w.run(3 * time.Second)
 		w.lose("s", why)
 		w.run(200 * ms)
-		w.is("s", Suspected, SiteLost)
+		w.is("s", SiteSuspected, KindLost)
 		w.run(600 * ms)
-		w.is("s", Lost, SiteLost)
-		w.is("w", Well, Unclear)
+		w.is("s", SiteLost, KindLost)
+		w.is("w", SiteHealthy, KindUnclear)
 		if e := w.seen[len(w.seen)-1].Evidence; !strings.Contains(e, "4 of 4 known machines down (4 ") || !strings.Contains(e, "0 of 8 elsewhere") {
 			t.Errorf("%q", e)
 		}
 		w.run(20 * time.Second)
 		w.back("s")
 		w.run(200 * ms)
-		w.is("s", Returning, SiteLost)
+		w.is("s", SiteRecovering, KindLost)
 		w.run(5 * time.Second)
-		w.is("s", Settled, SiteLost)
+		w.is("s", SiteSettled, KindLost)
 		w.run(5 * time.Second)
-		w.is("s", Well, Unclear)
+		w.is("s", SiteHealthy, KindUnclear)
 		if len(w.seen) != 5 {
 			t.Errorf("%v", w.seen)
 		}
@@ -138,29 +138,29 @@
 		"one bank": func(w *world) {
 			for _, id := range w.ids {
 				if strings.HasSuffix(id, "0") {
-					w.bad[id] = Silent
+					w.bad[id] = FailureTimeout
 				}
 			}
 		},
 		"a shared slowdown": func(w *world) {
 			for i, id := range w.ids {
 				if i%2 == 0 {
-					w.bad[id] = Silent
+					w.bad[id] = FailureTimeout
 				}
 			}
 		},
 		"a deploy": func(w *world) {
 			for _, id := range []string{"s0", "s1", "s2"} {
-				w.step(ms, Listed{Machine: id, Site: "s", Bank: 0, State: Draining})
-				w.bad[id] = Refused
+				w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: 0, State: EndpointDraining})
+				w.bad[id] = FailureRefused
 			}
-			w.step(ms, Listed{Machine: "s0", Site: "s", State: Gone})
+			w.step(ms, EndpointListed{Endpoint: "s0", Site: "s", State: EndpointRemoved})
 		},
-		"two of four": func(w *world) { w.bad["s1"], w.bad["s2"] = Refused, Silent },
+		"two of four": func(w *world) { w.bad["s1"], w.bad["s2"] = FailureRefused, FailureTimeout },
 		"one break each": func(w *world) {
 			for _, id := range w.ids {
 				if w.site[id] == "s" {
-					w.step(ms, Failed{id, Reset})
+					w.step(ms, AttemptFailed{id, FailureReset})
 				}
 			}
 		},
@@ -172,12 +172,12 @@
 			befall(w)
 			w.run(10 * time.Second)
 			for _, c := range w.seen {
-				if c.To == Lost {
+				if c.To == SiteLost {
 					t.Fatalf("%+v", c)
 				}
 			}
 			for _, v := range w.m.Views() {
-				if v.State != Well {
+				if v.State != SiteHealthy {
 					t.Errorf("%s stays %v", v.Site, v.State)
 				}
 			}
@@ -189,68 +189,68 @@
 func TestSuspicionEnds(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Silent)
+	w.lose("s", FailureTimeout)
 	w.run(150 * ms)
-	w.is("s", Suspected, SiteLost)
+	w.is("s", SiteSuspected, KindLost)
 	w.back("s")
 	w.run(100 * ms)
-	w.is("s", Well, Unclear)
+	w.is("s", SiteHealthy, KindUnclear)
 }
 
 // A router that is cut off from a site that lives can tell: the site's banks go on committing. One that reaches no other site is alone.
 func TestCutOffAndAlone(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Silent)
+	w.lose("s", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", Lost, SiteLost)
-	w.step(ms, Applied{Machine: "n1", Upto: w.now})
-	w.is("s", Lost, CutOff)
+	w.is("s", SiteLost, KindLost)
+	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+	w.is("s", SiteLost, KindPartitioned)
 
 	// What is committed much later may be a successor's: it says nothing of the old primary.
 	w = newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Refused)
+	w.lose("s", FailureRefused)
 	w.run(4 * time.Second)
-	w.step(ms, Applied{Machine: "n1", Upto: w.now})
-	w.is("s", Lost, SiteLost)
+	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+	w.is("s", SiteLost, KindLost)
 
 	w = newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Silent)
-	w.lose("w", Silent)
+	w.lose("s", FailureTimeout)
+	w.lose("w", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", Lost, Alone)
-	w.is("w", Lost, Alone)
-	w.is("n", Well, Unclear)
+	w.is("s", SiteLost, KindIsolated)
+	w.is("w", SiteLost, KindIsolated)
+	w.is("n", SiteHealthy, KindUnclear)
 
 	// Of two sites one can't tell whose side the fault is on; the list can.
 	w = newWorld(t, "n", 4, "n", "s")
 	w.run(3 * time.Second)
-	w.lose("s", Silent)
+	w.lose("s", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", Lost, Unclear)
+	w.is("s", SiteLost, KindUnclear)
 	for i := range 3 {
-		w.step(ms, Listed{Machine: fmt.Sprint("s", i), Site: "s", Bank: int64(i), State: Gone})
+		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointRemoved})
 	}
-	w.is("s", Lost, Discovery)
+	w.is("s", SiteLost, KindRemoved)
 }
 
 // The second site is lost while the first one returns, and half of it.
 func TestSecondSiteWhileTheFirstReturns(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Refused)
+	w.lose("s", FailureRefused)
 	w.run(2 * time.Second)
 	w.back("s")
 	w.run(500 * ms)
-	w.is("s", Returning, SiteLost)
-	w.lose("w", Silent)
+	w.is("s", SiteRecovering, KindLost)
+	w.lose("w", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("w", Lost, SiteLost)
-	w.is("s", Returning, SiteLost)
+	w.is("w", SiteLost, KindLost)
+	w.is("s", SiteRecovering, KindLost)
 	w.run(5 * time.Second)
-	w.is("s", Settled, SiteLost)
+	w.is("s", SiteSettled, KindLost)
 }
 
 // A site that flaps has to answer for longer each time before it is taken back, up to a bound.
@@ -259,12 +259,12 @@
 	w.run(3 * time.Second)
 	var lost []time.Duration
 	for range 9 {
-		w.lose("s", Refused)
+		w.lose("s", FailureRefused)
 		w.run(1500 * ms)
 		at := w.now
 		w.back("s")
 		for w.run(50 * ms); ; w.run(50 * ms) {
-			if v := w.m.Views()[1]; v.State == Returning {
+			if v := w.m.Views()[1]; v.State == SiteRecovering {
 				break
 			}
 			if w.now-at > time.Minute {
@@ -278,14 +278,14 @@
 		t.Errorf("%v", lost)
 	}
 	w.run(10 * time.Minute)
-	w.is("s", Well, Unclear)
+	w.is("s", SiteHealthy, KindUnclear)
 }
 
 // Machines that come back under new ids are the site's return.
 func TestReturnUnderNewIDs(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.lose("s", Silent)
+	w.lose("s", FailureTimeout)
 	w.run(2 * time.Second)
 	var ids []string
 	for _, id := range w.ids {
@@ -296,32 +296,32 @@
 	for i := range 4 {
 		id := fmt.Sprint("new", i)
 		ids, w.site[id] = append(ids, id), "s"
-		w.step(ms, Listed{Machine: id, Site: "s", Bank: int64(i)})
+		w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: int64(i)})
 	}
 	w.ids = ids
-	w.step(ms, Whole{Machines: ids})
+	w.step(ms, EndpointListComplete{Endpoints: ids})
 	w.run(time.Second)
 	for i := range 4 { // the old ones are off the list for good
-		w.step(ms, Listed{Machine: fmt.Sprint("s", i), Site: "s", Bank: int64(i), State: Draining})
+		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointDraining})
 	}
 	w.run(20 * time.Second)
-	w.is("s", Well, Unclear)
+	w.is("s", SiteHealthy, KindUnclear)
 }
 
 // What operators declare holds until its time; a site that nobody knows is nothing.
 func TestDeclared(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.step(ms, Declare{Site: "s", Until: w.now + 5*time.Second}, Declare{Site: "nowhere", Until: w.now + time.Hour})
-	if c := w.seen[len(w.seen)-1]; c.To != Lost || !strings.HasPrefix(c.Evidence, "declared by an operator") {
+	w.step(ms, DeclareLost{Site: "s", Until: w.now + 5*time.Second}, DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
+	if c := w.seen[len(w.seen)-1]; c.To != SiteLost || !strings.HasPrefix(c.Evidence, "declared by an operator") {
 		t.Fatalf("%+v", c)
 	}
 	w.run(4 * time.Second)
-	if v := w.m.Views(); v[1].State != Lost || len(v) != 3 {
+	if v := w.m.Views(); v[1].State != SiteLost || len(v) != 3 {
 		t.Fatalf("%+v", v)
 	}
 	w.run(20 * time.Second)
-	w.is("s", Well, Unclear)
+	w.is("s", SiteHealthy, KindUnclear)
 }
 
 // Whatever happens, a site is in a state with an exit: once all answer for long it is well, whatever came before; what is followed is
@@ -329,15 +329,15 @@
 func TestEveryStateHasAnExit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own"))
-		cfg.Most = 9
+		cfg.MaxEndpoints = 9
 		m := New(cfg)
 		now := 50 * time.Second
 		names := []string{"n", "s", "w"}
 		id := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "m")) })
-		last := map[string]State{}
+		last := map[string]SiteState{}
 		step := func(events ...Event) {
 			for _, a := range m.Step(now, events) {
-				if c, ok := a.(Changed); ok {
+				if c, ok := a.(StateChanged); ok {
 					if last[c.Site] != c.From || c.From == c.To {
 						t.Fatalf("%+v, it was %v", c, last[c.Site])
 					}
@@ -349,7 +349,7 @@
 					delete(last, s)
 				}
 			}
-			if len(m.machines) > cfg.Most {
+			if len(m.machines) > cfg.MaxEndpoints {
 				t.Fatalf("%d machines", len(m.machines))
 			}
 		}
@@ -357,17 +357,17 @@
 			var e Event
 			switch rapid.IntRange(0, 7).Draw(t, "kind") {
 			case 0, 1:
-				e = Listed{Machine: id.Draw(t, "id"), Site: rapid.SampledFrom(names).Draw(t, "site"), Bank: rapid.Int64Range(0, 3).Draw(t, "bank"), State: ListState(rapid.IntRange(0, 2).Draw(t, "state"))}
+				e = EndpointListed{Endpoint: id.Draw(t, "id"), Site: rapid.SampledFrom(names).Draw(t, "site"), Group: rapid.Int64Range(0, 3).Draw(t, "bank"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))}
 			case 2:
-				e = Heard{id.Draw(t, "id")}
+				e = EndpointAnswered{id.Draw(t, "id")}
 			case 3, 4:
-				e = Failed{id.Draw(t, "id"), Failure(rapid.IntRange(0, 2).Draw(t, "why"))}
+				e = AttemptFailed{id.Draw(t, "id"), Failure(rapid.IntRange(0, 2).Draw(t, "why"))}
 			case 5:
-				e = Applied{Machine: id.Draw(t, "id"), Upto: now}
+				e = ReplicaApplied{Endpoint: id.Draw(t, "id"), Position: now}
 			case 6:
-				e = Declare{Site: rapid.SampledFrom(names).Draw(t, "site"), Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "until"))*time.Second}
+				e = DeclareLost{Site: rapid.SampledFrom(names).Draw(t, "site"), Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "until"))*time.Second}
 			default:
-				e = Whole{Machines: rapid.SliceOfN(id, 0, 6).Draw(t, "whole")}
+				e = EndpointListComplete{Endpoints: rapid.SliceOfN(id, 0, 6).Draw(t, "whole")}
 			}
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
 			step(e)
@@ -377,19 +377,19 @@
 				var events []Event
 				for id, x := range m.machines {
 					if x.gone {
-						events = append(events, Listed{Machine: id, Site: x.site, Bank: x.bank})
+						events = append(events, EndpointListed{Endpoint: id, Site: x.site, Group: x.bank})
 					}
-					events = append(events, Heard{id})
+					events = append(events, EndpointAnswered{id})
 				}
 				step(events...)
 			}
 		}
 		for _, v := range m.Views() {
-			if v.State != Well {
+			if v.State != SiteHealthy {
 				t.Fatalf("%s stays %v", v.Site, v.State)
 			}
 		}
-		step(Whole{})
+		step(EndpointListComplete{})
 		if len(m.machines) > 0 || len(m.sites) > 0 {
 			t.Fatal("something is left of an empty list")
 		}
@@ -402,21 +402,21 @@
 	for name, newFirst := range map[string]bool{"new ones first": true, "old ones first": false} {
 		w := newWorld(t, "n", 4, "n", "s", "w")
 		w.run(3 * time.Second)
-		w.lose("s", Refused)
+		w.lose("s", FailureRefused)
 		w.run(2 * time.Second)
-		w.is("s", Lost, SiteLost)
+		w.is("s", SiteLost, KindLost)
 		appear := func() {
 			for b := range 4 {
 				id := fmt.Sprint("new", b)
 				w.ids, w.site[id] = append(w.ids, id), "s"
-				w.step(ms, Listed{Machine: id, Site: "s", Bank: int64(b)})
+				w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: int64(b)})
 			}
 		}
 		if newFirst {
 			appear()
 		}
 		for b := range 4 {
-			w.step(ms, Listed{Machine: fmt.Sprint("s", b), Site: "s", Bank: int64(b), State: Gone})
+			w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", b), Site: "s", Group: int64(b), State: EndpointRemoved})
 		}
 		if !newFirst {
 			appear()
@@ -430,13 +430,13 @@
 		slices.Sort(w.ids)
 		w.run(20 * time.Second)
 		for _, c := range w.seen {
-			if c.Site == "s" && c.From == Returning && c.To == Lost {
+			if c.Site == "s" && c.From == SiteRecovering && c.To == SiteLost {
 				t.Errorf("%s: lost again: %s", name, c.Evidence)
 			}
 		}
-		w.is("s", Well, Unclear)
+		w.is("s", SiteHealthy, KindUnclear)
 		for _, v := range w.m.Views() {
-			if v.Site == "s" && (v.Machines != 4 || v.Down != 0) {
+			if v.Site == "s" && (v.Endpoints != 4 || v.Down != 0) {
 				t.Errorf("%s: %+v", name, v)
 			}
 		}
--- a/internal/sitefailover/meter.go
+++ b/internal/sitefailover/meter.go
@@ -6,9 +6,9 @@
 )
 
 // Key names what is counted.
-type Key struct {
+type DemandKey struct {
 	Class string
-	Bank  int64
+	Group int64
 }
 
 // meterSpan is over how long demand is averaged: long enough for a router that sees little, short enough for a burst of seconds.
@@ -18,8 +18,8 @@
 const meterMost = 4096
 
 // Meter measures demand: a rate that forgets with meterSpan. The zero Meter is empty.
-type Meter struct {
-	rates map[Key]*rate
+type DemandMeter struct {
+	rates map[DemandKey]*rate
 }
 
 type rate struct {
@@ -29,7 +29,7 @@
 }
 
 // Asked counts one request.
-func (m *Meter) Asked(now time.Duration, k Key) {
+func (m *DemandMeter) Record(now time.Duration, k DemandKey) {
 	r := m.rates[k]
 	if r == nil {
 		if len(m.rates) >= meterMost {
@@ -39,7 +39,7 @@
 			return
 		}
 		if m.rates == nil {
-			m.rates = map[Key]*rate{}
+			m.rates = map[DemandKey]*rate{}
 		}
 		r = &rate{at: now, since: now}
 		m.rates[k] = r
@@ -54,7 +54,7 @@
 }
 
 // forget drops what has not been asked for long.
-func (m *Meter) forget(now time.Duration) {
+func (m *DemandMeter) forget(now time.Duration) {
 	for k, r := range m.rates {
 		if r.fade(now); r.level < 0.01 {
 			delete(m.rates, k)
@@ -63,8 +63,8 @@
 }
 
 // Rates are requests a second by key.
-func (m *Meter) Rates(now time.Duration) map[Key]float64 {
-	out := map[Key]float64{}
+func (m *DemandMeter) Rates(now time.Duration) map[DemandKey]float64 {
+	out := map[DemandKey]float64{}
 	m.forget(now)
 	for k, r := range m.rates {
 		// Of a level that began so long ago only this part has had time to build up.
@@ -75,7 +75,7 @@
 }
 
 // Classes are requests a second by class.
-func (m *Meter) Classes(now time.Duration) map[string]float64 {
+func (m *DemandMeter) RatesByClass(now time.Duration) map[string]float64 {
 	out := map[string]float64{}
 	for k, v := range m.Rates(now) {
 		out[k.Class] += v
--- a/internal/sitefailover/meter_test.go
+++ b/internal/sitefailover/meter_test.go
@@ -8,11 +8,11 @@
 // A steady demand is measured from its first second on, a change within some spans; what is no more asked for is forgotten, and names that
 // clients make up are bounded.
 func TestMeter(t *testing.T) {
-	var m Meter
-	k, now := Key{"view", 1}, time.Hour
+	var m DemandMeter
+	k, now := DemandKey{"view", 1}, time.Hour
 	ask := func(rate float64, d time.Duration) {
 		for end := now + d; now < end; now += time.Duration(float64(time.Second) / rate) {
-			m.Asked(now, k)
+			m.Record(now, k)
 		}
 	}
 	is := func(least, most float64) {
@@ -27,7 +27,7 @@
 	is(18, 22)
 	ask(60, 30*time.Second)
 	is(54, 64)
-	if v := m.Classes(now)["view"]; v < 54 {
+	if v := m.RatesByClass(now)["view"]; v < 54 {
 		t.Errorf("%v", v)
 	}
 	now += 5 * time.Minute
@@ -35,13 +35,13 @@
 		t.Errorf("%v", m.Rates(now))
 	}
 	for i := range 3 * meterMost {
-		m.Asked(now, Key{"view", int64(i)})
+		m.Record(now, DemandKey{"view", int64(i)})
 	}
 	if len(m.rates) > meterMost {
 		t.Errorf("%d names", len(m.rates))
 	}
 	now += 5 * time.Minute
-	if m.Asked(now, Key{"view", -1}); len(m.rates) != 1 {
+	if m.Record(now, DemandKey{"view", -1}); len(m.rates) != 1 {
 		t.Errorf("%d names", len(m.rates))
 	}
 }
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -10,28 +10,28 @@
 )
 
 // Member is a machine as the plan counts with it. Carry is what it can do for this router, in seconds of work a second.
-type Member struct {
-	ID, Site string
-	Bank     int64
-	Primary  bool
-	Up       bool // it can take something now
-	Carry    float64
+type PlanEndpoint struct {
+	ID, Site  string
+	Group     int64
+	Primary   bool
+	Available bool // it can take something now
+	Capacity  float64
 }
 
 // Demand is what is asked of a bank in one class.
 type Demand struct {
-	Class  string
-	Bank   int64
-	Rate   float64 // requests a second
-	Work   float64 // seconds of work of one
-	Worth  float64 // of one
-	Strong bool    // it needs the primary
+	Class          string
+	Group          int64
+	Rate           float64 // requests a second
+	Work           float64 // seconds of work of one
+	PriorityWeight float64 // of one
+	NeedsPrimary   bool    // it needs the primary
 }
 
 // Input is all that a plan is made of.
-type Input struct {
-	Members []Member
-	Demands []Demand
+type PlanInput struct {
+	Endpoints []PlanEndpoint
+	Demands   []Demand
 }
 
 // keepShare is the part of each class and bank that is let through whatever it is worth: without any, nothing would tell that there is room
@@ -42,49 +42,49 @@
 const full = 0.95
 
 // Loss is what the loss of a site would mean.
-type Loss struct {
-	Site    string    `json:"site"`
-	Banks   []Bank    `json:"banks"`
-	Moves   []Move    `json:"moves"`
-	Refused []Refusal `json:"refused"`
-	Kept    float64   `json:"worth_kept"`   // part of the worth asked for that is still served
-	Now     float64   `json:"worth_served"` // the same with all sites
+type SiteLossPlan struct {
+	Site         string      `json:"site"`
+	Groups       []GroupLoss `json:"banks"`
+	Moves        []Move      `json:"moves"`
+	Rejections   []Rejection `json:"refused"`
+	WeightKept   float64     `json:"worth_kept"`   // part of the worth asked for that is still served
+	WeightServed float64     `json:"worth_served"` // the same with all sites
 }
 
 // Bank is what becomes of one.
-type Bank struct {
-	Bank         int64   `json:"bank"`
-	LosesPrimary bool    `json:"loses_primary"`
-	None         bool    `json:"none_left"` // it is wholly inside the site: nothing of it can be served
-	Successor    string  `json:"successor"` // who is likely to lead, "" = nobody can
-	Primary      float64 `json:"primary"`   // use of who leads then, part of what it carries
-	Replicas     float64 `json:"replicas"`  // the same of all others together
-	WasPrimary   float64 `json:"primary_now"`
-	WasReplicas  float64 `json:"replicas_now"`
+type GroupLoss struct {
+	Group         int64   `json:"bank"`
+	LosesPrimary  bool    `json:"loses_primary"`
+	NoneLeft      bool    `json:"none_left"` // it is wholly inside the site: nothing of it can be served
+	Successor     string  `json:"successor"` // who is likely to lead, "" = nobody can
+	PrimaryUse    float64 `json:"primary"`   // use of who leads then, part of what it carries
+	ReplicaUse    float64 `json:"replicas"`  // the same of all others together
+	PrimaryUseNow float64 `json:"primary_now"`
+	ReplicaUseNow float64 `json:"replicas_now"`
 }
 
 // Move is work that goes elsewhere, in seconds of work a second.
 type Move struct {
-	Bank int64   `json:"bank"`
-	From string  `json:"from"`
-	To   string  `json:"to"`
-	Work float64 `json:"work"`
+	Group int64   `json:"bank"`
+	From  string  `json:"from"`
+	To    string  `json:"to"`
+	Work  float64 `json:"work"`
 }
 
 // Refusal is what can't be carried, in the order in which it is refused.
-type Refusal struct {
-	Bank  int64   `json:"bank"`
-	Class string  `json:"class"`
-	Where string  `json:"where"` // primary or replicas: what is full
-	Share float64 `json:"share"` // of what is asked for in it
-	Rate  float64 `json:"rate"`  // requests a second
+type Rejection struct {
+	Group     int64   `json:"bank"`
+	Class     string  `json:"class"`
+	Saturated string  `json:"where"` // primary or replicas: what is full
+	Share     float64 `json:"share"` // of what is asked for in it
+	Rate      float64 `json:"rate"`  // requests a second
 }
 
 // Make plans the loss of each site that has a machine, in the order of their names. It costs a sort of each bank's demands for each site.
-func Make(in Input) (out []Loss) {
+func PlanLosses(in PlanInput) (out []SiteLossPlan) {
 	banks := gather(in)
 	var names []string
-	for _, x := range in.Members {
+	for _, x := range in.Endpoints {
 		if !slices.Contains(names, x.Site) {
 			names = append(names, x.Site)
 		}
@@ -94,22 +94,22 @@
 		b.now = b.carry("")
 	}
 	for _, name := range names {
-		l := Loss{Site: name, Banks: []Bank{}, Moves: []Move{}, Refused: []Refusal{}}
+		l := SiteLossPlan{Site: name, Groups: []GroupLoss{}, Moves: []Move{}, Rejections: []Rejection{}}
 		asked, kept, now := 0.0, 0.0, 0.0
 		for _, b := range banks {
 			after := b.carry(name)
 			a, k, n := b.worth(after)
 			asked, kept, now = asked+a, kept+k, now+n
-			here := slices.ContainsFunc(b.members, func(x *Member) bool { return x.Site == name && x.Up })
+			here := slices.ContainsFunc(b.members, func(x *PlanEndpoint) bool { return x.Site == name && x.Available })
 			if here {
-				l.Banks = append(l.Banks, Bank{Bank: b.id, LosesPrimary: b.now.lead != nil && b.now.lead.Site == name, None: after.lead == nil, Successor: after.leads(),
-					Primary: after.usedP, Replicas: after.usedR, WasPrimary: b.now.usedP, WasReplicas: b.now.usedR})
+				l.Groups = append(l.Groups, GroupLoss{Group: b.id, LosesPrimary: b.now.lead != nil && b.now.lead.Site == name, NoneLeft: after.lead == nil, Successor: after.leads(),
+					PrimaryUse: after.usedP, ReplicaUse: after.usedR, PrimaryUseNow: b.now.usedP, ReplicaUseNow: b.now.usedR})
 				l.Moves = append(l.Moves, b.moves(name, after)...)
 			}
-			l.Refused = append(l.Refused, b.refused(after)...)
+			l.Rejections = append(l.Rejections, b.refused(after)...)
 		}
-		if l.Kept, l.Now = 1, 1; asked > 0 {
-			l.Kept, l.Now = kept/asked, now/asked
+		if l.WeightKept, l.WeightServed = 1, 1; asked > 0 {
+			l.WeightKept, l.WeightServed = kept/asked, now/asked
 		}
 		out = append(out, l)
 	}
@@ -118,7 +118,7 @@
 
 // gather sorts an input by banks, in the order of their numbers: members by id, demands by the worth for a second of work, the most first.
 // What is refused first is refused from the other end.
-func gather(in Input) (out []*bank) {
+func gather(in PlanInput) (out []*bank) {
 	banks := map[int64]*bank{}
 	get := func(id int64) *bank {
 		b := banks[id]
@@ -129,21 +129,21 @@
 		}
 		return b
 	}
-	for i, x := range in.Members {
-		b := get(x.Bank)
-		b.members = append(b.members, &in.Members[i])
+	for i, x := range in.Endpoints {
+		b := get(x.Group)
+		b.members = append(b.members, &in.Endpoints[i])
 	}
 	for _, d := range in.Demands {
 		if d.Rate > 0 && d.Work > 0 {
-			b := get(d.Bank)
+			b := get(d.Group)
 			b.demands = append(b.demands, d)
 		}
 	}
 	slices.SortFunc(out, func(x, y *bank) int { return cmp.Compare(x.id, y.id) })
 	for _, b := range out {
-		slices.SortFunc(b.members, func(x, y *Member) int { return cmp.Compare(x.ID, y.ID) })
+		slices.SortFunc(b.members, func(x, y *PlanEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		slices.SortStableFunc(b.demands, func(x, y Demand) int {
-			return cmp.Or(cmp.Compare(y.Worth/y.Work, x.Worth/x.Work), cmp.Compare(x.Class, y.Class))
+			return cmp.Or(cmp.Compare(y.PriorityWeight/y.Work, x.PriorityWeight/x.Work), cmp.Compare(x.Class, y.Class))
 		})
 	}
 	return out
@@ -152,14 +152,14 @@
 // bank is one, with what is asked of it in the order of its worth.
 type bank struct {
 	id      int64
-	members []*Member
+	members []*PlanEndpoint
 	demands []Demand
 	now     carried
 }
 
 // carried is how a bank's demands are served without one site.
 type carried struct {
-	lead         *Member // nil = nobody can
+	lead         *PlanEndpoint // nil = nobody can
 	served       []float64
 	onP          []float64 // work of each demand at the primary; the rest of it is at the replicas
 	capP, capR   float64
@@ -175,7 +175,7 @@
 
 // carry shares out a bank's work among those that are left. Reads that any member serves go to replicas first.
 func (b *bank) carry(without string) (c carried) {
-	left := func(x *Member) bool { return x.Up && x.Site != without }
+	left := func(x *PlanEndpoint) bool { return x.Available && x.Site != without }
 	for _, x := range b.members {
 		if left(x) && (c.lead == nil || x.Primary) {
 			c.lead = x // the primary where it is left, else the first that can follow
@@ -188,14 +188,14 @@
 	for _, x := range b.members {
 		switch {
 		case x == c.lead:
-			c.capP = full * x.Carry
+			c.capP = full * x.Capacity
 		case left(x):
-			c.capR += full * x.Carry
+			c.capR += full * x.Capacity
 		}
 	}
 	p, r := c.capP, c.capR
 	put := func(i int, d Demand, want float64) {
-		if !d.Strong {
+		if !d.NeedsPrimary {
 			at := min(want, r)
 			r, want = r-at, want-at
 			c.served[i] += at
@@ -227,22 +227,22 @@
 // worth is what is asked for, kept with c, and served now.
 func (b *bank) worth(c carried) (asked, kept, now float64) {
 	for i, d := range b.demands {
-		w := d.Rate * d.Worth
+		w := d.Rate * d.PriorityWeight
 		asked, kept, now = asked+w, kept+w*c.served[i], now+w*b.now.served[i]
 	}
 	return asked, kept, now
 }
 
 // refused is what c can't carry, the first to be refused first.
-func (b *bank) refused(c carried) (out []Refusal) {
+func (b *bank) refused(c carried) (out []Rejection) {
 	for i := len(b.demands) - 1; i >= 0; i-- {
 		d := b.demands[i]
 		if share := 1 - c.served[i]; share > 1e-9 {
 			where := "replicas"
-			if d.Strong || c.capR == 0 {
+			if d.NeedsPrimary || c.capR == 0 {
 				where = "primary"
 			}
-			out = append(out, Refusal{b.id, d.Class, where, share, share * d.Rate})
+			out = append(out, Rejection{b.id, d.Class, where, share, share * d.Rate})
 		}
 	}
 	return out
@@ -292,41 +292,41 @@
 	}
 	out[c.lead.ID] = p
 	for _, x := range b.members {
-		if x != c.lead && x.Up && x.Site != without && c.capR > 0 {
-			out[x.ID] = (all - p) * full * x.Carry / c.capR
+		if x != c.lead && x.Available && x.Site != without && c.capR > 0 {
+			out[x.ID] = (all - p) * full * x.Capacity / c.capR
 		}
 	}
 	return out
 }
 
 // Table writes plans for people.
-func Table(w io.Writer, plans []Loss) error {
+func WriteTable(w io.Writer, plans []SiteLossPlan) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if len(plans) == 0 {
 		fmt.Fprintln(t, "no sites: no machine is listed")
 	}
 	for _, l := range plans {
-		fmt.Fprintf(t, "loss of %s: worth kept %.1f%% (now %.1f%%)\n", l.Site, 100*l.Kept, 100*l.Now)
-		if len(l.Banks) > 0 {
+		fmt.Fprintf(t, "loss of %s: worth kept %.1f%% (now %.1f%%)\n", l.Site, 100*l.WeightKept, 100*l.WeightServed)
+		if len(l.Groups) > 0 {
 			fmt.Fprintln(t, "  bank\tprimary then\tuse\treplicas' use\tnow\tnow")
 		}
-		for _, b := range l.Banks {
+		for _, b := range l.Groups {
 			who := b.Successor
 			switch {
-			case b.None:
+			case b.NoneLeft:
 				who = "none: wholly inside"
 			case b.LosesPrimary:
 				who += " (successor)"
 			}
-			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Bank, who, percent(b.Primary), percent(b.Replicas), percent(b.WasPrimary), percent(b.WasReplicas))
+			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Group, who, percent(b.PrimaryUse), percent(b.ReplicaUse), percent(b.PrimaryUseNow), percent(b.ReplicaUseNow))
 		}
 		for _, m := range l.Moves {
-			fmt.Fprintf(t, "  bank %d: %.2f of work from %s to %s\n", m.Bank, m.Work, m.From, m.To)
+			fmt.Fprintf(t, "  bank %d: %.2f of work from %s to %s\n", m.Group, m.Work, m.From, m.To)
 		}
-		for i, r := range l.Refused {
-			fmt.Fprintf(t, "  refused %d.: bank %d %s at the %s, %.0f%%, %.1f a second\n", i+1, r.Bank, r.Class, r.Where, 100*r.Share, r.Rate)
+		for i, r := range l.Rejections {
+			fmt.Fprintf(t, "  refused %d.: bank %d %s at the %s, %.0f%%, %.1f a second\n", i+1, r.Group, r.Class, r.Saturated, 100*r.Share, r.Rate)
 		}
-		if len(l.Refused) == 0 {
+		if len(l.Rejections) == 0 {
 			fmt.Fprintln(t, "  nothing is refused")
 		}
 	}
--- a/internal/sitefailover/ramp.go
+++ b/internal/sitefailover/ramp.go
@@ -8,9 +8,9 @@
 )
 
 // RampConfig bounds a Ramp.
-type RampConfig struct {
-	First float64       // the part of what its machines can do that a site gets first: that which a cold machine has
-	Over  time.Duration // a return without trouble takes so long: as machines take to get warm
+type RecoveryRampConfig struct {
+	InitialShare float64       // the part of what its machines can do that a site gets first: that which a cold machine has
+	Duration     time.Duration // a return without trouble takes so long: as machines take to get warm
 }
 
 // Of a ramp.
@@ -23,25 +23,25 @@
 )
 
 // Paced is the part of its machines' power that a site may be used for from now on, by all that this router sends. Part 1 is the end of it.
-type Paced struct {
-	Site string
-	Part float64
-	Why  string
+type RampChange struct {
+	Site   string
+	Share  float64
+	Reason string
 }
 
-func (Paced) action() {}
+func (RampChange) action() {}
 
 // Bound is an operators' word on a site's return: no more than Part until a moment. Part 0 forbids it.
-type Bound struct {
+type RampLimit struct {
 	Site  string
-	Part  float64
+	Share float64
 	Until time.Duration
 }
 
 // Ramp paces the return of sites: step by step while what goes there is answered, halved and paused at a sign of relapse, the slower the
 // more often a site has gone again. It holds each router to its own part, which together are the site's.
-type Ramp struct {
-	cfg   RampConfig
+type RecoveryRamp struct {
+	cfg   RecoveryRampConfig
 	sites map[string]*ramp
 }
 
@@ -58,9 +58,11 @@
 }
 
 // NewRamp returns one that no site is on.
-func NewRamp(cfg RampConfig) *Ramp { return &Ramp{cfg: cfg, sites: map[string]*ramp{}} }
+func NewRecoveryRamp(cfg RecoveryRampConfig) *RecoveryRamp {
+	return &RecoveryRamp{cfg: cfg, sites: map[string]*ramp{}}
+}
 
-func (r *Ramp) of(site string) *ramp {
+func (r *RecoveryRamp) of(site string) *ramp {
 	x := r.sites[site]
 	if x == nil {
 		x = &ramp{part: 1, told: 1}
@@ -70,35 +72,35 @@
 }
 
 // Moved takes a change of a site's state: a return begins or goes on, another loss ends it.
-func (r *Ramp) Moved(now time.Duration, site string, to State, flaps int) {
+func (r *RecoveryRamp) SiteStateChanged(now time.Duration, site string, to SiteState, flaps int) {
 	switch to {
-	case Lost:
+	case SiteLost:
 		// A first return is bounded by what each of its machines bears while it is cold, and pacing it beyond that only wastes them
 		// (docs/design/site-loss.md). One that goes again as it comes back is not to be believed so soon.
 		if flaps > 0 {
 			x := r.of(site)
 			x.part, x.running, x.next = r.first(), false, 0
 		}
-	case Returning:
+	case SiteRecovering:
 		if flaps == 0 {
 			return
 		}
 		x := r.of(site)
 		slow := time.Duration(1) << min(flaps, mostFlaps)
 		x.part, x.running, x.good, x.bad = r.first()/float64(slow), true, 0, 0
-		x.every = slow * r.cfg.Over / rampSteps
+		x.every = slow * r.cfg.Duration / rampSteps
 		x.next = now + x.every
-	case Well:
+	case SiteHealthy:
 		if x := r.sites[site]; x != nil {
 			x.part, x.running = 1, false
 		}
 	}
 }
 
-func (r *Ramp) first() float64 { return max(0.05, min(1, r.cfg.First)) }
+func (r *RecoveryRamp) first() float64 { return max(0.05, min(1, r.cfg.InitialShare)) }
 
 // Ended is what became of something sent to a site's machine: of what says something of the machine.
-func (r *Ramp) Ended(site string, bad bool) {
+func (r *RecoveryRamp) RecordOutcome(site string, bad bool) {
 	if x := r.sites[site]; x != nil && x.running {
 		if bad {
 			x.bad++
@@ -109,14 +111,14 @@
 }
 
 // Bind takes an operators' word; Until 0 takes it back.
-func (r *Ramp) Bind(b Bound) {
+func (r *RecoveryRamp) SetLimit(b RampLimit) {
 	x := r.of(b.Site)
-	x.bound, x.until = max(0, min(1, b.Part)), b.Until
+	x.bound, x.until = max(0, min(1, b.Share)), b.Until
 }
 
 // Look moves what is due, and says what has changed, in the order of the sites' names. Due is when it wants to look again, 0 = at the
 // next change of a site.
-func (r *Ramp) Look(now time.Duration) (out []Paced, due time.Duration) {
+func (r *RecoveryRamp) Update(now time.Duration) (out []RampChange, due time.Duration) {
 	wake := func(at time.Duration) {
 		if at > 0 && (due == 0 || at < due) {
 			due = at
@@ -156,7 +158,7 @@
 		}
 		if part != x.told {
 			x.told = part
-			out = append(out, Paced{name, part, why})
+			out = append(out, RampChange{name, part, why})
 		}
 		if x.running {
 			wake(x.next)
@@ -168,19 +170,19 @@
 }
 
 // Pace is how far a site's return is, for those on call.
-type Pace struct {
+type SiteRamp struct {
 	Site  string
-	Part  float64
+	Share float64
 	Until time.Duration // an operators' bound holds until then, 0 = there is none
 }
 
 // Paces are the sites that are not used for all they can do, in the order of their names.
-func (r *Ramp) Paces() (out []Pace) {
+func (r *RecoveryRamp) Ramps() (out []SiteRamp) {
 	for name, x := range r.sites {
 		if x.told < 1 {
-			out = append(out, Pace{name, x.told, x.until})
+			out = append(out, SiteRamp{name, x.told, x.until})
 		}
 	}
-	slices.SortFunc(out, func(a, b Pace) int { return cmp.Compare(a.Site, b.Site) })
+	slices.SortFunc(out, func(a, b SiteRamp) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
--- a/internal/sitefailover/uses.go
+++ b/internal/sitefailover/uses.go
@@ -6,7 +6,7 @@
 )
 
 // Uses are what machines tell of their own use in reports, beside what they do for this router.
-type Uses struct {
+type UtilizationTracker struct {
 	told map[string]*use
 }
 
@@ -24,7 +24,7 @@
 )
 
 // Told takes a report: rate is what the machine does for this router, in seconds of work a second, part what all its work takes of it.
-func (u *Uses) Told(machine string, rate, part float64) {
+func (u *UtilizationTracker) Record(machine string, rate, part float64) {
 	x := u.told[machine]
 	if x == nil {
 		if len(u.told) >= useMost {
@@ -44,7 +44,7 @@
 // Fair is what a machine can do for this router, in seconds of work a second, if it gets as large a part of each as it has of all machines' work
 // now. Of one machine it may have much more, or nothing, since it sends to its own site first; in a loss that is over. told is false
 // where nothing is known.
-func (u *Uses) Fair() (carry float64, told bool) {
+func (u *UtilizationTracker) FairCapacity() (carry float64, told bool) {
 	rate, part, n := 0.0, 0.0, 0
 	for _, id := range slices.Sorted(maps.Keys(u.told)) { // in order: sums in another differ
 		x := u.told[id]
@@ -57,7 +57,7 @@
 }
 
 // Forget drops machines that are not kept.
-func (u *Uses) Forget(keep func(machine string) bool) {
+func (u *UtilizationTracker) Retain(keep func(machine string) bool) {
 	for id := range u.told {
 		if !keep(id) {
 			delete(u.told, id)
--- a/internal/sitefailover/view.go
+++ b/internal/sitefailover/view.go
@@ -9,32 +9,32 @@
 )
 
 // View is a site as those on call see it.
-type View struct {
-	Site     string
-	State    State
-	Kind     Kind
-	Since    time.Duration // of its state, on the caller's clock
-	Evidence string        // of its last change
-	Machines int
-	Down     int
-	Flaps    int
+type SiteView struct {
+	Site      string
+	State     SiteState
+	Kind      Kind
+	Since     time.Duration // of its state, on the caller's clock
+	Evidence  string        // of its last change
+	Endpoints int
+	Down      int
+	Flaps     int
 }
 
 // Views are all sites, in the order of their names.
-func (m *Model) Views() (out []View) {
+func (m *Monitor) Views() (out []SiteView) {
 	for _, s := range m.sites {
 		f := figures{banks: map[int64]bool{}}
 		m.count(s, &f)
-		out = append(out, View{s.name, s.state, s.kind, s.since, s.evidence, len(s.machines), f.down, s.flaps})
+		out = append(out, SiteView{s.name, s.state, s.kind, s.since, s.evidence, len(s.machines), f.down, s.flaps})
 	}
-	slices.SortFunc(out, func(a, b View) int { return cmp.Compare(a.Site, b.Site) })
+	slices.SortFunc(out, func(a, b SiteView) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
 
 // Troubled says that some site is lost. A suspicion alone is not enough: it may be wrong. One that returns is bounded machine by machine.
-func (m *Model) Troubled() bool {
+func (m *Monitor) AnyLost() bool {
 	for _, s := range m.sites {
-		if s.state == Lost {
+		if s.state == SiteLost {
 			return true
 		}
 	}
@@ -42,13 +42,13 @@
 }
 
 // Lost says that a site is taken for lost, by evidence or an operators' word.
-func (m *Model) Lost(name string) bool {
+func (m *Monitor) IsLost(name string) bool {
 	s := m.sites[name]
-	return s != nil && s.state == Lost
+	return s != nil && s.state == SiteLost
 }
 
 // Flaps is how often a site has gone again while it came back.
-func (m *Model) Flaps(name string) int {
+func (m *Monitor) Flaps(name string) int {
 	if s := m.sites[name]; s != nil {
 		return s.flaps
 	}
@@ -56,7 +56,7 @@
 }
 
 // Site is where a machine stands, "" = not known.
-func (m *Model) Site(id string) string {
+func (m *Monitor) SiteOf(id string) string {
 	if x := m.machines[id]; x != nil {
 		return x.site
 	}
@@ -64,7 +64,7 @@
 }
 
 // Down says whether a machine is taken for down.
-func (m *Model) Down(id string) bool {
+func (m *Monitor) IsDown(id string) bool {
 	x := m.machines[id]
-	return x != nil && x.down(m.now, m.cfg.Window)
+	return x != nil && x.down(m.now, m.cfg.EvidenceWindow)
 }
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(func() { l.Stop(); e.Stop() })
 	s := &sink{want: 3, done: make(chan string, 9)}
 	k, c := pair(t, e, s)
-	do(l, func() { k.Hold(true) })
+	do(l, func() { k.SetPaused(true) })
 	c.Write([]byte("a")) // it fills the inbox
 	until(t, "the first has come", func() bool {
 		k.mu.Lock()
@@ -72,7 +72,7 @@
 	})
 	noted := l.Now()
 	until(t, "time has passed", func() bool { return l.Now() > noted+20*time.Millisecond })
-	do(l, func() { k.Hold(false) })
+	do(l, func() { k.SetPaused(false) })
 	wait(t, s.done, "got")
 	do(l, func() {
 		if first, last := k.CameAt(1), k.CameAt(3); first > last || last > noted {
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -61,7 +61,7 @@
 		k, c := pair(t, e, &sink{want: 1 << 40, done: make(chan string, 9)})
 		busy, free := make(chan bool), make(chan bool)
 		l.Post(func() {
-			k.Hold(held)
+			k.SetPaused(held)
 			close(busy)
 			<-free
 			k.Write([]byte("the last answer"))
@@ -154,7 +154,7 @@
 	l, e := start(t)
 	s := &sink{want: 1, done: make(chan string, 9)}
 	k, c := pair(t, e, s)
-	do(l, func() { k.Prompt(); k.Hold(true) })
+	do(l, func() { k.Prompt(); k.SetPaused(true) })
 	c.Write([]byte("asked ahead"))
 	until(t, "it has come", func() bool {
 		k.mu.Lock()
--- a/internal/transport/sock.go
+++ b/internal/transport/sock.go
@@ -268,7 +268,7 @@
 func (c *Conn) Buffer(n int) { c.nb.SetWriteBuffer(n) }
 
 // Hold stops the reading of the connection, or goes on with it. What has come before its end is still told.
-func (c *Conn) Hold(on bool) {
+func (c *Conn) SetPaused(on bool) {
 	if c.closed || c.held == on {
 		return
 	}
@@ -383,7 +383,7 @@
 		return // the poller has closed it, and its end is on its way here
 	}
 	c.within, c.before = within, c.sent.Load()
-	if c.timer = c.engine.loop.After(within, c.wait); c.Flushed() {
+	if c.timer = c.engine.loop.AfterFunc(within, c.wait); c.Flushed() {
 		c.shut()
 	} else {
 		c.Await(0)
@@ -403,7 +403,7 @@
 func (c *Conn) wait() {
 	if sent := c.sent.Load(); sent > c.before {
 		c.before = sent
-		c.timer = c.engine.loop.After(c.within, c.wait)
+		c.timer = c.engine.loop.AfterFunc(c.within, c.wait)
 		return
 	}
 	c.hangUp()
@@ -417,7 +417,7 @@
 		c.release() // what lingers has a bound of its own
 	}
 	c.timer.Stop()
-	c.timer = e.loop.After(Linger, c.hangUp)
+	c.timer = e.loop.AfterFunc(Linger, c.hangUp)
 	// Guards the descriptors: peers that never end their side must not take those that others need.
 	if e.lingering = append(e.lingering, c); len(e.lingering) > e.most {
 		oldest := e.lingering[0]
--- a/internal/transport/sock_test.go
+++ b/internal/transport/sock_test.go
@@ -208,7 +208,7 @@
 		wait(t, s.done, "accepted") // the loop has the connection before it is kept busy
 		busy, free := make(chan bool), make(chan bool)
 		l.Post(func() {
-			conn.Hold(hold)
+			conn.SetPaused(hold)
 			close(busy)
 			if !hold {
 				<-free
@@ -241,7 +241,7 @@
 		}
 		close(free)
 		if hold {
-			l.Post(func() { conn.Hold(false) })
+			l.Post(func() { conn.SetPaused(false) })
 		}
 		if err := <-wrote; err != nil {
 			t.Fatal(err)
