--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -39,7 +39,9 @@
 		if e != nil {
 			return fmt.Errorf("line %d: %w", n, e)
 		}
-		w.Write(append(text, '\n'))
+		if _, e := w.Write(append(text, '\n')); e != nil {
+			return e
+		}
 		if e := w.Flush(); e != nil {
 			return e
 		}
--- a/internal/adminapi/operator.go
+++ b/internal/adminapi/operator.go
@@ -3,6 +3,7 @@
 package adminapi
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -83,7 +84,7 @@
 	over   bool
 }
 
-// Data implements sock.Handler.
+// Data implements transport.Handler.
 func (k *conn) Data(p []byte) {
 	if k.whole || k.over {
 		return // one call to a connection
@@ -93,12 +94,12 @@
 	switch {
 	case err != nil:
 		status := http.StatusBadRequest
-		switch err {
-		case errLong:
+		switch {
+		case errors.Is(err, errLong):
 			status = http.StatusRequestEntityTooLarge
-		case errVersion:
+		case errors.Is(err, errVersion):
 			status = http.StatusHTTPVersionNotSupported
-		case errLength:
+		case errors.Is(err, errLength):
 			status = http.StatusLengthRequired
 		}
 		k.answer(status, err.Error())
@@ -108,13 +109,14 @@
 	}
 }
 
-// Closed implements sock.Handler.
+// Closed implements transport.Handler.
 func (k *conn) Closed(error) { k.drop() }
 
 // serve carries out a call.
 func (k *conn) serve(c call) {
 	r := k.server.router
-	method, act := http.MethodPost, func() {}
+	method := http.MethodPost
+	var act func()
 	switch p := c.path; {
 	case len(p) == 2 && p[0] == "v1" && p[1] == "readyz":
 		method = http.MethodGet
@@ -293,7 +295,8 @@
 	for _, h := range header {
 		p = append(append(p, h...), "\r\n"...)
 	}
-	k.sock.Write(append(append(append(p, "\r\n"...), text...), '\n'))
+	// A connection that takes no answer is broken, and it is dropped below all the same.
+	_ = k.sock.Write(append(append(append(p, "\r\n"...), text...), '\n'))
 	k.told = true
 	k.drop()
 }
--- a/internal/adminapi/operator_test.go
+++ b/internal/adminapi/operator_test.go
@@ -1,6 +1,7 @@
 package adminapi
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -36,7 +37,7 @@
 		for range 2000 {
 			p := []byte(text)
 			p[rng.IntN(len(p))] = byte(rng.IntN(256))
-			parse(p, 4096)
+			_, _, _ = parse(p, 4096) // garbage may be taken or not; it must not panic
 		}
 	}
 	for text, want := range map[string]error{
@@ -48,7 +49,7 @@
 		"GET / HTTP/1.1\r\n" + strings.Repeat("x: y\r\n", 1000):               errLong,
 		"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\nx": errForm,
 	} {
-		if _, _, err := parse([]byte(text), 4096); err != want {
+		if _, _, err := parse([]byte(text), 4096); !errors.Is(err, want) {
 			t.Errorf("%.60q: %v", text, err)
 		}
 	}
@@ -68,7 +69,7 @@
 type router struct{ drained, off bool }
 
 func (r *router) Takes() bool { return !r.drained }
-func (r *router) Suspend(id string, out bool, done func(bool)) {
+func (r *router) Suspend(id string, _ bool, done func(bool)) {
 	done(id == "s-1")
 }
 func (r *router) Drain(on bool, done func()) { r.drained = on; done() }
@@ -77,7 +78,7 @@
 	return map[bool]string{true: "site", false: "{}"}[table], r.off
 }
 
-func (r *router) Declare(site string, length time.Duration) (ok bool, known []string, off bool) {
+func (r *router) Declare(site string, _ time.Duration) (ok bool, known []string, off bool) {
 	return site == "n", []string{"n", "s"}, r.off
 }
 
@@ -90,6 +91,7 @@
 }
 
 func serve(t *testing.T) (l *eventloop.Loop, addr string) {
+	t.Helper()
 	l = eventloop.New()
 	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
@@ -115,12 +117,16 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, call+" HTTP/1.1\r\n\r\n")
+	if _, err := io.WriteString(c, call+" HTTP/1.1\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
 	p, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Sscanf(string(p), "HTTP/1.1 %d", &status)
+	if _, err := fmt.Sscanf(string(p), "HTTP/1.1 %d", &status); err != nil {
+		t.Fatalf("%q: %v", p, err)
+	}
 	return status
 }
 
@@ -192,7 +198,9 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		io.WriteString(c, "POST /v1/rou")
+		if _, err := io.WriteString(c, "POST /v1/rou"); err != nil {
+			t.Fatal(err)
+		}
 	}
 	stop := make(chan bool)
 	defer close(stop)
--- a/internal/audit/encode_test.go
+++ b/internal/audit/encode_test.go
@@ -16,6 +16,7 @@
 var key = audit.Key{Name: "k-2026", Secret: [32]byte{7, 7, 7}}
 
 func encoder(tb testing.TB, most int, k *audit.Key) *audit.Encoder {
+	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
 		Enterprise: 4294967295, Most: most, Software: "limeladder", Version: "(devel)", Start: audit.Stem(time.Unix(1.8e9, 0), 1), Began: time.Unix(1.8e9, 0),
--- a/internal/audit/queue.go
+++ b/internal/audit/queue.go
@@ -104,7 +104,7 @@
 }
 
 // Lost returns what was lost since it returned something last, once there is room to tell it, or when asked at the end.
-func (q *Queue) Lost(end bool) (d Dropped, any bool) {
+func (q *Queue) Lost(end bool) (d Dropped, lost bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.lost.Count == 0 || !end && (q.records > q.mostRec/2 || q.bytes > q.mostB/2) {
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -33,7 +33,7 @@
 
 // Tick tells of losses, once there is room; it is called now and then.
 func (r *Recorder) Tick() {
-	if d, any := r.queue.Lost(false); any && !r.ended {
+	if d, lost := r.queue.Lost(false); lost && !r.ended {
 		r.push(d)
 	}
 }
@@ -43,7 +43,7 @@
 	if r.ended {
 		return
 	}
-	if d, any := r.queue.Lost(true); any {
+	if d, lost := r.queue.Lost(true); lost {
 		r.push(d)
 	}
 	r.push(e)
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Sink takes messages in order and says how many; what it did not take it is offered again. It may wait for a disk.
+// Sink takes messages in order.
 type Sink interface {
+	// Put says how many messages it took; the rest is offered again. It may wait for a disk.
 	Put(msgs [][]byte) int
 }
 
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -217,7 +217,7 @@
 			v.take(name, &b.items[i])
 		}
 		switch {
-		case b.err == nil, b.err == io.EOF:
+		case b.err == nil, errors.Is(b.err, io.EOF):
 		case errors.Is(b.err, parser.ErrCut), errors.Is(b.err, parser.ErrFrame), errors.Is(b.err, parser.ErrLong):
 			v.fault(Fault{File: name, Message: b.index, Offset: b.at, What: b.err.Error() + ": the rest can't be read"})
 		default:
@@ -375,7 +375,7 @@
 		return
 	}
 	t.Messages++
-	defer t.enter(v, it)
+	defer t.enter(it)
 	if t.ended && it.kind != "CHAIN" {
 		bad("%s stands behind the last record of the start", it.name())
 	}
@@ -425,7 +425,7 @@
 }
 
 // enter moves a start on behind a message.
-func (t *track) enter(v *Verifier, it *item) {
+func (t *track) enter(it *item) {
 	t.link, t.lastMsg = it.next, it.raw
 	if it.next != (link{}) {
 		t.seen[it.next] = true
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -15,6 +15,7 @@
 
 // corpus are the messages of one start: n answers with heads between them, from START to the last head.
 func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
+	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
 		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
 		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0],
@@ -179,9 +180,8 @@
 
 // A record of losses has to fit what is missing.
 func TestLossesHaveToFit(t *testing.T) {
-	e, _ := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
 	for told, whole := range map[uint64]bool{3: true, 2: false, 1: false} {
-		e, _ = audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
+		e, _ := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
 		var msgs [][]byte
 		for _, r := range []audit.Record{{Seq: 1, Event: audit.Start{}}, {Seq: 5, Event: audit.Dropped{Count: told, First: 2, Last: 4}}, {Seq: 6, Event: audit.End{}}} {
 			msgs = append(msgs, bytes.Clone(e.Encode(r)))
@@ -260,12 +260,16 @@
 			}
 			buf = append(buf, '\n')
 			if len(buf) > 1<<19 {
-				w.Write(buf)
+				if _, err := w.Write(buf); err != nil {
+					t.Error(err)
+				}
 				buf = buf[:0]
 			}
 		}
-		w.Write(buf)
-		w.Close()
+		if _, err := w.Write(buf); err != nil {
+			t.Error(err)
+		}
+		_ = w.Close() // a pipe's end never fails to close
 	}()
 	v := verify.New(options())
 	if err := v.File("f", r); err != nil {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -47,15 +47,15 @@
 
 // decode gives a body to every decoder; none may panic, whatever it is.
 func decode(b []byte) {
-	Startup(b)
-	Query(b)
-	Pair(b)
-	Fields(b)
-	Row(b)
-	Parse(b)
-	Bind(b)
-	Target(b)
-	Execute(b)
+	_, _, _ = Startup(b)
+	_, _ = Query(b)
+	_, _, _ = Pair(b)
+	_, _ = Fields(b)
+	_, _ = Row(b)
+	_, _ = Parse(b)
+	_, _ = Bind(b)
+	_, _, _ = Target(b)
+	_, _, _ = Execute(b)
 }
 
 func same(a, b []Message) bool {
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestRandomGarbage(t *testing.T) {
+func TestRandomGarbage(_ *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 2000 {
 		p := valid()
@@ -96,7 +96,7 @@
 				p[i] = byte(rng.Uint32())
 			}
 		}
-		read(p, func(left int) int { return 1 + rng.IntN(left) })
+		_, _ = read(p, func(left int) int { return 1 + rng.IntN(left) }) // it may fail; it must not panic
 	}
 }
 
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -107,6 +107,19 @@
 func (e *ConfigError) Error() string { return e.Who + ": " + e.Err.Error() }
 func (e *ConfigError) Unwrap() error { return e.Err }
 
+// FieldError says that a field of an event holds what it may not. Field is its name on the wire.
+type FieldError struct {
+	Field  string
+	Reason string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+// MissingFieldError says that an event lacks a field. Field is its name on the wire.
+type MissingFieldError struct{ Field string }
+
+func (e *MissingFieldError) Error() string { return e.Field + " is missing" }
+
 // Decode reads one line. An error says what is wrong and at which event.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	var raw rawBatch
@@ -126,7 +139,7 @@
 		return b, locate(raw.Arrivals, err)
 	}
 	for i := range evs {
-		e, err := d.event(b.Now, &evs[i])
+		e, err := d.event(&evs[i])
 		if err != nil {
 			return b, fmt.Errorf("event %d (%s): %w", i, evs[i].Cmd, err)
 		}
@@ -151,7 +164,7 @@
 	return err
 }
 
-func (d *Decoder) event(now balance.Time, r *rawEvent) (*Event, error) {
+func (d *Decoder) event(r *rawEvent) (*Event, error) {
 	if r.Cmd == "Pool" {
 		list := make([]balance.EndpointEntry, len(r.Members))
 		for i, m := range r.Members {
@@ -164,14 +177,14 @@
 		return nil, nil
 	}
 	if r.Who == "" {
-		return nil, errors.New("Who is missing")
+		return nil, &MissingFieldError{Field: "Who"}
 	}
 	e := &Event{Who: r.Who}
 	took := time.Duration(r.TookNs)
 	switch r.Cmd {
 	case "Start":
 		if r.Params == nil {
-			return nil, errors.New("Params is missing")
+			return nil, &MissingFieldError{Field: "Params"}
 		}
 		c, err := r.Params.Balance()
 		if err != nil {
@@ -183,7 +196,7 @@
 		e.Down = true
 	case "Members":
 		if r.Kind < 0 || r.Kind > 3 {
-			return nil, fmt.Errorf("Kind: unknown value %d", r.Kind)
+			return nil, &FieldError{Field: "Kind", Reason: fmt.Sprintf("unknown value %d", r.Kind)}
 		}
 		l := balance.EndpointList{Kind: balance.EndpointListKind(r.Kind)}
 		if l.Kind != balance.ListFailed {
@@ -200,7 +213,7 @@
 	case "Outcome":
 		s, ok := statuses[r.Reason]
 		if !ok {
-			return nil, fmt.Errorf("Reason: unknown word %q", r.Reason)
+			return nil, &FieldError{Field: "Reason", Reason: fmt.Sprintf("unknown word %q", r.Reason)}
 		}
 		o := balance.AttemptResult{
 			ID: r.Ticket, Attempt: r.Leg, Endpoint: r.Node, Status: s, Elapsed: took,
@@ -213,7 +226,7 @@
 	case "Pong":
 		s, ok := statuses[r.Reason]
 		if !ok {
-			return nil, fmt.Errorf("Reason: unknown word %q", r.Reason)
+			return nil, &FieldError{Field: "Reason", Reason: fmt.Sprintf("unknown word %q", r.Reason)}
 		}
 		p := balance.HealthCheckResult{Endpoint: r.Node, Status: s, Elapsed: took}
 		if x0, ok := r.Telemetry["x0"]; ok {
--- a/internal/syslog/carry.go
+++ b/internal/syslog/carry.go
@@ -199,7 +199,7 @@
 	for _, o := range s.left {
 		if o.Empty() {
 			s.skipped.Add(uint64(o.Skipped()))
-			o.Remove()
+			_ = o.Remove() // a folder that stays is empty, and the next start removes it
 		} else {
 			rest = append(rest, o)
 		}
--- a/internal/syslog/link.go
+++ b/internal/syslog/link.go
@@ -126,7 +126,7 @@
 	buf := make([]byte, 512)
 	for {
 		if _, err := k.conn.Read(buf); err != nil {
-			k.orderly.Store(err == io.EOF)
+			k.orderly.Store(errors.Is(err, io.EOF))
 			k.ended.Store(true)
 			return
 		}
@@ -135,7 +135,8 @@
 
 // acked is the number of bytes on the connection that the collector's system has acknowledged.
 func (k *link) acked() int64 {
-	k.file.Control(func(fd uintptr) {
+	// It fails on a connection that is closed, and then nothing more is acknowledged.
+	_ = k.file.Control(func(fd uintptr) {
 		if left, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
 			k.taken = max(k.taken, k.wrote.n-int64(left))
 		}
@@ -162,7 +163,8 @@
 		}
 	}
 	lost := 0
-	k.file.Control(func(fd uintptr) { lost, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
+	// It fails on a socket that is closed here, which has no error of the network to tell.
+	_ = k.file.Control(func(fd uintptr) { lost, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
 	if lost != 0 {
 		return len(msgs) - 1, errLost
 	}
@@ -173,7 +175,7 @@
 func (k *link) finish(within time.Duration) {
 	k.raw.SetWriteDeadline(time.Now().Add(within))
 	if t, ok := k.conn.(*tls.Conn); ok {
-		t.CloseWrite()
+		_ = t.CloseWrite() // what the collector has acknowledged is counted below, whether or not it hears the end
 	}
 	k.raw.(*net.TCPConn).CloseWrite()
 	for end := time.Now().Add(within); k.acked() < k.wrote.n && time.Now().Before(end); {
--- a/internal/syslog/message.go
+++ b/internal/syslog/message.go
@@ -237,7 +237,7 @@
 		return b.buf
 	}
 	if text := most - b.closed - room; text >= 0 && b.marker >= 0 {
-		out := b.splice(0, 0)
+		out := b.splice(0)
 		return b.clip(out, most)
 	}
 	// Whole parameters go. The ranks are few, so it is counted rank by rank from the top.
@@ -259,7 +259,7 @@
 			b.drop(i, &need)
 		}
 	}
-	return b.splice(gone, most)
+	return b.splice(gone)
 }
 
 func (b *Builder) top() (r Rank) {
@@ -292,7 +292,7 @@
 }
 
 // splice writes what is left of the elements, with the marker, and where nothing of them went the text as well.
-func (b *Builder) splice(gone, most int) []byte {
+func (b *Builder) splice(gone int) []byte {
 	out := append(b.out[:0], b.buf[:b.opened]...)
 	started, in := false, -1
 	end := func() {
--- a/internal/syslog/parser/frame.go
+++ b/internal/syslog/parser/frame.go
@@ -105,7 +105,7 @@
 		case err == nil:
 			f.at += int64(len(p))
 			return p[:len(p)-1], nil
-		case err == bufio.ErrBufferFull:
+		case errors.Is(err, bufio.ErrBufferFull):
 		case err == io.EOF && len(p) > 0:
 			return nil, ErrCut
 		case err == io.EOF:
--- a/internal/syslog/parser/message.go
+++ b/internal/syslog/parser/message.go
@@ -220,11 +220,11 @@
 		}
 		h, ok := s.fixed(2)
 		ok = ok && s.take(':')
-		min, ok2 := s.fixed(2)
-		if !ok || !ok2 || h > 23 || min > 59 {
+		minute, ok2 := s.fixed(2)
+		if !ok || !ok2 || h > 23 || minute > 59 {
 			return time.Time{}, s.bad("TIME-OFFSET")
 		}
-		at = at.Add(sign * (time.Duration(h)*time.Hour + time.Duration(min)*time.Minute))
+		at = at.Add(sign * (time.Duration(h)*time.Hour + time.Duration(minute)*time.Minute))
 	}
 	if !s.take(' ') {
 		return time.Time{}, s.bad("TIMESTAMP")
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -44,7 +44,7 @@
 	if err := m.Read([]byte(good()[1])); err != nil || !m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
 		t.Fatal(m.Time, err)
 	}
-	if m.Read([]byte(good()[8])); string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
+	if err := m.Read([]byte(good()[8])); err != nil || string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
 		t.Fatalf("%q", m.Elements[0].Params)
 	}
 }
@@ -122,7 +122,7 @@
 				if len(q.Name) == 0 || len(q.Value) > len(p) {
 					t.Fatalf("%q", p)
 				}
-				Plain(q.Value)
+				_, _ = Plain(q.Value) // it may fail; it must not panic
 			}
 		}
 	})
@@ -143,7 +143,7 @@
 					t.Fatalf("%s %d: %q %v", name, i, got, err)
 				}
 			}
-			if _, err := fr.Next(); err != io.EOF || fr.Offset() != int64(len(p)) {
+			if _, err := fr.Next(); !errors.Is(err, io.EOF) || fr.Offset() != int64(len(p)) {
 				t.Fatalf("%s: %v at %d", name, err, fr.Offset())
 			}
 		}
@@ -152,7 +152,7 @@
 		for err == nil {
 			_, err = fr.Next()
 		}
-		if err != ErrCut {
+		if !errors.Is(err, ErrCut) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"crypto/tls"
+	"errors"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -139,7 +140,7 @@
 		k, err := s.own.Append(msgs[n:])
 		s.spooled.Add(uint64(k))
 		n += k
-		if err != nil && err != spool.ErrFull {
+		if err != nil && !errors.Is(err, spool.ErrFull) {
 			s.fault(err)
 			n += s.remember(msgs[n:])
 		}
@@ -230,7 +231,7 @@
 		}
 	}
 	for _, o := range s.left {
-		o.Close()
+		_ = o.Close() // where its cursor is not kept the next start sends messages again, and loses none
 	}
 	s.lost.Add(uint64(len(rest)))
 	s.waiting, s.bytes = nil, 0
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -150,57 +150,58 @@
 	}
 }
 
-func each(t *testing.T, f func(t *testing.T, network string)) {
-	for _, network := range []string{"udp", "tcp", "tls"} {
-		t.Run(network, func(t *testing.T) { f(t, network) })
-	}
-}
+// networks are those that a collector can be reached by.
+var networks = []string{"udp", "tcp", "tls"}
 
 func TestEachTransportCarriesAll(t *testing.T) {
-	each(t, func(t *testing.T, network string) {
-		w := newWorld(t)
-		c := w.collector(collector.Options{Network: network})
-		w.start(c)
-		for w.next < 10_000 {
-			w.put(100, true)
-			if network == "udp" {
-				time.Sleep(100 * time.Microsecond) // nothing slows a datagram's sender down
+	for _, network := range networks {
+		t.Run(network, func(t *testing.T) {
+			w := newWorld(t)
+			c := w.collector(collector.Options{Network: network})
+			w.start(c)
+			for w.next < 10_000 {
+				w.put(100, true)
+				if network == "udp" {
+					time.Sleep(100 * time.Microsecond) // nothing slows a datagram's sender down
+				}
 			}
-		}
-		w.got(false, c)
-		w.s.Close(time.Second)
-		if st := w.s.Stats(); st.Sent != 10_000 || st.Lost != 0 {
-			t.Fatalf("%+v", st)
-		}
-		w.s = nil
-	})
+			w.got(false, c)
+			w.s.Close(time.Second)
+			if st := w.s.Stats(); st.Sent != 10_000 || st.Lost != 0 {
+				t.Fatalf("%+v", st)
+			}
+			w.s = nil
+		})
+	}
 }
 
 // A collector that ends in order and comes back: with a spool nothing is missing, and nothing comes twice.
 func TestRestartLosesNothing(t *testing.T) {
-	each(t, func(t *testing.T, network string) {
-		w := newWorld(t)
-		w.opt.Spool = t.TempDir()
-		c := w.collector(collector.Options{Network: network})
-		w.start(c)
-		for range 4 {
-			w.put(300, true)
-			if network == "udp" {
-				w.got(false, c) // a datagram that is sent just when the socket closes is lost, and nobody hears of it
+	for _, network := range networks {
+		t.Run(network, func(t *testing.T) {
+			w := newWorld(t)
+			w.opt.Spool = t.TempDir()
+			c := w.collector(collector.Options{Network: network})
+			w.start(c)
+			for range 4 {
+				w.put(300, true)
+				if network == "udp" {
+					w.got(false, c) // a datagram that is sent just when the socket closes is lost, and nobody hears of it
+				}
+				c.Stop()
+				w.put(1500, true)
+				time.Sleep(20 * time.Millisecond)
+				if err := c.Start(); err != nil {
+					t.Fatal(err)
+				}
+				w.put(300, true)
 			}
-			c.Stop()
-			w.put(1500, true)
-			time.Sleep(20 * time.Millisecond)
-			if err := c.Start(); err != nil {
-				t.Fatal(err)
+			w.got(false, c)
+			if st := w.s.Stats(); network != "udp" && st.Spooled == 0 {
+				t.Fatalf("nothing went to the spool: %+v", st)
 			}
-			w.put(300, true)
-		}
-		w.got(false, c)
-		if st := w.s.Stats(); network != "udp" && st.Spooled == 0 {
-			t.Fatalf("nothing went to the spool: %+v", st)
-		}
-	})
+		})
+	}
 }
 
 // One that closes again and again in mid-stream, in order or by a reset. Behind resets the newest bytes come again.
@@ -380,7 +381,9 @@
 	c.Stop()
 	w.start(c)
 	w.put(1200, true)
-	c.Start()
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
 	begin := time.Now()
 	w.got(false, c)
 	// 1000 may come at once, the rest at the rate.
@@ -434,7 +437,9 @@
 	if st := w.s.Stats(); st.SpoolErrs != 1 {
 		t.Fatalf("%+v", st)
 	}
-	c.Start()
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
 	w.put(1000, true)
 	w.got(false, c)
 }
