--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -30,8 +30,11 @@
 // File is what a segment is written to.
 type File interface {
 	io.Writer
+	// Truncate cuts the file to a size.
 	Truncate(size int64) error
+	// Sync hands what was written to the disk.
 	Sync() error
+	// Close ends the writing.
 	Close() error
 }
 
@@ -112,7 +115,7 @@
 			continue // it is in use, or not readable
 		}
 		if s.Empty() {
-			s.Remove()
+			_ = s.Remove() // a folder that stays is empty, and the next start removes it
 			continue
 		}
 		left = append(left, s)
@@ -120,21 +123,24 @@
 	return left, err
 }
 
+// unlock lets go of a folder. Nothing is ever written to its lock, so closing that has nothing to lose.
+func unlock(lock *os.File) { _ = lock.Close() }
+
 func open(dir string, opt Options) (*Spool, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
 	if syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
-		lock.Close()
+		unlock(lock)
 		return nil, errHeld
 	}
 	// Guards against a folder that its last owner has removed between the open and the lock.
 	if i, err := os.Stat(lock.Name()); err != nil {
-		lock.Close()
+		unlock(lock)
 		return nil, errHeld
 	} else if j, err := lock.Stat(); err != nil || !os.SameFile(i, j) {
-		lock.Close()
+		unlock(lock)
 		return nil, errHeld
 	}
 	if opt.Create == nil {
@@ -145,7 +151,7 @@
 	s := &Spool{dir: dir, opt: opt, sums: table(), lock: lock}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		lock.Close()
+		unlock(lock)
 		return nil, fmt.Errorf("spool: %w", err)
 	}
 	for _, e := range entries {
@@ -158,8 +164,7 @@
 	slices.SortFunc(s.segs, func(a, b segment) int { return int(int64(a.n) - int64(b.n)) })
 	if at, ok := s.cursor(); ok {
 		for len(s.segs) > 0 && s.segs[0].n < at.n {
-			os.Remove(s.path(s.segs[0].n))
-			s.segs = s.segs[1:]
+			s.removeOldest()
 		}
 		if len(s.segs) > 0 && s.segs[0].n == at.n {
 			s.done = min(at.size, s.segs[0].size)
@@ -252,11 +257,24 @@
 	if s.out.Truncate(g.size) != nil {
 		g.size += int64(n)
 	}
-	s.out.Close()
-	s.out = nil
+	s.closeNewest()
 	return fmt.Errorf("%w: %w", ErrBroken, err)
 }
 
+// closeNewest ends the newest segment where nothing that is to be kept depends on it: the write before it has failed, or
+// all that stands in it is delivered, copied or removed.
+func (s *Spool) closeNewest() {
+	_ = s.out.Close()
+	s.out = nil
+}
+
+// removeOldest lets go of the oldest segment. Where its file stays and the cursor is not behind it, the next start reads it
+// again: messages come twice, and none is lost.
+func (s *Spool) removeOldest() {
+	_ = os.Remove(s.path(s.segs[0].n))
+	s.segs = s.segs[1:]
+}
+
 func (s *Spool) seal() error {
 	err := errors.Join(s.out.Sync(), s.out.Close())
 	s.out, s.dirty = nil, false
@@ -302,16 +320,14 @@
 	}
 	_, err = f.Write(p)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		os.Remove(s.path(n))
+		_ = os.Remove(s.path(n)) // the caller keeps the messages: where the file stays they come twice
 		return fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	if len(s.segs) > 0 && s.done > 0 {
 		if len(s.segs) == 1 && s.out != nil {
-			s.out.Close()
-			s.out = nil
+			s.closeNewest()
 		}
-		os.Remove(s.path(s.segs[0].n))
-		s.segs = s.segs[1:]
+		s.removeOldest()
 	}
 	s.segs = append([]segment{{n, int64(len(p))}}, s.segs...)
 	s.done, s.reading = 0, 0
@@ -422,14 +438,13 @@
 
 func (s *Spool) forget() {
 	if s.in != nil {
-		s.in.Close()
+		_ = s.in.Close() // it was only read
 	}
 	s.in, s.buf, s.base = nil, nil, 0
 }
 
 func (s *Spool) shift() {
-	os.Remove(s.path(s.segs[0].n))
-	s.segs = s.segs[1:]
+	s.removeOldest()
 	s.done, s.reading = 0, 0
 	s.forget()
 }
@@ -449,8 +464,7 @@
 	s.done = max(s.done, min(to, s.reading))
 	if s.done >= s.segs[0].size {
 		if s.out != nil && len(s.segs) == 1 {
-			s.out.Close() // it is the newest one too; the next message begins another
-			s.out = nil
+			s.closeNewest() // the next message begins another
 		}
 		s.shift()
 	}
@@ -499,8 +513,7 @@
 // Remove deletes the folder.
 func (s *Spool) Remove() error {
 	if s.out != nil {
-		s.out.Close()
-		s.out = nil
+		s.closeNewest()
 	}
 	s.forget()
 	err := os.RemoveAll(s.dir)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -33,6 +33,22 @@
 	return s
 }
 
+// must fails the test where a step that it rests on fails.
+func must(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// appendAll appends messages that there is room for.
+func appendAll(tb testing.TB, s *Spool, msgs [][]byte) {
+	tb.Helper()
+	if n, err := s.Append(msgs); err != nil || n != len(msgs) {
+		tb.Fatalf("%d of %d messages appended: %v", n, len(msgs), err)
+	}
+}
+
 // drain reads all that is left, as delivered.
 func drain(tb testing.TB, s *Spool) (out []string) {
 	tb.Helper()
@@ -135,7 +151,9 @@
 		if read != next {
 			t.Fatalf("%d of %d came out", read, next)
 		}
-		s.Close()
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
 	})
 }
 
@@ -146,15 +164,15 @@
 	opt.Segment = 1 << 20
 	s := create(t, dir, opt)
 	want := some(0, 20)
-	s.Append(want)
-	s.out.Close()
+	appendAll(t, s, want)
+	must(t, s.out.Close())
 	whole, err := os.ReadFile(s.path(middle))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.lock.Close()
+	must(t, s.lock.Close())
 	for cut := range len(whole) {
-		os.WriteFile(s.path(middle), whole[:cut], 0o600)
+		must(t, os.WriteFile(s.path(middle), whole[:cut], 0o600))
 		left, err := Adopt(dir, opt)
 		n := 0
 		for at := 0; n < len(want) && at+header+len(want[n]) <= cut; n++ {
@@ -164,15 +182,15 @@
 			if len(left) != 0 {
 				t.Fatal("an empty folder is not let go")
 			}
-			os.MkdirAll(filepath.Join(dir, "one"), 0o700)
+			must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
 			continue
 		}
 		if err != nil || len(left) != 1 {
 			t.Fatalf("%d: %d, %v", cut, len(left), err)
 		}
 		same(t, drain(t, left[0]), want[:n])
-		left[0].lock.Close()
-		os.MkdirAll(filepath.Join(dir, "one"), 0o700)
+		must(t, left[0].lock.Close())
+		must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
 	}
 }
 
@@ -181,15 +199,15 @@
 	dir := t.TempDir()
 	s := create(t, dir, Options{Segment: 1 << 20, Most: 1 << 20, Message: 100})
 	want := some(0, 12)
-	s.Append(want)
-	s.out.Close()
+	appendAll(t, s, want)
+	must(t, s.out.Close())
 	whole, _ := os.ReadFile(s.path(middle))
-	s.lock.Close()
+	must(t, s.lock.Close())
 	for bit := range len(whole) * 8 {
 		p := bytes.Clone(whole)
 		p[bit/8] ^= 1 << (bit % 8)
-		os.MkdirAll(filepath.Join(dir, "one"), 0o700)
-		os.WriteFile(s.path(middle), p, 0o600)
+		must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
+		must(t, os.WriteFile(s.path(middle), p, 0o600))
 		left, err := Adopt(dir, options())
 		if err != nil || len(left) != 1 {
 			t.Fatal(err)
@@ -203,7 +221,7 @@
 		if left[0].Skipped() != int64(header+len(want[hit])) {
 			t.Fatalf("bit %d: %d bytes passed over", bit, left[0].Skipped())
 		}
-		left[0].Remove()
+		must(t, left[0].Remove())
 	}
 }
 
@@ -211,21 +229,21 @@
 func TestOneOwner(t *testing.T) {
 	dir := t.TempDir()
 	s := create(t, dir, options())
-	s.Append(some(0, 3))
+	appendAll(t, s, some(0, 3))
 	if left, err := Adopt(dir, options()); err != nil || len(left) != 0 {
 		t.Fatalf("%d adopted, %v", len(left), err)
 	}
-	if _, err := open(s.dir, options()); err != errHeld {
+	if _, err := open(s.dir, options()); !errors.Is(err, errHeld) {
 		t.Fatalf("%v", err)
 	}
-	s.Close()
+	must(t, s.Close())
 	a, _ := Adopt(dir, options())
 	b, _ := Adopt(dir, options())
 	if len(a) != 1 || len(b) != 0 {
 		t.Fatalf("%d and %d adopted", len(a), len(b))
 	}
 	same(t, drain(t, a[0]), some(0, 3))
-	a[0].Close()
+	must(t, a[0].Close())
 	if entries, _ := os.ReadDir(dir); len(entries) != 0 {
 		t.Fatal("the folder is still there")
 	}
@@ -281,7 +299,7 @@
 				}
 			}
 			same(t, drain(t, s), want)
-			s.Close()
+			must(t, s.Close())
 		}
 	}
 }
@@ -295,7 +313,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		n, err := s.Append(some(in, in+1+rng.IntN(9)))
-		if err != nil && err != ErrFull {
+		if err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
 		in += n
@@ -325,7 +343,7 @@
 	for delivered := range 12 {
 		dir := t.TempDir()
 		s := create(t, dir, options())
-		s.Append(some(5, 17))
+		appendAll(t, s, some(5, 17))
 		msgs, err := s.Next(nil, delivered, 1<<20)
 		if err != nil {
 			t.Fatal(err)
@@ -335,7 +353,7 @@
 		if err := s.Front(some(0, 5)); err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
+		must(t, s.Close())
 		left, err := Adopt(dir, options())
 		if err != nil || len(left) != 1 {
 			t.Fatal(err)
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -57,13 +57,13 @@
 	s := &sink{want: 3, done: make(chan string, 9)}
 	k, c := pair(t, e, s)
 	do(l, func() { k.SetPaused(true) })
-	c.Write([]byte("a")) // it fills the inbox
+	send(t, c, "a") // it fills the inbox
 	until(t, "the first has come", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return len(k.in) == 1
 	})
-	c.Write([]byte("bc"))
+	send(t, c, "bc")
 	until(t, "the rest is noted in the system's buffer", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -35,6 +35,14 @@
 	return <-accepted, c.(*net.TCPConn)
 }
 
+// send writes to the engine from the other end.
+func send(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // until waits for what the test has set in motion.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
@@ -64,7 +72,9 @@
 			k.SetPaused(held)
 			close(busy)
 			<-free
-			k.Write([]byte("the last answer"))
+			if err := k.Write([]byte("the last answer")); err != nil {
+				t.Error(err)
+			}
 			k.Finish(time.Second)
 		})
 		<-busy
@@ -84,7 +94,7 @@
 		for {
 			n, err := c.Read(buf)
 			got = append(got, buf[:n]...)
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
 				t.Fatalf("held %v: %q, %v", held, got, err)
@@ -94,7 +104,7 @@
 			t.Fatalf("held %v: %q", held, got)
 		}
 		// What crosses the end is read and dropped, and the peer's own end ends it.
-		c.Write([]byte("one more request"))
+		send(t, c, "one more request")
 		c.Close()
 		until(t, "its end", func() (over bool) {
 			do(l, func() { over = e.Finishing() == 0 })
@@ -155,7 +165,7 @@
 	s := &sink{want: 1, done: make(chan string, 9)}
 	k, c := pair(t, e, s)
 	do(l, func() { k.Prompt(); k.SetPaused(true) })
-	c.Write([]byte("asked ahead"))
+	send(t, c, "asked ahead")
 	until(t, "it has come", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -190,9 +200,9 @@
 		// The poller is kept at another connection until all has come here, and then finds it at once.
 		other, o := pair(t, e, ends{make(chan string, 9), make(chan error, 9)})
 		other.reading.Lock()
-		o.Write([]byte("x"))
-		until(t, "the poller is kept", func() bool { return strings.Contains(stacks(), "sock.(*Conn).read(") })
-		c.Write([]byte("{}"))
+		send(t, o, "x")
+		until(t, "the poller is kept", func() bool { return strings.Contains(stacks(), "transport.(*Conn).read(") })
+		send(t, c, "{}")
 		if reset {
 			c.SetLinger(0)
 		}
--- a/internal/transport/sock.go
+++ b/internal/transport/sock.go
@@ -25,12 +25,17 @@
 
 // Handler is told what happens on a connection. After Closed nothing more comes.
 type Handler interface {
-	Data(p []byte) // p is valid until it returns
+	// Data hands over bytes that have come. p is valid until it returns.
+	Data(p []byte)
+	// Closed says that the connection has ended, and why.
 	Closed(err error)
 }
 
 // Taker is a Handler that is told when its peer has taken most of what was written.
-type Taker interface{ Taken() }
+type Taker interface {
+	// Taken says that no more is left to take than Await has named.
+	Taken()
+}
 
 // Engine owns the poller.
 type Engine struct {
@@ -106,7 +111,7 @@
 func (e *Engine) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	e.nb.Shutdown(ctx)
+	_ = e.nb.Shutdown(ctx) // its only error is that the second is over
 }
 
 const readSize = 32 << 10
@@ -175,7 +180,7 @@
 		if n <= 0 || err != nil {
 			c.retire() // nbio closes it next
 			if err != nil {
-				c.nb.CloseWithError(err)
+				_ = c.nb.CloseWithError(err) // the handler is told by OnClose, whatever this returns
 			}
 			return
 		}
@@ -245,7 +250,8 @@
 	p, full := c.in, c.full
 	c.in, c.posted, c.full = nil, false, false
 	c.mu.Unlock()
-	if !c.closed && len(p) > 0 && !(c.prompt && c.over.Load()) {
+	dropped := c.prompt && c.over.Load()
+	if !c.closed && len(p) > 0 && !dropped {
 		c.h.Data(p)
 	}
 	if full && (!c.closed || c.finishing) {
@@ -265,7 +271,9 @@
 
 // Buffer bounds what the system keeps of what was written and not taken. Guards the sight of progress: behind megabytes of
 // them a slow peer would seem to take nothing for seconds.
-func (c *Conn) Buffer(n int) { c.nb.SetWriteBuffer(n) }
+func (c *Conn) Buffer(n int) {
+	_ = c.nb.SetWriteBuffer(n) // it fails on a connection that is closed, which keeps nothing
+}
 
 // Hold stops the reading of the connection, or goes on with it. What has come before its end is still told.
 func (c *Conn) SetPaused(on bool) {
@@ -337,7 +345,7 @@
 // hangUp closes it.
 func (c *Conn) hangUp() {
 	c.retire()
-	c.nb.Close()
+	_ = c.nb.Close() // its only error is that it is closed already
 }
 
 // Flushed says whether the system has taken all that was written. Once the connection is closed it does not change.
@@ -412,7 +420,8 @@
 // shut ends the sending side and waits for the peer to end its own.
 func (c *Conn) shut() {
 	e := c.engine
-	c.use(func(fd int) { unix.Shutdown(fd, unix.SHUT_WR) })
+	// It fails where the peer has reset the connection, whose end is on its way here then.
+	c.use(func(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) })
 	if c.release != nil {
 		c.release() // what lingers has a bound of its own
 	}
@@ -534,7 +543,9 @@
 		std, err := l.ln.Accept()
 		if err != nil {
 			l.give()
-			if ne, ok := err.(net.Error); ok && ne.Timeout() || !isClosed(err) {
+			var netErr net.Error
+			timeout := errors.As(err, &netErr) && netErr.Timeout()
+			if timeout || !errors.Is(err, net.ErrClosed) {
 				// Guards against a hot loop, and a log of nothing else, while no descriptor is free.
 				if wait == first {
 					log.Warn("accept failed", "err", err)
@@ -594,7 +605,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("%d is no descriptor", fd)
 	}
-	defer f.Close() // the listener has one of its own
+	defer func() { _ = f.Close() }() // the listener has a descriptor of its own
 	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
 		return nil, fmt.Errorf("descriptor %d is no socket that listens", fd)
 	}
@@ -611,11 +622,6 @@
 	return ln, nil
 }
 
-func isClosed(err error) bool {
-	op, ok := err.(*net.OpError)
-	return ok && op.Err == net.ErrClosed || err == net.ErrClosed
-}
-
 type nobody struct{}
 
 func (nobody) Data([]byte)  {}
--- a/internal/transport/sock_test.go
+++ b/internal/transport/sock_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -16,8 +17,10 @@
 // echo sends back what comes.
 type echo struct{ c *Conn }
 
-func (e echo) Data(p []byte) { e.c.Write(p) }
-func (echo) Closed(error)    {}
+func (e echo) Data(p []byte) {
+	_ = e.c.Write(p) // what is not sent does not come back, which the test sees
+}
+func (echo) Closed(error) {}
 
 // sink collects what comes.
 type sink struct {
@@ -31,9 +34,10 @@
 		s.done <- "got"
 	}
 }
-func (s *sink) Closed(err error) { s.done <- "closed" }
+func (s *sink) Closed(error) { s.done <- "closed" }
 
 func start(t *testing.T) (*eventloop.Loop, *Engine) {
+	t.Helper()
 	l := eventloop.New()
 	e, err := New(l, 1024, 1<<20)
 	if err != nil {
@@ -155,7 +159,9 @@
 					t.Error(err)
 					return nil
 				}
-				k.Write([]byte("x"))
+				if err := k.Write([]byte("x")); err != nil {
+					t.Error(err)
+				}
 				c <- k
 				return h
 			})
@@ -263,8 +269,9 @@
 	l, e := start(t)
 	const total = 7 << 20
 	ln, err := e.Listen("127.0.0.2:0", 64, slog.New(slog.NewTextHandler(io.Discard, nil)), func(c *Conn) Handler {
-		c.nb.SetWriteBuffer(64 << 10)
-		c.Write(make([]byte, total))
+		if err := errors.Join(c.nb.SetWriteBuffer(64<<10), c.Write(make([]byte, total))); err != nil {
+			t.Error(err)
+		}
 		c.Finish(time.Second)
 		return echo{c}
 	})
