--- a/cmd/limeladder/changeover.go
+++ b/cmd/limeladder/changeover.go
@@ -30,8 +30,8 @@
 		}
 		classes[name] = failover.Class{PriorityWeight: k.PriorityWeight, Work: k.LatencyObjective / 10}
 	}
-	d.core.EnableFailoverQueue(failover.Config{Instances: cfg.Balance.Instances, Classes: classes, MaxPending: cmp.Or(c.Count, d.lim.Held),
-		MaxPendingBytes: cmp.Or(c.Bytes, d.lim.HeldBytes), MaxPendingTime: c.Time, DeadlineMargin: d.lim.AnswerBefore, MaxRetryAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
+	d.core.EnableFailoverQueue(failover.Config{Instances: cfg.Balance.Instances, Classes: classes, MaxPending: cmp.Or(c.Count, d.lim.Router.PendingWrites),
+		MaxPendingBytes: cmp.Or(c.Bytes, d.lim.Router.PendingWriteBytes), MaxPendingTime: c.Time, DeadlineMargin: d.lim.Router.DeadlineMargin, MaxRetryAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
 	return nil
 }
 
@@ -55,7 +55,7 @@
 		return
 	}
 	if d.store == nil || !d.store.Ready() || !d.told {
-		d.loop.AfterFunc(d.lim.Share, d.hint)
+		d.loop.AfterFunc(d.lim.HotRestart.PollInterval, d.hint)
 		return
 	}
 	d.hinted = true
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -69,27 +69,27 @@
 		longest = max(longest, c.ClientTimeout)
 	}
 	d := &daemon{log: log, loop: eventloop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
-	d.lim = limits.For(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
-		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).Among(cfg.Balance.Instances)
+	d.lim = limits.New(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
+		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).ForFleet(cfg.Balance.Instances)
 	if !cfg.Balance.PollDiscovery {
-		d.lim = d.lim.Pushed(cfg.Balance.DrainGrace)
+		d.lim = d.lim.ForPushedLists(cfg.Balance.DrainGrace)
 	}
 	if most := cfg.Balance.MaxRetryAfter; most > 0 {
-		d.lim.ComeAgain = min(d.lim.ComeAgain, most) // clients heed nothing longer
+		d.lim.Router.DefaultRetryAfter = min(d.lim.Router.DefaultRetryAfter, most) // clients heed nothing longer
 	}
 	if dep.Extended.Listen != "" {
-		d.lim.Clients /= 2 // both fronts share the descriptors
+		d.lim.Frontend.Connections /= 2 // both fronts share the descriptors
 	}
 	d.full, d.dep, d.passed = d.lim, dep, cfg.Inherited > 0
 	var left hotrestart.State
-	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.StartedAlone() {
+	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Discovery.KnownEndpoints, log); !d.shared.StartedAlone() {
 		d.two = true
 		log.Info("another process of this router serves")
-		d.lim = d.full.Lean()
+		d.lim = d.full.DuringHotRestart()
 	}
 	d.memory()
 	var err error
-	if d.engine, err = transport.New(d.loop, cfg.Limits.Sockets, d.lim.Inbox); err != nil {
+	if d.engine, err = transport.New(d.loop, cfg.Limits.Sockets, d.lim.Transport.InboxBytes); err != nil {
 		return nil, err
 	}
 	if d.record, err = startRecording(d.loop, d.lim, dep, cfg.Name, cfg.SeedValue, log); err != nil {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.PostUrgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
+		d.operator = d.engine.Serve(ln, d.lim.AdminAPI.Connections, d.loop.PostUrgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
 		log.Info("listening", "front", "operator", "addr", ln.Addr().String())
 	}
 	known := config.List{}
@@ -138,8 +138,8 @@
 		}
 		d.listed(known, balance.ListCached)
 		d.hint()
-		first := d.lim.ListFirst
-		if d.lim.ListKnown && len(known.Servers) > 0 {
+		first := d.lim.Discovery.FirstListTimeout
+		if d.lim.Discovery.ResumeFromKnown && len(known.Servers) > 0 {
 			d.watcher.ResumeFrom(known.Version)
 			first = 0
 		}
@@ -149,7 +149,7 @@
 		d.loop.AfterFunc(first, d.ready)
 		d.report()
 	})
-	d.shared.Watch(d.lim.Share, d.loop.PostUrgent, d)
+	d.shared.Watch(d.lim.HotRestart.PollInterval, d.loop.PostUrgent, d)
 	return d, nil
 }
 
@@ -159,8 +159,8 @@
 	if c.Name == "" {
 		return nil, nil
 	}
-	s, err := store.Open(store.Config{Name: c.Name, Folder: c.Folder, Peers: c.Peers, Entries: d.lim.StoreEntries,
-		Queue: d.lim.StoreQueue, Secret: store.Files{CA: c.CA, Cert: c.Cert, Key: c.Key}}, d.log)
+	s, err := store.Open(store.Config{Name: c.Name, Folder: c.Folder, Peers: c.Peers, Entries: d.lim.Store.LogEntries,
+		Queue: d.lim.Store.QueuedWrites, Secret: store.Files{CA: c.CA, Cert: c.Cert, Key: c.Key}}, d.log)
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 	}
 	err := d.listen("extended.listen", 0, addr, extendedquery.New(d.core))
 	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.StartedAlone() {
-		d.loop.AfterFunc(d.lim.Share, func() {
+		d.loop.AfterFunc(d.lim.HotRestart.PollInterval, func() {
 			if err := d.second(); err != nil {
 				d.log.Error("the second front stays closed", "err", err)
 			}
@@ -192,8 +192,8 @@
 
 // memory tells the runtime what this process may use.
 func (d *daemon) memory() {
-	debug.SetMemoryLimit(d.lim.Memory)
-	debug.SetGCPercent(d.lim.Garbage)
+	debug.SetMemoryLimit(d.lim.Memory.TargetBytes)
+	debug.SetGCPercent(d.lim.Memory.GCPercent)
 }
 
 // keep queues a value for the store; nothing waits for it.
@@ -217,7 +217,7 @@
 	d.log.Info("counts", "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed, "left", c.Disconnected,
 		"attempts", fmt.Sprint(c.Attempts), "inhand", d.core.InFlight(), "clients", d.clients())
 	d.keep("counts/"+d.name, c)
-	d.loop.AfterFunc(d.lim.Report, d.report)
+	d.loop.AfterFunc(d.lim.Router.ReportInterval, d.report)
 }
 
 // listen opens a front, on the socket that was inherited or, where that is 0, on one of its own.
@@ -260,7 +260,7 @@
 	if d.passed && d.two && !d.serving {
 		return 0
 	}
-	return d.lim.Clients
+	return d.lim.Frontend.Connections
 }
 
 func (d *daemon) clients() (n int) {
@@ -394,8 +394,8 @@
 	for _, f := range d.fronts {
 		f.Drain(d.passed)
 	}
-	until := d.loop.Now() + d.lim.DrainKept
-	accept := d.lim.DrainAccept
+	until := d.loop.Now() + d.lim.Shutdown.GuaranteedTime
+	accept := d.lim.Shutdown.AcceptTime
 	if d.passed {
 		accept = 0 // the next process has the socket: what comes from now on is its own
 	}
@@ -414,5 +414,5 @@
 			d.core.SetShutdownDeadline(until) // clients send on every connection that stays open
 		})
 	})
-	d.loop.AfterFunc(d.lim.DrainMost, d.loop.Stop)
+	d.loop.AfterFunc(d.lim.Shutdown.MaxTime, d.loop.Stop)
 }
--- a/cmd/limeladder/deployment_test.go
+++ b/cmd/limeladder/deployment_test.go
@@ -286,7 +286,7 @@
 	for most, want := range map[time.Duration]time.Duration{0: time.Second, 300 * time.Millisecond: 300 * time.Millisecond, 2 * time.Second: time.Second} {
 		cfg := pushed(t, agent, list...)
 		cfg.Balance.MaxRetryAfter = most
-		if got := serve(t, cfg).lim.ComeAgain; got != want {
+		if got := serve(t, cfg).lim.Router.DefaultRetryAfter; got != want {
 			t.Errorf("clients heed %v: it says %v", most, got)
 		}
 	}
--- a/cmd/limeladder/endings_test.go
+++ b/cmd/limeladder/endings_test.go
@@ -124,7 +124,7 @@
 		}
 	}
 	until("HTTP/1.1 200 OK") // ready without a list
-	lim := limits.For(192, sockets, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, sockets, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	welcome := 0
 	for range 2 * sockets {
 		c, err := net.Dial("tcp", addr)
@@ -133,7 +133,7 @@
 		}
 		defer c.Close()
 		c.Write(pgwire.AppendStartup(nil, "user", "portal", "database", "crm"))
-		if welcome < lim.Clients {
+		if welcome < lim.Frontend.Connections {
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			if _, err := c.Read(make([]byte, 1)); err != nil {
 				t.Fatalf("client %d: %v", welcome, err)
@@ -143,7 +143,7 @@
 	}
 	until("HTTP/1.1 200 OK") // though all places of clients are taken
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-	if err != nil || len(open) < lim.Clients || len(open) > sockets {
+	if err != nil || len(open) < lim.Frontend.Connections || len(open) > sockets {
 		t.Fatalf("%d descriptors are open, %v", len(open), err)
 	}
 	if err := agent.Start(); err != nil {
--- a/cmd/limeladder/operate.go
+++ b/cmd/limeladder/operate.go
@@ -70,7 +70,7 @@
 			d.order = append(d.order, id)
 		}
 	}
-	for len(d.order) > d.lim.Listed { // guards memory: db machines come under new ids day after day
+	for len(d.order) > d.lim.Discovery.KnownEndpoints { // guards memory: db machines come under new ids day after day
 		delete(d.known, d.order[0])
 		d.order = d.order[1:]
 	}
@@ -121,7 +121,7 @@
 	d.two = !alone
 	d.pass()
 	if d.lim = d.full; !alone {
-		d.lim = d.full.Lean()
+		d.lim = d.full.DuringHotRestart()
 	}
 	d.memory()
 	d.pool.SetLimits(d.lim)
--- a/cmd/limeladder/record.go
+++ b/cmd/limeladder/record.go
@@ -62,18 +62,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("audit.keys: %w", err)
 	}
-	r := &recording{log: log, loop: l, lim: lim, dep: dep, states: map[string]string{}, flush: cmp.Or(c.Queue.Flush, lim.SyslogFlush)}
-	r.sender, err = syslog.NewSender(syslog.Options{Collectors: c.Parsed, TLS: c.TLS, Seed: seed, Window: max(lim.SyslogWindow, 2*c.Bytes),
+	r := &recording{log: log, loop: l, lim: lim, dep: dep, states: map[string]string{}, flush: cmp.Or(c.Queue.Flush, lim.Syslog.FlushTimeout)}
+	r.sender, err = syslog.NewSender(syslog.Options{Collectors: c.Parsed, TLS: c.TLS, Seed: seed, Window: max(lim.Syslog.WindowBytes, 2*c.Bytes),
 		Repeat: c.Repeat, Spool: c.Spool.Folder, Name: start, Replay: c.Spool.Replay,
-		Disk:    spool.Options{Segment: lim.SpoolSegment, Most: cmp.Or(c.Spool.Bytes, int64(lim.SpoolBytes)), Message: c.Bytes},
-		Connect: lim.SyslogUp, Stall: lim.SyslogStall, First: lim.SyslogFirst, Last: lim.SyslogLast, Prefer: lim.SyslogPrefer}, log)
+		Disk:    spool.Options{Segment: lim.Syslog.SpoolSegmentBytes, Most: cmp.Or(c.Spool.Bytes, int64(lim.Syslog.SpoolBytes)), Message: c.Bytes},
+		Connect: lim.Syslog.ConnectTimeout, Stall: lim.Syslog.StallTimeout, First: lim.Syslog.MinBackoff, Last: lim.Syslog.MaxBackoff, Prefer: lim.Syslog.FailbackInterval}, log)
 	if err != nil {
 		return nil, fmt.Errorf("syslog.spool.folder: %w", err)
 	}
-	r.queue = audit.NewQueue(cmp.Or(c.Queue.Records, lim.AuditRecords), cmp.Or(c.Queue.Bytes, lim.AuditBytes))
+	r.queue = audit.NewQueue(cmp.Or(c.Queue.Records, lim.Audit.QueueRecords), cmp.Or(c.Queue.Bytes, lim.Audit.QueueBytes))
 	r.recorder = audit.NewRecorder(policy, r.queue, time.Now)
-	r.shipper = audit.NewShipper(audit.ShipperOptions{Gather: lim.AuditGather, Heads: uint64(cmp.Or(a.Heads, lim.AuditHeads)),
-		Every: cmp.Or(a.Every, lim.AuditEvery), Now: time.Now}, r.queue, encoder, r.sender)
+	r.shipper = audit.NewShipper(audit.ShipperOptions{Gather: lim.Audit.GatherInterval, Heads: uint64(cmp.Or(a.Heads, lim.Audit.ChainHeadMessages)),
+		Every: cmp.Or(a.Every, lim.Audit.ChainHeadInterval), Now: time.Now}, r.queue, encoder, r.sender)
 	r.recorder.Record(audit.Start{Router: name, Key: key})
 	log.Info("recording", "start", start, "collectors", fmt.Sprint(c.Parsed), "spool", c.Spool.Folder, "key", key)
 	l.Post(r.tick)
@@ -100,7 +100,7 @@
 
 func (r *recording) tick() {
 	r.recorder.Tick()
-	r.loop.AfterFunc(r.lim.AuditTick, r.tick)
+	r.loop.AfterFunc(r.lim.Audit.LossReportInterval, r.tick)
 }
 
 // audit is what the core reports to.
@@ -198,7 +198,7 @@
 		return
 	}
 	if len(dep.Audit.Loaded) > 0 && dep.Audit.Loaded[0] != r.dep.Audit.Loaded[0] && !r.shipper.Use(dep.Audit.Loaded[0]) {
-		r.loop.AfterFunc(r.lim.AuditTick, func() { r.change(dep) })
+		r.loop.AfterFunc(r.lim.Audit.LossReportInterval, func() { r.change(dep) })
 		return
 	}
 	r.recorder.Rule(policy)
--- a/cmd/limeladder/sites.go
+++ b/cmd/limeladder/sites.go
@@ -18,7 +18,7 @@
 	if !d.dep.Sites.Watch {
 		return
 	}
-	d.core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Listed))
+	d.core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Discovery.KnownEndpoints))
 	if d.dep.Sites.Act {
 		d.core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.Balance.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.Balance.SlowStartFrom, Duration: cfg.Balance.SlowStartWindow}, cfg.SeedValue)
 	}
--- a/internal/adminapi/operator.go
+++ b/internal/adminapi/operator.go
@@ -59,9 +59,9 @@
 func (s *Server) Accept(c *transport.Conn) transport.Handler {
 	k := &conn{server: s, sock: c}
 	s.open = append(s.open, k)
-	k.timer = s.loop.AfterFunc(s.lim.CallWhole, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
+	k.timer = s.loop.AfterFunc(s.lim.AdminAPI.CallTimeout, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
 	// Guards the next caller: those that finish no call must not hold all places until their time is up.
-	if len(s.open) > s.lim.Operators/2 {
+	if len(s.open) > s.lim.AdminAPI.Connections/2 {
 		for _, o := range s.open {
 			if !o.whole {
 				o.drop()
@@ -89,7 +89,7 @@
 		return // one call to a connection
 	}
 	k.buf = append(k.buf, p...)
-	c, whole, err := parse(k.buf, k.server.lim.CallBytes)
+	c, whole, err := parse(k.buf, k.server.lim.AdminAPI.CallBytes)
 	switch {
 	case err != nil:
 		status := http.StatusBadRequest
@@ -306,7 +306,7 @@
 	k.over = true
 	k.timer.Stop()
 	if k.told {
-		k.sock.Finish(k.server.lim.Flush)
+		k.sock.Finish(k.server.lim.Frontend.FlushTimeout)
 	} else {
 		k.sock.Close() // nothing is owed to it, and others wait for its place
 	}
--- a/internal/adminapi/operator_test.go
+++ b/internal/adminapi/operator_test.go
@@ -97,8 +97,8 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	lim := limits.For(64, 256, time.Second, time.Second, time.Second)
-	s := e.Serve(ln, lim.Operators, l.PostUrgent, log, New(l, lim, log, &router{}).Accept)
+	lim := limits.New(64, 256, time.Second, time.Second, time.Second)
+	s := e.Serve(ln, lim.AdminAPI.Connections, l.PostUrgent, log, New(l, lim, log, &router{}).Accept)
 	go l.Run(func() {})
 	t.Cleanup(func() { s.Close(); l.Stop(); e.Stop() })
 	return l, ln.Addr().String()
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -45,13 +45,13 @@
 // dial opens a connection for whoever waits first.
 func (m *machine) dial() *conn {
 	p := m.pool
-	k := &conn{machine: m, since: m.left, reader: pgwire.NewReader(p.lim.Row, 0)}
+	k := &conn{machine: m, since: m.left, reader: pgwire.NewReader(p.lim.Backend.RowBytes, 0)}
 	m.open++
 	m.opening++
 	p.open++
 	k.dialing = true
-	k.welcome = p.loop.AfterFunc(p.lim.Connect, func() { k.broken() })
-	p.engine.Dial(m.addr, p.lim.Connect, func(c *transport.Conn, err error) transport.Handler {
+	k.welcome = p.loop.AfterFunc(p.lim.Backend.ConnectTimeout, func() { k.broken() })
+	p.engine.Dial(m.addr, p.lim.Backend.ConnectTimeout, func(c *transport.Conn, err error) transport.Handler {
 		if k.dialing = false; k.ended {
 			k.left()
 		}
@@ -176,9 +176,9 @@
 // never comes.
 func (k *conn) watch() {
 	lim := &k.machine.pool.lim
-	within := lim.Stall
+	within := lim.Backend.StallTimeout
 	if k.begun {
-		within = lim.StreamStall // a slow db machine still gives it
+		within = lim.Backend.StreamStallTimeout // a slow db machine still gives it
 	}
 	k.stall.Stop()
 	if !k.ended && !k.held && (k.reader.Waiting() > 0 || k.call != nil && (k.begun || k.closing())) {
@@ -191,11 +191,11 @@
 func (k *conn) begin() bool {
 	lim := &k.machine.pool.lim
 	typ, length, have, ok := k.reader.Begun()
-	if ok && length > lim.Answer && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.StartsResponse(k.answer)) {
+	if ok && length > lim.Backend.ResponseBytes && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.StartsResponse(k.answer)) {
 		k.spoilt("a message too long to keep") // and it can't be passed on either
 		return false
 	}
-	if !ok || typ != 'D' || length <= lim.Stream || len(have) < lim.Begin || k.call == nil || k.call.begun == nil || k.code != "" ||
+	if !ok || typ != 'D' || length <= lim.Backend.StreamThresholdBytes || len(have) < lim.Backend.StreamStartBytes || k.call == nil || k.call.begun == nil || k.code != "" ||
 		!k.call.job.StartsResponse(k.answer) {
 		return false
 	}
@@ -258,7 +258,7 @@
 	switch m.Type {
 	case 'S', 'N', 'A', 'K':
 		// Guards against an answer without end: where a part of it is passed on already no time of the request's ends it.
-		if k.beside += 5 + len(m.Body); k.beside > k.machine.pool.lim.Answer {
+		if k.beside += 5 + len(m.Body); k.beside > k.machine.pool.lim.Backend.ResponseBytes {
 			k.spoilt("it says too much beside its answer")
 			return
 		}
@@ -309,7 +309,7 @@
 	case 'E':
 		k.failed(m)
 	}
-	if len(k.answer.Messages)+len(m.Body) > k.machine.pool.lim.Answer {
+	if len(k.answer.Messages)+len(m.Body) > k.machine.pool.lim.Backend.ResponseBytes {
 		k.spoilt("its answer is too long")
 		return
 	}
@@ -381,7 +381,7 @@
 func (k *conn) pause() {
 	m := k.machine
 	m.resting++
-	k.rest = m.pool.loop.AfterFunc(m.pool.lim.Rest, func() {
+	k.rest = m.pool.loop.AfterFunc(m.pool.lim.Backend.ReuseDelay, func() {
 		k.rest = nil
 		m.resting--
 		// start looks at the socket of an idle connection; here it counts where one waits for it.
@@ -422,7 +422,7 @@
 			return
 		}
 	}
-	if p.closed || m.barred || m.state != "ready" || len(m.idle) >= p.lim.IdleMachine {
+	if p.closed || m.barred || m.state != "ready" || len(m.idle) >= p.lim.Backend.IdlePerEndpoint {
 		k.end()
 		return
 	}
--- a/internal/backend/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -26,7 +26,7 @@
 		return testserver.Act{}
 	})
 	l := lim()
-	l.Connect, l.Redial = 10*time.Second, 20*time.Second
+	l.Backend.ConnectTimeout, l.Backend.RedialAfter = 10*time.Second, 20*time.Second
 	r := start(t, l, db.Addr)
 	var gone atomic.Bool
 	done, waits := make(chan router.Result, 9), make(chan bool, 1)
--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -42,7 +42,7 @@
 			})
 			there := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{} })
 			l := lim()
-			l.Connect, l.Redial = 3*time.Second, 20*time.Second
+			l.Backend.ConnectTimeout, l.Backend.RedialAfter = 3*time.Second, 20*time.Second
 			r := start(t, l, db.Addr)
 			done := make(chan router.Result, 9)
 			r.loop.Post(func() {
--- a/internal/backend/servers.go
+++ b/internal/backend/servers.go
@@ -126,21 +126,21 @@
 func (p *Pool) sweep() {
 	now := p.loop.Now()
 	for _, m := range p.machines {
-		for len(m.idle) > 0 && now-m.idle[0].idleAt > p.lim.Idle {
+		for len(m.idle) > 0 && now-m.idle[0].idleAt > p.lim.Backend.IdleTimeout {
 			m.idle[0].end()
 		}
 	}
-	for p.open > p.lim.Connections && p.shed() {
+	for p.open > p.lim.Backend.Connections && p.shed() {
 	}
-	p.loop.AfterFunc(p.lim.Sweep, p.sweep)
+	p.loop.AfterFunc(p.lim.Backend.SweepInterval, p.sweep)
 }
 
 // room says whether one more connection may be opened, and closes an idle one elsewhere to make room.
 func (p *Pool) room(m *machine) bool {
-	if m.open >= p.lim.PerMachine {
+	if m.open >= p.lim.Backend.ConnectionsPerEndpoint {
 		return false
 	}
-	if p.open < p.lim.Connections {
+	if p.open < p.lim.Backend.Connections {
 		return true
 	}
 	return p.shed()
@@ -170,7 +170,7 @@
 
 // Probe implements router.Servers.
 func (p *Pool) HealthCheck(node string, done func(router.Result)) {
-	c := &call{pool: p, job: probe{}, until: p.loop.Now() + p.lim.Probe}
+	c := &call{pool: p, job: probe{}, until: p.loop.Now() + p.lim.Backend.HealthCheckTimeout}
 	c.done = func(r router.Result) {
 		c.timer.Stop()
 		if a, ok := r.Response.(*Response); ok && r.Status == balance.StatusDone {
@@ -178,7 +178,7 @@
 		}
 		done(r)
 	}
-	c.timer = p.loop.AfterFunc(p.lim.Probe, func() {
+	c.timer = p.loop.AfterFunc(p.lim.Backend.HealthCheckTimeout, func() {
 		c.Cancel()
 		if m := p.machines[node]; m != nil {
 			m.hangUp() // what is silent to a probe is silent on every connection
@@ -201,7 +201,7 @@
 	}
 	for len(m.idle) > 0 {
 		k := m.idle[len(m.idle)-1]
-		if p.loop.Now()-k.idleAt > p.lim.Idle || !k.clean() {
+		if p.loop.Now()-k.idleAt > p.lim.Backend.IdleTimeout || !k.clean() {
 			k.end()
 			continue
 		}
@@ -215,7 +215,7 @@
 		return
 	}
 	m.waiting = append(m.waiting, c)
-	within, status := p.lim.Connect, balance.StatusConnectFailed
+	within, status := p.lim.Backend.ConnectTimeout, balance.StatusConnectFailed
 	if left := c.by - p.loop.Now(); c.by > 0 && left < within {
 		within, status = left, balance.StatusNotSent // it may not be written any more then
 	}
@@ -224,7 +224,7 @@
 		c.finish(router.Result{Status: status})
 	})
 	// Guards against a lost SYN: the system would send the next one only after a second.
-	c.redial = p.loop.AfterFunc(p.lim.Redial, func() {
+	c.redial = p.loop.AfterFunc(p.lim.Backend.RedialAfter, func() {
 		if p.room(m) {
 			m.dial()
 		}
--- a/internal/backend/servers_test.go
+++ b/internal/backend/servers_test.go
@@ -37,7 +37,7 @@
 
 func start(t *testing.T, lim limits.Limits, addr string) *rig {
 	l := eventloop.New()
-	e, err := transport.New(l, 256, lim.Inbox)
+	e, err := transport.New(l, 256, lim.Transport.InboxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 }
 
 func lim() limits.Limits {
-	return limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	return limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 }
 
 // try makes one attempt and waits for its end.
@@ -88,10 +88,10 @@
 			return testserver.Act{}
 		})
 		l := lim()
-		l.Idle = idle
+		l.Backend.IdleTimeout = idle
 		r := start(t, l, db.Addr)
 		for i := range 3 {
-			time.Sleep(3 * l.Rest)
+			time.Sleep(3 * l.Backend.ReuseDelay)
 			x := r.try(fmt.Sprint(i), 0)
 			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || x.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
 				t.Fatalf("%+v", x)
@@ -160,7 +160,7 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	time.Sleep(2 * lim.Redial)
+	time.Sleep(2 * lim.Backend.RedialAfter)
 	if n := dials.Load(); n > attempts {
 		t.Errorf("%d connections for %d attempts", n, attempts)
 	}
@@ -240,7 +240,7 @@
 			return a
 		})
 		l := lim()
-		l.StreamStall = 300 * time.Millisecond
+		l.Backend.StreamStallTimeout = 300 * time.Millisecond
 		r := start(t, l, db.Addr)
 		var got []byte
 		begun, held := false, false
@@ -256,7 +256,7 @@
 				if !held && len(got) > 1<<20 {
 					held = true
 					flow.SetPaused(true)
-					r.loop.AfterFunc(2*l.StreamStall, func() { // being held is no stall
+					r.loop.AfterFunc(2*l.Backend.StreamStallTimeout, func() { // being held is no stall
 						if len(got) > 1<<20+256<<10 {
 							t.Errorf("%s: %d bytes came while it was held", name, len(got))
 						}
@@ -321,7 +321,7 @@
 	// Nor is a connection waited for beyond that.
 	silent := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: true} })
 	l := lim()
-	l.Connect = 20 * time.Second
+	l.Backend.ConnectTimeout = 20 * time.Second
 	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent {
 		t.Fatalf("%+v", x)
 	}
@@ -430,7 +430,7 @@
 			return a
 		})
 		l := lim()
-		l.Stall = 30 * time.Millisecond
+		l.Backend.StallTimeout = 30 * time.Millisecond
 		r := start(t, l, db.Addr)
 		if x := r.try("spoilt", 0); x != (router.Result{Status: balance.StatusError}) {
 			t.Errorf("%s: %+v", name, x)
@@ -444,7 +444,7 @@
 // A value of several hundred KB is an answer like any other; one beyond the limit is not read to its end.
 func TestLargeAnswers(t *testing.T) {
 	l := lim()
-	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Answer: balance.StatusError} {
+	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Backend.ResponseBytes: balance.StatusError} {
 		value := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(size))
 		value = append(value, make([]byte, size)...)
 		db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
@@ -475,7 +475,7 @@
 			return act
 		})
 		l := lim()
-		l.Rest = 100 * time.Millisecond
+		l.Backend.ReuseDelay = 100 * time.Millisecond
 		r := start(t, l, db.Addr)
 		for i := range 4 {
 			x := r.try(fmt.Sprint(i), 0)
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	s := told{make(chan config.List, 999), make(chan bool, 999)}
-	lim := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace)
+	lim := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
 	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), a.Addr, s)
 	go l.Run(func() {})
 	l.Post(func() { w.FollowPushed(7) })
@@ -91,13 +91,13 @@
 // A call that fails, whichever way, is found and made again within three quarters of the grace.
 func TestPushedIsHeardWithinTheGrace(t *testing.T) {
 	for _, grace := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 10 * time.Second} {
-		l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace)
-		if found := max(l.WatchWait+l.WatchSlack, l.CallSlack) + l.ListAgain; found > grace*3/4 {
+		l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
+		if found := max(l.Discovery.WatchWait+l.Discovery.WatchSlack, l.Discovery.CallTimeout) + l.Discovery.MaxRetryInterval; found > grace*3/4 {
 			t.Errorf("grace %v: made again after %v", grace, found)
 		}
-		p := pace{most: l.ListAgain, rng: rand.New(rand.NewPCG(1, 2))}
+		p := pace{most: l.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(1, 2))}
 		for range 50 {
-			if gap := p.failed(); gap > l.ListAgain || gap <= 0 {
+			if gap := p.failed(); gap > l.Discovery.MaxRetryInterval || gap <= 0 {
 				t.Errorf("grace %v: a wait of %v", grace, gap)
 			}
 		}
@@ -106,11 +106,11 @@
 		}
 	}
 	// A whole list costs nobody anything here, however many routers there are; asked for, it does in a large fleet.
-	if l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Among(80); !l.ListKnown || l.Pushed(time.Second).ListKnown {
+	if l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(80); !l.Discovery.ResumeFromKnown || l.ForPushedLists(time.Second).Discovery.ResumeFromKnown {
 		t.Error("a whole list is taken for dear where it is pushed, or for cheap where 80 ask for it")
 	}
 	for _, grace := range []time.Duration{0, time.Millisecond} {
-		if l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace); l.WatchWait < 20*time.Millisecond || l.ListAgain < 20*time.Millisecond {
+		if l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace); l.Discovery.WatchWait < 20*time.Millisecond || l.Discovery.MaxRetryInterval < 20*time.Millisecond {
 			t.Errorf("grace %v: asks all the time, %+v", grace, l)
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -85,7 +85,7 @@
 
 // Follow starts to follow the list and goes on by itself after each failure, within Limits.ListAgain: nobody has to call Track.
 func (w *Watcher) FollowPushed(seed uint64) {
-	w.pace = &pace{most: w.lim.ListAgain, rng: rand.New(rand.NewPCG(seed, followStream))}
+	w.pace = &pace{most: w.lim.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(seed, followStream))}
 	w.Poll()
 }
 
@@ -111,20 +111,20 @@
 
 // call sends the next call, on the connection in hand or a new one.
 func (w *Watcher) call() {
-	w.reply = &response{header: w.lim.ListHeader, most: w.lim.ListBytes}
+	w.reply = &response{header: w.lim.Discovery.HeaderBytes, most: w.lim.Discovery.ListBytes}
 	path, wait := "/v1/endpoints", time.Duration(0)
 	// Guards discovery, whose capacity all routers share: 0 is a version like any other. Taken for none, it made
 	// the whole list be asked for again and again.
 	if !w.whole {
-		wait = w.lim.WatchWait
+		wait = w.lim.Discovery.WatchWait
 		path = fmt.Sprintf("/v1/endpoints?index=%d&wait=%d", w.version, wait.Milliseconds())
 	}
 	// Guards against a cut link: a silent call must not be taken for a quiet list.
 	w.limit.Stop()
 	w.again.Stop()
-	slack := w.lim.CallSlack
+	slack := w.lim.Discovery.CallTimeout
 	if wait > 0 {
-		slack = w.lim.WatchSlack
+		slack = w.lim.Discovery.WatchSlack
 	}
 	w.at, w.wait, w.slack, w.cameAt = w.loop.Now(), wait, slack, 0
 	w.limit = w.loop.AfterFunc(wait+slack, w.late)
@@ -142,7 +142,7 @@
 // late ends a call whose answer should have come. Danger: what discovery writes counts as told, so an answer that is on its way in, or
 // has come and is not looked at yet, is not given up. It goes on while more comes, as long again at the most.
 func (w *Watcher) late() {
-	gap, now, end := min(w.lim.Stall, w.slack/4), w.loop.Now(), w.at+w.wait+2*w.slack
+	gap, now, end := min(w.lim.Backend.StallTimeout, w.slack/4), w.loop.Now(), w.at+w.wait+2*w.slack
 	if now < end && (w.cameAt > 0 && now-w.cameAt < gap || w.conn != nil && !w.conn.Quiet()) {
 		w.limit = w.loop.AfterFunc(min(gap, end-now), w.late)
 		return
@@ -154,7 +154,7 @@
 	w.reused = false
 	w.dials++
 	mine := w.dials
-	w.engine.Dial(w.addr, w.lim.Connect, func(c *transport.Conn, err error) transport.Handler {
+	w.engine.Dial(w.addr, w.lim.Backend.ConnectTimeout, func(c *transport.Conn, err error) transport.Handler {
 		if mine != w.dials {
 			if c != nil {
 				c.Close()
@@ -212,7 +212,7 @@
 		w.answered()
 	case w.reused && len(w.reply.buf) == 0 && !w.reply.inBody:
 		w.dial(w.text) // discovery had closed an idle connection: that is no failure
-	case w.reply.inBody, !w.whole && w.loop.Now()-w.at > w.lim.CallSlack:
+	case w.reply.inBody, !w.whole && w.loop.Now()-w.at > w.lim.Discovery.CallTimeout:
 		// A call that discovery turns away waits no longer than this: it was a watch, and the link or discovery is lost.
 		w.silent(fmt.Errorf("watch ended: %v", err))
 	default:
@@ -255,7 +255,7 @@
 	case w.stopped, w.reply != nil:
 	case early && !l.Full && len(l.Servers) == 0:
 		// Guards the router's part of a core against a discovery that does not wait. The watch still goes on.
-		w.again = w.loop.AfterFunc(w.lim.WatchGap, w.call)
+		w.again = w.loop.AfterFunc(w.lim.Discovery.WatchInterval, w.call)
 	default:
 		w.call() // at once: a watch goes on only if its next call comes within 200 ms
 	}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -95,8 +95,8 @@
 // lim has calls that wait far longer than any machine stalls. Guards the tests: a call that ends as silent by such a stall is
 // followed by none before Track, and who waits for its list would wait for ever.
 func lim() limits.Limits {
-	l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second)
-	l.Connect, l.WatchWait, l.WatchSlack, l.CallSlack = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
+	l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second)
+	l.Backend.ConnectTimeout, l.Discovery.WatchWait, l.Discovery.WatchSlack, l.Discovery.CallTimeout = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
 	return l
 }
 
@@ -192,14 +192,14 @@
 			lim := lim()
 			switch {
 			case name == "silent", strings.HasSuffix(name, "half of a list"), strings.HasSuffix(name, "trickles"):
-				lim.WatchSlack, lim.CallSlack = 200*time.Millisecond, 200*time.Millisecond
+				lim.Discovery.WatchSlack, lim.Discovery.CallTimeout = 200*time.Millisecond, 200*time.Millisecond
 			case strings.HasSuffix(name, "late"):
-				lim.WatchWait = 20 * time.Second
+				lim.Discovery.WatchWait = 20 * time.Second
 			}
 			s, w, l := watch(t, lim, h)
 			if strings.HasSuffix(name, "late") {
 				heard(t, s)
-				l.Post(func() { w.lim.CallSlack = lateAfter; close(late) })
+				l.Post(func() { w.lim.Discovery.CallTimeout = lateAfter; close(late) })
 			}
 			for range 2 { // after a failure nothing is asked before Track
 				select {
@@ -222,7 +222,7 @@
 // The rest is held back until that time is over on the watcher's own clock.
 func TestAnAnswerThatIsComingIsNotGivenUp(t *testing.T) {
 	lim := lim()
-	lim.Stall, lim.CallSlack = 20*time.Second, 2*time.Second // so that only the length of the answer ends it, and its gaps may be 0.5 s
+	lim.Backend.StallTimeout, lim.Discovery.CallTimeout = 20*time.Second, 2*time.Second // so that only the length of the answer ends it, and its gaps may be 0.5 s
 	var began, rest = make(chan bool), make(chan bool)
 	letGo := sync.OnceFunc(func() { close(rest) })
 	text := `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready"}]}`
@@ -250,7 +250,7 @@
 	t.Cleanup(letGo)
 	<-began
 	var due time.Duration
-	in(l, func() { due = w.at + lim.CallSlack })
+	in(l, func() { due = w.at + lim.Discovery.CallTimeout })
 	for over := false; !over; time.Sleep(time.Millisecond) {
 		in(l, func() { over = l.Now() > due+10*time.Millisecond })
 	}
@@ -263,7 +263,7 @@
 // An answer that has come while the loop was busy beyond the call's time is looked at before the call is given up.
 func TestAnAnswerThatHasComeIsLookedAtFirst(t *testing.T) {
 	lim := lim()
-	lim.CallSlack = 300 * time.Millisecond
+	lim.Discovery.CallTimeout = 300 * time.Millisecond
 	asked, busy := make(chan bool), make(chan bool)
 	s, w, l := watch(t, lim, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -282,7 +282,7 @@
 			return
 		}
 		close(busy)
-		for w.conn.Quiet() || l.Now() <= w.at+lim.CallSlack {
+		for w.conn.Quiet() || l.Now() <= w.at+lim.Discovery.CallTimeout {
 			time.Sleep(time.Millisecond) // the loop is busy until the answer is there, and the call's time over
 		}
 	})
@@ -323,12 +323,12 @@
 // for a watch that waits longer, within 2 s of the end of its wait and the shortest grace that the settings have known.
 func TestASilentWatchIsOpenedAnewInTime(t *testing.T) {
 	for routers, told := range map[int]time.Duration{1: 6 * time.Second, 3: 6 * time.Second, 10: 6 * time.Second, 30: 7 * time.Second, 300: 7 * time.Second} {
-		l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Among(routers)
+		l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(routers)
 		const turn, grace = 2 * time.Second, 2 * time.Second // the decision module asks again within half of the grace
-		if again := l.WatchWait + l.WatchSlack + grace/2; again+turn > told+grace {
+		if again := l.Discovery.WatchWait + l.Discovery.WatchSlack + grace/2; again+turn > told+grace {
 			t.Errorf("%d routers: asked again %v after the silence, told by %v", routers, again, told)
 		}
-		if found := l.WatchWait + l.WatchSlack; routers <= 10 && found+250*time.Millisecond*3/2+turn > told+500*time.Millisecond {
+		if found := l.Discovery.WatchWait + l.Discovery.WatchSlack; routers <= 10 && found+250*time.Millisecond*3/2+turn > told+500*time.Millisecond {
 			t.Errorf("%d routers: found after %v", routers, found)
 		}
 	}
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -52,7 +52,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := lim()
-			lim.CallSlack *= 50 // the machine that tests may be slow
+			lim.Discovery.CallTimeout *= 50 // the machine that tests may be slow
 			s, _, _ := watch(t, lim, func(w http.ResponseWriter, r *http.Request) {
 				p := text(c.full, c.indented)
 				if c.length {
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -76,9 +76,9 @@
 // Accept takes a new connection. The listener bounds how many there are.
 func (f *Front) Accept(s *transport.Conn) transport.Handler {
 	now := f.loop.Now()
-	c := &Conn{front: f, sock: s, reader: pgwire.NewReader(f.lim.Message, f.lim.Startup), openAt: now, lastAt: now, tookAt: now}
+	c := &Conn{front: f, sock: s, reader: pgwire.NewReader(f.lim.Frontend.MessageBytes, f.lim.Frontend.StartupBytes), openAt: now, lastAt: now, tookAt: now}
 	c.speaker = f.speak(c)
-	s.Buffer(f.lim.Send)
+	s.Buffer(f.lim.Frontend.SendBufferBytes)
 	s.Prompt() // a client that has gone wants nothing of what it sent ahead
 	f.conns[c] = struct{}{}
 	if f.fine() {
@@ -94,7 +94,7 @@
 	for c := range f.conns {
 		if why := c.overdue(now); why != "" {
 			c.fatal(pgwire.ProtocolViolation, why)
-		} else if unread += c.unsent; unread > f.lim.Buffered && c.unsent > 0 && c.flow == nil && !c.busy() {
+		} else if unread += c.unsent; unread > f.lim.Frontend.BufferedBytes && c.unsent > 0 && c.flow == nil && !c.busy() {
 			// Guards memory: many that do not read their answers are too much where each alone is not.
 			c.fatal(pgwire.TooLarge, "too much is left unread")
 		} else if c.held > 0 {
@@ -102,7 +102,7 @@
 		}
 	}
 	for c := range f.conns {
-		if (f.empty || f.gentle) && now-c.openAt > f.lim.EmptyIdle && c.spare(now, f.lim.EmptyIdle) {
+		if (f.empty || f.gentle) && now-c.openAt > f.lim.Frontend.DrainedIdle && c.spare(now, f.lim.Frontend.DrainedIdle) {
 			c.End()
 		} else if f.draining && !f.gentle {
 			c.rest()
@@ -123,36 +123,36 @@
 func (f *Front) grain(unread bool) time.Duration {
 	lim := f.lim
 	if unread || f.fine() {
-		return lim.ClientSweep
+		return lim.Frontend.SweepInterval
 	}
-	return max(lim.ClientSweep, min(lim.ClientStart, lim.ClientFirst, lim.ClientPart, lim.ClientUnread, lim.ClientUnit)/4)
+	return max(lim.Frontend.SweepInterval, min(lim.Frontend.StartupTimeout, lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout, lim.Frontend.UnreadTimeout, lim.Frontend.UnitTimeout)/4)
 }
 
 // fine says whether the front needs its sweep at the fine grain: readings wait for room, it drains or is emptied, or the
 // table is past its easy mark. Bytes kept for requests in hand are no want of room.
 func (f *Front) fine() bool {
-	return f.fill() > f.lim.Buffered || f.empty || f.draining || len(f.conns) > min(f.lim.ClientsEasy, f.lim.ClientsTight)
+	return f.fill() > f.lim.Frontend.BufferedBytes || f.empty || f.draining || len(f.conns) > min(f.lim.Frontend.SoftLimit, f.lim.Frontend.HardLimit)
 }
 
 // fill is how much of Buffered is taken. Guards those that ask one thing at a time against those that send ahead: whatever these
 // send takes half of the room at the most.
-func (f *Front) fill() int { return f.buffered + min(f.ahead, f.lim.Buffered/2) }
+func (f *Front) fill() int { return f.buffered + min(f.ahead, f.lim.Frontend.BufferedBytes/2) }
 
 // soon brings the next sweep to the fine grain, where something has come that needs it.
 func (f *Front) soon() {
-	if f.next != nil && f.loop.Now()+f.lim.ClientSweep < f.next.Due() {
+	if f.next != nil && f.loop.Now()+f.lim.Frontend.SweepInterval < f.next.Due() {
 		f.next.Stop()
-		f.next = f.loop.AfterFunc(f.lim.ClientSweep, f.sweep)
+		f.next = f.loop.AfterFunc(f.lim.Frontend.SweepInterval, f.sweep)
 	}
 }
 
 // room closes those that have asked for nothing for the longest time. Guards the table against clients that ask once
 // and stay, or say nothing: usual ones must find a place. One that has a request, or has just come, is left alone.
 func (f *Front) room(now time.Duration) {
-	f.shrink(now, f.lim.ClientsEasy, f.lim.ClientIdle)
+	f.shrink(now, f.lim.Frontend.SoftLimit, f.lim.Frontend.SoftLimitIdle)
 	// Guards against more clients that ask once and stay than there are places for the time they may stay: usual ones
 	// would wait for a place until their time is up. A client whose connection is closed between requests asks anew.
-	f.shrink(now, f.lim.ClientsTight, f.lim.ClientTight)
+	f.shrink(now, f.lim.Frontend.HardLimit, f.lim.Frontend.HardLimitIdle)
 }
 
 func (f *Front) shrink(now time.Duration, to int, idle time.Duration) {
@@ -209,7 +209,7 @@
 		if c.busy() {
 			continue
 		}
-		if part := c.reader.Waiting() > 0 || !c.sock.Quiet(); !c.fresh(now) && !part || now-f.finishing > f.lim.ClientMute {
+		if part := c.reader.Waiting() > 0 || !c.sock.Quiet(); !c.fresh(now) && !part || now-f.finishing > f.lim.Frontend.UnusedIdle {
 			c.End()
 		}
 	}
@@ -262,17 +262,17 @@
 		c.tookAt, c.took = now, c.sock.Progress() // a client may take seconds over a long answer
 	}
 	switch {
-	case now-c.tookAt > lim.ClientUnread:
+	case now-c.tookAt > lim.Frontend.UnreadTimeout:
 		return "answers are not read"
 	case c.busy():
 		return ""
-	case !c.started && now-c.openAt > lim.ClientStart:
+	case !c.started && now-c.openAt > lim.Frontend.StartupTimeout:
 		return "no startup message in time"
-	case c.started && !c.asked && c.partAt == 0 && now-c.openAt > lim.ClientFirst:
+	case c.started && !c.asked && c.partAt == 0 && now-c.openAt > lim.Frontend.FirstCommandTimeout:
 		return "no command in time"
-	case c.partAt > 0 && (now-max(c.partAt, c.moreAt) > lim.ClientPart || now-c.partAt > lim.ClientWhole):
+	case c.partAt > 0 && (now-max(c.partAt, c.moreAt) > lim.Frontend.PartialMessageTimeout || now-c.partAt > lim.Frontend.MessageTimeout):
 		return "a message does not end"
-	case c.started && !c.speaker.Idle() && now-c.lastAt > lim.ClientUnit:
+	case c.started && !c.speaker.Idle() && now-c.lastAt > lim.Frontend.UnitTimeout:
 		return "a unit of work does not go on"
 	}
 	return ""
@@ -283,13 +283,13 @@
 func (c *Conn) spare(now, idle time.Duration) bool {
 	lim := c.front.lim
 	if !c.started {
-		return now-c.openAt > lim.ClientSilent && c.partAt == 0
+		return now-c.openAt > lim.Frontend.UnstartedIdle && c.partAt == 0
 	}
 	switch {
 	case c.faulty:
-		idle = min(idle, lim.ClientSilent)
+		idle = min(idle, lim.Frontend.UnstartedIdle)
 	case !c.asked: // usual clients ask at once
-		idle = lim.ClientMute
+		idle = lim.Frontend.UnusedIdle
 	}
 	return !c.busy() && c.partAt == 0 && c.speaker.Idle() && now-c.lastAt > idle && c.sock.Quiet()
 }
@@ -300,7 +300,7 @@
 		return
 	}
 	c.ended = true
-	c.sock.Finish(c.front.lim.Flush) // an answer of which the system has taken a part only must not be cut
+	c.sock.Finish(c.front.lim.Frontend.FlushTimeout) // an answer of which the system has taken a part only must not be cut
 	c.gone()
 }
 
@@ -367,11 +367,11 @@
 	} else if c.partAt == 0 {
 		c.partAt = f.loop.Now() // the time spent behind an earlier answer is no stall of the client's
 	}
-	full := c.held > 0 && (f.fill() > f.lim.Buffered || busy && f.ahead > f.lim.Buffered/2)
+	full := c.held > 0 && (f.fill() > f.lim.Frontend.BufferedBytes || busy && f.ahead > f.lim.Frontend.BufferedBytes/2)
 	if full && c.partAt > 0 {
 		c.moreAt = f.loop.Now() // that nothing more comes is not its fault
 	}
-	c.sock.SetPaused(full || busy && c.held > f.lim.Ahead)
+	c.sock.SetPaused(full || busy && c.held > f.lim.Frontend.PipelinedBytes)
 	if full {
 		f.soon() // what is held back waits for the sweep to find room again
 	}
@@ -397,7 +397,7 @@
 		c.settle()
 		c.next()
 	}
-	if c.flow != nil && c.sock.Unsent() <= c.front.lim.High {
+	if c.flow != nil && c.sock.Unsent() <= c.front.lim.Frontend.HighWaterBytes {
 		c.flow.SetPaused(false)
 	}
 }
@@ -421,9 +421,9 @@
 	if c.sock.Unsent() > 0 {
 		c.front.soon() // what is not taken counts against all clients' bound
 	}
-	if c.flow != nil && c.sock.Unsent() > c.front.lim.High {
+	if c.flow != nil && c.sock.Unsent() > c.front.lim.Frontend.HighWaterBytes {
 		c.flow.SetPaused(true)
-		c.sock.Await(c.front.lim.Low)
+		c.sock.Await(c.front.lim.Frontend.LowWaterBytes)
 	}
 }
 
@@ -481,7 +481,7 @@
 
 // send writes p now; a broken connection is the client's leaving.
 func (c *Conn) send(p []byte) {
-	if !c.ended && (c.sock.Write(p) != nil || c.sock.Unsent() > c.front.lim.Unread) {
+	if !c.ended && (c.sock.Write(p) != nil || c.sock.Unsent() > c.front.lim.Frontend.UnreadBytes) {
 		c.End() // also guards memory against a client that asks and does not read
 	} else if !c.ended && c.sock.Unsent() > 0 {
 		c.front.soon()
@@ -507,7 +507,7 @@
 
 // fresh says that a client has asked for nothing yet and still may do so.
 func (c *Conn) fresh(now time.Duration) bool {
-	return !c.asked && now-c.openAt <= c.front.lim.ClientMute
+	return !c.asked && now-c.openAt <= c.front.lim.Frontend.UnusedIdle
 }
 
 // Blank answers an empty query, by which the platform asks whether it may send clients.
@@ -536,7 +536,7 @@
 
 // Hold says whether there is room to keep so many bytes for the client, and counts them if so.
 func (c *Conn) Hold(n int) bool {
-	if c.ended || c.front.fill()+n > c.front.lim.Buffered {
+	if c.ended || c.front.fill()+n > c.front.lim.Frontend.BufferedBytes {
 		return false
 	}
 	c.kept += n
--- a/internal/frontend/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -117,7 +117,7 @@
 func (k *core) Disconnect(id string) { k.left <- id }
 
 func start(t testing.TB) (f *Front, k *core, l *eventloop.Loop, addr string) {
-	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
+	return startWith(t, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
 }
 
 func startWith(t testing.TB, lim limits.Limits) (f *Front, k *core, l *eventloop.Loop, addr string) {
@@ -129,7 +129,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	k = &core{loop: l, left: make(chan string, 9)}
 	f = New(l, lim, log, k, Platform)
-	ln, err := e.Listen("127.0.0.1:0", lim.Clients, log, f.Accept)
+	ln, err := e.Listen("127.0.0.1:0", lim.Frontend.Connections, log, f.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,11 +281,11 @@
 // A table full of clients that say nothing, or have asked once and stay, has room for one that asks. Neither it nor
 // one whose request is in hand is closed for that.
 func TestRoom(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Clients, lim.ClientsEasy, lim.ClientsTight, lim.ClientIdle = 6, 3, 6, 200*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.Connections, lim.Frontend.SoftLimit, lim.Frontend.HardLimit, lim.Frontend.SoftLimitIdle = 6, 3, 6, 200*time.Millisecond
 	testRoom(t, lim)
 	// Nor need they wait until an idle one may go by itself: the places are taken much faster than that.
-	lim.ClientsTight, lim.ClientIdle = 5, time.Hour
+	lim.Frontend.HardLimit, lim.Frontend.SoftLimitIdle = 5, time.Hour
 	testRoom(t, lim)
 }
 
@@ -319,8 +319,8 @@
 
 // What clients have in hand is counted in bytes, too, and given back.
 func TestBytesInHand(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Buffered = 100_000
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.BufferedBytes = 100_000
 	_, k, _, addr := startWith(t, lim)
 	large := func(class string) []byte {
 		return pgwire.AppendQuery(nil, sql(class)+strings.Repeat(" ", 60_000))
@@ -349,8 +349,8 @@
 // A client that takes a long answer slowly gets all of it, and little of it waits here; one that takes nothing is closed in
 // time, and one whose answer breaks off sees the end and no byte that is not the answer's.
 func TestLongAnswers(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientUnread = 400 * time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.UnreadTimeout = 400 * time.Millisecond
 	for name, want := range map[string]int{"long": longest, "cut": longest / 2, "unread": 0} {
 		_, k, l, addr := startWith(t, lim)
 		c, err := net.Dial("tcp", addr)
@@ -387,7 +387,7 @@
 		}
 		done := make(chan bool)
 		l.Post(func() {
-			if k.source.most > lim.High+20_000 {
+			if k.source.most > lim.Frontend.HighWaterBytes+20_000 {
 				t.Errorf("%s: %d bytes waited", name, k.source.most)
 			}
 			close(done)
@@ -399,8 +399,8 @@
 
 // A slow head is waited for while it goes on.
 func TestSlowHead(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientFirst, lim.ClientPart = 200*time.Millisecond, 200*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout = 200*time.Millisecond, 200*time.Millisecond
 	_, _, _, addr := startWith(t, lim)
 	c := testserver.Dial(t, addr)
 	p := pgwire.AppendQuery(nil, sql("served"))
@@ -417,8 +417,8 @@
 
 // Whoever does not go on is told so and closed, however it has begun.
 func TestOverdue(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientStart, lim.ClientFirst, lim.ClientPart = 100*time.Millisecond, 150*time.Millisecond, 100*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.StartupTimeout, lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout = 100*time.Millisecond, 150*time.Millisecond, 100*time.Millisecond
 	_, _, _, addr := startWith(t, lim)
 	start := pgwire.AppendStartup(nil, "user", "x")
 	whole := pgwire.AppendQuery(nil, sql("served"))
@@ -452,7 +452,7 @@
 // for nothing spend their share of a core on it. Where the table is tight, the fine grain comes back at once, and a
 // client that says nothing is still closed within its time.
 func TestSweepGrain(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	f, _, l, addr := startWith(t, lim)
 	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
@@ -467,13 +467,13 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	silent.SetDeadline(time.Now().Add(lim.ClientStart + time.Second))
+	silent.SetDeadline(time.Now().Add(lim.Frontend.StartupTimeout + time.Second))
 	if got, err := io.ReadAll(silent); err != nil || !strings.Contains(string(got), "C"+pgwire.ProtocolViolation+"\x00") {
 		t.Errorf("a silent client: %q %v", got, err)
 	}
 
 	tight := lim
-	tight.ClientsEasy, tight.ClientsTight = 1, 2
+	tight.Frontend.SoftLimit, tight.Frontend.HardLimit = 1, 2
 	f, _, l, addr = startWith(t, tight)
 	for range 3 {
 		c := testserver.Dial(t, addr)
--- a/internal/frontend/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -53,9 +53,9 @@
 	until(t, "it is taken", func() bool { return k.len() == 1 })
 	conn := only(t, f, l)
 	ahead := pgwire.AppendQuery(nil, sql("served"))
-	c.Send(bytes.Repeat(ahead, 2*f.lim.Ahead/len(ahead)))
+	c.Send(bytes.Repeat(ahead, 2*f.lim.Frontend.PipelinedBytes/len(ahead)))
 	until(t, "it is read no further", func() (held bool) {
-		do(l, func() { held = conn.held > f.lim.Ahead })
+		do(l, func() { held = conn.held > f.lim.Frontend.PipelinedBytes })
 		return held
 	})
 	c.Close()
@@ -150,8 +150,8 @@
 
 // A connection that brings nothing does not hold up the end.
 func TestFinishWaitsNoLongerThanItMay(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientMute = 100 * time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.UnusedIdle = 100 * time.Millisecond
 	f, _, l, addr := startWith(t, lim)
 	do(l, f.Ready)
 	c, err := net.Dial("tcp", addr)
--- a/internal/frontend/extendedquery/extended.go
+++ b/internal/frontend/extendedquery/extended.go
@@ -181,7 +181,7 @@
 
 // room guards memory: what a client may have prepared is bounded in number, and what all have in bytes.
 func (s *session) room(n int) bool {
-	if len(s.statements)+len(s.portals) >= s.conn.Limits().Prepared || !s.conn.Hold(n) {
+	if len(s.statements)+len(s.portals) >= s.conn.Limits().Frontend.PreparedStatements || !s.conn.Hold(n) {
 		s.error(pgwire.TooLarge, "too much is prepared")
 		return false
 	}
--- a/internal/frontend/extendedquery/extended_test.go
+++ b/internal/frontend/extendedquery/extended_test.go
@@ -36,7 +36,7 @@
 
 func start(t *testing.T, dbs ...*testserver.DB) *world {
 	t.Helper()
-	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second), dbs...)
+	return startWith(t, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second), dbs...)
 }
 
 func startWith(t *testing.T, lim limits.Limits, dbs ...*testserver.DB) *world {
@@ -60,7 +60,7 @@
 	core.Connect(w.pool, nobody{})
 	w.front = frontend.New(l, lim, log, core, New(core))
 	w.front.Ready()
-	ln, err := e.Listen("127.0.0.1:0", lim.Clients, log, w.front.Accept)
+	ln, err := e.Listen("127.0.0.1:0", lim.Frontend.Connections, log, w.front.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -377,8 +377,8 @@
 // A unit of work that does not go on ends its connection, however it was begun; what waits in it has run nothing.
 func TestUnitThatStops(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientUnit, lim.ClientPart = 100*time.Millisecond, 100*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.UnitTimeout, lim.Frontend.PartialMessageTimeout = 100*time.Millisecond, 100*time.Millisecond
 	w := startWith(t, lim, db)
 	job := both("j", "job", 2500)
 	for name, p := range map[string][]byte{"no sync": job[:len(job)-5], "half a message": job[:len(job)-2], "half a parse": job[:20],
--- a/internal/frontend/line.go
+++ b/internal/frontend/line.go
@@ -101,10 +101,10 @@
 	}
 	// Guards the places of other connections' requests, and the memory: with half of the room for statements and answers taken, requests
 	// sent ahead wait until they are the first.
-	if before >= lim.Together || c.front.fill()+lim.Stream > lim.Buffered/2 || !c.Hold(lim.Stream) {
+	if before >= lim.Frontend.ConcurrentRequests || c.front.fill()+lim.Backend.StreamThresholdBytes > lim.Frontend.BufferedBytes/2 || !c.Hold(lim.Backend.StreamThresholdBytes) {
 		return false
 	}
-	t.room = lim.Stream
+	t.room = lim.Backend.StreamThresholdBytes
 	return true
 }
 
@@ -163,9 +163,9 @@
 
 // stuffed says that the client has so much to take that no more is written for now, nor read; Taken goes on.
 func (c *Conn) stuffed() bool {
-	if !c.choked && c.sock.Unsent() > c.front.lim.High {
+	if !c.choked && c.sock.Unsent() > c.front.lim.Frontend.HighWaterBytes {
 		c.choked = true
-		c.sock.Await(c.front.lim.Low)
+		c.sock.Await(c.front.lim.Frontend.LowWaterBytes)
 	}
 	return c.choked
 }
@@ -226,7 +226,7 @@
 		t.room = 0
 		if t.flow != nil && !t.begun {
 			t.begin(p)
-			if !c.ended && c.sock.Unsent() <= c.front.lim.High {
+			if !c.ended && c.sock.Unsent() <= c.front.lim.Frontend.HighWaterBytes {
 				t.flow.SetPaused(false)
 			}
 		}
@@ -260,7 +260,7 @@
 // blocked says that no further message is read for now.
 func (c *Conn) blocked() bool {
 	n := len(c.line)
-	return c.request != "" || c.closing || n > 0 && c.line[n-1].state == waiting || c.backlog > c.front.lim.High
+	return c.request != "" || c.closing || n > 0 && c.line[n-1].state == waiting || c.backlog > c.front.lim.Frontend.HighWaterBytes
 }
 
 // Quit ends the connection once what it was sent before is answered.
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -145,7 +145,7 @@
 			all = append(all, ask(ids[i], "free")...)
 		}
 		c.Send(all)
-		most := min(n, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second).Together)
+		most := min(n, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second).Frontend.ConcurrentRequests)
 		taken(t, k, ids[:most]...)
 		r := rand.New(rand.NewPCG(1, uint64(n)))
 		go func() {
@@ -430,8 +430,8 @@
 
 // Where there is no room to keep answers that wait for others, a request waits until it is the first, and all is given back.
 func TestPipelinedRequestsWaitForRoom(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Buffered = 2*lim.Stream + 4000 // for one beside the first
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.BufferedBytes = 2*lim.Backend.StreamThresholdBytes + 4000 // for one beside the first
 	f, k, l, addr := startWith(t, lim)
 	c := testserver.Dial(t, addr)
 	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("c", "free"), ask("d", "free")))
@@ -452,11 +452,11 @@
 
 // However many clients send ahead however much, there is room for those that ask one thing at a time.
 func TestAFloodSentAheadLeavesRoomForOthers(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Buffered = 400_000
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.BufferedBytes = 400_000
 	f, k, l, addr := startWith(t, lim)
 	const floods = 20
-	ahead := bytes.Repeat(pgwire.AppendQuery(nil, sql("served")), lim.Ahead/len(pgwire.AppendQuery(nil, sql("served"))))
+	ahead := bytes.Repeat(pgwire.AppendQuery(nil, sql("served")), lim.Frontend.PipelinedBytes/len(pgwire.AppendQuery(nil, sql("served"))))
 	var all []*testserver.Client
 	for range floods {
 		c := testserver.Dial(t, addr)
@@ -468,7 +468,7 @@
 		c.Send(ahead)
 	}
 	until(t, "more has come than there is room for", func() (is bool) {
-		do(l, func() { is = f.ahead > lim.Buffered })
+		do(l, func() { is = f.ahead > lim.Frontend.BufferedBytes })
 		return is
 	})
 	c := testserver.Dial(t, addr)
@@ -484,7 +484,7 @@
 
 // The answers that wait for others are bounded: beyond that nothing more of the connection is begun.
 func TestAnswersThatWaitForOthersAreBounded(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	f, k, l, addr := startWith(t, lim)
 	c := testserver.Dial(t, addr)
 	c.Send(ask("a", "free"))
@@ -503,7 +503,7 @@
 		do(l, func() {
 			if q := k.client(id); q != nil {
 				q.Served(value(long))
-			} else if conn.backlog <= lim.High {
+			} else if conn.backlog <= lim.Frontend.HighWaterBytes {
 				t.Errorf("%s is not begun with %d bytes waiting", id, conn.backlog)
 			} else {
 				n-- // nor are those behind it
@@ -521,13 +521,13 @@
 // A client that has many requests in hand and reads nothing until all are answered gets each answer whole, though together they are more than
 // it may leave unread.
 func TestASlowReaderOfManyAnswersGetsThemAll(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	for _, inOrder := range []bool{true, false} {
 		f, k, l, addr := startWith(t, lim)
 		c := testserver.Dial(t, addr)
 		long := strings.Repeat("x", 60_000)
-		n := lim.Together
-		if n*len(long) < lim.Unread+lim.Send {
+		n := lim.Frontend.ConcurrentRequests
+		if n*len(long) < lim.Frontend.UnreadBytes+lim.Frontend.SendBufferBytes {
 			t.Fatal("they are not more than it may leave unread")
 		}
 		var all []byte
@@ -546,7 +546,7 @@
 		}
 		conn := only(t, f, l)
 		do(l, func() {
-			if u := conn.sock.Unsent(); u > lim.High+2*len(long) {
+			if u := conn.sock.Unsent(); u > lim.Frontend.HighWaterBytes+2*len(long) {
 				t.Errorf("%d bytes unsent", u)
 			}
 		})
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -8,7 +8,7 @@
 
 // admit turns away what is too much and hands the rest to the decision module.
 func (r *Router) admit(q *request) {
-	if len(r.inHand) >= r.lim.Requests {
+	if len(r.inHand) >= r.lim.Router.InFlightRequests {
 		// Guards memory: what is beyond the limit is turned away before anything is kept of it.
 		r.loop.Post(func() { r.refuse(q, 0) })
 		return
--- a/internal/router/hold_bench_test.go
+++ b/internal/router/hold_bench_test.go
@@ -39,7 +39,7 @@
 
 func steady(b testing.TB, hold, primary bool) (*Router, *eventloop.Loop) {
 	l := eventloop.New()
-	lim := limits.For(192, 8192, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 8192, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MaxAttempts: 4, Classes: []balance.Class{
 		{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}}}, 1, nil)
 	if err != nil {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -56,7 +56,7 @@
 	r.count.Rejected++
 	r.log.Debug("refused", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.ReceivedAt, "why", why)
 	if after <= 0 {
-		after = r.lim.ComeAgain // a refusal always says when to come back
+		after = r.lim.Router.DefaultRetryAfter // a refusal always says when to come back
 	}
 	r.answered(q, audit.Refused, audit.Answer{Retry: after, Why: why})
 	q.client.Rejected(after)
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -68,7 +68,7 @@
 		}
 		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
 	case balance.LogLine:
-		text := a.Text[:min(len(a.Text), r.lim.LogText)]
+		text := a.Text[:min(len(a.Text), r.lim.Router.LogTextBytes)]
 		r.log.Info(text)
 		r.record(audit.Note{Topic: "decision", Text: text})
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -80,7 +80,7 @@
 // startOn is start on a loop that the test made; the primary may be missing.
 func startOn(t *testing.T, l *eventloop.Loop, primary bool) (*Router, *peer) {
 	p := &peer{t: t, written: true}
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", Cancellation: true,
 		MaxAttempts: 4, Classes: []balance.Class{
 			{Name: "look", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny},
@@ -194,7 +194,7 @@
 
 func TestTurnedAwayAtTheDoor(t *testing.T) {
 	r, _, l := start(t)
-	r.lim.Requests = 1
+	r.lim.Router.InFlightRequests = 1
 	a, b, c := &owed{l: l}, &owed{l: l}, &owed{l: l}
 	play(r, l, 50*time.Millisecond, func() {
 		for want, q := range map[error]Request{ErrUnknownClass: {Class: "none", Deadline: time.Second}, ErrNoTimeLeft: {Class: "look"}} {
--- a/internal/router/takein.go
+++ b/internal/router/takein.go
@@ -60,7 +60,9 @@
 }
 
 // answerBefore is how long before the client's deadline the answer has to be on its way.
-func (r *Router) answerBefore(d time.Duration) time.Duration { return min(r.lim.AnswerBefore, d/4) }
+func (r *Router) answerBefore(d time.Duration) time.Duration {
+	return min(r.lim.Router.DeadlineMargin, d/4)
+}
 
 // Leave says that the client of a request has gone. A read's attempt is given up: nobody waits for it, and others wait for
 // the db machine. What may change data runs on, but only if something of it was written: nothing is begun for a client that has gone.
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -59,10 +59,10 @@
 	ProbePrice, HeldBack    float64
 	Cancel                  bool
 	Checks                  balance.FreshnessCheck // what a machine does with a read that it is too far behind for
-	Hold                    []string       // classes whose requests are held through a change of primary
-	Sites                   string         // what routers do about whole sites: one of SitesOff and so on
-	HarmColdBudget          bool           // the routers know nothing of cold machines: a change that does harm
-	Salt                    uint64         // the routers draw otherwise, the world does not: what chance alone does
+	Hold                    []string               // classes whose requests are held through a change of primary
+	Sites                   string                 // what routers do about whole sites: one of SitesOff and so on
+	HarmColdBudget          bool                   // the routers know nothing of cold machines: a change that does harm
+	Salt                    uint64                 // the routers draw otherwise, the world does not: what chance alone does
 
 	Faults []Fault
 }
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -143,14 +143,14 @@
 		w.call()
 		return
 	}
-	lim := limits.For(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
+	lim := limits.New(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
 	now := r.f.clock.Now()
-	end := w.began + ((now-w.began)/lim.WatchWait+1)*lim.WatchWait // a watch without news was followed by the next one
+	end := w.began + ((now-w.began)/lim.Discovery.WatchWait+1)*lim.Discovery.WatchWait // a watch without news was followed by the next one
 	if p := r.peer(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.out {
 		p.out, p.outAt = true, end+told
 	}
 	w.lost = true
-	r.later(end+lim.WatchSlack-now, func() {
+	r.later(end+lim.Discovery.WatchSlack-now, func() {
 		w.lost, w.follows = false, false
 		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 	})
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -61,7 +61,7 @@
 	r.life++
 	r.loop = eventloop.NewWithClock(f.clock.Now)
 	r.peers = map[string]*peer{}
-	lim := limits.For(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longest)
+	lim := limits.New(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longest)
 	cfg := f.cfg.balance(r.zone)
 	core, err := router.New(r.loop, lim, slog.New(slog.DiscardHandler), cfg, f.seed*1000+uint64(r.number)+uint64(r.life)<<40+f.cfg.Salt<<50, nil)
 	if err != nil {
@@ -78,8 +78,8 @@
 				}
 			}
 		}
-		core.EnableFailoverQueue(failover.Config{Instances: cfg.Instances, Classes: classes, MaxPending: lim.Held, MaxPendingBytes: lim.HeldBytes,
-			DeadlineMargin: lim.AnswerBefore, MaxRetryAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
+		core.EnableFailoverQueue(failover.Config{Instances: cfg.Instances, Classes: classes, MaxPending: lim.Router.PendingWrites, MaxPendingBytes: lim.Router.PendingWriteBytes,
+			DeadlineMargin: lim.Router.DeadlineMargin, MaxRetryAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
 		core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
