--- a/balance/balance.go
+++ b/balance/balance.go
@@ -61,7 +61,8 @@
 		if c.LatencyObjective <= 0 {
 			c.LatencyObjective = c.ClientTimeout
 		}
-		r.classes[c.Name] = &class{Class: c, lat: c.LatencyObjective.Seconds() / 5, work: c.LatencyObjective.Seconds() / 5}
+		r.classes[c.Name] = &class{Class: c, lat: c.LatencyObjective.Seconds() / 5,
+			work: c.LatencyObjective.Seconds() / 5}
 		if c.Consistency == ConsistencyBounded && (r.bound == 0 || c.MaxStaleness < r.bound) {
 			r.bound = c.MaxStaleness
 		}
@@ -414,7 +415,8 @@
 		return
 	}
 	g := r.group(e.Group)
-	q := &request{id: e.ID, class: c, group: g, key: e.SessionID, at: r.now, worth: c.PriorityWeight, tried: e.PriorAttempts}
+	q := &request{id: e.ID, class: c, group: g, key: e.SessionID, at: r.now,
+		worth: c.PriorityWeight, tried: e.PriorAttempts}
 	q.dieAt = r.now + e.TimeLeft
 	// Danger: work for a client that comes back is lost once its aim has passed. Where retries are marked, a
 	// wait below the usual one was cut by the end of all its tries, so the rest of them has gone.
@@ -461,7 +463,8 @@
 // finish answers a request that is given up on, at once. A refusal says that a retry does no harm.
 func (r *Balancer) finish(q *request) {
 	r.turned(q)
-	if q.mayRun && (q.class.Idempotency == NonIdempotent || q.class.Idempotency == IdempotentWithKey && q.class.IdempotencyScope != ScopeAll) {
+	if q.mayRun && (q.class.Idempotency == NonIdempotent ||
+		q.class.Idempotency == IdempotentWithKey && q.class.IdempotencyScope != ScopeAll) {
 		r.do(Fail{ID: q.id})
 	} else {
 		// Told wherever clients can hear it: one that comes back at once meets what turned it away.
@@ -568,7 +571,8 @@
 	if !q.written && (by == 0 || q.half() < by) {
 		by = q.half() // waiting for a connection is waiting all the same
 	}
-	if end := q.ranAt + q.class.IdempotencyWindow - beat; q.mayRun && q.class.Idempotency == IdempotentWithKey && (by == 0 || end < by) {
+	if end := q.ranAt + q.class.IdempotencyWindow - beat; q.mayRun &&
+		q.class.Idempotency == IdempotentWithKey && (by == 0 || end < by) {
 		by = end // Danger: behind the window the repeat would run again, however early it was decided
 	}
 	r.do(Send{ID: q.id, Endpoint: n.id, NotAfter: by})
@@ -859,7 +863,8 @@
 func (r *Balancer) warmth(n *node) float64 {
 	from := max(n.readyAt, n.revived)
 	if age := r.now - from; from > 0 && age < r.cfg.SlowStartWindow {
-		return r.pace(n) * (r.cfg.SlowStartFrom + (1-r.cfg.SlowStartFrom)*max(0, age.Seconds())/r.cfg.SlowStartWindow.Seconds())
+		return r.pace(n) *
+			(r.cfg.SlowStartFrom + (1-r.cfg.SlowStartFrom)*max(0, age.Seconds())/r.cfg.SlowStartWindow.Seconds())
 	}
 	return r.pace(n)
 }
@@ -916,7 +921,8 @@
 					r.finish(q)
 				}
 			}
-			if a.aborted || !n.suspect && !a.lost || q.over || q.class.Idempotency != Idempotent || !r.cfg.Cancellation ||
+			if a.aborted || !n.suspect && !a.lost || q.over || q.class.Idempotency != Idempotent ||
+				!r.cfg.Cancellation ||
 				r.repeats < 1 {
 				continue
 			}
