--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -191,7 +191,7 @@
 		other, o := pair(t, e, ends{make(chan string, 9), make(chan error, 9)})
 		other.reading.Lock()
 		o.Write([]byte("x"))
-		until(t, "the poller is kept", func() bool { return strings.Contains(stacks(), "sock.(*Conn).read(") })
+		until(t, "the poller is kept", func() bool { return strings.Contains(stacks(), "transport.(*Conn).read(") })
 		c.Write([]byte("{}"))
 		if reset {
 			c.SetLinger(0)
