--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -17,7 +17,7 @@
 const ms = time.Millisecond
 
 // base is a made-up deployment: one class of each need.
-func base() Config {
+func testConfig() Config {
 	return Config{
 		Instances: 1, Zone: "a", OverShareWorth: 0.1, Resolution: ms, Probes: true, Cancel: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, MostTries: 6, ColdFrom: 0.25,
@@ -36,50 +36,50 @@
 }
 
 // rig drives one Router by hand. It models no member: each test says what comes back.
-type rig struct {
-	t   *testing.T
-	r   *Router
-	now Time
-	n   int
+type harness struct {
+	t            *testing.T
+	balancer     *Router
+	now          Time
+	requestCount int
 }
 
-func newRig(t *testing.T, c Config, events ...Event) *rig {
+func newHarness(t *testing.T, c Config, events ...Event) *harness {
 	t.Helper()
 	r, err := New(c, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &rig{t: t, r: r, now: 100 * time.Second}
+	h := &harness{t: t, balancer: r, now: 100 * time.Second}
 	h.step(0, events...)
 	return h
 }
 
 // three is a list of a group 1 with the members a, b and c.
-func three(kind ListKind) List {
+func threeEndpoints(kind ListKind) List {
 	return List{Kind: kind, Entries: []Entry{
 		{Node: "a", Zone: "a", Group: 1, State: Ready}, {Node: "b", Zone: "a", Group: 1, State: Ready},
 		{Node: "c", Zone: "a", Group: 1, State: Ready}}}
 }
 
-func (h *rig) step(d time.Duration, events ...Event) []Action {
+func (h *harness) step(d time.Duration, events ...Event) []Action {
 	h.now += d
-	return h.r.Step(h.now, events)
+	return h.balancer.Step(h.now, events)
 }
 
-func (h *rig) request(class string) Request {
-	h.n++
-	return Request{ID: fmt.Sprint("q", h.n), Class: class, Group: 1, Key: 5, Expires: time.Second}
+func (h *harness) request(class string) Request {
+	h.requestCount++
+	return Request{ID: fmt.Sprint("q", h.requestCount), Class: class, Group: 1, Key: 5, Expires: time.Second}
 }
 
 // ready is a rig whose router knows that a is the primary, and the positions of all.
-func ready(t *testing.T, c Config) *rig {
-	h := newRig(t, c, three(ListCached))
-	h.reports("a")
+func newReadyHarness(t *testing.T, c Config) *harness {
+	h := newHarness(t, c, threeEndpoints(ListCached))
+	h.reportAll("a")
 	return h
 }
 
 // reports lets each member answer a probe now.
-func (h *rig) reports(primary string) {
+func (h *harness) reportAll(primary string) {
 	for _, id := range []string{"a", "b", "c"} {
 		role := RoleReplica
 		if id == primary {
@@ -90,13 +90,13 @@
 }
 
 // silence lets all probes that are out come back with nothing.
-func (h *rig) silence() {
+func (h *harness) failAllHealthChecks() {
 	for _, id := range []string{"a", "b", "c"} {
 		h.step(0, ProbeResult{Node: id, Status: TimedOut})
 	}
 }
 
-func pick[A Action](acts []Action) []A {
+func actionsOf[A Action](acts []Action) []A {
 	var out []A
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -106,9 +106,9 @@
 	return out
 }
 
-func (h *rig) sent(acts []Action, want ...string) []Send {
+func (h *harness) expectSends(acts []Action, want ...string) []Send {
 	h.t.Helper()
-	got := pick[Send](acts)
+	got := actionsOf[Send](acts)
 	ok := len(got) == len(want)
 	for i := 0; ok && i < len(want); i++ {
 		ok = strings.Contains(want[i], got[i].Node)
@@ -120,30 +120,30 @@
 }
 
 func TestOrdinaryPath(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	for _, c := range []struct{ class, to string }{
 		{"write", "a"}, {"latest", "a"}, {"bounded", "bc"}, {"any", "bc"}, {"session", "bc"},
 	} {
-		h.sent(h.step(ms, h.request(c.class)), c.to)
+		h.expectSends(h.step(ms, h.request(c.class)), c.to)
 	}
 }
 
 func TestOwnZoneFirst(t *testing.T) {
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[1].Zone = "far"
-	h := newRig(t, base(), l)
-	h.reports("a")
+	h := newHarness(t, testConfig(), l)
+	h.reportAll("a")
 	for range 5 {
-		h.sent(h.step(ms, h.request("any")), "c")
+		h.expectSends(h.step(ms, h.request("any")), "c")
 	}
 }
 
 func TestRandomDrawUsesBothReplicas(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	seen := map[string]int{}
 	for range 40 {
 		q := h.request("any")
-		s := h.sent(h.step(ms, q), "bc")[0]
+		s := h.expectSends(h.step(ms, q), "bc")[0]
 		seen[s.Node]++
 		h.step(ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
 	}
@@ -153,22 +153,22 @@
 }
 
 func TestFreshRouterProbesAndHolds(t *testing.T) {
-	h := newRig(t, base(), three(ListCached))
+	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	acts := h.step(ms, h.request("latest"), h.request("bounded"))
-	h.sent(acts)
-	if got := len(pick[Probe](acts)); got != 3 {
+	h.expectSends(acts)
+	if got := len(actionsOf[Probe](acts)); got != 3 {
 		t.Fatalf("%d probes on first use, want 3", got)
 	}
 	acts = h.step(ms, ProbeResult{Node: "b", Status: Done, Role: RolePrimary, Position: h.now})
-	h.sent(acts, "b") // the read waits for the reports that are on their way
-	h.sent(h.step(ms, ProbeResult{Node: "c", Status: Done, Role: RoleReplica, Position: h.now}), "c")
+	h.expectSends(acts, "b") // the read waits for the reports that are on their way
+	h.expectSends(h.step(ms, ProbeResult{Node: "c", Status: Done, Role: RoleReplica, Position: h.now}), "c")
 }
 
 // A storm of probes: hundreds of instances that each look for a lost primary must not ask without end.
 func TestProbesForALostPrimaryAreBounded(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("write"))
-	h.reports("a")
+	h.reportAll("a")
 	h.step(0, List{Entries: []Entry{{Node: "a", Zone: "a", Group: 1, State: Gone}}})
 	probes := 0
 	for i := range 500 {
@@ -177,7 +177,7 @@
 			q := h.request("write")
 			events = append(events, q)
 		}
-		for _, p := range pick[Probe](h.step(10*ms, events...)) {
+		for _, p := range actionsOf[Probe](h.step(10*ms, events...)) {
 			probes++
 			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now - 10*ms})
 		}
@@ -189,55 +189,55 @@
 
 // What a member said of its lag seconds ago must not keep it out for good.
 func TestOldLagIsForgotten(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Checks = ChecksRefuse
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	h.now += 500 * ms
 	for _, id := range []string{"b", "c"} {
 		q := h.request("any")
 		for s := ""; s != id; {
 			q = h.request("any")
-			s = h.sent(h.step(0, q), "bc")[0].Node
+			s = h.expectSends(h.step(0, q), "bc")[0].Node
 		}
 		h.step(ms, Outcome{ID: q.ID, Node: id, Status: Done, Finished: true, Role: RoleReplica, Position: h.now - time.Second})
 	}
-	h.sent(h.step(ms, h.request("bounded")), "a")
-	h.sent(h.step(3*time.Second, h.request("bounded")), "bc")
+	h.expectSends(h.step(ms, h.request("bounded")), "a")
+	h.expectSends(h.step(3*time.Second, h.request("bounded")), "bc")
 }
 
 func TestUnknownGroupTriesWritesInOrder(t *testing.T) {
-	h := newRig(t, base(), three(ListCached))
+	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Miss, Role: RoleReplica}), "c")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Attempt: 2, Node: "c", Status: Miss, Role: RoleReplica}))
-	h.sent(h.step(50*ms, h.request("write"))) // one round of misses, then hold
-	h.sent(h.step(50*ms, ProbeResult{Node: "c", Status: Done, Role: RolePrimary, Position: h.now + 40*ms}), "c", "c")
+	h.expectSends(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Miss, Role: RoleReplica}), "c")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 2, Node: "c", Status: Miss, Role: RoleReplica}))
+	h.expectSends(h.step(50*ms, h.request("write"))) // one round of misses, then hold
+	h.expectSends(h.step(50*ms, ProbeResult{Node: "c", Status: Done, Role: RolePrimary, Position: h.now + 40*ms}), "c", "c")
 }
 
 func TestMissTurnsTheEntryDirty(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Done, Took: ms, Finished: true, Role: RolePrimary}))
-	h.sent(h.step(ms, h.request("write")), "b")
+	h.expectSends(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Done, Took: ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
 func TestLateListDoesNotOverrideAnAnswer(t *testing.T) {
-	h := ready(t, base())
-	l := three(ListFull)
+	h := newReadyHarness(t, testConfig())
+	l := threeEndpoints(ListFull)
 	l.Entries[1].Primary = true
 	h.step(ms, l)
-	h.sent(h.step(ms, h.request("write")), "a")
+	h.expectSends(h.step(ms, h.request("write")), "a")
 }
 
 // A role that the list says 4 s late, behind two changes, moves no write: answers have told what came since.
 func TestRoleOfTheListFourSecondsOld(t *testing.T) {
-	h := ready(t, base()) // a leads
+	h := newReadyHarness(t, testConfig()) // a leads
 	list := func(leads string) List {
-		l := three(ListDelta)
+		l := threeEndpoints(ListDelta)
 		for i := range l.Entries {
 			l.Entries[i].Primary = l.Entries[i].Node == leads
 		}
@@ -245,11 +245,11 @@
 	}
 	h.step(ms, list("a"))
 	answer := func(n string, role Role) Outcome {
-		return Outcome{ID: fmt.Sprint("q", h.n), Node: n, Status: Done, Took: ms, Finished: true, Role: role, Position: h.now}
+		return Outcome{ID: fmt.Sprint("q", h.requestCount), Node: n, Status: Done, Took: ms, Finished: true, Role: role, Position: h.now}
 	}
 	write := func(want string) {
 		t.Helper()
-		h.sent(h.step(ms, h.request("write")), want)
+		h.expectSends(h.step(ms, h.request("write")), want)
 		h.step(ms, answer(want, RolePrimary))
 	}
 	write("a")
@@ -265,134 +265,134 @@
 }
 
 func TestListNamesThePrimaryOfAnUnknownGroup(t *testing.T) {
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[2].Primary = true
-	h := newRig(t, base(), l)
-	h.sent(h.step(ms, h.request("write")), "c")
+	h := newHarness(t, testConfig(), l)
+	h.expectSends(h.step(ms, h.request("write")), "c")
 }
 
 func TestBoundedReadsGoToThePrimaryWhenPositionsAge(t *testing.T) {
-	h := ready(t, base())
-	h.sent(h.step(299*ms, h.request("bounded")), "bc")
-	h.silence()
-	h.sent(h.step(2*ms, h.request("bounded")), "a")
+	h := newReadyHarness(t, testConfig())
+	h.expectSends(h.step(299*ms, h.request("bounded")), "bc")
+	h.failAllHealthChecks()
+	h.expectSends(h.step(2*ms, h.request("bounded")), "a")
 }
 
 func TestSessionReadNeedsItsCommit(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("session")
 	q.SinceLast = 10 * ms
-	h.sent(h.step(5*ms, q), "bc") // committed 5 ms before the positions were told
-	h.silence()
+	h.expectSends(h.step(5*ms, q), "bc") // committed 5 ms before the positions were told
+	h.failAllHealthChecks()
 	q = h.request("session")
 	q.SinceLast = 4 * ms
-	h.sent(h.step(5*ms, q), "a")
+	h.expectSends(h.step(5*ms, q), "a")
 }
 
 func TestRememberedCommit(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.ClientTokens = false
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	w := h.request("write")
-	h.sent(h.step(ms, w), "a")
+	h.expectSends(h.step(ms, w), "a")
 	h.step(20*ms, Outcome{ID: w.ID, Node: "a", Status: Done, Took: 20 * ms, Finished: true, Role: RolePrimary, Position: h.now})
-	h.silence()
-	h.sent(h.step(ms, h.request("session")), "a")
+	h.failAllHealthChecks()
+	h.expectSends(h.step(ms, h.request("session")), "a")
 	h.step(20*ms, ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
-	h.sent(h.step(ms, h.request("session")), "b")
+	h.expectSends(h.step(ms, h.request("session")), "b")
 }
 
 func TestReadMissGoesToOneOtherThenThePrimary(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Checks = ChecksRefuse
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	h.now += 500 * ms // the positions no longer prove anything: any replica may be tried
 	q := h.request("bounded")
-	first := h.sent(h.step(0, q), "bc")[0].Node
+	first := h.expectSends(h.step(0, q), "bc")[0].Node
 	other := map[string]string{"b": "c", "c": "b"}[first]
-	h.sent(h.step(ms, Outcome{ID: q.ID, Node: first, Status: Miss, Role: RoleReplica}), other)
-	h.sent(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: other, Status: Miss, Role: RoleReplica}), "a")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: first, Status: Miss, Role: RoleReplica}), other)
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: other, Status: Miss, Role: RoleReplica}), "a")
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	l := List{Entries: []Entry{{Node: "b", Zone: "a", Group: 1, State: Draining}, {Node: "c", Group: 1, State: Gone}}}
 	h.step(ms, l)
 	for range 5 {
-		h.sent(h.step(ms, h.request("any")), "a")
+		h.expectSends(h.step(ms, h.request("any")), "a")
 	}
-	h.step(ms, List{Kind: ListFull, Entries: three(ListFull).Entries[1:2]})
-	h.sent(h.step(ms, h.request("any")), "b") // a is absent from the full list, b is back
+	h.step(ms, List{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[1:2]})
+	h.expectSends(h.step(ms, h.request("any")), "b") // a is absent from the full list, b is back
 }
 
 func TestUnsafeWriteIsNeverRepeated(t *testing.T) {
 	for _, s := range []Status{Error, TimedOut, Reset, Cancelled} {
-		h := ready(t, base())
+		h := newReadyHarness(t, testConfig())
 		q := h.request("write")
-		h.sent(h.step(ms, q), "a")
+		h.expectSends(h.step(ms, q), "a")
 		acts := h.step(50*ms, Outcome{ID: q.ID, Node: "a", Status: s})
-		h.sent(acts)
-		if len(pick[Fail](acts)) != 1 || len(pick[Refuse](acts)) != 0 {
+		h.expectSends(acts)
+		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Refuse](acts)) != 0 {
 			t.Fatalf("status %d: %v, want one failure", s, acts)
 		}
 	}
 }
 
 func TestUnsafeWriteThatNeverRanIsTriedAgain(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.sent(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed}))
-	h.sent(h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed}), "b")
+	h.expectSends(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed}))
+	h.expectSends(h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed}), "b")
 }
 
 // A connection that could not be opened is no outage for this instance if a probe passes: the same primary again.
 func TestOneFailedConnectionIsNoOutage(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.reports("a")
+	h.expectSends(h.step(ms, q), "a")
+	h.reportAll("a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed})
 	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now})
-	h.sent(h.step(100*ms), "a")
+	h.expectSends(h.step(100*ms), "a")
 }
 
 func TestKeyedRepeatsOnlyInsideTheWindow(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("keyed")
-	h.sent(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, q), "a")
 	first := h.now
 	repeat := h.step(50*ms, Outcome{ID: q.ID, Node: "a", Status: Error, Role: RolePrimary})
-	h.sent(repeat, "a")
+	h.expectSends(repeat, "a")
 	// The way counts in: a repeat that waits for its connection is not written behind the window either.
-	if by := pick[Send](repeat)[0].By; by == 0 || by >= first+h.r.classes["keyed"].Window {
-		t.Fatalf("the repeat may be written until %v, the window ends at %v", by, first+h.r.classes["keyed"].Window)
+	if by := actionsOf[Send](repeat)[0].By; by == 0 || by >= first+h.balancer.classes["keyed"].Window {
+		t.Fatalf("the repeat may be written until %v, the window ends at %v", by, first+h.balancer.classes["keyed"].Window)
 	}
 	acts := h.step(460*ms, Outcome{ID: q.ID, Attempt: 1, Node: "a", Status: Error, Role: RolePrimary})
-	h.sent(acts)
+	h.expectSends(acts)
 	for range 100 {
 		acts = append(acts, h.step(10*ms)...)
 	}
-	if len(pick[Fail](acts)) != 1 || len(pick[Send](acts)) != 0 || len(pick[Refuse](acts)) != 0 {
+	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 || len(actionsOf[Refuse](acts)) != 0 {
 		t.Fatalf("%v, want one failure and no send", acts)
 	}
 }
 
 func TestHeldWriteIsRefusedInTime(t *testing.T) {
 	for held, most := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
-		c := base()
+		c := testConfig()
 		c.HeldBack = held
-		h := newRig(t, c, List{Kind: ListCached})
+		h := newHarness(t, c, List{Kind: ListCached})
 		q := h.request("write")
 		var acts []Action
 		h.step(0, q)
-		for h.now < 102*time.Second && len(pick[Refuse](acts)) == 0 {
+		for h.now < 102*time.Second && len(actionsOf[Refuse](acts)) == 0 {
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; at > most || at < most-100*ms {
 			t.Fatalf("refused after %v, the client waits 1 s", at)
 		}
-		if pick[Refuse](acts)[0].RetryAfter == 0 {
+		if actionsOf[Refuse](acts)[0].RetryAfter == 0 {
 			t.Fatal("a refusal without a retry-after")
 		}
 	}
@@ -400,10 +400,10 @@
 
 // Nor does waiting for a connection go beyond half of the client's time.
 func TestSendIsOnlyGoodForHalfOfTheTime(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	for _, class := range []string{"write", "any", "latest"} {
 		at := h.now + ms
-		s := h.sent(h.step(ms, h.request(class)), "abc")[0]
+		s := h.expectSends(h.step(ms, h.request(class)), "abc")[0]
 		if s.By < at+450*ms || s.By > at+500*ms {
 			t.Errorf("%s: by %v", class, s.By-at)
 		}
@@ -411,11 +411,11 @@
 }
 
 func TestWritesDoNotPileUpOnASilentPrimary(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	sends := 0
 	for range 300 {
 		acts := h.step(10*ms, h.request("write"))
-		sends += len(pick[Send](acts))
+		sends += len(actionsOf[Send](acts))
 	}
 	if sends > 20 {
 		t.Fatalf("%d writes went to a silent primary", sends)
@@ -423,7 +423,7 @@
 }
 
 func TestSilentReplicaIsAvoidedAndItsReadsMove(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	stuck := map[string]bool{}
 	moved, late := 0, 0
 	for i := range 300 {
@@ -431,7 +431,7 @@
 		acts := h.step(10*ms, q)
 		for len(acts) > 0 {
 			var next []Event
-			for _, s := range pick[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				if s.Node == "b" {
 					stuck[s.ID] = true
 					if i > 200 {
@@ -442,9 +442,9 @@
 				if stuck[s.ID] {
 					moved++
 				}
-				next = append(next, Outcome{ID: s.ID, Attempt: h.legs(s.ID) - 1, Node: s.Node, Status: Done, Took: 5 * ms, Finished: true})
+				next = append(next, Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Done, Took: 5 * ms, Finished: true})
 			}
-			for _, c := range pick[Cancel](acts) {
+			for _, c := range actionsOf[Cancel](acts) {
 				next = append(next, Outcome{ID: c.ID, Attempt: c.Attempt, Node: "b", Status: Cancelled})
 			}
 			acts = nil
@@ -458,24 +458,24 @@
 	}
 }
 
-func (h *rig) legs(id string) int {
-	if q := h.r.reqs[id]; q != nil {
-		return len(q.tries)
+func (h *harness) attempts(id string) int {
+	if q := h.balancer.requests[id]; q != nil {
+		return len(q.attempts)
 	}
 	return 0
 }
 
 func TestColdMemberStaysWithinItsBudget(t *testing.T) {
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[1].ReadyAt = 99900 * ms
 	l.Entries[2].State = Draining
-	h := newRig(t, base(), l)
-	h.reports("a")
+	h := newHarness(t, testConfig(), l)
+	h.reportAll("a")
 	sends := 0
 	for range 100 {
 		q := h.request("any")
 		acts := h.step(10*ms, q)
-		for _, s := range pick[Send](acts) {
+		for _, s := range actionsOf[Send](acts) {
 			if s.Node == "b" {
 				sends++
 			}
@@ -489,13 +489,13 @@
 }
 
 func TestListIsAskedForWithBackoff(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Ask = true
-	h := newRig(t, c, List{Kind: ListFailed})
+	h := newHarness(t, c, List{Kind: ListFailed})
 	asks := 0
 	for range 500 {
 		acts := h.step(10 * ms)
-		if len(pick[Track](acts)) > 0 {
+		if len(actionsOf[Track](acts)) > 0 {
 			asks++
 			h.step(0, List{Kind: ListFailed})
 		}
@@ -506,12 +506,12 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Classes[1].Bound = 0
 	if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), "Bound") {
 		t.Fatalf("error %v does not name the field", err)
 	}
-	c = base()
+	c = testConfig()
 	c.Classes[0].GiveUp = 0
 	if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), "GiveUp") {
 		t.Fatalf("error %v does not name the field", err)
@@ -538,9 +538,9 @@
 }
 
 // play feeds odd but legal events and checks what must hold whatever comes. It models no member: outcomes are drawn.
-func play(t *testing.T, seed uint64) []Action { return playWith(t, seed, base()) }
+func playEvents(t *testing.T, seed uint64) []Action { return playEventsWith(t, seed, testConfig()) }
 
-func playWith(t *testing.T, seed uint64, c Config) []Action {
+func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	c.Checks = Checks(rng.IntN(3))
@@ -565,7 +565,7 @@
 	reqs, open := map[string]*live{}, []try{}
 	barred, suspended, since := map[string]bool{}, map[string]bool{}, map[string]int{}
 	now, n := 50*time.Second, 0
-	events := []Event{three(ListCached)}
+	events := []Event{threeEndpoints(ListCached)}
 	var all []Action
 	for i := range 600 {
 		if i < 400 && rng.IntN(2) == 0 {
@@ -700,7 +700,7 @@
 	for seed := range uint64(60) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) { play(t, seed) })
+	f.Fuzz(func(t *testing.T, seed uint64) { playEvents(t, seed) })
 }
 
 // Settings at their extremes, alone and together, keep what must hold whatever comes.
@@ -746,9 +746,9 @@
 	for name, set := range extremes {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				c := base()
+				c := testConfig()
 				if set(&c); !c.SoftRemoval {
-					playWith(t, seed, c)
+					playEventsWith(t, seed, c)
 				} else if _, err := New(c, seed); err != nil {
 					t.Fatal(err)
 				}
@@ -756,15 +756,15 @@
 		})
 	}
 	for seed := range uint64(100) {
-		c := base()
+		c := testConfig()
 		all(&c, rand.New(rand.NewPCG(seed, 9)))
-		playWith(t, seed, c)
+		playEventsWith(t, seed, c)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(10) {
-		if !reflect.DeepEqual(play(t, seed), play(t, seed)) {
+		if !reflect.DeepEqual(playEvents(t, seed), playEvents(t, seed)) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
@@ -772,58 +772,58 @@
 
 // Attempts that end unanswered say more about crowding than those that were served: the limit must fall with them.
 func TestUnansweredAttemptsLowerTheLimit(t *testing.T) {
-	h := ready(t, base())
-	n := h.r.nodes["b"]
-	before := n.limit
+	h := newReadyHarness(t, testConfig())
+	n := h.balancer.endpoints["b"]
+	before := n.attemptLimit
 	for range 60 {
 		q := h.request("any")
-		for _, s := range pick[Send](h.step(ms, q)) {
+		for _, s := range actionsOf[Send](h.step(ms, q)) {
 			h.step(400*ms, Outcome{ID: q.ID, Node: s.Node, Status: TimedOut, Took: 400 * ms, Finished: true})
-			h.reports("a")
+			h.reportAll("a")
 		}
 	}
-	if n.limit > 0.85*before {
-		t.Fatalf("limit %.1f after 60 unanswered attempts, was %.1f", n.limit, before)
+	if n.attemptLimit > 0.85*before {
+		t.Fatalf("limit %.1f after 60 unanswered attempts, was %.1f", n.attemptLimit, before)
 	}
 }
 
 // A slow class must not make its members suspect: patience goes by what is out.
 func TestLongRequestIsGivenTime(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Classes = append(c.Classes, Class{Name: "report", Aim: 4 * time.Second, GiveUp: 9 * time.Second, Worth: 1})
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	q := h.request("report")
 	q.Expires = 9 * time.Second
 	acts := h.step(ms, q)
 	for range 250 {
 		acts = append(acts, h.step(10*ms)...)
 	}
-	if got := len(pick[Cancel](acts)); got != 0 {
+	if got := len(actionsOf[Cancel](acts)); got != 0 {
 		t.Fatalf("a report of 2.5 s, aim 4 s, was withdrawn %d times", got)
 	}
 }
 
 // Many instances share each member: together they must not start with a flood.
 func TestStartLimitIsShared(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances = 8
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	var acts []Action
 	for range 40 {
 		acts = append(acts, h.step(ms, h.request("any"))...)
 	}
-	if got := len(pick[Send](acts)); got > 8 {
+	if got := len(actionsOf[Send](acts)); got > 8 {
 		t.Fatalf("one of eight instances sent %d at once", got)
 	}
 }
 
 // A full member turns work away at once: sending it again at once would only load it more.
 func TestFullMemberIsLeftAlone(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	sends := 0
 	q := h.request("write")
 	acts := h.step(ms, q)
-	for i := 0; i < 5 && len(pick[Send](acts)) > 0; i++ {
+	for i := 0; i < 5 && len(actionsOf[Send](acts)) > 0; i++ {
 		sends++
 		acts = h.step(ms, Outcome{ID: q.ID, Attempt: i, Node: "a", Status: Busy})
 	}
@@ -831,7 +831,7 @@
 		t.Fatalf("%d attempts within 5 ms at a full member", sends)
 	}
 	for range 30 {
-		sends += len(pick[Send](h.step(10 * ms)))
+		sends += len(actionsOf[Send](h.step(10 * ms)))
 	}
 	if sends != 2 {
 		t.Fatalf("the held write was not sent once more: %d sends", sends)
@@ -840,19 +840,19 @@
 
 // Probes have a price: reads that keep finding no replica must not turn into a probe each.
 func TestProbesForPositionsAreEarned(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.ProbePrice = 0.05
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	h.step(ms, h.request("bounded"))
-	h.reports("a") // the probes of the first use
+	h.reportAll("a") // the probes of the first use
 	probes, asked := 0, 400
 	for range asked {
 		q := h.request("bounded")
 		acts := h.step(10*ms, q)
-		for _, s := range pick[Send](acts) {
+		for _, s := range actionsOf[Send](acts) {
 			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
 		}
-		for _, p := range pick[Probe](acts) {
+		for _, p := range actionsOf[Probe](acts) {
 			probes++
 			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now - time.Second})
 		}
@@ -864,77 +864,77 @@
 
 // A network that breaks some connections everywhere must not make members suspects, cold, or primaries doubtful.
 func TestOneBrokenConnectionIsNoOutage(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.reports("a") // the probes of the first use
+	h.expectSends(h.step(ms, q), "a")
+	h.reportAll("a") // the probes of the first use
 	acts := h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset})
-	if len(pick[Probe](acts)) == 0 {
+	if len(actionsOf[Probe](acts)) == 0 {
 		t.Fatal("the member is not asked whether it is there")
 	}
-	h.sent(h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now}, h.request("write")), "a")
+	h.expectSends(h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now}, h.request("write")), "a")
 }
 
 func TestBrokenConnectionsOfADeadMemberAreAnOutage(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
-	h.reports("a")
+	h.expectSends(h.step(ms, q), "a")
+	h.reportAll("a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset})
 	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
-	h.sent(h.step(ms, h.request("write")), "b") // in doubt: the next in order
-	h = ready(t, base())
+	h.expectSends(h.step(ms, h.request("write")), "b") // in doubt: the next in order
+	h = newReadyHarness(t, testConfig())
 	var ids []string
 	for range 3 {
 		q := h.request("write")
-		h.sent(h.step(ms, q), "a")
+		h.expectSends(h.step(ms, q), "a")
 		ids = append(ids, q.ID)
 	}
 	var all []Event
 	for _, id := range ids {
 		all = append(all, Outcome{ID: id, Node: "a", Status: Reset})
 	}
-	h.sent(h.step(ms, all...))
+	h.expectSends(h.step(ms, all...))
 	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
-	h.sent(h.step(ms, h.request("write")), "b")
+	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
 // Connections that break now and then, several in a row too, leave a member what it is: neither an outage nor cold.
 func TestBrokenConnectionsAreNoRestart(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	for range 20 {
 		for range 4 {
 			q := h.request("write")
-			h.sent(h.step(ms, q), "a")
+			h.expectSends(h.step(ms, q), "a")
 			h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset}, ProbeResult{Node: "a", Status: Reset})
 		}
 		q := h.request("write")
-		h.sent(h.step(ms, q), "a")
+		h.expectSends(h.step(ms, q), "a")
 		h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
 	}
 	// Nor is one that could not be reached once and is there again.
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset}, ProbeResult{Node: "a", Status: ConnectFailed})
-	n := h.r.nodes["a"]
+	n := h.balancer.endpoints["a"]
 	if !n.suspect {
 		t.Fatal("a member that cannot be reached is in doubt")
 	}
-	h.step(trialLast, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now + trialLast})
+	h.step(maxTrialBackoff, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now + maxTrialBackoff})
 	q = h.request("write")
-	h.sent(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
-	if n.suspect || h.r.warmth(n) < 1 {
-		t.Fatalf("suspect %v, warmth %v", n.suspect, h.r.warmth(n))
+	if n.suspect || h.balancer.warmupFactor(n) < 1 {
+		t.Fatalf("suspect %v, warmth %v", n.suspect, h.balancer.warmupFactor(n))
 	}
 }
 
 // A primary that fails some requests is the only one that takes writes: they must not be held for its trials.
 func TestSickPrimaryStillGetsItsWrites(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	for i := range 40 {
 		q := h.request("write")
-		h.sent(h.step(10*ms, q), "a")
+		h.expectSends(h.step(10*ms, q), "a")
 		s := []Status{Done, Error}[i%2]
 		h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: s, Took: 5 * ms, Finished: s == Done, Role: RolePrimary})
 	}
@@ -942,11 +942,11 @@
 
 // A replica that fails some reads is left to trials while others serve, and used when no other can.
 func TestSickReplicaIsTheLastChoice(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	sick := 0
 	for i := range 100 {
 		q := h.request("any")
-		s := h.sent(h.step(10*ms, q), "abc")[0]
+		s := h.expectSends(h.step(10*ms, q), "abc")[0]
 		if s.Node != "b" {
 			h.step(ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
 			continue
@@ -955,7 +955,7 @@
 			sick++
 		}
 		for k := 0; s.Node == "b"; k++ {
-			s = h.sent(h.step(ms, Outcome{ID: q.ID, Attempt: k, Node: "b", Status: Error}), "abc")[0]
+			s = h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: k, Node: "b", Status: Error}), "abc")[0]
 			if s.Node != "b" {
 				h.step(ms, Outcome{ID: q.ID, Attempt: k + 1, Node: s.Node, Status: Done, Took: ms, Finished: true})
 			}
@@ -965,99 +965,99 @@
 		t.Fatalf("%d of the last 50 reads went to a sick replica", sick)
 	}
 	h.step(0, List{Entries: []Entry{{Node: "a", Group: 1, State: Gone}, {Node: "c", Group: 1, State: Gone}}})
-	h.sent(h.step(ms, h.request("any")), "b")
+	h.expectSends(h.step(ms, h.request("any")), "b")
 }
 
 // A client that comes back has part of its aim behind it. Its wait tells how much, once its give-up time cuts it.
 func TestReturningClientHasLessTime(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("bounded") // aim 400 ms, gives up after 2 s, nothing when late
 	q.Expires = 2 * time.Second
-	h.sent(h.step(ms, q), "bc")
+	h.expectSends(h.step(ms, q), "bc")
 	q = h.request("bounded")
 	q.Retry, q.Expires = true, 1500*ms // 500 ms have gone: no answer can be in time
 	acts := h.step(ms, q)
-	h.sent(acts)
-	if len(pick[Refuse](acts)) != 1 {
+	h.expectSends(acts)
+	if len(actionsOf[Refuse](acts)) != 1 {
 		t.Fatalf("%v, want a refusal at once", acts)
 	}
 	q = h.request("bounded")
 	q.Retry, q.Expires = true, 1900*ms
-	h.sent(h.step(ms, q), "bc")
+	h.expectSends(h.step(ms, q), "bc")
 	q = h.request("bounded") // not a retry: this client just has less patience
 	q.Expires = 1500 * ms
-	h.sent(h.step(ms, q), "bc")
+	h.expectSends(h.step(ms, q), "bc")
 }
 
 // A primary that hands over turns writes away while it still finishes others and answers reads as a primary.
 func TestHandoverDoesNotFlap(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	old, q := h.request("write"), h.request("write")
-	h.sent(h.step(ms, old, q), "a", "a")
-	h.sent(h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
+	h.expectSends(h.step(ms, old, q), "a", "a")
+	h.expectSends(h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
 	h.step(5*ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Miss, Role: RoleReplica})
 	h.step(ms, Outcome{ID: q.ID, Attempt: 2, Node: "c", Status: Miss, Role: RoleReplica})
 	acts := h.step(5*ms, Outcome{ID: old.ID, Node: "a", Status: Done, Took: 15 * ms, Finished: true, Role: RolePrimary})
-	h.sent(acts)
+	h.expectSends(acts)
 	r := h.request("any")
 	for n := 0; n < 10; n++ { // until the draw takes a
-		s := pick[Send](h.step(ms, r))
+		s := actionsOf[Send](h.step(ms, r))
 		if len(s) == 1 && s[0].Node == "a" {
 			break
 		}
 		r = h.request("any")
 	}
-	h.sent(h.step(5*ms, Outcome{ID: r.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(h.step(5*ms, Outcome{ID: r.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary}))
 }
 
 // When no replica has recent data, weak reads must not take all that the primary can do: writes have no other place.
 func TestWeakReadsLeaveThePrimaryRoom(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	h.now += 400 * ms // the positions have aged out
 	for range 40 {
 		h.step(0, h.request("bounded"))
 	}
-	h.sent(h.step(0, h.request("write")), "a")
+	h.expectSends(h.step(0, h.request("write")), "a")
 }
 
 // A primary that was replaced while it was away may still call itself primary: its old data must not count as new.
 func TestClaimOfAPrimaryIsNoPosition(t *testing.T) {
-	c := base()
-	h := ready(t, c)
+	c := testConfig()
+	h := newReadyHarness(t, c)
 	h.now += time.Second
 	q := h.request("latest")
-	h.sent(h.step(0, q), "a")
+	h.expectSends(h.step(0, q), "a")
 	h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
 	w := h.request("write")
-	h.sent(h.step(ms, w), "a")
+	h.expectSends(h.step(ms, w), "a")
 	h.step(ms, Outcome{ID: w.ID, Node: "a", Status: Miss, Role: RoleReplica})
-	h.silence()
+	h.failAllHealthChecks()
 	for range 10 {
-		h.sent(h.step(ms, h.request("bounded")))
+		h.expectSends(h.step(ms, h.request("bounded")))
 	}
 }
 
 // At hundreds of instances a tenant sends less than one request a second to each: that is within its share.
 func TestSmallShareOfATenantIsNotExcess(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances = 200
 	c.Tenants = []Tenant{{Name: "t", Rate: 50}}
-	h := newRig(t, c, three(ListCached))
+	h := newHarness(t, c, threeEndpoints(ListCached))
 	for range 5 {
 		q := h.request("write")
 		q.Tenant = "t"
 		h.step(4*time.Second, q)
-		if w := h.r.reqs[q.ID]; w != nil && w.worth < 3 {
-			t.Fatalf("a quarter of a request a second, all of the share, is worth %v of 3", w.worth)
+		if w := h.balancer.requests[q.ID]; w != nil && w.weight < 3 {
+			t.Fatalf("a quarter of a request a second, all of the share, is worth %v of 3", w.weight)
 		}
 	}
 }
 
 // Many instances, each told of a cold member, must not send it one request each at once: a plain count of sends.
 func TestColdBudgetOverManyInstances(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances = 200
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[1].ReadyAt = 99900 * ms
 	l.Entries[2].State = Draining
 	l.Entries[0].State = Draining
@@ -1067,11 +1067,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &rig{t: t, r: r, now: 100 * time.Second}
+		h := &harness{t: t, balancer: r, now: 100 * time.Second}
 		h.step(0, l)
 		for k := range 50 {
 			acts := h.step(100*ms, h.request("any"))
-			for _, s := range pick[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				if k < 10 {
 					first++
 				} else {
@@ -1088,9 +1088,9 @@
 
 // An instance that did not run for a while must not take its own stall for the silence of members.
 func TestOwnStallIsNoSilence(t *testing.T) {
-	h := ready(t, base())
-	h.sent(h.step(ms, h.request("any")), "bc")
-	for _, a := range pick[Log](h.step(3 * time.Second)) {
+	h := newReadyHarness(t, testConfig())
+	h.expectSends(h.step(ms, h.request("any")), "bc")
+	for _, a := range actionsOf[Log](h.step(3 * time.Second)) {
 		if strings.Contains(a.Text, "suspect") {
 			t.Fatal(a.Text)
 		}
@@ -1099,14 +1099,14 @@
 
 // One that fails and recovers by turns waits longer for its trials each time.
 func TestRelapseWaitsLonger(t *testing.T) {
-	h := ready(t, base())
-	n := h.r.nodes["b"]
+	h := newReadyHarness(t, testConfig())
+	n := h.balancer.endpoints["b"]
 	var waits []time.Duration
 	for range 3 {
-		h.r.now = h.now
-		h.r.doubt(n, "answers nothing")
+		h.balancer.now = h.now
+		h.balancer.markSuspect(n, "answers nothing")
 		n.trialAt = h.now + 600*ms // beyond the bound of the read
-		waits = append(waits, n.backoff)
+		waits = append(waits, n.trialBackoff)
 		n.suspect = false
 		h.now += 3 * time.Second
 	}
@@ -1114,23 +1114,23 @@
 		t.Fatalf("waits %v", waits)
 	}
 	h.now += time.Minute
-	h.r.now = h.now
-	h.r.doubt(n, "answers nothing")
+	h.balancer.now = h.now
+	h.balancer.markSuspect(n, "answers nothing")
 	n.trialAt = h.now + 600*ms // beyond the bound of the read
-	if n.backoff != waits[0] {
-		t.Fatalf("%v after a quiet minute, want %v", n.backoff, waits[0])
+	if n.trialBackoff != waits[0] {
+		t.Fatalf("%v after a quiet minute, want %v", n.trialBackoff, waits[0])
 	}
 }
 
 // An idle instance asks for no timers: hundreds of them would cost more than the requests.
 func TestIdleInstanceIsNotWoken(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("any")
-	s := h.sent(h.step(ms, q), "bc")[0]
-	h.reports("a")
+	s := h.expectSends(h.step(ms, q), "bc")[0]
+	h.reportAll("a")
 	h.step(20*ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: 20 * ms, Finished: true})
 	for range 10 {
-		if acts := h.step(time.Second); len(pick[Timer](acts)) > 0 {
+		if acts := h.step(time.Second); len(actionsOf[Timer](acts)) > 0 {
 			t.Fatalf("%v, want no timer", acts)
 		}
 	}
@@ -1138,11 +1138,11 @@
 
 // A primary that only this instance cannot reach: its group goes on committing, so it still takes the writes.
 func TestUnreachablePrimaryThatLeadsIsTriedAgain(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("any"))
-	h.reports("a")
+	h.reportAll("a")
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed})
 	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
 	for leg, id := range []string{"b", "c"} {
@@ -1153,7 +1153,7 @@
 		acts = append(acts, h.step(10*ms,
 			ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})...)
 	}
-	h.sent(acts, "a")
+	h.expectSends(acts, "a")
 }
 
 func TestSettingsThatCannotBeServedNameTheField(t *testing.T) {
@@ -1167,7 +1167,7 @@
 		"Rate":          func(c *Config) { c.Tenants = []Tenant{{Name: "t", Rate: -1}} },
 		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
-		c := base()
+		c := testConfig()
 		spoil(&c)
 		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("error %v does not name %s", err, field)
@@ -1177,28 +1177,28 @@
 
 // The end of an attempt that was taken back may be lost on its way: the client still gets its answer in time.
 func TestTakenBackReadIsAnsweredInTime(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	q := h.request("any")
-	h.sent(h.step(ms, q), "bc")
-	h.reports("a")
+	h.expectSends(h.step(ms, q), "bc")
+	h.reportAll("a")
 	var acts []Action
 	for range 110 {
 		acts = append(acts, h.step(10*ms)...)
 	}
-	if len(pick[Cancel](acts)) != 1 || len(pick[Refuse](acts)) != 1 {
+	if len(actionsOf[Cancel](acts)) != 1 || len(actionsOf[Refuse](acts)) != 1 {
 		t.Fatalf("%v, want one withdrawal and one refusal", acts)
 	}
 }
 
 // A caller's clock may be coarser: a timer that fires a microsecond early must not be the last one.
 func TestEarlyTimerIsAskedForAgain(t *testing.T) {
-	h := newRig(t, base(), List{Kind: ListCached})
+	h := newHarness(t, testConfig(), List{Kind: ListCached})
 	acts := h.step(ms, h.request("write"))
 	for range 500 {
-		if len(pick[Refuse](acts)) > 0 {
+		if len(actionsOf[Refuse](acts)) > 0 {
 			return
 		}
-		timers := pick[Timer](acts)
+		timers := actionsOf[Timer](acts)
 		if len(timers) == 0 {
 			t.Fatalf("%v, want another timer", acts)
 		}
@@ -1211,15 +1211,15 @@
 // that a member has had in hand may wait for a further attempt.
 func TestReadNeverSentIsRefusedBeforeHalfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
-		h := newRig(t, base(), List{Kind: ListCached})
+		h := newHarness(t, testConfig(), List{Kind: ListCached})
 		q := h.request("any")
 		h.step(0, q)
 		if reached {
-			n := h.sent(h.step(10*ms, three(ListFull)), "abc")[0].Node
+			n := h.expectSends(h.step(10*ms, threeEndpoints(ListFull)), "abc")[0].Node
 			h.step(0, List{Kind: ListFull}, Outcome{ID: q.ID, Node: n, Status: Busy})
 		}
 		var acts []Action
-		for h.now < 102*time.Second && len(pick[Refuse](acts)) == 0 {
+		for h.now < 102*time.Second && len(actionsOf[Refuse](acts)) == 0 {
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; reached != (at >= 500*ms) || at > time.Second {
@@ -1230,13 +1230,13 @@
 
 // A connection that falls silent while its member answers others is given up; it is no sign of a silent member.
 func TestSilentConnectionIsNoSilentMember(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	read, write := h.request("latest"), h.request("write")
 	read.Expires, write.Expires = 2*time.Second, 3*time.Second
-	h.sent(h.step(ms, read, write), "a", "a")
+	h.expectSends(h.step(ms, read, write), "a", "a")
 	cancelled := 0
 	step := func(d time.Duration, e ...Event) {
-		for _, c := range pick[Cancel](h.step(d, e...)) {
+		for _, c := range actionsOf[Cancel](h.step(d, e...)) {
 			if c.ID != read.ID {
 				t.Fatalf("%+v: a write must not be taken back", c)
 			}
@@ -1248,14 +1248,14 @@
 		q := h.request("write")
 		step(10*ms, q)
 		step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
-		if h.r.nodes["a"].suspect {
+		if h.balancer.endpoints["a"].suspect {
 			t.Fatalf("suspect after %d answers", i)
 		}
 		if i%20 == 19 { // a lull: nothing is out but the silent ones
 			for range 20 {
 				step(10 * ms)
 			}
-			if h.r.nodes["a"].suspect {
+			if h.balancer.endpoints["a"].suspect {
 				t.Fatal("suspect in a lull")
 			}
 		}
@@ -1267,47 +1267,47 @@
 
 // Where requests take a few milliseconds a pause of twenty is not silence: the scheduler alone may make it.
 func TestShortPauseIsNoSilence(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	for range 200 { // answers take 2 ms
 		q := h.request("write")
-		h.sent(h.step(ms, q), "a")
+		h.expectSends(h.step(ms, q), "a")
 		h.step(2*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
 	}
 	for range 4 {
-		h.sent(h.step(ms, h.request("write")), "a")
+		h.expectSends(h.step(ms, h.request("write")), "a")
 	}
 	h.step(20 * ms)
-	if h.r.nodes["a"].suspect {
+	if h.balancer.endpoints["a"].suspect {
 		t.Fatal("suspect after 20 ms")
 	}
 	h.step(30 * ms)
 	h.step(20 * ms)
 	h.step(20 * ms)
-	if !h.r.nodes["a"].suspect {
+	if !h.balancer.endpoints["a"].suspect {
 		t.Fatal("its silence is not seen")
 	}
 }
 
 // A primary in doubt is asked until it says something newer than the doubt: a report is older than its answer.
 func TestDoubtedPrimaryIsAskedAgain(t *testing.T) {
-	h := ready(t, base())
-	n := h.r.nodes["a"]
+	h := newReadyHarness(t, testConfig())
+	n := h.balancer.endpoints["a"]
 	q := h.request("write")
-	h.sent(h.step(ms, q), "a")
+	h.expectSends(h.step(ms, q), "a")
 	for !n.suspect {
 		h.step(50 * ms)
 	}
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: TimedOut, Finished: true})
-	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: n.since - 10*ms})
+	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: n.suspectSince - 10*ms})
 	for range 40 {
 		acts := h.step(50*ms, h.request("write"))
-		if sent := pick[Send](acts); len(sent) > 0 {
+		if sent := actionsOf[Send](acts); len(sent) > 0 {
 			return
 		}
-		for _, p := range pick[Probe](acts) { // all reports are 60 ms old
+		for _, p := range actionsOf[Probe](acts) { // all reports are 60 ms old
 			role := map[bool]Role{true: RolePrimary, false: RoleReplica}[p.Node == "a"]
 			acts := h.step(ms, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: h.now - 60*ms})
-			if sent := pick[Send](acts); len(sent) > 0 {
+			if sent := actionsOf[Send](acts); len(sent) > 0 {
 				return
 			}
 		}
@@ -1317,60 +1317,60 @@
 
 // Members that are replaced under new ids, and groups that clients make up, must not add up.
 func TestNothingAddsUp(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.ClientTokens = false
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	for i := range 400 {
 		id := func(i int) string { return fmt.Sprint("new", i) }
 		h.step(time.Second, List{Entries: []Entry{{Node: id(i), Group: 1, State: Ready}, {Node: id(i - 3), Group: 1, State: Gone}}})
 		made := h.request("any")
 		made.Group = int64(1000 + i)
-		if acts := h.step(ms, made); len(pick[Refuse](acts)) != 1 {
+		if acts := h.step(ms, made); len(actionsOf[Refuse](acts)) != 1 {
 			t.Fatalf("%v", acts)
 		}
 		q := h.request("write")
 		q.Key = int64(i + 1)
-		for _, s := range pick[Send](h.step(ms, q)) {
+		for _, s := range actionsOf[Send](h.step(ms, q)) {
 			h.step(ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RolePrimary, Position: h.now})
 		}
-		for _, n := range h.r.groups[1].members {
+		for _, n := range h.balancer.groups[1].endpoints {
 			if n.state == Ready {
 				h.step(0, ProbeResult{Node: n.id, Status: Done, Position: h.now})
 			}
 		}
 		h.step(time.Second)
 	}
-	if n := len(h.r.nodes); n > 60 || len(h.r.groups) != 1 || len(h.r.order) != 1 || len(h.r.groups[1].members) != n || len(h.r.reqs) > 9 {
-		t.Errorf("%d members, %d groups, %d requests", n, len(h.r.groups), len(h.r.reqs))
+	if n := len(h.balancer.endpoints); n > 60 || len(h.balancer.groups) != 1 || len(h.balancer.sortedGroups) != 1 || len(h.balancer.groups[1].endpoints) != n || len(h.balancer.requests) > 9 {
+		t.Errorf("%d members, %d groups, %d requests", n, len(h.balancer.groups), len(h.balancer.requests))
 	}
-	if len(h.r.sessions) > 9 {
-		t.Errorf("%d commits", len(h.r.sessions))
+	if len(h.balancer.sessionCommits) > 9 {
+		t.Errorf("%d commits", len(h.balancer.sessionCommits))
 	}
 }
 
 // Long reads that any data will do for go to one replica, whatever an instance knows of them, so that the others stay recent
 // enough; short ones are drawn as ever.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Classes[0].Aim = 2 * time.Second
 	for _, behind := range []string{"b", "c"} {
-		h := ready(t, c)
+		h := newReadyHarness(t, c)
 		h.step(0, ProbeResult{Node: behind, Status: Done, Role: RoleReplica, Position: h.now - time.Second})
 		for range 8 {
-			h.sent(h.step(ms, h.request("any")), "c")
+			h.expectSends(h.step(ms, h.request("any")), "c")
 		}
 	}
 }
 
 // Where no class is bounded a held up log hurts no read: reads that any data will do for go to all replicas, however long they are.
 func TestWithoutABoundNoReadIsLong(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Classes[0].Aim = 2 * time.Second
 	c.Classes = slices.DeleteFunc(c.Classes, func(k Class) bool { return k.Need == NeedBounded })
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	to := map[string]int{}
 	for range 40 {
-		for _, s := range pick[Send](h.step(ms, h.request("any"))) {
+		for _, s := range actionsOf[Send](h.step(ms, h.request("any"))) {
 			to[s.Node]++
 			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
@@ -1382,40 +1382,40 @@
 
 // What a silent connection has lost takes its whole time, which says nothing of how crowded its member is.
 func TestLostAttemptIsNoCrowd(t *testing.T) {
-	h := ready(t, base())
-	n := h.r.nodes["a"]
+	h := newReadyHarness(t, testConfig())
+	n := h.balancer.endpoints["a"]
 	lost := h.request("write")
 	lost.Expires = 3 * time.Second
-	h.sent(h.step(ms, lost), "a")
+	h.expectSends(h.step(ms, lost), "a")
 	slow := 0.0
 	for h.now < 102*time.Second {
 		q := h.request("write")
 		h.step(10*ms, q)
 		h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
-		slow = n.slow
+		slow = n.latencyRatio
 	}
 	h.step(ms, Outcome{ID: lost.ID, Node: "a", Status: TimedOut, Took: 2900 * ms, Finished: true})
-	if n.slow > slow {
-		t.Fatalf("from %.2f to %.2f", slow, n.slow)
+	if n.latencyRatio > slow {
+		t.Fatalf("from %.2f to %.2f", slow, n.latencyRatio)
 	}
 }
 
 // A suspect replica is asked again when its position has aged, or no bounded read may ever try it.
 func TestSuspectReplicaIsTriedAgain(t *testing.T) {
-	h := ready(t, base())
-	n := h.r.nodes["b"]
-	h.r.doubt(n, "answers nothing")
+	h := newReadyHarness(t, testConfig())
+	n := h.balancer.endpoints["b"]
+	h.balancer.markSuspect(n, "answers nothing")
 	n.trialAt = h.now + 600*ms // beyond the bound of the read
 	h.step(ms, ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
 	for range 200 {
 		acts := h.step(10*ms, h.request("bounded"))
-		for _, s := range pick[Send](acts) {
+		for _, s := range actionsOf[Send](acts) {
 			if s.Node == "b" {
 				return
 			}
 			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
-		for _, p := range pick[Probe](acts) {
+		for _, p := range actionsOf[Probe](acts) {
 			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now})
 		}
 	}
@@ -1425,47 +1425,47 @@
 // What operators take out gets nothing, probes neither, whatever the list says of it; a suspended primary is in doubt. Let
 // back in it is asked and used at once, though it was suspect and its position is old.
 func TestSuspend(t *testing.T) {
-	h := ready(t, base())
+	h := newReadyHarness(t, testConfig())
 	h.step(0, Suspend{Node: "b", Out: true}, Suspend{Node: "later", Out: true})
 	for range 200 {
-		h.reports("a")
-		for _, l := range []List{three(ListFull), {Entries: []Entry{{Node: "b", Group: 1, State: Ready, ReadyAt: h.now}, {Node: "later", Group: 1, State: Ready}}}} {
+		h.reportAll("a")
+		for _, l := range []List{threeEndpoints(ListFull), {Entries: []Entry{{Node: "b", Group: 1, State: Ready, ReadyAt: h.now}, {Node: "later", Group: 1, State: Ready}}}} {
 			acts := h.step(10*ms, l, h.request("bounded"), h.request("any"))
-			for _, s := range pick[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				if s.Node == "b" || s.Node == "later" {
 					t.Fatalf("sent: %+v", s)
 				}
 				h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Role: RoleReplica, Finished: true})
 			}
-			for _, p := range pick[Probe](acts) {
+			for _, p := range actionsOf[Probe](acts) {
 				if p.Node == "b" {
 					t.Fatal("probed")
 				}
 			}
 		}
 	}
-	h.step(0, List{Kind: ListFull, Entries: three(ListFull).Entries[:1]})
-	h.step(2*goneFor, h.request("any")) // b is forgotten by now
-	h.reports("a")
-	if n := h.r.nodes["b"]; n != nil {
+	h.step(0, List{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[:1]})
+	h.step(2*expiryDelay, h.request("any")) // b is forgotten by now
+	h.reportAll("a")
+	if n := h.balancer.endpoints["b"]; n != nil {
 		t.Fatal("not forgotten")
 	}
-	h.step(0, three(ListFull))
-	h.sent(h.step(0, Suspend{Node: "a", Out: true}, h.request("write")), "bc") // its primary is suspended: the round goes on without it
-	h.reports("c")
-	if s := h.step(ms, h.request("any"), h.request("any")); len(pick[Send](s)) == 0 || pick[Send](s)[0].Node != "c" {
+	h.step(0, threeEndpoints(ListFull))
+	h.expectSends(h.step(0, Suspend{Node: "a", Out: true}, h.request("write")), "bc") // its primary is suspended: the round goes on without it
+	h.reportAll("c")
+	if s := h.step(ms, h.request("any"), h.request("any")); len(actionsOf[Send](s)) == 0 || actionsOf[Send](s)[0].Node != "c" {
 		t.Fatalf("%v", s)
 	}
-	n := h.r.nodes["b"]
-	n.suspect, n.refused, n.trialAt, n.errs = true, true, never, 1
+	n := h.balancer.endpoints["b"]
+	n.suspect, n.unreachable, n.trialAt, n.failureRate = true, true, never, 1
 	h.now += time.Second // its position has aged
 	acts := h.step(0, Suspend{Node: "b"}, h.request("bounded"))
-	if n.suspect || h.r.warmth(n) == 1 || len(pick[Send](acts)) > 0 || len(pick[Probe](acts)) == 0 {
+	if n.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 || len(actionsOf[Probe](acts)) == 0 {
 		t.Fatalf("%+v: %v", n, acts)
 	}
 	for range 300 {
 		acts = h.step(10*ms, h.request("bounded"), ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
-		for _, s := range pick[Send](acts) {
+		for _, s := range actionsOf[Send](acts) {
 			if s.Node == "b" {
 				return
 			}
@@ -1480,23 +1480,23 @@
 	for _, n := range []int{3, 36} {
 		spread[n] = map[time.Duration]bool{}
 		for seed := range uint64(40) {
-			c := base()
+			c := testConfig()
 			c.Instances, c.Ask = n, true
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := 100 * time.Second
-			asked := len(pick[Track](r.Step(now, []Event{three(ListCached)}))) > 0
+			asked := len(actionsOf[Track](r.Step(now, []Event{threeEndpoints(ListCached)}))) > 0
 			for ; !asked && now < 200*time.Second; now += 10 * ms {
-				asked = len(pick[Track](r.Step(now, nil))) > 0
+				asked = len(actionsOf[Track](r.Step(now, nil))) > 0
 			}
 			spread[n][now] = true
 			for round := range 6 { // and each failure makes them wait for longer, but not for ever
 				at := now
-				asked = len(pick[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
+				asked = len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
 				for ; !asked; now += 10 * ms {
-					asked = len(pick[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
 				}
 				// What changed counts as told 6 s after discovery had it, however the call ended: the next one, and the 2 s that it may
 				// wait for its turn, come within that.
@@ -1516,14 +1516,14 @@
 func TestAFleetThatStartsAtOnceHearsOfTheListInTime(t *testing.T) {
 	const fleet, turn, patience = 80, time.Second / 14, 2 * time.Second
 	for _, seed := range []uint64{1, 2, 3} {
-		c := base()
+		c := testConfig()
 		c.Instances, c.Ask, c.AskWithin = fleet, true, 10*time.Second
 		routers, answer := make([]*Router, fleet), make([]Time, fleet) // when the call that is out ends, 0 = none is
 		fails, late, told := make([]bool, fleet), make([]bool, fleet), make([]Time, fleet)
 		start := 100 * time.Second
 		free, calls := start, 0
 		act := func(i int, now Time, events ...Event) {
-			for range pick[Track](routers[i].Step(now, events)) {
+			for range actionsOf[Track](routers[i].Step(now, events)) {
 				calls++
 				begin := max(free, now)
 				answer[i], fails[i] = begin+turn, begin-now > patience
@@ -1537,7 +1537,7 @@
 			if routers[i], err = New(c, seed*1000+uint64(i)); err != nil {
 				t.Fatal(err)
 			}
-			act(i, start, three(ListCached))
+			act(i, start, threeEndpoints(ListCached))
 		}
 		last := Time(0)
 		for now := start; now < start+30*time.Second; now += 5 * ms {
@@ -1574,22 +1574,22 @@
 // found by the reads that need it, whichever one it is, though all others are behind.
 func TestALostPrimaryIsFoundOutOfLittle(t *testing.T) {
 	for _, leader := range []string{"b", "c", "d", "e", "f"} {
-		c := base()
+		c := testConfig()
 		c.Instances, c.ProbePrice = 80, 0.08
 		list := List{Kind: ListCached}
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 			list.Entries = append(list.Entries, Entry{Node: id, Zone: "a", Group: 1, State: Ready, Primary: id == "a"},
 				Entry{Node: id + "2", Zone: "a", Group: 2, State: Ready, Primary: id == "a"})
 		}
-		h := newRig(t, c, list)
+		h := newHarness(t, c, list)
 		led, found := "a", false
 		var run func(acts []Action)
 		run = func(acts []Action) {
-			for _, s := range pick[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				found = found || s.Node == leader
 				run(h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true}))
 			}
-			for _, p := range pick[Probe](acts) {
+			for _, p := range actionsOf[Probe](acts) {
 				role, at := RoleReplica, h.now-10*time.Second
 				switch p.Node {
 				case "y", "z":
@@ -1630,20 +1630,20 @@
 // Nobody leads, and the members stand still, further behind each second: they are asked less and less by reads that could not
 // go there. Where the list names the primary an instance of many asks for nothing before a read needs it.
 func TestMembersThatStandStillAreAskedRarely(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances, c.ProbePrice = 80, 0.08
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[0].Primary = true
-	h := newRig(t, c, l)
-	if n := len(pick[Probe](h.step(ms, h.request("write")))); n != 0 {
+	h := newHarness(t, c, l)
+	if n := len(actionsOf[Probe](h.step(ms, h.request("write")))); n != 0 {
 		t.Errorf("%d probes at first use", n)
 	}
-	h.reports("a")
+	h.reportAll("a")
 	still := h.now
 	probes := 0
 	for range 50 {
-		h.r.probes = 8
-		for _, p := range pick[Probe](h.step(200*ms, h.request("bounded"))) {
+		h.balancer.healthCheckBudget = 8
+		for _, p := range actionsOf[Probe](h.step(200*ms, h.request("bounded"))) {
 			probes++
 			h.step(2*ms, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: still})
 		}
@@ -1658,7 +1658,7 @@
 // spent: little traffic reaches a cold member all the same.
 func TestWhatAFleetHasSavedUpFitsTheBudget(t *testing.T) {
 	for _, instances := range []int{3, 20, 30, 80, 300} {
-		c := base()
+		c := testConfig()
 		c.Instances, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = instances, 0.16, 100*time.Second, 2.5, 2*time.Second
 		work := c.Classes[0].Aim.Seconds() / 5 // as it is taken before any answer
 		for _, k := range c.Classes {
@@ -1668,13 +1668,13 @@
 		}
 		for seed := range uint64(5) {
 			at, sent := 100*time.Second, 0
-			rigs := make([]*rig, instances)
-			step := func(h *rig, d time.Duration, events ...Event) { // each attempt is answered at once
-				for acts := pick[Send](h.step(d, events...)); len(acts) > 0; {
+			rigs := make([]*harness, instances)
+			step := func(h *harness, d time.Duration, events ...Event) { // each attempt is answered at once
+				for acts := actionsOf[Send](h.step(d, events...)); len(acts) > 0; {
 					var more []Send
 					for _, s := range acts {
 						sent++
-						more = append(more, pick[Send](h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 80 * ms, Role: RolePrimary,
+						more = append(more, actionsOf[Send](h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 80 * ms, Role: RolePrimary,
 							Position: h.now, Finished: true}))...)
 					}
 					acts = more
@@ -1685,7 +1685,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				rigs[i] = &rig{t: t, r: r, now: at}
+				rigs[i] = &harness{t: t, balancer: r, now: at}
 				rigs[i].step(0, List{Kind: ListCached, Entries: []Entry{{Node: "p", Group: 1, State: Ready, Primary: true, ReadyAt: at}}})
 				rigs[i].step(0, ProbeResult{Node: "p", Status: Done, Role: RolePrimary, Position: at})
 				step(rigs[i], 0, rigs[i].request("write")) // its credit is counted from here
@@ -1720,18 +1720,18 @@
 
 // What a cold member may get goes by what the busiest warm ones do, not by those that stand idle beside them.
 func TestColdBudgetGoesByTheBusiest(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = 80, 0.16, 18*time.Second, 2.5, 2*time.Second
 	l := List{Kind: ListCached, Entries: []Entry{{Node: "p", Group: 2, State: Ready, Primary: true}}}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		l.Entries = append(l.Entries, Entry{Node: id, Group: 1, State: Ready, Primary: id == "a"})
 	}
-	h := newRig(t, c, l)
+	h := newHarness(t, c, l)
 	sent := func(group int64, times int, gap time.Duration) (n int) {
 		for range times {
 			q := h.request("write")
 			q.Group = group
-			for _, s := range pick[Send](h.step(gap-20*ms, q)) {
+			for _, s := range actionsOf[Send](h.step(gap-20*ms, q)) {
 				n++
 				h.step(20*ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 20 * ms, Role: RolePrimary,
 					Position: h.now, Finished: true})
@@ -1750,9 +1750,9 @@
 // Of a member's share an instance of eighty has less than one attempt. What it saves up is enough for a long read, however
 // often short ones look at it in between.
 func TestShortReadsLeaveALongOneItsCredit(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances = 80
-	h := newRig(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Group: 1, State: Ready, Primary: true},
+	h := newHarness(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Group: 1, State: Ready, Primary: true},
 		{Node: "b", Zone: "a", Group: 1, State: Ready}}})
 	type end struct {
 		at Time
@@ -1774,19 +1774,19 @@
 			out = out[1:]
 		}
 		acts := h.step(10*ms, events...)
-		for _, p := range pick[Probe](acts) {
+		for _, p := range actionsOf[Probe](acts) {
 			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[p.Node]
 			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: h.now})
 		}
-		for _, s := range pick[Send](acts) {
-			q := h.r.reqs[s.ID]
+		for _, s := range actionsOf[Send](acts) {
+			q := h.balancer.requests[s.ID]
 			took := 20 * ms
 			if q.class.Name == "any" {
 				took = 300 * ms
 				served++
 			}
 			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Node]
-			out = append(out, end{h.now + took, Outcome{ID: s.ID, Attempt: h.legs(s.ID) - 1, Node: s.Node, Status: Done,
+			out = append(out, end{h.now + took, Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Done,
 				Took: took, Role: role, Position: h.now, Finished: true}})
 			slices.SortStableFunc(out, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 		}
@@ -1798,34 +1798,34 @@
 
 // One report at a time is asked for where a read waits for one, however often the instance is woken meanwhile.
 func TestAReadThatWaitsAsksForOneReport(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances, c.ProbePrice = 80, 0.08
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	h.step(0, h.request("write")) // the first use asks all
-	h.reports("a")
-	h.r.probes = 8
-	probes := len(pick[Probe](h.step(time.Second, h.request("bounded")))) // all positions have aged
+	h.reportAll("a")
+	h.balancer.healthCheckBudget = 8
+	probes := len(actionsOf[Probe](h.step(time.Second, h.request("bounded")))) // all positions have aged
 	for range 4 {
-		probes += len(pick[Probe](h.step(10*ms, Wake{})))
+		probes += len(actionsOf[Probe](h.step(10*ms, Wake{})))
 	}
 	if probes != 1 {
 		t.Fatalf("%d reports asked for", probes)
 	}
-	if len(pick[Probe](h.step(50*ms, Wake{}))) == 0 { // that one may be lost
+	if len(actionsOf[Probe](h.step(50*ms, Wake{}))) == 0 { // that one may be lost
 		t.Fatal("no other is asked")
 	}
 }
 
 // All members have denied that they lead. The write that comes once one of them does tries them again, without a probe.
 func TestASuccessorThatDeniedIsTriedAgain(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Probes = false
-	h := newRig(t, c, three(ListCached))
+	h := newHarness(t, c, threeEndpoints(ListCached))
 	write := func(leader string) (served bool) {
 		acts := h.step(100*ms, h.request("write"))
 		for range 6 {
-			for _, s := range pick[Send](acts) {
-				o := Outcome{ID: s.ID, Attempt: h.legs(s.ID) - 1, Node: s.Node, Status: Miss, Took: ms, Role: RoleReplica}
+			for _, s := range actionsOf[Send](acts) {
+				o := Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Miss, Took: ms, Role: RoleReplica}
 				if s.Node == leader {
 					o.Status, o.Role, o.Finished, served = Done, RolePrimary, true, true
 				}
@@ -1846,14 +1846,14 @@
 // What is spent on reports goes to replicas that were recent enough when they last told, each in its turn.
 func TestReportsAreAskedOfTheRecent(t *testing.T) {
 	for _, recent := range []string{"b", "c"} {
-		h := ready(t, base())
+		h := newReadyHarness(t, testConfig())
 		asked := 0
 		var run func(acts []Action)
 		run = func(acts []Action) {
-			for _, s := range pick[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				run(h.step(ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true}))
 			}
-			for _, p := range pick[Probe](acts) {
+			for _, p := range actionsOf[Probe](acts) {
 				role, lag := RoleReplica, 10*time.Second
 				switch p.Node {
 				case "a":
@@ -1869,7 +1869,7 @@
 			}
 		}
 		for range 30 { // at the first use all are asked
-			h.r.probes = 1
+			h.balancer.healthCheckBudget = 1
 			run(h.step(600*ms, h.request("bounded")))
 		}
 		if asked < 20 {
@@ -1881,19 +1881,19 @@
 // A member that takes three tenths of the aim with nothing to do, as on real sockets, is not crowded: its limit stays. One
 // that takes half is.
 func TestAnIdleMemberIsNotCrowded(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Classes[1].Bound = time.Second // none of these reads is long beside it
 	for part, crowded := range map[float64]bool{0.3: false, 0.5: true} {
-		h := ready(t, c)
+		h := newReadyHarness(t, c)
 		for range 300 {
 			q := h.request("any")
-			s := h.sent(h.step(ms, q), "bc")[0]
+			s := h.expectSends(h.step(ms, q), "bc")[0]
 			took := time.Duration(part * float64(400*ms))
 			h.step(took, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: took, Finished: true})
 		}
 		for _, id := range []string{"b", "c"} {
-			if got := h.r.nodes[id].limit < firstLimit; got != crowded {
-				t.Errorf("%s takes %v of the aim: limit %.1f", id, part, h.r.nodes[id].limit)
+			if got := h.balancer.endpoints[id].attemptLimit < initialLimit; got != crowded {
+				t.Errorf("%s takes %v of the aim: limit %.1f", id, part, h.balancer.endpoints[id].attemptLimit)
 			}
 		}
 	}
@@ -1901,20 +1901,20 @@
 
 // One of 300 instances whose weak read was late at a primary keeps the next ones away from it for a while; its writes go on.
 func TestWeakReadsEaseOffACrowdedPrimary(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances, c.Probes = 300, false // no report ever makes a replica available
 	for took, want := range map[time.Duration][2]time.Duration{20 * ms: {0, 60 * ms}, 700 * ms: {100 * ms, 400 * ms}} {
 		for _, class := range []string{"bounded", "write"} {
-			h := newRig(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Zone: "a", Group: 1, State: Ready, Primary: true},
+			h := newHarness(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Zone: "a", Group: 1, State: Ready, Primary: true},
 				{Node: "b", Zone: "a", Group: 1, State: Ready}}})
-			s := h.sent(h.step(0, h.request("bounded")), "a")
+			s := h.expectSends(h.step(0, h.request("bounded")), "a")
 			for range took / (10 * ms) { // it runs all the time
 				h.step(10 * ms)
 			}
 			h.step(0, Outcome{ID: s[0].ID, Attempt: 0, Node: "a", Status: Done, Took: took, Finished: true, Role: RolePrimary, Position: h.now})
 			from := h.now
 			acts := h.step(10*ms, h.request(class))
-			for len(pick[Send](acts)) == 0 && h.now < from+5*time.Second {
+			for len(actionsOf[Send](acts)) == 0 && h.now < from+5*time.Second {
 				acts = h.step(10 * ms)
 			}
 			least, most := want[0], want[1]
@@ -1929,50 +1929,50 @@
 }
 
 // scarce is a rig with a long class whose bounded reads have just been refused for want of room, and its replica b is recent again.
-func scarce(t *testing.T, work float64) *rig {
-	c := base()
+func newShortageHarness(t *testing.T, work float64) *harness {
+	c := testConfig()
 	c.Classes[1].Worth = 2
 	c.Classes = append(c.Classes, Class{Name: "long", Aim: 5 * time.Second, GiveUp: 10 * time.Second, Worth: 6, LateShare: 0.2, Need: NeedAny})
-	h := ready(t, c)
-	long := h.r.classes["long"]
-	long.work, long.lat = work, 1
-	h.r.classes["bounded"].work = 0.06
-	h.r.groups[1].longAt = h.now + 4*time.Second
-	for _, n := range h.r.nodes {
-		n.restAt = h.now + time.Second // all are full
+	h := newReadyHarness(t, c)
+	long := h.balancer.classes["long"]
+	long.serviceTime, long.latency = work, 1
+	h.balancer.classes["bounded"].serviceTime = 0.06
+	h.balancer.groups[1].nextLongReadAt = h.now + 4*time.Second
+	for _, n := range h.balancer.endpoints {
+		n.rejectingUntil = h.now + time.Second // all are full
 	}
 	for range 80 {
 		h.step(0, h.request("bounded"))
 	}
 	refused := 0
 	for range 12 {
-		refused += len(pick[Refuse](h.step(50 * ms)))
+		refused += len(actionsOf[Refuse](h.step(50 * ms)))
 	}
 	if refused < 20 {
 		t.Fatalf("%d refused", refused)
 	}
-	for h.now < h.r.nodes["a"].restAt {
+	for h.now < h.balancer.endpoints["a"].rejectingUntil {
 		h.step(50 * ms)
 	}
-	h.reports("a")
+	h.reportAll("a")
 	return h
 }
 
-func (h *rig) long() []Send {
+func (h *harness) sendLongRead() []Send {
 	q := h.request("long")
 	q.Expires = 10 * time.Second
-	return slices.DeleteFunc(pick[Send](h.step(0, q)), func(s Send) bool { return s.ID != q.ID })
+	return slices.DeleteFunc(actionsOf[Send](h.step(0, q)), func(s Send) bool { return s.ID != q.ID })
 }
 
 // While bounded reads are refused beside a primary, a long read, which would cost them its replica, is held back: not for good, and only
 // where that would help.
 func TestLongReadsYieldToBoundedOnesThatWereRefused(t *testing.T) {
-	h := scarce(t, 1)
-	if got := h.long(); len(got) > 0 {
+	h := newShortageHarness(t, 1)
+	if got := h.sendLongRead(); len(got) > 0 {
 		t.Fatalf("sent at once: %v", got)
 	}
 	at := h.now
-	for len(pick[Send](h.step(100*ms, Wake{}))) == 0 {
+	for len(actionsOf[Send](h.step(100*ms, Wake{}))) == 0 {
 		if h.now-at > 4*time.Second {
 			t.Fatal("held back behind its turn")
 		}
@@ -1980,16 +1980,18 @@
 	t.Logf("sent after %v", h.now-at)
 	for name, c := range map[string]struct {
 		work float64
-		set  func(h *rig)
+		set  func(h *harness)
 	}{
-		"one that costs no more than they do": {0.2, func(*rig) {}},
-		"its turn has come":                   {1, func(h *rig) { h.r.groups[1].longAt = h.now }},
-		"none was refused for long":           {1, func(h *rig) { h.now += 20 * time.Second; h.reports("a") }},
-		"its replica could not catch up":      {1, func(h *rig) { h.r.nodes["c"].lag, h.r.nodes["c"].lagAt = 5*time.Second, h.now }},
-		"it is worth more":                    {1, func(h *rig) { k := h.r.classes["long"]; k.Worth = 1000 }},
+		"one that costs no more than they do": {0.2, func(*harness) {}},
+		"its turn has come":                   {1, func(h *harness) { h.balancer.groups[1].nextLongReadAt = h.now }},
+		"none was refused for long":           {1, func(h *harness) { h.now += 20 * time.Second; h.reportAll("a") }},
+		"its replica could not catch up": {1, func(h *harness) {
+			h.balancer.endpoints["c"].lag, h.balancer.endpoints["c"].lagObservedAt = 5*time.Second, h.now
+		}},
+		"it is worth more": {1, func(h *harness) { k := h.balancer.classes["long"]; k.Worth = 1000 }},
 	} {
-		h := scarce(t, c.work)
-		if c.set(h); len(h.long()) != 1 {
+		h := newShortageHarness(t, c.work)
+		if c.set(h); len(h.sendLongRead()) != 1 {
 			t.Errorf("%s: it is held back", name)
 		}
 	}
@@ -1997,32 +1999,32 @@
 
 // What is refused while a bank has no primary says nothing of room.
 func TestRefusalsWithoutAPrimaryHoldBackNoLongRead(t *testing.T) {
-	h := scarce(t, 1)
-	g := h.r.groups[1]
-	g.shortBy, g.longAt = 0, h.now+time.Hour
-	h.r.soil(g, "a test")
-	q := &request{class: h.r.classes["bounded"], group: g, worth: 50}
-	h.r.turned(q)
-	if len(h.long()) != 1 {
+	h := newShortageHarness(t, 1)
+	g := h.balancer.groups[1]
+	g.shortageWeight, g.nextLongReadAt = 0, h.now+time.Hour
+	h.balancer.markPrimarySuspect(g, "a test")
+	q := &request{class: h.balancer.classes["bounded"], group: g, weight: 50}
+	h.balancer.recordGivenUp(q)
+	if len(h.sendLongRead()) != 1 {
 		t.Error("it is held back")
 	}
-	g.state = usable
-	h.r.turned(q)
-	if len(h.long()) != 0 {
+	g.primaryState = primaryCached
+	h.balancer.recordGivenUp(q)
+	if len(h.sendLongRead()) != 0 {
 		t.Error("a refusal beside a primary does not count")
 	}
 }
 
 // A zone that may not be used gets nothing, one that may be used in part gets less at a time, and one that is free again gets its part.
 func TestPacedZone(t *testing.T) {
-	l := three(ListCached)
+	l := threeEndpoints(ListCached)
 	l.Entries[1].Zone = "b"
-	h := newRig(t, base(), l)
-	h.reports("a")
+	h := newHarness(t, testConfig(), l)
+	h.reportAll("a")
 	count := func(part float64) (n int) {
 		h.step(0, Pace{Zone: "b", Part: part})
 		for range 40 {
-			for _, s := range pick[Send](h.step(0, h.request("any"))) {
+			for _, s := range actionsOf[Send](h.step(0, h.request("any"))) {
 				if s.Node == "b" {
 					n++
 				}
@@ -2032,7 +2034,7 @@
 		}
 		return n
 	}
-	h.r.nodes["c"].barred = true // b is the only replica
+	h.balancer.endpoints["c"].suspended = true // b is the only replica
 	if n := count(0); n != 0 {
 		t.Errorf("%d sent to a zone that may not be used", n)
 	}
@@ -2045,20 +2047,20 @@
 	most := 0
 	for range 40 {
 		h.step(0, h.request("any"))
-		most = max(most, len(h.r.nodes["b"].out))
+		most = max(most, len(h.balancer.endpoints["b"].inFlight))
 	}
-	if free := h.r.nodes["b"].limit; most == 0 || float64(most) > free/4+1 {
+	if free := h.balancer.endpoints["b"].attemptLimit; most == 0 || float64(most) > free/4+1 {
 		t.Errorf("%d out at a quarter of %.1f", most, free)
 	}
 }
 
 // Among so many instances that one has a share under one attempt none holds a long read back: it would free no replica.
 func TestLongReadsOfALargeFleetDoNotYield(t *testing.T) {
-	h := scarce(t, 1)
-	h.r.cfg.Instances = 300
-	n := h.r.nodes["c"]
-	n.limit, n.creditAt, n.credit = 1, h.now, 100
-	if len(h.long()) != 1 {
+	h := newShortageHarness(t, 1)
+	h.balancer.config.Instances = 300
+	n := h.balancer.endpoints["c"]
+	n.attemptLimit, n.creditRefilledAt, n.creditTokens = 1, h.now, 100
+	if len(h.sendLongRead()) != 1 {
 		t.Error("it is held back")
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -87,7 +87,7 @@
 
 // fleetConfig is a deployment of eighty: reads within half a second, long ones of any age, writes.
 func fleetConfig() Config {
-	c := base()
+	c := testConfig()
 	c.Instances, c.ProbePrice, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = 80, 0.08, 0.16, 18*time.Second, 2.5, 2*time.Second
 	c.Classes = []Class{
 		{Name: "bounded", Aim: 120 * ms, GiveUp: 450 * ms, Worth: 2, LateShare: 0.2, Need: NeedBounded, Bound: 500 * ms},
@@ -136,8 +136,8 @@
 	for _, a := range r.Step(f.now, events) {
 		switch a := a.(type) {
 		case Send:
-			q := r.reqs[a.ID]
-			f.after(ms, func() { f.serve(i, a.ID, len(q.tries)-1, q.class.Name, f.members[a.Node]) })
+			q := r.requests[a.ID]
+			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.members[a.Node]) })
 		case Probe:
 			f.probes++
 			m := f.members[a.Node]
@@ -375,21 +375,21 @@
 	const patience, way = 2 * time.Second, 250 * ms
 	for seed := range uint64(100) {
 		for _, took := range []time.Duration{5 * ms, 700 * ms, patience} {
-			c := base()
+			c := testConfig()
 			c.Instances, c.Ask, c.AskWithin, c.DrainGrace = 300, true, 10*time.Second, 1200*ms
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := 100 * time.Second
-			r.Step(now, []Event{three(ListFull)}) // the next watch goes out at once
+			r.Step(now, []Event{threeEndpoints(ListFull)}) // the next watch goes out at once
 			for round := range 6 {
 				called := now
 				now += took
 				failed := now
-				asked := len(pick[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
+				asked := len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
 				for ; !asked; now += 5 * ms {
-					asked = len(pick[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
 				}
 				if again := now - called; again+patience+way > 6*time.Second {
 					t.Errorf("seed %d, turned away after %v, round %d: called again %v after the call", seed, took, round, again)
@@ -408,7 +408,7 @@
 func TestASilentListIsAskedForAgainWithinTheGrace(t *testing.T) {
 	const fleet, slack, connect = 300, time.Second, 250 * ms
 	for _, seed := range []uint64{1, 2, 3} {
-		c := base()
+		c := testConfig()
 		c.Instances, c.Ask, c.AskWithin, c.DrainGrace = fleet, true, 10*time.Second, 2*time.Second
 		in := map[time.Duration]int{} // calls by tenth of a second
 		for i := range fleet {
@@ -417,17 +417,17 @@
 				t.Fatal(err)
 			}
 			now := 100 * time.Second
-			r.Step(now, []Event{three(ListCached)})
-			for len(pick[Track](r.Step(now, nil))) == 0 {
+			r.Step(now, []Event{threeEndpoints(ListCached)})
+			for len(actionsOf[Track](r.Step(now, nil))) == 0 {
 				now += 10 * ms
 			}
 			// Its watch ends in silence now, and so does each connection it opens.
 			now += 5*time.Second + slack
 			for silent := range 20 {
 				from := now
-				asked := len(pick[Track](r.Step(now, []Event{List{Kind: ListSilent}}))) > 0
+				asked := len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListSilent}}))) > 0
 				for ; !asked; now += 10 * ms {
-					asked = len(pick[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
 				}
 				if silent == 0 {
 					in[(now-from)/(100*ms)]++
@@ -503,15 +503,15 @@
 
 // Classes that are worth nothing are served too: a share of nothing is not taken for more than there is.
 func TestWorthlessRequestsAreSent(t *testing.T) {
-	c := base()
+	c := testConfig()
 	c.Instances = 300
 	for i := range c.Classes {
 		c.Classes[i].Worth = 0
 	}
-	h := ready(t, c)
+	h := newReadyHarness(t, c)
 	sent := 0
 	for range 40 {
-		for _, s := range pick[Send](h.step(500*ms, h.request("any"))) {
+		for _, s := range actionsOf[Send](h.step(500*ms, h.request("any"))) {
 			sent++
 			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
@@ -523,14 +523,14 @@
 
 // restart lets an instance start anew, with the list as it stands and nothing else.
 func (f *fleet) restart(i int) {
-	r, err := New(f.routers[i].cfg, uint64(f.last)*1000+uint64(i))
+	r, err := New(f.routers[i].config, uint64(f.last)*1000+uint64(i))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	var l List
-	for _, g := range f.routers[i].order {
-		for _, n := range g.members {
-			l.Entries = append(l.Entries, Entry{Node: n.id, Zone: n.zone, Group: g.id, State: n.state, Primary: f.members[n.id].leads, ReadyAt: n.readyAt})
+	for _, g := range f.routers[i].sortedGroups {
+		for _, n := range g.endpoints {
+			l.Entries = append(l.Entries, Entry{Node: n.id, Zone: n.zone, Group: g.id, State: n.state, Primary: f.members[n.id].leads, ReadyAt: n.startedAt})
 		}
 	}
 	f.routers[i], f.woken[i], l.Kind = r, 0, ListCached
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -10,19 +10,19 @@
 // list that takes out half of them all at once binds all of it.
 func TestAThousandMembersBeforeOneOfManyInstances(t *testing.T) {
 	const members, groups, instances = 1024, 64, 350
-	c := base()
+	c := testConfig()
 	c.Instances = instances
 	l := List{Kind: ListFull}
 	for i := range members {
 		l.Entries = append(l.Entries, Entry{Node: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: Ready, Primary: i < groups})
 	}
-	h := newRig(t, c, l)
+	h := newHarness(t, c, l)
 	used, served, left := map[string]int{}, map[int64]int{}, map[string]bool{}
 	serve := func(rounds int) {
 		for range rounds {
 			for g := range int64(groups) {
-				h.n++
-				id := fmt.Sprint("q", h.n)
+				h.requestCount++
+				id := fmt.Sprint("q", h.requestCount)
 				acts := h.step(5*time.Millisecond, Request{ID: id, Class: "any", Group: g, Expires: time.Second})
 				for len(acts) > 0 {
 					var back []Event
