--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -6,7 +6,6 @@
 	"maps"
 	"math"
 	"math/rand/v2"
-	"os"
 	"reflect"
 	"slices"
 	"strings"
@@ -518,25 +517,6 @@
 	}
 }
 
-func TestSizeLimits(t *testing.T) {
-	text, err := os.ReadFile("balance.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := 0
-	for i, l := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(l) != "" {
-			n++
-		}
-		if len([]rune(strings.ReplaceAll(l, "\t", "    "))) > 110 {
-			t.Errorf("line %d is over 110 columns", i+1)
-		}
-	}
-	if n > 950 {
-		t.Errorf("%d non-blank lines, 950 at most", n)
-	}
-}
-
 // play feeds odd but legal events and checks what must hold whatever comes. It models no member: outcomes are drawn.
 func playEvents(t *testing.T, seed uint64) []Action { return playEventsWith(t, seed, testConfig()) }
 
@@ -774,7 +754,7 @@
 func TestUnansweredAttemptsLowerTheLimit(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
-	before := n.attemptLimit
+	before := n.limit.attempts
 	for range 60 {
 		q := h.request("any")
 		for _, s := range actionsOf[Send](h.step(ms, q)) {
@@ -782,8 +762,8 @@
 			h.reportAll("a")
 		}
 	}
-	if n.attemptLimit > 0.85*before {
-		t.Fatalf("limit %.1f after 60 unanswered attempts, was %.1f", n.attemptLimit, before)
+	if n.limit.attempts > 0.85*before {
+		t.Fatalf("limit %.1f after 60 unanswered attempts, was %.1f", n.limit.attempts, before)
 	}
 }
 
@@ -917,15 +897,15 @@
 	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset}, ProbeResult{Node: "a", Status: ConnectFailed})
 	n := h.balancer.endpoints["a"]
-	if !n.suspect {
+	if !n.health.suspect {
 		t.Fatal("a member that cannot be reached is in doubt")
 	}
-	h.step(maxTrialBackoff, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now + maxTrialBackoff})
+	h.step(maxRecoveryBackoff, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now + maxRecoveryBackoff})
 	q = h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
-	if n.suspect || h.balancer.warmupFactor(n) < 1 {
-		t.Fatalf("suspect %v, warmth %v", n.suspect, h.balancer.warmupFactor(n))
+	if n.health.suspect || h.balancer.warmupFactor(n) < 1 {
+		t.Fatalf("suspect %v, warmth %v", n.health.suspect, h.balancer.warmupFactor(n))
 	}
 }
 
@@ -1105,9 +1085,9 @@
 	for range 3 {
 		h.balancer.now = h.now
 		h.balancer.markSuspect(n, "answers nothing")
-		n.trialAt = h.now + 600*ms // beyond the bound of the read
-		waits = append(waits, n.trialBackoff)
-		n.suspect = false
+		n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
+		waits = append(waits, n.health.recoveryBackoff)
+		n.health.suspect = false
 		h.now += 3 * time.Second
 	}
 	if waits[1] <= waits[0] || waits[2] <= waits[1] {
@@ -1116,9 +1096,9 @@
 	h.now += time.Minute
 	h.balancer.now = h.now
 	h.balancer.markSuspect(n, "answers nothing")
-	n.trialAt = h.now + 600*ms // beyond the bound of the read
-	if n.trialBackoff != waits[0] {
-		t.Fatalf("%v after a quiet minute, want %v", n.trialBackoff, waits[0])
+	n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
+	if n.health.recoveryBackoff != waits[0] {
+		t.Fatalf("%v after a quiet minute, want %v", n.health.recoveryBackoff, waits[0])
 	}
 }
 
@@ -1248,14 +1228,14 @@
 		q := h.request("write")
 		step(10*ms, q)
 		step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
-		if h.balancer.endpoints["a"].suspect {
+		if h.balancer.endpoints["a"].health.suspect {
 			t.Fatalf("suspect after %d answers", i)
 		}
 		if i%20 == 19 { // a lull: nothing is out but the silent ones
 			for range 20 {
 				step(10 * ms)
 			}
-			if h.balancer.endpoints["a"].suspect {
+			if h.balancer.endpoints["a"].health.suspect {
 				t.Fatal("suspect in a lull")
 			}
 		}
@@ -1277,13 +1257,13 @@
 		h.expectSends(h.step(ms, h.request("write")), "a")
 	}
 	h.step(20 * ms)
-	if h.balancer.endpoints["a"].suspect {
+	if h.balancer.endpoints["a"].health.suspect {
 		t.Fatal("suspect after 20 ms")
 	}
 	h.step(30 * ms)
 	h.step(20 * ms)
 	h.step(20 * ms)
-	if !h.balancer.endpoints["a"].suspect {
+	if !h.balancer.endpoints["a"].health.suspect {
 		t.Fatal("its silence is not seen")
 	}
 }
@@ -1294,11 +1274,11 @@
 	n := h.balancer.endpoints["a"]
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	for !n.suspect {
+	for !n.health.suspect {
 		h.step(50 * ms)
 	}
 	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: TimedOut, Finished: true})
-	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: n.suspectSince - 10*ms})
+	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: n.health.suspectSince - 10*ms})
 	for range 40 {
 		acts := h.step(50*ms, h.request("write"))
 		if sent := actionsOf[Send](acts); len(sent) > 0 {
@@ -1334,7 +1314,7 @@
 			h.step(ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RolePrimary, Position: h.now})
 		}
 		for _, n := range h.balancer.groups[1].endpoints {
-			if n.state == Ready {
+			if n.discovery.state == Ready {
 				h.step(0, ProbeResult{Node: n.id, Status: Done, Position: h.now})
 			}
 		}
@@ -1392,11 +1372,11 @@
 		q := h.request("write")
 		h.step(10*ms, q)
 		h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
-		slow = n.latencyRatio
+		slow = n.limit.latencyRatio
 	}
 	h.step(ms, Outcome{ID: lost.ID, Node: "a", Status: TimedOut, Took: 2900 * ms, Finished: true})
-	if n.latencyRatio > slow {
-		t.Fatalf("from %.2f to %.2f", slow, n.latencyRatio)
+	if n.limit.latencyRatio > slow {
+		t.Fatalf("from %.2f to %.2f", slow, n.limit.latencyRatio)
 	}
 }
 
@@ -1405,7 +1385,7 @@
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
 	h.balancer.markSuspect(n, "answers nothing")
-	n.trialAt = h.now + 600*ms // beyond the bound of the read
+	n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
 	h.step(ms, ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
 	for range 200 {
 		acts := h.step(10*ms, h.request("bounded"))
@@ -1457,10 +1437,10 @@
 		t.Fatalf("%v", s)
 	}
 	n := h.balancer.endpoints["b"]
-	n.suspect, n.unreachable, n.trialAt, n.failureRate = true, true, never, 1
+	n.health.suspect, n.health.unreachable, n.health.recoveryAt, n.outlier.failureRate = true, true, never, 1
 	h.now += time.Second // its position has aged
 	acts := h.step(0, Suspend{Node: "b"}, h.request("bounded"))
-	if n.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 || len(actionsOf[Probe](acts)) == 0 {
+	if n.health.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 || len(actionsOf[Probe](acts)) == 0 {
 		t.Fatalf("%+v: %v", n, acts)
 	}
 	for range 300 {
@@ -1642,7 +1622,7 @@
 	still := h.now
 	probes := 0
 	for range 50 {
-		h.balancer.healthCheckBudget = 8
+		h.balancer.healthChecks.tokens = 8
 		for _, p := range actionsOf[Probe](h.step(200*ms, h.request("bounded"))) {
 			probes++
 			h.step(2*ms, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: still})
@@ -1803,7 +1783,7 @@
 	h := newReadyHarness(t, c)
 	h.step(0, h.request("write")) // the first use asks all
 	h.reportAll("a")
-	h.balancer.healthCheckBudget = 8
+	h.balancer.healthChecks.tokens = 8
 	probes := len(actionsOf[Probe](h.step(time.Second, h.request("bounded")))) // all positions have aged
 	for range 4 {
 		probes += len(actionsOf[Probe](h.step(10*ms, Wake{})))
@@ -1869,7 +1849,7 @@
 			}
 		}
 		for range 30 { // at the first use all are asked
-			h.balancer.healthCheckBudget = 1
+			h.balancer.healthChecks.tokens = 1
 			run(h.step(600*ms, h.request("bounded")))
 		}
 		if asked < 20 {
@@ -1892,8 +1872,8 @@
 			h.step(took, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: took, Finished: true})
 		}
 		for _, id := range []string{"b", "c"} {
-			if got := h.balancer.endpoints[id].attemptLimit < initialLimit; got != crowded {
-				t.Errorf("%s takes %v of the aim: limit %.1f", id, part, h.balancer.endpoints[id].attemptLimit)
+			if got := h.balancer.endpoints[id].limit.attempts < initialLimit; got != crowded {
+				t.Errorf("%s takes %v of the aim: limit %.1f", id, part, h.balancer.endpoints[id].limit.attempts)
 			}
 		}
 	}
@@ -1937,9 +1917,9 @@
 	long := h.balancer.classes["long"]
 	long.serviceTime, long.latency = work, 1
 	h.balancer.classes["bounded"].serviceTime = 0.06
-	h.balancer.groups[1].nextLongReadAt = h.now + 4*time.Second
+	h.balancer.groups[1].longReads.nextAt = h.now + 4*time.Second
 	for _, n := range h.balancer.endpoints {
-		n.rejectingUntil = h.now + time.Second // all are full
+		n.limit.rejectingUntil = h.now + time.Second // all are full
 	}
 	for range 80 {
 		h.step(0, h.request("bounded"))
@@ -1951,7 +1931,7 @@
 	if refused < 20 {
 		t.Fatalf("%d refused", refused)
 	}
-	for h.now < h.balancer.endpoints["a"].rejectingUntil {
+	for h.now < h.balancer.endpoints["a"].limit.rejectingUntil {
 		h.step(50 * ms)
 	}
 	h.reportAll("a")
@@ -1983,10 +1963,10 @@
 		set  func(h *harness)
 	}{
 		"one that costs no more than they do": {0.2, func(*harness) {}},
-		"its turn has come":                   {1, func(h *harness) { h.balancer.groups[1].nextLongReadAt = h.now }},
+		"its turn has come":                   {1, func(h *harness) { h.balancer.groups[1].longReads.nextAt = h.now }},
 		"none was refused for long":           {1, func(h *harness) { h.now += 20 * time.Second; h.reportAll("a") }},
 		"its replica could not catch up": {1, func(h *harness) {
-			h.balancer.endpoints["c"].lag, h.balancer.endpoints["c"].lagObservedAt = 5*time.Second, h.now
+			h.balancer.endpoints["c"].replication.lag, h.balancer.endpoints["c"].replication.lagObservedAt = 5*time.Second, h.now
 		}},
 		"it is worth more": {1, func(h *harness) { k := h.balancer.classes["long"]; k.Worth = 1000 }},
 	} {
@@ -2001,15 +1981,15 @@
 func TestRefusalsWithoutAPrimaryHoldBackNoLongRead(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	g := h.balancer.groups[1]
-	g.shortageWeight, g.nextLongReadAt = 0, h.now+time.Hour
+	g.shortage.weight, g.longReads.nextAt = 0, h.now+time.Hour
 	h.balancer.markPrimarySuspect(g, "a test")
 	q := &request{class: h.balancer.classes["bounded"], group: g, weight: 50}
-	h.balancer.recordGivenUp(q)
+	h.balancer.recordShortage(q)
 	if len(h.sendLongRead()) != 1 {
 		t.Error("it is held back")
 	}
-	g.primaryState = primaryCached
-	h.balancer.recordGivenUp(q)
+	g.primary.state = primaryCached
+	h.balancer.recordShortage(q)
 	if len(h.sendLongRead()) != 0 {
 		t.Error("a refusal beside a primary does not count")
 	}
@@ -2034,7 +2014,7 @@
 		}
 		return n
 	}
-	h.balancer.endpoints["c"].suspended = true // b is the only replica
+	h.balancer.endpoints["c"].discovery.suspended = true // b is the only replica
 	if n := count(0); n != 0 {
 		t.Errorf("%d sent to a zone that may not be used", n)
 	}
@@ -2049,7 +2029,7 @@
 		h.step(0, h.request("any"))
 		most = max(most, len(h.balancer.endpoints["b"].inFlight))
 	}
-	if free := h.balancer.endpoints["b"].attemptLimit; most == 0 || float64(most) > free/4+1 {
+	if free := h.balancer.endpoints["b"].limit.attempts; most == 0 || float64(most) > free/4+1 {
 		t.Errorf("%d out at a quarter of %.1f", most, free)
 	}
 }
@@ -2059,7 +2039,7 @@
 	h := newShortageHarness(t, 1)
 	h.balancer.config.Instances = 300
 	n := h.balancer.endpoints["c"]
-	n.attemptLimit, n.creditRefilledAt, n.creditTokens = 1, h.now, 100
+	n.limit.attempts, n.credit.refilledAt, n.credit.tokens = 1, h.now, 100
 	if len(h.sendLongRead()) != 1 {
 		t.Error("it is held back")
 	}
--- /dev/null
+++ b/balance/class.go
@@ -0,0 +1,124 @@
+package balance
+
+import "time"
+
+// Need says how recent the data must be that a request of a class sees.
+type Need int
+
+const (
+	NeedAny     Need = iota // any endpoint will do
+	NeedBounded             // no older than Class.Bound when the request is sent
+	NeedSession             // all that the session has written
+	NeedLatest              // all that was committed before the request arrived
+	NeedUpdate              // a write: only the primary takes it
+)
+
+// Effect says what a repeat of a request would do.
+type Effect int
+
+const (
+	Safe   Effect = iota // idempotent: may be repeated and rejected freely
+	Keyed                // carries an idempotency key: the endpoints of Scope discard repeats for Window
+	Unsafe               // must never run twice
+)
+
+// Scope names the endpoints that discard the repeats of a request with an idempotency key.
+type Scope int
+
+const (
+	ScopeGroup Scope = iota // the endpoints of the request's group
+	ScopeZone               // the endpoints in the same zone
+	ScopeAll                // every endpoint
+)
+
+// Class describes one kind of request.
+type Class struct {
+	Name       string
+	Aim        time.Duration // the latency objective: an answer within it has full weight
+	AimStretch float64       // the objective grows by this multiple of the request's own estimate of work
+	GiveUp     time.Duration // how long a client waits over all its attempts
+	Worth      float64       // the priority weight of an answer within the objective
+	LateShare  float64       // the part of the weight that an answer after the objective still has
+	Effect     Effect
+	Scope      Scope
+	Window     time.Duration // how long an idempotency key is remembered
+	Need       Need
+	Bound      time.Duration // the staleness bound of NeedBounded
+}
+
+const (
+	// smoothing is the weight of a new sample in moving averages: about the last ten samples count.
+	smoothing = 0.1
+	// decay is the part by which a remembered extreme is forgotten at each sample: work and endpoints change.
+	decay = 0.002
+	// fewAnswersFactor bounds by how much more an answer counts at one of many instances, which see few answers each.
+	fewAnswersFactor = 5
+)
+
+// classState is a class with what this instance has learned of its requests.
+type classState struct {
+	Class
+	latency        float64       // moving mean of the time that an attempt takes, seconds
+	serviceTime    float64       // the least of it, slowly forgotten, seconds: what a request costs an endpoint
+	arrivals       float64       // requests, slowly forgotten
+	longestTimeout time.Duration // the longest that a client has been ready to wait
+}
+
+// newClassState starts with a fifth of the objective as the estimate of latency.
+func newClassState(class Class) *classState {
+	if class.Aim <= 0 {
+		class.Aim = class.GiveUp
+	}
+	estimate := class.Aim.Seconds() / 5
+	return &classState{Class: class, latency: estimate, serviceTime: estimate}
+}
+
+// needsPrimary says that only the primary can serve the class: a strong request in terms of the ODP page.
+func (c *classState) needsPrimary() bool { return c.Need == NeedUpdate || c.Need == NeedLatest }
+
+// isWrite says that requests of the class are writes.
+func (c *classState) isWrite() bool { return c.Need == NeedUpdate }
+
+// objectiveShare is the part of the latency objective that an attempt took.
+func (c *classState) objectiveShare(took time.Duration) float64 {
+	return took.Seconds() / c.Aim.Seconds()
+}
+
+// observeLatency takes the latency of a served attempt into the mean. The more instances there are, the fewer answers
+// each of them sees, so each answer counts for more.
+func (c *classState) observeLatency(took time.Duration, instances float64) {
+	c.latency += smoothing / 5 * min(fewAnswersFactor, 1+instances/10) * (took.Seconds() - c.latency)
+}
+
+// observeServiceTime follows the least latency, so that it can also rise again slowly.
+func (c *classState) observeServiceTime() {
+	c.serviceTime = min(c.latency, c.serviceTime*(1+decay))
+}
+
+// expire forgets a part of what was learned, once a second. Where the share of one instance is under one attempt
+// little is sent of a class that was slow in an overload, and no answer would show that it has become fast again;
+// there the mean returns to the service time by itself.
+func (c *classState) expire(fractionalShare bool) {
+	c.arrivals *= 1 - decay
+	if fractionalShare {
+		c.latency -= smoothing * (c.latency - c.serviceTime)
+	}
+}
+
+// slowestLatency is the mean time of an attempt of the slowest class, seconds.
+func (b *Router) slowestLatency() float64 {
+	slowest := 0.0
+	for _, class := range b.classes {
+		slowest = max(slowest, class.latency)
+	}
+	return slowest
+}
+
+// Cost returns what requests of the class cost an endpoint, in seconds: the least latency seen, slowly forgotten, and
+// the moving mean of latency, which includes queueing.
+func (b *Router) Cost(name string) (work, mean float64) {
+	if class := b.classes[name]; class != nil {
+		return class.serviceTime, class.latency
+	}
+	return 0, 0
+}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -530,7 +530,7 @@
 	var l List
 	for _, g := range f.routers[i].sortedGroups {
 		for _, n := range g.endpoints {
-			l.Entries = append(l.Entries, Entry{Node: n.id, Zone: n.zone, Group: g.id, State: n.state, Primary: f.members[n.id].leads, ReadyAt: n.startedAt})
+			l.Entries = append(l.Entries, Entry{Node: n.id, Zone: n.zone, Group: g.id, State: n.discovery.state, Primary: f.members[n.id].leads, ReadyAt: n.slowStart.startedAt})
 		}
 	}
 	f.routers[i], f.woken[i], l.Kind = r, 0, ListCached
