--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -30,9 +30,10 @@
 
 	endpoints     map[string]*endpoint
 	groups        map[int64]*replicaGroup
-	sortedGroups  []*replicaGroup // by id
-	busyEndpoints []*endpoint     // those with attempts in flight
-	liveScratch   []*attempt      // reused by liveAttempts
+	sortedGroups  []*replicaGroup   // by id
+	busyEndpoints []*endpoint       // those with attempts in flight
+	liveScratch   []*attempt        // reused by liveAttempts
+	candidates    replicaCandidates // reused by collectCandidates
 
 	classes        map[string]*classState
 	quotas         map[string]*tokenBucket // by tenant
--- a/balance/replica_selection.go
+++ b/balance/replica_selection.go
@@ -16,6 +16,15 @@
 	missed  int         // replicas that have sent the read back
 }
 
+// reset empties the candidates, and keeps their memory for the next use.
+func (c *replicaCandidates) reset() {
+	c.resumed = nil
+	c.local = c.local[:0]
+	c.remote = c.remote[:0]
+	c.ejected = c.ejected[:0]
+	c.missed = 0
+}
+
 // preferred are the replicas of the nearest zone.
 func (c *replicaCandidates) preferred() []*endpoint {
 	if len(c.local) == 0 {
@@ -36,7 +45,7 @@
 // random draw, else the primary if it has capacity to spare, else an outlier. It returns nil if the read has to stay
 // pending.
 func (b *Router) selectReplica(request *request) *endpoint {
-	candidates := b.replicaCandidates(request)
+	candidates := b.collectCandidates(request)
 	if candidates.resumed != nil {
 		return candidates.resumed
 	}
@@ -63,10 +72,11 @@
 // draw picks one of the endpoints at random.
 func (b *Router) draw(endpoints []*endpoint) *endpoint { return endpoints[b.rng.IntN(len(endpoints))] }
 
-// replicaCandidates collects the replicas that the read may be sent to now. A resumed replica ends the search:
-// operators have asked for it, and its position will age again.
-func (b *Router) replicaCandidates(request *request) replicaCandidates {
-	var candidates replicaCandidates
+// collectCandidates collects the replicas that the read may be sent to now. A resumed replica ends the search:
+// operators have asked for it, and its position will age again. The result is valid until the next call.
+func (b *Router) collectCandidates(request *request) *replicaCandidates {
+	candidates := &b.candidates
+	candidates.reset()
 	for _, endpoint := range request.group.endpoints {
 		if request.group.isKnownPrimary(endpoint) || !b.isAvailable(request, endpoint) {
 			continue
