--- a/balance/action.go
+++ b/balance/action.go
@@ -7,13 +7,13 @@
 
 // Send starts the next attempt of a request. Attempts are numbered from 0 in the order of their sends.
 type Send struct {
-	ID   string // of the request
-	Node string // the endpoint
-	By   Time   // not to be written later than this: the data may be too old, or the client gone; 0 = no such limit
+	ID       string // of the request
+	Endpoint string // the endpoint
+	NotAfter Time   // not to be written later than this: the data may be too old, or the client gone; 0 = no such limit
 }
 
-// Refuse is a final answer: nothing ran and a retry does no harm.
-type Refuse struct {
+// Reject is a final answer: nothing ran and a retry does no harm.
+type Reject struct {
 	ID         string
 	RetryAfter time.Duration
 }
@@ -27,33 +27,33 @@
 	Attempt int
 }
 
-// Probe asks an endpoint for a load report.
-type Probe struct{ Node string }
+// HealthCheck asks an endpoint for a load report.
+type HealthCheck struct{ Endpoint string }
 
 // Timer asks for a Wake.
-type Timer struct{ In time.Duration }
-
-// Track subscribes to the endpoint list.
-type Track struct{}
-
-// Lead tells whom the instance takes for a group's primary from now on, or that it has marked the one it had suspect.
-// It asks for nothing.
-type Lead struct {
-	Group    int64
-	Node     string
-	Believed bool
-	Why      string // why the primary is suspect
+type Timer struct{ After time.Duration }
+
+// PollEndpointList subscribes to the endpoint list.
+type PollEndpointList struct{}
+
+// PrimaryUpdate tells whom the instance takes for a group's primary from now on, or that it has marked the one it had
+// suspect. It asks for nothing.
+type PrimaryUpdate struct {
+	Group     int64
+	Endpoint  string
+	Confirmed bool
+	Reason    string // why the primary is suspect
 }
 
-// Log is a line for the engineers on call.
-type Log struct{ Text string }
-
-func (Send) action()   {}
-func (Refuse) action() {}
-func (Fail) action()   {}
-func (Cancel) action() {}
-func (Probe) action()  {}
-func (Timer) action()  {}
-func (Track) action()  {}
-func (Lead) action()   {}
-func (Log) action()    {}
+// LogLine is a line for the engineers on call.
+type LogLine struct{ Text string }
+
+func (Send) action()             {}
+func (Reject) action()           {}
+func (Fail) action()             {}
+func (Cancel) action()           {}
+func (HealthCheck) action()      {}
+func (Timer) action()            {}
+func (PollEndpointList) action() {}
+func (PrimaryUpdate) action()    {}
+func (LogLine) action()          {}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -18,18 +18,18 @@
 // base is a made-up deployment: one class of each need.
 func testConfig() Config {
 	return Config{
-		Instances: 1, Zone: "a", OverShareWorth: 0.1, Resolution: ms, Probes: true, Cancel: true,
-		RetryAfter: true, MaxRetryAfter: time.Second, MostTries: 6, ColdFrom: 0.25,
-		ColdFor: 10 * time.Second, FallMultiple: 2, FallFor: time.Second, ClientTokens: true,
+		Instances: 1, Zone: "a", OverQuotaWeight: 0.1, TimerResolution: ms, HealthChecks: true, Cancellation: true,
+		RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 6, SlowStartFrom: 0.25,
+		SlowStartWindow: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, ClientSessionTokens: true,
 		Classes: []Class{
-			{Name: "any", Aim: 400 * ms, GiveUp: 2 * time.Second, Worth: 1, LateShare: 0.2, Need: NeedAny},
-			{Name: "bounded", Aim: 400 * ms, GiveUp: 2 * time.Second, Worth: 1, Need: NeedBounded, Bound: 300 * ms},
-			{Name: "session", Aim: 400 * ms, GiveUp: 2 * time.Second, Worth: 1, Need: NeedSession},
-			{Name: "latest", Aim: 400 * ms, GiveUp: 2 * time.Second, Worth: 1, Need: NeedLatest},
-			{Name: "write", Aim: 400 * ms, GiveUp: 3 * time.Second, Worth: 3, LateShare: 0.3, Need: NeedUpdate,
-				Effect: Unsafe},
-			{Name: "keyed", Aim: 400 * ms, GiveUp: 3 * time.Second, Worth: 3, LateShare: 0.3, Need: NeedUpdate,
-				Effect: Keyed, Scope: ScopeGroup, Window: 500 * ms},
+			{Name: "any", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.2, Consistency: ConsistencyAny},
+			{Name: "bounded", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencyBounded, MaxStaleness: 300 * ms},
+			{Name: "session", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencySession},
+			{Name: "latest", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencyLatest},
+			{Name: "write", LatencyObjective: 400 * ms, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: ConsistencyWrite,
+				Idempotency: NonIdempotent},
+			{Name: "keyed", LatencyObjective: 400 * ms, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: ConsistencyWrite,
+				Idempotency: IdempotentWithKey, IdempotencyScope: ScopeGroup, IdempotencyWindow: 500 * ms},
 		},
 	}
 }
@@ -37,7 +37,7 @@
 // rig drives one Router by hand. It models no member: each test says what comes back.
 type harness struct {
 	t            *testing.T
-	balancer     *Router
+	balancer     *Balancer
 	now          Time
 	requestCount int
 }
@@ -54,10 +54,10 @@
 }
 
 // three is a list of a group 1 with the members a, b and c.
-func threeEndpoints(kind ListKind) List {
-	return List{Kind: kind, Entries: []Entry{
-		{Node: "a", Zone: "a", Group: 1, State: Ready}, {Node: "b", Zone: "a", Group: 1, State: Ready},
-		{Node: "c", Zone: "a", Group: 1, State: Ready}}}
+func threeEndpoints(kind EndpointListKind) EndpointList {
+	return EndpointList{Kind: kind, Entries: []EndpointEntry{
+		{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady}, {Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
+		{Endpoint: "c", Zone: "a", Group: 1, State: EndpointReady}}}
 }
 
 func (h *harness) step(d time.Duration, events ...Event) []Action {
@@ -67,7 +67,7 @@
 
 func (h *harness) request(class string) Request {
 	h.requestCount++
-	return Request{ID: fmt.Sprint("q", h.requestCount), Class: class, Group: 1, Key: 5, Expires: time.Second}
+	return Request{ID: fmt.Sprint("q", h.requestCount), Class: class, Group: 1, SessionID: 5, TimeLeft: time.Second}
 }
 
 // ready is a rig whose router knows that a is the primary, and the positions of all.
@@ -84,14 +84,14 @@
 		if id == primary {
 			role = RolePrimary
 		}
-		h.step(0, ProbeResult{Node: id, Status: Done, Role: role, Position: h.now})
+		h.step(0, HealthCheckResult{Endpoint: id, Status: StatusDone, Role: role, Position: h.now})
 	}
 }
 
 // silence lets all probes that are out come back with nothing.
 func (h *harness) failAllHealthChecks() {
 	for _, id := range []string{"a", "b", "c"} {
-		h.step(0, ProbeResult{Node: id, Status: TimedOut})
+		h.step(0, HealthCheckResult{Endpoint: id, Status: StatusTimedOut})
 	}
 }
 
@@ -110,7 +110,7 @@
 	got := actionsOf[Send](acts)
 	ok := len(got) == len(want)
 	for i := 0; ok && i < len(want); i++ {
-		ok = strings.Contains(want[i], got[i].Node)
+		ok = strings.Contains(want[i], got[i].Endpoint)
 	}
 	if !ok {
 		h.t.Fatalf("sent %v, want %v", got, want)
@@ -143,8 +143,8 @@
 	for range 40 {
 		q := h.request("any")
 		s := h.expectSends(h.step(ms, q), "bc")[0]
-		seen[s.Node]++
-		h.step(ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
+		seen[s.Endpoint]++
+		h.step(ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 	}
 	if seen["b"] < 5 || seen["c"] < 5 {
 		t.Fatalf("draw is lopsided: %v", seen)
@@ -155,12 +155,12 @@
 	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	acts := h.step(ms, h.request("latest"), h.request("bounded"))
 	h.expectSends(acts)
-	if got := len(actionsOf[Probe](acts)); got != 3 {
+	if got := len(actionsOf[HealthCheck](acts)); got != 3 {
 		t.Fatalf("%d probes on first use, want 3", got)
 	}
-	acts = h.step(ms, ProbeResult{Node: "b", Status: Done, Role: RolePrimary, Position: h.now})
+	acts = h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	h.expectSends(acts, "b") // the read waits for the reports that are on their way
-	h.expectSends(h.step(ms, ProbeResult{Node: "c", Status: Done, Role: RoleReplica, Position: h.now}), "c")
+	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RoleReplica, Position: h.now}), "c")
 }
 
 // A storm of probes: hundreds of instances that each look for a lost primary must not ask without end.
@@ -168,7 +168,7 @@
 	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("write"))
 	h.reportAll("a")
-	h.step(0, List{Entries: []Entry{{Node: "a", Zone: "a", Group: 1, State: Gone}}})
+	h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointRemoved}}})
 	probes := 0
 	for i := range 500 {
 		var events []Event
@@ -176,9 +176,9 @@
 			q := h.request("write")
 			events = append(events, q)
 		}
-		for _, p := range actionsOf[Probe](h.step(10*ms, events...)) {
+		for _, p := range actionsOf[HealthCheck](h.step(10*ms, events...)) {
 			probes++
-			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now - 10*ms})
+			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - 10*ms})
 		}
 	}
 	if probes < 3 || probes > 25 {
@@ -189,16 +189,16 @@
 // What a member said of its lag seconds ago must not keep it out for good.
 func TestOldLagIsForgotten(t *testing.T) {
 	c := testConfig()
-	c.Checks = ChecksRefuse
+	c.FreshnessCheck = FreshnessCheckReject
 	h := newReadyHarness(t, c)
 	h.now += 500 * ms
 	for _, id := range []string{"b", "c"} {
 		q := h.request("any")
 		for s := ""; s != id; {
 			q = h.request("any")
-			s = h.expectSends(h.step(0, q), "bc")[0].Node
+			s = h.expectSends(h.step(0, q), "bc")[0].Endpoint
 		}
-		h.step(ms, Outcome{ID: q.ID, Node: id, Status: Done, Finished: true, Role: RoleReplica, Position: h.now - time.Second})
+		h.step(ms, AttemptResult{ID: q.ID, Endpoint: id, Status: StatusDone, Finished: true, Role: RoleReplica, Position: h.now - time.Second})
 	}
 	h.expectSends(h.step(ms, h.request("bounded")), "a")
 	h.expectSends(h.step(3*time.Second, h.request("bounded")), "bc")
@@ -208,19 +208,19 @@
 	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Miss, Role: RoleReplica}), "c")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 2, Node: "c", Status: Miss, Role: RoleReplica}))
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusMiss, Role: RoleReplica}), "c")
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 2, Endpoint: "c", Status: StatusMiss, Role: RoleReplica}))
 	h.expectSends(h.step(50*ms, h.request("write"))) // one round of misses, then hold
-	h.expectSends(h.step(50*ms, ProbeResult{Node: "c", Status: Done, Role: RolePrimary, Position: h.now + 40*ms}), "c", "c")
+	h.expectSends(h.step(50*ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RolePrimary, Position: h.now + 40*ms}), "c", "c")
 }
 
 func TestMissTurnsTheEntryDirty(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Done, Took: ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusDone, Elapsed: ms, Finished: true, Role: RolePrimary}))
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
@@ -235,16 +235,16 @@
 // A role that the list says 4 s late, behind two changes, moves no write: answers have told what came since.
 func TestRoleOfTheListFourSecondsOld(t *testing.T) {
 	h := newReadyHarness(t, testConfig()) // a leads
-	list := func(leads string) List {
+	list := func(leads string) EndpointList {
 		l := threeEndpoints(ListDelta)
 		for i := range l.Entries {
-			l.Entries[i].Primary = l.Entries[i].Node == leads
+			l.Entries[i].Primary = l.Entries[i].Endpoint == leads
 		}
 		return l
 	}
 	h.step(ms, list("a"))
-	answer := func(n string, role Role) Outcome {
-		return Outcome{ID: fmt.Sprint("q", h.requestCount), Node: n, Status: Done, Took: ms, Finished: true, Role: role, Position: h.now}
+	answer := func(n string, role Role) AttemptResult {
+		return AttemptResult{ID: fmt.Sprint("q", h.requestCount), Endpoint: n, Status: StatusDone, Elapsed: ms, Finished: true, Role: role, Position: h.now}
 	}
 	write := func(want string) {
 		t.Helper()
@@ -253,8 +253,8 @@
 	}
 	write("a")
 	for _, change := range [][2]string{{"a", "b"}, {"b", "c"}} { // each says that it leads no more, the next one that it does
-		h.step(100*ms, ProbeResult{Node: change[0], Status: Done, Role: RoleReplica, Position: h.now})
-		h.step(100*ms, ProbeResult{Node: change[1], Status: Done, Role: RolePrimary, Position: h.now})
+		h.step(100*ms, HealthCheckResult{Endpoint: change[0], Status: StatusDone, Role: RoleReplica, Position: h.now})
+		h.step(100*ms, HealthCheckResult{Endpoint: change[1], Status: StatusDone, Role: RolePrimary, Position: h.now})
 		write(change[1])
 	}
 	for _, late := range []string{"b", "b", "a", "c"} { // in any order, again, and of what has been denied since
@@ -280,58 +280,58 @@
 func TestSessionReadNeedsItsCommit(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("session")
-	q.SinceLast = 10 * ms
+	q.SinceSessionWrite = 10 * ms
 	h.expectSends(h.step(5*ms, q), "bc") // committed 5 ms before the positions were told
 	h.failAllHealthChecks()
 	q = h.request("session")
-	q.SinceLast = 4 * ms
+	q.SinceSessionWrite = 4 * ms
 	h.expectSends(h.step(5*ms, q), "a")
 }
 
 func TestRememberedCommit(t *testing.T) {
 	c := testConfig()
-	c.ClientTokens = false
+	c.ClientSessionTokens = false
 	h := newReadyHarness(t, c)
 	w := h.request("write")
 	h.expectSends(h.step(ms, w), "a")
-	h.step(20*ms, Outcome{ID: w.ID, Node: "a", Status: Done, Took: 20 * ms, Finished: true, Role: RolePrimary, Position: h.now})
+	h.step(20*ms, AttemptResult{ID: w.ID, Endpoint: "a", Status: StatusDone, Elapsed: 20 * ms, Finished: true, Role: RolePrimary, Position: h.now})
 	h.failAllHealthChecks()
 	h.expectSends(h.step(ms, h.request("session")), "a")
-	h.step(20*ms, ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
+	h.step(20*ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
 	h.expectSends(h.step(ms, h.request("session")), "b")
 }
 
 func TestReadMissGoesToOneOtherThenThePrimary(t *testing.T) {
 	c := testConfig()
-	c.Checks = ChecksRefuse
+	c.FreshnessCheck = FreshnessCheckReject
 	h := newReadyHarness(t, c)
 	h.now += 500 * ms // the positions no longer prove anything: any replica may be tried
 	q := h.request("bounded")
-	first := h.expectSends(h.step(0, q), "bc")[0].Node
+	first := h.expectSends(h.step(0, q), "bc")[0].Endpoint
 	other := map[string]string{"b": "c", "c": "b"}[first]
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: first, Status: Miss, Role: RoleReplica}), other)
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: 1, Node: other, Status: Miss, Role: RoleReplica}), "a")
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: first, Status: StatusMiss, Role: RoleReplica}), other)
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: other, Status: StatusMiss, Role: RoleReplica}), "a")
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	l := List{Entries: []Entry{{Node: "b", Zone: "a", Group: 1, State: Draining}, {Node: "c", Group: 1, State: Gone}}}
+	l := EndpointList{Entries: []EndpointEntry{{Endpoint: "b", Zone: "a", Group: 1, State: EndpointDraining}, {Endpoint: "c", Group: 1, State: EndpointRemoved}}}
 	h.step(ms, l)
 	for range 5 {
 		h.expectSends(h.step(ms, h.request("any")), "a")
 	}
-	h.step(ms, List{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[1:2]})
+	h.step(ms, EndpointList{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[1:2]})
 	h.expectSends(h.step(ms, h.request("any")), "b") // a is absent from the full list, b is back
 }
 
 func TestUnsafeWriteIsNeverRepeated(t *testing.T) {
-	for _, s := range []Status{Error, TimedOut, Reset, Cancelled} {
+	for _, s := range []Status{StatusError, StatusTimedOut, StatusReset, StatusCancelled} {
 		h := newReadyHarness(t, testConfig())
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
-		acts := h.step(50*ms, Outcome{ID: q.ID, Node: "a", Status: s})
+		acts := h.step(50*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: s})
 		h.expectSends(acts)
-		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Refuse](acts)) != 0 {
+		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
 			t.Fatalf("status %d: %v, want one failure", s, acts)
 		}
 	}
@@ -341,8 +341,8 @@
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.expectSends(h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed}))
-	h.expectSends(h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed}), "b")
+	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusConnectFailed}))
+	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed}), "b")
 }
 
 // A connection that could not be opened is no outage for this instance if a probe passes: the same primary again.
@@ -351,8 +351,8 @@
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.reportAll("a")
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed})
-	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusConnectFailed})
+	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	h.expectSends(h.step(100*ms), "a")
 }
 
@@ -361,18 +361,18 @@
 	q := h.request("keyed")
 	h.expectSends(h.step(ms, q), "a")
 	first := h.now
-	repeat := h.step(50*ms, Outcome{ID: q.ID, Node: "a", Status: Error, Role: RolePrimary})
+	repeat := h.step(50*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusError, Role: RolePrimary})
 	h.expectSends(repeat, "a")
 	// The way counts in: a repeat that waits for its connection is not written behind the window either.
-	if by := actionsOf[Send](repeat)[0].By; by == 0 || by >= first+h.balancer.classes["keyed"].Window {
-		t.Fatalf("the repeat may be written until %v, the window ends at %v", by, first+h.balancer.classes["keyed"].Window)
+	if by := actionsOf[Send](repeat)[0].NotAfter; by == 0 || by >= first+h.balancer.classes["keyed"].IdempotencyWindow {
+		t.Fatalf("the repeat may be written until %v, the window ends at %v", by, first+h.balancer.classes["keyed"].IdempotencyWindow)
 	}
-	acts := h.step(460*ms, Outcome{ID: q.ID, Attempt: 1, Node: "a", Status: Error, Role: RolePrimary})
+	acts := h.step(460*ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "a", Status: StatusError, Role: RolePrimary})
 	h.expectSends(acts)
 	for range 100 {
 		acts = append(acts, h.step(10*ms)...)
 	}
-	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 || len(actionsOf[Refuse](acts)) != 0 {
+	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 || len(actionsOf[Reject](acts)) != 0 {
 		t.Fatalf("%v, want one failure and no send", acts)
 	}
 }
@@ -380,18 +380,18 @@
 func TestHeldWriteIsRefusedInTime(t *testing.T) {
 	for held, most := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
 		c := testConfig()
-		c.HeldBack = held
-		h := newHarness(t, c, List{Kind: ListCached})
+		c.LateRejectCost = held
+		h := newHarness(t, c, EndpointList{Kind: ListCached})
 		q := h.request("write")
 		var acts []Action
 		h.step(0, q)
-		for h.now < 102*time.Second && len(actionsOf[Refuse](acts)) == 0 {
+		for h.now < 102*time.Second && len(actionsOf[Reject](acts)) == 0 {
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; at > most || at < most-100*ms {
 			t.Fatalf("refused after %v, the client waits 1 s", at)
 		}
-		if actionsOf[Refuse](acts)[0].RetryAfter == 0 {
+		if actionsOf[Reject](acts)[0].RetryAfter == 0 {
 			t.Fatal("a refusal without a retry-after")
 		}
 	}
@@ -403,8 +403,8 @@
 	for _, class := range []string{"write", "any", "latest"} {
 		at := h.now + ms
 		s := h.expectSends(h.step(ms, h.request(class)), "abc")[0]
-		if s.By < at+450*ms || s.By > at+500*ms {
-			t.Errorf("%s: by %v", class, s.By-at)
+		if s.NotAfter < at+450*ms || s.NotAfter > at+500*ms {
+			t.Errorf("%s: by %v", class, s.NotAfter-at)
 		}
 	}
 }
@@ -431,7 +431,7 @@
 		for len(acts) > 0 {
 			var next []Event
 			for _, s := range actionsOf[Send](acts) {
-				if s.Node == "b" {
+				if s.Endpoint == "b" {
 					stuck[s.ID] = true
 					if i > 200 {
 						late++
@@ -441,10 +441,10 @@
 				if stuck[s.ID] {
 					moved++
 				}
-				next = append(next, Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Done, Took: 5 * ms, Finished: true})
+				next = append(next, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 5 * ms, Finished: true})
 			}
 			for _, c := range actionsOf[Cancel](acts) {
-				next = append(next, Outcome{ID: c.ID, Attempt: c.Attempt, Node: "b", Status: Cancelled})
+				next = append(next, AttemptResult{ID: c.ID, Attempt: c.Attempt, Endpoint: "b", Status: StatusCancelled})
 			}
 			acts = nil
 			if len(next) > 0 {
@@ -466,8 +466,8 @@
 
 func TestColdMemberStaysWithinItsBudget(t *testing.T) {
 	l := threeEndpoints(ListCached)
-	l.Entries[1].ReadyAt = 99900 * ms
-	l.Entries[2].State = Draining
+	l.Entries[1].StartedAt = 99900 * ms
+	l.Entries[2].State = EndpointDraining
 	h := newHarness(t, testConfig(), l)
 	h.reportAll("a")
 	sends := 0
@@ -475,10 +475,10 @@
 		q := h.request("any")
 		acts := h.step(10*ms, q)
 		for _, s := range actionsOf[Send](acts) {
-			if s.Node == "b" {
+			if s.Endpoint == "b" {
 				sends++
 			}
-			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Busy})
+			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusBusy})
 		}
 	}
 	// Nothing is known of what a warm member does: work goes one at a time, and what was turned away counts.
@@ -489,14 +489,14 @@
 
 func TestListIsAskedForWithBackoff(t *testing.T) {
 	c := testConfig()
-	c.Ask = true
-	h := newHarness(t, c, List{Kind: ListFailed})
+	c.PollDiscovery = true
+	h := newHarness(t, c, EndpointList{Kind: ListFailed})
 	asks := 0
 	for range 500 {
 		acts := h.step(10 * ms)
-		if len(actionsOf[Track](acts)) > 0 {
+		if len(actionsOf[PollEndpointList](acts)) > 0 {
 			asks++
-			h.step(0, List{Kind: ListFailed})
+			h.step(0, EndpointList{Kind: ListFailed})
 		}
 	}
 	if asks < 2 || asks > 8 {
@@ -506,12 +506,12 @@
 
 func TestBadSettings(t *testing.T) {
 	c := testConfig()
-	c.Classes[1].Bound = 0
+	c.Classes[1].MaxStaleness = 0
 	if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), "Bound") {
 		t.Fatalf("error %v does not name the field", err)
 	}
 	c = testConfig()
-	c.Classes[0].GiveUp = 0
+	c.Classes[0].ClientTimeout = 0
 	if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), "GiveUp") {
 		t.Fatalf("error %v does not name the field", err)
 	}
@@ -523,8 +523,8 @@
 func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	c.Checks = Checks(rng.IntN(3))
-	c.ClientTokens = rng.IntN(2) == 0
+	c.FreshnessCheck = FreshnessCheck(rng.IntN(3))
+	c.ClientSessionTokens = rng.IntN(2) == 0
 	r, err := New(c, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -551,9 +551,9 @@
 		if i < 400 && rng.IntN(2) == 0 {
 			n++
 			k := c.Classes[rng.IntN(len(c.Classes))].Name
-			q := Request{ID: fmt.Sprint("q", n), Class: k, Group: 1, Key: int64(rng.IntN(3)), Expires: time.Duration(50+rng.IntN(900)) * ms,
-				SinceLast: time.Duration(rng.IntN(500)) * ms}
-			reqs[q.ID] = &live{class: k, die: now + q.Expires}
+			q := Request{ID: fmt.Sprint("q", n), Class: k, Group: 1, SessionID: int64(rng.IntN(3)), TimeLeft: time.Duration(50+rng.IntN(900)) * ms,
+				SinceSessionWrite: time.Duration(rng.IntN(500)) * ms}
+			reqs[q.ID] = &live{class: k, die: now + q.TimeLeft}
 			events = append(events, q)
 		}
 		var keep []try
@@ -568,20 +568,20 @@
 				keep = append(keep, a)
 				continue
 			}
-			o := Outcome{ID: a.id, Attempt: a.leg, Node: a.node, Status: Status(rng.IntN(9)), Took: now - a.at, Role: Role(rng.IntN(3))}
+			o := AttemptResult{ID: a.id, Attempt: a.leg, Endpoint: a.node, Status: Status(rng.IntN(9)), Elapsed: now - a.at, Role: Role(rng.IntN(3))}
 			if due {
-				o.Status = TimedOut
+				o.Status = StatusTimedOut
 			}
 			if o.Role != RoleUnknown && rng.IntN(2) == 0 {
 				o.Position = now - time.Duration(rng.IntN(800))*ms
 			}
 			q.out--
-			if o.Status == Done || q.begun {
+			if o.Status == StatusDone || q.begun {
 				q.over = true
 			}
 			o.Finished = q.over
 			switch o.Status {
-			case Error, TimedOut, Reset, Cancelled, Done:
+			case StatusError, StatusTimedOut, StatusReset, StatusCancelled, StatusDone:
 				q.mayRun = true
 			}
 			events = append(events, o)
@@ -590,25 +590,25 @@
 		switch rng.IntN(12) {
 		case 0:
 			node := []string{"a", "b", "c"}[rng.IntN(3)]
-			s := State(rng.IntN(3))
-			barred[node] = s != Ready
-			events = append(events, List{Entries: []Entry{{Node: node, Zone: "a", Group: 1, State: s, ReadyAt: now}}})
+			s := EndpointState(rng.IntN(3))
+			barred[node] = s != EndpointReady
+			events = append(events, EndpointList{Entries: []EndpointEntry{{Endpoint: node, Zone: "a", Group: 1, State: s, StartedAt: now}}})
 		case 1:
-			events = append(events, ProbeResult{Node: []string{"a", "b", "x"}[rng.IntN(3)], Status: Status(rng.IntN(9)), Role: Role(rng.IntN(3)), Position: now - time.Duration(rng.IntN(300))*ms})
+			events = append(events, HealthCheckResult{Endpoint: []string{"a", "b", "x"}[rng.IntN(3)], Status: Status(rng.IntN(9)), Role: Role(rng.IntN(3)), Position: now - time.Duration(rng.IntN(300))*ms})
 		case 2:
-			events = append(events, Outcome{ID: "nobody", Attempt: 3}, ClientGone{ID: "nobody"}, Wake{}, FirstByte{ID: "nobody"},
+			events = append(events, AttemptResult{ID: "nobody", Attempt: 3}, ClientDisconnected{ID: "nobody"}, Wake{}, FirstByte{ID: "nobody"},
 				FirstByte{ID: fmt.Sprint("q", 1+rng.IntN(n+1)), Attempt: -1})
 		case 4:
 			node := []string{"a", "b", "c", "x"}[rng.IntN(4)]
 			if out := rng.IntN(2) == 0; out != suspended[node] {
 				suspended[node], since[node] = out, i
 			}
-			events = append(events, Suspend{Node: node, Out: suspended[node]})
+			events = append(events, Suspend{Endpoint: node, Suspended: suspended[node]})
 		case 3:
 			id := fmt.Sprint("q", 1+rng.IntN(n+1))
 			if q := reqs[id]; q != nil && !q.over {
 				q.over = true
-				events = append(events, ClientGone{ID: id})
+				events = append(events, ClientDisconnected{ID: id})
 			}
 		}
 		acts := r.Step(now, events)
@@ -624,36 +624,36 @@
 				if q.mayRun && q.class == "write" {
 					t.Fatalf("seed %d: second run of unsafe %s", seed, a.ID)
 				}
-				if suspended[a.Node] {
-					t.Fatalf("seed %d: send to %s, which is suspended", seed, a.Node)
+				if suspended[a.Endpoint] {
+					t.Fatalf("seed %d: send to %s, which is suspended", seed, a.Endpoint)
 				}
-				if barred[a.Node] {
-					t.Fatalf("seed %d: send to %s, which drains or is gone", seed, a.Node)
+				if barred[a.Endpoint] {
+					t.Fatalf("seed %d: send to %s, which drains or is gone", seed, a.Endpoint)
 				}
-				open = append(open, try{a.ID, a.Node, q.legs, now})
+				open = append(open, try{a.ID, a.Endpoint, q.legs, now})
 				q.out++
-				if q.legs++; c.MostTries > 0 && q.legs > c.MostTries {
+				if q.legs++; c.MaxAttempts > 0 && q.legs > c.MaxAttempts {
 					t.Fatalf("seed %d: attempt %d of %s", seed, q.legs, a.ID)
 				}
-			case Track:
-				if !c.Ask {
+			case PollEndpointList:
+				if !c.PollDiscovery {
 					t.Fatalf("seed %d: the list is asked for where it is pushed", seed)
 				}
-			case Probe:
-				if !c.Probes {
+			case HealthCheck:
+				if !c.HealthChecks {
 					t.Fatalf("seed %d: a probe where there are none", seed)
 				}
-				if suspended[a.Node] && since[a.Node] < i { // one may be asked for by an event before, in the same step
-					t.Fatalf("seed %d: probe of %s, which is suspended", seed, a.Node)
+				if suspended[a.Endpoint] && since[a.Endpoint] < i { // one may be asked for by an event before, in the same step
+					t.Fatalf("seed %d: probe of %s, which is suspended", seed, a.Endpoint)
 				}
 			case Cancel:
-				if !c.Cancel {
+				if !c.Cancellation {
 					t.Fatalf("seed %d: a cancel where there are none", seed)
 				}
 				if q := reqs[a.ID]; q.begun && a.Attempt == q.legs-1 {
 					t.Fatalf("seed %d: the answer to %s is cut off", seed, a.ID)
 				}
-			case Refuse:
+			case Reject:
 				q := reqs[a.ID]
 				if q == nil || q.over || q.begun || q.mayRun && (q.class == "write" || q.class == "keyed") {
 					t.Fatalf("seed %d: refusal of %s", seed, a.ID)
@@ -686,33 +686,33 @@
 // Settings at their extremes, alone and together, keep what must hold whatever comes.
 func TestExtremeSettings(t *testing.T) {
 	extremes := map[string]func(c *Config){
-		"one attempt":           func(c *Config) { c.MostTries = 1 },
-		"any number":            func(c *Config) { c.MostTries = 0 },
-		"no probes":             func(c *Config) { c.Probes = false },
-		"dear probes":           func(c *Config) { c.ProbePrice = 10 },
-		"no cancelling":         func(c *Config) { c.Cancel = false },
+		"one attempt":           func(c *Config) { c.MaxAttempts = 1 },
+		"any number":            func(c *Config) { c.MaxAttempts = 0 },
+		"no probes":             func(c *Config) { c.HealthChecks = false },
+		"dear probes":           func(c *Config) { c.HealthCheckCost = 10 },
+		"no cancelling":         func(c *Config) { c.Cancellation = false },
 		"no time to come again": func(c *Config) { c.RetryAfter, c.MaxRetryAfter = false, 0 },
 		"no grace":              func(c *Config) { c.DrainGrace = 0 },
-		"asked, no grace":       func(c *Config) { c.Ask, c.DrainGrace, c.AskWithin = true, 0, time.Second },
-		"never cold":            func(c *Config) { c.ColdFrom, c.ColdFor, c.FallMultiple = 1, 0, 0 },
-		"cold from nothing":     func(c *Config) { c.ColdFrom = 0 },
+		"asked, no grace":       func(c *Config) { c.PollDiscovery, c.DrainGrace, c.PollWithin = true, 0, time.Second },
+		"never cold":            func(c *Config) { c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple = 1, 0, 0 },
+		"cold from nothing":     func(c *Config) { c.SlowStartFrom = 0 },
 		"no zone":               func(c *Config) { c.Zone = "" },
 		"300 routers":           func(c *Config) { c.Instances = 300 },
 		"soft removal":          func(c *Config) { c.SoftRemoval = true },
-		"no resolution":         func(c *Config) { c.Resolution = 0 },
+		"no resolution":         func(c *Config) { c.TimerResolution = 0 },
 		"nothing when late": func(c *Config) {
 			for i := range c.Classes {
-				c.Classes[i].LateShare = 0
+				c.Classes[i].LateWeightShare = 0
 			}
 		},
 		"no worth": func(c *Config) {
 			for i := range c.Classes {
-				c.Classes[i].Worth = 0
+				c.Classes[i].PriorityWeight = 0
 			}
 		},
 		"no aim": func(c *Config) {
 			for i := range c.Classes {
-				c.Classes[i].Aim = 0
+				c.Classes[i].LatencyObjective = 0
 			}
 		},
 	}
@@ -758,7 +758,7 @@
 	for range 60 {
 		q := h.request("any")
 		for _, s := range actionsOf[Send](h.step(ms, q)) {
-			h.step(400*ms, Outcome{ID: q.ID, Node: s.Node, Status: TimedOut, Took: 400 * ms, Finished: true})
+			h.step(400*ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusTimedOut, Elapsed: 400 * ms, Finished: true})
 			h.reportAll("a")
 		}
 	}
@@ -770,10 +770,10 @@
 // A slow class must not make its members suspect: patience goes by what is out.
 func TestLongRequestIsGivenTime(t *testing.T) {
 	c := testConfig()
-	c.Classes = append(c.Classes, Class{Name: "report", Aim: 4 * time.Second, GiveUp: 9 * time.Second, Worth: 1})
+	c.Classes = append(c.Classes, Class{Name: "report", LatencyObjective: 4 * time.Second, ClientTimeout: 9 * time.Second, PriorityWeight: 1})
 	h := newReadyHarness(t, c)
 	q := h.request("report")
-	q.Expires = 9 * time.Second
+	q.TimeLeft = 9 * time.Second
 	acts := h.step(ms, q)
 	for range 250 {
 		acts = append(acts, h.step(10*ms)...)
@@ -805,7 +805,7 @@
 	acts := h.step(ms, q)
 	for i := 0; i < 5 && len(actionsOf[Send](acts)) > 0; i++ {
 		sends++
-		acts = h.step(ms, Outcome{ID: q.ID, Attempt: i, Node: "a", Status: Busy})
+		acts = h.step(ms, AttemptResult{ID: q.ID, Attempt: i, Endpoint: "a", Status: StatusBusy})
 	}
 	if sends != 1 {
 		t.Fatalf("%d attempts within 5 ms at a full member", sends)
@@ -821,7 +821,7 @@
 // Probes have a price: reads that keep finding no replica must not turn into a probe each.
 func TestProbesForPositionsAreEarned(t *testing.T) {
 	c := testConfig()
-	c.ProbePrice = 0.05
+	c.HealthCheckCost = 0.05
 	h := newReadyHarness(t, c)
 	h.step(ms, h.request("bounded"))
 	h.reportAll("a") // the probes of the first use
@@ -830,11 +830,11 @@
 		q := h.request("bounded")
 		acts := h.step(10*ms, q)
 		for _, s := range actionsOf[Send](acts) {
-			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
+			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 		}
-		for _, p := range actionsOf[Probe](acts) {
+		for _, p := range actionsOf[HealthCheck](acts) {
 			probes++
-			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now - time.Second})
+			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second})
 		}
 	}
 	if probes == 0 || probes > asked/4 {
@@ -848,11 +848,11 @@
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.reportAll("a") // the probes of the first use
-	acts := h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset})
-	if len(actionsOf[Probe](acts)) == 0 {
+	acts := h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset})
+	if len(actionsOf[HealthCheck](acts)) == 0 {
 		t.Fatal("the member is not asked whether it is there")
 	}
-	h.expectSends(h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now}, h.request("write")), "a")
+	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now}, h.request("write")), "a")
 }
 
 func TestBrokenConnectionsOfADeadMemberAreAnOutage(t *testing.T) {
@@ -860,8 +860,8 @@
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.reportAll("a")
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset})
-	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset})
+	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
 	h.expectSends(h.step(ms, h.request("write")), "b") // in doubt: the next in order
 	h = newReadyHarness(t, testConfig())
 	var ids []string
@@ -872,10 +872,10 @@
 	}
 	var all []Event
 	for _, id := range ids {
-		all = append(all, Outcome{ID: id, Node: "a", Status: Reset})
+		all = append(all, AttemptResult{ID: id, Endpoint: "a", Status: StatusReset})
 	}
 	h.expectSends(h.step(ms, all...))
-	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
+	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
@@ -886,24 +886,24 @@
 		for range 4 {
 			q := h.request("write")
 			h.expectSends(h.step(ms, q), "a")
-			h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset}, ProbeResult{Node: "a", Status: Reset})
+			h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset}, HealthCheckResult{Endpoint: "a", Status: StatusReset})
 		}
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
-		h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
+		h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
 	}
 	// Nor is one that could not be reached once and is there again.
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Reset}, ProbeResult{Node: "a", Status: ConnectFailed})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset}, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
 	n := h.balancer.endpoints["a"]
 	if !n.health.suspect {
 		t.Fatal("a member that cannot be reached is in doubt")
 	}
-	h.step(maxRecoveryBackoff, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: h.now + maxRecoveryBackoff})
+	h.step(maxRecoveryBackoff, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now + maxRecoveryBackoff})
 	q = h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
 	if n.health.suspect || h.balancer.warmupFactor(n) < 1 {
 		t.Fatalf("suspect %v, warmth %v", n.health.suspect, h.balancer.warmupFactor(n))
 	}
@@ -915,8 +915,8 @@
 	for i := range 40 {
 		q := h.request("write")
 		h.expectSends(h.step(10*ms, q), "a")
-		s := []Status{Done, Error}[i%2]
-		h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: s, Took: 5 * ms, Finished: s == Done, Role: RolePrimary})
+		s := []Status{StatusDone, StatusError}[i%2]
+		h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: s, Elapsed: 5 * ms, Finished: s == StatusDone, Role: RolePrimary})
 	}
 }
 
@@ -927,24 +927,24 @@
 	for i := range 100 {
 		q := h.request("any")
 		s := h.expectSends(h.step(10*ms, q), "abc")[0]
-		if s.Node != "b" {
-			h.step(ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: ms, Finished: true})
+		if s.Endpoint != "b" {
+			h.step(ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 			continue
 		}
 		if i > 50 {
 			sick++
 		}
-		for k := 0; s.Node == "b"; k++ {
-			s = h.expectSends(h.step(ms, Outcome{ID: q.ID, Attempt: k, Node: "b", Status: Error}), "abc")[0]
-			if s.Node != "b" {
-				h.step(ms, Outcome{ID: q.ID, Attempt: k + 1, Node: s.Node, Status: Done, Took: ms, Finished: true})
+		for k := 0; s.Endpoint == "b"; k++ {
+			s = h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: k, Endpoint: "b", Status: StatusError}), "abc")[0]
+			if s.Endpoint != "b" {
+				h.step(ms, AttemptResult{ID: q.ID, Attempt: k + 1, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 			}
 		}
 	}
 	if sick > 5 {
 		t.Fatalf("%d of the last 50 reads went to a sick replica", sick)
 	}
-	h.step(0, List{Entries: []Entry{{Node: "a", Group: 1, State: Gone}, {Node: "c", Group: 1, State: Gone}}})
+	h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "a", Group: 1, State: EndpointRemoved}, {Endpoint: "c", Group: 1, State: EndpointRemoved}}})
 	h.expectSends(h.step(ms, h.request("any")), "b")
 }
 
@@ -952,20 +952,20 @@
 func TestReturningClientHasLessTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("bounded") // aim 400 ms, gives up after 2 s, nothing when late
-	q.Expires = 2 * time.Second
+	q.TimeLeft = 2 * time.Second
 	h.expectSends(h.step(ms, q), "bc")
 	q = h.request("bounded")
-	q.Retry, q.Expires = true, 1500*ms // 500 ms have gone: no answer can be in time
+	q.Retry, q.TimeLeft = true, 1500*ms // 500 ms have gone: no answer can be in time
 	acts := h.step(ms, q)
 	h.expectSends(acts)
-	if len(actionsOf[Refuse](acts)) != 1 {
+	if len(actionsOf[Reject](acts)) != 1 {
 		t.Fatalf("%v, want a refusal at once", acts)
 	}
 	q = h.request("bounded")
-	q.Retry, q.Expires = true, 1900*ms
+	q.Retry, q.TimeLeft = true, 1900*ms
 	h.expectSends(h.step(ms, q), "bc")
 	q = h.request("bounded") // not a retry: this client just has less patience
-	q.Expires = 1500 * ms
+	q.TimeLeft = 1500 * ms
 	h.expectSends(h.step(ms, q), "bc")
 }
 
@@ -974,20 +974,20 @@
 	h := newReadyHarness(t, testConfig())
 	old, q := h.request("write"), h.request("write")
 	h.expectSends(h.step(ms, old, q), "a", "a")
-	h.expectSends(h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Miss, Role: RoleReplica}), "b")
-	h.step(5*ms, Outcome{ID: q.ID, Attempt: 1, Node: "b", Status: Miss, Role: RoleReplica})
-	h.step(ms, Outcome{ID: q.ID, Attempt: 2, Node: "c", Status: Miss, Role: RoleReplica})
-	acts := h.step(5*ms, Outcome{ID: old.ID, Node: "a", Status: Done, Took: 15 * ms, Finished: true, Role: RolePrimary})
+	h.expectSends(h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
+	h.step(5*ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusMiss, Role: RoleReplica})
+	h.step(ms, AttemptResult{ID: q.ID, Attempt: 2, Endpoint: "c", Status: StatusMiss, Role: RoleReplica})
+	acts := h.step(5*ms, AttemptResult{ID: old.ID, Endpoint: "a", Status: StatusDone, Elapsed: 15 * ms, Finished: true, Role: RolePrimary})
 	h.expectSends(acts)
 	r := h.request("any")
 	for n := 0; n < 10; n++ { // until the draw takes a
 		s := actionsOf[Send](h.step(ms, r))
-		if len(s) == 1 && s[0].Node == "a" {
+		if len(s) == 1 && s[0].Endpoint == "a" {
 			break
 		}
 		r = h.request("any")
 	}
-	h.expectSends(h.step(5*ms, Outcome{ID: r.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(h.step(5*ms, AttemptResult{ID: r.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary}))
 }
 
 // When no replica has recent data, weak reads must not take all that the primary can do: writes have no other place.
@@ -1007,10 +1007,10 @@
 	h.now += time.Second
 	q := h.request("latest")
 	h.expectSends(h.step(0, q), "a")
-	h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
+	h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
 	w := h.request("write")
 	h.expectSends(h.step(ms, w), "a")
-	h.step(ms, Outcome{ID: w.ID, Node: "a", Status: Miss, Role: RoleReplica})
+	h.step(ms, AttemptResult{ID: w.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica})
 	h.failAllHealthChecks()
 	for range 10 {
 		h.expectSends(h.step(ms, h.request("bounded")))
@@ -1021,7 +1021,7 @@
 func TestSmallShareOfATenantIsNotExcess(t *testing.T) {
 	c := testConfig()
 	c.Instances = 200
-	c.Tenants = []Tenant{{Name: "t", Rate: 50}}
+	c.Tenants = []Tenant{{Name: "t", Quota: 50}}
 	h := newHarness(t, c, threeEndpoints(ListCached))
 	for range 5 {
 		q := h.request("write")
@@ -1038,9 +1038,9 @@
 	c := testConfig()
 	c.Instances = 200
 	l := threeEndpoints(ListCached)
-	l.Entries[1].ReadyAt = 99900 * ms
-	l.Entries[2].State = Draining
-	l.Entries[0].State = Draining
+	l.Entries[1].StartedAt = 99900 * ms
+	l.Entries[2].State = EndpointDraining
+	l.Entries[0].State = EndpointDraining
 	first, later := 0, 0
 	for i := range c.Instances {
 		r, err := New(c, uint64(i))
@@ -1057,7 +1057,7 @@
 				} else {
 					later++
 				}
-				h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Busy})
+				h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusBusy})
 			}
 		}
 	}
@@ -1070,7 +1070,7 @@
 func TestOwnStallIsNoSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.expectSends(h.step(ms, h.request("any")), "bc")
-	for _, a := range actionsOf[Log](h.step(3 * time.Second)) {
+	for _, a := range actionsOf[LogLine](h.step(3 * time.Second)) {
 		if strings.Contains(a.Text, "suspect") {
 			t.Fatal(a.Text)
 		}
@@ -1108,7 +1108,7 @@
 	q := h.request("any")
 	s := h.expectSends(h.step(ms, q), "bc")[0]
 	h.reportAll("a")
-	h.step(20*ms, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: 20 * ms, Finished: true})
+	h.step(20*ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Finished: true})
 	for range 10 {
 		if acts := h.step(time.Second); len(actionsOf[Timer](acts)) > 0 {
 			t.Fatalf("%v, want no timer", acts)
@@ -1123,15 +1123,15 @@
 	h.reportAll("a")
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: ConnectFailed})
-	h.step(ms, ProbeResult{Node: "a", Status: ConnectFailed})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusConnectFailed})
+	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
 	for leg, id := range []string{"b", "c"} {
-		h.step(ms, Outcome{ID: q.ID, Attempt: leg + 1, Node: id, Status: Miss, Role: RoleReplica, Position: h.now})
+		h.step(ms, AttemptResult{ID: q.ID, Attempt: leg + 1, Endpoint: id, Status: StatusMiss, Role: RoleReplica, Position: h.now})
 	}
 	acts := []Action{}
 	for range 60 {
 		acts = append(acts, h.step(10*ms,
-			ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})...)
+			HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})...)
 	}
 	h.expectSends(acts, "a")
 }
@@ -1140,11 +1140,11 @@
 	for field, spoil := range map[string]func(*Config){
 		"Name":          func(c *Config) { c.Classes[1].Name = c.Classes[0].Name },
 		"Instances":     func(c *Config) { c.Instances = 0 },
-		"ColdFrom":      func(c *Config) { c.ColdFrom = 1.5 },
-		"FallFor":       func(c *Config) { c.FallFor = 0 },
-		"Worth":         func(c *Config) { c.Classes[2].Worth = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].Aim = -1 },
-		"Rate":          func(c *Config) { c.Tenants = []Tenant{{Name: "t", Rate: -1}} },
+		"ColdFrom":      func(c *Config) { c.SlowStartFrom = 1.5 },
+		"FallFor":       func(c *Config) { c.OverloadWindow = 0 },
+		"Worth":         func(c *Config) { c.Classes[2].PriorityWeight = -1 },
+		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = -1 },
+		"Rate":          func(c *Config) { c.Tenants = []Tenant{{Name: "t", Quota: -1}} },
 		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		c := testConfig()
@@ -1165,24 +1165,24 @@
 	for range 110 {
 		acts = append(acts, h.step(10*ms)...)
 	}
-	if len(actionsOf[Cancel](acts)) != 1 || len(actionsOf[Refuse](acts)) != 1 {
+	if len(actionsOf[Cancel](acts)) != 1 || len(actionsOf[Reject](acts)) != 1 {
 		t.Fatalf("%v, want one withdrawal and one refusal", acts)
 	}
 }
 
 // A caller's clock may be coarser: a timer that fires a microsecond early must not be the last one.
 func TestEarlyTimerIsAskedForAgain(t *testing.T) {
-	h := newHarness(t, testConfig(), List{Kind: ListCached})
+	h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
 	acts := h.step(ms, h.request("write"))
 	for range 500 {
-		if len(actionsOf[Refuse](acts)) > 0 {
+		if len(actionsOf[Reject](acts)) > 0 {
 			return
 		}
 		timers := actionsOf[Timer](acts)
 		if len(timers) == 0 {
 			t.Fatalf("%v, want another timer", acts)
 		}
-		acts = h.step(timers[len(timers)-1].In-time.Microsecond, Wake{})
+		acts = h.step(timers[len(timers)-1].After-time.Microsecond, Wake{})
 	}
 	t.Fatal("no final answer")
 }
@@ -1191,15 +1191,15 @@
 // that a member has had in hand may wait for a further attempt.
 func TestReadNeverSentIsRefusedBeforeHalfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
-		h := newHarness(t, testConfig(), List{Kind: ListCached})
+		h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
 		q := h.request("any")
 		h.step(0, q)
 		if reached {
-			n := h.expectSends(h.step(10*ms, threeEndpoints(ListFull)), "abc")[0].Node
-			h.step(0, List{Kind: ListFull}, Outcome{ID: q.ID, Node: n, Status: Busy})
+			n := h.expectSends(h.step(10*ms, threeEndpoints(ListFull)), "abc")[0].Endpoint
+			h.step(0, EndpointList{Kind: ListFull}, AttemptResult{ID: q.ID, Endpoint: n, Status: StatusBusy})
 		}
 		var acts []Action
-		for h.now < 102*time.Second && len(actionsOf[Refuse](acts)) == 0 {
+		for h.now < 102*time.Second && len(actionsOf[Reject](acts)) == 0 {
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; reached != (at >= 500*ms) || at > time.Second {
@@ -1212,7 +1212,7 @@
 func TestSilentConnectionIsNoSilentMember(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	read, write := h.request("latest"), h.request("write")
-	read.Expires, write.Expires = 2*time.Second, 3*time.Second
+	read.TimeLeft, write.TimeLeft = 2*time.Second, 3*time.Second
 	h.expectSends(h.step(ms, read, write), "a", "a")
 	cancelled := 0
 	step := func(d time.Duration, e ...Event) {
@@ -1221,13 +1221,13 @@
 				t.Fatalf("%+v: a write must not be taken back", c)
 			}
 			cancelled++
-			h.step(0, Outcome{ID: c.ID, Node: "a", Status: Cancelled, Finished: true})
+			h.step(0, AttemptResult{ID: c.ID, Endpoint: "a", Status: StatusCancelled, Finished: true})
 		}
 	}
 	for i := range 100 {
 		q := h.request("write")
 		step(10*ms, q)
-		step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
+		step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
 		if h.balancer.endpoints["a"].health.suspect {
 			t.Fatalf("suspect after %d answers", i)
 		}
@@ -1251,7 +1251,7 @@
 	for range 200 { // answers take 2 ms
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
-		h.step(2*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 2 * ms, Finished: true, Role: RolePrimary})
+		h.step(2*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
 	}
 	for range 4 {
 		h.expectSends(h.step(ms, h.request("write")), "a")
@@ -1277,16 +1277,16 @@
 	for !n.health.suspect {
 		h.step(50 * ms)
 	}
-	h.step(ms, Outcome{ID: q.ID, Node: "a", Status: TimedOut, Finished: true})
-	h.step(ms, ProbeResult{Node: "a", Status: Done, Role: RolePrimary, Position: n.health.suspectSince - 10*ms})
+	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusTimedOut, Finished: true})
+	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: n.health.suspectSince - 10*ms})
 	for range 40 {
 		acts := h.step(50*ms, h.request("write"))
 		if sent := actionsOf[Send](acts); len(sent) > 0 {
 			return
 		}
-		for _, p := range actionsOf[Probe](acts) { // all reports are 60 ms old
-			role := map[bool]Role{true: RolePrimary, false: RoleReplica}[p.Node == "a"]
-			acts := h.step(ms, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: h.now - 60*ms})
+		for _, p := range actionsOf[HealthCheck](acts) { // all reports are 60 ms old
+			role := map[bool]Role{true: RolePrimary, false: RoleReplica}[p.Endpoint == "a"]
+			acts := h.step(ms, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now - 60*ms})
 			if sent := actionsOf[Send](acts); len(sent) > 0 {
 				return
 			}
@@ -1298,24 +1298,24 @@
 // Members that are replaced under new ids, and groups that clients make up, must not add up.
 func TestNothingAddsUp(t *testing.T) {
 	c := testConfig()
-	c.ClientTokens = false
+	c.ClientSessionTokens = false
 	h := newReadyHarness(t, c)
 	for i := range 400 {
 		id := func(i int) string { return fmt.Sprint("new", i) }
-		h.step(time.Second, List{Entries: []Entry{{Node: id(i), Group: 1, State: Ready}, {Node: id(i - 3), Group: 1, State: Gone}}})
+		h.step(time.Second, EndpointList{Entries: []EndpointEntry{{Endpoint: id(i), Group: 1, State: EndpointReady}, {Endpoint: id(i - 3), Group: 1, State: EndpointRemoved}}})
 		made := h.request("any")
 		made.Group = int64(1000 + i)
-		if acts := h.step(ms, made); len(actionsOf[Refuse](acts)) != 1 {
+		if acts := h.step(ms, made); len(actionsOf[Reject](acts)) != 1 {
 			t.Fatalf("%v", acts)
 		}
 		q := h.request("write")
-		q.Key = int64(i + 1)
+		q.SessionID = int64(i + 1)
 		for _, s := range actionsOf[Send](h.step(ms, q)) {
-			h.step(ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RolePrimary, Position: h.now})
+			h.step(ms, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RolePrimary, Position: h.now})
 		}
 		for _, n := range h.balancer.groups[1].endpoints {
-			if n.discovery.state == Ready {
-				h.step(0, ProbeResult{Node: n.id, Status: Done, Position: h.now})
+			if n.discovery.state == EndpointReady {
+				h.step(0, HealthCheckResult{Endpoint: n.id, Status: StatusDone, Position: h.now})
 			}
 		}
 		h.step(time.Second)
@@ -1332,10 +1332,10 @@
 // enough; short ones are drawn as ever.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	c := testConfig()
-	c.Classes[0].Aim = 2 * time.Second
+	c.Classes[0].LatencyObjective = 2 * time.Second
 	for _, behind := range []string{"b", "c"} {
 		h := newReadyHarness(t, c)
-		h.step(0, ProbeResult{Node: behind, Status: Done, Role: RoleReplica, Position: h.now - time.Second})
+		h.step(0, HealthCheckResult{Endpoint: behind, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second})
 		for range 8 {
 			h.expectSends(h.step(ms, h.request("any")), "c")
 		}
@@ -1345,14 +1345,14 @@
 // Where no class is bounded a held up log hurts no read: reads that any data will do for go to all replicas, however long they are.
 func TestWithoutABoundNoReadIsLong(t *testing.T) {
 	c := testConfig()
-	c.Classes[0].Aim = 2 * time.Second
-	c.Classes = slices.DeleteFunc(c.Classes, func(k Class) bool { return k.Need == NeedBounded })
+	c.Classes[0].LatencyObjective = 2 * time.Second
+	c.Classes = slices.DeleteFunc(c.Classes, func(k Class) bool { return k.Consistency == ConsistencyBounded })
 	h := newReadyHarness(t, c)
 	to := map[string]int{}
 	for range 40 {
 		for _, s := range actionsOf[Send](h.step(ms, h.request("any"))) {
-			to[s.Node]++
-			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			to[s.Endpoint]++
+			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
 	}
 	if to["b"] < 10 || to["c"] < 10 {
@@ -1365,16 +1365,16 @@
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["a"]
 	lost := h.request("write")
-	lost.Expires = 3 * time.Second
+	lost.TimeLeft = 3 * time.Second
 	h.expectSends(h.step(ms, lost), "a")
 	slow := 0.0
 	for h.now < 102*time.Second {
 		q := h.request("write")
 		h.step(10*ms, q)
-		h.step(5*ms, Outcome{ID: q.ID, Node: "a", Status: Done, Took: 5 * ms, Finished: true, Role: RolePrimary})
+		h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
 		slow = n.limit.latencyRatio
 	}
-	h.step(ms, Outcome{ID: lost.ID, Node: "a", Status: TimedOut, Took: 2900 * ms, Finished: true})
+	h.step(ms, AttemptResult{ID: lost.ID, Endpoint: "a", Status: StatusTimedOut, Elapsed: 2900 * ms, Finished: true})
 	if n.limit.latencyRatio > slow {
 		t.Fatalf("from %.2f to %.2f", slow, n.limit.latencyRatio)
 	}
@@ -1386,17 +1386,17 @@
 	n := h.balancer.endpoints["b"]
 	h.balancer.markSuspect(n, "answers nothing")
 	n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
-	h.step(ms, ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
+	h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
 	for range 200 {
 		acts := h.step(10*ms, h.request("bounded"))
 		for _, s := range actionsOf[Send](acts) {
-			if s.Node == "b" {
+			if s.Endpoint == "b" {
 				return
 			}
-			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
-		for _, p := range actionsOf[Probe](acts) {
-			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: h.now})
+		for _, p := range actionsOf[HealthCheck](acts) {
+			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now})
 		}
 	}
 	t.Fatal("no read has tried it for two seconds")
@@ -1406,47 +1406,47 @@
 // back in it is asked and used at once, though it was suspect and its position is old.
 func TestSuspend(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	h.step(0, Suspend{Node: "b", Out: true}, Suspend{Node: "later", Out: true})
+	h.step(0, Suspend{Endpoint: "b", Suspended: true}, Suspend{Endpoint: "later", Suspended: true})
 	for range 200 {
 		h.reportAll("a")
-		for _, l := range []List{threeEndpoints(ListFull), {Entries: []Entry{{Node: "b", Group: 1, State: Ready, ReadyAt: h.now}, {Node: "later", Group: 1, State: Ready}}}} {
+		for _, l := range []EndpointList{threeEndpoints(ListFull), {Entries: []EndpointEntry{{Endpoint: "b", Group: 1, State: EndpointReady, StartedAt: h.now}, {Endpoint: "later", Group: 1, State: EndpointReady}}}} {
 			acts := h.step(10*ms, l, h.request("bounded"), h.request("any"))
 			for _, s := range actionsOf[Send](acts) {
-				if s.Node == "b" || s.Node == "later" {
+				if s.Endpoint == "b" || s.Endpoint == "later" {
 					t.Fatalf("sent: %+v", s)
 				}
-				h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Role: RoleReplica, Finished: true})
+				h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Role: RoleReplica, Finished: true})
 			}
-			for _, p := range actionsOf[Probe](acts) {
-				if p.Node == "b" {
+			for _, p := range actionsOf[HealthCheck](acts) {
+				if p.Endpoint == "b" {
 					t.Fatal("probed")
 				}
 			}
 		}
 	}
-	h.step(0, List{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[:1]})
+	h.step(0, EndpointList{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[:1]})
 	h.step(2*expiryDelay, h.request("any")) // b is forgotten by now
 	h.reportAll("a")
 	if n := h.balancer.endpoints["b"]; n != nil {
 		t.Fatal("not forgotten")
 	}
 	h.step(0, threeEndpoints(ListFull))
-	h.expectSends(h.step(0, Suspend{Node: "a", Out: true}, h.request("write")), "bc") // its primary is suspended: the round goes on without it
+	h.expectSends(h.step(0, Suspend{Endpoint: "a", Suspended: true}, h.request("write")), "bc") // its primary is suspended: the round goes on without it
 	h.reportAll("c")
-	if s := h.step(ms, h.request("any"), h.request("any")); len(actionsOf[Send](s)) == 0 || actionsOf[Send](s)[0].Node != "c" {
+	if s := h.step(ms, h.request("any"), h.request("any")); len(actionsOf[Send](s)) == 0 || actionsOf[Send](s)[0].Endpoint != "c" {
 		t.Fatalf("%v", s)
 	}
 	n := h.balancer.endpoints["b"]
 	n.health.suspect, n.health.unreachable, n.health.recoveryAt, n.outlier.failureRate = true, true, never, 1
 	h.now += time.Second // its position has aged
-	acts := h.step(0, Suspend{Node: "b"}, h.request("bounded"))
-	if n.health.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 || len(actionsOf[Probe](acts)) == 0 {
+	acts := h.step(0, Suspend{Endpoint: "b"}, h.request("bounded"))
+	if n.health.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 || len(actionsOf[HealthCheck](acts)) == 0 {
 		t.Fatalf("%+v: %v", n, acts)
 	}
 	for range 300 {
-		acts = h.step(10*ms, h.request("bounded"), ProbeResult{Node: "b", Status: Done, Role: RoleReplica, Position: h.now})
+		acts = h.step(10*ms, h.request("bounded"), HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
 		for _, s := range actionsOf[Send](acts) {
-			if s.Node == "b" {
+			if s.Endpoint == "b" {
 				return
 			}
 		}
@@ -1461,22 +1461,22 @@
 		spread[n] = map[time.Duration]bool{}
 		for seed := range uint64(40) {
 			c := testConfig()
-			c.Instances, c.Ask = n, true
+			c.Instances, c.PollDiscovery = n, true
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := 100 * time.Second
-			asked := len(actionsOf[Track](r.Step(now, []Event{threeEndpoints(ListCached)}))) > 0
+			asked := len(actionsOf[PollEndpointList](r.Step(now, []Event{threeEndpoints(ListCached)}))) > 0
 			for ; !asked && now < 200*time.Second; now += 10 * ms {
-				asked = len(actionsOf[Track](r.Step(now, nil))) > 0
+				asked = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
 			}
 			spread[n][now] = true
 			for round := range 6 { // and each failure makes them wait for longer, but not for ever
 				at := now
-				asked = len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
+				asked = len(actionsOf[PollEndpointList](r.Step(now, []Event{EndpointList{Kind: ListFailed}}))) > 0
 				for ; !asked; now += 10 * ms {
-					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
 				}
 				// What changed counts as told 6 s after discovery had it, however the call ended: the next one, and the 2 s that it may
 				// wait for its turn, come within that.
@@ -1497,13 +1497,13 @@
 	const fleet, turn, patience = 80, time.Second / 14, 2 * time.Second
 	for _, seed := range []uint64{1, 2, 3} {
 		c := testConfig()
-		c.Instances, c.Ask, c.AskWithin = fleet, true, 10*time.Second
-		routers, answer := make([]*Router, fleet), make([]Time, fleet) // when the call that is out ends, 0 = none is
+		c.Instances, c.PollDiscovery, c.PollWithin = fleet, true, 10*time.Second
+		routers, answer := make([]*Balancer, fleet), make([]Time, fleet) // when the call that is out ends, 0 = none is
 		fails, late, told := make([]bool, fleet), make([]bool, fleet), make([]Time, fleet)
 		start := 100 * time.Second
 		free, calls := start, 0
 		act := func(i int, now Time, events ...Event) {
-			for range actionsOf[Track](routers[i].Step(now, events)) {
+			for range actionsOf[PollEndpointList](routers[i].Step(now, events)) {
 				calls++
 				begin := max(free, now)
 				answer[i], fails[i] = begin+turn, begin-now > patience
@@ -1527,18 +1527,18 @@
 					act(i, now)
 				case fails[i]:
 					answer[i], late[i] = 0, true
-					act(i, now, List{Kind: ListFailed})
+					act(i, now, EndpointList{Kind: ListFailed})
 				case told[i] == 0:
 					told[i] = now - start
 					last = max(last, told[i])
-					act(i, now, List{Kind: ListDelta})
+					act(i, now, EndpointList{Kind: ListDelta})
 				}
 			}
 		}
 		for i, at := range told {
-			most := c.AskWithin * 4 / 5
+			most := c.PollWithin * 4 / 5
 			if late[i] {
-				most = c.AskWithin * 2 // a call that failed buys time
+				most = c.PollWithin * 2 // a call that failed buys time
 			}
 			if at == 0 || at > most {
 				t.Errorf("seed %d, instance %d: told after %v", seed, i, at)
@@ -1555,29 +1555,29 @@
 func TestALostPrimaryIsFoundOutOfLittle(t *testing.T) {
 	for _, leader := range []string{"b", "c", "d", "e", "f"} {
 		c := testConfig()
-		c.Instances, c.ProbePrice = 80, 0.08
-		list := List{Kind: ListCached}
+		c.Instances, c.HealthCheckCost = 80, 0.08
+		list := EndpointList{Kind: ListCached}
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-			list.Entries = append(list.Entries, Entry{Node: id, Zone: "a", Group: 1, State: Ready, Primary: id == "a"},
-				Entry{Node: id + "2", Zone: "a", Group: 2, State: Ready, Primary: id == "a"})
+			list.Entries = append(list.Entries, EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, Primary: id == "a"},
+				EndpointEntry{Endpoint: id + "2", Zone: "a", Group: 2, State: EndpointReady, Primary: id == "a"})
 		}
 		h := newHarness(t, c, list)
 		led, found := "a", false
 		var run func(acts []Action)
 		run = func(acts []Action) {
 			for _, s := range actionsOf[Send](acts) {
-				found = found || s.Node == leader
-				run(h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true}))
+				found = found || s.Endpoint == leader
+				run(h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true}))
 			}
-			for _, p := range actionsOf[Probe](acts) {
+			for _, p := range actionsOf[HealthCheck](acts) {
 				role, at := RoleReplica, h.now-10*time.Second
-				switch p.Node {
+				switch p.Endpoint {
 				case "y", "z":
 					at = h.now - 100*ms
 				case led, "a2":
 					role, at = RolePrimary, h.now
 				}
-				run(h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: at}))
+				run(h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: at}))
 			}
 		}
 		ask := func(times int) {
@@ -1594,9 +1594,9 @@
 			}
 		}
 		ask(20)
-		list.Entries[0].State, list.Kind = Draining, ListDelta
+		list.Entries[0].State, list.Kind = EndpointDraining, ListDelta
 		for _, id := range []string{"y", "z"} { // recent enough, but cold: they can take next to nothing
-			list.Entries = append(list.Entries, Entry{Node: id, Zone: "a", Group: 1, State: Ready, ReadyAt: h.now})
+			list.Entries = append(list.Entries, EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: h.now})
 		}
 		h.step(ms, list)
 		ask(3) // nobody leads for now
@@ -1611,11 +1611,11 @@
 // go there. Where the list names the primary an instance of many asks for nothing before a read needs it.
 func TestMembersThatStandStillAreAskedRarely(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.ProbePrice = 80, 0.08
+	c.Instances, c.HealthCheckCost = 80, 0.08
 	l := threeEndpoints(ListCached)
 	l.Entries[0].Primary = true
 	h := newHarness(t, c, l)
-	if n := len(actionsOf[Probe](h.step(ms, h.request("write")))); n != 0 {
+	if n := len(actionsOf[HealthCheck](h.step(ms, h.request("write")))); n != 0 {
 		t.Errorf("%d probes at first use", n)
 	}
 	h.reportAll("a")
@@ -1623,9 +1623,9 @@
 	probes := 0
 	for range 50 {
 		h.balancer.healthChecks.tokens = 8
-		for _, p := range actionsOf[Probe](h.step(200*ms, h.request("bounded"))) {
+		for _, p := range actionsOf[HealthCheck](h.step(200*ms, h.request("bounded"))) {
 			probes++
-			h.step(2*ms, ProbeResult{Node: p.Node, Status: Done, Role: RoleReplica, Position: still})
+			h.step(2*ms, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: still})
 		}
 	}
 	if probes < 10 || probes > 30 { // of two in ten seconds
@@ -1639,11 +1639,11 @@
 func TestWhatAFleetHasSavedUpFitsTheBudget(t *testing.T) {
 	for _, instances := range []int{3, 20, 30, 80, 300} {
 		c := testConfig()
-		c.Instances, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = instances, 0.16, 100*time.Second, 2.5, 2*time.Second
-		work := c.Classes[0].Aim.Seconds() / 5 // as it is taken before any answer
+		c.Instances, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = instances, 0.16, 100*time.Second, 2.5, 2*time.Second
+		work := c.Classes[0].LatencyObjective.Seconds() / 5 // as it is taken before any answer
 		for _, k := range c.Classes {
-			if k.Need == NeedUpdate {
-				work = k.Aim.Seconds() / 5
+			if k.Consistency == ConsistencyWrite {
+				work = k.LatencyObjective.Seconds() / 5
 			}
 		}
 		for seed := range uint64(5) {
@@ -1654,7 +1654,7 @@
 					var more []Send
 					for _, s := range acts {
 						sent++
-						more = append(more, actionsOf[Send](h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 80 * ms, Role: RolePrimary,
+						more = append(more, actionsOf[Send](h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
 							Position: h.now, Finished: true}))...)
 					}
 					acts = more
@@ -1666,13 +1666,13 @@
 					t.Fatal(err)
 				}
 				rigs[i] = &harness{t: t, balancer: r, now: at}
-				rigs[i].step(0, List{Kind: ListCached, Entries: []Entry{{Node: "p", Group: 1, State: Ready, Primary: true, ReadyAt: at}}})
-				rigs[i].step(0, ProbeResult{Node: "p", Status: Done, Role: RolePrimary, Position: at})
+				rigs[i].step(0, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "p", Group: 1, State: EndpointReady, Primary: true, StartedAt: at}}})
+				rigs[i].step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: at})
 				step(rigs[i], 0, rigs[i].request("write")) // its credit is counted from here
 			}
 			first := sent
-			warm := c.ColdFrom
-			n := c.FallMultiple * warm * c.FallFor.Seconds() / work
+			warm := c.SlowStartFrom
+			n := c.OverloadMultiple * warm * c.OverloadWindow.Seconds() / work
 			if most := n + 2*math.Sqrt(n) + 2; float64(first) > most {
 				t.Errorf("%d instances, seed %d: %d at the start, %.0f allowed", instances, seed, first, most)
 			}
@@ -1685,8 +1685,8 @@
 					step(h, 25*ms, h.request("write"))
 				}
 			}
-			warm += (1 - c.ColdFrom) * 0.58
-			n = c.FallMultiple * warm * c.FallFor.Seconds() / work
+			warm += (1 - c.SlowStartFrom) * 0.58
+			n = c.OverloadMultiple * warm * c.OverloadWindow.Seconds() / work
 			most := n + 2*math.Sqrt(n) + 2
 			if t.Logf("%d instances, seed %d: %d of %.0f", instances, seed, sent, most); float64(sent) > most {
 				t.Errorf("%d instances, seed %d: %d in the contract's time, %.0f allowed", instances, seed, sent, most)
@@ -1701,10 +1701,10 @@
 // What a cold member may get goes by what the busiest warm ones do, not by those that stand idle beside them.
 func TestColdBudgetGoesByTheBusiest(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = 80, 0.16, 18*time.Second, 2.5, 2*time.Second
-	l := List{Kind: ListCached, Entries: []Entry{{Node: "p", Group: 2, State: Ready, Primary: true}}}
+	c.Instances, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = 80, 0.16, 18*time.Second, 2.5, 2*time.Second
+	l := EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true}}}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		l.Entries = append(l.Entries, Entry{Node: id, Group: 1, State: Ready, Primary: id == "a"})
+		l.Entries = append(l.Entries, EndpointEntry{Endpoint: id, Group: 1, State: EndpointReady, Primary: id == "a"})
 	}
 	h := newHarness(t, c, l)
 	sent := func(group int64, times int, gap time.Duration) (n int) {
@@ -1713,15 +1713,15 @@
 			q.Group = group
 			for _, s := range actionsOf[Send](h.step(gap-20*ms, q)) {
 				n++
-				h.step(20*ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 20 * ms, Role: RolePrimary,
+				h.step(20*ms, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Role: RolePrimary,
 					Position: h.now, Finished: true})
 			}
 		}
 		return n
 	}
 	sent(1, 150, 100*ms) // a does two tenths of a second's work a second, the others nothing
-	h.step(0, List{Entries: []Entry{{Node: "p", Group: 2, State: Ready, Primary: true, ReadyAt: h.now}}})
-	h.step(0, ProbeResult{Node: "p", Status: Done, Role: RolePrimary, Position: h.now})
+	h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true, StartedAt: h.now}}})
+	h.step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	if n := sent(2, 25, 200*ms); n < 8 {
 		t.Fatalf("%d of 25 writes sent in 5 s", n)
 	}
@@ -1732,11 +1732,11 @@
 func TestShortReadsLeaveALongOneItsCredit(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
-	h := newHarness(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Group: 1, State: Ready, Primary: true},
-		{Node: "b", Zone: "a", Group: 1, State: Ready}}})
+	h := newHarness(t, c, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "a", Group: 1, State: EndpointReady, Primary: true},
+		{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}}})
 	type end struct {
 		at Time
-		Outcome
+		AttemptResult
 	}
 	var out []end
 	longs, served := 0, 0
@@ -1750,13 +1750,13 @@
 			events = append(events, h.request("any"))
 		}
 		for len(out) > 0 && out[0].at <= h.now {
-			events = append(events, out[0].Outcome)
+			events = append(events, out[0].AttemptResult)
 			out = out[1:]
 		}
 		acts := h.step(10*ms, events...)
-		for _, p := range actionsOf[Probe](acts) {
-			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[p.Node]
-			h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: h.now})
+		for _, p := range actionsOf[HealthCheck](acts) {
+			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[p.Endpoint]
+			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now})
 		}
 		for _, s := range actionsOf[Send](acts) {
 			q := h.balancer.requests[s.ID]
@@ -1765,9 +1765,9 @@
 				took = 300 * ms
 				served++
 			}
-			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Node]
-			out = append(out, end{h.now + took, Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Done,
-				Took: took, Role: role, Position: h.now, Finished: true}})
+			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Endpoint]
+			out = append(out, end{h.now + took, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
+				Elapsed: took, Role: role, Position: h.now, Finished: true}})
 			slices.SortStableFunc(out, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 		}
 	}
@@ -1779,19 +1779,19 @@
 // One report at a time is asked for where a read waits for one, however often the instance is woken meanwhile.
 func TestAReadThatWaitsAsksForOneReport(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.ProbePrice = 80, 0.08
+	c.Instances, c.HealthCheckCost = 80, 0.08
 	h := newReadyHarness(t, c)
 	h.step(0, h.request("write")) // the first use asks all
 	h.reportAll("a")
 	h.balancer.healthChecks.tokens = 8
-	probes := len(actionsOf[Probe](h.step(time.Second, h.request("bounded")))) // all positions have aged
+	probes := len(actionsOf[HealthCheck](h.step(time.Second, h.request("bounded")))) // all positions have aged
 	for range 4 {
-		probes += len(actionsOf[Probe](h.step(10*ms, Wake{})))
+		probes += len(actionsOf[HealthCheck](h.step(10*ms, Wake{})))
 	}
 	if probes != 1 {
 		t.Fatalf("%d reports asked for", probes)
 	}
-	if len(actionsOf[Probe](h.step(50*ms, Wake{}))) == 0 { // that one may be lost
+	if len(actionsOf[HealthCheck](h.step(50*ms, Wake{}))) == 0 { // that one may be lost
 		t.Fatal("no other is asked")
 	}
 }
@@ -1799,15 +1799,15 @@
 // All members have denied that they lead. The write that comes once one of them does tries them again, without a probe.
 func TestASuccessorThatDeniedIsTriedAgain(t *testing.T) {
 	c := testConfig()
-	c.Probes = false
+	c.HealthChecks = false
 	h := newHarness(t, c, threeEndpoints(ListCached))
 	write := func(leader string) (served bool) {
 		acts := h.step(100*ms, h.request("write"))
 		for range 6 {
 			for _, s := range actionsOf[Send](acts) {
-				o := Outcome{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Node: s.Node, Status: Miss, Took: ms, Role: RoleReplica}
-				if s.Node == leader {
-					o.Status, o.Role, o.Finished, served = Done, RolePrimary, true, true
+				o := AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusMiss, Elapsed: ms, Role: RoleReplica}
+				if s.Endpoint == leader {
+					o.Status, o.Role, o.Finished, served = StatusDone, RolePrimary, true, true
 				}
 				acts = h.step(ms, o)
 			}
@@ -1831,21 +1831,21 @@
 		var run func(acts []Action)
 		run = func(acts []Action) {
 			for _, s := range actionsOf[Send](acts) {
-				run(h.step(ms, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true}))
+				run(h.step(ms, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true}))
 			}
-			for _, p := range actionsOf[Probe](acts) {
+			for _, p := range actionsOf[HealthCheck](acts) {
 				role, lag := RoleReplica, 10*time.Second
-				switch p.Node {
+				switch p.Endpoint {
 				case "a":
 					role = RolePrimary
 				case recent:
 					lag = 250 * ms
 					asked++
 				}
-				if p.Node != recent && asked > 1 {
-					t.Fatalf("%s is asked", p.Node)
+				if p.Endpoint != recent && asked > 1 {
+					t.Fatalf("%s is asked", p.Endpoint)
 				}
-				run(h.step(0, ProbeResult{Node: p.Node, Status: Done, Role: role, Position: h.now - lag}))
+				run(h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now - lag}))
 			}
 		}
 		for range 30 { // at the first use all are asked
@@ -1862,14 +1862,14 @@
 // that takes half is.
 func TestAnIdleMemberIsNotCrowded(t *testing.T) {
 	c := testConfig()
-	c.Classes[1].Bound = time.Second // none of these reads is long beside it
+	c.Classes[1].MaxStaleness = time.Second // none of these reads is long beside it
 	for part, crowded := range map[float64]bool{0.3: false, 0.5: true} {
 		h := newReadyHarness(t, c)
 		for range 300 {
 			q := h.request("any")
 			s := h.expectSends(h.step(ms, q), "bc")[0]
 			took := time.Duration(part * float64(400*ms))
-			h.step(took, Outcome{ID: q.ID, Node: s.Node, Status: Done, Took: took, Finished: true})
+			h.step(took, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: took, Finished: true})
 		}
 		for _, id := range []string{"b", "c"} {
 			if got := h.balancer.endpoints[id].limit.attempts < initialLimit; got != crowded {
@@ -1882,16 +1882,16 @@
 // One of 300 instances whose weak read was late at a primary keeps the next ones away from it for a while; its writes go on.
 func TestWeakReadsEaseOffACrowdedPrimary(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.Probes = 300, false // no report ever makes a replica available
+	c.Instances, c.HealthChecks = 300, false // no report ever makes a replica available
 	for took, want := range map[time.Duration][2]time.Duration{20 * ms: {0, 60 * ms}, 700 * ms: {100 * ms, 400 * ms}} {
 		for _, class := range []string{"bounded", "write"} {
-			h := newHarness(t, c, List{Kind: ListCached, Entries: []Entry{{Node: "a", Zone: "a", Group: 1, State: Ready, Primary: true},
-				{Node: "b", Zone: "a", Group: 1, State: Ready}}})
+			h := newHarness(t, c, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady, Primary: true},
+				{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}}})
 			s := h.expectSends(h.step(0, h.request("bounded")), "a")
 			for range took / (10 * ms) { // it runs all the time
 				h.step(10 * ms)
 			}
-			h.step(0, Outcome{ID: s[0].ID, Attempt: 0, Node: "a", Status: Done, Took: took, Finished: true, Role: RolePrimary, Position: h.now})
+			h.step(0, AttemptResult{ID: s[0].ID, Attempt: 0, Endpoint: "a", Status: StatusDone, Elapsed: took, Finished: true, Role: RolePrimary, Position: h.now})
 			from := h.now
 			acts := h.step(10*ms, h.request(class))
 			for len(actionsOf[Send](acts)) == 0 && h.now < from+5*time.Second {
@@ -1911,8 +1911,8 @@
 // scarce is a rig with a long class whose bounded reads have just been refused for want of room, and its replica b is recent again.
 func newShortageHarness(t *testing.T, work float64) *harness {
 	c := testConfig()
-	c.Classes[1].Worth = 2
-	c.Classes = append(c.Classes, Class{Name: "long", Aim: 5 * time.Second, GiveUp: 10 * time.Second, Worth: 6, LateShare: 0.2, Need: NeedAny})
+	c.Classes[1].PriorityWeight = 2
+	c.Classes = append(c.Classes, Class{Name: "long", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: ConsistencyAny})
 	h := newReadyHarness(t, c)
 	long := h.balancer.classes["long"]
 	long.serviceTime, long.latency = work, 1
@@ -1926,7 +1926,7 @@
 	}
 	refused := 0
 	for range 12 {
-		refused += len(actionsOf[Refuse](h.step(50 * ms)))
+		refused += len(actionsOf[Reject](h.step(50 * ms)))
 	}
 	if refused < 20 {
 		t.Fatalf("%d refused", refused)
@@ -1940,7 +1940,7 @@
 
 func (h *harness) sendLongRead() []Send {
 	q := h.request("long")
-	q.Expires = 10 * time.Second
+	q.TimeLeft = 10 * time.Second
 	return slices.DeleteFunc(actionsOf[Send](h.step(0, q)), func(s Send) bool { return s.ID != q.ID })
 }
 
@@ -1968,7 +1968,7 @@
 		"its replica could not catch up": {1, func(h *harness) {
 			h.balancer.endpoints["c"].replication.lag, h.balancer.endpoints["c"].replication.lagObservedAt = 5*time.Second, h.now
 		}},
-		"it is worth more": {1, func(h *harness) { k := h.balancer.classes["long"]; k.Worth = 1000 }},
+		"it is worth more": {1, func(h *harness) { k := h.balancer.classes["long"]; k.PriorityWeight = 1000 }},
 	} {
 		h := newShortageHarness(t, c.work)
 		if c.set(h); len(h.sendLongRead()) != 1 {
@@ -2002,13 +2002,13 @@
 	h := newHarness(t, testConfig(), l)
 	h.reportAll("a")
 	count := func(part float64) (n int) {
-		h.step(0, Pace{Zone: "b", Part: part})
+		h.step(0, ZoneCapacity{Zone: "b", Share: part})
 		for range 40 {
 			for _, s := range actionsOf[Send](h.step(0, h.request("any"))) {
-				if s.Node == "b" {
+				if s.Endpoint == "b" {
 					n++
 				}
-				h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: 50 * ms, Finished: true})
+				h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 50 * ms, Finished: true})
 			}
 			h.now += 5 * ms
 		}
@@ -2021,7 +2021,7 @@
 	if n := count(1); n != 40 {
 		t.Errorf("%d of 40 sent to a zone that is free", n)
 	}
-	h.step(0, Pace{Zone: "b", Part: 0.25})
+	h.step(0, ZoneCapacity{Zone: "b", Share: 0.25})
 	h.step(0, h.request("any")) // its credit is drawn, and earned from here on
 	h.step(2 * time.Second)
 	most := 0
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -20,8 +20,8 @@
 	activeWindow = 2 * time.Second
 )
 
-// Router decides for one instance. It is not safe for concurrent use.
-type Router struct {
+// Balancer decides for one instance. It is not safe for concurrent use.
+type Balancer struct {
 	config  Config
 	rng     *rand.Rand
 	now     Time
@@ -51,11 +51,11 @@
 }
 
 // New returns a balancer that has yet to see its first endpoint list. Its random draws follow from the seed.
-func New(config Config, seed uint64) (*Router, error) {
+func New(config Config, seed uint64) (*Balancer, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	b := &Router{
+	b := &Balancer{
 		config:         config,
 		rng:            rand.New(rand.NewPCG(seed, 0)),
 		endpoints:      map[string]*endpoint{},
@@ -65,7 +65,7 @@
 		requests:       map[string]*request{},
 		sessionCommits: map[int64]sessionCommit{},
 		retries:        newRetryBudget(),
-		healthChecks:   newHealthCheckBudget(config.ProbePrice),
+		healthChecks:   newHealthCheckBudget(config.HealthCheckCost),
 		tightestBound:  config.tightestBound(),
 		suspended:      map[string]bool{},
 		zoneCapacities: map[string]float64{},
@@ -75,13 +75,13 @@
 		b.classes[class.Name] = newClassState(class)
 	}
 	for _, tenant := range config.Tenants {
-		b.quotas[tenant.Name] = newTokenBucket(tenant.Rate / config.instances())
+		b.quotas[tenant.Name] = newTokenBucket(tenant.Quota / config.instances())
 	}
 	return b, nil
 }
 
 // Step takes what happened at now and returns what to do, in order. All events count before anything is sent.
-func (b *Router) Step(now Time, events []Event) []Action {
+func (b *Balancer) Step(now Time, events []Event) []Action {
 	b.wake.begin(now)
 	b.now = now
 	b.actions = nil
@@ -94,28 +94,28 @@
 		b.scheduleHealthChecks(group)
 	}
 	b.pollDiscovery()
-	if delay, ok := b.wake.set(now, max(tickInterval, b.config.Resolution)); ok {
-		b.emit(Timer{In: delay})
+	if delay, ok := b.wake.set(now, max(tickInterval, b.config.TimerResolution)); ok {
+		b.emit(Timer{After: delay})
 	}
 	return b.actions
 }
 
 // handle takes in one event; what follows from it is sent at the end of the step.
-func (b *Router) handle(event Event) {
+func (b *Balancer) handle(event Event) {
 	switch event := event.(type) {
-	case List:
+	case EndpointList:
 		b.handleDiscovery(event)
 	case Request:
 		b.handleRequest(event)
-	case Outcome:
+	case AttemptResult:
 		b.handleOutcome(event)
-	case ProbeResult:
+	case HealthCheckResult:
 		b.handleHealthCheck(event)
 	case Suspend:
 		b.handleSuspend(event)
-	case Pace:
-		b.zoneCapacities[event.Zone] = event.Part
-	case ClientGone:
+	case ZoneCapacity:
+		b.zoneCapacities[event.Zone] = event.Share
+	case ClientDisconnected:
 		b.handleDisconnect(event)
 	case FirstByte:
 		b.handleFirstByte(event)
@@ -123,10 +123,12 @@
 }
 
 // emit adds an action to those that the step returns.
-func (b *Router) emit(action Action) { b.actions = append(b.actions, action) }
+func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
 // log emits a line for the engineers on call.
-func (b *Router) log(format string, args ...any) { b.emit(Log{Text: fmt.Sprintf(format, args...)}) }
+func (b *Balancer) log(format string, args ...any) {
+	b.emit(LogLine{Text: fmt.Sprintf(format, args...)})
+}
 
 // wakeTimer keeps the timer that is set, and collects during a step when something is due next.
 type wakeTimer struct {
--- a/balance/class.go
+++ b/balance/class.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Need says how recent the data must be that a request of a class sees.
-type Need int
+// Consistency says how recent the data must be that a request of a class sees.
+type Consistency int
 
 const (
-	NeedAny     Need = iota // any endpoint will do
-	NeedBounded             // no older than Class.Bound when the request is sent
-	NeedSession             // all that the session has written
-	NeedLatest              // all that was committed before the request arrived
-	NeedUpdate              // a write: only the primary takes it
+	ConsistencyAny     Consistency = iota // any endpoint will do
+	ConsistencyBounded                    // no older than Class.MaxStaleness when the request is sent
+	ConsistencySession                    // all that the session has written
+	ConsistencyLatest                     // all that was committed before the request arrived
+	ConsistencyWrite                      // a write: only the primary takes it
 )
 
-// Effect says what a repeat of a request would do.
-type Effect int
+// Idempotency says what a repeat of a request would do.
+type Idempotency int
 
 const (
-	Safe   Effect = iota // idempotent: may be repeated and rejected freely
-	Keyed                // carries an idempotency key: the endpoints of Scope discard repeats for Window
-	Unsafe               // must never run twice
+	Idempotent        Idempotency = iota // may be repeated and rejected freely
+	IdempotentWithKey                    // the endpoints of IdempotencyScope discard repeats for IdempotencyWindow
+	NonIdempotent                        // must never run twice
 )
 
-// Scope names the endpoints that discard the repeats of a request with an idempotency key.
-type Scope int
+// IdempotencyScope names the endpoints that discard the repeats of a request with an idempotency key.
+type IdempotencyScope int
 
 const (
-	ScopeGroup Scope = iota // the endpoints of the request's group
-	ScopeZone               // the endpoints in the same zone
-	ScopeAll                // every endpoint
+	ScopeGroup IdempotencyScope = iota // the endpoints of the request's group
+	ScopeZone                          // the endpoints in the same zone
+	ScopeAll                           // every endpoint
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // the latency objective: an answer within it has full weight
-	AimStretch float64       // the objective grows by this multiple of the request's own estimate of work
-	GiveUp     time.Duration // how long a client waits over all its attempts
-	Worth      float64       // the priority weight of an answer within the objective
-	LateShare  float64       // the part of the weight that an answer after the objective still has
-	Effect     Effect
-	Scope      Scope
-	Window     time.Duration // how long an idempotency key is remembered
-	Need       Need
-	Bound      time.Duration // the staleness bound of NeedBounded
+	Name              string
+	LatencyObjective  time.Duration // an answer within it has full weight
+	ObjectiveStretch  float64       // the objective grows by this multiple of the request's own estimate of work
+	ClientTimeout     time.Duration // how long a client waits over all its attempts
+	PriorityWeight    float64       // of an answer within the objective
+	LateWeightShare   float64       // the part of the weight that an answer after the objective still has
+	Idempotency       Idempotency
+	IdempotencyScope  IdempotencyScope
+	IdempotencyWindow time.Duration // how long an idempotency key is remembered
+	Consistency       Consistency
+	MaxStaleness      time.Duration // of the data that ConsistencyBounded sees
 }
 
 const (
@@ -66,22 +66,24 @@
 
 // newClassState starts with a fifth of the objective as the estimate of latency.
 func newClassState(class Class) *classState {
-	if class.Aim <= 0 {
-		class.Aim = class.GiveUp
+	if class.LatencyObjective <= 0 {
+		class.LatencyObjective = class.ClientTimeout
 	}
-	estimate := class.Aim.Seconds() / 5
+	estimate := class.LatencyObjective.Seconds() / 5
 	return &classState{Class: class, latency: estimate, serviceTime: estimate}
 }
 
 // needsPrimary says that only the primary can serve the class: a strong request in terms of the ODP page.
-func (c *classState) needsPrimary() bool { return c.Need == NeedUpdate || c.Need == NeedLatest }
+func (c *classState) needsPrimary() bool {
+	return c.Consistency == ConsistencyWrite || c.Consistency == ConsistencyLatest
+}
 
 // isWrite says that requests of the class are writes.
-func (c *classState) isWrite() bool { return c.Need == NeedUpdate }
+func (c *classState) isWrite() bool { return c.Consistency == ConsistencyWrite }
 
 // objectiveShare is the part of the latency objective that an attempt took.
 func (c *classState) objectiveShare(took time.Duration) float64 {
-	return took.Seconds() / c.Aim.Seconds()
+	return took.Seconds() / c.LatencyObjective.Seconds()
 }
 
 // observeLatency takes the latency of a served attempt into the mean. The more instances there are, the fewer answers
@@ -106,7 +108,7 @@
 }
 
 // slowestLatency is the mean time of an attempt of the slowest class, seconds.
-func (b *Router) slowestLatency() float64 {
+func (b *Balancer) slowestLatency() float64 {
 	slowest := 0.0
 	for _, class := range b.classes {
 		slowest = max(slowest, class.latency)
@@ -114,9 +116,9 @@
 	return slowest
 }
 
-// Cost returns what requests of the class cost an endpoint, in seconds: the least latency seen, slowly forgotten, and
-// the moving mean of latency, which includes queueing.
-func (b *Router) Cost(name string) (work, mean float64) {
+// ClassCost returns what requests of the class cost an endpoint, in seconds: the least latency seen, slowly
+// forgotten, and the moving mean of latency, which includes queueing.
+func (b *Balancer) ClassCost(name string) (work, mean float64) {
 	if class := b.classes[name]; class != nil {
 		return class.serviceTime, class.latency
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -11,15 +11,15 @@
 // much it went beyond what the settings allow, N, less twice the root of N, and 2. It is put down to chance up to 0.
 func (f *fleet) overfull(m *member, c Config, mean time.Duration) (most, at float64) {
 	most = math.Inf(-1)
-	for from := m.startAt; from+c.FallFor <= f.now; from += 20 * ms {
+	for from := m.startAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
 		got := 0.0
 		for _, p := range m.work {
-			if p.at >= from && p.at < from+c.FallFor {
+			if p.at >= from && p.at < from+c.OverloadWindow {
 				got += p.work.Seconds() / mean.Seconds()
 			}
 		}
-		warm := min(1, c.ColdFrom+(1-c.ColdFrom)*(from-m.startAt).Seconds()/c.ColdFor.Seconds())
-		n := c.FallMultiple * warm * float64(len(m.cores)) * c.FallFor.Seconds() / mean.Seconds()
+		warm := min(1, c.SlowStartFrom+(1-c.SlowStartFrom)*(from-m.startAt).Seconds()/c.SlowStartWindow.Seconds())
+		n := c.OverloadMultiple * warm * float64(len(m.cores)) * c.OverloadWindow.Seconds() / mean.Seconds()
 		if over := got - n - 2*math.Sqrt(n) - 2; over > most {
 			most, at = over, (from - m.startAt).Seconds()
 		}
@@ -30,9 +30,9 @@
 // leaveTo lets all replicas of the first group but the last drain.
 func (f *fleet) leaveTo() {
 	for i := range f.routers {
-		var l List
+		var l EndpointList
 		for _, id := range []string{"00b", "00c", "00d", "00e"} {
-			l.Entries = append(l.Entries, Entry{Node: id, Zone: "a", State: Draining})
+			l.Entries = append(l.Entries, EndpointEntry{Endpoint: id, Zone: "a", State: EndpointDraining})
 		}
 		f.step(i, l)
 	}
@@ -85,8 +85,8 @@
 	}
 	for _, k := range []coldCase{
 		{"usual work", 3, 1, 700, func(c *Config) {}},
-		{"long work, a short window", 1, 3, 150, func(c *Config) { c.FallMultiple, c.FallFor = 2, time.Second }},
-		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) { c.FallMultiple, c.FallFor, c.ColdFrom = 3, time.Second, 0.24 }},
+		{"long work, a short window", 1, 3, 150, func(c *Config) { c.OverloadMultiple, c.OverloadWindow = 2, time.Second }},
+		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) { c.OverloadMultiple, c.OverloadWindow, c.SlowStartFrom = 3, time.Second, 0.24 }},
 	} {
 		for _, instances := range []int{3, 20, 30, 300} {
 			for name, shape := range shapes {
@@ -98,8 +98,8 @@
 							c := fleetConfig()
 							c.Instances = instances
 							for i := range c.Classes { // a client waits for a multiple of the work
-								c.Classes[i].Aim = time.Duration(float64(c.Classes[i].Aim) * k.times)
-								c.Classes[i].GiveUp = time.Duration(float64(c.Classes[i].GiveUp) * k.times)
+								c.Classes[i].LatencyObjective = time.Duration(float64(c.Classes[i].LatencyObjective) * k.times)
+								c.Classes[i].ClientTimeout = time.Duration(float64(c.Classes[i].ClientTimeout) * k.times)
 							}
 							k.set(&c)
 							f := newFleetOf(t, 7+seed, 4, c)
@@ -111,15 +111,15 @@
 							m := f.members[id]
 							m.startAt, m.work = f.now, nil
 							for i := range f.routers {
-								f.step(i, List{Entries: []Entry{{Node: m.id, Zone: "a", State: Ready, Primary: m.leads, ReadyAt: f.now}}})
-								f.step(i, ProbeResult{Node: m.id, Status: Done, Role: m.role(), Position: m.position(f.now)})
+								f.step(i, EndpointList{Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}}})
+								f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
 							}
 							f.load(0.001, 4, 2*ms) // what was sent before they were told is no part of it
 							m.work = nil
 							shape(f, k.rate)
 							got += len(m.work)
 							work := time.Duration(k.times * float64(mean))
-							bound = c.FallMultiple * c.ColdFrom * float64(k.cores) * c.FallFor.Seconds() / work.Seconds()
+							bound = c.OverloadMultiple * c.SlowStartFrom * float64(k.cores) * c.OverloadWindow.Seconds() / work.Seconds()
 							if over, when := f.overfull(m, c, work); over > worst {
 								worst, at, of = over, when, seed
 							}
--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -118,7 +118,7 @@
 func (c *Config) hasFractionalShare() bool { return c.initialLimit() < 1 }
 
 // adaptLimit moves the limit of an endpoint after an attempt that took the given part of its latency objective.
-func (b *Router) adaptLimit(endpoint *endpoint, ratio float64) {
+func (b *Balancer) adaptLimit(endpoint *endpoint, ratio float64) {
 	limit := &endpoint.limit
 	if limit.isFractional() {
 		b.adaptFractionalLimit(endpoint, ratio)
@@ -137,7 +137,7 @@
 }
 
 // adaptFractionalLimit does the same where the limit is under one attempt.
-func (b *Router) adaptFractionalLimit(endpoint *endpoint, ratio float64) {
+func (b *Balancer) adaptFractionalLimit(endpoint *endpoint, ratio float64) {
 	limit := &endpoint.limit
 	limit.adaptWeakReadBackoff(ratio, b.now, b.rng)
 	limit.observeLatency(ratio, fractionalWeight*smoothing)
--- a/balance/config.go
+++ b/balance/config.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// Checks says what an endpoint does with a read that its data is too old for.
-type Checks int
+// FreshnessCheck says what an endpoint does with a read that its data is too old for.
+type FreshnessCheck int
 
 const (
-	ChecksNone   Checks = iota // it answers from what it has
-	ChecksRefuse               // it answers with a miss
-	ChecksWait                 // it waits a while, then answers with a miss
+	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
+	FreshnessCheckReject                       // it answers with a miss
+	FreshnessCheckWait                         // it waits a while, then answers with a miss
 )
 
 // Tenant is a customer and its quota.
 type Tenant struct {
-	Name string
-	Rate float64 // requests a second within the quota, over all instances
+	Name  string
+	Quota float64 // requests a second within the quota, over all instances
 }
 
 // Config is what an instance is told when it starts.
 type Config struct {
-	Instances      int    // how many instances share the work
-	Zone           string // the zone of this instance; endpoints in it are preferred
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64       // weight of a request beyond the tenant's quota, as a part of the usual
-	Resolution     time.Duration // the shortest time between two steps
-	Ask            bool          // the endpoint list must be polled
-	DrainGrace     time.Duration // sends to an endpoint end this long after it was told to drain; 0 = not told
-	AskWithin      time.Duration // an instance that has not polled for this long counts as told; 0 = no such limit
+	Instances       int    // how many instances share the work
+	Zone            string // the zone of this instance; endpoints in it are preferred
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64       // weight of a request beyond the tenant's quota, as a part of the usual
+	TimerResolution time.Duration // the shortest time between two steps
+	PollDiscovery   bool          // the endpoint list must be polled
+	DrainGrace      time.Duration // sends to an endpoint end this long after it was told to drain; 0 = not told
+	PollWithin      time.Duration // an instance that has not polled for this long counts as told; 0 = no such limit
 
-	Checks       Checks
-	ClientTokens bool // session reads carry the age of the last write; otherwise the instance remembers writes
+	FreshnessCheck      FreshnessCheck
+	ClientSessionTokens bool // session reads carry the age of the last write; otherwise the instance remembers writes
 
-	Probes        bool    // endpoints answer health checks
-	HeldBack      float64 // cost of rejecting what was never sent after half of its time, as a part of its weight
-	ProbePrice    float64 // cost of a health check, as a part of the weight of a request
-	Cancel        bool    // attempts can be cancelled
-	RetryAfter    bool    // clients hear a Retry-After
-	MaxRetryAfter time.Duration
-	MostTries     int // attempts for one request; 0 = no limit
+	HealthChecks    bool    // endpoints answer health checks
+	LateRejectCost  float64 // cost of rejecting what was never sent after half of its time, as a part of its weight
+	HealthCheckCost float64 // cost of a health check, as a part of the weight of a request
+	Cancellation    bool    // attempts can be cancelled
+	RetryAfter      bool    // clients hear a Retry-After
+	MaxRetryAfter   time.Duration
+	MaxAttempts     int // attempts for one request; 0 = no limit
 
-	ColdFrom     float64       // an endpoint that has just started has at least this part of its capacity
-	ColdFor      time.Duration // and all of it after this time
-	FallMultiple float64       // more than this multiple of its present capacity
-	FallFor      time.Duration // for this time overloads it until it fails
-	SoftRemoval  bool          // only an entry that says draining forbids sends
+	SlowStartFrom    float64       // an endpoint that has just started has at least this part of its capacity
+	SlowStartWindow  time.Duration // and all of it after this time
+	OverloadMultiple float64       // more than this multiple of its present capacity
+	OverloadWindow   time.Duration // for this time overloads it until it fails
+	SoftRemoval      bool          // only an entry that says draining forbids sends
 }
 
-// check says which setting cannot be served, by the name of its field.
+// check says which setting cannot be served. The texts name the settings by the words that users of the configuration
+// know, which are not always those of the fields.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
 		return fmt.Errorf("Classes: none given")
@@ -58,23 +59,23 @@
 	if c.Instances < 1 {
 		return fmt.Errorf("Instances: %d, at least 1 needed", c.Instances)
 	}
-	if !isShare(c.ColdFrom) {
-		return fmt.Errorf("ColdFrom: %v is no share", c.ColdFrom)
+	if !isShare(c.SlowStartFrom) {
+		return fmt.Errorf("ColdFrom: %v is no share", c.SlowStartFrom)
 	}
-	if min(c.DrainGrace, c.AskWithin, c.ColdFor, c.FallFor, c.Resolution, c.MaxRetryAfter) < 0 {
+	if min(c.DrainGrace, c.PollWithin, c.SlowStartWindow, c.OverloadWindow, c.TimerResolution, c.MaxRetryAfter) < 0 {
 		return fmt.Errorf("DrainGrace, AskWithin, ColdFor, FallFor, Resolution, MaxRetryAfter: a time is negative")
 	}
-	if c.FallMultiple < 0 || c.FallMultiple > 0 && c.FallFor == 0 {
-		return fmt.Errorf("FallMultiple: %v without its window FallFor", c.FallMultiple)
+	if c.OverloadMultiple < 0 || c.OverloadMultiple > 0 && c.OverloadWindow == 0 {
+		return fmt.Errorf("FallMultiple: %v without its window FallFor", c.OverloadMultiple)
 	}
-	if c.MostTries < 0 || anyNegative(c.ProbePrice, c.OverShareWorth) {
+	if c.MaxAttempts < 0 || anyNegative(c.HealthCheckCost, c.OverQuotaWeight) {
 		return fmt.Errorf("MostTries, ProbePrice, OverShareWorth: a value is negative")
 	}
 	if err := c.checkClasses(); err != nil {
 		return err
 	}
 	for _, tenant := range c.Tenants {
-		if anyNegative(tenant.Rate) {
+		if anyNegative(tenant.Quota) {
 			return fmt.Errorf("Tenants: Rate of %q is negative", tenant.Name)
 		}
 	}
@@ -87,13 +88,13 @@
 		switch {
 		case seen[class.Name]:
 			return fmt.Errorf("Classes: Name %q is there twice", class.Name)
-		case class.GiveUp <= 0:
+		case class.ClientTimeout <= 0:
 			return fmt.Errorf("Classes: GiveUp of %q is missing", class.Name)
-		case class.Need == NeedBounded && class.Bound <= 0:
+		case class.Consistency == ConsistencyBounded && class.MaxStaleness <= 0:
 			return fmt.Errorf("Classes: Bound of %q is missing", class.Name)
-		case min(class.Aim, class.Window, class.Bound) < 0:
+		case min(class.LatencyObjective, class.IdempotencyWindow, class.MaxStaleness) < 0:
 			return fmt.Errorf("Classes: Aim, Window or Bound of %q is negative", class.Name)
-		case anyNegative(class.Worth, class.LateShare, class.AimStretch):
+		case anyNegative(class.PriorityWeight, class.LateWeightShare, class.ObjectiveStretch):
 			return fmt.Errorf("Classes: Worth, LateShare or AimStretch of %q is negative", class.Name)
 		}
 		seen[class.Name] = true
@@ -121,12 +122,12 @@
 func (c *Config) tightestBound() time.Duration {
 	tightest := time.Duration(0)
 	for _, class := range c.Classes {
-		if class.Need == NeedBounded && (tightest == 0 || class.Bound < tightest) {
-			tightest = class.Bound
+		if class.Consistency == ConsistencyBounded && (tightest == 0 || class.MaxStaleness < tightest) {
+			tightest = class.MaxStaleness
 		}
 	}
 	return tightest
 }
 
-// MostTries is how many attempts a request may have; 0 = any number.
-func (b *Router) MostTries() int { return b.config.MostTries }
+// MaxAttempts is how many attempts a request may have; 0 = any number.
+func (b *Balancer) MaxAttempts() int { return b.config.MaxAttempts }
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -33,7 +33,7 @@
 func newDiscoveryPoll(config *Config, rng *rand.Rand) discoveryPoll {
 	return discoveryPoll{
 		rng:        rng,
-		enabled:    config.Ask,
+		enabled:    config.PollDiscovery,
 		spread:     pollSpread(config),
 		drainGrace: config.DrainGrace,
 		backoff:    minRecoveryBackoff,
@@ -48,8 +48,8 @@
 // many there are, the first polls and one more each still fall within that time.
 func pollSpread(config *Config) time.Duration {
 	spread := time.Duration(max(0, config.Instances-unspacedInstances)) * pollSpacing
-	if config.AskWithin > 0 {
-		spread = min(spread, config.AskWithin*2/5)
+	if config.PollWithin > 0 {
+		spread = min(spread, config.PollWithin*2/5)
 	}
 	return spread
 }
@@ -92,7 +92,7 @@
 }
 
 // pollDiscovery subscribes to the endpoint list when that is due.
-func (b *Router) pollDiscovery() {
+func (b *Balancer) pollDiscovery() {
 	poll := &b.poll
 	if !poll.enabled || poll.inFlight {
 		return
@@ -103,5 +103,5 @@
 	}
 	poll.inFlight = true
 	poll.sentAt = b.now
-	b.emit(Track{})
+	b.emit(PollEndpointList{})
 }
--- a/balance/eligibility.go
+++ b/balance/eligibility.go
@@ -43,7 +43,7 @@
 func (e eligibility) String() string { return eligibilityTexts[e] }
 
 // eligibility is the one place that every send passes: it says whether the endpoint may be sent the request now.
-func (b *Router) eligibility(request *request, endpoint *endpoint) eligibility {
+func (b *Balancer) eligibility(request *request, endpoint *endpoint) eligibility {
 	if reason := request.sendable(endpoint.group); reason != eligible {
 		return reason
 	}
@@ -80,14 +80,14 @@
 	if !q.mayHaveRun {
 		return eligible
 	}
-	switch q.class.Effect {
-	case Unsafe:
+	switch q.class.Idempotency {
+	case NonIdempotent:
 		return repeatUnsafe
-	case Keyed:
+	case IdempotentWithKey:
 		if now >= q.idempotentUntil() {
 			return idempotencyExpired
 		}
-		if q.class.Scope == ScopeZone && endpoint.zone != q.firstRunZone {
+		if q.class.IdempotencyScope == ScopeZone && endpoint.zone != q.firstRunZone {
 			return idempotencyExpired
 		}
 	}
@@ -95,16 +95,16 @@
 }
 
 // dataRecentEnough says whether the endpoint has the data that a session read or a bounded read has to see.
-func (b *Router) dataRecentEnough(request *request, endpoint *endpoint) bool {
-	switch request.class.Need {
-	case NeedSession, NeedBounded:
+func (b *Balancer) dataRecentEnough(request *request, endpoint *endpoint) bool {
+	switch request.class.Consistency {
+	case ConsistencySession, ConsistencyBounded:
 		return endpoint.isPrimary() || b.isAvailable(request, endpoint)
 	}
 	return true
 }
 
 // capacityFor says whether the endpoint can take the request, however recent its data.
-func (b *Router) capacityFor(request *request, endpoint *endpoint) eligibility {
+func (b *Balancer) capacityFor(request *request, endpoint *endpoint) eligibility {
 	if reason := b.suspectEligibility(request, endpoint); reason != eligible {
 		return reason
 	}
@@ -127,7 +127,7 @@
 // lost, so it gets one recovery attempt at a time, after a health check has been answered. A write that must not run
 // twice is tried only where the endpoint has been the primary since, or cannot be reached, so that the write would
 // not run at all.
-func (b *Router) suspectEligibility(request *request, endpoint *endpoint) eligibility {
+func (b *Balancer) suspectEligibility(request *request, endpoint *endpoint) eligibility {
 	health := &endpoint.health
 	if !health.suspect {
 		return eligible
@@ -136,7 +136,7 @@
 		return recoveryNotDue
 	}
 	confirmedPrimary := endpoint.role.primaryAt > health.suspectSince
-	if request.class.Effect == Unsafe && !confirmedPrimary && !health.unreachable {
+	if request.class.Idempotency == NonIdempotent && !confirmedPrimary && !health.unreachable {
 		return writeTooRisky
 	}
 	return eligible
@@ -144,8 +144,8 @@
 
 // recoveryAwaitsReport says that a recovery attempt has to wait for the answer to a health check. A primary that only
 // this instance cannot reach is tried without one: nothing else takes its writes.
-func (b *Router) recoveryAwaitsReport(endpoint *endpoint) bool {
-	if !b.config.Probes || endpoint.health.reportedSinceAttempt {
+func (b *Balancer) recoveryAwaitsReport(endpoint *endpoint) bool {
+	if !b.config.HealthChecks || endpoint.health.reportedSinceAttempt {
 		return false
 	}
 	return b.healthChecks.available() && !endpoint.stillPrimaryForGroup()
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -24,12 +24,12 @@
 }
 
 // newEndpoint returns an endpoint of which nothing is known but what discovery says.
-func newEndpoint(entry Entry, group *replicaGroup, initialLimit float64) *endpoint {
+func newEndpoint(entry EndpointEntry, group *replicaGroup, initialLimit float64) *endpoint {
 	return &endpoint{
-		id:        entry.Node,
+		id:        entry.Endpoint,
 		group:     group,
-		discovery: discoveryState{state: Ready},
-		slowStart: slowStart{startedAt: entry.ReadyAt},
+		discovery: discoveryState{state: EndpointReady},
+		slowStart: slowStart{startedAt: entry.StartedAt},
 		limit:     newConcurrencyLimit(initialLimit),
 	}
 }
@@ -41,7 +41,9 @@
 func (e *endpoint) isPrimary() bool { return e.group.primary.endpoint == e }
 
 // inService says that the endpoint may get anything at all.
-func (e *endpoint) inService() bool { return e.discovery.state == Ready && !e.discovery.suspended }
+func (e *endpoint) inService() bool {
+	return e.discovery.state == EndpointReady && !e.discovery.suspended
+}
 
 // restart forgets what was observed of the endpoint before it started anew.
 func (e *endpoint) restart(at Time, initialLimit float64) {
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -2,7 +2,7 @@
 
 // discoveryState is what discovery and the operators say of an endpoint.
 type discoveryState struct {
-	state         State
+	state         EndpointState
 	everDraining  bool // it was listed as draining once: it is never sent anything again but as ready
 	listedPrimary bool // the endpoint list calls it primary
 	removedAt     Time // when it left the list
@@ -13,23 +13,23 @@
 // allowsSends says whether an endpoint in this state may get requests. One that drains must get nothing new, from the
 // moment that this is known. One that has only left the list may still serve where removal is soft.
 func (d *discoveryState) allowsSends(softRemoval bool) bool {
-	if d.state == Ready {
+	if d.state == EndpointReady {
 		return true
 	}
-	return softRemoval && !d.everDraining && d.state != Draining
+	return softRemoval && !d.everDraining && d.state != EndpointDraining
 }
 
 // withdraw notes that the list no longer calls the endpoint ready.
-func (d *discoveryState) withdraw(state State, now Time) {
-	if d.state != Gone {
+func (d *discoveryState) withdraw(state EndpointState, now Time) {
+	if d.state != EndpointRemoved {
 		d.removedAt = now
 	}
 	d.state = state
-	d.everDraining = d.everDraining || state == Draining
+	d.everDraining = d.everDraining || state == EndpointDraining
 }
 
 // handleDiscovery applies an endpoint list, or notes that none came.
-func (b *Router) handleDiscovery(list List) {
+func (b *Balancer) handleDiscovery(list EndpointList) {
 	switch list.Kind {
 	case ListFailed, ListSilent:
 		b.poll.failed(b.now, list.Kind == ListSilent)
@@ -41,7 +41,7 @@
 	}
 	listed := map[string]bool{}
 	for _, entry := range list.Entries {
-		listed[entry.Node] = true
+		listed[entry.Endpoint] = true
 		b.applyEntry(entry)
 	}
 	if list.Kind != ListDelta {
@@ -50,38 +50,38 @@
 }
 
 // withdrawUnlisted removes the endpoints that a complete list doesn't name.
-func (b *Router) withdrawUnlisted(listed map[string]bool) {
+func (b *Balancer) withdrawUnlisted(listed map[string]bool) {
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
-			if !listed[endpoint.id] && endpoint.discovery.state != Gone {
-				b.withdraw(endpoint, Gone)
+			if !listed[endpoint.id] && endpoint.discovery.state != EndpointRemoved {
+				b.withdraw(endpoint, EndpointRemoved)
 			}
 		}
 	}
 }
 
 // applyEntry takes in what the list says of one endpoint.
-func (b *Router) applyEntry(entry Entry) {
-	endpoint := b.endpoints[entry.Node]
+func (b *Balancer) applyEntry(entry EndpointEntry) {
+	endpoint := b.endpoints[entry.Endpoint]
 	if endpoint == nil {
-		if entry.State == Gone {
+		if entry.State == EndpointRemoved {
 			return
 		}
 		endpoint = b.addEndpoint(entry)
 	}
 	endpoint.zone = entry.Zone
-	if entry.State != Ready {
+	if entry.State != EndpointReady {
 		b.withdraw(endpoint, entry.State)
 		return
 	}
 	group := endpoint.group
-	if entry.ReadyAt > endpoint.slowStart.startedAt {
-		endpoint.restart(entry.ReadyAt, b.config.initialLimit())
-		if group.primary.endpoint == endpoint && entry.ReadyAt > group.primary.observedAt {
+	if entry.StartedAt > endpoint.slowStart.startedAt {
+		endpoint.restart(entry.StartedAt, b.config.initialLimit())
+		if group.primary.endpoint == endpoint && entry.StartedAt > group.primary.observedAt {
 			b.markPrimarySuspect(group, "it restarted")
 		}
 	}
-	endpoint.discovery.state = Ready
+	endpoint.discovery.state = EndpointReady
 	// The list may lag by seconds: it counts only where no answer or report has said anything newer.
 	newlyListed := entry.Primary && !endpoint.discovery.listedPrimary
 	if newlyListed && !group.primary.known() && endpoint.role.replicaAt == 0 {
@@ -90,17 +90,17 @@
 	endpoint.discovery.listedPrimary = entry.Primary
 }
 
-func (b *Router) addEndpoint(entry Entry) *endpoint {
+func (b *Balancer) addEndpoint(entry EndpointEntry) *endpoint {
 	group := b.groupFor(entry.Group)
 	endpoint := newEndpoint(entry, group, b.config.initialLimit())
-	endpoint.discovery.suspended = b.suspended[entry.Node]
-	b.endpoints[entry.Node] = endpoint
+	endpoint.discovery.suspended = b.suspended[entry.Endpoint]
+	b.endpoints[entry.Endpoint] = endpoint
 	group.add(endpoint)
 	return endpoint
 }
 
 // withdraw takes an endpoint out of use that drains, is gone or is suspended.
-func (b *Router) withdraw(endpoint *endpoint, state State) {
+func (b *Balancer) withdraw(endpoint *endpoint, state EndpointState) {
 	endpoint.discovery.withdraw(state, b.now)
 	if endpoint.isPrimary() {
 		b.markPrimarySuspect(endpoint.group, "it leaves")
@@ -109,14 +109,14 @@
 
 // handleSuspend takes an endpoint out of service until operators resume it. The suspension stands beside the state
 // that discovery tells, since the list goes on calling the endpoint ready, or does so again once it is back.
-func (b *Router) handleSuspend(event Suspend) {
-	b.suspended[event.Node] = event.Out
-	endpoint := b.endpoints[event.Node]
-	if endpoint == nil || endpoint.discovery.suspended == event.Out {
+func (b *Balancer) handleSuspend(event Suspend) {
+	b.suspended[event.Endpoint] = event.Suspended
+	endpoint := b.endpoints[event.Endpoint]
+	if endpoint == nil || endpoint.discovery.suspended == event.Suspended {
 		return
 	}
-	endpoint.discovery.suspended = event.Out
-	if event.Out {
+	endpoint.discovery.suspended = event.Suspended
+	if event.Suspended {
 		b.withdraw(endpoint, endpoint.discovery.state)
 		return
 	}
--- a/balance/event.go
+++ b/balance/event.go
@@ -8,87 +8,87 @@
 // Event is something that happened; the types below implement it.
 type Event interface{ event() }
 
-// State is the lifecycle of an endpoint as discovery tells it.
-type State int
+// EndpointState is the lifecycle of an endpoint as discovery tells it.
+type EndpointState int
 
 const (
-	Gone     State = 0 // removed
-	Ready    State = 1 // may be sent requests
-	Draining State = 2 // finishes what it has and must get nothing new
+	EndpointRemoved  EndpointState = 0 // removed
+	EndpointReady    EndpointState = 1 // may be sent requests
+	EndpointDraining EndpointState = 2 // finishes what it has and must get nothing new
 )
 
-// ListKind says how to read a List.
-type ListKind int
+// EndpointListKind says how to read an EndpointList.
+type EndpointListKind int
 
 const (
-	ListDelta  ListKind = iota // only what changed
-	ListFull                   // everything
-	ListCached                 // everything, as it was when the instance last ran
-	ListFailed                 // a poll failed or the subscription broke
-	ListSilent                 // the same, and discovery was not heard, or said nothing that can be believed
+	ListDelta  EndpointListKind = iota // only what changed
+	ListFull                           // everything
+	ListCached                         // everything, as it was when the instance last ran
+	ListFailed                         // a poll failed or the subscription broke
+	ListSilent                         // the same, and discovery was not heard, or said nothing that can be believed
 )
 
-// Entry is one endpoint in an endpoint list.
-type Entry struct {
-	Node    string // the endpoint's id
-	Zone    string
-	Group   int64
-	State   State
-	Primary bool // discovery calls it the primary of its group
-	ReadyAt Time // the last start; 0 = long ago
+// EndpointEntry is one endpoint in an endpoint list.
+type EndpointEntry struct {
+	Endpoint  string // the endpoint's id
+	Zone      string
+	Group     int64
+	State     EndpointState
+	Primary   bool // discovery calls it the primary of its group
+	StartedAt Time // the last start; 0 = long ago
 }
 
-// List is an endpoint list, or a change of it, as discovery says it.
-type List struct {
-	Kind    ListKind
-	Entries []Entry
+// EndpointList is an endpoint list, or a change of it, as discovery says it.
+type EndpointList struct {
+	Kind    EndpointListKind
+	Entries []EndpointEntry
 }
 
 // Request is a new request. Exactly one final answer is owed.
 type Request struct {
-	ID        string
-	Class     string
-	Tenant    string
-	Group     int64
-	Key       int64         // the session; 0 = none
-	Expires   time.Duration // how long the client still waits
-	SinceLast time.Duration // age of the session's last write; 0 = none
-	Estimate  time.Duration // expected work; 0 = not told
-	Retry     bool          // the client sends the same request again
-	Tried     int           // attempts that it has used before, none of which ran
+	ID                string
+	Class             string
+	Tenant            string
+	Group             int64
+	SessionID         int64         // the session; 0 = none
+	TimeLeft          time.Duration // how long the client still waits
+	SinceSessionWrite time.Duration // age of the session's last write; 0 = none
+	EstimatedWork     time.Duration // expected work; 0 = not told
+	Retry             bool          // the client sends the same request again
+	PriorAttempts     int           // attempts that it has used before, none of which ran
 }
 
 // Status is how an attempt or a health check ended.
 type Status int
 
 const (
-	Done          Status = iota // served
-	Error                       // answered with an error; may have run
-	Busy                        // rejected unseen
-	TimedOut                    // may have run
-	ConnectFailed               // never ran
-	Reset                       // may have run
-	Cancelled                   // may have run
-	Skipped                     // never sent
-	Miss                        // sent back untouched: wrong role, or data too old
+	StatusDone          Status = iota // served
+	StatusError                       // answered with an error; may have run
+	StatusBusy                        // rejected unseen
+	StatusTimedOut                    // may have run
+	StatusConnectFailed               // never ran
+	StatusReset                       // may have run
+	StatusCancelled                   // may have run
+	StatusNotSent                     // never sent
+	StatusMiss                        // sent back untouched: wrong role, or data too old
 )
 
 // answered says that the endpoint itself has answered.
 func (s Status) answered() bool {
 	switch s {
-	case Done, Error, Busy, Miss:
+	case StatusDone, StatusError, StatusBusy, StatusMiss:
 		return true
 	}
 	return false
 }
 
 // reachedEndpoint says that the request has reached the endpoint, or may have.
-func (s Status) reachedEndpoint() bool { return s != ConnectFailed && s != Skipped }
+func (s Status) reachedEndpoint() bool { return s != StatusConnectFailed && s != StatusNotSent }
 
 // mayHaveRun says that the request may have run, or may still run, though its outcome is not known.
 func (s Status) mayHaveRun() bool {
 	switch s {
-	case Error, TimedOut, Reset, Cancelled:
+	case StatusError, StatusTimedOut, StatusReset, StatusCancelled:
 		return true
 	}
 	return false
@@ -103,29 +103,29 @@
 	RoleReplica
 )
 
-// Outcome ends one attempt.
-type Outcome struct {
+// AttemptResult ends one attempt.
+type AttemptResult struct {
 	ID       string // of the request
 	Attempt  int
-	Node     string // the endpoint
+	Endpoint string // the endpoint
 	Status   Status
-	Took     time.Duration
+	Elapsed  time.Duration
 	Finished bool // the request is answered
 	Role     Role
 	Position Time // the replication position, an instant on the caller's clock; 0 = not told
 }
 
-// ProbeResult ends one health check.
-type ProbeResult struct {
-	Node     string // the endpoint
+// HealthCheckResult ends one health check.
+type HealthCheckResult struct {
+	Endpoint string // the endpoint
 	Status   Status
-	Took     time.Duration
+	Elapsed  time.Duration
 	Role     Role
 	Position Time // 0 = not told
 }
 
-// ClientGone says that the client has disconnected; nothing is owed any more.
-type ClientGone struct{ ID string }
+// ClientDisconnected says that the client has disconnected; nothing is owed any more.
+type ClientDisconnected struct{ ID string }
 
 // FirstByte says that a response has begun to stream: its attempt has no deadline any more.
 type FirstByte struct {
@@ -136,26 +136,26 @@
 // Suspend takes an endpoint out of service, whatever discovery says of it, or lets it back in. It may come again, and
 // for an endpoint that is not listed yet.
 type Suspend struct {
-	Node string
-	Out  bool
+	Endpoint  string
+	Suspended bool
 }
 
-// Pace limits the endpoints of a zone to a part of their capacity: 0 = not at all, 1 = as usual. A zone that returns
-// is ramped up with it.
-type Pace struct {
-	Zone string
-	Part float64
+// ZoneCapacity limits the endpoints of a zone to a part of their capacity: 0 = not at all, 1 = as usual. A zone that
+// returns is ramped up with it.
+type ZoneCapacity struct {
+	Zone  string
+	Share float64
 }
 
 // Wake is a Timer that ran out.
 type Wake struct{}
 
-func (List) event()        {}
-func (Request) event()     {}
-func (Outcome) event()     {}
-func (ProbeResult) event() {}
-func (ClientGone) event()  {}
-func (FirstByte) event()   {}
-func (Suspend) event()     {}
-func (Pace) event()        {}
-func (Wake) event()        {}
+func (EndpointList) event()       {}
+func (Request) event()            {}
+func (AttemptResult) event()      {}
+func (HealthCheckResult) event()  {}
+func (ClientDisconnected) event() {}
+func (FirstByte) event()          {}
+func (Suspend) event()            {}
+func (ZoneCapacity) event()       {}
+func (Wake) event()               {}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -10,22 +10,22 @@
 // A gateway passes what happened and carries out what comes back.
 func Example() {
 	router, err := balance.New(balance.Config{Instances: 1, Zone: "east", Classes: []balance.Class{
-		{Name: "write", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedUpdate,
-			Effect: balance.Unsafe},
+		{Name: "write", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite,
+			Idempotency: balance.NonIdempotent},
 	}}, 1)
 	if err != nil {
 		panic(err)
 	}
 	acts := router.Step(time.Second,
 		[]balance.Event{
-			balance.List{Kind: balance.ListFull, Entries: []balance.Entry{
-				{Node: "db1", Zone: "east", Group: 7, State: balance.Ready},
-				{Node: "db2", Zone: "east", Group: 7, State: balance.Ready, Primary: true}}},
-			balance.Request{ID: "r1", Class: "write", Group: 7, Expires: 3 * time.Second},
+			balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+				{Endpoint: "db1", Zone: "east", Group: 7, State: balance.EndpointReady},
+				{Endpoint: "db2", Zone: "east", Group: 7, State: balance.EndpointReady, Primary: true}}},
+			balance.Request{ID: "r1", Class: "write", Group: 7, TimeLeft: 3 * time.Second},
 		})
 	for _, a := range acts {
 		if s, ok := a.(balance.Send); ok {
-			fmt.Println(s.ID, "to", s.Node)
+			fmt.Println(s.ID, "to", s.Endpoint)
 		}
 	}
 	// Output: r1 to db2
--- a/balance/expiry.go
+++ b/balance/expiry.go
@@ -16,7 +16,7 @@
 // expire drops, once a second, what would add up for ever: endpoints that are gone, groups without endpoints, and
 // commits that all endpoints of their group are known to have applied. An endpoint that has only left the list may
 // come back where removal is soft, so it is kept for longer.
-func (b *Router) expire() {
+func (b *Balancer) expire() {
 	for _, class := range b.classes {
 		class.expire(b.config.hasFractionalShare())
 	}
@@ -36,9 +36,9 @@
 }
 
 // expireEndpoints drops the endpoints of the group that have been gone for the delay and have nothing in flight.
-func (b *Router) expireEndpoints(group *replicaGroup, delay time.Duration) {
+func (b *Balancer) expireEndpoints(group *replicaGroup, delay time.Duration) {
 	group.endpoints = slices.DeleteFunc(group.endpoints, func(endpoint *endpoint) bool {
-		if endpoint.discovery.state != Gone || len(endpoint.inFlight) > 0 {
+		if endpoint.discovery.state != EndpointRemoved || len(endpoint.inFlight) > 0 {
 			return false
 		}
 		if b.now-endpoint.discovery.removedAt < delay {
@@ -50,7 +50,7 @@
 }
 
 // expireGroups drops the groups without endpoints and without pending requests.
-func (b *Router) expireGroups() {
+func (b *Balancer) expireGroups() {
 	b.sortedGroups = slices.DeleteFunc(b.sortedGroups, func(group *replicaGroup) bool {
 		if len(group.endpoints) > 0 || len(group.pending) > 0 {
 			return false
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -16,7 +16,7 @@
 	t       *testing.T
 	rng     *rand.Rand
 	now     Time
-	routers []*Router
+	routers []*Balancer
 	woken   []Time // the timer of each instance
 	members map[string]*member
 	todo    schedule
@@ -88,11 +88,11 @@
 // fleetConfig is a deployment of eighty: reads within half a second, long ones of any age, writes.
 func fleetConfig() Config {
 	c := testConfig()
-	c.Instances, c.ProbePrice, c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor = 80, 0.08, 0.16, 18*time.Second, 2.5, 2*time.Second
+	c.Instances, c.HealthCheckCost, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = 80, 0.08, 0.16, 18*time.Second, 2.5, 2*time.Second
 	c.Classes = []Class{
-		{Name: "bounded", Aim: 120 * ms, GiveUp: 450 * ms, Worth: 2, LateShare: 0.2, Need: NeedBounded, Bound: 500 * ms},
-		{Name: "any", Aim: 1860 * ms, GiveUp: 3700 * ms, Worth: 6, LateShare: 0.2, Need: NeedAny},
-		{Name: "write", Aim: 380 * ms, GiveUp: 1100 * ms, Worth: 3, LateShare: 0.5, Need: NeedUpdate, Effect: Unsafe},
+		{Name: "bounded", LatencyObjective: 120 * ms, ClientTimeout: 450 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: ConsistencyBounded, MaxStaleness: 500 * ms},
+		{Name: "any", LatencyObjective: 1860 * ms, ClientTimeout: 3700 * ms, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: ConsistencyAny},
+		{Name: "write", LatencyObjective: 380 * ms, ClientTimeout: 1100 * ms, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: ConsistencyWrite, Idempotency: NonIdempotent},
 	}
 	return c
 }
@@ -105,12 +105,12 @@
 func newFleetOf(t *testing.T, seed uint64, groups int, c Config) *fleet {
 	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, members: map[string]*member{},
 		longs: map[string]int{}, came: map[string]int{}, lost: map[string]int{}, kind: map[string]string{}}
-	var l List
+	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
 			m := &member{id: fmt.Sprintf("%02d%c", g, 'a'+i), group: int64(g), leads: i == 0, cores: make([]Time, 3), applied: f.now}
 			f.members[m.id] = m
-			l.Entries = append(l.Entries, Entry{Node: m.id, Zone: "a", Group: m.group, State: Ready, Primary: m.leads})
+			l.Entries = append(l.Entries, EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.leads})
 		}
 	}
 	l.Kind = ListCached
@@ -137,25 +137,25 @@
 		switch a := a.(type) {
 		case Send:
 			q := r.requests[a.ID]
-			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.members[a.Node]) })
-		case Probe:
+			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.members[a.Endpoint]) })
+		case HealthCheck:
 			f.probes++
-			m := f.members[a.Node]
+			m := f.members[a.Endpoint]
 			f.after(2*ms, func() {
 				if f.routers[i] != r {
 					return // it has started anew
 				}
-				f.step(i, ProbeResult{Node: m.id, Status: Done, Role: m.role(), Position: m.position(f.now) - 100*ms})
+				f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now) - 100*ms})
 			})
 		case Timer:
-			at := f.now + a.In
+			at := f.now + a.After
 			f.woken[i] = at
-			f.after(a.In, func() {
+			f.after(a.After, func() {
 				if f.woken[i] == at {
 					f.step(i, Wake{})
 				}
 			})
-		case Refuse:
+		case Reject:
 			f.refused++
 			if i == 0 {
 				f.lost[f.kind[a.ID]]++
@@ -218,7 +218,7 @@
 		case class == "any":
 			f.longs[m.id]++
 		}
-		f.step(i, Outcome{ID: id, Attempt: leg, Node: m.id, Status: Done, Took: f.now - began, Finished: true, Role: m.role(),
+		f.step(i, AttemptResult{ID: id, Attempt: leg, Endpoint: m.id, Status: StatusDone, Elapsed: f.now - began, Finished: true, Role: m.role(),
 			Position: m.position(f.now)})
 	})
 }
@@ -240,13 +240,13 @@
 			class = "write"
 		}
 		q, i := Request{ID: fmt.Sprint("r", f.requests), Class: class, Group: int64(f.rng.IntN(groups)),
-			Expires: fleetConfig().Classes[0].GiveUp}, f.rng.IntN(len(f.routers))
+			TimeLeft: fleetConfig().Classes[0].ClientTimeout}, f.rng.IntN(len(f.routers))
 		if f.busy > 0 {
 			if i = max(1, i); f.rng.IntN(10000) < f.busy {
 				i = 0
 				f.came[class]++
 			}
-			f.kind[q.ID], q.Expires = class, f.routers[i].classes[class].GiveUp
+			f.kind[q.ID], q.TimeLeft = class, f.routers[i].classes[class].ClientTimeout
 		}
 		f.step(i, q)
 		f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -315,7 +315,7 @@
 	for _, seed := range []uint64{1, 2, 3} {
 		c := fleetConfig()
 		for i := range 2 {
-			c.Classes[i].Aim, c.Classes[i].GiveUp = time.Second, 3*time.Second
+			c.Classes[i].LatencyObjective, c.Classes[i].ClientTimeout = time.Second, 3*time.Second
 		}
 		f := newFleetOf(t, seed, 4, c)
 		f.alike, f.times = true, 8 // 200 ms: more than a third of the bound
@@ -343,20 +343,20 @@
 		m := f.members[id]
 		m.startAt, m.work = f.now, nil
 		for i := range f.routers {
-			f.step(i, List{Entries: []Entry{{Node: m.id, Zone: "a", State: Ready, Primary: m.leads, ReadyAt: f.now}}})
-			f.step(i, ProbeResult{Node: m.id, Status: Done, Role: m.role(), Position: m.position(f.now)})
+			f.step(i, EndpointList{Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}}})
+			f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
 		}
 		f.load(700, 4, 6*time.Second)
 		c, got := fleetConfig(), 0.0
-		for at := m.startAt; at+c.FallFor <= f.now; at += 100 * ms {
+		for at := m.startAt; at+c.OverloadWindow <= f.now; at += 100 * ms {
 			work := time.Duration(0)
 			for _, p := range m.work {
-				if p.at >= at && p.at < at+c.FallFor {
+				if p.at >= at && p.at < at+c.OverloadWindow {
 					work += p.work
 				}
 			}
-			warm := c.ColdFrom + (1-c.ColdFrom)*(at-m.startAt).Seconds()/c.ColdFor.Seconds()
-			part := work.Seconds() / (c.FallMultiple * warm * 3 * c.FallFor.Seconds())
+			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-m.startAt).Seconds()/c.SlowStartWindow.Seconds()
+			part := work.Seconds() / (c.OverloadMultiple * warm * 3 * c.OverloadWindow.Seconds())
 			if got = max(got, part); part > 1 {
 				t.Fatalf("seed %d: %.2f of what makes it fall over, %v after its start", seed, part, at-m.startAt)
 			}
@@ -376,7 +376,7 @@
 	for seed := range uint64(100) {
 		for _, took := range []time.Duration{5 * ms, 700 * ms, patience} {
 			c := testConfig()
-			c.Instances, c.Ask, c.AskWithin, c.DrainGrace = 300, true, 10*time.Second, 1200*ms
+			c.Instances, c.PollDiscovery, c.PollWithin, c.DrainGrace = 300, true, 10*time.Second, 1200*ms
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -387,9 +387,9 @@
 				called := now
 				now += took
 				failed := now
-				asked := len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListFailed}}))) > 0
+				asked := len(actionsOf[PollEndpointList](r.Step(now, []Event{EndpointList{Kind: ListFailed}}))) > 0
 				for ; !asked; now += 5 * ms {
-					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
 				}
 				if again := now - called; again+patience+way > 6*time.Second {
 					t.Errorf("seed %d, turned away after %v, round %d: called again %v after the call", seed, took, round, again)
@@ -409,7 +409,7 @@
 	const fleet, slack, connect = 300, time.Second, 250 * ms
 	for _, seed := range []uint64{1, 2, 3} {
 		c := testConfig()
-		c.Instances, c.Ask, c.AskWithin, c.DrainGrace = fleet, true, 10*time.Second, 2*time.Second
+		c.Instances, c.PollDiscovery, c.PollWithin, c.DrainGrace = fleet, true, 10*time.Second, 2*time.Second
 		in := map[time.Duration]int{} // calls by tenth of a second
 		for i := range fleet {
 			r, err := New(c, seed*1000+uint64(i))
@@ -418,16 +418,16 @@
 			}
 			now := 100 * time.Second
 			r.Step(now, []Event{threeEndpoints(ListCached)})
-			for len(actionsOf[Track](r.Step(now, nil))) == 0 {
+			for len(actionsOf[PollEndpointList](r.Step(now, nil))) == 0 {
 				now += 10 * ms
 			}
 			// Its watch ends in silence now, and so does each connection it opens.
 			now += 5*time.Second + slack
 			for silent := range 20 {
 				from := now
-				asked := len(actionsOf[Track](r.Step(now, []Event{List{Kind: ListSilent}}))) > 0
+				asked := len(actionsOf[PollEndpointList](r.Step(now, []Event{EndpointList{Kind: ListSilent}}))) > 0
 				for ; !asked; now += 10 * ms {
-					asked = len(actionsOf[Track](r.Step(now, nil))) > 0
+					asked = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
 				}
 				if silent == 0 {
 					in[(now-from)/(100*ms)]++
@@ -480,7 +480,7 @@
 		f.load(1600, 4, 6*time.Second)
 		mean := f.waited / time.Duration(f.writes)
 		t.Logf("seed %d: %d writes waited %v in the mean, %d reads by primaries", seed, f.writes, mean, f.reads)
-		if most := c.Classes[2].Aim / 2; mean > most || f.reads < 1000 {
+		if most := c.Classes[2].LatencyObjective / 2; mean > most || f.reads < 1000 {
 			t.Errorf("seed %d: writes waited %v in the mean, %v at most wanted; %d reads", seed, mean, most, f.reads)
 		}
 	}
@@ -506,14 +506,14 @@
 	c := testConfig()
 	c.Instances = 300
 	for i := range c.Classes {
-		c.Classes[i].Worth = 0
+		c.Classes[i].PriorityWeight = 0
 	}
 	h := newReadyHarness(t, c)
 	sent := 0
 	for range 40 {
 		for _, s := range actionsOf[Send](h.step(500*ms, h.request("any"))) {
 			sent++
-			h.step(0, Outcome{ID: s.ID, Node: s.Node, Status: Done, Took: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
 		}
 	}
 	if sent < 20 {
@@ -527,10 +527,10 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	var l List
+	var l EndpointList
 	for _, g := range f.routers[i].sortedGroups {
 		for _, n := range g.endpoints {
-			l.Entries = append(l.Entries, Entry{Node: n.id, Zone: n.zone, Group: g.id, State: n.discovery.state, Primary: f.members[n.id].leads, ReadyAt: n.slowStart.startedAt})
+			l.Entries = append(l.Entries, EndpointEntry{Endpoint: n.id, Zone: n.zone, Group: g.id, State: n.discovery.state, Primary: f.members[n.id].leads, StartedAt: n.slowStart.startedAt})
 		}
 	}
 	f.routers[i], f.woken[i], l.Kind = r, 0, ListCached
--- a/balance/health.go
+++ b/balance/health.go
@@ -80,7 +80,7 @@
 }
 
 // markSuspect notes that an endpoint is silent or cannot be reached, and sends it a health check.
-func (b *Router) markSuspect(endpoint *endpoint, reason string) {
+func (b *Balancer) markSuspect(endpoint *endpoint, reason string) {
 	if endpoint.health.suspect {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // markUnreachable notes an outage of the endpoint.
-func (b *Router) markUnreachable(endpoint *endpoint) {
+func (b *Balancer) markUnreachable(endpoint *endpoint) {
 	endpoint.health.unreachable = true
 	b.markSuspect(endpoint, "cannot be reached")
 	if endpoint.isPrimary() {
@@ -102,11 +102,11 @@
 // recordBrokenConnection notes that an attempt's connection broke or was refused. A path that breaks connections,
 // several in a row too, is no outage of the endpoint. One that has died takes no new connections either, so a health
 // check settles it; until its result a dead endpoint may get a few more requests.
-func (b *Router) recordBrokenConnection(endpoint *endpoint) {
+func (b *Balancer) recordBrokenConnection(endpoint *endpoint) {
 	health := &endpoint.health
 	b.recordFailure(endpoint)
 	health.brokenConnections++
-	brokenWithoutChecks := !b.config.Probes && health.brokenConnections >= refusalsForOutage
+	brokenWithoutChecks := !b.config.HealthChecks && health.brokenConnections >= refusalsForOutage
 	if health.refusedConnections >= refusalsForOutage || brokenWithoutChecks {
 		b.markUnreachable(endpoint)
 	} else {
@@ -115,7 +115,7 @@
 }
 
 // recordRecovery ends the suspicion of an endpoint that has served a request.
-func (b *Router) recordRecovery(endpoint *endpoint) {
+func (b *Balancer) recordRecovery(endpoint *endpoint) {
 	b.log("endpoint %s: serves again", endpoint.id)
 	// One that has died may have restarted: it warms up until discovery says otherwise. It is found unreachable more
 	// than once, when it falls silent and at its recovery attempts; taking each unreachable one for restarted would
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -64,13 +64,13 @@
 }
 
 // handleHealthCheck takes in the result of a health check.
-func (b *Router) handleHealthCheck(result ProbeResult) {
-	endpoint := b.endpoints[result.Node]
+func (b *Balancer) handleHealthCheck(result HealthCheckResult) {
+	endpoint := b.endpoints[result.Endpoint]
 	if endpoint == nil {
 		return
 	}
 	endpoint.check.inFlight = false
-	if result.Status != Done {
+	if result.Status != StatusDone {
 		b.recordFailedCheck(endpoint, result.Status)
 		return
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	replication := &endpoint.replication
-	if lag := b.now - result.Position; lag < replication.lag || b.config.Checks == ChecksNone {
+	if lag := b.now - result.Position; lag < replication.lag || b.config.FreshnessCheck == FreshnessCheckNone {
 		replication.observeLag(lag, b.now)
 	}
 	b.observeRole(endpoint, result.Role, result.Position) // a report is as old as a primary's position in it
@@ -87,15 +87,15 @@
 }
 
 // recordFailedCheck notes that a health check was not answered.
-func (b *Router) recordFailedCheck(endpoint *endpoint, status Status) {
+func (b *Balancer) recordFailedCheck(endpoint *endpoint, status Status) {
 	health := &endpoint.health
-	if b.config.Checks == ChecksNone {
+	if b.config.FreshnessCheck == FreshnessCheckNone {
 		endpoint.replication.lag = max(endpoint.replication.lag, activeWindow)
 	}
-	if health.suspect && status != Busy {
+	if health.suspect && status != StatusBusy {
 		health.unreachableAgain = true
 	}
-	if health.brokenConnections > 0 && status != Reset {
+	if health.brokenConnections > 0 && status != StatusReset {
 		b.markUnreachable(endpoint)
 	}
 	if health.suspect {
@@ -105,7 +105,7 @@
 
 // scheduleHealthChecks sends the health checks that the group needs now: only where something waits for them, and
 // further apart each time.
-func (b *Router) scheduleHealthChecks(group *replicaGroup) {
+func (b *Balancer) scheduleHealthChecks(group *replicaGroup) {
 	if !group.inUse(b.now) || group.idle(b.now) {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // primarySearchDue says that requests wait for a primary that is not known, or not reachable.
-func (b *Router) primarySearchDue(group *replicaGroup) bool {
+func (b *Balancer) primarySearchDue(group *replicaGroup) bool {
 	if !group.primaryLost() || b.now < group.search.nextAt {
 		return false
 	}
@@ -144,14 +144,14 @@
 // expireResumption ends the preference for an endpoint that operators have let back in and that was not used for
 // long. Until then it is checked on its own account: without a report no bounded read may try it, and nothing would
 // ask for one.
-func (b *Router) expireResumption(endpoint *endpoint) {
+func (b *Balancer) expireResumption(endpoint *endpoint) {
 	discovery := &endpoint.discovery
 	recent := b.now-endpoint.slowStart.recoveredAt < 2*activeWindow
 	discovery.resumed = discovery.resumed && (discovery.suspended || recent)
 }
 
 // healthCheckDue says whether the endpoint needs a health check of its own, and the least interval to the one before.
-func (b *Router) healthCheckDue(endpoint *endpoint) (interval time.Duration, due bool) {
+func (b *Balancer) healthCheckDue(endpoint *endpoint) (interval time.Duration, due bool) {
 	group, health := endpoint.group, &endpoint.health
 	usedSinceCheck := group.lastRequestAt > endpoint.check.sentAt
 	switch {
@@ -191,7 +191,7 @@
 // refreshPosition sends a health check to that one of the endpoints whose report is most likely to be of use to a
 // weak read. One report is enough: each step looks at a read that waits and would ask all endpoints while one report
 // is on its way. In a fixed order, one that is far behind would take all that many instances can spend, in vain.
-func (b *Router) refreshPosition(group *replicaGroup, outdated []*endpoint) {
+func (b *Balancer) refreshPosition(group *replicaGroup, outdated []*endpoint) {
 	if len(outdated) == 0 {
 		return
 	}
@@ -209,13 +209,13 @@
 // positionCheckInterval is how long a report of the endpoint is good enough. One that was behind the bound needs
 // about the time by which it was behind; where the group has no primary all stand still, so checks get rarer by
 // themselves.
-func (b *Router) positionCheckInterval(endpoint *endpoint) time.Duration {
+func (b *Balancer) positionCheckInterval(endpoint *endpoint) time.Duration {
 	return max(healthCheckInterval, min(endpoint.replication.lag-b.tightestBound, 2*primarySearchInterval))
 }
 
 // positionCheckCost ranks how little a report of the endpoint is likely to be of use to a bounded read: less if it
 // was behind, then if it is in another zone.
-func (b *Router) positionCheckCost(endpoint *endpoint) int {
+func (b *Balancer) positionCheckCost(endpoint *endpoint) int {
 	rank := 0
 	if !b.reportedWithinBound(endpoint) {
 		rank = 2
@@ -228,7 +228,7 @@
 
 // comparePositionChecks orders endpoints by the cost rank of a health check, then by which was not checked for
 // longest.
-func (b *Router) comparePositionChecks(x, y *endpoint) int {
+func (b *Balancer) comparePositionChecks(x, y *endpoint) int {
 	return cmp.Or(
 		cmp.Compare(b.positionCheckCost(x), b.positionCheckCost(y)),
 		cmp.Compare(x.check.sentAt, y.check.sentAt),
@@ -237,20 +237,20 @@
 
 // healthCheckAllowed says whether the endpoint may be sent a health check now, at least an interval after the last
 // one.
-func (b *Router) healthCheckAllowed(endpoint *endpoint, interval time.Duration) bool {
-	if !b.config.Probes || endpoint.discovery.suspended {
+func (b *Balancer) healthCheckAllowed(endpoint *endpoint, interval time.Duration) bool {
+	if !b.config.HealthChecks || endpoint.discovery.suspended {
 		return false
 	}
 	return b.healthChecks.available() && endpoint.check.mayRepeat(b.now, interval)
 }
 
 // sendHealthCheck sends a health check if that is allowed.
-func (b *Router) sendHealthCheck(endpoint *endpoint, interval time.Duration) {
+func (b *Balancer) sendHealthCheck(endpoint *endpoint, interval time.Duration) {
 	if !b.healthCheckAllowed(endpoint, interval) {
 		return
 	}
 	endpoint.check.inFlight = true
 	endpoint.check.sentAt = b.now
 	b.healthChecks.spend()
-	b.emit(Probe{Node: endpoint.id})
+	b.emit(HealthCheck{Endpoint: endpoint.id})
 }
--- a/balance/liveness.go
+++ b/balance/liveness.go
@@ -13,14 +13,14 @@
 	latency := 0.0
 	for _, attempt := range inFlight {
 		class := attempt.request.class
-		latency = max(latency, class.latency, attempt.endpoint.limit.latencyRatio*class.Aim.Seconds())
+		latency = max(latency, class.latency, attempt.endpoint.limit.latencyRatio*class.LatencyObjective.Seconds())
 	}
 	return max(pauseThreshold, secondsToDuration(latency*(1.5+5/float64(len(inFlight)))))
 }
 
 // checkProgress looks for endpoints that make no progress, and cancels attempts that can safely be repeated
 // elsewhere.
-func (b *Router) checkProgress() {
+func (b *Balancer) checkProgress() {
 	stillBusy := b.busyEndpoints[:0]
 	for _, endpoint := range b.busyEndpoints {
 		if len(endpoint.inFlight) == 0 {
@@ -42,7 +42,7 @@
 
 // checkSilence marks the endpoint suspect if it has answered nothing for its silence timeout, and returns that
 // timeout.
-func (b *Router) checkSilence(endpoint *endpoint) time.Duration {
+func (b *Balancer) checkSilence(endpoint *endpoint) time.Duration {
 	live := b.liveAttempts(endpoint)
 	if len(live) == 0 {
 		return silenceTimeout(endpoint.inFlight...)
@@ -60,7 +60,7 @@
 // liveAttempts are the attempts in flight whose answers still say something of the endpoint. An attempt whose
 // connection has fallen silent, while the endpoint answers what was sent later, would make a busy endpoint look dead:
 // it counts as lost. The result is valid until the next call.
-func (b *Router) liveAttempts(endpoint *endpoint) []*attempt {
+func (b *Balancer) liveAttempts(endpoint *endpoint) []*attempt {
 	live := b.liveScratch[:0]
 	for _, attempt := range endpoint.inFlight {
 		if attempt.connectionLost {
@@ -79,11 +79,13 @@
 }
 
 // runningSince is since when an attempt has been in flight without a pause of this instance.
-func (b *Router) runningSince(attempt *attempt) Time { return max(attempt.sentAt, b.wake.runningSince) }
+func (b *Balancer) runningSince(attempt *attempt) Time {
+	return max(attempt.sentAt, b.wake.runningSince)
+}
 
 // answerCancelled rejects the request of a cancelled attempt before its client leaves: the end of the attempt may
 // come after that.
-func (b *Router) answerCancelled(attempt *attempt) {
+func (b *Balancer) answerCancelled(attempt *attempt) {
 	request := attempt.request
 	if !attempt.cancelled || request.answered {
 		return
@@ -96,7 +98,7 @@
 }
 
 // cancelSilent cancels an attempt that is not answered for the timeout, if its request can be repeated elsewhere.
-func (b *Router) cancelSilent(attempt *attempt, timeout time.Duration) {
+func (b *Balancer) cancelSilent(attempt *attempt, timeout time.Duration) {
 	if attempt.cancelled || !b.mayCancel(attempt) {
 		return
 	}
@@ -110,11 +112,11 @@
 }
 
 // mayCancel says whether an attempt at a silent endpoint, or on a silent connection, can be cancelled and repeated.
-func (b *Router) mayCancel(attempt *attempt) bool {
+func (b *Balancer) mayCancel(attempt *attempt) bool {
 	silent := attempt.endpoint.health.suspect || attempt.connectionLost
 	if !silent || attempt.request.answered {
 		return false
 	}
-	repeatable := attempt.request.class.Effect == Safe && b.retries.covers(1)
-	return repeatable && b.config.Cancel
+	repeatable := attempt.request.class.Idempotency == Idempotent && b.retries.covers(1)
+	return repeatable && b.config.Cancellation
 }
--- a/balance/long_read.go
+++ b/balance/long_read.go
@@ -43,15 +43,18 @@
 // Where no class is bounded no read is hurt by that; taken for a bound of 0, all reads would go to the last replica
 // of each group. Reads that take about as long as bounded ones hold up replication no longer than these do anywhere;
 // kept apart all the same, they and the bounded reads there would crowd some replicas while others idle.
-func (b *Router) isLongRead(class *classState) bool {
-	if class.Need != NeedAny || b.tightestBound == 0 {
+func (b *Balancer) isLongRead(class *classState) bool {
+	if class.Consistency != ConsistencyAny || b.tightestBound == 0 {
 		return false
 	}
 	if class.latency <= longReadBoundShare*b.tightestBound.Seconds() {
 		return false
 	}
 	for _, other := range b.config.Classes {
-		if other.Need == NeedBounded && class.serviceTime < longReadFactor*b.classes[other.Name].serviceTime {
+		if other.Consistency != ConsistencyBounded {
+			continue
+		}
+		if class.serviceTime < longReadFactor*b.classes[other.Name].serviceTime {
 			return false
 		}
 	}
@@ -61,7 +64,7 @@
 // longReadCandidates picks the replicas for a long read of those that can take it: the last by id, the same at all
 // instances. Long reads spread over all replicas, by each instance as it sees them, would leave none that is recent
 // enough for bounded reads. The candidates may name a replica twice, and the result too.
-func (b *Router) longReadCandidates(group *replicaGroup, candidates []*endpoint) []*endpoint {
+func (b *Balancer) longReadCandidates(group *replicaGroup, candidates []*endpoint) []*endpoint {
 	assigned := b.longReadReplicas(group)
 	chosen := slices.DeleteFunc(slices.Clone(candidates), func(candidate *endpoint) bool {
 		return !slices.Contains(assigned, candidate)
@@ -77,7 +80,7 @@
 // Where the share of an instance is under one attempt no limit makes long reads spill over. They would wait in one
 // replica's queue, of all instances together, until they time out, while others idle. There they get as large a part
 // of the group as long reads are of the work: that is the same at each instance, whatever traffic it has.
-func (b *Router) longReadReplicas(group *replicaGroup) []*endpoint {
+func (b *Balancer) longReadReplicas(group *replicaGroup) []*endpoint {
 	var replicas []*endpoint
 	for _, endpoint := range group.endpoints {
 		if endpoint.inService() && !endpoint.isPrimary() {
@@ -92,7 +95,7 @@
 }
 
 // longReadShare is the part of the work asked of this instance that long reads are.
-func (b *Router) longReadShare() float64 {
+func (b *Balancer) longReadShare() float64 {
 	long, all := 0.0, 0.0
 	for _, configured := range b.config.Classes { // in their order: sums in another order differ
 		class := b.classes[configured.Name]
@@ -118,7 +121,7 @@
 // very many long reads: that frees no replica. There long reads have a part of the group of their own
 // (longReadReplicas). And where the log is applied too slowly whoever reads, as on a slow machine, holding long reads
 // back gains nothing.
-func (b *Router) defersToBoundedReads(request *request, endpoint *endpoint) bool {
+func (b *Balancer) defersToBoundedReads(request *request, endpoint *endpoint) bool {
 	group, class := request.group, request.class
 	if endpoint.isPrimary() || !b.isLongRead(class) || b.config.hasFractionalShare() {
 		return false
@@ -138,8 +141,8 @@
 
 // recordShortage notes that a request is given up. What is given up while the group has no primary says nothing of
 // capacity.
-func (b *Router) recordShortage(request *request) {
-	if request.reached || request.class.Need != NeedBounded || request.group.primaryLost() {
+func (b *Balancer) recordShortage(request *request) {
+	if request.reached || request.class.Consistency != ConsistencyBounded || request.group.primaryLost() {
 		return
 	}
 	request.group.shortage.add(request.weight, b.now)
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 // handleOutcome records how an attempt ended, and answers, closes or retries its request.
-func (b *Router) handleOutcome(outcome Outcome) {
+func (b *Balancer) handleOutcome(outcome AttemptResult) {
 	request := b.requests[outcome.ID]
 	if request == nil {
 		return
@@ -17,7 +17,7 @@
 	request.inFlight--
 	endpoint.removeInFlight(attempt)
 	position := outcome.Position
-	if outcome.Status == Done && request.class.isWrite() {
+	if outcome.Status == StatusDone && request.class.isWrite() {
 		b.rememberCommit(request, cmp.Or(position, b.now)) // a commit without a position is taken as late as it can be
 		position -= commitRounding
 	}
@@ -41,7 +41,7 @@
 // retryCost is what a retry after this status takes from the retry budget. A rejected attempt and a miss have cost
 // the endpoint nothing.
 func (s Status) retryCost() float64 {
-	if s == Miss || s == Busy {
+	if s == StatusMiss || s == StatusBusy {
 		return 0
 	}
 	return 1
@@ -50,7 +50,7 @@
 // observeResponse takes in the role and the position that an answer tells. A primary that hands over misses new
 // writes, yet ends older ones and still answers reads. So a role is observed for the time of the send, and a read
 // does not restore what a miss has taken.
-func (b *Router) observeResponse(attempt *attempt, role Role, position Time) {
+func (b *Balancer) observeResponse(attempt *attempt, role Role, position Time) {
 	endpoint := attempt.endpoint
 	switch role {
 	case RoleUnknown:
@@ -70,38 +70,38 @@
 }
 
 // recordStatus records what the end of an attempt says of its endpoint.
-func (b *Router) recordStatus(attempt *attempt, outcome Outcome) {
+func (b *Balancer) recordStatus(attempt *attempt, outcome AttemptResult) {
 	request, endpoint := attempt.request, attempt.endpoint
 	backOffUntil := b.now + secondsToDuration(request.class.latency/2)
 	switch outcome.Status {
-	case Done:
+	case StatusDone:
 		if !attempt.streaming {
-			b.recordSuccess(request, endpoint, outcome.Took)
+			b.recordSuccess(request, endpoint, outcome.Elapsed)
 		}
-	case Miss:
+	case StatusMiss:
 		b.recordMiss(request, endpoint)
-	case Busy:
+	case StatusBusy:
 		endpoint.limit.recordRejection(b.now, backOffUntil, b.config.minLimit())
-	case Error:
+	case StatusError:
 		b.recordFailure(endpoint)
-	case ConnectFailed: // nothing ran: the same endpoint again, but not at once
+	case StatusConnectFailed: // nothing ran: the same endpoint again, but not at once
 		endpoint.limit.backOff(backOffUntil)
 		endpoint.health.unreachableAgain = endpoint.health.unreachableAgain || endpoint.health.suspect
 		endpoint.health.refusedConnections++
 		b.recordBrokenConnection(endpoint)
-	case Reset:
+	case StatusReset:
 		b.recordBrokenConnection(endpoint)
-	case TimedOut:
+	case StatusTimedOut:
 		// When clients give up, the served attempts alone would hide the overload: this one took the objective or
 		// more. An attempt on a connection that has fallen silent says nothing of load.
 		if !attempt.connectionLost {
-			b.adaptLimit(endpoint, max(1, request.class.objectiveShare(outcome.Took)))
+			b.adaptLimit(endpoint, max(1, request.class.objectiveShare(outcome.Elapsed)))
 		}
 	}
 }
 
 // recordMiss notes that the endpoint has sent the request back untouched: it is no primary, or too far behind.
-func (b *Router) recordMiss(request *request, endpoint *endpoint) {
+func (b *Balancer) recordMiss(request *request, endpoint *endpoint) {
 	request.missedBy = append(request.missedBy, endpoint)
 	if request.class.isWrite() {
 		b.observeReplica(endpoint, b.now)
@@ -112,7 +112,7 @@
 }
 
 // recordSuccess records that an endpoint has served a request, in the given time.
-func (b *Router) recordSuccess(request *request, endpoint *endpoint, took Time) {
+func (b *Balancer) recordSuccess(request *request, endpoint *endpoint, took Time) {
 	class := request.class
 	endpoint.outlier.recordSuccess()
 	endpoint.health.brokenConnections = 0
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -19,7 +19,7 @@
 func (e *endpoint) isOutlier() bool {
 	least := e.outlier.failureRate
 	for _, peer := range e.group.endpoints {
-		if peer.discovery.state == Ready && !peer.isPrimary() {
+		if peer.discovery.state == EndpointReady && !peer.isPrimary() {
 			least = min(least, peer.outlier.failureRate)
 		}
 	}
@@ -38,7 +38,7 @@
 }
 
 // recordFailure counts a failed attempt, and ejects the endpoint if that makes it an outlier.
-func (b *Router) recordFailure(endpoint *endpoint) {
+func (b *Balancer) recordFailure(endpoint *endpoint) {
 	endpoint.outlier.recordFailure()
 	if endpoint.isOutlier() && endpoint.health.recoveryAt < b.now {
 		endpoint.health.setBackoff(minRecoveryBackoff, b.now)
--- a/balance/pending_queue.go
+++ b/balance/pending_queue.go
@@ -37,7 +37,7 @@
 // work. What is sent too late only adds load.
 func (q *request) updateRank(now Time) {
 	inTime := 1 - math.Exp(-max(0, (q.objectiveAt-now).Seconds())/q.class.latency)
-	q.rank = q.weight / q.class.latency * (inTime + q.class.LateShare*(1-inTime))
+	q.rank = q.weight / q.class.latency * (inTime + q.class.LateWeightShare*(1-inTime))
 }
 
 // compareRanks orders pending requests: the highest rank first, then the one whose objective ends first.
@@ -47,7 +47,7 @@
 
 // dispatchPending sends the pending requests of a group that an endpoint can take now, in the order of their
 // priority, and rejects those that could no longer be answered in useful time.
-func (b *Router) dispatchPending(group *replicaGroup) {
+func (b *Balancer) dispatchPending(group *replicaGroup) {
 	if len(group.pending) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // dispatch sends or answers a pending request, and says whether it stays pending.
-func (b *Router) dispatch(request *request) (pending bool) {
+func (b *Balancer) dispatch(request *request) (pending bool) {
 	if request.answered {
 		return false
 	}
@@ -88,39 +88,39 @@
 }
 
 // lastUsefulSend is the time from which a send could no longer bring an answer in useful time.
-func (b *Router) lastUsefulSend(request *request) Time {
+func (b *Balancer) lastUsefulSend(request *request) Time {
 	end := request.lastAnswer()
-	if request.class.LateShare == 0 {
+	if request.class.LateWeightShare == 0 {
 		end = min(end, request.objectiveAt)
 	}
 	end -= secondsToDuration(request.class.latency / 2)
 	// A write that is pending for its primary is often served after half of its time. Giving it up then pays only
 	// where keeping it for longer, in vain, has a price.
-	if !request.reached && (request.class.Effect == Safe || b.config.HeldBack > 0) {
+	if !request.reached && (request.class.Idempotency == Idempotent || b.config.LateRejectCost > 0) {
 		end = min(end, request.halfTime()-tickInterval)
 	}
 	return end
 }
 
 // giveUp answers a request at once. A rejection says that a retry does no harm.
-func (b *Router) giveUp(request *request) {
+func (b *Balancer) giveUp(request *request) {
 	b.recordShortage(request)
 	if request.repeatMayRunTwice() {
 		b.emit(Fail{ID: request.id})
 	} else {
-		b.emit(Refuse{ID: request.id, RetryAfter: b.retryAfter(request.class)})
+		b.emit(Reject{ID: request.id, RetryAfter: b.retryAfter(request.class)})
 	}
 	b.closeRequest(request)
 }
 
 // retryAfter is what a rejected client is told to wait, wherever it can hear it: one that comes back at once meets
 // what rejected it.
-func (b *Router) retryAfter(class *classState) time.Duration {
-	return min(b.config.MaxRetryAfter, class.Aim)
+func (b *Balancer) retryAfter(class *classState) time.Duration {
+	return min(b.config.MaxRetryAfter, class.LatencyObjective)
 }
 
 // send starts the next attempt of a request.
-func (b *Router) send(request *request, endpoint *endpoint) {
+func (b *Balancer) send(request *request, endpoint *endpoint) {
 	attempt := &attempt{request: request, endpoint: endpoint, sentAt: b.now, number: len(request.attempts)}
 	if len(endpoint.inFlight) == 0 {
 		endpoint.health.lastAnswerAt = b.now
@@ -141,12 +141,12 @@
 		endpoint.credit.tokens -= check.cost
 		endpoint.slowStart.ditherDrawnAt = 0
 	}
-	b.emit(Send{ID: request.id, Node: endpoint.id, By: b.writeBy(request, endpoint)})
+	b.emit(Send{ID: request.id, Endpoint: endpoint.id, NotAfter: b.writeBy(request, endpoint)})
 }
 
 // startRecoveryAttempt notes that a suspect endpoint or an outlier is tried. The next attempt waits longer, except at
 // a primary that only this instance cannot reach: nothing else takes its writes.
-func (b *Router) startRecoveryAttempt(endpoint *endpoint) {
+func (b *Balancer) startRecoveryAttempt(endpoint *endpoint) {
 	endpoint.health.reportedSinceAttempt = false
 	if endpoint.stillPrimaryForGroup() {
 		endpoint.health.setBackoff(minRecoveryBackoff, b.now)
@@ -157,16 +157,16 @@
 
 // writeBy is the time by which an attempt must be written to its connection; 0 = no limit. A connection that has to
 // be opened first delays the send, and what was decided now would be wrong later.
-func (b *Router) writeBy(request *request, endpoint *endpoint) Time {
+func (b *Balancer) writeBy(request *request, endpoint *endpoint) Time {
 	by := never
-	readsCopy := request.class.Need == NeedBounded && !endpoint.isPrimary()
-	if readsCopy && b.config.Checks == ChecksNone {
-		by = min(by, endpoint.replication.position+request.class.Bound) // the bound counts from the position
+	readsCopy := request.class.Consistency == ConsistencyBounded && !endpoint.isPrimary()
+	if readsCopy && b.config.FreshnessCheck == FreshnessCheckNone {
+		by = min(by, endpoint.replication.position+request.class.MaxStaleness) // the bound counts from the position
 	}
 	if !request.reached {
 		by = min(by, request.halfTime()) // a request that waits for a connection is pending all the same
 	}
-	if request.mayHaveRun && request.class.Effect == Keyed {
+	if request.mayHaveRun && request.class.Idempotency == IdempotentWithKey {
 		by = min(by, request.idempotentUntil()) // later the repeat would run again, however early it was decided
 	}
 	if by == never {
--- a/balance/primary_cache.go
+++ b/balance/primary_cache.go
@@ -65,7 +65,7 @@
 
 // observePrimary notes that the endpoint was primary at the given time. Newer evidence wins; older evidence is
 // dropped.
-func (b *Router) observePrimary(endpoint *endpoint, at Time) {
+func (b *Balancer) observePrimary(endpoint *endpoint, at Time) {
 	if at <= endpoint.role.replicaAt || endpoint.discovery.suspended {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // observeReplica notes that the endpoint was no primary at the given time.
-func (b *Router) observeReplica(endpoint *endpoint, at Time) {
+func (b *Balancer) observeReplica(endpoint *endpoint, at Time) {
 	endpoint.role.replicaAt = max(endpoint.role.replicaAt, at)
 	if endpoint.isPrimary() && at >= endpoint.group.primary.observedAt {
 		b.markPrimarySuspect(endpoint.group, "it says replica")
@@ -91,7 +91,7 @@
 }
 
 // observeRole notes the role that an endpoint reported for the given time.
-func (b *Router) observeRole(endpoint *endpoint, role Role, at Time) {
+func (b *Balancer) observeRole(endpoint *endpoint, role Role, at Time) {
 	switch role {
 	case RolePrimary:
 		b.observePrimary(endpoint, at)
@@ -101,7 +101,7 @@
 }
 
 // promote caches the endpoint as its group's primary, and says whether that is news.
-func (b *Router) promote(endpoint *endpoint) bool {
+func (b *Balancer) promote(endpoint *endpoint) bool {
 	group := endpoint.group
 	if group.isKnownPrimary(endpoint) {
 		return false
@@ -111,13 +111,13 @@
 	// A primary that was lost and reports again is tried at once: its group takes no writes elsewhere.
 	endpoint.health.recoveryAt = min(endpoint.health.recoveryAt, b.now)
 	b.log("group %d: primary is %s", group.id, endpoint.id)
-	b.emit(Lead{Group: group.id, Node: endpoint.id, Believed: true})
+	b.emit(PrimaryUpdate{Group: group.id, Endpoint: endpoint.id, Confirmed: true})
 	return true
 }
 
 // markPrimarySuspect notes evidence against the cached primary: writes are no longer sent there as before, and the
 // group's endpoints are asked for their roles.
-func (b *Router) markPrimarySuspect(group *replicaGroup, reason string) {
+func (b *Balancer) markPrimarySuspect(group *replicaGroup, reason string) {
 	cache := &group.primary
 	if !cache.known() {
 		return
@@ -127,7 +127,7 @@
 	cache.exploratoryWrite = nil
 	group.search.start(b.now)
 	b.log("group %d: primary %s suspect: %s", group.id, cache.endpoint.id, reason)
-	b.emit(Lead{Group: group.id, Node: cache.endpoint.id, Why: reason})
+	b.emit(PrimaryUpdate{Group: group.id, Endpoint: cache.endpoint.id, Reason: reason})
 }
 
 // stillPrimaryForGroup says that a suspect primary that cannot be reached still is the primary: its group goes on
@@ -146,7 +146,7 @@
 }
 
 // selectPrimary returns the endpoint for a write or a read of the latest data, or nil if it has to stay pending.
-func (b *Router) selectPrimary(request *request) *endpoint {
+func (b *Balancer) selectPrimary(request *request) *endpoint {
 	cache := &request.group.primary
 	if cache.known() {
 		if b.eligibility(request, cache.endpoint) == eligible {
@@ -164,7 +164,7 @@
 // in sorted order, one write at a time, since a silent endpoint may take it. Those that were observed in a role since
 // the primary became suspect are left out for a while; the successor, too, may have been observed as a replica before
 // it took over, so it is tried again.
-func (b *Router) selectForExploratoryWrite(request *request) *endpoint {
+func (b *Balancer) selectForExploratoryWrite(request *request) *endpoint {
 	cache := &request.group.primary
 	observedBefore := max(cache.suspectSince, b.now-primarySearchInterval)
 	for _, endpoint := range request.group.endpoints {
--- a/balance/primary_search.go
+++ b/balance/primary_search.go
@@ -32,7 +32,7 @@
 // searchPrimary sends health checks to find the primary of the group: to each endpoint once a round, to the one not
 // checked for longest first. In a fixed order, only the first would ever be checked out of what a small instance
 // earns. A round goes on as checks are earned.
-func (b *Router) searchPrimary(group *replicaGroup) {
+func (b *Balancer) searchPrimary(group *replicaGroup) {
 	oldestFirst := slices.Clone(group.endpoints)
 	slices.SortStableFunc(oldestFirst, func(x, y *endpoint) int {
 		return cmp.Compare(x.check.sentAt, y.check.sentAt)
--- a/balance/quota.go
+++ b/balance/quota.go
@@ -27,10 +27,10 @@
 }
 
 // priorityWeight is the weight of a request of the class and the tenant: less for requests beyond the tenant's quota.
-func (b *Router) priorityWeight(class *classState, tenant string) float64 {
+func (b *Balancer) priorityWeight(class *classState, tenant string) float64 {
 	quota := b.quotas[tenant]
 	if quota == nil || quota.take(b.now) {
-		return class.Worth
+		return class.PriorityWeight
 	}
-	return class.Worth * b.config.OverShareWorth
+	return class.PriorityWeight * b.config.OverQuotaWeight
 }
--- a/balance/replica_group.go
+++ b/balance/replica_group.go
@@ -21,7 +21,7 @@
 }
 
 // groupFor returns the group with the id; a new one if there is none.
-func (b *Router) groupFor(id int64) *replicaGroup {
+func (b *Balancer) groupFor(id int64) *replicaGroup {
 	group := b.groups[id]
 	if group == nil {
 		group = &replicaGroup{id: id}
--- a/balance/replica_selection.go
+++ b/balance/replica_selection.go
@@ -34,7 +34,7 @@
 }
 
 // selectEndpoint returns the endpoint for a request, or nil if it has to stay pending.
-func (b *Router) selectEndpoint(request *request) *endpoint {
+func (b *Balancer) selectEndpoint(request *request) *endpoint {
 	if request.class.needsPrimary() {
 		return b.selectPrimary(request)
 	}
@@ -44,7 +44,7 @@
 // selectReplica returns the endpoint for a weak read: an available replica, in the own zone if there is one, by a
 // random draw, else the primary if it has capacity to spare, else an outlier. It returns nil if the read has to stay
 // pending.
-func (b *Router) selectReplica(request *request) *endpoint {
+func (b *Balancer) selectReplica(request *request) *endpoint {
 	candidates := b.collectCandidates(request)
 	if candidates.resumed != nil {
 		return candidates.resumed
@@ -70,11 +70,13 @@
 }
 
 // draw picks one of the endpoints at random.
-func (b *Router) draw(endpoints []*endpoint) *endpoint { return endpoints[b.rng.IntN(len(endpoints))] }
+func (b *Balancer) draw(endpoints []*endpoint) *endpoint {
+	return endpoints[b.rng.IntN(len(endpoints))]
+}
 
 // collectCandidates collects the replicas that the read may be sent to now. A resumed replica ends the search:
 // operators have asked for it, and its position will age again. The result is valid until the next call.
-func (b *Router) collectCandidates(request *request) *replicaCandidates {
+func (b *Balancer) collectCandidates(request *request) *replicaCandidates {
 	candidates := &b.candidates
 	candidates.reset()
 	for _, endpoint := range request.group.endpoints {
@@ -106,7 +108,7 @@
 // requestReports notes which replicas could take the read if a report showed that they are recent enough, and says
 // whether the read should wait for one: a report comes much sooner than the primary's work is done. A report from a
 // replica that can take nothing is of no use to anyone.
-func (b *Router) requestReports(request *request) (expected bool) {
+func (b *Balancer) requestReports(request *request) (expected bool) {
 	for _, endpoint := range request.group.endpoints {
 		if endpoint.isPrimary() || !endpoint.inService() {
 			continue
@@ -123,7 +125,7 @@
 }
 
 // reportExpected says that a report of the endpoint should come soon, or can be asked for.
-func (b *Router) reportExpected(endpoint *endpoint) bool {
+func (b *Balancer) reportExpected(endpoint *endpoint) bool {
 	if endpoint.check.resultExpected(b.now) {
 		return true
 	}
@@ -131,13 +133,16 @@
 }
 
 // wasRecentEnough says that the endpoint would do for the read if it lags as it did when it last reported.
-func (b *Router) wasRecentEnough(request *request, endpoint *endpoint) bool {
-	return b.config.Checks == ChecksNone && b.now-endpoint.replication.lag >= b.requiredPosition(request)
+func (b *Balancer) wasRecentEnough(request *request, endpoint *endpoint) bool {
+	if b.config.FreshnessCheck != FreshnessCheckNone {
+		return false
+	}
+	return b.now-endpoint.replication.lag >= b.requiredPosition(request)
 }
 
 // primaryTakesWeakRead says whether the primary has capacity to spare for a weak read. One that is an outlier gets
 // none if an ejected replica could take it as well.
-func (b *Router) primaryTakesWeakRead(request *request, replicaEjected bool) bool {
+func (b *Balancer) primaryTakesWeakRead(request *request, replicaEjected bool) bool {
 	cache := &request.group.primary
 	if !cache.known() || !b.hasSpareCapacity(request, cache.endpoint) {
 		return false
@@ -150,7 +155,7 @@
 
 // hasSpareCapacity says whether the primary can take a weak read and keep enough of its limit and credit for strong
 // requests.
-func (b *Router) hasSpareCapacity(request *request, primary *endpoint) bool {
+func (b *Balancer) hasSpareCapacity(request *request, primary *endpoint) bool {
 	limit := &primary.limit
 	if b.now < limit.weakReadsFrom || float64(len(primary.inFlight)) >= max(1, weakReadPrimaryShare*limit.attempts) {
 		return false
--- a/balance/replication.go
+++ b/balance/replication.go
@@ -44,16 +44,16 @@
 // appliedEverywhere says that all ready endpoints of the group have applied the commit.
 func (c sessionCommit) appliedEverywhere() bool {
 	return !slices.ContainsFunc(c.group.endpoints, func(endpoint *endpoint) bool {
-		return endpoint.discovery.state == Ready && endpoint.replication.position < c.position
+		return endpoint.discovery.state == EndpointReady && endpoint.replication.position < c.position
 	})
 }
 
 // requiredPosition is the position that a read has to see.
-func (b *Router) requiredPosition(request *request) Time {
-	switch request.class.Need {
-	case NeedBounded:
-		return b.now - request.class.Bound
-	case NeedAny:
+func (b *Balancer) requiredPosition(request *request) Time {
+	switch request.class.Consistency {
+	case ConsistencyBounded:
+		return b.now - request.class.MaxStaleness
+	case ConsistencyAny:
 		return 0
 	}
 	return request.minPosition
@@ -61,31 +61,31 @@
 
 // isAvailable says whether the data of an endpoint is recent enough for a weak read that is sent now. Where endpoints
 // check for themselves any replica may be tried, except one that has reported to be further behind.
-func (b *Router) isAvailable(request *request, endpoint *endpoint) bool {
+func (b *Balancer) isAvailable(request *request, endpoint *endpoint) bool {
 	required := b.requiredPosition(request)
 	if endpoint.replication.position >= required {
 		return true
 	}
-	if b.config.Checks == ChecksNone || endpoint.replication.knownBehind(required, b.now) {
+	if b.config.FreshnessCheck == FreshnessCheckNone || endpoint.replication.knownBehind(required, b.now) {
 		return false
 	}
 	return !request.wasMissedBy(endpoint)
 }
 
 // reportedWithinBound says whether the endpoint was recent enough for a bounded read when it last reported.
-func (b *Router) reportedWithinBound(endpoint *endpoint) bool {
+func (b *Balancer) reportedWithinBound(endpoint *endpoint) bool {
 	return b.tightestBound == 0 || endpoint.replication.lag <= b.tightestBound
 }
 
 // positionExpired says that the known position of the endpoint is no longer of use for a bounded read, though the
 // endpoint may be recent enough.
-func (b *Router) positionExpired(endpoint *endpoint) bool {
+func (b *Balancer) positionExpired(endpoint *endpoint) bool {
 	return b.tightestBound > 0 && b.now-endpoint.replication.position > b.tightestBound
 }
 
 // rememberCommit keeps the position of a session's last write where clients carry no token of it.
-func (b *Router) rememberCommit(request *request, position Time) {
-	if request.sessionKey == 0 || b.config.ClientTokens {
+func (b *Balancer) rememberCommit(request *request, position Time) {
+	if request.sessionKey == 0 || b.config.ClientSessionTokens {
 		return
 	}
 	if position > b.sessionCommits[request.sessionKey].position {
--- a/balance/request.go
+++ b/balance/request.go
@@ -70,16 +70,16 @@
 func (q *request) setObjective(event Request, now Time) {
 	class := q.class
 	elapsed := time.Duration(0)
-	if event.Retry && event.Expires < class.longestTimeout-time.Millisecond {
-		elapsed = max(0, class.GiveUp-event.Expires)
+	if event.Retry && event.TimeLeft < class.longestTimeout-time.Millisecond {
+		elapsed = max(0, class.ClientTimeout-event.TimeLeft)
 	}
-	stretch := time.Duration(class.AimStretch * float64(event.Estimate))
-	q.objectiveAt = min(q.deadline, now+class.Aim-elapsed+stretch)
+	stretch := time.Duration(class.ObjectiveStretch * float64(event.EstimatedWork))
+	q.objectiveAt = min(q.deadline, now+class.LatencyObjective-elapsed+stretch)
 }
 
 // handleRequest queues a new request. One whose class is not configured fails, and one whose group has no endpoint is
 // rejected: a client may make up any group, and each would be kept and looked at for ever.
-func (b *Router) handleRequest(event Request) {
+func (b *Balancer) handleRequest(event Request) {
 	class := b.classes[event.Class]
 	if class == nil {
 		b.emit(Fail{ID: event.ID})
@@ -89,26 +89,26 @@
 		return
 	}
 	if b.groups[event.Group] == nil && len(b.endpoints) > 0 {
-		b.emit(Refuse{ID: event.ID, RetryAfter: b.retryAfter(class)})
+		b.emit(Reject{ID: event.ID, RetryAfter: b.retryAfter(class)})
 		return
 	}
 	group := b.groupFor(event.Group)
-	class.longestTimeout = max(class.longestTimeout, event.Expires)
+	class.longestTimeout = max(class.longestTimeout, event.TimeLeft)
 	request := &request{
 		id:            event.ID,
 		class:         class,
 		group:         group,
-		sessionKey:    event.Key,
+		sessionKey:    event.SessionID,
 		minPosition:   b.minPosition(class, event),
 		arrivedAt:     b.now,
-		deadline:      b.now + event.Expires,
+		deadline:      b.now + event.TimeLeft,
 		weight:        b.priorityWeight(class, event.Tenant),
-		priorAttempts: event.Tried,
+		priorAttempts: event.PriorAttempts,
 	}
 	request.setObjective(event, b.now)
 	group.lastRequestAt = b.now
 	class.arrivals++
-	if event.Tried == 0 { // one that is handed in again has earned its part
+	if event.PriorAttempts == 0 { // one that is handed in again has earned its part
 		b.healthChecks.earn()
 		b.retries.earn()
 	}
@@ -117,22 +117,22 @@
 }
 
 // minPosition is the replication position that a new request has to see, whenever it is sent.
-func (b *Router) minPosition(class *classState, event Request) Time {
+func (b *Balancer) minPosition(class *classState, event Request) Time {
 	switch {
-	case class.Need == NeedLatest:
+	case class.Consistency == ConsistencyLatest:
 		return b.now
-	case class.Need != NeedSession:
+	case class.Consistency != ConsistencySession:
 		return 0
-	case !b.config.ClientTokens:
-		return b.sessionCommits[event.Key].position
-	case event.SinceLast > 0:
-		return b.now - event.SinceLast + commitRounding
+	case !b.config.ClientSessionTokens:
+		return b.sessionCommits[event.SessionID].position
+	case event.SinceSessionWrite > 0:
+		return b.now - event.SinceSessionWrite + commitRounding
 	}
 	return 0
 }
 
 // handleDisconnect notes that a client has disconnected.
-func (b *Router) handleDisconnect(event ClientGone) {
+func (b *Balancer) handleDisconnect(event ClientDisconnected) {
 	if request := b.requests[event.ID]; request != nil {
 		b.closeRequest(request)
 	}
@@ -140,7 +140,7 @@
 
 // handleFirstByte notes that a response has begun to stream. An event that names no attempt, or one that has ended,
 // says nothing of this response.
-func (b *Router) handleFirstByte(event FirstByte) {
+func (b *Balancer) handleFirstByte(event FirstByte) {
 	request := b.requests[event.ID]
 	if request == nil || request.inFlight == 0 || event.Attempt != len(request.attempts)-1 {
 		return
@@ -171,7 +171,7 @@
 }
 
 // closeRequest notes that nothing is owed for the request any more, and drops it once its attempts have ended.
-func (b *Router) closeRequest(request *request) {
+func (b *Balancer) closeRequest(request *request) {
 	request.answered = true
 	if request.inFlight == 0 {
 		delete(b.requests, request.id)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -24,7 +24,9 @@
 
 // idempotentUntil is until when a repeat of a request with an idempotency key is discarded if the request has run.
 // The window is counted from the first attempt that may have run.
-func (q *request) idempotentUntil() Time { return q.firstRunAt + q.class.Window - tickInterval }
+func (q *request) idempotentUntil() Time {
+	return q.firstRunAt + q.class.IdempotencyWindow - tickInterval
+}
 
 // repeatMayRunTwice says that a client's retry of the request might run it a second time, so that the request must
 // not be rejected as if nothing had happened.
@@ -32,7 +34,13 @@
 	if !q.mayHaveRun {
 		return false
 	}
-	return q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Scope != ScopeAll
+	switch q.class.Idempotency {
+	case NonIdempotent:
+		return true
+	case IdempotentWithKey:
+		return q.class.IdempotencyScope != ScopeAll
+	}
+	return false
 }
 
 // recordRun notes that an attempt may have run; the first one counts.
@@ -48,7 +56,7 @@
 // retryOrAbandon queues a request again whose attempt ended without an answer, or gives it up: that is answered in
 // this step, once all events are read, since the client may have disconnected. The cost is what the retry takes from
 // the budget; a rejected attempt or a miss costs nothing.
-func (b *Router) retryOrAbandon(request *request, cost float64) {
+func (b *Balancer) retryOrAbandon(request *request, cost float64) {
 	if request.answered || request.inFlight > 0 {
 		return
 	}
@@ -61,11 +69,11 @@
 }
 
 // mayRetry says whether another attempt is safe, within the limit of attempts, and covered by the budget.
-func (b *Router) mayRetry(request *request, cost float64) bool {
-	if request.mayHaveRun && request.class.Effect == Unsafe {
+func (b *Balancer) mayRetry(request *request, cost float64) bool {
+	if request.mayHaveRun && request.class.Idempotency == NonIdempotent {
 		return false
 	}
-	limit := b.config.MostTries
+	limit := b.config.MaxAttempts
 	if limit > 0 && request.attemptsUsed() >= limit {
 		return false
 	}
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -12,9 +12,9 @@
 	const members, groups, instances = 1024, 64, 350
 	c := testConfig()
 	c.Instances = instances
-	l := List{Kind: ListFull}
+	l := EndpointList{Kind: ListFull}
 	for i := range members {
-		l.Entries = append(l.Entries, Entry{Node: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: Ready, Primary: i < groups})
+		l.Entries = append(l.Entries, EndpointEntry{Endpoint: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: EndpointReady, Primary: i < groups})
 	}
 	h := newHarness(t, c, l)
 	used, served, left := map[string]int{}, map[int64]int{}, map[string]bool{}
@@ -23,22 +23,22 @@
 			for g := range int64(groups) {
 				h.requestCount++
 				id := fmt.Sprint("q", h.requestCount)
-				acts := h.step(5*time.Millisecond, Request{ID: id, Class: "any", Group: g, Expires: time.Second})
+				acts := h.step(5*time.Millisecond, Request{ID: id, Class: "any", Group: g, TimeLeft: time.Second})
 				for len(acts) > 0 {
 					var back []Event
 					for _, a := range acts {
 						switch a := a.(type) {
 						case Send:
 							var at int
-							fmt.Sscanf(a.Node, "n%d", &at)
-							if int64(at%groups) != g || left[a.Node] {
-								t.Fatalf("group %d is sent to %s, left: %v", g, a.Node, left[a.Node])
+							fmt.Sscanf(a.Endpoint, "n%d", &at)
+							if int64(at%groups) != g || left[a.Endpoint] {
+								t.Fatalf("group %d is sent to %s, left: %v", g, a.Endpoint, left[a.Endpoint])
 							}
-							used[a.Node]++
+							used[a.Endpoint]++
 							served[g]++
-							back = append(back, Outcome{ID: id, Node: a.Node, Status: Done, Finished: true, Took: 5 * time.Millisecond, Role: RoleReplica, Position: h.now})
-						case Probe:
-							back = append(back, ProbeResult{Node: a.Node, Status: Done, Role: RoleReplica, Position: h.now})
+							back = append(back, AttemptResult{ID: id, Endpoint: a.Endpoint, Status: StatusDone, Finished: true, Elapsed: 5 * time.Millisecond, Role: RoleReplica, Position: h.now})
+						case HealthCheck:
+							back = append(back, HealthCheckResult{Endpoint: a.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now})
 						}
 					}
 					if len(back) == 0 {
@@ -58,10 +58,10 @@
 	if len(used) < members*9/10 {
 		t.Errorf("%d members used of %d", len(used), members)
 	}
-	d := List{Kind: ListDelta}
+	d := EndpointList{Kind: ListDelta}
 	for i := members / 2; i < members; i++ {
 		left[fmt.Sprint("n", i)] = true
-		d.Entries = append(d.Entries, Entry{Node: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: Draining})
+		d.Entries = append(d.Entries, EndpointEntry{Endpoint: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: EndpointDraining})
 	}
 	h.step(time.Millisecond, d)
 	served = map[int64]int{}
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -9,10 +9,10 @@
 	maxSavedRequests = 2
 )
 
-// slowStart eases an endpoint in that has just started. Its capacity rises over Config.ColdFor. What all instances
-// together may send it within Config.FallFor is a budget of N requests; beyond it twice the root of N and two more
-// are chance. Instances keep to the budget without a word between them: each uses its share, as credit (see
-// workCredit).
+// slowStart eases an endpoint in that has just started. Its capacity rises over Config.SlowStartWindow. What all
+// instances together may send it within Config.OverloadWindow is a budget of N requests; beyond it twice the root of
+// N and two more are chance. Instances keep to the budget without a word between them: each uses its share, as credit
+// (see workCredit).
 type slowStart struct {
 	startedAt     Time    // 0 = long ago
 	recoveredAt   Time    // when it answered again after it could not be reached, or was resumed by operators
@@ -24,20 +24,21 @@
 func (s *slowStart) capacity(now Time, config *Config, scale float64) float64 {
 	from := max(s.startedAt, s.recoveredAt)
 	age := now - from
-	if from <= 0 || age >= config.ColdFor {
+	if from <= 0 || age >= config.SlowStartWindow {
 		return scale
 	}
-	return scale * (config.ColdFrom + (1-config.ColdFrom)*max(0, age.Seconds())/config.ColdFor.Seconds())
+	gained := (1 - config.SlowStartFrom) * max(0, age.Seconds()) / config.SlowStartWindow.Seconds()
+	return scale * (config.SlowStartFrom + gained)
 }
 
 // warmupFactor is the part of its capacity that an endpoint may be used for: less than 1 while it warms up, and while
 // the return of its zone is ramped.
-func (b *Router) warmupFactor(endpoint *endpoint) float64 {
+func (b *Balancer) warmupFactor(endpoint *endpoint) float64 {
 	return endpoint.slowStart.capacity(b.now, &b.config, b.zoneCapacity(endpoint))
 }
 
 // zoneCapacity is the part of its capacity that an endpoint may be used for because of its zone.
-func (b *Router) zoneCapacity(endpoint *endpoint) float64 {
+func (b *Balancer) zoneCapacity(endpoint *endpoint) float64 {
 	if part, ok := b.zoneCapacities[endpoint.zone]; ok {
 		return part
 	}
@@ -46,10 +47,10 @@
 
 // checkSlowStartCredit is checkCredit for an endpoint that warms up. Nothing is known of its capacity but what warm
 // endpoints did; each can do one request at a time at least.
-func (b *Router) checkSlowStartCredit(request *request, endpoint *endpoint, warmup float64) creditCheck {
+func (b *Balancer) checkSlowStartCredit(request *request, endpoint *endpoint, warmup float64) creditCheck {
 	rate := endpoint.limit.attempts * warmup
 	cost := request.class.latency
-	least := slowStartBudgetShare * b.config.FallMultiple * warmup * max(b.throughput.peak, 1/b.config.instances())
+	least := slowStartBudgetShare * b.config.OverloadMultiple * warmup * max(b.throughput.peak, 1/b.config.instances())
 	if least < rate {
 		cost = request.class.serviceTime
 		rate = least
@@ -70,8 +71,8 @@
 // there. Where the share of one instance is a few requests, half of what it gets in the window is little enough.
 // Where it is less, all may have saved no more than the budget leaves beside what they get meanwhile. That can be
 // less than one request for each: then a draw says which instance may send one (slowStartCovers).
-func (b *Router) slowStartBurst(rate, least, cost float64) float64 {
-	window := b.config.FallFor.Seconds()
+func (b *Balancer) slowStartBurst(rate, least, cost float64) float64 {
+	window := b.config.OverloadWindow.Seconds()
 	if half := rate * window / 2; half >= cost {
 		return half
 	}
@@ -83,7 +84,7 @@
 // slowStartCovers refills the credit of an endpoint that warms up and says whether it covers a request. Of requests
 // that cost more than can be saved up, so large a part is sent as the credit is of the cost: which instance sends is
 // drawn anew in the time that the savings take to come.
-func (b *Router) slowStartCovers(endpoint *endpoint, rate, burst, cost float64) bool {
+func (b *Balancer) slowStartCovers(endpoint *endpoint, rate, burst, cost float64) bool {
 	credit, slowStart := &endpoint.credit, &endpoint.slowStart
 	if !credit.isCounted() {
 		credit.start(burst*b.rng.Float64(), b.now) // drawn, so that instances do not all send at once
@@ -103,13 +104,13 @@
 
 // exceedsSlowStartBudget says that a request alone would take more than half of the budget, and is more than the
 // usual work: no share of a budget that is smaller than one such request keeps within it.
-func (b *Router) exceedsSlowStartBudget(request *request, least float64) bool {
+func (b *Balancer) exceedsSlowStartBudget(request *request, least float64) bool {
 	work, arrivals := 0.0, 0.0
 	for _, configured := range b.config.Classes { // in their order: sums in another order differ
 		class := b.classes[configured.Name]
 		work += class.arrivals * class.serviceTime
 		arrivals += class.arrivals
 	}
-	half := least * b.config.instances() * b.config.FallFor.Seconds() / 2
+	half := least * b.config.instances() * b.config.OverloadWindow.Seconds() / 2
 	return request.class.serviceTime > max(half, work/max(1, arrivals))
 }
--- a/balance/step_bench_test.go
+++ b/balance/step_bench_test.go
@@ -25,25 +25,25 @@
 			for i := range b.N {
 				id := strconv.Itoa(i)
 				now += ms
-				request := Request{ID: id, Class: classes[i%len(classes)], Group: 1, Expires: time.Second}
+				request := Request{ID: id, Class: classes[i%len(classes)], Group: 1, TimeLeft: time.Second}
 				actions := router.Step(now, []Event{request})
 				now += ms
 				for _, action := range actions {
 					switch action := action.(type) {
 					case Send:
 						role := RoleReplica
-						if action.Node == "a" {
+						if action.Endpoint == "a" {
 							role = RolePrimary
 						}
-						router.Step(now, []Event{Outcome{
-							ID: id, Node: action.Node, Status: Done, Took: ms, Finished: true, Role: role, Position: now,
+						router.Step(now, []Event{AttemptResult{
+							ID: id, Endpoint: action.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: role, Position: now,
 						}})
-					case Probe:
+					case HealthCheck:
 						role := RoleReplica
-						if action.Node == "a" {
+						if action.Endpoint == "a" {
 							role = RolePrimary
 						}
-						router.Step(now, []Event{ProbeResult{Node: action.Node, Status: Done, Role: role, Position: now}})
+						router.Step(now, []Event{HealthCheckResult{Endpoint: action.Endpoint, Status: StatusDone, Role: role, Position: now}})
 					}
 				}
 			}
--- a/balance/throughput.go
+++ b/balance/throughput.go
@@ -14,7 +14,7 @@
 // measureThroughput measures what warm endpoints do for this instance, once a second. What idle endpoints do is no
 // capacity. The busiest of each group come near it, in the mean: the most of few samples is chance, and all instances
 // add theirs up.
-func (b *Router) measureThroughput() {
+func (b *Balancer) measureThroughput() {
 	measured := &b.throughput
 	measured.measurements++
 	weight := max(smoothing, 1/measured.measurements)
@@ -35,7 +35,7 @@
 }
 
 // measureGroup returns the work rate of the busiest warm endpoint of the group.
-func (b *Router) measureGroup(group *replicaGroup, seconds, weight float64) float64 {
+func (b *Balancer) measureGroup(group *replicaGroup, seconds, weight float64) float64 {
 	busiest := 0.0
 	for _, endpoint := range group.endpoints {
 		endpoint.work.measure(seconds, weight)
@@ -47,50 +47,50 @@
 	return busiest
 }
 
-// Does returns the work that an endpoint does for this instance, in seconds a second as a moving mean, and whether it
-// is warm.
-func (b *Router) Does(name string) (rate float64, warm bool) {
+// EndpointWorkRate returns the work that an endpoint does for this instance, in seconds a second as a moving mean,
+// and whether it is warm.
+func (b *Balancer) EndpointWorkRate(name string) (rate float64, warm bool) {
 	if endpoint := b.endpoints[name]; endpoint != nil {
 		return endpoint.work.perSecond, b.warmupFactor(endpoint) == 1
 	}
 	return 0, false
 }
 
-// Sight is what an instance makes of an endpoint, for observers.
-type Sight struct {
-	Node    string // the endpoint
-	Zone    string
-	Group   int64
-	Primary bool    // it is believed to be its group's primary
-	Up      bool    // it can be sent something now
-	In      bool    // it is ready and not suspended, whatever is thought of it at this moment
-	Limit   float64 // attempts that may be in flight, for this instance
-	Rate    float64 // work done for this instance, seconds a second, moving mean
-	Warmth  float64 // the part of its capacity that it may be used for now
+// EndpointView is what an instance makes of an endpoint, for observers.
+type EndpointView struct {
+	Endpoint         string // the endpoint
+	Zone             string
+	Group            int64
+	Primary          bool    // it is believed to be its group's primary
+	Available        bool    // it can be sent something now
+	InService        bool    // it is ready and not suspended, whatever is thought of it at this moment
+	ConcurrencyLimit float64 // attempts that may be in flight, for this instance
+	WorkRate         float64 // work done for this instance, seconds a second, moving mean
+	CapacityShare    float64 // the part of its capacity that it may be used for now
 }
 
-// Sights calls f with each endpoint that is listed, in the order of groups and ids.
-func (b *Router) Sights(f func(Sight)) {
+// EndpointViews calls f with each endpoint that is listed, in the order of groups and ids.
+func (b *Balancer) EndpointViews(f func(EndpointView)) {
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
-			if endpoint.discovery.state != Gone {
+			if endpoint.discovery.state != EndpointRemoved {
 				f(b.sight(endpoint))
 			}
 		}
 	}
 }
 
-func (b *Router) sight(endpoint *endpoint) Sight {
+func (b *Balancer) sight(endpoint *endpoint) EndpointView {
 	inService := endpoint.inService()
-	return Sight{
-		Node:    endpoint.id,
-		Zone:    endpoint.zone,
-		Group:   endpoint.group.id,
-		Primary: endpoint.group.isKnownPrimary(endpoint),
-		Up:      inService && !endpoint.health.suspect,
-		In:      inService,
-		Limit:   endpoint.limit.attempts,
-		Rate:    endpoint.work.perSecond,
-		Warmth:  b.warmupFactor(endpoint),
+	return EndpointView{
+		Endpoint:         endpoint.id,
+		Zone:             endpoint.zone,
+		Group:            endpoint.group.id,
+		Primary:          endpoint.group.isKnownPrimary(endpoint),
+		Available:        inService && !endpoint.health.suspect,
+		InService:        inService,
+		ConcurrencyLimit: endpoint.limit.attempts,
+		WorkRate:         endpoint.work.perSecond,
+		CapacityShare:    b.warmupFactor(endpoint),
 	}
 }
--- a/balance/work_credit.go
+++ b/balance/work_credit.go
@@ -48,7 +48,7 @@
 }
 
 // checkCredit refills the credit of the endpoint and says whether it covers the request.
-func (b *Router) checkCredit(request *request, endpoint *endpoint) creditCheck {
+func (b *Balancer) checkCredit(request *request, endpoint *endpoint) creditCheck {
 	warmup := b.warmupFactor(endpoint)
 	if warmup < 1 {
 		return b.checkSlowStartCredit(request, endpoint, warmup)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -22,7 +22,7 @@
 // run answers each line until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriter(out)
-	d, routers := wire.NewDecoder(), map[string]*balance.Router{}
+	d, routers := wire.NewDecoder(), map[string]*balance.Balancer{}
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && err != io.EOF {
@@ -47,7 +47,7 @@
 }
 
 // answer applies one batch. Each instance gets its own events only, in their order, in one step.
-func answer(d *wire.Decoder, routers map[string]*balance.Router, line []byte) (*wire.Reply, error) {
+func answer(d *wire.Decoder, routers map[string]*balance.Balancer, line []byte) (*wire.Reply, error) {
 	reply := &wire.Reply{}
 	b, err := d.Decode(line)
 	var bad *wire.ConfigError
@@ -90,7 +90,7 @@
 }
 
 // step passes a panic of the decision code on as the crash action.
-func step(reply *wire.Reply, who string, router *balance.Router, now balance.Time, events []balance.Event) {
+func step(reply *wire.Reply, who string, router *balance.Balancer, now balance.Time, events []balance.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			reply.Crash(who, fmt.Sprint(p))
--- a/cmd/limelab/sockets.go
+++ b/cmd/limelab/sockets.go
@@ -211,7 +211,7 @@
 	fmt.Fprintf(out, "  postgres://me@%s:%s/lab?sslmode=disable    drivers that use extended queries\n", h2, p2)
 	fmt.Fprintf(out, "  curl http://%s/v1/ready\n\nA statement says what it is:\n\n", st.op)
 	for _, k := range s.Config.Classes {
-		fmt.Fprintf(out, "  /* id=1,c=%s,d=%d,cluster=1 */ SELECT 1;\n", k.Name, k.GiveUp.Milliseconds())
+		fmt.Fprintf(out, "  /* id=1,c=%s,d=%d,cluster=1 */ SELECT 1;\n", k.Name, k.ClientTimeout.Milliseconds())
 	}
 	fmt.Fprintf(out, "\nDb machines, in banks (clusters) of %d:\n\n", s.Config.Members)
 	members := st.host.Members()
--- a/cmd/limeladder/changeover.go
+++ b/cmd/limeladder/changeover.go
@@ -25,10 +25,10 @@
 	classes := map[string]changeover.Class{}
 	for i, name := range c.Classes {
 		k, ok := known[name]
-		if !ok || k.Need != balance.NeedUpdate && k.Need != balance.NeedLatest {
+		if !ok || k.Consistency != balance.ConsistencyWrite && k.Consistency != balance.ConsistencyLatest {
 			return fmt.Errorf("changeover.classes[%d]: %q is no class that needs the primary", i, name)
 		}
-		classes[name] = changeover.Class{Worth: k.Worth, Work: k.Aim / 10}
+		classes[name] = changeover.Class{Worth: k.PriorityWeight, Work: k.LatencyObjective / 10}
 	}
 	d.core.HoldThrough(changeover.Config{Instances: cfg.Balance.Instances, Classes: classes, Count: cmp.Or(c.Count, d.lim.Held),
 		Bytes: cmp.Or(c.Bytes, d.lim.HeldBytes), Time: c.Time, Margin: d.lim.AnswerBefore, MaxAfter: cfg.Balance.MaxRetryAfter}, cfg.SeedValue, d.succeeded)
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -66,12 +66,12 @@
 func newDaemon(cfg *config.Config, dep config.Deploy, log *slog.Logger) (*daemon, error) {
 	var longest time.Duration
 	for _, c := range cfg.Balance.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.ClientTimeout)
 	}
 	d := &daemon{log: log, loop: loop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
 	d.lim = limits.For(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
 		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).Among(cfg.Balance.Instances)
-	if !cfg.Balance.Ask {
+	if !cfg.Balance.PollDiscovery {
 		d.lim = d.lim.Pushed(cfg.Balance.DrainGrace)
 	}
 	if most := cfg.Balance.MaxRetryAfter; most > 0 {
@@ -143,7 +143,7 @@
 			d.watcher.From(known.Version)
 			first = 0
 		}
-		if !cfg.Balance.Ask { // otherwise the decision module says when
+		if !cfg.Balance.PollDiscovery { // otherwise the decision module says when
 			d.watcher.Follow(cfg.SeedValue)
 		}
 		d.loop.After(first, d.ready)
@@ -307,9 +307,9 @@
 	}
 }
 
-func (d *daemon) listed(l config.List, kind balance.ListKind) {
+func (d *daemon) listed(l config.List, kind balance.EndpointListKind) {
 	d.pool.List(l)
-	b := balance.List{Kind: kind}
+	b := balance.EndpointList{Kind: kind}
 	var ids []string
 	for _, e := range l.Servers {
 		if !d.known[e.ID] {
@@ -336,7 +336,7 @@
 	if silent {
 		kind = balance.ListSilent
 	}
-	d.core.List(balance.List{Kind: kind})
+	d.core.List(balance.EndpointList{Kind: kind})
 	if d.told || d.store == nil {
 		return
 	}
--- a/cmd/limeladder/operate.go
+++ b/cmd/limeladder/operate.go
@@ -77,7 +77,7 @@
 }
 
 // merge notes what a list changes in the one that stands.
-func (d *daemon) merge(l config.List, kind balance.ListKind) {
+func (d *daemon) merge(l config.List, kind balance.EndpointListKind) {
 	if kind != balance.ListDelta {
 		clear(d.latest)
 	}
