--- a/cmd/limeladder/record.go
+++ b/cmd/limeladder/record.go
@@ -130,7 +130,7 @@
 }
 
 // listed records a list, and the db machines that it takes out or lets back in.
-func (r *recording) listed(l config.List, kind balance.ListKind) {
+func (r *recording) listed(l config.List, kind balance.EndpointListKind) {
 	if r == nil || len(l.Servers) == 0 && kind != balance.ListFull {
 		return
 	}
--- a/cmd/limeladder/sites.go
+++ b/cmd/limeladder/sites.go
@@ -18,9 +18,9 @@
 	if !d.dep.Sites.Watch {
 		return
 	}
-	d.core.WatchSites(sites.Watch(cfg.Balance.Zone, cfg.Balance.ColdFor, d.lim.Listed))
+	d.core.WatchSites(sites.Watch(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Listed))
 	if d.dep.Sites.Act {
-		d.core.ActOnSites(sites.DoorConfig{Spread: cfg.Balance.MaxRetryAfter}, sites.RampConfig{First: cfg.Balance.ColdFrom, Over: cfg.Balance.ColdFor}, cfg.SeedValue)
+		d.core.ActOnSites(sites.DoorConfig{Spread: cfg.Balance.MaxRetryAfter}, sites.RampConfig{First: cfg.Balance.SlowStartFrom, Over: cfg.Balance.SlowStartWindow}, cfg.SeedValue)
 	}
 }
 
--- a/internal/audit/encode.go
+++ b/internal/audit/encode.go
@@ -216,9 +216,9 @@
 
 // ends are the words for how an attempt ended.
 func ends() []string {
-	return []string{balance.Done: "done", balance.Error: "error", balance.Busy: "busy", balance.TimedOut: "timed-out",
-		balance.ConnectFailed: "connect-failed", balance.Reset: "reset", balance.Cancelled: "cancelled",
-		balance.Skipped: "skipped", balance.Miss: "miss"}
+	return []string{balance.StatusDone: "done", balance.StatusError: "error", balance.StatusBusy: "busy", balance.StatusTimedOut: "timed-out",
+		balance.StatusConnectFailed: "connect-failed", balance.StatusReset: "reset", balance.StatusCancelled: "cancelled",
+		balance.StatusNotSent: "skipped", balance.StatusMiss: "miss"}
 }
 
 func (e *Encoder) answer(a *Answer) string {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,18 +33,18 @@
 }
 
 // Balance turns an entry into the decision module's form.
-func (e Entry) Balance() (balance.Entry, error) {
-	b := balance.Entry{Node: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
+func (e Entry) Balance() (balance.EndpointEntry, error) {
+	b := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
 	if e.StartedMs > 0 {
-		b.ReadyAt = time.Duration(e.StartedMs) * time.Millisecond
+		b.StartedAt = time.Duration(e.StartedMs) * time.Millisecond
 	}
 	switch e.State {
 	case "ready":
-		b.State = balance.Ready
+		b.State = balance.EndpointReady
 	case "draining":
-		b.State = balance.Draining
+		b.State = balance.EndpointDraining
 	case "gone":
-		b.State = balance.Gone
+		b.State = balance.EndpointRemoved
 	default:
 		return b, fmt.Errorf("state: unknown word %q", e.State)
 	}
@@ -149,7 +149,7 @@
 	if c.Balance, err = c.Settings.Balance(); err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
 	}
-	c.Balance.HeldBack = heldBack
+	c.Balance.LateRejectCost = heldBack
 	if _, err := balance.New(c.Balance, 0); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(good), none)
-	if err != nil || c.SeedValue != 0x8c1f30d27a5be964 || c.Known.Version != 41 || c.Balance.Instances != 3 || !c.Balance.Ask {
+	if err != nil || c.SeedValue != 0x8c1f30d27a5be964 || c.Known.Version != 41 || c.Balance.Instances != 3 || !c.Balance.PollDiscovery {
 		t.Fatalf("%+v %v", c, err)
 	}
 	env := func(k string) string {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -50,33 +50,33 @@
 }
 
 var (
-	needs = map[string]balance.Need{"loose": balance.NeedAny, "recent": balance.NeedBounded,
-		"own_writes": balance.NeedSession, "latest": balance.NeedLatest, "update": balance.NeedUpdate}
-	effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	scopes  = map[string]balance.Scope{"": balance.ScopeAll, "cell": balance.ScopeGroup, "zone": balance.ScopeZone, "all": balance.ScopeAll}
-	checks  = map[string]balance.Checks{"": 0, "silent": balance.ChecksNone, "reject": balance.ChecksRefuse, "hold": balance.ChecksWait}
+	needs = map[string]balance.Consistency{"loose": balance.ConsistencyAny, "recent": balance.ConsistencyBounded,
+		"own_writes": balance.ConsistencySession, "latest": balance.ConsistencyLatest, "update": balance.ConsistencyWrite}
+	effects = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotentWithKey, "unsafe": balance.NonIdempotent}
+	scopes  = map[string]balance.IdempotencyScope{"": balance.ScopeAll, "cell": balance.ScopeGroup, "zone": balance.ScopeZone, "all": balance.ScopeAll}
+	checks  = map[string]balance.FreshnessCheck{"": 0, "silent": balance.FreshnessCheckNone, "reject": balance.FreshnessCheckReject, "hold": balance.FreshnessCheckWait}
 )
 
 // Balance turns the settings into those of the decision module. Simulator and real router share it.
 func (p *Settings) Balance() (balance.Config, error) {
 	c := balance.Config{
-		Instances: p.Instances, Zone: p.Locality, OverShareWorth: p.OverShareWorth,
-		Resolution: time.Duration(p.ResolutionNs), Ask: p.Discovery == "ask",
-		AskWithin:    time.Duration(p.Contract.AskWithinNs),
+		Instances: p.Instances, Zone: p.Locality, OverQuotaWeight: p.OverShareWorth,
+		TimerResolution: time.Duration(p.ResolutionNs), PollDiscovery: p.Discovery == "ask",
+		PollWithin:    time.Duration(p.Contract.AskWithinNs),
 		DrainGrace:   time.Duration(p.Contract.DrainGraceNs),
-		ClientTokens: p.Extra.TokenMode == "client",
-		Probes:       p.Limits.Probes, ProbePrice: p.Prices.Probe, Cancel: p.Limits.Cancelling,
+		ClientSessionTokens: p.Extra.TokenMode == "client",
+		HealthChecks:       p.Limits.Probes, HealthCheckCost: p.Prices.Probe, Cancellation: p.Limits.Cancelling,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: time.Duration(p.Limits.MaxRetryAfterNs),
-		MostTries: p.Limits.MostTries, ColdFrom: p.Contract.ColdFrom,
-		ColdFor: time.Duration(p.Contract.ColdNs), FallMultiple: p.Contract.FallMultiple,
-		FallFor: time.Duration(p.Contract.FallNs), SoftRemoval: p.Contract.SoftRemoval,
+		MaxAttempts: p.Limits.MostTries, SlowStartFrom: p.Contract.ColdFrom,
+		SlowStartWindow: time.Duration(p.Contract.ColdNs), OverloadMultiple: p.Contract.FallMultiple,
+		OverloadWindow: time.Duration(p.Contract.FallNs), SoftRemoval: p.Contract.SoftRemoval,
 	}
 	// Guards against a router that nobody tells of a drain: by a word it does not know it would neither ask nor follow.
 	if p.Discovery != "ask" && p.Discovery != "push" {
 		return c, fmt.Errorf("Discovery: unknown word %q", p.Discovery)
 	}
 	var ok bool
-	if c.Checks, ok = checks[p.Extra.Guards]; !ok {
+	if c.FreshnessCheck, ok = checks[p.Extra.Guards]; !ok {
 		return c, fmt.Errorf("Extra.Guards: unknown word %q", p.Extra.Guards)
 	}
 	if p.Extra.OriginTimeNs == nil {
@@ -89,25 +89,25 @@
 		return c, fmt.Errorf("Extra.LagAllowedNs: %d values for %d classes", n, len(p.Lanes))
 	}
 	for i, l := range p.Lanes {
-		k := balance.Class{Name: l.Name, Aim: time.Duration(l.AimNs), AimStretch: l.AimStretch,
-			GiveUp: time.Duration(l.GiveUpNs), Worth: l.Importance, LateShare: l.LateShare,
-			Window: time.Duration(l.WindowNs)}
-		if k.Need, ok = needs[p.Extra.NeedsByClass[i]]; !ok {
+		k := balance.Class{Name: l.Name, LatencyObjective: time.Duration(l.AimNs), ObjectiveStretch: l.AimStretch,
+			ClientTimeout: time.Duration(l.GiveUpNs), PriorityWeight: l.Importance, LateWeightShare: l.LateShare,
+			IdempotencyWindow: time.Duration(l.WindowNs)}
+		if k.Consistency, ok = needs[p.Extra.NeedsByClass[i]]; !ok {
 			return c, fmt.Errorf("Extra.NeedsByClass: unknown word %q", p.Extra.NeedsByClass[i])
 		}
-		if k.Effect, ok = effects[l.Effect]; !ok {
+		if k.Idempotency, ok = effects[l.Effect]; !ok {
 			return c, fmt.Errorf("Lanes.Effect: unknown word %q", l.Effect)
 		}
-		if k.Scope, ok = scopes[l.Group]; !ok {
+		if k.IdempotencyScope, ok = scopes[l.Group]; !ok {
 			return c, fmt.Errorf("Lanes.Group: unknown word %q", l.Group)
 		}
 		if len(p.Extra.LagAllowedNs) > 0 {
-			k.Bound = time.Duration(p.Extra.LagAllowedNs[i])
+			k.MaxStaleness = time.Duration(p.Extra.LagAllowedNs[i])
 		}
 		c.Classes = append(c.Classes, k)
 	}
 	for _, t := range p.Tenants {
-		c.Tenants = append(c.Tenants, balance.Tenant{Name: t.Name, Rate: t.AllowancePerS})
+		c.Tenants = append(c.Tenants, balance.Tenant{Name: t.Name, Quota: t.AllowancePerS})
 	}
 	return c, nil
 }
--- a/internal/extended/extended_test.go
+++ b/internal/extended/extended_test.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, err := router.New(l, lim, log, balance.Config{Instances: 1, Zone: "a", Probes: true, Cancel: true, MostTries: 10,
-		ColdFrom: 0.2, ClientTokens: true, Classes: []balance.Class{
-			{Name: "own", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedSession},
-			{Name: "look", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedAny},
-			{Name: "job", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedUpdate, Effect: balance.Unsafe},
+	core, err := router.New(l, lim, log, balance.Config{Instances: 1, Zone: "a", HealthChecks: true, Cancellation: true, MaxAttempts: 10,
+		SlowStartFrom: 0.2, ClientSessionTokens: true, Classes: []balance.Class{
+			{Name: "own", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencySession},
+			{Name: "look", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny},
+			{Name: "job", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
 		}}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 
 // list tells the router of db machines, named by their addresses.
 func (w *world) list(full bool, state string, dbs ...*standin.DB) {
-	l, b := config.List{Full: full}, balance.List{Kind: balance.ListDelta}
+	l, b := config.List{Full: full}, balance.EndpointList{Kind: balance.ListDelta}
 	for i, d := range dbs {
 		e := config.Entry{ID: d.Addr, Addr: d.Addr, Zone: "a", Cell: 7, State: state}
 		if full && i == 0 {
--- a/internal/lab/figures/foresight.go
+++ b/internal/lab/figures/foresight.go
@@ -35,7 +35,7 @@
 	c.Silent = [2]time.Duration{20 * time.Second, 20 * time.Second}
 	if rng.IntN(2) == 0 { // no class whose reads hold up the log
 		c.Classes[2].Long, c.Classes[2].Work.Mean, c.Classes[2].Share = false, 80*time.Millisecond, 0.2
-		c.Classes[2].Worth, c.Classes[2].Aim, c.Classes[2].GiveUp = 1, 400*time.Millisecond, time.Second
+		c.Classes[2].PriorityWeight, c.Classes[2].LatencyObjective, c.Classes[2].ClientTimeout = 1, 400*time.Millisecond, time.Second
 	}
 	site := c.Zones[rng.IntN(len(c.Zones))]
 	told, got, err := fleet.Foresee(c, seed, site, foreseeAt)
--- a/internal/lab/fleet/client.go
+++ b/internal/lab/fleet/client.go
@@ -52,11 +52,11 @@
 	}
 	q := &request{f: f, id: f.last, class: k, session: &f.sessions[f.rng.IntN(len(f.sessions))], need: max(time.Microsecond, k.Work.Draw(f.rng)), born: f.clock.Now()}
 	q.bank = int64(q.session.bank + 1)
-	q.until = q.born + k.GiveUp
+	q.until = q.born + k.ClientTimeout
 	f.inHand++
 	f.obs.came(q)
 	if f.cfg.Leave > 0 && f.rng.Float64() < f.cfg.Leave {
-		f.clock.After(time.Duration(f.rng.Float64()*float64(k.GiveUp)/2), q.leave)
+		f.clock.After(time.Duration(f.rng.Float64()*float64(k.ClientTimeout)/2), q.leave)
 	}
 	f.clock.At(q.until, q.giveUp)
 	q.send()
@@ -88,15 +88,15 @@
 			return
 		}
 		q.at, q.life = r, r.life
-		switch q.see = 0; q.class.Need {
-		case balance.NeedSession:
+		switch q.see = 0; q.class.Consistency {
+		case balance.ConsistencySession:
 			q.see = q.session.wrote
-		case balance.NeedLatest:
+		case balance.ConsistencyLatest:
 			q.see = now
 		}
 		x := router.Request{Label: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
 			Deadline: q.until - now - f.cfg.Client, At: now, Retry: q.tries > 1, Job: q}
-		if q.class.Need == balance.NeedSession {
+		if q.class.Consistency == balance.ConsistencySession {
 			x.After = q.see
 		}
 		id, err := r.core.Take(x, q)
@@ -125,7 +125,7 @@
 	}
 	q.pos = a.(time.Duration)
 	q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() {
-		if q.class.Need == balance.NeedUpdate {
+		if q.class.Consistency == balance.ConsistencyWrite {
 			q.session.wrote = max(q.session.wrote, q.pos)
 		}
 		q.end(served)
@@ -144,7 +144,7 @@
 func (q *request) Failed(string) {
 	if q.answered() {
 		q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() {
-			if q.class.Effect == balance.Safe {
+			if q.class.Idempotency == balance.Idempotent {
 				q.again(0)
 			} else {
 				q.end(failed)
@@ -220,7 +220,7 @@
 	for _, q := range f.obs.open(r) {
 		q.answers++
 		f.clock.After(f.jitter(f.cfg.Client), func() {
-			if q.class.Effect == balance.Safe {
+			if q.class.Idempotency == balance.Idempotent {
 				q.again(0)
 			} else {
 				q.end(failed)
--- a/internal/lab/fleet/config.go
+++ b/internal/lab/fleet/config.go
@@ -58,7 +58,7 @@
 	MostTries               int
 	ProbePrice, HeldBack    float64
 	Cancel                  bool
-	Checks                  balance.Checks // what a machine does with a read that it is too far behind for
+	Checks                  balance.FreshnessCheck // what a machine does with a read that it is too far behind for
 	Hold                    []string       // classes whose requests are held through a change of primary
 	Sites                   string         // what routers do about whole sites: one of SitesOff and so on
 	HarmColdBudget          bool           // the routers know nothing of cold machines: a change that does harm
@@ -85,7 +85,7 @@
 )
 
 // Update says whether a class is one of writes.
-func Update(k *Class) bool { return k.Need == balance.NeedUpdate }
+func Update(k *Class) bool { return k.Consistency == balance.ConsistencyWrite }
 
 // Step is the load from a moment on, as a part of the usual; Ramp is how long it takes to get there.
 type Step struct {
@@ -123,21 +123,21 @@
 		Follow: model.Follow{Ship: 8 * ms, Apply: 12 * ms, Detect: [2]time.Duration{time.Second, 3 * time.Second},
 			Stand: [2]time.Duration{0, 500 * ms}, HandOver: [2]time.Duration{470 * ms, 940 * ms}, Resync: 500 * ms},
 		Classes: []Class{
-			{Class: balance.Class{Name: "queue-view", Aim: 300 * ms, GiveUp: 1200 * ms, Worth: 2, LateShare: 0.2, Need: balance.NeedBounded, Bound: 500 * ms},
+			{Class: balance.Class{Name: "queue-view", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms},
 				Share: 0.42, Work: model.Dist{Mean: 65 * ms, CV: 1.1}},
-			{Class: balance.Class{Name: "own-jobs", Aim: 400 * ms, GiveUp: 1500 * ms, Worth: 2, LateShare: 0.3, Need: balance.NeedSession},
+			{Class: balance.Class{Name: "own-jobs", LatencyObjective: 400 * ms, ClientTimeout: 1500 * ms, PriorityWeight: 2, LateWeightShare: 0.3, Consistency: balance.ConsistencySession},
 				Share: 0.3, Work: model.Dist{Mean: 50 * ms, Exp: true}},
-			{Class: balance.Class{Name: "audit-report", Aim: 5 * time.Second, GiveUp: 10 * time.Second, Worth: 6, LateShare: 0.2, Need: balance.NeedAny},
+			{Class: balance.Class{Name: "audit-report", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: balance.ConsistencyAny},
 				Share: 0.02, Work: model.Dist{Mean: 1100 * ms, CV: 1}, Long: true},
-			{Class: balance.Class{Name: "key-check", Aim: 300 * ms, GiveUp: 1200 * ms, Worth: 3, LateShare: 0.3, Need: balance.NeedLatest},
+			{Class: balance.Class{Name: "key-check", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: balance.ConsistencyLatest},
 				Share: 0.18, Work: model.Dist{Mean: 30 * ms, Exp: true}},
-			{Class: balance.Class{Name: "submit-job", Aim: time.Second, GiveUp: 3 * time.Second, Worth: 3, LateShare: 0.5, Need: balance.NeedUpdate, Effect: balance.Unsafe},
+			{Class: balance.Class{Name: "submit-job", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
 				Share: 0.08, Work: model.Dist{Mean: 100 * ms, Exp: true}},
 		},
 		Same: 200 * time.Microsecond, Cross: ms, Client: 700 * time.Microsecond, Jitter: 0.2,
 		Notice: [2]time.Duration{870 * ms, 4300 * ms}, Silent: [2]time.Duration{6600 * ms, 12 * time.Second},
 		Call: 5 * ms, CallWithin: 2 * time.Second,
-		Retries: 2, Honour: 0.6, Backoff: 60 * ms, Leave: 0.005, Sessions: 400, Roam: 1, Comeback: 2 * time.Second, Grace: 2 * time.Second, Checks: balance.ChecksRefuse,
+		Retries: 2, Honour: 0.6, Backoff: 60 * ms, Leave: 0.005, Sessions: 400, Roam: 1, Comeback: 2 * time.Second, Grace: 2 * time.Second, Checks: balance.FreshnessCheckReject,
 		ConnectWithin: 250 * ms, ConnIdle: 15 * time.Second, MemoryMB: 64, Sockets: 2048, MostTries: 10, ProbePrice: 0.017, HeldBack: 0.3, Cancel: true,
 	}
 }
@@ -160,14 +160,14 @@
 		return bad("classes", "at least one is needed")
 	case c.Sites != SitesOff && c.Sites != SitesWatch && c.Sites != SitesAct:
 		return bad("sites", c.Sites+" is neither watch nor act")
-	case c.Checks == balance.ChecksWait:
+	case c.Checks == balance.FreshnessCheckWait:
 		return bad("checks", "machines that wait are not emulated")
 	case c.Kind.Cores < 1 || c.Kind.Slots < 1 || c.Kind.Speed <= 0:
 		return bad("machine", "cores, slots and speed are needed")
 	}
 	sum := 0.0
 	for _, k := range c.Classes {
-		if k.Share < 0 || k.Work.Mean <= 0 || k.GiveUp <= 0 {
+		if k.Share < 0 || k.Work.Mean <= 0 || k.ClientTimeout <= 0 {
 			return bad("classes", k.Name+" needs a share, its work and a deadline")
 		}
 		sum += k.Share
@@ -189,11 +189,11 @@
 
 // balance is what each router is told.
 func (c *Config) balance(zone string) balance.Config {
-	b := balance.Config{Instances: c.Routers, Zone: zone, Ask: !c.Pushed, AskWithin: 5 * time.Second, DrainGrace: c.Grace, Resolution: 5 * time.Millisecond, Checks: c.Checks, ClientTokens: true,
-		Probes: true, ProbePrice: c.ProbePrice, HeldBack: c.HeldBack, Cancel: c.Cancel, RetryAfter: true, MaxRetryAfter: c.Comeback, MostTries: c.MostTries,
-		ColdFrom: c.Kind.ColdFrom, ColdFor: c.Kind.ColdFor, FallMultiple: c.Kind.FallMultiple, FallFor: c.Kind.FallFor}
+	b := balance.Config{Instances: c.Routers, Zone: zone, PollDiscovery: !c.Pushed, PollWithin: 5 * time.Second, DrainGrace: c.Grace, TimerResolution: 5 * time.Millisecond, FreshnessCheck: c.Checks, ClientSessionTokens: true,
+		HealthChecks: true, HealthCheckCost: c.ProbePrice, LateRejectCost: c.HeldBack, Cancellation: c.Cancel, RetryAfter: true, MaxRetryAfter: c.Comeback, MaxAttempts: c.MostTries,
+		SlowStartFrom: c.Kind.ColdFrom, SlowStartWindow: c.Kind.ColdFor, OverloadMultiple: c.Kind.FallMultiple, OverloadWindow: c.Kind.FallFor}
 	if c.HarmColdBudget {
-		b.ColdFrom, b.ColdFor = 1, 0
+		b.SlowStartFrom, b.SlowStartWindow = 1, 0
 	}
 	for _, k := range c.Classes {
 		b.Classes = append(b.Classes, k.Class)
--- a/internal/lab/fleet/directory.go
+++ b/internal/lab/fleet/directory.go
@@ -35,19 +35,19 @@
 }
 
 // entry is a listing as routers read it.
-func entry(l model.Listing) balance.Entry {
-	states := map[model.ListedAs]balance.State{model.ListedGone: balance.Gone, model.ListedReady: balance.Ready, model.ListedDraining: balance.Draining}
-	return balance.Entry{Node: l.Machine.ID, Zone: l.Machine.Zone, Group: l.Machine.Bank.ID, State: states[l.State], Primary: l.Primary, ReadyAt: l.UpAt}
+func entry(l model.Listing) balance.EndpointEntry {
+	states := map[model.ListedAs]balance.EndpointState{model.ListedGone: balance.EndpointRemoved, model.ListedReady: balance.EndpointReady, model.ListedDraining: balance.EndpointDraining}
+	return balance.EndpointEntry{Endpoint: l.Machine.ID, Zone: l.Machine.Zone, Group: l.Machine.Bank.ID, State: states[l.State], Primary: l.Primary, StartedAt: l.UpAt}
 }
 
-func (d *directory) list(kind balance.ListKind) balance.List {
+func (d *directory) list(kind balance.EndpointListKind) balance.EndpointList {
 	l := d.since(0)
 	l.Kind = kind
 	return l
 }
 
 // since is what has changed behind a version.
-func (d *directory) since(version int64) (l balance.List) {
+func (d *directory) since(version int64) (l balance.EndpointList) {
 	d.Since(version, func(e model.Listing) { l.Entries = append(l.Entries, entry(e)) })
 	return l
 }
@@ -55,7 +55,7 @@
 // agent is on a router's own machine; discovery pushes lists to it. What it has counts as told to the router.
 type agent struct {
 	r       *instance
-	entries []balance.Entry // as it was sent last
+	entries []balance.EndpointEntry // as it was sent last
 	version int64
 	waits   bool // something is on its way, or waits until discovery can reach it
 }
@@ -80,7 +80,7 @@
 	a.waits = false
 	a.entries, a.version = d.list(balance.ListFull).Entries, d.Version
 	if r := a.r; r.alive {
-		r.told(balance.List{Entries: a.entries})
+		r.told(balance.EndpointList{Entries: a.entries})
 		r.watch.pushed()
 	}
 }
@@ -118,7 +118,7 @@
 	if !w.follows || w.have == a.version {
 		return
 	}
-	l := balance.List{Kind: balance.ListFull, Entries: a.entries}
+	l := balance.EndpointList{Kind: balance.ListFull, Entries: a.entries}
 	w.have = a.version
 	r.told(l)
 	r.core.List(l)
@@ -134,7 +134,7 @@
 
 // news wakes the watch that is out. On a cut link it stays silent to the end of its wait and a while more, and the router knows
 // nothing of what counts as told to it meanwhile.
-func (w *watcher) news(e balance.Entry) {
+func (w *watcher) news(e balance.EndpointEntry) {
 	r := w.r
 	if !w.follows || w.out || w.lost {
 		return
@@ -146,13 +146,13 @@
 	lim := limits.For(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
 	now := r.f.clock.Now()
 	end := w.began + ((now-w.began)/lim.WatchWait+1)*lim.WatchWait // a watch without news was followed by the next one
-	if p := r.peer(e.Node); p != nil && e.State != balance.Ready && !p.out {
+	if p := r.peer(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.out {
 		p.out, p.outAt = true, end+told
 	}
 	w.lost = true
 	r.later(end+lim.WatchSlack-now, func() {
 		w.lost, w.follows = false, false
-		r.core.List(balance.List{Kind: balance.ListSilent})
+		r.core.List(balance.EndpointList{Kind: balance.ListSilent})
 	})
 }
 
@@ -163,7 +163,7 @@
 	if w.cut() {
 		r.later(r.f.cfg.ConnectWithin, func() {
 			w.out, w.follows = false, false
-			r.core.List(balance.List{Kind: balance.ListSilent})
+			r.core.List(balance.EndpointList{Kind: balance.ListSilent})
 		})
 		return
 	}
@@ -174,7 +174,7 @@
 		}
 		over = true
 		w.out, w.follows = false, false
-		r.core.List(balance.List{Kind: balance.ListFailed})
+		r.core.List(balance.EndpointList{Kind: balance.ListFailed})
 		r.turn()
 	})
 	r.f.clock.After(r.f.jitter(r.f.cfg.Cross), func() {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -42,7 +42,7 @@
 // Count is what was done, over all routers.
 type Count struct {
 	Attempts, Dials, Probes, Calls uint64
-	Ends                           [balance.Miss + 1]uint64
+	Ends                           [balance.StatusMiss + 1]uint64
 	Events                         uint64
 }
 
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, k := range cfg.Classes {
-		f.longest = max(f.longest, k.GiveUp)
+		f.longest = max(f.longest, k.ClientTimeout)
 	}
 	f.offered = cfg.Rate()
 	f.sessions = make([]session, max(1, cfg.Sessions))
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -230,7 +230,7 @@
 		}
 	}
 	c := Default()
-	c.Classes[0].Need = balance.NeedBounded
+	c.Classes[0].Consistency = balance.ConsistencyBounded
 	if err := c.Check(); err != nil {
 		t.Error(fmt.Sprint(err))
 	}
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -155,10 +155,10 @@
 	o.asked[q.id] = q
 	s := &o.seconds[o.second(q)]
 	s.Came++
-	s.Could += q.class.Worth
+	s.Could += q.class.PriorityWeight
 	t := o.classes[q.class.Name]
 	t.Came++
-	t.Could += q.class.Worth
+	t.Could += q.class.PriorityWeight
 	o.top.came(q, o.second(q))
 }
 
@@ -189,7 +189,7 @@
 
 // seen checks what a router is about to write.
 func (f *Fleet) seen(r *instance, q *request, p *peer) {
-	if q.out > 0 && q.class.Effect != balance.Safe {
+	if q.out > 0 && q.class.Idempotency != balance.Idempotent {
 		f.obs.fault("copies", "request %d is written to %s while a copy is out", q.id, p.m.ID)
 	}
 	if p.out && f.clock.Now() > p.outAt+f.cfg.Grace {
@@ -199,7 +199,7 @@
 
 // ran checks what a machine has run.
 func (o *observer) ran(q *request, m *model.Machine, pos, see time.Duration) {
-	if q.runs > 1 && q.class.Effect == balance.Unsafe {
+	if q.runs > 1 && q.class.Idempotency == balance.NonIdempotent {
 		o.fault("twice", "request %d ran %d times", q.id, q.runs)
 	}
 	if see > pos {
@@ -212,11 +212,11 @@
 	now := o.f.clock.Now()
 	worth, late := 0.0, 0
 	if how == served {
-		if worth = q.class.Worth; now-q.born > q.class.Aim {
-			worth, late = worth*q.class.LateShare, 1
+		if worth = q.class.PriorityWeight; now-q.born > q.class.LatencyObjective {
+			worth, late = worth*q.class.LateWeightShare, 1
 		}
 		o.lat = append(o.lat, (now - q.born).Seconds())
-		if q.class.Need == balance.NeedUpdate && q.runs == 0 {
+		if q.class.Consistency == balance.ConsistencyWrite && q.runs == 0 {
 			o.fault("lost", "write %d was served and never ran", q.id)
 		}
 	}
--- a/internal/lab/fleet/router.go
+++ b/internal/lab/fleet/router.go
@@ -74,7 +74,7 @@
 		for _, k := range cfg.Classes {
 			for _, name := range f.cfg.Hold {
 				if k.Name == name {
-					classes[name] = changeover.Class{Worth: k.Worth, Work: k.Aim / 10}
+					classes[name] = changeover.Class{Worth: k.PriorityWeight, Work: k.LatencyObjective / 10}
 				}
 			}
 		}
@@ -82,9 +82,9 @@
 			Margin: lim.AnswerBefore, MaxAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
-		core.WatchSites(sites.Watch(cfg.Zone, cfg.ColdFor, f.cfg.Banks*f.cfg.Members))
+		core.WatchSites(sites.Watch(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
 		if f.cfg.Sites == SitesAct {
-			core.ActOnSites(sites.DoorConfig{Spread: cfg.MaxRetryAfter}, sites.RampConfig{First: cfg.ColdFrom, Over: cfg.ColdFor}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
+			core.ActOnSites(sites.DoorConfig{Spread: cfg.MaxRetryAfter}, sites.RampConfig{First: cfg.SlowStartFrom, Over: cfg.SlowStartWindow}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
 		}
 	}
 	r.alive = true
@@ -167,10 +167,10 @@
 }
 
 // told notes what a list says of machines, for the observer.
-func (r *instance) told(l balance.List) {
+func (r *instance) told(l balance.EndpointList) {
 	for _, e := range l.Entries {
-		p := r.peer(e.Node)
-		if out := e.State != balance.Ready; p != nil && out != p.out {
+		p := r.peer(e.Endpoint)
+		if out := e.State != balance.EndpointReady; p != nil && out != p.out {
 			p.out, p.outAt = out, r.f.clock.Now()
 		}
 	}
@@ -198,7 +198,7 @@
 		r.f.obs.fault("attempts", "%v has %d attempts of request %d out", r, c.q.live, c.q.id)
 	}
 	if c.p == nil {
-		r.later(0, func() { c.end(router.Result{Status: balance.ConnectFailed}) })
+		r.later(0, func() { c.end(router.Result{Status: balance.StatusConnectFailed}) })
 		return c
 	}
 	now := r.f.clock.Now()
@@ -231,7 +231,7 @@
 	life := r.life
 	c.timer = r.f.clock.After(r.f.cfg.ConnectWithin, func() {
 		if r.life == life && !c.over && !up {
-			c.end(router.Result{Status: balance.ConnectFailed})
+			c.end(router.Result{Status: balance.StatusConnectFailed})
 			r.turn()
 		}
 	})
@@ -256,9 +256,9 @@
 					c.conn = conn{epoch, 0}
 					c.write()
 				case full:
-					c.end(router.Result{Status: balance.Busy})
+					c.end(router.Result{Status: balance.StatusBusy})
 				default:
-					c.end(router.Result{Status: balance.ConnectFailed})
+					c.end(router.Result{Status: balance.StatusConnectFailed})
 				}
 				r.turn()
 			})
@@ -272,22 +272,22 @@
 	c.timer.Stop()
 	if c.by > 0 && now > c.by {
 		c.p.idle = append(c.p.idle, conn{c.conn.epoch, now})
-		r.later(0, func() { c.end(router.Result{Status: balance.Skipped}) })
+		r.later(0, func() { c.end(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	c.written = true
 	r.f.seen(r, c.q, c.p)
 	life, q := r.life, c.q
 	see := q.see
-	if q.class.Need == balance.NeedBounded {
-		see = now - q.class.Bound // from when it is sent: each attempt has one of its own
+	if q.class.Consistency == balance.ConsistencyBounded {
+		see = now - q.class.MaxStaleness // from when it is sent: each attempt has one of its own
 	}
 	must := see
 	if m.Led() && !c.p.replica {
 		must = 0 // the contract lets it pass: no answer has told this router that it leads no more
 	}
-	c.work = &model.Work{Need: q.need, Write: q.class.Need == balance.NeedUpdate, Long: q.class.Long, Until: q.until}
-	if r.f.cfg.Checks != balance.ChecksNone {
+	c.work = &model.Work{Need: q.need, Write: q.class.Consistency == balance.ConsistencyWrite, Long: q.class.Long, Until: q.until}
+	if r.f.cfg.Checks != balance.FreshnessCheckNone {
 		c.work.See = see
 	}
 	c.work.Done = func(o model.Outcome, pos time.Duration, primary bool) {
@@ -329,15 +329,15 @@
 	}
 	switch o {
 	case model.Served:
-		res.Status = balance.Done
+		res.Status = balance.StatusDone
 	case model.Full:
-		res.Status = balance.Busy
+		res.Status = balance.StatusBusy
 	case model.ReadOnly, model.Behind:
-		res.Status = balance.Miss
+		res.Status = balance.StatusMiss
 	case model.Broke:
-		res = router.Result{Status: balance.Reset}
+		res = router.Result{Status: balance.StatusReset}
 	default:
-		res.Status = balance.Error
+		res.Status = balance.StatusError
 	}
 	if o != model.Broke {
 		c.p.replica = !primary
@@ -385,7 +385,7 @@
 func (r *instance) Probe(node string, done func(router.Result)) {
 	p := r.peer(node)
 	if p == nil || p.barred {
-		r.later(0, func() { done(router.Result{Status: balance.TimedOut}) })
+		r.later(0, func() { done(router.Result{Status: balance.StatusTimedOut}) })
 		return
 	}
 	r.f.count.Probes++
@@ -397,7 +397,7 @@
 			r.turn()
 		}
 	}
-	limit := r.f.clock.After(r.f.cfg.ConnectWithin, func() { end(router.Result{Status: balance.TimedOut}) })
+	limit := r.f.clock.After(r.f.cfg.ConnectWithin, func() { end(router.Result{Status: balance.StatusTimedOut}) })
 	r.f.clock.After(r.way(m), func() {
 		if r.f.cut(r, m) {
 			return
@@ -408,9 +408,9 @@
 					return
 				}
 				limit.Stop()
-				res := router.Result{Status: balance.ConnectFailed}
+				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.Done, Position: rep.Position, Role: balance.RoleReplica, Use: rep.Use}
+					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Use: rep.Use}
 					if rep.Primary {
 						res.Role = balance.RolePrimary
 					}
--- a/internal/lab/fleet/top.go
+++ b/internal/lab/fleet/top.go
@@ -33,11 +33,11 @@
 	all := t.waiting[q.bank]
 	for i := len(all) - 1; i >= 0 && all[i].born > t.at; i-- {
 		if c := &all[i]; c.class == q.class && c.second == second {
-			c.work, c.worth = c.work+q.need.Seconds(), c.worth+q.class.Worth
+			c.work, c.worth = c.work+q.need.Seconds(), c.worth+q.class.PriorityWeight
 			return
 		}
 	}
-	t.waiting[q.bank] = append(all, cohort{q.class, q.born, second, q.need.Seconds(), q.class.Worth})
+	t.waiting[q.bank] = append(all, cohort{q.class, q.born, second, q.need.Seconds(), q.class.PriorityWeight})
 }
 
 // step serves what it can since the last one.
@@ -61,10 +61,10 @@
 	worth := func(c cohort) float64 {
 		// It came on its way through the step: half of the step at least lies behind it.
 		switch age := now - c.born; {
-		case age <= c.class.Aim+span:
+		case age <= c.class.LatencyObjective+span:
 			return c.worth
-		case age <= c.class.GiveUp:
-			return c.worth * c.class.LateShare
+		case age <= c.class.ClientTimeout:
+			return c.worth * c.class.LateWeightShare
 		}
 		return 0
 	}
@@ -82,9 +82,9 @@
 		t.tally[c.class.Name] += got
 	}
 	for _, c := range all {
-		strong := c.class.Need == balance.NeedUpdate || c.class.Need == balance.NeedLatest
+		strong := c.class.Consistency == balance.ConsistencyWrite || c.class.Consistency == balance.ConsistencyLatest
 		for i, m := range b.Members {
-			if strong || m.Primary() || c.class.Need == balance.NeedBounded && now-m.Position() > c.class.Bound+span {
+			if strong || m.Primary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+span {
 				continue
 			}
 			take(&c, i)
@@ -94,7 +94,7 @@
 				take(&c, i)
 			}
 		}
-		if c.work > 1e-9 && now-c.born < c.class.GiveUp {
+		if c.work > 1e-9 && now-c.born < c.class.ClientTimeout {
 			left = append(left, c)
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -316,10 +316,10 @@
 	r.res.Lateness.RecordValue(max(1, time.Since(q.due).Microseconds()))
 	s := r.second(q)
 	s.Came++
-	s.Could += q.class.Worth
+	s.Could += q.class.PriorityWeight
 	for _, t := range r.tallies(q) {
 		t.Came++
-		t.Could += q.class.Worth
+		t.Could += q.class.PriorityWeight
 	}
 }
 
@@ -358,10 +358,10 @@
 		us := min(longestUs, max(1, took.Microseconds()))
 		r.res.Latency[""].RecordValue(us)
 		r.res.Latency[q.class.Name].RecordValue(us)
-		if worth = q.class.Worth; took > q.class.Aim {
-			worth, late = worth*q.class.LateShare, 1
+		if worth = q.class.PriorityWeight; took > q.class.LatencyObjective {
+			worth, late = worth*q.class.LateWeightShare, 1
 		}
-		if took > q.class.GiveUp {
+		if took > q.class.ClientTimeout {
 			worth, how = 0, expired
 		}
 	}
@@ -391,7 +391,7 @@
 		r.mu.Lock()
 		p.busy++
 		r.mu.Unlock()
-		if left := q.class.GiveUp - time.Since(q.due); left < time.Millisecond { // d is told in whole milliseconds
+		if left := q.class.ClientTimeout - time.Since(q.due); left < time.Millisecond { // d is told in whole milliseconds
 			r.ended(q, expired, "")
 		} else {
 			if c == nil {
@@ -413,7 +413,7 @@
 	q.tries++
 	s := &r.sessions[q.session]
 	after := time.Duration(0)
-	if q.class.Need == balance.NeedSession {
+	if q.class.Consistency == balance.ConsistencySession {
 		s.mu.Lock()
 		after = s.wrote
 		s.mu.Unlock()
@@ -431,7 +431,7 @@
 		}
 	}
 	if a.code == "" {
-		if _, text, ok := strings.Cut(a.value, " "); ok && q.class.Need == balance.NeedUpdate {
+		if _, text, ok := strings.Cut(a.value, " "); ok && q.class.Consistency == balance.ConsistencyWrite {
 			if pos, err := strconv.ParseInt(text, 10, 64); err == nil {
 				s.mu.Lock()
 				s.wrote = max(s.wrote, time.Duration(pos))
@@ -449,7 +449,7 @@
 	if rng.Float64() < r.o.Honour {
 		wait = max(wait, a.after)
 	}
-	if how == failed && q.class.Effect != balance.Safe || q.tries > r.o.Retries || time.Since(q.due)+wait >= q.class.GiveUp {
+	if how == failed && q.class.Idempotency != balance.Idempotent || q.tries > r.o.Retries || time.Since(q.due)+wait >= q.class.ClientTimeout {
 		r.ended(q, how, a.code)
 		return c
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -155,7 +155,7 @@
 	o := options(addr)
 	o.Length, o.Rate = time.Second, 400
 	for i := range o.Classes {
-		o.Classes[i].GiveUp, o.Classes[i].Work.Mean = 400*time.Millisecond, 50*time.Millisecond
+		o.Classes[i].ClientTimeout, o.Classes[i].Work.Mean = 400*time.Millisecond, 50*time.Millisecond
 	}
 	r, err := Run(o)
 	if err != nil {
--- a/internal/lab/rig/clients/clients.go
+++ b/internal/lab/rig/clients/clients.go
@@ -213,8 +213,8 @@
 	s, t := c.second(q), c.res.Tally[q.class.Name]
 	s.Came++
 	t.Came++
-	s.Could += q.class.Worth
-	t.Could += q.class.Worth
+	s.Could += q.class.PriorityWeight
+	t.Could += q.class.PriorityWeight
 }
 
 // endings as fleet.Endings names them.
@@ -232,13 +232,13 @@
 	defer c.mu.Unlock()
 	s, t := c.second(q), c.res.Tally[q.class.Name]
 	if how == served {
-		worth := q.class.Worth
-		if took > q.class.Aim {
-			worth *= q.class.LateShare
+		worth := q.class.PriorityWeight
+		if took > q.class.LatencyObjective {
+			worth *= q.class.LateWeightShare
 			s.Late++
 			t.Late++
 		}
-		if took > q.class.GiveUp {
+		if took > q.class.ClientTimeout {
 			worth, how = 0, expired
 		}
 		s.Worth += worth
@@ -252,7 +252,7 @@
 func (c *Clients) ask(q *request) {
 	defer c.open.Done()
 	for {
-		left := q.class.GiveUp - time.Since(q.due)
+		left := q.class.ClientTimeout - time.Since(q.due)
 		if left < time.Millisecond { // d is told in whole milliseconds
 			c.ended(q, expired)
 			return
@@ -268,7 +268,7 @@
 			q.again++
 			continue
 		}
-		if how == failed && q.class.Effect != balance.Safe || q.tries > c.o.Retries || time.Since(q.due)+wait >= q.class.GiveUp {
+		if how == failed && q.class.Idempotency != balance.Idempotent || q.tries > c.o.Retries || time.Since(q.due)+wait >= q.class.ClientTimeout {
 			c.ended(q, how)
 			return
 		}
@@ -309,7 +309,7 @@
 		d.idle = d.idle[:len(d.idle)-1]
 	}
 	after := time.Duration(0)
-	if q.class.Need == balance.NeedSession {
+	if q.class.Consistency == balance.ConsistencySession {
 		after = c.wrote[q.session]
 	}
 	c.mu.Unlock()
@@ -326,7 +326,7 @@
 	life := d.Life()
 	text := standins.Statement(id, q.class.Name, left, int64(q.session%c.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
 	k.c.SetDeadline(time.Now().Add(left + time.Second))
-	c.log.Add(history.Asked{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Life: life, Within: left, Write: q.class.Need == balance.NeedUpdate})
+	c.log.Add(history.Asked{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Life: life, Within: left, Write: q.class.Consistency == balance.ConsistencyWrite})
 	_, err := k.c.Write(pgwire.AppendQuery(nil, text))
 	var a reply
 	if err == nil {
@@ -337,7 +337,7 @@
 	switch {
 	case err == nil && a.code == "":
 		how, out.How, out.Value = served, history.Served, a.value
-		if _, pos, ok := strings.Cut(a.value, " "); ok && q.class.Need == balance.NeedUpdate {
+		if _, pos, ok := strings.Cut(a.value, " "); ok && q.class.Consistency == balance.ConsistencyWrite {
 			if ns, e := strconv.ParseInt(pos, 10, 64); e == nil {
 				c.mu.Lock()
 				c.wrote[q.session] = max(c.wrote[q.session], time.Duration(ns))
--- a/internal/lab/rig/random.go
+++ b/internal/lab/rig/random.go
@@ -23,9 +23,9 @@
 	c.Length, c.Use, c.Sessions, c.Leave = 16*time.Second, 0.25, 100, 0
 	c.Kind.ColdFor, c.Kind.FallMultiple, c.Kind.FallFor = 8*time.Second, 4, 1500*ms
 	c.Classes = []fleet.Class{
-		{Class: balance.Class{Name: "view", Aim: 600 * ms, GiveUp: 2 * time.Second, Worth: 3, Need: balance.NeedBounded, Bound: 500 * ms}, Share: 0.48},
-		{Class: balance.Class{Name: "history", Aim: 400 * ms, GiveUp: time.Second, Worth: 1, Need: balance.NeedAny}, Share: 0.28},
-		{Class: balance.Class{Name: "entry", Aim: time.Second, GiveUp: 5 * time.Second, Worth: 6, LateShare: 0.7, Need: balance.NeedUpdate, Effect: balance.Unsafe}, Share: 0.24},
+		{Class: balance.Class{Name: "view", LatencyObjective: 600 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 3, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms}, Share: 0.48},
+		{Class: balance.Class{Name: "history", LatencyObjective: 400 * ms, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny}, Share: 0.28},
+		{Class: balance.Class{Name: "entry", LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, PriorityWeight: 6, LateWeightShare: 0.7, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}, Share: 0.24},
 	}
 	for i := range c.Classes {
 		c.Classes[i].Work.Mean, c.Classes[i].Work.Exp = 60*ms, true
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -333,7 +333,7 @@
 // longest is how long a request may be on its way.
 func (r *Rig) longest() (d time.Duration) {
 	for _, k := range r.o.Config.Classes {
-		d = max(d, k.GiveUp)
+		d = max(d, k.ClientTimeout)
 	}
 	return d
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -228,7 +228,7 @@
 }
 
 // checks reads what machines do with reads that they are too far behind for.
-func checks(to *balance.Checks) field {
+func checks(to *balance.FreshnessCheck) field {
 	return func(v starlark.Value) error {
 		var word string
 		if err := text(&word)(v); err != nil {
@@ -236,9 +236,9 @@
 		}
 		switch word {
 		case "refuse":
-			*to = balance.ChecksRefuse
+			*to = balance.FreshnessCheckReject
 		case "answer":
-			*to = balance.ChecksNone
+			*to = balance.FreshnessCheckNone
 		default:
 			return fmt.Errorf("%s is neither refuse nor answer", word)
 		}
@@ -326,25 +326,25 @@
 	return starlark.None, err
 }
 
-var needs = map[string]balance.Need{"any": balance.NeedAny, "bounded": balance.NeedBounded, "session": balance.NeedSession, "latest": balance.NeedLatest, "update": balance.NeedUpdate}
+var needs = map[string]balance.Consistency{"any": balance.ConsistencyAny, "bounded": balance.ConsistencyBounded, "session": balance.ConsistencySession, "latest": balance.ConsistencyLatest, "update": balance.ConsistencyWrite}
 
 func (r *reader) class(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	k, need, safe := fleet.Class{}, "any", true
 	k.Work.Exp = true
-	k.Worth, k.LateShare = 1, 0.2
+	k.PriorityWeight, k.LateWeightShare = 1, 0.2
 	err := set(args, kw, map[string]field{"name": text(&k.Name), "share": float(&k.Share, 0, 1000), "work_ms": span(&k.Work.Mean, time.Millisecond), "cv": float(&k.Work.CV, 0, 20),
-		"aim_ms": span(&k.Aim, time.Millisecond), "deadline_ms": span(&k.GiveUp, time.Millisecond), "worth": float(&k.Worth, 0, 1e6), "late": float(&k.LateShare, 0, 1),
-		"need": text(&need), "bound_ms": span(&k.Bound, time.Millisecond), "safe": truth(&safe), "long": truth(&k.Long)})
+		"aim_ms": span(&k.LatencyObjective, time.Millisecond), "deadline_ms": span(&k.ClientTimeout, time.Millisecond), "worth": float(&k.PriorityWeight, 0, 1e6), "late": float(&k.LateWeightShare, 0, 1),
+		"need": text(&need), "bound_ms": span(&k.MaxStaleness, time.Millisecond), "safe": truth(&safe), "long": truth(&k.Long)})
 	var ok bool
-	if k.Need, ok = needs[need]; err == nil && !ok {
+	if k.Consistency, ok = needs[need]; err == nil && !ok {
 		err = fmt.Errorf("need: nothing is called %s", need)
 	}
-	if err == nil && (k.Name == "" || k.GiveUp == 0 || k.Work.Mean == 0) {
+	if err == nil && (k.Name == "" || k.ClientTimeout == 0 || k.Work.Mean == 0) {
 		err = errors.New("name, work_ms and deadline_ms are needed")
 	}
 	k.Work.Exp = k.Work.CV == 0
-	if !safe || k.Need == balance.NeedUpdate {
-		k.Effect = balance.Unsafe
+	if !safe || k.Consistency == balance.ConsistencyWrite {
+		k.Idempotency = balance.NonIdempotent
 	}
 	if !r.own { // the first one takes the place of the usual ones
 		r.own, r.s.Config.Classes = true, nil
--- a/internal/lab/standins/host.go
+++ b/internal/lab/standins/host.go
@@ -289,18 +289,18 @@
 	needs := []string{"loose", "recent", "own_writes", "latest", "update"}
 	for _, k := range c.Classes {
 		effect := "safe"
-		if k.Effect != 0 {
+		if k.Idempotency != 0 {
 			effect = "unsafe"
 		}
-		lanes = append(lanes, lane{k.Name, int64(k.Aim), int64(k.GiveUp), k.Worth, k.LateShare, effect})
-		words, bounds = append(words, needs[k.Need]), append(bounds, int64(k.Bound))
+		lanes = append(lanes, lane{k.Name, int64(k.LatencyObjective), int64(k.ClientTimeout), k.PriorityWeight, k.LateWeightShare, effect})
+		words, bounds = append(words, needs[k.Consistency]), append(bounds, int64(k.MaxStaleness))
 	}
 	type object map[string]any
 	discovery, guards := "ask", "reject"
 	if c.Pushed {
 		discovery = "push"
 	}
-	if c.Checks == balance.ChecksNone {
+	if c.Checks == balance.FreshnessCheckNone {
 		guards = "silent"
 	}
 	return json.MarshalIndent(object{
--- a/internal/lab/standins/session.go
+++ b/internal/lab/standins/session.go
@@ -273,10 +273,10 @@
 			w.Write, w.Long = fleet.Update(k), k.Long
 		}
 		see := head.After
-		if k != nil && k.Need == balance.NeedBounded {
-			see = h.clock.Now() - k.Bound
+		if k != nil && k.Consistency == balance.ConsistencyBounded {
+			see = h.clock.Now() - k.MaxStaleness
 		}
-		if h.cfg.Checks != balance.ChecksNone {
+		if h.cfg.Checks != balance.FreshnessCheckNone {
 			w.See = see
 		}
 		v.Write, v.See, v.Led = w.Write, see, m.Led()
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -40,14 +40,14 @@
 // enter hands a request to the module.
 func (r *Router) enter(q *request) {
 	c, now := r.classes[q.Class], r.loop.Now()
-	e := balance.Request{ID: q.id, Class: q.Class, Group: q.Group, Expires: max(0, q.dieAt-now), Retry: q.Retry, Tried: q.before}
-	if q.Session != "" && (c.Need == balance.NeedSession || c.Need == balance.NeedUpdate) {
+	e := balance.Request{ID: q.id, Class: q.Class, Group: q.Group, TimeLeft: max(0, q.dieAt-now), Retry: q.Retry, PriorAttempts: q.before}
+	if q.Session != "" && (c.Consistency == balance.ConsistencySession || c.Consistency == balance.ConsistencyWrite) {
 		h := fnv.New64a()
 		h.Write([]byte(q.Session))
-		e.Key = int64(h.Sum64()>>11) | 1
+		e.SessionID = int64(h.Sum64()>>11) | 1
 	}
 	if q.After > 0 {
-		e.SinceLast = max(1, now-q.After)
+		e.SinceSessionWrite = max(1, now-q.After)
 	}
 	r.pending = append(r.pending, e)
 }
--- a/internal/router/book.go
+++ b/internal/router/book.go
@@ -12,7 +12,7 @@
 	Taken, Served, Refused, Failed, Left uint64
 	Turned                               uint64 // of those refused, at the door while a site was lost
 	Expired                              uint64 // of those refused, because their time was over before they could be begun
-	Attempts                             [balance.Miss + 1]uint64
+	Attempts                             [balance.StatusMiss + 1]uint64
 }
 
 // Counts returns a copy of the counters.
@@ -23,7 +23,7 @@
 	now := r.loop.Now()
 	r.log.Debug("attempt", "request", q.Label, "class", q.Class, "leg", leg, "node", q.node, "status", int(res.Status),
 		"role", int(res.Role), "took", now-q.sentAt)
-	if slices.Contains([]balance.Status{balance.Error, balance.TimedOut, balance.Reset, balance.Cancelled}, res.Status) {
+	if slices.Contains([]balance.Status{balance.StatusError, balance.StatusTimedOut, balance.StatusReset, balance.StatusCancelled}, res.Status) {
 		q.mayRun = true
 	}
 	r.ended(q, res.Status)
@@ -32,7 +32,7 @@
 	if res.At > 0 {
 		took = res.At - q.sentAt
 	}
-	if res.Status == balance.Done {
+	if res.Status == balance.StatusDone {
 		r.heard(q, res, took, now) // before its end is told: an answer that is not counted lets no more out
 		if c, ok := q.client.(Committer); ok && !q.over && res.Position > 0 && res.Code == "" && r.Writes(q.Class) {
 			c.Committed(res.Position)
@@ -42,7 +42,7 @@
 		r.cut(q)
 	}
 	r.outcome(q, leg, q.node, res, took)
-	if res.Status != balance.Done {
+	if res.Status != balance.StatusDone {
 		r.heard(q, res, took, now)
 	}
 	r.forget(q)
@@ -51,12 +51,12 @@
 func (r *Router) outcome(q *request, leg int, node string, res Result, took time.Duration) {
 	r.count.Attempts[res.Status]++
 	r.evidence(node, res)
-	r.pending = append(r.pending, balance.Outcome{ID: q.id, Attempt: leg, Node: node, Status: res.Status, Took: took,
+	r.pending = append(r.pending, balance.AttemptResult{ID: q.id, Attempt: leg, Endpoint: node, Status: res.Status, Elapsed: took,
 		Finished: q.over, Role: res.Role, Position: res.Position})
 }
 
 func (r *Router) leave(q *request) {
-	r.pending = append(r.pending, balance.ClientGone{ID: q.id})
+	r.pending = append(r.pending, balance.ClientDisconnected{ID: q.id})
 }
 
 // forget drops a request that is answered and has nothing out.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -58,7 +58,7 @@
 			if c.hold {
 				r.HoldThrough(changeover.Config{Instances: 1, Classes: map[string]changeover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}},
 					Count: 20_000, Bytes: 1 << 30, Margin: 10 * time.Millisecond}, 1, nil)
-				r.act(balance.Lead{Group: 0, Node: "n1"}) // it leads no more, and nobody follows
+				r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"}) // it leads no more, and nobody follows
 			}
 			type owing struct {
 				o       *owed
--- a/internal/router/hold.go
+++ b/internal/router/hold.go
@@ -86,7 +86,7 @@
 	if !r.holder.model.Holds(q.Group, q.Class) {
 		return
 	}
-	if r.module.MostTries() > 0 && q.before+q.tries >= r.module.MostTries() {
+	if r.module.MaxAttempts() > 0 && q.before+q.tries >= r.module.MaxAttempts() {
 		return // the module ends it
 	}
 	r.leave(q)
@@ -111,23 +111,23 @@
 	}
 	end := changeover.Nothing
 	switch res.Status {
-	case balance.Done:
+	case balance.StatusDone:
 		end = changeover.Fine
-	case balance.Miss:
+	case balance.StatusMiss:
 		if end = changeover.Fine; r.Writes(q.Class) {
 			end = changeover.Replica
 		}
-	case balance.Busy:
+	case balance.StatusBusy:
 		end = changeover.Full
-	case balance.ConnectFailed, balance.Reset:
+	case balance.StatusConnectFailed, balance.StatusReset:
 		end = changeover.Unreached
 	}
 	class := ""
-	if q.waits && res.Status == balance.Done {
+	if q.waits && res.Status == balance.StatusDone {
 		class = q.Class
 	}
 	h.model.Ended(now, q.node, q.id, end, role(res.Role), res.Position, class, took)
-	if q.waits && res.Status != balance.Done {
+	if q.waits && res.Status != balance.StatusDone {
 		r.withdraw(q)
 	}
 }
@@ -144,21 +144,21 @@
 
 func (r *Router) reported(node string, res Result) {
 	if h := r.holder; h != nil {
-		h.model.Reported(r.loop.Now(), node, res.Status == balance.Done, role(res.Role), res.Position)
+		h.model.Reported(r.loop.Now(), node, res.Status == balance.StatusDone, role(res.Role), res.Position)
 	}
 }
 
-func (r *Router) believe(a balance.Lead) {
+func (r *Router) believe(a balance.PrimaryUpdate) {
 	h := r.holder
 	if h == nil {
 		return
 	}
-	if !a.Believed {
-		h.model.Doubt(r.loop.Now(), a.Group, a.Node)
+	if !a.Confirmed {
+		h.model.Doubt(r.loop.Now(), a.Group, a.Endpoint)
 		return
 	}
 	_, before, _, _ := h.model.Bank(a.Group)
-	h.model.Believe(r.loop.Now(), a.Group, a.Node)
+	h.model.Believe(r.loop.Now(), a.Group, a.Endpoint)
 	if _, term, primary, _ := h.model.Bank(a.Group); term != before && h.change != nil {
 		h.change(a.Group, term, primary)
 	}
@@ -170,14 +170,14 @@
 	}
 }
 
-func (r *Router) listed(l balance.List) {
+func (r *Router) listed(l balance.EndpointList) {
 	h := r.holder
 	if h == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
 	var in []changeover.Member
 	for _, e := range l.Entries {
-		in = append(in, changeover.Member{Node: e.Node, Bank: e.Group, Out: e.State == balance.Draining, Gone: e.State == balance.Gone})
+		in = append(in, changeover.Member{Node: e.Endpoint, Bank: e.Group, Out: e.State == balance.EndpointDraining, Gone: e.State == balance.EndpointRemoved})
 	}
 	h.model.Listed(r.loop.Now(), in, l.Kind != balance.ListDelta)
 }
--- a/internal/router/hold_bench_test.go
+++ b/internal/router/hold_bench_test.go
@@ -19,13 +19,13 @@
 type quick struct{ l *loop.Loop }
 
 func (k quick) Start(a Attempt, done func(Result)) Call {
-	k.l.Post(func() { done(Result{Status: balance.Done, Role: balance.RolePrimary}) })
+	k.l.Post(func() { done(Result{Status: balance.StatusDone, Role: balance.RolePrimary}) })
 	return k
 }
 func (quick) Waiting() bool                        { return false }
 func (quick) Gone(bool) bool                       { return false }
 func (quick) Cancel() bool                         { return true }
-func (quick) Probe(node string, done func(Result)) { done(Result{Status: balance.TimedOut}) }
+func (quick) Probe(node string, done func(Result)) { done(Result{Status: balance.StatusTimedOut}) }
 func (quick) Suspend(string, bool)                 {}
 func (quick) Track()                               {}
 func (quick) Begun(Answer, Flow)                   {}
@@ -38,8 +38,8 @@
 func steady(b testing.TB, hold, primary bool) (*Router, *loop.Loop) {
 	l := loop.New()
 	lim := limits.For(192, 8192, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MostTries: 4, Classes: []balance.Class{
-		{Name: "job", Aim: 100 * time.Millisecond, GiveUp: 3 * time.Second, Worth: 1, Need: balance.NeedUpdate, Effect: balance.Unsafe}}}, 1, nil)
+	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MaxAttempts: 4, Classes: []balance.Class{
+		{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}}}, 1, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		r.HoldThrough(changeover.Config{Instances: 1, Classes: map[string]changeover.Class{"job": {Worth: 1, Work: 10 * time.Millisecond}}, Count: 20_000, Bytes: 1 << 30,
 			Margin: 10 * time.Millisecond}, 1, nil)
 	}
-	r.List(balance.List{Kind: balance.ListFull, Entries: []balance.Entry{{Node: "n1", Zone: "a", State: balance.Ready, Primary: primary}, {Node: "n2", Zone: "a", State: balance.Ready}}})
+	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
 	r.Step()
 	return r, l
 }
@@ -90,7 +90,7 @@
 		for _, hold := range []bool{false, true} { // without, the module holds them
 			r, l := steady(b, hold, false)
 			if hold {
-				r.act(balance.Lead{Group: 0, Node: "n1"})
+				r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 			}
 			before := heap()
 			const n = 10_000
--- a/internal/router/hold_test.go
+++ b/internal/router/hold_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("%d out, not %d: %+v", v.Out, want, v)
 		}
 	}
-	r.act(balance.Lead{Group: 0, Node: "n1"})
+	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 	for i := range 500 {
 		r.Take(Request{Class: "job", Label: strconv.Itoa(i), Deadline: 3 * time.Second, At: l.Now()}, quick{l})
 	}
@@ -50,17 +50,17 @@
 	if v := r.Banks()[0]; v.Held != 500 || len(s.open) != 0 {
 		t.Fatalf("%+v, %d sent", v, len(s.open))
 	}
-	r.act(balance.Lead{Group: 0, Node: "n1", Believed: true})
+	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1", Confirmed: true})
 	out(8)
-	s.answer(balance.Done)
+	s.answer(balance.StatusDone)
 	out(16)
-	s.answer(balance.Done)
+	s.answer(balance.StatusDone)
 	if v := r.Banks()[0]; v.Out < 24 || v.Out > 32 {
 		t.Fatalf("%+v", v)
 	}
 	for range 6 {
 		r.Step()
-		s.answer(balance.Done)
+		s.answer(balance.StatusDone)
 	}
 	r.Step()
 	if v := r.Banks()[0]; v.Out < 64 {
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -31,7 +31,7 @@
 	now := r.loop.Now()
 	class := r.classes[q.Class]
 	a.Request, a.Class, a.Group, a.Tenant, a.Client, a.Node = q.Label, q.Class, q.Group, q.Tenant, q.Client, q.node
-	a.Outcome, a.Writes = o, class.Effect != balance.Safe || class.Need == balance.NeedUpdate
+	a.Outcome, a.Writes = o, class.Idempotency != balance.Idempotent || class.Consistency == balance.ConsistencyWrite
 	a.Attempts, a.Worked, a.Total, a.Queued = q.attempts, q.worked, now-q.At, now-q.At
 	if q.tries > 0 {
 		a.Queued = q.firstAt - q.At
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -7,7 +7,7 @@
 )
 
 // List passes on what discovery has told.
-func (r *Router) List(l balance.List) {
+func (r *Router) List(l balance.EndpointList) {
 	r.pending = append(r.pending, l)
 	r.listed(l)
 	r.listedSites(l)
@@ -16,7 +16,7 @@
 // Suspend takes a db machine out for operators, or lets it back in. It binds when it returns.
 func (r *Router) Suspend(node string, out bool) {
 	r.servers.Suspend(node, out) // first: what came before in the same step may still ask for a probe
-	r.pending = append(r.pending, balance.Suspend{Node: node, Out: out})
+	r.pending = append(r.pending, balance.Suspend{Endpoint: node, Suspended: out})
 	r.barred(node, out)
 	r.Step()
 }
@@ -42,7 +42,7 @@
 		if q := r.inHand[a.ID]; q != nil {
 			r.send(q, a)
 		}
-	case balance.Refuse:
+	case balance.Reject:
 		if q := r.inHand[a.ID]; q != nil {
 			r.refuse(q, a.RetryAfter)
 		}
@@ -52,22 +52,22 @@
 		}
 	case balance.Cancel:
 		if q := r.inHand[a.ID]; q != nil && q.tries-1 == a.Attempt && !q.began {
-			r.cancel(q, balance.Cancelled)
+			r.cancel(q, balance.StatusCancelled)
 		}
-	case balance.Probe:
-		r.probe(a.Node, true)
+	case balance.HealthCheck:
+		r.probe(a.Endpoint, true)
 	case balance.Timer:
 		r.wake.Stop()
-		r.wake = r.loop.After(a.In, func() { r.pending = append(r.pending, balance.Wake{}) })
-	case balance.Track:
+		r.wake = r.loop.After(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
+	case balance.PollEndpointList:
 		r.watcher.Track()
-	case balance.Lead:
+	case balance.PrimaryUpdate:
 		r.believe(a)
-		if r.sites != nil && a.Believed {
-			r.sites.events = append(r.sites.events, sites.Leads{Bank: a.Group, Machine: a.Node})
+		if r.sites != nil && a.Confirmed {
+			r.sites.events = append(r.sites.events, sites.Leads{Bank: a.Group, Machine: a.Endpoint})
 		}
-		r.record(audit.Primary{Group: a.Group, Node: a.Node, Believed: a.Believed, Why: a.Why})
-	case balance.Log:
+		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
+	case balance.LogLine:
 		text := a.Text[:min(len(a.Text), r.lim.LogText)]
 		r.log.Info(text)
 		r.record(audit.Note{Topic: "decision", Text: text})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,7 +111,7 @@
 	loop      *loop.Loop
 	lim       limits.Limits
 	log       *slog.Logger
-	module    *balance.Router
+	module    *balance.Balancer
 	servers   Servers
 	watcher   Watcher
 	audit     Audit           // nil = nothing is recorded
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{loop: l, lim: lim, log: log, module: m, audit: a, classes: map[string]balance.Class{}, probes: cfg.Probes, instances: cfg.Instances,
+	r := &Router{loop: l, lim: lim, log: log, module: m, audit: a, classes: map[string]balance.Class{}, probes: cfg.HealthChecks, instances: cfg.Instances,
 		inHand: map[string]*request{}, open: map[string]bool{}}
 	for _, c := range cfg.Classes {
 		r.classes[c.Name] = c
@@ -179,7 +179,7 @@
 // Writes says whether the requests of a class may change data, so that they must not run twice.
 func (r *Router) Writes(class string) bool {
 	c := r.classes[class]
-	return c.Effect != balance.Safe || c.Need == balance.NeedUpdate
+	return c.Idempotency != balance.Idempotent || c.Consistency == balance.ConsistencyWrite
 }
 
 // Order is what a request waits for of those that were sent before it on the same connection.
@@ -191,6 +191,6 @@
 
 // Order tells the order of a class's requests.
 func (r *Router) Order(class string) Order {
-	n := r.classes[class].Need
-	return Order{Writes: r.Writes(class), Sees: n == balance.NeedSession, SeesAll: n == balance.NeedLatest}
+	n := r.classes[class].Consistency
+	return Order{Writes: r.Writes(class), Sees: n == balance.ConsistencySession, SeesAll: n == balance.ConsistencyLatest}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -42,7 +42,7 @@
 	p.calls = append(p.calls, c)
 	return c
 }
-func (p *peer) Probe(node string, done func(Result)) { done(Result{Status: balance.TimedOut}) }
+func (p *peer) Probe(node string, done func(Result)) { done(Result{Status: balance.StatusTimedOut}) }
 func (p *peer) Track()                               {}
 func (p *peer) Suspend(string, bool)                 {}
 func (p *peer) Record(e audit.Event)                 { p.events = append(p.events, e) }
@@ -79,16 +79,16 @@
 func startOn(t *testing.T, l *loop.Loop, primary bool) (*Router, *peer) {
 	p := &peer{t: t, written: true}
 	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", Cancel: true,
-		MostTries: 4, Classes: []balance.Class{
-			{Name: "look", Aim: 100 * time.Millisecond, GiveUp: time.Second, Worth: 1, Need: balance.NeedAny},
-			{Name: "job", Aim: 100 * time.Millisecond, GiveUp: time.Second, Worth: 1, Need: balance.NeedUpdate, Effect: balance.Unsafe}}}, 1, p)
+	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", Cancellation: true,
+		MaxAttempts: 4, Classes: []balance.Class{
+			{Name: "look", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny},
+			{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}}}, 1, p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Connect(p, p)
-	r.List(balance.List{Kind: balance.ListFull, Entries: []balance.Entry{
-		{Node: "n1", Zone: "a", State: balance.Ready, Primary: primary}, {Node: "n2", Zone: "a", State: balance.Ready}}})
+	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
 	return r, p
 }
 
@@ -130,7 +130,7 @@
 // Once an answer is passed on neither the end of the client's time nor the module ends it; if it breaks off the client is
 // told by Cut, once, and nothing is sent again.
 func TestLongAnswer(t *testing.T) {
-	for _, end := range []balance.Status{balance.Done, balance.Reset, balance.Error} {
+	for _, end := range []balance.Status{balance.StatusDone, balance.StatusReset, balance.StatusError} {
 		r, p, l := start(t)
 		o := &owed{l: l}
 		play(r, l, 400*time.Millisecond, func() {
@@ -145,7 +145,7 @@
 				p.calls[0].end(end)
 			})
 		})
-		if done := end == balance.Done; o.begun != 1 || o.parts != 14 || o.total()+o.cut != 1 || done != (o.served == 1) || len(p.calls) != 1 || r.InHand() != 0 {
+		if done := end == balance.StatusDone; o.begun != 1 || o.parts != 14 || o.total()+o.cut != 1 || done != (o.served == 1) || len(p.calls) != 1 || r.InHand() != 0 {
 			t.Errorf("%v: %+v, %d attempts, %d in hand", end, o, len(p.calls), r.InHand())
 		}
 		var recorded []*audit.Answer
@@ -154,7 +154,7 @@
 				recorded = append(recorded, a)
 			}
 		}
-		if want := map[bool]audit.Outcome{true: audit.Served, false: audit.Cut}[end == balance.Done]; len(recorded) != 1 || recorded[0].Outcome != want ||
+		if want := map[bool]audit.Outcome{true: audit.Served, false: audit.Cut}[end == balance.StatusDone]; len(recorded) != 1 || recorded[0].Outcome != want ||
 			len(recorded[0].Attempts) != 1 || recorded[0].Attempts[0].End != end {
 			t.Errorf("%v: recorded as %+v", end, recorded)
 		}
@@ -169,8 +169,8 @@
 		at := l.Now()
 		r.Take(Request{Class: "look", Deadline: time.Second, At: at, Job: 1}, &owed{l: l})
 		l.After(150*time.Millisecond, func() {
-			p.calls[0].done(Result{Status: balance.Done, At: at + 10*time.Millisecond})
-			took = r.pending[len(r.pending)-1].(balance.Outcome).Took
+			p.calls[0].done(Result{Status: balance.StatusDone, At: at + 10*time.Millisecond})
+			took = r.pending[len(r.pending)-1].(balance.AttemptResult).Elapsed
 		})
 	})
 	if took > 10*time.Millisecond {
@@ -238,8 +238,8 @@
 		}
 		for _, c := range p.calls {
 			if !c.over && rng.IntN(3) == 0 {
-				c.end([]balance.Status{balance.Done, balance.Done, balance.Error, balance.Busy, balance.ConnectFailed,
-					balance.Reset, balance.Skipped, balance.Miss}[rng.IntN(8)])
+				c.end([]balance.Status{balance.StatusDone, balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusConnectFailed,
+					balance.StatusReset, balance.StatusNotSent, balance.StatusMiss}[rng.IntN(8)])
 			}
 		}
 		l.After(time.Millisecond, tick)
@@ -251,7 +251,7 @@
 			t.Fatalf("%v: sent again", c.a.Job)
 		}
 		// A call that ended without a status was cancelled at its deadline: it may have run.
-		safe := c.status == balance.Busy || c.status == balance.ConnectFailed || c.status == balance.Skipped || c.status == balance.Miss
+		safe := c.status == balance.StatusBusy || c.status == balance.StatusConnectFailed || c.status == balance.StatusNotSent || c.status == balance.StatusMiss
 		may[c.a.Job] = strings.HasPrefix(c.a.Job.(string), "job") && !safe
 	}
 	recorded, outcomes := map[string]*audit.Answer{}, map[audit.Outcome]int{}
@@ -321,7 +321,7 @@
 			r.Take(Request{Class: class, Deadline: time.Second, At: l.Now(), Job: 1}, o)
 			l.After(20*time.Millisecond, func() {
 				o.gone = true
-				p.calls[0].end(balance.Busy)
+				p.calls[0].end(balance.StatusBusy)
 			})
 		})
 		if len(p.calls) != 1 || o.total() != 0 || r.InHand() != 0 {
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -11,16 +11,16 @@
 			// Guards against two attempts at once, whatever the module says.
 			r.log.Error("attempt not sent", "request", q.Label, "over", over, "out", q.call != nil)
 		}
-		r.outcome(q, leg, a.Node, Result{Status: balance.Skipped}, 0)
+		r.outcome(q, leg, a.Endpoint, Result{Status: balance.StatusNotSent}, 0)
 		return
 	}
-	q.node, q.sentAt = a.Node, r.loop.Now()
+	q.node, q.sentAt = a.Endpoint, r.loop.Now()
 	if leg == 0 {
 		q.firstAt = q.sentAt
 	}
 	r.sent(q)
 	ended := false // the servers may report the end before Start returns
-	call := r.servers.Start(Attempt{Node: a.Node, Job: q.Job, Until: q.dieAt, By: a.By, Begun: func(a Answer, f Flow) {
+	call := r.servers.Start(Attempt{Node: a.Endpoint, Job: q.Job, Until: q.dieAt, By: a.NotAfter, Begun: func(a Answer, f Flow) {
 		r.begin(q, leg, a, f)
 	}, Part: func(p []byte) {
 		if !q.over {
@@ -44,7 +44,7 @@
 	call := q.call
 	q.call = nil
 	if !call.Cancel() {
-		as = balance.Skipped // never written: it proves that nothing ran
+		as = balance.StatusNotSent // never written: it proves that nothing ran
 	}
 	r.book(q, q.tries-1, Result{Status: as})
 }
@@ -53,13 +53,13 @@
 func (r *Router) expire(q *request) {
 	q.timer = nil
 	if q.call != nil {
-		r.cancel(q, balance.TimedOut)
+		r.cancel(q, balance.StatusTimedOut)
 		return
 	}
 	if !q.over {
 		// The module ends what it holds well before; this guards against a request that nobody answers.
-		r.pending = append(r.pending, balance.ClientGone{ID: q.id})
-		if q.mayRun && r.classes[q.Class].Effect != balance.Safe {
+		r.pending = append(r.pending, balance.ClientDisconnected{ID: q.id})
+		if q.mayRun && r.classes[q.Class].Idempotency != balance.Idempotent {
 			r.fail(q, "its time is over")
 		} else {
 			r.refuse(q, 0)
@@ -72,12 +72,12 @@
 	at := r.loop.Now()
 	r.servers.Probe(node, func(res Result) {
 		r.evidence(node, res)
-		if !own && res.Status != balance.Done {
+		if !own && res.Status != balance.StatusDone {
 			// The module waits longer for a member with each probe that fails: the holder's are many more than its own.
 			r.reported(node, res)
 			return
 		}
-		r.pending = append(r.pending, balance.ProbeResult{Node: node, Status: res.Status, Took: r.loop.Now() - at,
+		r.pending = append(r.pending, balance.HealthCheckResult{Endpoint: node, Status: res.Status, Elapsed: r.loop.Now() - at,
 			Role: res.Role, Position: res.Position})
 		r.reported(node, res)
 	})
--- a/internal/router/sites.go
+++ b/internal/router/sites.go
@@ -47,9 +47,9 @@
 	}
 	r.loop.After(surveyEvery*time.Duration(max(1, r.instances/surveyAll)), func() {
 		var all []string
-		r.module.Sights(func(s balance.Sight) {
-			if s.Up {
-				all = append(all, s.Node)
+		r.module.EndpointViews(func(s balance.EndpointView) {
+			if s.Available {
+				all = append(all, s.Endpoint)
 			}
 		})
 		if len(all) > 0 {
@@ -126,7 +126,7 @@
 	// Where work waits, attempts take longer than their work: a member carries as much work as the attempts that may be out.
 	work, mean := 0.0, 0.0
 	for name, seen := range w.meter.Classes(r.loop.Now()) {
-		c, m := r.module.Cost(name)
+		c, m := r.module.ClassCost(name)
 		work, mean = work+seen*c, mean+seen*m
 	}
 	each := 1.0
@@ -134,16 +134,16 @@
 		each = min(1, work/mean)
 	}
 	fair, told := w.use.Fair()
-	r.module.Sights(func(s balance.Sight) {
+	r.module.EndpointViews(func(s balance.EndpointView) {
 		carry := fair
 		if !told {
-			carry = max(s.Rate, s.Limit*each)
+			carry = max(s.WorkRate, s.ConcurrencyLimit*each)
 		}
-		up := s.In // a moment's doubt is no reason to plan without a machine
+		up := s.InService // a moment's doubt is no reason to plan without a machine
 		if now {
-			up, carry = s.Up && !w.model.Lost(s.Zone), carry*s.Warmth
+			up, carry = s.Available && !w.model.Lost(s.Zone), carry*s.CapacityShare
 		}
-		in.Members = append(in.Members, sites.Member{ID: s.Node, Site: s.Zone, Bank: s.Group, Primary: s.Primary, Up: up && !w.model.Down(s.Node), Carry: carry})
+		in.Members = append(in.Members, sites.Member{ID: s.Endpoint, Site: s.Zone, Bank: s.Group, Primary: s.Primary, Up: up && !w.model.Down(s.Endpoint), Carry: carry})
 	})
 	for k, rate := range w.meter.Rates(r.loop.Now()) {
 		c := r.classes[k.Class]
@@ -153,15 +153,15 @@
 			rate = min(rate, w.before[k])
 		}
 		cost := w.cost(r.module, k.Class)
-		in.Demands = append(in.Demands, sites.Demand{Class: k.Class, Bank: k.Bank, Rate: rate, Work: cost, Worth: c.Worth,
-			Strong: c.Need == balance.NeedUpdate || c.Need == balance.NeedLatest})
+		in.Demands = append(in.Demands, sites.Demand{Class: k.Class, Bank: k.Bank, Rate: rate, Work: cost, Worth: c.PriorityWeight,
+			Strong: c.Consistency == balance.ConsistencyWrite || c.Consistency == balance.ConsistencyLatest})
 	}
 	return in
 }
 
 // cost is the work of a request of a class. What is known of it in a loss is its waiting too: what was known before holds then.
-func (w *watcherOfSites) cost(m *balance.Router, class string) float64 {
-	if work, _ := m.Cost(class); !w.model.Troubled() || w.costs[class] == 0 {
+func (w *watcherOfSites) cost(m *balance.Balancer, class string) float64 {
+	if work, _ := m.ClassCost(class); !w.model.Troubled() || w.costs[class] == 0 {
 		w.costs[class] = work
 	}
 	return w.costs[class]
@@ -208,20 +208,20 @@
 		return
 	}
 	if res.Use > 0 && !w.model.Troubled() { // what they do for this router is a mean of seconds: in a loss it says little of their use now
-		if rate, warm := r.module.Does(node); warm {
+		if rate, warm := r.module.EndpointWorkRate(node); warm {
 			w.use.Told(node, rate, res.Use)
 		}
 	}
-	if w.ramp != nil && res.Status != balance.Skipped && res.Status != balance.Cancelled && res.Status != balance.Miss {
-		w.ramp.Ended(w.model.Site(node), res.Status != balance.Done)
+	if w.ramp != nil && res.Status != balance.StatusNotSent && res.Status != balance.StatusCancelled && res.Status != balance.StatusMiss {
+		w.ramp.Ended(w.model.Site(node), res.Status != balance.StatusDone)
 	}
 	switch res.Status {
-	case balance.Skipped, balance.Cancelled: // it says nothing of the machine
-	case balance.ConnectFailed:
+	case balance.StatusNotSent, balance.StatusCancelled: // it says nothing of the machine
+	case balance.StatusConnectFailed:
 		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Refused})
-	case balance.Reset:
+	case balance.StatusReset:
 		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Reset})
-	case balance.TimedOut:
+	case balance.StatusTimedOut:
 		w.events = append(w.events, sites.Failed{Machine: node, Why: sites.Silent})
 	default:
 		w.events = append(w.events, sites.Heard{Machine: node})
@@ -232,16 +232,16 @@
 }
 
 // listedSites tells what a list says.
-func (r *Router) listedSites(l balance.List) {
+func (r *Router) listedSites(l balance.EndpointList) {
 	w := r.sites
 	if w == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
-	states := map[balance.State]sites.ListState{balance.Ready: sites.Ready, balance.Draining: sites.Draining, balance.Gone: sites.Gone}
+	states := map[balance.EndpointState]sites.ListState{balance.EndpointReady: sites.Ready, balance.EndpointDraining: sites.Draining, balance.EndpointRemoved: sites.Gone}
 	var all []string
 	for _, e := range l.Entries {
-		w.events = append(w.events, sites.Listed{Machine: e.Node, Site: e.Zone, Bank: e.Group, State: states[e.State]})
-		all = append(all, e.Node)
+		w.events = append(w.events, sites.Listed{Machine: e.Endpoint, Site: e.Zone, Bank: e.Group, State: states[e.State]})
+		all = append(all, e.Endpoint)
 	}
 	if l.Kind != balance.ListDelta {
 		w.events = append(w.events, sites.Whole{Machines: all})
@@ -298,7 +298,7 @@
 		for _, p := range paced {
 			r.log.Info("site pace", "site", p.Site, "part", p.Part, "why", p.Why)
 			r.record(audit.Note{Topic: "site", Text: fmt.Sprintf("%s is used for %.0f%% of what it can do: %s", p.Site, 100*p.Part, p.Why)})
-			r.pending = append(r.pending, balance.Pace{Zone: p.Site, Part: p.Part})
+			r.pending = append(r.pending, balance.ZoneCapacity{Zone: p.Site, Share: p.Part})
 		}
 	}
 	w.timer.Stop()
--- a/internal/router/sites_test.go
+++ b/internal/router/sites_test.go
@@ -18,15 +18,15 @@
 	if act {
 		r.ActOnSites(sites.DoorConfig{Spread: time.Second}, sites.RampConfig{First: 0.2, Over: time.Second}, 3)
 	}
-	r.List(balance.List{Kind: balance.ListFull, Entries: []balance.Entry{
-		{Node: "n1", Zone: "a", State: balance.Ready, Primary: true}, {Node: "n2", Zone: "b", State: balance.Ready}}})
+	r.List(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: true}, {Endpoint: "n2", Zone: "b", State: balance.EndpointReady}}})
 	play(r, l, 1500*time.Millisecond, func() {
 		answered, sent := 0, []int{}
 		ask := func() {
 			sent = append(sent, len(p.calls))
 			for ; answered < sent[max(0, len(sent)-11)]; answered++ { // what was sent 20 ms ago
 				if c := p.calls[answered]; !c.over {
-					c.end(balance.Done)
+					c.end(balance.StatusDone)
 				}
 			}
 			for range 8 {
--- a/internal/router/takein.go
+++ b/internal/router/takein.go
@@ -28,7 +28,7 @@
 		// Guards against one client getting, or spoiling, what another has asked for.
 		return "", ErrOpen
 	}
-	q.Deadline = min(q.Deadline, class.GiveUp) // no client of the class waits longer, whatever this one says
+	q.Deadline = min(q.Deadline, class.ClientTimeout) // no client of the class waits longer, whatever this one says
 	if q.Label != "" {
 		r.open[q.Label] = true
 	}
@@ -75,8 +75,8 @@
 	if !q.parked {
 		r.leave(q)
 	}
-	if r.classes[q.Class].Effect == balance.Safe || q.call != nil && q.call.Waiting() {
-		r.cancel(q, balance.Cancelled)
+	if r.classes[q.Class].Idempotency == balance.Idempotent || q.call != nil && q.call.Waiting() {
+		r.cancel(q, balance.StatusCancelled)
 	}
 	r.forget(q)
 }
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -116,11 +116,11 @@
 	k.end()
 	m := k.machine
 	if c := k.call; c != nil {
-		r := router.Result{Status: balance.Reset}
+		r := router.Result{Status: balance.StatusReset}
 		if k.code != "" { // a fatal error needs no ReadyForQuery
 			r = k.result()
 		} else if !k.sock.Flushed() {
-			r.Status = balance.ConnectFailed // its last byte was never written: proof that it did not run
+			r.Status = balance.StatusConnectFailed // its last byte was never written: proof that it did not run
 		}
 		k.call, c.conn = nil, nil
 		c.finish(r)
@@ -131,9 +131,9 @@
 		return
 	}
 	// Those who wait with no connection on its way to them could not connect: nothing of them was written.
-	status := balance.ConnectFailed
+	status := balance.StatusConnectFailed
 	if k.code == pgwire.TooManyConnections {
-		status = balance.Busy
+		status = balance.StatusBusy
 	}
 	for len(m.waiting) > m.opening+m.resting {
 		c := m.waiting[0]
@@ -251,7 +251,7 @@
 	}
 	k.call, c.conn = nil, nil
 	k.end()
-	c.finish(router.Result{Status: balance.Error})
+	c.finish(router.Result{Status: balance.StatusError})
 }
 
 func (k *conn) message(m pgwire.Message) {
@@ -359,19 +359,19 @@
 	r := router.Result{Role: k.role, Position: k.pos, At: k.cameAt}
 	switch {
 	case k.code == "" && k.call.job.Whole(k.answer):
-		r.Status, r.Answer = balance.Done, k.answer
+		r.Status, r.Answer = balance.StatusDone, k.answer
 	case k.code == "", bytes.ContainsAny(k.answer.Types, "DC"):
 		k.bad = true // what a spoilt answer claims is not believed
-		return router.Result{Status: balance.Error}
+		return router.Result{Status: balance.StatusError}
 	case k.code == pgwire.TooManyConnections:
-		r.Status = balance.Busy
+		r.Status = balance.StatusBusy
 	case k.code == pgwire.ReadOnly, k.code == pgwire.SnapshotTooOld:
-		r.Status = balance.Miss
+		r.Status = balance.StatusMiss
 	case k.code != "" && strings.Contains("21 22 23 26 34 42 44 0A", k.code[:2]):
 		k.answer.Code = k.code
-		r.Status, r.Answer, r.Code = balance.Done, k.answer, k.code
+		r.Status, r.Answer, r.Code = balance.StatusDone, k.answer, k.code
 	default:
-		r.Status = balance.Error
+		r.Status = balance.StatusError
 	}
 	return r
 }
@@ -440,7 +440,7 @@
 	}
 	if c.late(now) || c.gone != nil && c.gone() {
 		// Too late, or its client has gone while the connection came up.
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return false
 	}
 	k.answer, k.code, k.role, k.pos = &Answer{Shape: pgwire.NewShape()}, "", balance.RoleUnknown, 0
@@ -452,7 +452,7 @@
 			return false // still with start, which goes on to the next
 		}
 		if k.machine.barred || k.since != k.machine.left {
-			p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+			p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 			return false
 		}
 		k.machine.waiting = append(k.machine.waiting, c)
--- a/internal/servers/endings_test.go
+++ b/internal/servers/endings_test.go
@@ -40,10 +40,10 @@
 	<-dialled
 	gone.Store(true)
 	release()
-	if x := r.end(done); x.Status != balance.Skipped || db.Runs("a") != 0 {
+	if x := r.end(done); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
 		t.Fatalf("%+v, %d runs", x, db.Runs("a"))
 	}
-	if x := r.try("b", 0); x.Status != balance.Done { // its connection is there for the next
+	if x := r.try("b", 0); x.Status != balance.StatusDone { // its connection is there for the next
 		t.Fatalf("%+v", x)
 	}
 }
@@ -97,7 +97,7 @@
 				r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + time.Second, Begun: func(router.Answer, router.Flow) { begun <- true },
 					Part: func([]byte) {}}, func(x router.Result) { done <- x })
 			})
-			if x := r.end(done); x.Status != balance.Error || len(begun) != 1 {
+			if x := r.end(done); x.Status != balance.StatusError || len(begun) != 1 {
 				t.Fatalf("%+v, begun %d times", x, len(begun))
 			}
 		})
--- a/internal/servers/leave_test.go
+++ b/internal/servers/leave_test.go
@@ -52,7 +52,7 @@
 			<-dialled
 			r.loop.Post(func() { r.pool.List(news(db.Addr, there.Addr)) })
 			for range 2 {
-				if x := r.end(done); x.Status != balance.Skipped {
+				if x := r.end(done); x.Status != balance.StatusNotSent {
 					t.Fatalf("%+v", x)
 				}
 			}
@@ -76,7 +76,7 @@
 				t.Fatal("it was sent")
 			}
 			if name == "moves" {
-				if x := r.try("b", 0); x.Status != balance.Done || there.Runs("b") != 1 {
+				if x := r.try("b", 0); x.Status != balance.StatusDone || there.Runs("b") != 1 {
 					t.Fatalf("%+v, %d runs where it is now", x, there.Runs("b"))
 				}
 			}
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -173,7 +173,7 @@
 	c := &call{pool: p, job: probe{}, until: p.loop.Now() + p.lim.Probe}
 	c.done = func(r router.Result) {
 		c.timer.Stop()
-		if a, ok := r.Answer.(*Answer); ok && r.Status == balance.Done {
+		if a, ok := r.Answer.(*Answer); ok && r.Status == balance.StatusDone {
 			r.Role, r.Position, r.Use = report(a)
 		}
 		done(r)
@@ -183,7 +183,7 @@
 		if m := p.machines[node]; m != nil {
 			m.hangUp() // what is silent to a probe is silent on every connection
 		}
-		done(router.Result{Status: balance.TimedOut})
+		done(router.Result{Status: balance.StatusTimedOut})
 	})
 	p.start(node, c)
 }
@@ -191,12 +191,12 @@
 func (p *Pool) start(node string, c *call) {
 	m := p.machines[node]
 	if m == nil || m.addr == "" || m.barred {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	c.machine = m
 	if c.late(p.loop.Now()) {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	for len(m.idle) > 0 {
@@ -211,13 +211,13 @@
 		}
 	}
 	if !p.room(m) && m.opening+m.resting == 0 {
-		p.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	m.waiting = append(m.waiting, c)
-	within, status := p.lim.Connect, balance.ConnectFailed
+	within, status := p.lim.Connect, balance.StatusConnectFailed
 	if left := c.by - p.loop.Now(); c.by > 0 && left < within {
-		within, status = left, balance.Skipped // it may not be written any more then
+		within, status = left, balance.StatusNotSent // it may not be written any more then
 	}
 	c.connect = p.loop.After(within, func() {
 		m.drop(c)
@@ -314,7 +314,7 @@
 	m.left++
 	m.hangUp()
 	for _, c := range m.waiting {
-		m.pool.loop.Post(func() { c.finish(router.Result{Status: balance.Skipped}) })
+		m.pool.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 	}
 	m.waiting = nil
 }
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -93,7 +93,7 @@
 		for i := range 3 {
 			time.Sleep(3 * l.Rest)
 			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.Done || x.Role != balance.RolePrimary || x.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
+			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || x.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
 				t.Fatalf("%+v", x)
 			}
 		}
@@ -104,8 +104,8 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	for code, want := range map[string]balance.Status{"53300": balance.Busy, "25006": balance.Miss, "72000": balance.Miss,
-		"XX000": balance.Error, "08P01": balance.Error, "23505": balance.Done} {
+	for code, want := range map[string]balance.Status{"53300": balance.StatusBusy, "25006": balance.StatusMiss, "72000": balance.StatusMiss,
+		"XX000": balance.StatusError, "08P01": balance.StatusError, "23505": balance.StatusDone} {
 		for _, fatal := range []bool{false, true} {
 			db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
 				if typ == 0 {
@@ -156,7 +156,7 @@
 		}
 	})
 	for range attempts {
-		if x := r.end(done); x.Status != balance.Busy {
+		if x := r.end(done); x.Status != balance.StatusBusy {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if x := start(t, lim(), ln.Addr().String()).try("a", 0); x.Status != balance.ConnectFailed {
+	if x := start(t, lim(), ln.Addr().String()).try("a", 0); x.Status != balance.StatusConnectFailed {
 		t.Errorf("refused: %+v", x)
 	}
 	for name, c := range map[string]struct {
@@ -180,13 +180,13 @@
 		act  standin.Act
 		want balance.Status
 	}{
-		"at the welcome":     {0, standin.Act{Break: true}, balance.ConnectFailed},
-		"silent welcome":     {0, standin.Act{Silent: true}, balance.ConnectFailed},
-		"before the answer":  {'Q', standin.Act{Break: true}, balance.Reset},
-		"within the answer":  {'Q', standin.Act{Cut: 30}, balance.Reset},
-		"before ready":       {'Q', standin.Act{Cut: 75}, balance.Reset},
-		"behind the answer":  {'Q', standin.Act{Cut: 1000}, balance.Done},
-		"behind the welcome": {0, standin.Act{Cut: 1000}, balance.Reset},
+		"at the welcome":     {0, standin.Act{Break: true}, balance.StatusConnectFailed},
+		"silent welcome":     {0, standin.Act{Silent: true}, balance.StatusConnectFailed},
+		"before the answer":  {'Q', standin.Act{Break: true}, balance.StatusReset},
+		"within the answer":  {'Q', standin.Act{Cut: 30}, balance.StatusReset},
+		"before ready":       {'Q', standin.Act{Cut: 75}, balance.StatusReset},
+		"behind the answer":  {'Q', standin.Act{Cut: 1000}, balance.StatusDone},
+		"behind the welcome": {0, standin.Act{Cut: 1000}, balance.StatusReset},
 	} {
 		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
 			if typ == c.at {
@@ -195,7 +195,7 @@
 			return standin.Act{}
 		})
 		x := start(t, lim(), db.Addr).try("a", 0)
-		if x.Status != c.want && !(name == "behind the welcome" && x.Status == balance.ConnectFailed) {
+		if x.Status != c.want && !(name == "behind the welcome" && x.Status == balance.StatusConnectFailed) {
 			t.Errorf("%s: %+v", name, x)
 		}
 	}
@@ -222,12 +222,12 @@
 		want   balance.Status
 		begun  bool
 	}{
-		"whole":     {long(n, 0), 0, balance.Done, true},
-		"cut":       {long(n, 0), n / 2, balance.Reset, true},
-		"spoilt":    {append(long(n, 0)[:n], 0xff), 0, balance.Error, true},
-		"too short": {long(n, 5), 0, balance.Error, false},
-		"too long":  {long(5<<20, 0), 0, balance.Error, false},
-		"kept":      {long(50_000, 0), 0, balance.Done, false},
+		"whole":     {long(n, 0), 0, balance.StatusDone, true},
+		"cut":       {long(n, 0), n / 2, balance.StatusReset, true},
+		"spoilt":    {append(long(n, 0)[:n], 0xff), 0, balance.StatusError, true},
+		"too short": {long(n, 5), 0, balance.StatusError, false},
+		"too long":  {long(5<<20, 0), 0, balance.StatusError, false},
+		"kept":      {long(50_000, 0), 0, balance.StatusDone, false},
 	} {
 		db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
 			if typ == 'Q' && id == "a" {
@@ -270,13 +270,13 @@
 		if x.Status != c.want || begun != c.begun {
 			t.Errorf("%s: %v, begun %v", name, x.Status, begun)
 		}
-		if x.Status == balance.Done {
+		if x.Status == balance.StatusDone {
 			got = append(got, x.Answer.(*Answer).Messages...)
 			if want := c.answer[:len(c.answer)-6]; !bytes.Equal(got, want) {
 				t.Errorf("%s: %d bytes, not %d", name, len(got), len(want))
 			}
 		}
-		if x = r.try("b", 0); c.begun && c.want == balance.Done && x.Status != balance.Done {
+		if x = r.try("b", 0); c.begun && c.want == balance.StatusDone && x.Status != balance.StatusDone {
 			t.Errorf("%s: then %+v", name, x.Status)
 		}
 	}
@@ -301,7 +301,7 @@
 			done <- x
 		})
 	})
-	if x := r.end(done); x.Status != balance.Done || end-x.At < 90*time.Millisecond {
+	if x := r.end(done); x.Status != balance.StatusDone || end-x.At < 90*time.Millisecond {
 		t.Fatalf("%v: began %v before its end", x.Status, end-x.At)
 	}
 }
@@ -315,20 +315,20 @@
 		return standin.Act{}
 	})
 	r := start(t, lim(), db.Addr)
-	if x := r.try("a", 20*time.Millisecond); x.Status != balance.Skipped || db.Runs("a") != 0 {
+	if x := r.try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
 		t.Fatalf("%+v", x)
 	}
 	// Nor is a connection waited for beyond that.
 	silent := standin.NewDB(t, true, func(typ byte, _ string) standin.Act { return standin.Act{Silent: true} })
 	l := lim()
 	l.Connect = 20 * time.Second
-	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.Skipped {
+	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent {
 		t.Fatalf("%+v", x)
 	}
-	if x := r.try("b", -time.Millisecond); x.Status != balance.Skipped || db.Runs("b") != 0 {
+	if x := r.try("b", -time.Millisecond); x.Status != balance.StatusNotSent || db.Runs("b") != 0 {
 		t.Fatalf("%+v", x)
 	}
-	if x := r.try("c", time.Minute); x.Status != balance.Done {
+	if x := r.try("c", time.Minute); x.Status != balance.StatusDone {
 		t.Fatalf("%+v", x)
 	}
 }
@@ -358,7 +358,7 @@
 		t.Error("it was written")
 	}
 	for i := range 5 {
-		if x := r.try(fmt.Sprint(i), 0); x.Status != balance.Done || db.Runs(fmt.Sprint(i)) != 1 {
+		if x := r.try(fmt.Sprint(i), 0); x.Status != balance.StatusDone || db.Runs(fmt.Sprint(i)) != 1 {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -375,13 +375,13 @@
 	ask := func() { r.loop.Post(func() { r.pool.Probe("n", func(x router.Result) { done <- x }) }) }
 	ask()
 	now := time.Duration(time.Now().UnixNano())
-	if x := r.end(done); x.Status != balance.Done || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
+	if x := r.end(done); x.Status != balance.StatusDone || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
 		t.Fatalf("%+v", x)
 	}
 	silent := standin.NewDB(t, false, func(typ byte, _ string) standin.Act { return standin.Act{Silent: typ == 'Q'} })
 	r = start(t, lim(), silent.Addr)
 	ask()
-	if x := r.end(done); x.Status != balance.TimedOut {
+	if x := r.end(done); x.Status != balance.StatusTimedOut {
 		t.Fatalf("%+v", x)
 	}
 	for text, want := range map[string]time.Duration{"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
@@ -432,10 +432,10 @@
 		l := lim()
 		l.Stall = 30 * time.Millisecond
 		r := start(t, l, db.Addr)
-		if x := r.try("spoilt", 0); x != (router.Result{Status: balance.Error}) {
+		if x := r.try("spoilt", 0); x != (router.Result{Status: balance.StatusError}) {
 			t.Errorf("%s: %+v", name, x)
 		}
-		if x := r.try("next", 0); x.Status != balance.Done || dials.Load() != 2 {
+		if x := r.try("next", 0); x.Status != balance.StatusDone || dials.Load() != 2 {
 			t.Errorf("behind %s: %+v, %d connections", name, x, dials.Load())
 		}
 	}
@@ -444,7 +444,7 @@
 // A value of several hundred KB is an answer like any other; one beyond the limit is not read to its end.
 func TestLargeAnswers(t *testing.T) {
 	l := lim()
-	for size, want := range map[int]balance.Status{400_000: balance.Done, l.Answer: balance.Error} {
+	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Answer: balance.StatusError} {
 		value := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(size))
 		value = append(value, make([]byte, size)...)
 		db := standin.NewDB(t, true, func(typ byte, _ string) (a standin.Act) {
@@ -479,7 +479,7 @@
 		r := start(t, l, db.Addr)
 		for i := range 4 {
 			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.Done || x.Role != balance.RolePrimary || bytes.Contains(x.Answer.(*Answer).Messages, []byte("stray")) {
+			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Answer.(*Answer).Messages, []byte("stray")) {
 				t.Fatalf("%s: %+v", name, x)
 			}
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -81,19 +81,19 @@
 	ReadyAtNs      int64
 }
 
-var statuses = map[string]balance.Status{"done": balance.Done, "err": balance.Error, "busy": balance.Busy,
-	"etimedout": balance.TimedOut, "econnrefused": balance.ConnectFailed, "econnreset": balance.Reset,
-	"ecanceled": balance.Cancelled, "skipped": balance.Skipped, "enoent": balance.Miss}
+var statuses = map[string]balance.Status{"done": balance.StatusDone, "err": balance.StatusError, "busy": balance.StatusBusy,
+	"etimedout": balance.StatusTimedOut, "econnrefused": balance.StatusConnectFailed, "econnreset": balance.StatusReset,
+	"ecanceled": balance.StatusCancelled, "skipped": balance.StatusNotSent, "enoent": balance.StatusMiss}
 
 // Decoder reads batches. It remembers the numbered node lists, which belong to the process.
 type Decoder struct {
-	pools map[int][]balance.Entry
+	pools map[int][]balance.EndpointEntry
 	zero  map[string]balance.Time // where each instance's positions start
 }
 
 // NewDecoder returns an empty Decoder.
 func NewDecoder() *Decoder {
-	return &Decoder{pools: map[int][]balance.Entry{}, zero: map[string]balance.Time{}}
+	return &Decoder{pools: map[int][]balance.EndpointEntry{}, zero: map[string]balance.Time{}}
 }
 
 // ConfigError is a settings fault of one instance; the pipe itself is sound.
@@ -151,10 +151,10 @@
 
 func (d *Decoder) event(now balance.Time, r *rawEvent) (*Event, error) {
 	if r.Cmd == "Pool" {
-		list := make([]balance.Entry, len(r.Members))
+		list := make([]balance.EndpointEntry, len(r.Members))
 		for i, m := range r.Members {
-			list[i] = balance.Entry{Node: m.Node, Zone: m.Locality, Group: m.Group, State: balance.State(m.Lifecycle),
-				Primary: m.Leader == 1, ReadyAt: time.Duration(m.ReadyAtNs)}
+			list[i] = balance.EndpointEntry{Endpoint: m.Node, Zone: m.Locality, Group: m.Group, State: balance.EndpointState(m.Lifecycle),
+				Primary: m.Leader == 1, StartedAt: time.Duration(m.ReadyAtNs)}
 		}
 		d.pools[r.Slot] = list
 		return nil, nil
@@ -181,22 +181,22 @@
 		if r.Kind < 0 || r.Kind > 3 {
 			return nil, fmt.Errorf("Kind: unknown value %d", r.Kind)
 		}
-		l := balance.List{Kind: balance.ListKind(r.Kind)}
+		l := balance.EndpointList{Kind: balance.EndpointListKind(r.Kind)}
 		if l.Kind != balance.ListFailed {
 			l.Entries = d.pools[r.Slot]
 		}
 		e.Event = l
 	case "Request":
 		e.Event = balance.Request{ID: r.Ticket, Class: r.TierClass, Tenant: string(r.Project),
-			Group: int64(r.PartitionNo), Key: r.ClientKey, Expires: time.Duration(r.ExpiresInNs),
-			SinceLast: time.Duration(r.SinceWriteMs * 1e6), Estimate: time.Duration(r.EstimateNs),
+			Group: int64(r.PartitionNo), SessionID: r.ClientKey, TimeLeft: time.Duration(r.ExpiresInNs),
+			SinceSessionWrite: time.Duration(r.SinceWriteMs * 1e6), EstimatedWork: time.Duration(r.EstimateNs),
 			Retry: r.AgainByClient}
 	case "Outcome":
 		s, ok := statuses[r.Reason]
 		if !ok {
 			return nil, fmt.Errorf("Reason: unknown word %q", r.Reason)
 		}
-		o := balance.Outcome{ID: r.Ticket, Attempt: r.Leg, Node: r.Node, Status: s, Took: took,
+		o := balance.AttemptResult{ID: r.Ticket, Attempt: r.Leg, Endpoint: r.Node, Status: s, Elapsed: took,
 			Finished: r.Finished, Role: role(r.Stand % 4)}
 		if ms := r.Stand / 4; ms > 0 {
 			o.Position = d.zero[r.Who] + time.Duration(ms)*time.Millisecond
@@ -207,7 +207,7 @@
 		if !ok {
 			return nil, fmt.Errorf("Reason: unknown word %q", r.Reason)
 		}
-		p := balance.ProbeResult{Node: r.Node, Status: s, Took: took}
+		p := balance.HealthCheckResult{Endpoint: r.Node, Status: s, Elapsed: took}
 		if x0, ok := r.Telemetry["x0"]; ok {
 			p.Position = d.zero[r.Who] + time.Duration(math.Floor(x0*1e9))
 		}
@@ -219,7 +219,7 @@
 		}
 		e.Event = p
 	case "Left":
-		e.Event = balance.ClientGone{ID: r.Ticket}
+		e.Event = balance.ClientDisconnected{ID: r.Ticket}
 	case "FirstByte":
 		e.Event = balance.FirstByte{ID: r.Ticket, Attempt: r.Leg}
 	case "Wake":
@@ -261,24 +261,24 @@
 		w := rawAction{Who: who}
 		switch a := a.(type) {
 		case balance.Send:
-			w.Cmd, w.Ticket, w.Node = "Attempt", a.ID, a.Node
-		case balance.Refuse:
+			w.Cmd, w.Ticket, w.Node = "Attempt", a.ID, a.Endpoint
+		case balance.Reject:
 			w.Cmd, w.Ticket, w.PauseNs = "Decline", a.ID, int64(a.RetryAfter)
 		case balance.Fail:
 			w.Cmd, w.Ticket = "FinishError", a.ID
 		case balance.Cancel:
 			w.Cmd, w.Ticket, w.Leg = "AbortAttempt", a.ID, &a.Attempt
-		case balance.Probe:
-			w.Cmd, w.Node = "Sample", a.Node
+		case balance.HealthCheck:
+			w.Cmd, w.Node = "Sample", a.Endpoint
 		case balance.Timer:
-			in, label := int64(a.In), int64(0)
+			in, label := int64(a.After), int64(0)
 			w.Cmd, w.InNs, w.Label = "Timer", &in, &label
-		case balance.Track:
+		case balance.PollEndpointList:
 			on := true
 			w.Cmd, w.Active = "Track", &on
-		case balance.Lead:
+		case balance.PrimaryUpdate:
 			continue // the simulator's wire has no word for it
-		case balance.Log:
+		case balance.LogLine:
 			w.Cmd, w.Text = "WriteLog", a.Text
 		}
 		r.acts = append(r.acts, w)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,11 +32,11 @@
 
 func TestStart(t *testing.T) {
 	e := decode(t, NewDecoder(), start)[0]
-	want := balance.Config{Instances: 2, Zone: "z1", Resolution: 1000, Ask: true,
-		Checks: balance.ChecksWait, ClientTokens: true, Probes: true,
-		ProbePrice: 0.5, MostTries: 3, ColdFrom: 0.5, FallMultiple: 2, Classes: []balance.Class{
-			{Name: "r", Aim: 5, GiveUp: 9, Worth: 2, LateShare: 0.5, Scope: balance.ScopeAll, Need: balance.NeedBounded, Bound: 4},
-			{Name: "w", Aim: 6, GiveUp: 8, Effect: balance.Keyed, Scope: balance.ScopeGroup, Window: 7, Need: balance.NeedUpdate}}}
+	want := balance.Config{Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
+		FreshnessCheck: balance.FreshnessCheckWait, ClientSessionTokens: true, HealthChecks: true,
+		HealthCheckCost: 0.5, MaxAttempts: 3, SlowStartFrom: 0.5, OverloadMultiple: 2, Classes: []balance.Class{
+			{Name: "r", LatencyObjective: 5, ClientTimeout: 9, PriorityWeight: 2, LateWeightShare: 0.5, IdempotencyScope: balance.ScopeAll, Consistency: balance.ConsistencyBounded, MaxStaleness: 4},
+			{Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite}}}
 	if e.Start.Seed != 1<<64-1 || !reflect.DeepEqual(e.Start.Config, want) {
 		t.Fatalf("got %+v", e.Start)
 	}
@@ -50,19 +50,19 @@
 		want balance.Event
 	}{
 		{`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":"p","SinceWriteMs":1.5,"ExpiresInNs":7,"ClientKey":8,"PartitionNo":11,"TierClass":"r","EstimateNs":3,"AgainByClient":true}`,
-			balance.Request{ID: "t", Class: "r", Tenant: "p", Group: 11, Key: 8, Expires: 7, SinceLast: 1500 * time.Microsecond, Estimate: 3, Retry: true}},
+			balance.Request{ID: "t", Class: "r", Tenant: "p", Group: 11, SessionID: 8, TimeLeft: 7, SinceSessionWrite: 1500 * time.Microsecond, EstimatedWork: 3, Retry: true}},
 		{`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":0,"TierClass":"w"}`, balance.Request{ID: "t", Class: "w"}},
 		{`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Node":"n","Reason":"done","TookNs":5,"Finished":true,"Stand":4001}`,
-			balance.Outcome{ID: "t", Node: "n", Status: balance.Done, Took: 5, Finished: true, Role: balance.RolePrimary, Position: 2 * time.Second}},
+			balance.AttemptResult{ID: "t", Endpoint: "n", Status: balance.StatusDone, Elapsed: 5, Finished: true, Role: balance.RolePrimary, Position: 2 * time.Second}},
 		{`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Leg":2,"Reason":"enoent","Stand":2}`,
-			balance.Outcome{ID: "t", Attempt: 2, Status: balance.Miss, Role: balance.RoleReplica}},
+			balance.AttemptResult{ID: "t", Attempt: 2, Status: balance.StatusMiss, Role: balance.RoleReplica}},
 		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"done","TookNs":5,"Telemetry":{"x0":1.5,"x1":0}}`,
-			balance.ProbeResult{Node: "n", Took: 5, Role: balance.RoleReplica, Position: 2500 * time.Millisecond}},
-		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"etimedout"}`, balance.ProbeResult{Node: "n", Status: balance.TimedOut}},
-		{`{"cmd":"Left","Who":"router-0","Ticket":"t"}`, balance.ClientGone{ID: "t"}},
+			balance.HealthCheckResult{Endpoint: "n", Elapsed: 5, Role: balance.RoleReplica, Position: 2500 * time.Millisecond}},
+		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"etimedout"}`, balance.HealthCheckResult{Endpoint: "n", Status: balance.StatusTimedOut}},
+		{`{"cmd":"Left","Who":"router-0","Ticket":"t"}`, balance.ClientDisconnected{ID: "t"}},
 		{`{"cmd":"FirstByte","Who":"router-0","Ticket":"t","Leg":1}`, balance.FirstByte{ID: "t", Attempt: 1}},
 		{`{"cmd":"Wake","Who":"router-0"}`, balance.Wake{}},
-		{`{"cmd":"Members","Who":"router-0","Kind":3}`, balance.List{Kind: balance.ListFailed}},
+		{`{"cmd":"Members","Who":"router-0","Kind":3}`, balance.EndpointList{Kind: balance.ListFailed}},
 	} {
 		if got := decode(t, d, c.in)[0].Event; !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s\n got %+v\nwant %+v", c.in, got, c.want)
@@ -77,8 +77,8 @@
 	list := `{"cmd":"Members","Who":"router-0","Rev":2,"Slot":1,"Kind":1}`
 	es := decode(t, NewDecoder(), pool("a")+","+list+","+pool("b")+","+list)
 	for i, node := range []string{"a", "b"} {
-		want := balance.List{Kind: balance.ListFull, Entries: []balance.Entry{
-			{Node: node, Zone: "z", Group: 4, State: balance.Ready, Primary: true, ReadyAt: 6}}}
+		want := balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+			{Endpoint: node, Zone: "z", Group: 4, State: balance.EndpointReady, Primary: true, StartedAt: 6}}}
 		if !reflect.DeepEqual(es[i].Event, want) {
 			t.Errorf("list %d: %+v", i, es[i].Event)
 		}
@@ -122,9 +122,9 @@
 
 func TestActions(t *testing.T) {
 	var r Reply
-	r.Add("router-1", []balance.Action{balance.Send{ID: "t", Node: "n"}, balance.Refuse{ID: "t", RetryAfter: 6},
-		balance.Fail{ID: "t"}, balance.Cancel{ID: "t"}, balance.Probe{Node: "n"}, balance.Timer{In: 7}, balance.Track{},
-		balance.Log{Text: "<x>"}})
+	r.Add("router-1", []balance.Action{balance.Send{ID: "t", Endpoint: "n"}, balance.Reject{ID: "t", RetryAfter: 6},
+		balance.Fail{ID: "t"}, balance.Cancel{ID: "t"}, balance.HealthCheck{Endpoint: "n"}, balance.Timer{After: 7}, balance.PollEndpointList{},
+		balance.LogLine{Text: "<x>"}})
 	r.Crash("router-2", "why")
 	got, err := r.Encode()
 	want := `{"do":[{"cmd":"Attempt","Who":"router-1","Ticket":"t","Node":"n"},` +
