--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -12,29 +12,29 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/clients"
+	"limeladder/internal/adminapi"
+	"limeladder/internal/backend"
 	"limeladder/internal/config"
-	"limeladder/internal/extended"
-	"limeladder/internal/handover"
+	"limeladder/internal/discovery"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/frontend"
+	"limeladder/internal/frontend/extendedquery"
+	"limeladder/internal/hotrestart"
 	"limeladder/internal/limits"
-	"limeladder/internal/list"
-	"limeladder/internal/loop"
-	"limeladder/internal/operator"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/sock"
 	"limeladder/internal/store"
+	"limeladder/internal/transport"
 )
 
 // daemon is the assembled program.
 type daemon struct {
 	log      *slog.Logger
 	lim      limits.Limits
-	loop     *loop.Loop
-	engine   *sock.Engine
+	loop     *eventloop.Loop
+	engine   *transport.Engine
 	core     *router.Router
-	pool     *servers.Pool
-	watcher  *list.Watcher
+	pool     *backend.Pool
+	watcher  *discovery.Watcher
 	fronts   []front
 	ending   bool // SIGTERM has come
 	draining bool // and the listeners are closed
@@ -44,12 +44,12 @@
 	told     bool                    // discovery has answered
 	latest   map[string]config.Entry // the list as it stands, by id; its version is
 	version  int64
-	two      bool            // another process of this router is alive
-	hinted   bool            // what an earlier start knew of primaries is told to the core
-	operator *sock.Listener  // nil = off
-	known    map[string]bool // the db machines that discovery has named, ever
-	order    []string        // the same, in the order it did
-	shared   *handover.Shared
+	two      bool                // another process of this router is alive
+	hinted   bool                // what an earlier start knew of primaries is told to the core
+	operator *transport.Listener // nil = off
+	known    map[string]bool     // the db machines that discovery has named, ever
+	order    []string            // the same, in the order it did
+	shared   *hotrestart.SharedState
 	full     limits.Limits // while no other process of this router is alive
 	dep      config.Deploy
 	serving  bool // clients may come
@@ -59,8 +59,8 @@
 
 // front is one address where clients connect.
 type front struct {
-	*clients.Front
-	listener *sock.Listener
+	*frontend.Front
+	listener *transport.Listener
 }
 
 func newDaemon(cfg *config.Config, dep config.Deploy, log *slog.Logger) (*daemon, error) {
@@ -68,34 +68,34 @@
 	for _, c := range cfg.Balance.Classes {
 		longest = max(longest, c.ClientTimeout)
 	}
-	d := &daemon{log: log, loop: loop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
-	d.lim = limits.For(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
-		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).Among(cfg.Balance.Instances)
+	d := &daemon{log: log, loop: eventloop.New(), name: cfg.Name, known: map[string]bool{}, latest: map[string]config.Entry{}}
+	d.lim = limits.New(cfg.Limits.MemoryMB, cfg.Limits.Sockets, time.Duration(cfg.Settings.Limits.ConnectTimeoutNs),
+		time.Duration(cfg.Settings.Limits.ConnIdleNs), longest).ForFleet(cfg.Balance.Instances)
 	if !cfg.Balance.PollDiscovery {
-		d.lim = d.lim.Pushed(cfg.Balance.DrainGrace)
+		d.lim = d.lim.ForPushedLists(cfg.Balance.DrainGrace)
 	}
 	if most := cfg.Balance.MaxRetryAfter; most > 0 {
-		d.lim.ComeAgain = min(d.lim.ComeAgain, most) // clients heed nothing longer
+		d.lim.Router.DefaultRetryAfter = min(d.lim.Router.DefaultRetryAfter, most) // clients heed nothing longer
 	}
 	if dep.Extended.Listen != "" {
-		d.lim.Clients /= 2 // both fronts share the descriptors
+		d.lim.Frontend.Connections /= 2 // both fronts share the descriptors
 	}
 	d.full, d.dep, d.passed = d.lim, dep, cfg.Inherited > 0
-	var left handover.State
-	if d.shared, left = handover.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Listed, log); !d.shared.First() {
+	var left hotrestart.State
+	if d.shared, left = hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.lim.Discovery.KnownEndpoints, log); !d.shared.StartedAlone() {
 		d.two = true
 		log.Info("another process of this router serves")
-		d.lim = d.full.Lean()
+		d.lim = d.full.DuringHotRestart()
 	}
 	d.memory()
 	var err error
-	if d.engine, err = sock.New(d.loop, cfg.Limits.Sockets, d.lim.Inbox); err != nil {
+	if d.engine, err = transport.New(d.loop, cfg.Limits.Sockets, d.lim.Transport.InboxBytes); err != nil {
 		return nil, err
 	}
 	if d.record, err = startRecording(d.loop, d.lim, dep, cfg.Name, cfg.SeedValue, log); err != nil {
 		return nil, err
 	}
-	if d.shared.First() { // otherwise the other process has it: it is opened once that is gone
+	if d.shared.StartedAlone() { // otherwise the other process has it: it is opened once that is gone
 		if d.store, err = d.openStore(); err != nil {
 			return nil, err
 		}
@@ -107,10 +107,10 @@
 		return nil, err
 	}
 	d.watchSites(cfg)
-	d.pool = servers.New(d.loop, d.engine, d.lim, log)
-	d.watcher = list.New(d.loop, d.engine, d.lim, log, cfg.Discovery, d)
+	d.pool = backend.New(d.loop, d.engine, d.lim, log)
+	d.watcher = discovery.New(d.loop, d.engine, d.lim, log, cfg.Discovery, d)
 	d.core.Connect(d.pool, d.watcher)
-	if err := d.listen("listen", cfg.Inherited, cfg.Listen, clients.Platform); err != nil {
+	if err := d.listen("listen", cfg.Inherited, cfg.Listen, frontend.Platform); err != nil {
 		return nil, err
 	}
 	if err := d.second(); err != nil {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
-		d.operator = d.engine.Serve(ln, d.lim.Operators, d.loop.Urgent, log, operator.New(d.loop, d.lim, log, d).Accept)
+		d.operator = d.engine.Serve(ln, d.lim.AdminAPI.Connections, d.loop.PostUrgent, log, adminapi.New(d.loop, d.lim, log, d).Accept)
 		log.Info("listening", "front", "operator", "addr", ln.Addr().String())
 	}
 	known := config.List{}
@@ -129,7 +129,7 @@
 		known = *cfg.Known
 	}
 	d.loop.Post(func() {
-		d.Listed(left.Listed)
+		d.KnownEndpointsAdded(left.KnownEndpoints)
 		for id := range left.Suspended {
 			d.suspend(id, true, "another process")
 		}
@@ -138,18 +138,18 @@
 		}
 		d.listed(known, balance.ListCached)
 		d.hint()
-		first := d.lim.ListFirst
-		if d.lim.ListKnown && len(known.Servers) > 0 {
-			d.watcher.From(known.Version)
+		first := d.lim.Discovery.FirstListTimeout
+		if d.lim.Discovery.ResumeFromKnown && len(known.Servers) > 0 {
+			d.watcher.ResumeFrom(known.Version)
 			first = 0
 		}
 		if !cfg.Balance.PollDiscovery { // otherwise the decision module says when
-			d.watcher.Follow(cfg.SeedValue)
+			d.watcher.FollowPushed(cfg.SeedValue)
 		}
-		d.loop.After(first, d.ready)
+		d.loop.AfterFunc(first, d.ready)
 		d.report()
 	})
-	d.shared.Follow(d.lim.Share, d.loop.Urgent, d)
+	d.shared.Watch(d.lim.HotRestart.PollInterval, d.loop.PostUrgent, d)
 	return d, nil
 }
 
@@ -159,8 +159,8 @@
 	if c.Name == "" {
 		return nil, nil
 	}
-	s, err := store.Open(store.Config{Name: c.Name, Folder: c.Folder, Peers: c.Peers, Entries: d.lim.StoreEntries,
-		Queue: d.lim.StoreQueue, Secret: store.Files{CA: c.CA, Cert: c.Cert, Key: c.Key}}, d.log)
+	s, err := store.Open(store.Config{Name: c.Name, Folder: c.Folder, Peers: c.Peers, Entries: d.lim.Store.LogEntries,
+		Queue: d.lim.Store.QueuedWrites, Secret: store.Files{CA: c.CA, Cert: c.Cert, Key: c.Key}}, d.log)
 	if err != nil {
 		return nil, err
 	}
@@ -178,9 +178,9 @@
 	if addr == "" || d.draining {
 		return nil
 	}
-	err := d.listen("extended.listen", 0, addr, extended.New(d.core))
-	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.First() {
-		d.loop.After(d.lim.Share, func() {
+	err := d.listen("extended.listen", 0, addr, extendedquery.New(d.core))
+	if errors.Is(err, syscall.EADDRINUSE) && !d.shared.StartedAlone() {
+		d.loop.AfterFunc(d.lim.HotRestart.PollInterval, func() {
 			if err := d.second(); err != nil {
 				d.log.Error("the second front stays closed", "err", err)
 			}
@@ -192,8 +192,8 @@
 
 // memory tells the runtime what this process may use.
 func (d *daemon) memory() {
-	debug.SetMemoryLimit(d.lim.Memory)
-	debug.SetGCPercent(d.lim.Garbage)
+	debug.SetMemoryLimit(d.lim.Memory.TargetBytes)
+	debug.SetGCPercent(d.lim.Memory.GCPercent)
 }
 
 // keep queues a value for the store; nothing waits for it.
@@ -214,23 +214,23 @@
 // report logs and keeps the counters now and then.
 func (d *daemon) report() {
 	c := d.core.Counts()
-	d.log.Info("counts", "taken", c.Taken, "served", c.Served, "refused", c.Refused, "failed", c.Failed, "left", c.Left,
-		"attempts", fmt.Sprint(c.Attempts), "inhand", d.core.InHand(), "clients", d.clients())
+	d.log.Info("counts", "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed, "left", c.Disconnected,
+		"attempts", fmt.Sprint(c.Attempts), "inhand", d.core.InFlight(), "clients", d.clients())
 	d.keep("counts/"+d.name, c)
-	d.loop.After(d.lim.Report, d.report)
+	d.loop.AfterFunc(d.lim.Router.ReportInterval, d.report)
 }
 
 // listen opens a front, on the socket that was inherited or, where that is 0, on one of its own.
-func (d *daemon) listen(field string, inherited int, addr string, speak func(*clients.Conn) clients.Speaker) (err error) {
+func (d *daemon) listen(field string, inherited int, addr string, speak func(*frontend.Conn) frontend.Speaker) (err error) {
 	var ln net.Listener
 	if inherited > 0 {
-		if ln, err = sock.Inherit(inherited, addr); err != nil {
+		if ln, err = transport.Inherit(inherited, addr); err != nil {
 			return fmt.Errorf("EDGE_INHERITED_FD: %w", err)
 		}
 	} else if ln, err = net.Listen("tcp", addr); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
-	f := clients.New(d.loop, d.lim, d.log, d.core, speak)
+	f := frontend.New(d.loop, d.lim, d.log, d.core, speak)
 	if d.record != nil {
 		f.Name()
 	}
@@ -260,7 +260,7 @@
 	if d.passed && d.two && !d.serving {
 		return 0
 	}
-	return d.lim.Clients
+	return d.lim.Frontend.Connections
 }
 
 func (d *daemon) clients() (n int) {
@@ -273,12 +273,12 @@
 func (d *daemon) run() {
 	d.loop.Run(func() {
 		d.core.Step()
-		if d.draining && d.core.InHand() == 0 && d.clients() == 0 && d.engine.Finishing() == 0 {
+		if d.draining && d.core.InFlight() == 0 && d.clients() == 0 && d.engine.Finishing() == 0 {
 			d.loop.Stop()
 		}
 	})
 	c := d.core.Counts()
-	d.log.Info("ended", "taken", c.Taken, "served", c.Served, "refused", c.Refused, "failed", c.Failed, "left", c.Left,
+	d.log.Info("ended", "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed, "left", c.Disconnected,
 		"attempts", fmt.Sprint(c.Attempts))
 	d.record.end(c)
 	if d.store != nil {
@@ -291,7 +291,7 @@
 }
 
 // Told implements list.Sink.
-func (d *daemon) Told(l config.List) {
+func (d *daemon) EndpointListReceived(l config.List) {
 	kind := balance.ListDelta
 	if l.Full {
 		kind = balance.ListFull
@@ -308,7 +308,7 @@
 }
 
 func (d *daemon) listed(l config.List, kind balance.EndpointListKind) {
-	d.pool.List(l)
+	d.pool.UpdateEndpoints(l)
 	b := balance.EndpointList{Kind: kind}
 	var ids []string
 	for _, e := range l.Servers {
@@ -324,19 +324,19 @@
 	}
 	d.merge(l, kind)
 	d.record.listed(l, kind)
-	if d.core.List(b); len(ids) > 0 {
-		d.Listed(ids)
-		d.shared.List(ids)
+	if d.core.UpdateEndpoints(b); len(ids) > 0 {
+		d.KnownEndpointsAdded(ids)
+		d.shared.AddKnownEndpoints(ids)
 	}
 }
 
 // ListFailed implements list.Sink.
-func (d *daemon) ListFailed(silent bool) {
+func (d *daemon) PollFailed(silent bool) {
 	kind := balance.ListFailed
 	if silent {
 		kind = balance.ListSilent
 	}
-	d.core.List(balance.EndpointList{Kind: kind})
+	d.core.UpdateEndpoints(balance.EndpointList{Kind: kind})
 	if d.told || d.store == nil {
 		return
 	}
@@ -352,7 +352,7 @@
 func (d *daemon) reload(cfg *config.Config) {
 	d.log.Info("reloaded", "discovery", cfg.Discovery)
 	d.record.reloaded("configuration", nil)
-	d.watcher.Move(cfg.Discovery)
+	d.watcher.MoveTo(cfg.Discovery)
 }
 
 // heed acts on signals until the program ends.
@@ -394,12 +394,12 @@
 	for _, f := range d.fronts {
 		f.Drain(d.passed)
 	}
-	until := d.loop.Now() + d.lim.DrainKept
-	accept := d.lim.DrainAccept
+	until := d.loop.Now() + d.lim.Shutdown.GuaranteedTime
+	accept := d.lim.Shutdown.AcceptTime
 	if d.passed {
 		accept = 0 // the next process has the socket: what comes from now on is its own
 	}
-	d.loop.After(accept, func() {
+	d.loop.AfterFunc(accept, func() {
 		for _, f := range d.fronts {
 			f.listener.Close()
 		}
@@ -411,8 +411,8 @@
 				}
 			}
 			d.draining = true
-			d.core.EndBy(until) // clients send on every connection that stays open
+			d.core.SetShutdownDeadline(until) // clients send on every connection that stays open
 		})
 	})
-	d.loop.After(d.lim.DrainMost, d.loop.Stop)
+	d.loop.AfterFunc(d.lim.Shutdown.MaxTime, d.loop.Stop)
 }
--- a/internal/operator/operator.go
+++ b/internal/adminapi/operator.go
@@ -1,6 +1,6 @@
-// Package operator is where operators call: HTTP/1.1, one call to a connection. It runs beside all clients' work, so its
+// Package adminapi is where operators call: HTTP/1.1, one call to a connection. It runs beside all clients' work, so its
 // connections are few, have places of their own, and enter the loop by Loop.Urgent.
-package operator
+package adminapi
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Router is what operators act on. Every done is called once, in the loop.
@@ -43,7 +43,7 @@
 
 // Server answers operators' calls. All of it runs in the loop's goroutine.
 type Server struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	lim    limits.Limits
 	log    *slog.Logger
 	router Router
@@ -51,17 +51,17 @@
 }
 
 // New returns a Server; its connections come by Accept.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, r Router) *Server {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, r Router) *Server {
 	return &Server{loop: l, lim: lim, log: log, router: r}
 }
 
 // Accept takes a new connection.
-func (s *Server) Accept(c *sock.Conn) sock.Handler {
+func (s *Server) Accept(c *transport.Conn) transport.Handler {
 	k := &conn{server: s, sock: c}
 	s.open = append(s.open, k)
-	k.timer = s.loop.After(s.lim.CallWhole, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
+	k.timer = s.loop.AfterFunc(s.lim.AdminAPI.CallTimeout, func() { k.answer(http.StatusRequestTimeout, "the call does not end") })
 	// Guards the next caller: those that finish no call must not hold all places until their time is up.
-	if len(s.open) > s.lim.Operators/2 {
+	if len(s.open) > s.lim.AdminAPI.Connections/2 {
 		for _, o := range s.open {
 			if !o.whole {
 				o.drop()
@@ -75,8 +75,8 @@
 // conn is one caller.
 type conn struct {
 	server *Server
-	sock   *sock.Conn
-	timer  *loop.Timer
+	sock   *transport.Conn
+	timer  *eventloop.Timer
 	buf    []byte
 	whole  bool // its call has come
 	told   bool // its answer is written
@@ -89,7 +89,7 @@
 		return // one call to a connection
 	}
 	k.buf = append(k.buf, p...)
-	c, whole, err := parse(k.buf, k.server.lim.CallBytes)
+	c, whole, err := parse(k.buf, k.server.lim.AdminAPI.CallBytes)
 	switch {
 	case err != nil:
 		status := http.StatusBadRequest
@@ -306,7 +306,7 @@
 	k.over = true
 	k.timer.Stop()
 	if k.told {
-		k.sock.Finish(k.server.lim.Flush)
+		k.sock.Finish(k.server.lim.Frontend.FlushTimeout)
 	} else {
 		k.sock.Close() // nothing is owed to it, and others wait for its place
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/adminapi/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 var valid = []string{
@@ -86,9 +86,9 @@
 	return cell == 7 && limit > 0, r.off
 }
 
-func serve(t *testing.T) (l *loop.Loop, addr string) {
-	l = loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+func serve(t *testing.T) (l *eventloop.Loop, addr string) {
+	l = eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,8 +97,8 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	lim := limits.For(64, 256, time.Second, time.Second, time.Second)
-	s := e.Serve(ln, lim.Operators, l.Urgent, log, New(l, lim, log, &router{}).Accept)
+	lim := limits.New(64, 256, time.Second, time.Second, time.Second)
+	s := e.Serve(ln, lim.AdminAPI.Connections, l.PostUrgent, log, New(l, lim, log, &router{}).Accept)
 	go l.Run(func() {})
 	t.Cleanup(func() { s.Close(); l.Stop(); e.Stop() })
 	return l, ln.Addr().String()
--- a/internal/servers/conn.go
+++ b/internal/backend/conn.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"bytes"
@@ -8,21 +8,21 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // conn is a connection to a db machine. It carries one call at a time.
 type conn struct {
 	machine *machine
 	since   int // machine.left when it was dialled
-	sock    *sock.Conn
+	sock    *transport.Conn
 	reader  *pgwire.Reader
-	welcome *loop.Timer // until it is welcomed
-	rest    *loop.Timer // until it may carry the next call
-	stall   *loop.Timer // until what has begun to come goes on
+	welcome *eventloop.Timer // until it is welcomed
+	rest    *eventloop.Timer // until it may carry the next call
+	stall   *eventloop.Timer // until what has begun to come goes on
 	ready   bool
 	ended   bool
 	dialing bool // the system still has the dial
@@ -30,7 +30,7 @@
 	idleAt  time.Duration
 
 	// of the answer that is coming in
-	answer *Answer
+	answer *Response
 	cameAt time.Duration     // when it began to, 0 = it has not
 	begun  bool              // it is passed on as it comes
 	row    *pgwire.RowStream // the row that is being passed on, nil = none is
@@ -45,13 +45,13 @@
 // dial opens a connection for whoever waits first.
 func (m *machine) dial() *conn {
 	p := m.pool
-	k := &conn{machine: m, since: m.left, reader: pgwire.NewReader(p.lim.Row, 0)}
+	k := &conn{machine: m, since: m.left, reader: pgwire.NewReader(p.lim.Backend.RowBytes, 0)}
 	m.open++
 	m.opening++
 	p.open++
 	k.dialing = true
-	k.welcome = p.loop.After(p.lim.Connect, func() { k.broken() })
-	p.engine.Dial(m.addr, p.lim.Connect, func(c *sock.Conn, err error) sock.Handler {
+	k.welcome = p.loop.AfterFunc(p.lim.Backend.ConnectTimeout, func() { k.broken() })
+	p.engine.Dial(m.addr, p.lim.Backend.ConnectTimeout, func(c *transport.Conn, err error) transport.Handler {
 		if k.dialing = false; k.ended {
 			k.left()
 		}
@@ -176,13 +176,13 @@
 // never comes.
 func (k *conn) watch() {
 	lim := &k.machine.pool.lim
-	within := lim.Stall
+	within := lim.Backend.StallTimeout
 	if k.begun {
-		within = lim.StreamStall // a slow db machine still gives it
+		within = lim.Backend.StreamStallTimeout // a slow db machine still gives it
 	}
 	k.stall.Stop()
 	if !k.ended && !k.held && (k.reader.Waiting() > 0 || k.call != nil && (k.begun || k.closing())) {
-		k.stall = k.machine.pool.loop.After(within, func() { k.spoilt("it stops within an answer") })
+		k.stall = k.machine.pool.loop.AfterFunc(within, func() { k.spoilt("it stops within an answer") })
 	}
 }
 
@@ -191,12 +191,12 @@
 func (k *conn) begin() bool {
 	lim := &k.machine.pool.lim
 	typ, length, have, ok := k.reader.Begun()
-	if ok && length > lim.Answer && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.Begins(k.answer)) {
+	if ok && length > lim.Backend.ResponseBytes && (typ != 'D' || k.call == nil || k.call.begun == nil || !k.call.job.StartsResponse(k.answer)) {
 		k.spoilt("a message too long to keep") // and it can't be passed on either
 		return false
 	}
-	if !ok || typ != 'D' || length <= lim.Stream || len(have) < lim.Begin || k.call == nil || k.call.begun == nil || k.code != "" ||
-		!k.call.job.Begins(k.answer) {
+	if !ok || typ != 'D' || length <= lim.Backend.StreamThresholdBytes || len(have) < lim.Backend.StreamStartBytes || k.call == nil || k.call.begun == nil || k.code != "" ||
+		!k.call.job.StartsResponse(k.answer) {
 		return false
 	}
 	if err := pgwire.NewRowStream(length).Feed(have); err != nil {
@@ -258,7 +258,7 @@
 	switch m.Type {
 	case 'S', 'N', 'A', 'K':
 		// Guards against an answer without end: where a part of it is passed on already no time of the request's ends it.
-		if k.beside += 5 + len(m.Body); k.beside > k.machine.pool.lim.Answer {
+		if k.beside += 5 + len(m.Body); k.beside > k.machine.pool.lim.Backend.ResponseBytes {
 			k.spoilt("it says too much beside its answer")
 			return
 		}
@@ -295,7 +295,7 @@
 	case 'Z':
 		c := k.call
 		r := k.result()
-		c.Hold(false) // the last of a long answer may have come while its client took no more
+		c.SetPaused(false) // the last of a long answer may have come while its client took no more
 		k.call, c.conn = nil, nil
 		if len(m.Body) != 1 || m.Body[0] != 'I' || k.reader.Waiting() > 0 {
 			k.end() // an open transaction or bytes that belong to no request: not to be used again
@@ -309,7 +309,7 @@
 	case 'E':
 		k.failed(m)
 	}
-	if len(k.answer.Messages)+len(m.Body) > k.machine.pool.lim.Answer {
+	if len(k.answer.Messages)+len(m.Body) > k.machine.pool.lim.Backend.ResponseBytes {
 		k.spoilt("its answer is too long")
 		return
 	}
@@ -318,7 +318,7 @@
 		return
 	}
 	if k.begun && m.Type == 'D' {
-		if !k.call.job.Begins(k.answer) {
+		if !k.call.job.StartsResponse(k.answer) {
 			k.spoilt("more rows than were asked for") // and they might never end
 			return
 		}
@@ -356,10 +356,10 @@
 // result says how the call ended. Codes that concern the statement itself go back to the client as they came;
 // those of PROTOCOL's table are outcomes for the module.
 func (k *conn) result() router.Result {
-	r := router.Result{Role: k.role, Position: k.pos, At: k.cameAt}
+	r := router.Result{Role: k.role, Position: k.pos, ResponseStartedAt: k.cameAt}
 	switch {
-	case k.code == "" && k.call.job.Whole(k.answer):
-		r.Status, r.Answer = balance.StatusDone, k.answer
+	case k.code == "" && k.call.job.Complete(k.answer):
+		r.Status, r.Response = balance.StatusDone, k.answer
 	case k.code == "", bytes.ContainsAny(k.answer.Types, "DC"):
 		k.bad = true // what a spoilt answer claims is not believed
 		return router.Result{Status: balance.StatusError}
@@ -369,7 +369,7 @@
 		r.Status = balance.StatusMiss
 	case k.code != "" && strings.Contains("21 22 23 26 34 42 44 0A", k.code[:2]):
 		k.answer.Code = k.code
-		r.Status, r.Answer, r.Code = balance.StatusDone, k.answer, k.code
+		r.Status, r.Response, r.Code = balance.StatusDone, k.answer, k.code
 	default:
 		r.Status = balance.StatusError
 	}
@@ -381,7 +381,7 @@
 func (k *conn) pause() {
 	m := k.machine
 	m.resting++
-	k.rest = m.pool.loop.After(m.pool.lim.Rest, func() {
+	k.rest = m.pool.loop.AfterFunc(m.pool.lim.Backend.ReuseDelay, func() {
 		k.rest = nil
 		m.resting--
 		// start looks at the socket of an idle connection; here it counts where one waits for it.
@@ -422,7 +422,7 @@
 			return
 		}
 	}
-	if p.closed || m.barred || m.state != "ready" || len(m.idle) >= p.lim.IdleMachine {
+	if p.closed || m.barred || m.state != "ready" || len(m.idle) >= p.lim.Backend.IdlePerEndpoint {
 		k.end()
 		return
 	}
@@ -443,7 +443,7 @@
 		p.loop.Post(func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return false
 	}
-	k.answer, k.code, k.role, k.pos = &Answer{Shape: pgwire.NewShape()}, "", balance.RoleUnknown, 0
+	k.answer, k.code, k.role, k.pos = &Response{Shape: pgwire.NewShape()}, "", balance.RoleUnknown, 0
 	k.begun, k.row, k.cameAt, k.beside = false, nil, 0, 0
 	if err := k.sock.Write(c.job.Messages(c.until - now)); err != nil {
 		// Nothing was written whole, so the call may go out on another connection.
--- a/internal/servers/endings_test.go
+++ b/internal/backend/endings_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 	"limeladder/balance"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
 )
 
 // A client goes while the connection for its attempt comes up: nothing is written there.
@@ -18,21 +18,21 @@
 	dialled, welcome := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(welcome) })
 	defer release() // its stand-in waits for it
-	db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
 			dialled <- true
 			<-welcome
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	l := lim()
-	l.Connect, l.Redial = 10*time.Second, 20*time.Second
+	l.Backend.ConnectTimeout, l.Backend.RedialAfter = 10*time.Second, 20*time.Second
 	r := start(t, l, db.Addr)
 	var gone atomic.Bool
 	done, waits := make(chan router.Result, 9), make(chan bool, 1)
 	r.loop.Post(func() {
-		c := r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 20*time.Second, Gone: gone.Load}, func(x router.Result) { done <- x })
-		waits <- c.Waiting()
+		c := r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 20*time.Second, Abandoned: gone.Load}, func(x router.Result) { done <- x })
+		waits <- c.NotWritten()
 	})
 	if !<-waits {
 		t.Error("it waits for a connection and says that it does not")
@@ -94,8 +94,8 @@
 			r := start(t, lim(), endless(t, more))
 			done, begun := make(chan router.Result, 9), make(chan bool, 9)
 			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + time.Second, Begun: func(router.Answer, router.Flow) { begun <- true },
-					Part: func([]byte) {}}, func(x router.Result) { done <- x })
+				r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + time.Second, OnResponseStarted: func(router.Response, router.Flow) { begun <- true },
+					OnResponsePart: func([]byte) {}}, func(x router.Result) { done <- x })
 			})
 			if x := r.end(done); x.Status != balance.StatusError || len(begun) != 1 {
 				t.Fatalf("%+v, begun %d times", x, len(begun))
@@ -106,7 +106,7 @@
 
 // A dial that is given up has a descriptor until the system ends it, and counts until then.
 func TestADialThatIsGivenUpCountsUntilItEnds(t *testing.T) {
-	db := standin.NewDB(t, true, nil)
+	db := testserver.NewDB(t, true, nil)
 	r := start(t, lim(), db.Addr)
 	first, then := make(chan int, 1), make(chan int, 1)
 	r.loop.Post(func() {
--- a/internal/servers/servers_test.go
+++ b/internal/backend/servers_test.go
@@ -1,4 +1,4 @@
-package servers
+package backend
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 
 	"limeladder/balance"
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 type job string
@@ -26,30 +26,30 @@
 func (j job) Messages(left time.Duration) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=job,d=%d,cluster=1 */ INSERT", string(j), left.Milliseconds()))
 }
-func (job) Begins(a *Answer) bool { return string(a.Types) == "T" }
-func (job) Whole(a *Answer) bool  { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
+func (job) StartsResponse(a *Response) bool { return string(a.Types) == "T" }
+func (job) Complete(a *Response) bool       { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
 
 type rig struct {
 	t    *testing.T
-	loop *loop.Loop
+	loop *eventloop.Loop
 	pool *Pool
 }
 
 func start(t *testing.T, lim limits.Limits, addr string) *rig {
-	l := loop.New()
-	e, err := sock.New(l, 256, lim.Inbox)
+	l := eventloop.New()
+	e, err := transport.New(l, 256, lim.Transport.InboxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t, l, New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	r.pool.List(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
+	r.pool.UpdateEndpoints(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
 	go l.Run(func() {})
 	t.Cleanup(func() { l.Stop(); e.Stop() })
 	return r
 }
 
 func lim() limits.Limits {
-	return limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	return limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 }
 
 // try makes one attempt and waits for its end.
@@ -58,9 +58,9 @@
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
 		now := r.loop.Now()
-		a := router.Attempt{Node: "n", Job: job(id), Until: now + 10*time.Second}
+		a := router.Attempt{Endpoint: "n", Job: job(id), Deadline: now + 10*time.Second}
 		if by != 0 {
-			a.By = now + by
+			a.NotAfter = now + by
 		}
 		r.pool.Start(a, func(x router.Result) { done <- x })
 	})
@@ -81,17 +81,17 @@
 func TestAConnectionIsKeptAndUsedInTimeOnly(t *testing.T) {
 	for idle, want := range map[time.Duration]int32{time.Minute: 1, -1: 3} {
 		var dials atomic.Int32
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
 				dials.Add(1)
 			}
-			return standin.Act{}
+			return testserver.Act{}
 		})
 		l := lim()
-		l.Idle = idle
+		l.Backend.IdleTimeout = idle
 		r := start(t, l, db.Addr)
 		for i := range 3 {
-			time.Sleep(3 * l.Rest)
+			time.Sleep(3 * l.Backend.ReuseDelay)
 			x := r.try(fmt.Sprint(i), 0)
 			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || x.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
 				t.Fatalf("%+v", x)
@@ -107,14 +107,14 @@
 	for code, want := range map[string]balance.Status{"53300": balance.StatusBusy, "25006": balance.StatusMiss, "72000": balance.StatusMiss,
 		"XX000": balance.StatusError, "08P01": balance.StatusError, "23505": balance.StatusDone} {
 		for _, fatal := range []bool{false, true} {
-			db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+			db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 				if typ == 0 {
-					return standin.Act{}
+					return testserver.Act{}
 				}
-				return standin.Act{Code: code, Fatal: fatal}
+				return testserver.Act{Code: code, Fatal: fatal}
 			})
 			r := start(t, lim(), db.Addr)
-			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Answer.(*Answer).Code != code {
+			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Response.(*Response).Code != code {
 				t.Errorf("%s, fatal %v: %+v", code, fatal, x)
 			}
 		}
@@ -151,7 +151,7 @@
 	done := make(chan router.Result, attempts)
 	r.loop.Post(func() {
 		for i := range attempts {
-			r.pool.Start(router.Attempt{Node: "n", Job: job(fmt.Sprint(i)), Until: r.loop.Now() + 10*time.Second},
+			r.pool.Start(router.Attempt{Endpoint: "n", Job: job(fmt.Sprint(i)), Deadline: r.loop.Now() + 10*time.Second},
 				func(x router.Result) { done <- x })
 		}
 	})
@@ -160,7 +160,7 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	time.Sleep(2 * lim.Redial)
+	time.Sleep(2 * lim.Backend.RedialAfter)
 	if n := dials.Load(); n > attempts {
 		t.Errorf("%d connections for %d attempts", n, attempts)
 	}
@@ -177,22 +177,22 @@
 	}
 	for name, c := range map[string]struct {
 		at   byte
-		act  standin.Act
+		act  testserver.Act
 		want balance.Status
 	}{
-		"at the welcome":     {0, standin.Act{Break: true}, balance.StatusConnectFailed},
-		"silent welcome":     {0, standin.Act{Silent: true}, balance.StatusConnectFailed},
-		"before the answer":  {'Q', standin.Act{Break: true}, balance.StatusReset},
-		"within the answer":  {'Q', standin.Act{Cut: 30}, balance.StatusReset},
-		"before ready":       {'Q', standin.Act{Cut: 75}, balance.StatusReset},
-		"behind the answer":  {'Q', standin.Act{Cut: 1000}, balance.StatusDone},
-		"behind the welcome": {0, standin.Act{Cut: 1000}, balance.StatusReset},
+		"at the welcome":     {0, testserver.Act{Break: true}, balance.StatusConnectFailed},
+		"silent welcome":     {0, testserver.Act{Silent: true}, balance.StatusConnectFailed},
+		"before the answer":  {'Q', testserver.Act{Break: true}, balance.StatusReset},
+		"within the answer":  {'Q', testserver.Act{Cut: 30}, balance.StatusReset},
+		"before ready":       {'Q', testserver.Act{Cut: 75}, balance.StatusReset},
+		"behind the answer":  {'Q', testserver.Act{Cut: 1000}, balance.StatusDone},
+		"behind the welcome": {0, testserver.Act{Cut: 1000}, balance.StatusReset},
 	} {
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == c.at {
 				return c.act
 			}
-			return standin.Act{}
+			return testserver.Act{}
 		})
 		x := start(t, lim(), db.Addr).try("a", 0)
 		if x.Status != c.want && !(name == "behind the welcome" && x.Status == balance.StatusConnectFailed) {
@@ -229,7 +229,7 @@
 		"too long":  {long(5<<20, 0), 0, balance.StatusError, false},
 		"kept":      {long(50_000, 0), 0, balance.StatusDone, false},
 	} {
-		db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 			if typ == 'Q' && id == "a" {
 				a.Spoil = func([]byte) []byte { return c.answer }
 				if c.cut > 0 {
@@ -240,27 +240,27 @@
 			return a
 		})
 		l := lim()
-		l.StreamStall = 300 * time.Millisecond
+		l.Backend.StreamStallTimeout = 300 * time.Millisecond
 		r := start(t, l, db.Addr)
 		var got []byte
 		begun, held := false, false
 		done := make(chan router.Result, 9)
 		r.loop.Post(func() {
 			var flow router.Flow
-			a := router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 10*time.Second, Begun: func(a router.Answer, f router.Flow) {
+			a := router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second, OnResponseStarted: func(a router.Response, f router.Flow) {
 				begun, flow = true, f
-				got = append(got, a.(*Answer).Messages...)
+				got = append(got, a.(*Response).Messages...)
 			}}
-			a.Part = func(p []byte) {
+			a.OnResponsePart = func(p []byte) {
 				got = append(got, p...)
 				if !held && len(got) > 1<<20 {
 					held = true
-					flow.Hold(true)
-					r.loop.After(2*l.StreamStall, func() { // being held is no stall
+					flow.SetPaused(true)
+					r.loop.AfterFunc(2*l.Backend.StreamStallTimeout, func() { // being held is no stall
 						if len(got) > 1<<20+256<<10 {
 							t.Errorf("%s: %d bytes came while it was held", name, len(got))
 						}
-						flow.Hold(false)
+						flow.SetPaused(false)
 					})
 				}
 			}
@@ -271,7 +271,7 @@
 			t.Errorf("%s: %v, begun %v", name, x.Status, begun)
 		}
 		if x.Status == balance.StatusDone {
-			got = append(got, x.Answer.(*Answer).Messages...)
+			got = append(got, x.Response.(*Response).Messages...)
 			if want := c.answer[:len(c.answer)-6]; !bytes.Equal(got, want) {
 				t.Errorf("%s: %d bytes, not %d", name, len(got), len(want))
 			}
@@ -284,7 +284,7 @@
 
 // When an answer began to come is told apart from its end.
 func TestSlowAnswer(t *testing.T) {
-	db := standin.NewDB(t, true, func(typ byte, _ string) (a standin.Act) {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
 		if typ == 'Q' {
 			a.Spoil = func(p []byte) []byte { return p[:20] }
 			a.Behind = long(4, 0)[20:]
@@ -296,32 +296,32 @@
 	var end time.Duration
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
-		r.pool.Start(router.Attempt{Node: "n", Job: job("a"), Until: r.loop.Now() + 10*time.Second}, func(x router.Result) {
+		r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second}, func(x router.Result) {
 			end = r.loop.Now()
 			done <- x
 		})
 	})
-	if x := r.end(done); x.Status != balance.StatusDone || end-x.At < 90*time.Millisecond {
-		t.Fatalf("%v: began %v before its end", x.Status, end-x.At)
+	if x := r.end(done); x.Status != balance.StatusDone || end-x.ResponseStartedAt < 90*time.Millisecond {
+		t.Fatalf("%v: began %v before its end", x.Status, end-x.ResponseStartedAt)
 	}
 }
 
 // A send that a slow connection has held up past the age its data may have is not made.
 func TestTooLateToSend(t *testing.T) {
-	db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
-			return standin.Act{Delay: 60 * time.Millisecond}
+			return testserver.Act{Delay: 60 * time.Millisecond}
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	r := start(t, lim(), db.Addr)
 	if x := r.try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
 		t.Fatalf("%+v", x)
 	}
 	// Nor is a connection waited for beyond that.
-	silent := standin.NewDB(t, true, func(typ byte, _ string) standin.Act { return standin.Act{Silent: true} })
+	silent := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: true} })
 	l := lim()
-	l.Connect = 20 * time.Second
+	l.Backend.ConnectTimeout = 20 * time.Second
 	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent {
 		t.Fatalf("%+v", x)
 	}
@@ -336,18 +336,18 @@
 // The answer to a cancelled attempt must not be taken for that of the next.
 func TestLateAnswerMeetsNobody(t *testing.T) {
 	asked := make(chan bool, 9)
-	db := standin.NewDB(t, true, func(typ byte, id string) standin.Act {
+	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if typ == 'Q' && id == "slow" {
 			asked <- true
-			return standin.Act{Delay: 30 * time.Millisecond}
+			return testserver.Act{Delay: 30 * time.Millisecond}
 		}
-		return standin.Act{}
+		return testserver.Act{}
 	})
 	r := start(t, lim(), db.Addr)
 	r.try("first", 0)
-	call, written := make(chan router.Call, 1), make(chan bool, 1)
+	call, written := make(chan router.AttemptHandle, 1), make(chan bool, 1)
 	r.loop.Post(func() {
-		call <- r.pool.Start(router.Attempt{Node: "n", Job: job("slow"), Until: r.loop.Now() + time.Minute}, func(x router.Result) {
+		call <- r.pool.Start(router.Attempt{Endpoint: "n", Job: job("slow"), Deadline: r.loop.Now() + time.Minute}, func(x router.Result) {
 			t.Errorf("a cancelled attempt ended: %+v", x)
 		})
 	})
@@ -369,16 +369,16 @@
 }
 
 func TestProbe(t *testing.T) {
-	db := standin.NewDB(t, false, nil)
+	db := testserver.NewDB(t, false, nil)
 	r := start(t, lim(), db.Addr)
 	done := make(chan router.Result, 9)
-	ask := func() { r.loop.Post(func() { r.pool.Probe("n", func(x router.Result) { done <- x }) }) }
+	ask := func() { r.loop.Post(func() { r.pool.HealthCheck("n", func(x router.Result) { done <- x }) }) }
 	ask()
 	now := time.Duration(time.Now().UnixNano())
 	if x := r.end(done); x.Status != balance.StatusDone || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
 		t.Fatalf("%+v", x)
 	}
-	silent := standin.NewDB(t, false, func(typ byte, _ string) standin.Act { return standin.Act{Silent: typ == 'Q'} })
+	silent := testserver.NewDB(t, false, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: typ == 'Q'} })
 	r = start(t, lim(), silent.Addr)
 	ask()
 	if x := r.end(done); x.Status != balance.StatusTimedOut {
@@ -387,7 +387,7 @@
 	for text, want := range map[string]time.Duration{"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
 		`{"x0": 1767225600.5, "x1": 1}`: 1767225600500 * time.Millisecond, "x0=nan,x1=1": 0, "x1=1,x0=-5": 0, "x0=1767225600,x1=7": 0} {
 		p := pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, byte(len(text))}, []byte(text))
-		if role, pos, _ := report(&Answer{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
+		if role, pos, _ := report(&Response{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
 			t.Errorf("%s: %v %v", text, role, pos)
 		}
 	}
@@ -420,7 +420,7 @@
 		"error too late":  join(status, column, value, tag, pgwire.AppendError(nil, pgwire.Error{Code: "53300"})),
 	} {
 		var dials atomic.Int32
-		db := standin.NewDB(t, true, func(typ byte, id string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 			if typ == 0 {
 				dials.Add(1)
 			}
@@ -430,7 +430,7 @@
 			return a
 		})
 		l := lim()
-		l.Stall = 30 * time.Millisecond
+		l.Backend.StallTimeout = 30 * time.Millisecond
 		r := start(t, l, db.Addr)
 		if x := r.try("spoilt", 0); x != (router.Result{Status: balance.StatusError}) {
 			t.Errorf("%s: %+v", name, x)
@@ -444,10 +444,10 @@
 // A value of several hundred KB is an answer like any other; one beyond the limit is not read to its end.
 func TestLargeAnswers(t *testing.T) {
 	l := lim()
-	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Answer: balance.StatusError} {
+	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Backend.ResponseBytes: balance.StatusError} {
 		value := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(size))
 		value = append(value, make([]byte, size)...)
-		db := standin.NewDB(t, true, func(typ byte, _ string) (a standin.Act) {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
 			if typ == 'Q' {
 				a.Spoil = func(p []byte) []byte {
 					end := bytes.IndexByte(p, 'D')
@@ -466,20 +466,20 @@
 func TestBehindAnAnswer(t *testing.T) {
 	copied := bytes.Join([][]byte{pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")),
 		pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x05stray")), pgwire.Append(nil, 'C', []byte("SELECT 1\x00")), pgwire.AppendReady(nil)}, nil)
-	for name, act := range map[string]standin.Act{"later": {Behind: copied},
+	for name, act := range map[string]testserver.Act{"later": {Behind: copied},
 		"at once": {Spoil: func(p []byte) []byte { return append(p, copied...) }}, "a part": {Behind: copied[:7]}} {
-		db := standin.NewDB(t, true, func(typ byte, _ string) standin.Act {
+		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
-				return standin.Act{}
+				return testserver.Act{}
 			}
 			return act
 		})
 		l := lim()
-		l.Rest = 100 * time.Millisecond
+		l.Backend.ReuseDelay = 100 * time.Millisecond
 		r := start(t, l, db.Addr)
 		for i := range 4 {
 			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Answer.(*Answer).Messages, []byte("stray")) {
+			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Response.(*Response).Messages, []byte("stray")) {
 				t.Fatalf("%s: %+v", name, x)
 			}
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -62,10 +62,10 @@
 	c := balance.Config{
 		Instances: p.Instances, Zone: p.Locality, OverQuotaWeight: p.OverShareWorth,
 		TimerResolution: time.Duration(p.ResolutionNs), PollDiscovery: p.Discovery == "ask",
-		PollWithin:    time.Duration(p.Contract.AskWithinNs),
-		DrainGrace:   time.Duration(p.Contract.DrainGraceNs),
+		PollWithin:          time.Duration(p.Contract.AskWithinNs),
+		DrainGrace:          time.Duration(p.Contract.DrainGraceNs),
 		ClientSessionTokens: p.Extra.TokenMode == "client",
-		HealthChecks:       p.Limits.Probes, HealthCheckCost: p.Prices.Probe, Cancellation: p.Limits.Cancelling,
+		HealthChecks:        p.Limits.Probes, HealthCheckCost: p.Prices.Probe, Cancellation: p.Limits.Cancelling,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: time.Duration(p.Limits.MaxRetryAfterNs),
 		MaxAttempts: p.Limits.MostTries, SlowStartFrom: p.Contract.ColdFrom,
 		SlowStartWindow: time.Duration(p.Contract.ColdNs), OverloadMultiple: p.Contract.FallMultiple,
--- a/internal/list/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"io"
@@ -8,28 +8,28 @@
 	"time"
 
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 // follow starts a watch that goes on by itself, at an agent, within a grace.
-func follow(t *testing.T, grace time.Duration) (told, *standin.Agent) {
-	a, err := standin.NewAgent(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "ready"})
+func follow(t *testing.T, grace time.Duration) (told, *testserver.Agent) {
+	a, err := testserver.NewAgent(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+	l := eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := told{make(chan config.List, 999), make(chan bool, 999)}
-	lim := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace)
+	lim := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
 	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), a.Addr, s)
 	go l.Run(func() {})
-	l.Post(func() { w.Follow(7) })
+	l.Post(func() { w.FollowPushed(7) })
 	t.Cleanup(func() { l.Post(w.Stop); l.Stop(); e.Stop(); a.Stop() })
 	if got := next(t, s); !got.Full || len(got.Servers) != 1 {
 		t.Fatalf("%+v", got)
@@ -55,10 +55,10 @@
 // Where lists are pushed nobody calls Track: the watch goes on by itself through every failure, and hears what came meanwhile.
 func TestFollowGoesOnByItself(t *testing.T) {
 	drain := config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "draining"}
-	for name, fail := range map[string]func(a *standin.Agent) (back func()){
-		"silent": func(a *standin.Agent) func() { a.Silent(true); return func() { a.Silent(false) } },
-		"busy":   func(a *standin.Agent) func() { a.Fault(503); return func() { a.Fault(0) } },
-		"away": func(a *standin.Agent) func() {
+	for name, fail := range map[string]func(a *testserver.Agent) (back func()){
+		"silent": func(a *testserver.Agent) func() { a.Silent(true); return func() { a.Silent(false) } },
+		"busy":   func(a *testserver.Agent) func() { a.Fault(503); return func() { a.Fault(0) } },
+		"away": func(a *testserver.Agent) func() {
 			a.Stop()
 			return func() {
 				if err := a.Start(); err != nil {
@@ -91,13 +91,13 @@
 // A call that fails, whichever way, is found and made again within three quarters of the grace.
 func TestPushedIsHeardWithinTheGrace(t *testing.T) {
 	for _, grace := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 10 * time.Second} {
-		l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace)
-		if found := max(l.WatchWait+l.WatchSlack, l.CallSlack) + l.ListAgain; found > grace*3/4 {
+		l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
+		if found := max(l.Discovery.WatchWait+l.Discovery.WatchSlack, l.Discovery.CallTimeout) + l.Discovery.MaxRetryInterval; found > grace*3/4 {
 			t.Errorf("grace %v: made again after %v", grace, found)
 		}
-		p := pace{most: l.ListAgain, rng: rand.New(rand.NewPCG(1, 2))}
+		p := pace{most: l.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(1, 2))}
 		for range 50 {
-			if gap := p.failed(); gap > l.ListAgain || gap <= 0 {
+			if gap := p.failed(); gap > l.Discovery.MaxRetryInterval || gap <= 0 {
 				t.Errorf("grace %v: a wait of %v", grace, gap)
 			}
 		}
@@ -106,11 +106,11 @@
 		}
 	}
 	// A whole list costs nobody anything here, however many routers there are; asked for, it does in a large fleet.
-	if l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Among(80); !l.ListKnown || l.Pushed(time.Second).ListKnown {
+	if l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(80); !l.Discovery.ResumeFromKnown || l.ForPushedLists(time.Second).Discovery.ResumeFromKnown {
 		t.Error("a whole list is taken for dear where it is pushed, or for cheap where 80 ask for it")
 	}
 	for _, grace := range []time.Duration{0, time.Millisecond} {
-		if l := limits.For(192, 1024, 250*time.Millisecond, time.Second, time.Second).Pushed(grace); l.WatchWait < 20*time.Millisecond || l.ListAgain < 20*time.Millisecond {
+		if l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace); l.Discovery.WatchWait < 20*time.Millisecond || l.Discovery.MaxRetryInterval < 20*time.Millisecond {
 			t.Errorf("grace %v: asks all the time, %+v", grace, l)
 		}
 	}
--- a/internal/list/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package list follows discovery's list of db machines by HTTP/1.1 watches.
-package list
+// Package discovery follows discovery's list of db machines by HTTP/1.1 watches.
+package discovery
 
 import (
 	"encoding/json"
@@ -11,17 +11,17 @@
 	"time"
 
 	"limeladder/internal/config"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Sink is told what discovery says.
-type Sink interface {
-	Told(l config.List)
+type Listener interface {
+	EndpointListReceived(l config.List)
 	// ListFailed says that a call has ended without a list; silent, that discovery has not turned it away: nothing was heard
 	// of it, or nothing that can be believed.
-	ListFailed(silent bool)
+	PollFailed(silent bool)
 }
 
 // Watcher keeps one call out at a time. All of it runs in the loop's goroutine.
@@ -30,63 +30,63 @@
 // decision module does (Track): it spreads the calls of the whole fleet. Where lists are pushed to an agent on the router's own
 // machine a call costs nobody anything, and the watch goes on by itself (Follow).
 type Watcher struct {
-	loop   *loop.Loop
-	engine *sock.Engine
+	loop   *eventloop.Loop
+	engine *transport.Engine
 	lim    limits.Limits
 	log    *slog.Logger
 	addr   string
-	sink   Sink
+	sink   Listener
 
 	version int64  // of the newest list
 	whole   bool   // the next call asks for the whole list: this discovery has given none yet
 	older   int    // answers in a row that were older than the newest list,
 	bad     int    // or could not be believed for any reason
 	fault   string // that was logged last, "" = the last answer was good
-	conn    *sock.Conn
-	reply   *response     // of the call that is out, nil = none
-	limit   *loop.Timer   // its deadline
-	at      time.Duration // when it was made,
-	wait    time.Duration // how long discovery may wait with its answer,
-	slack   time.Duration // and how long beyond that the answer may take to begin
-	cameAt  time.Duration // when the newest piece of the answer came, 0 = none has
-	text    []byte        // the call
-	reused  bool          // it went out on a connection that had carried another
-	dials   int           // the newest dial; an older one that comes up late is closed
-	pace    *pace         // of a watch that goes on by itself, nil = Track is called after each failure
-	again   *loop.Timer   // the next call, where it waits
+	conn    *transport.Conn
+	reply   *response        // of the call that is out, nil = none
+	limit   *eventloop.Timer // its deadline
+	at      time.Duration    // when it was made,
+	wait    time.Duration    // how long discovery may wait with its answer,
+	slack   time.Duration    // and how long beyond that the answer may take to begin
+	cameAt  time.Duration    // when the newest piece of the answer came, 0 = none has
+	text    []byte           // the call
+	reused  bool             // it went out on a connection that had carried another
+	dials   int              // the newest dial; an older one that comes up late is closed
+	pace    *pace            // of a watch that goes on by itself, nil = Track is called after each failure
+	again   *eventloop.Timer // the next call, where it waits
 	stopped bool
 }
 
 // New returns a Watcher that asks nothing before Track or Follow.
-func New(l *loop.Loop, e *sock.Engine, lim limits.Limits, log *slog.Logger, addr string, s Sink) *Watcher {
+func New(l *eventloop.Loop, e *transport.Engine, lim limits.Limits, log *slog.Logger, addr string, s Listener) *Watcher {
 	return &Watcher{loop: l, engine: e, lim: lim, log: log, addr: addr, whole: true, sink: s}
 }
 
 // From says that the list of that version is known: only what has changed since is asked for.
-func (w *Watcher) From(version int64) { w.version, w.whole = version, false }
+func (w *Watcher) ResumeFrom(version int64) { w.version, w.whole = version, false }
 
 // Move goes on at another address, with the whole list first: the versions of two discoveries need not agree. What
 // the old one may still say, or its closing, is no more heard.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) MoveTo(addr string) {
 	if addr == w.addr {
 		return
 	}
 	w.addr, w.whole, w.version = addr, true, 0
 	w.drop()
-	w.Track()
+	w.Poll()
 }
 
 // Track starts to follow the list; after a failure it has to be called again.
-func (w *Watcher) Track() {
+func (w *Watcher) Poll() {
 	if w.reply == nil && !w.stopped {
 		w.call()
 	}
 }
 
 // Follow starts to follow the list and goes on by itself after each failure, within Limits.ListAgain: nobody has to call Track.
-func (w *Watcher) Follow(seed uint64) {
-	w.pace = &pace{most: w.lim.ListAgain, rng: rand.New(rand.NewPCG(seed, followStream))}
-	w.Track()
+func (w *Watcher) FollowPushed(seed uint64) {
+	w.pace = &pace{most: w.lim.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(seed, followStream))}
+	w.Poll()
 }
 
 // followStream tells the draws of this package from others of the same seed.
@@ -111,23 +111,23 @@
 
 // call sends the next call, on the connection in hand or a new one.
 func (w *Watcher) call() {
-	w.reply = &response{header: w.lim.ListHeader, most: w.lim.ListBytes}
+	w.reply = &response{header: w.lim.Discovery.HeaderBytes, most: w.lim.Discovery.ListBytes}
 	path, wait := "/v1/endpoints", time.Duration(0)
 	// Guards discovery, whose capacity all routers share: 0 is a version like any other. Taken for none, it made
 	// the whole list be asked for again and again.
 	if !w.whole {
-		wait = w.lim.WatchWait
+		wait = w.lim.Discovery.WatchWait
 		path = fmt.Sprintf("/v1/endpoints?index=%d&wait=%d", w.version, wait.Milliseconds())
 	}
 	// Guards against a cut link: a silent call must not be taken for a quiet list.
 	w.limit.Stop()
 	w.again.Stop()
-	slack := w.lim.CallSlack
+	slack := w.lim.Discovery.CallTimeout
 	if wait > 0 {
-		slack = w.lim.WatchSlack
+		slack = w.lim.Discovery.WatchSlack
 	}
 	w.at, w.wait, w.slack, w.cameAt = w.loop.Now(), wait, slack, 0
-	w.limit = w.loop.After(wait+slack, w.late)
+	w.limit = w.loop.AfterFunc(wait+slack, w.late)
 	w.text = fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, w.addr)
 	if w.conn != nil {
 		w.reused = true
@@ -142,9 +142,9 @@
 // late ends a call whose answer should have come. Danger: what discovery writes counts as told, so an answer that is on its way in, or
 // has come and is not looked at yet, is not given up. It goes on while more comes, as long again at the most.
 func (w *Watcher) late() {
-	gap, now, end := min(w.lim.Stall, w.slack/4), w.loop.Now(), w.at+w.wait+2*w.slack
+	gap, now, end := min(w.lim.Backend.StallTimeout, w.slack/4), w.loop.Now(), w.at+w.wait+2*w.slack
 	if now < end && (w.cameAt > 0 && now-w.cameAt < gap || w.conn != nil && !w.conn.Quiet()) {
-		w.limit = w.loop.After(min(gap, end-now), w.late)
+		w.limit = w.loop.AfterFunc(min(gap, end-now), w.late)
 		return
 	}
 	w.silent(errors.New("no answer in time"))
@@ -154,7 +154,7 @@
 	w.reused = false
 	w.dials++
 	mine := w.dials
-	w.engine.Dial(w.addr, w.lim.Connect, func(c *sock.Conn, err error) sock.Handler {
+	w.engine.Dial(w.addr, w.lim.Backend.ConnectTimeout, func(c *transport.Conn, err error) transport.Handler {
 		if mine != w.dials {
 			if c != nil {
 				c.Close()
@@ -212,7 +212,7 @@
 		w.answered()
 	case w.reused && len(w.reply.buf) == 0 && !w.reply.inBody:
 		w.dial(w.text) // discovery had closed an idle connection: that is no failure
-	case w.reply.inBody, !w.whole && w.loop.Now()-w.at > w.lim.CallSlack:
+	case w.reply.inBody, !w.whole && w.loop.Now()-w.at > w.lim.Discovery.CallTimeout:
 		// A call that discovery turns away waits no longer than this: it was a watch, and the link or discovery is lost.
 		w.silent(fmt.Errorf("watch ended: %v", err))
 	default:
@@ -250,12 +250,12 @@
 	if w.pace != nil {
 		w.pace.heard()
 	}
-	w.sink.Told(l)
+	w.sink.EndpointListReceived(l)
 	switch early := w.loop.Now()-w.at < w.wait/2; {
 	case w.stopped, w.reply != nil:
 	case early && !l.Full && len(l.Servers) == 0:
 		// Guards the router's part of a core against a discovery that does not wait. The watch still goes on.
-		w.again = w.loop.After(w.lim.WatchGap, w.call)
+		w.again = w.loop.AfterFunc(w.lim.Discovery.WatchInterval, w.call)
 	default:
 		w.call() // at once: a watch goes on only if its next call comes within 200 ms
 	}
@@ -306,7 +306,7 @@
 		return
 	}
 	if w.pace != nil {
-		w.again = w.loop.After(w.pace.failed(), w.Track)
+		w.again = w.loop.AfterFunc(w.pace.failed(), w.Poll)
 	}
-	w.sink.ListFailed(silent)
+	w.sink.PollFailed(silent)
 }
--- a/internal/clients/clients.go
+++ b/internal/frontend/clients.go
@@ -1,6 +1,6 @@
-// Package clients holds the connections of clients, and is the thin front for the platform's protocol: simple
+// Package frontend holds the connections of clients, and is the thin front for the platform's protocol: simple
 // queries, one statement each, over plain PostgreSQL connections.
-package clients
+package frontend
 
 import (
 	"cmp"
@@ -10,22 +10,22 @@
 	"strings"
 	"time"
 
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/sock"
+	"limeladder/internal/transport"
 )
 
 // Core takes requests.
 type Core interface {
 	// Take refuses with an error what must not reach a db machine.
-	Take(q router.Request, c router.Client) (id string, err error)
-	Leave(id string)
+	Accept(q router.Request, c router.Client) (id string, err error)
+	Disconnect(id string)
 	// Order tells what a class's requests wait for of those before them on the same connection.
-	Order(class string) router.Order
+	OrderingOf(class string) router.Ordering
 	// Turn enters a request that is refused for want of room.
-	Turn(q router.Request, after time.Duration)
+	RecordRejection(q router.Request, after time.Duration)
 }
 
 // Speaker works on the messages of one connection.
@@ -38,7 +38,7 @@
 
 // Front holds the connections of clients. All of it runs in the loop's goroutine.
 type Front struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	lim       limits.Limits
 	log       *slog.Logger
 	core      Core
@@ -50,15 +50,15 @@
 	finishing time.Duration // since when also those are closed that have no request in hand, 0 = they are not
 	named     bool          // requests say whose they are
 	conns     map[*Conn]struct{}
-	buffered  int         // bytes of all clients that are kept for them, or have come of what they may ask next
-	ahead     int         // bytes that have come of clients that are owed an answer
-	next      *loop.Timer // the next sweep
+	buffered  int              // bytes of all clients that are kept for them, or have come of what they may ask next
+	ahead     int              // bytes that have come of clients that are owed an answer
+	next      *eventloop.Timer // the next sweep
 	sweeps    int
 }
 
 // New returns a Front that is not ready yet. speak makes the Speaker of each connection. It is called before the loop
 // runs.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Core, speak func(*Conn) Speaker) *Front {
+func New(l *eventloop.Loop, lim limits.Limits, log *slog.Logger, c Core, speak func(*Conn) Speaker) *Front {
 	f := &Front{loop: l, lim: lim, log: log, core: c, speak: speak, conns: map[*Conn]struct{}{}}
 	l.Post(f.sweep)
 	return f
@@ -74,11 +74,11 @@
 func (f *Front) Ready() { f.ready = true }
 
 // Accept takes a new connection. The listener bounds how many there are.
-func (f *Front) Accept(s *sock.Conn) sock.Handler {
+func (f *Front) Accept(s *transport.Conn) transport.Handler {
 	now := f.loop.Now()
-	c := &Conn{front: f, sock: s, reader: pgwire.NewReader(f.lim.Message, f.lim.Startup), openAt: now, lastAt: now, tookAt: now}
+	c := &Conn{front: f, sock: s, reader: pgwire.NewReader(f.lim.Frontend.MessageBytes, f.lim.Frontend.StartupBytes), openAt: now, lastAt: now, tookAt: now}
 	c.speaker = f.speak(c)
-	s.Buffer(f.lim.Send)
+	s.Buffer(f.lim.Frontend.SendBufferBytes)
 	s.Prompt() // a client that has gone wants nothing of what it sent ahead
 	f.conns[c] = struct{}{}
 	if f.fine() {
@@ -94,7 +94,7 @@
 	for c := range f.conns {
 		if why := c.overdue(now); why != "" {
 			c.fatal(pgwire.ProtocolViolation, why)
-		} else if unread += c.unsent; unread > f.lim.Buffered && c.unsent > 0 && c.flow == nil && !c.busy() {
+		} else if unread += c.unsent; unread > f.lim.Frontend.BufferedBytes && c.unsent > 0 && c.flow == nil && !c.busy() {
 			// Guards memory: many that do not read their answers are too much where each alone is not.
 			c.fatal(pgwire.TooLarge, "too much is left unread")
 		} else if c.held > 0 {
@@ -102,7 +102,7 @@
 		}
 	}
 	for c := range f.conns {
-		if (f.empty || f.gentle) && now-c.openAt > f.lim.EmptyIdle && c.spare(now, f.lim.EmptyIdle) {
+		if (f.empty || f.gentle) && now-c.openAt > f.lim.Frontend.DrainedIdle && c.spare(now, f.lim.Frontend.DrainedIdle) {
 			c.End()
 		} else if f.draining && !f.gentle {
 			c.rest()
@@ -113,7 +113,7 @@
 	}
 	f.room(now)
 	f.sweeps++
-	f.next = f.loop.After(f.grain(unread > 0), f.sweep)
+	f.next = f.loop.AfterFunc(f.grain(unread > 0), f.sweep)
 }
 
 // grain is the time to the next sweep. Harm: at a fixed fine grain every router of a fleet wakes twenty times a second
@@ -123,36 +123,36 @@
 func (f *Front) grain(unread bool) time.Duration {
 	lim := f.lim
 	if unread || f.fine() {
-		return lim.ClientSweep
+		return lim.Frontend.SweepInterval
 	}
-	return max(lim.ClientSweep, min(lim.ClientStart, lim.ClientFirst, lim.ClientPart, lim.ClientUnread, lim.ClientUnit)/4)
+	return max(lim.Frontend.SweepInterval, min(lim.Frontend.StartupTimeout, lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout, lim.Frontend.UnreadTimeout, lim.Frontend.UnitTimeout)/4)
 }
 
 // fine says whether the front needs its sweep at the fine grain: readings wait for room, it drains or is emptied, or the
 // table is past its easy mark. Bytes kept for requests in hand are no want of room.
 func (f *Front) fine() bool {
-	return f.fill() > f.lim.Buffered || f.empty || f.draining || len(f.conns) > min(f.lim.ClientsEasy, f.lim.ClientsTight)
+	return f.fill() > f.lim.Frontend.BufferedBytes || f.empty || f.draining || len(f.conns) > min(f.lim.Frontend.SoftLimit, f.lim.Frontend.HardLimit)
 }
 
 // fill is how much of Buffered is taken. Guards those that ask one thing at a time against those that send ahead: whatever these
 // send takes half of the room at the most.
-func (f *Front) fill() int { return f.buffered + min(f.ahead, f.lim.Buffered/2) }
+func (f *Front) fill() int { return f.buffered + min(f.ahead, f.lim.Frontend.BufferedBytes/2) }
 
 // soon brings the next sweep to the fine grain, where something has come that needs it.
 func (f *Front) soon() {
-	if f.next != nil && f.loop.Now()+f.lim.ClientSweep < f.next.At() {
+	if f.next != nil && f.loop.Now()+f.lim.Frontend.SweepInterval < f.next.Due() {
 		f.next.Stop()
-		f.next = f.loop.After(f.lim.ClientSweep, f.sweep)
+		f.next = f.loop.AfterFunc(f.lim.Frontend.SweepInterval, f.sweep)
 	}
 }
 
 // room closes those that have asked for nothing for the longest time. Guards the table against clients that ask once
 // and stay, or say nothing: usual ones must find a place. One that has a request, or has just come, is left alone.
 func (f *Front) room(now time.Duration) {
-	f.shrink(now, f.lim.ClientsEasy, f.lim.ClientIdle)
+	f.shrink(now, f.lim.Frontend.SoftLimit, f.lim.Frontend.SoftLimitIdle)
 	// Guards against more clients that ask once and stay than there are places for the time they may stay: usual ones
 	// would wait for a place until their time is up. A client whose connection is closed between requests asks anew.
-	f.shrink(now, f.lim.ClientsTight, f.lim.ClientTight)
+	f.shrink(now, f.lim.Frontend.HardLimit, f.lim.Frontend.HardLimitIdle)
 }
 
 func (f *Front) shrink(now time.Duration, to int, idle time.Duration) {
@@ -209,7 +209,7 @@
 		if c.busy() {
 			continue
 		}
-		if part := c.reader.Waiting() > 0 || !c.sock.Quiet(); !c.fresh(now) && !part || now-f.finishing > f.lim.ClientMute {
+		if part := c.reader.Waiting() > 0 || !c.sock.Quiet(); !c.fresh(now) && !part || now-f.finishing > f.lim.Frontend.UnusedIdle {
 			c.End()
 		}
 	}
@@ -222,7 +222,7 @@
 type Conn struct {
 	front   *Front
 	speaker Speaker
-	sock    *sock.Conn
+	sock    *transport.Conn
 	reader  *pgwire.Reader
 	started bool
 	asked   bool // a message has come since the start
@@ -262,17 +262,17 @@
 		c.tookAt, c.took = now, c.sock.Progress() // a client may take seconds over a long answer
 	}
 	switch {
-	case now-c.tookAt > lim.ClientUnread:
+	case now-c.tookAt > lim.Frontend.UnreadTimeout:
 		return "answers are not read"
 	case c.busy():
 		return ""
-	case !c.started && now-c.openAt > lim.ClientStart:
+	case !c.started && now-c.openAt > lim.Frontend.StartupTimeout:
 		return "no startup message in time"
-	case c.started && !c.asked && c.partAt == 0 && now-c.openAt > lim.ClientFirst:
+	case c.started && !c.asked && c.partAt == 0 && now-c.openAt > lim.Frontend.FirstCommandTimeout:
 		return "no command in time"
-	case c.partAt > 0 && (now-max(c.partAt, c.moreAt) > lim.ClientPart || now-c.partAt > lim.ClientWhole):
+	case c.partAt > 0 && (now-max(c.partAt, c.moreAt) > lim.Frontend.PartialMessageTimeout || now-c.partAt > lim.Frontend.MessageTimeout):
 		return "a message does not end"
-	case c.started && !c.speaker.Idle() && now-c.lastAt > lim.ClientUnit:
+	case c.started && !c.speaker.Idle() && now-c.lastAt > lim.Frontend.UnitTimeout:
 		return "a unit of work does not go on"
 	}
 	return ""
@@ -283,13 +283,13 @@
 func (c *Conn) spare(now, idle time.Duration) bool {
 	lim := c.front.lim
 	if !c.started {
-		return now-c.openAt > lim.ClientSilent && c.partAt == 0
+		return now-c.openAt > lim.Frontend.UnstartedIdle && c.partAt == 0
 	}
 	switch {
 	case c.faulty:
-		idle = min(idle, lim.ClientSilent)
+		idle = min(idle, lim.Frontend.UnstartedIdle)
 	case !c.asked: // usual clients ask at once
-		idle = lim.ClientMute
+		idle = lim.Frontend.UnusedIdle
 	}
 	return !c.busy() && c.partAt == 0 && c.speaker.Idle() && now-c.lastAt > idle && c.sock.Quiet()
 }
@@ -300,7 +300,7 @@
 		return
 	}
 	c.ended = true
-	c.sock.Finish(c.front.lim.Flush) // an answer of which the system has taken a part only must not be cut
+	c.sock.Finish(c.front.lim.Frontend.FlushTimeout) // an answer of which the system has taken a part only must not be cut
 	c.gone()
 }
 
@@ -311,21 +311,21 @@
 	f.buffered -= c.kept
 	c.kept = 0
 	if c.flow != nil {
-		c.flow.Hold(false) // the rest of its answer is read all the same, and meets nobody
+		c.flow.SetPaused(false) // the rest of its answer is read all the same, and meets nobody
 		c.flow = nil
 	}
 	if c.request != "" {
-		f.core.Leave(c.request)
+		f.core.Disconnect(c.request)
 		c.request = ""
 	}
 	line := c.line
 	c.line = nil
 	for _, t := range line {
 		if t.flow != nil {
-			t.flow.Hold(false)
+			t.flow.SetPaused(false)
 		}
 		if t.id != "" {
-			f.core.Leave(t.id)
+			f.core.Disconnect(t.id)
 		}
 	}
 }
@@ -367,11 +367,11 @@
 	} else if c.partAt == 0 {
 		c.partAt = f.loop.Now() // the time spent behind an earlier answer is no stall of the client's
 	}
-	full := c.held > 0 && (f.fill() > f.lim.Buffered || busy && f.ahead > f.lim.Buffered/2)
+	full := c.held > 0 && (f.fill() > f.lim.Frontend.BufferedBytes || busy && f.ahead > f.lim.Frontend.BufferedBytes/2)
 	if full && c.partAt > 0 {
 		c.moreAt = f.loop.Now() // that nothing more comes is not its fault
 	}
-	c.sock.Hold(full || busy && c.held > f.lim.Ahead)
+	c.sock.SetPaused(full || busy && c.held > f.lim.Frontend.PipelinedBytes)
 	if full {
 		f.soon() // what is held back waits for the sweep to find room again
 	}
@@ -397,8 +397,8 @@
 		c.settle()
 		c.next()
 	}
-	if c.flow != nil && c.sock.Unsent() <= c.front.lim.High {
-		c.flow.Hold(false)
+	if c.flow != nil && c.sock.Unsent() <= c.front.lim.Frontend.HighWaterBytes {
+		c.flow.SetPaused(false)
 	}
 }
 
@@ -421,9 +421,9 @@
 	if c.sock.Unsent() > 0 {
 		c.front.soon() // what is not taken counts against all clients' bound
 	}
-	if c.flow != nil && c.sock.Unsent() > c.front.lim.High {
-		c.flow.Hold(true)
-		c.sock.Await(c.front.lim.Low)
+	if c.flow != nil && c.sock.Unsent() > c.front.lim.Frontend.HighWaterBytes {
+		c.flow.SetPaused(true)
+		c.sock.Await(c.front.lim.Frontend.LowWaterBytes)
 	}
 }
 
@@ -481,7 +481,7 @@
 
 // send writes p now; a broken connection is the client's leaving.
 func (c *Conn) send(p []byte) {
-	if !c.ended && (c.sock.Write(p) != nil || c.sock.Unsent() > c.front.lim.Unread) {
+	if !c.ended && (c.sock.Write(p) != nil || c.sock.Unsent() > c.front.lim.Frontend.UnreadBytes) {
 		c.End() // also guards memory against a client that asks and does not read
 	} else if !c.ended && c.sock.Unsent() > 0 {
 		c.front.soon()
@@ -507,7 +507,7 @@
 
 // fresh says that a client has asked for nothing yet and still may do so.
 func (c *Conn) fresh(now time.Duration) bool {
-	return !c.asked && now-c.openAt <= c.front.lim.ClientMute
+	return !c.asked && now-c.openAt <= c.front.lim.Frontend.UnusedIdle
 }
 
 // Blank answers an empty query, by which the platform asks whether it may send clients.
@@ -536,7 +536,7 @@
 
 // Hold says whether there is room to keep so many bytes for the client, and counts them if so.
 func (c *Conn) Hold(n int) bool {
-	if c.ended || c.front.fill()+n > c.front.lim.Buffered {
+	if c.ended || c.front.fill()+n > c.front.lim.Frontend.BufferedBytes {
 		return false
 	}
 	c.kept += n
@@ -556,14 +556,14 @@
 // nothing was taken.
 func (c *Conn) Take(q router.Request, to router.Client) (err error) {
 	q.Tenant, q.Client = c.user, c.from
-	if c.front.core.Order(q.Class).Sees {
-		q.After = c.commits.see(&q)
+	if c.front.core.OrderingOf(q.Class).ReadsOwnWrites {
+		q.MinPosition = c.commits.see(&q)
 	}
 	if !c.Hold(c.size) {
-		c.front.core.Turn(q, roomAfter)
+		c.front.core.RecordRejection(q, roomAfter)
 		return errRoom
 	}
-	if c.request, err = c.front.core.Take(q, to); err != nil {
+	if c.request, err = c.front.core.Accept(q, to); err != nil {
 		c.Release(c.size)
 	} else {
 		c.taken, c.session, c.group = c.size, q.Session, q.Group
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/clients_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"encoding/binary"
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
+	"limeladder/internal/backend"
+	"limeladder/internal/eventloop"
 	"limeladder/internal/limits"
-	"limeladder/internal/loop"
 	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/sock"
-	"limeladder/internal/standin"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
 )
 
 // core answers requests by their class, in the loop.
 type core struct {
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	taken atomic.Int32
 
 	turned atomic.Int32
@@ -38,18 +38,18 @@
 }
 
 // Order has "waits" stand for writes, "free" for reads that wait for nothing and "own" for those that see their session's writes.
-func (k *core) Order(class string) router.Order {
-	return router.Order{Writes: class == "waits", Sees: class == "own", SeesAll: class != "free" && class != "own"}
+func (k *core) OrderingOf(class string) router.Ordering {
+	return router.Ordering{Writes: class == "waits", ReadsOwnWrites: class == "own", ReadsAllWrites: class != "free" && class != "own"}
 }
 
-func (k *core) Turn(router.Request, time.Duration) { k.turned.Add(1) }
+func (k *core) RecordRejection(router.Request, time.Duration) { k.turned.Add(1) }
 
-func (k *core) Take(q router.Request, c router.Client) (string, error) {
+func (k *core) Accept(q router.Request, c router.Client) (string, error) {
 	if q.Class == "odd" {
 		if k.odd != nil {
 			k.odd()
 		}
-		return "", router.ErrClass
+		return "", router.ErrUnknownClass
 	}
 	k.newest.Store(&q)
 	k.asked, k.clients = append(k.asked, q), append(k.clients, c)
@@ -60,15 +60,15 @@
 			text := q.Job.(*Query).Messages(q.Deadline)
 			p := pgwire.Append(nil, 'T', []byte{0, 0})
 			p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
-			c.Served(&servers.Answer{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
+			c.Served(&backend.Response{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))})
 		case "refused":
-			c.Refused(1500 * time.Millisecond)
+			c.Rejected(1500 * time.Millisecond)
 		case "failed":
 			c.Failed("it may have run")
 		case "long", "cut":
 			k.source = &source{k: k, c: c, left: longest, cut: q.Class == "cut"}
-			c.Begun(&servers.Answer{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
-			c.Part(binary.BigEndian.AppendUint32([]byte{'D'}, longest+4))
+			c.ResponseStarted(&backend.Response{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, k.source)
+			c.ResponsePart(binary.BigEndian.AppendUint32([]byte{'D'}, longest+4))
 			k.source.run()
 		}
 	})
@@ -86,7 +86,7 @@
 	most      int
 }
 
-func (s *source) Hold(on bool) {
+func (s *source) SetPaused(on bool) {
 	if s.held = on; !on {
 		s.k.loop.Post(s.run)
 	}
@@ -96,40 +96,40 @@
 	for !s.held && s.left > 0 {
 		n := min(s.left, 10_000)
 		s.left -= n
-		s.c.Part(make([]byte, n))
+		s.c.ResponsePart(make([]byte, n))
 		if c, ok := s.c.(*reply); ok {
 			s.most = max(s.most, c.conn.sock.Unsent())
 		}
 		if s.cut && s.left < longest/2 {
 			s.left = 0
-			s.c.Cut()
+			s.c.ResponseTruncated()
 			return
 		}
 	}
 	if s.left == 0 && !s.held {
 		s.left = -1
-		s.c.Served(&servers.Answer{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
+		s.c.Served(&backend.Response{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
 	}
 }
 
 func (k *core) len() int { return int(k.taken.Load()) }
 
-func (k *core) Leave(id string) { k.left <- id }
+func (k *core) Disconnect(id string) { k.left <- id }
 
-func start(t testing.TB) (f *Front, k *core, l *loop.Loop, addr string) {
-	return startWith(t, limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
+func start(t testing.TB) (f *Front, k *core, l *eventloop.Loop, addr string) {
+	return startWith(t, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second))
 }
 
-func startWith(t testing.TB, lim limits.Limits) (f *Front, k *core, l *loop.Loop, addr string) {
-	l = loop.New()
-	e, err := sock.New(l, 256, 1<<20)
+func startWith(t testing.TB, lim limits.Limits) (f *Front, k *core, l *eventloop.Loop, addr string) {
+	l = eventloop.New()
+	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	k = &core{loop: l, left: make(chan string, 9)}
 	f = New(l, lim, log, k, Platform)
-	ln, err := e.Listen("127.0.0.1:0", lim.Clients, log, f.Accept)
+	ln, err := e.Listen("127.0.0.1:0", lim.Frontend.Connections, log, f.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 
 func TestAnswers(t *testing.T) {
 	f, _, l, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, ""))
 	if a := c.Until('Z'); a.Code != pgwire.CannotConnectNow || a.Types != "EZ" {
 		t.Fatalf("%+v before it is ready", a)
@@ -157,7 +157,7 @@
 		p = pgwire.AppendQuery(p, text)
 	}
 	c.Send(p)
-	for i, want := range []standin.Answer{{Types: "IZ"}, {Types: "TDCZ"}, {Types: "EZ", Code: "53300", Detail: "1500"},
+	for i, want := range []testserver.Answer{{Types: "IZ"}, {Types: "TDCZ"}, {Types: "EZ", Code: "53300", Detail: "1500"},
 		{Types: "EZ", Code: "42601"}, {Types: "EZ", Code: "42601"}, {Types: "EZ", Code: "08007"}} {
 		a := c.Until('Z')
 		if i == 1 && !strings.Contains(a.Value, "id=i-served,c=served,d=900,cluster=1") {
@@ -210,7 +210,7 @@
 
 func TestLeaving(t *testing.T) {
 	_, k, _, addr := start(t)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(pgwire.AppendQuery(nil, sql("served")), sql("held")))
 	if a := c.Until('Z'); a.Types != "TDCZ" { // the held one is taken in the same turn of the loop
 		t.Fatalf("%+v", a)
@@ -224,7 +224,7 @@
 // While the program ends, a connection closes behind the answer in hand, and at once where none is.
 func TestDrain(t *testing.T) {
 	f, _, l, addr := start(t)
-	idle, busy := standin.Dial(t, addr), standin.Dial(t, addr)
+	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	l.Post(func() { f.Drain(false) })
 	if a := idle.Until('Z'); !a.Ended {
 		t.Fatalf("%+v", a)
@@ -232,7 +232,7 @@
 	if a := busy.Until('Z'); !a.Ended {
 		t.Fatalf("%+v", a)
 	}
-	late := standin.Dial(t, addr)
+	late := testserver.Dial(t, addr)
 	late.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := late.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -264,13 +264,13 @@
 		}
 		c.Close()
 	}
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
 	}
 	for name, p := range map[string][]byte{"type": {'?', 0, 0, 0, 4}, "length": {'Q', 0x7f, 0, 0, 0}, "body": {'Q', 0, 0, 0, 5, 'x'}} {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(p)
 		if a := c.Until('Z'); !a.Ended || a.Code != pgwire.ProtocolViolation {
 			t.Errorf("%s: %+v", name, a)
@@ -281,20 +281,20 @@
 // A table full of clients that say nothing, or have asked once and stay, has room for one that asks. Neither it nor
 // one whose request is in hand is closed for that.
 func TestRoom(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Clients, lim.ClientsEasy, lim.ClientsTight, lim.ClientIdle = 6, 3, 6, 200*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.Connections, lim.Frontend.SoftLimit, lim.Frontend.HardLimit, lim.Frontend.SoftLimitIdle = 6, 3, 6, 200*time.Millisecond
 	testRoom(t, lim)
 	// Nor need they wait until an idle one may go by itself: the places are taken much faster than that.
-	lim.ClientsTight, lim.ClientIdle = 5, time.Hour
+	lim.Frontend.HardLimit, lim.Frontend.SoftLimitIdle = 5, time.Hour
 	testRoom(t, lim)
 }
 
 func testRoom(t *testing.T, lim limits.Limits) {
 	_, k, _, addr := startWith(t, lim)
-	busy := standin.Dial(t, addr)
+	busy := testserver.Dial(t, addr)
 	busy.Send(pgwire.AppendQuery(nil, sql("held")))
 	for range 8 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql("served")))
 		if a := c.Until('Z'); a.Types != "TDCZ" {
 			t.Fatalf("%+v", a)
@@ -307,7 +307,7 @@
 		}
 		defer c.Close()
 	}
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -319,13 +319,13 @@
 
 // What clients have in hand is counted in bytes, too, and given back.
 func TestBytesInHand(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.Buffered = 100_000
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.BufferedBytes = 100_000
 	_, k, _, addr := startWith(t, lim)
 	large := func(class string) []byte {
 		return pgwire.AppendQuery(nil, sql(class)+strings.Repeat(" ", 60_000))
 	}
-	held, c := standin.Dial(t, addr), standin.Dial(t, addr)
+	held, c := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	c.Send(large("served"))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -349,8 +349,8 @@
 // A client that takes a long answer slowly gets all of it, and little of it waits here; one that takes nothing is closed in
 // time, and one whose answer breaks off sees the end and no byte that is not the answer's.
 func TestLongAnswers(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientUnread = 400 * time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.UnreadTimeout = 400 * time.Millisecond
 	for name, want := range map[string]int{"long": longest, "cut": longest / 2, "unread": 0} {
 		_, k, l, addr := startWith(t, lim)
 		c, err := net.Dial("tcp", addr)
@@ -387,7 +387,7 @@
 		}
 		done := make(chan bool)
 		l.Post(func() {
-			if k.source.most > lim.High+20_000 {
+			if k.source.most > lim.Frontend.HighWaterBytes+20_000 {
 				t.Errorf("%s: %d bytes waited", name, k.source.most)
 			}
 			close(done)
@@ -399,10 +399,10 @@
 
 // A slow head is waited for while it goes on.
 func TestSlowHead(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientFirst, lim.ClientPart = 200*time.Millisecond, 200*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout = 200*time.Millisecond, 200*time.Millisecond
 	_, _, _, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	p := pgwire.AppendQuery(nil, sql("served"))
 	for len(p) > 0 {
 		n := min(len(p), 7)
@@ -417,8 +417,8 @@
 
 // Whoever does not go on is told so and closed, however it has begun.
 func TestOverdue(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	lim.ClientStart, lim.ClientFirst, lim.ClientPart = 100*time.Millisecond, 150*time.Millisecond, 100*time.Millisecond
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim.Frontend.StartupTimeout, lim.Frontend.FirstCommandTimeout, lim.Frontend.PartialMessageTimeout = 100*time.Millisecond, 150*time.Millisecond, 100*time.Millisecond
 	_, _, _, addr := startWith(t, lim)
 	start := pgwire.AppendStartup(nil, "user", "x")
 	whole := pgwire.AppendQuery(nil, sql("served"))
@@ -437,7 +437,7 @@
 }
 
 // sweeps counts the front's sweeps within d.
-func sweeps(l *loop.Loop, f *Front, d time.Duration) int {
+func sweeps(l *eventloop.Loop, f *Front, d time.Duration) int {
 	at := func() int {
 		got := make(chan int)
 		l.Post(func() { got <- f.sweeps })
@@ -452,9 +452,9 @@
 // for nothing spend their share of a core on it. Where the table is tight, the fine grain comes back at once, and a
 // client that says nothing is still closed within its time.
 func TestSweepGrain(t *testing.T) {
-	lim := limits.For(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	f, _, l, addr := startWith(t, lim)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send(pgwire.AppendQuery(nil, sql("served")))
 	if a := c.Until('Z'); a.Types != "TDCZ" {
 		t.Fatalf("%+v", a)
@@ -467,16 +467,16 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	silent.SetDeadline(time.Now().Add(lim.ClientStart + time.Second))
+	silent.SetDeadline(time.Now().Add(lim.Frontend.StartupTimeout + time.Second))
 	if got, err := io.ReadAll(silent); err != nil || !strings.Contains(string(got), "C"+pgwire.ProtocolViolation+"\x00") {
 		t.Errorf("a silent client: %q %v", got, err)
 	}
 
 	tight := lim
-	tight.ClientsEasy, tight.ClientsTight = 1, 2
+	tight.Frontend.SoftLimit, tight.Frontend.HardLimit = 1, 2
 	f, _, l, addr = startWith(t, tight)
 	for range 3 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send(pgwire.AppendQuery(nil, sql("served")))
 		c.Until('Z')
 	}
--- a/internal/extended/extended.go
+++ b/internal/frontend/extendedquery/extended.go
@@ -1,36 +1,36 @@
-// Package extended is the second front: the PostgreSQL wire protocol with extended queries, and simple ones. It
+// Package extendedquery is the second front: the PostgreSQL wire protocol with extended queries, and simple ones. It
 // makes requests of them for the same core, under the same rules as the platform's front.
 //
 // Prepared statements and portals belong to the client's connection. Nothing of them stays at a db machine: each
 // attempt brings its own Parse and Bind, so it may go wherever the core sends it.
-package extended
+package extendedquery
 
 import (
 	"time"
 
-	"limeladder/internal/clients"
+	"limeladder/internal/backend"
+	"limeladder/internal/frontend"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/requestcomment"
 	"limeladder/internal/router"
-	"limeladder/internal/servers"
-	"limeladder/internal/statement"
 )
 
 // Classes tells which classes write.
-type Classes interface{ Writes(class string) bool }
+type Classes interface{ IsWrite(class string) bool }
 
 // ahead is the number of bytes of answers that may wait for Flush or Sync.
 const ahead = 16 << 10
 
 // New returns the front's speaker for one connection.
-func New(classes Classes) func(*clients.Conn) clients.Speaker {
-	return func(c *clients.Conn) clients.Speaker {
+func New(classes Classes) func(*frontend.Conn) frontend.Speaker {
+	return func(c *frontend.Conn) frontend.Speaker {
 		return &session{conn: c, classes: classes, statements: map[string]*prepared{}, portals: map[string]*portal{}}
 	}
 }
 
 // session is what one connection of a client holds. A unit of work goes from one Sync to the next.
 type session struct {
-	conn       *clients.Conn
+	conn       *frontend.Conn
 	classes    Classes
 	statements map[string]*prepared
 	portals    map[string]*portal
@@ -43,7 +43,7 @@
 
 type prepared struct {
 	pgwire.ParseMessage
-	head statement.Head
+	head requestcomment.Head
 }
 
 type portal struct {
@@ -141,7 +141,7 @@
 	return false
 }
 
-func (s *session) write(w *work) bool { return w.execute && s.classes.Writes(w.stmt.head.Class) }
+func (s *session) write(w *work) bool { return w.execute && s.classes.IsWrite(w.stmt.head.Class) }
 
 func (s *session) error(code, text string) {
 	s.out = pgwire.AppendError(s.out, pgwire.Error{Code: code, Message: text})
@@ -181,7 +181,7 @@
 
 // room guards memory: what a client may have prepared is bounded in number, and what all have in bytes.
 func (s *session) room(n int) bool {
-	if len(s.statements)+len(s.portals) >= s.conn.Limits().Prepared || !s.conn.Hold(n) {
+	if len(s.statements)+len(s.portals) >= s.conn.Limits().Frontend.PreparedStatements || !s.conn.Hold(n) {
 		s.error(pgwire.TooLarge, "too much is prepared")
 		return false
 	}
@@ -198,11 +198,11 @@
 		return nil
 	}
 	p := &prepared{ParseMessage: m}
-	if p.head, err = statement.Parse(m.Query); err != nil {
+	if p.head, err = requestcomment.Parse(m.Query); err != nil {
 		s.error(pgwire.BadStatement, err.Error())
 		return nil
 	}
-	if err := Plain(m.Query, s.classes.Writes(p.head.Class)); err != nil {
+	if err := Plain(m.Query, s.classes.IsWrite(p.head.Class)); err != nil {
 		s.error(pgwire.NotSupported, err.Error())
 		return nil
 	}
@@ -306,14 +306,14 @@
 	s.next, s.running = nil, w
 	h := w.stmt.head
 	s.take(router.Request{Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		At: w.at, After: h.After, Retry: h.Retry, Job: w})
+		ReceivedAt: w.at, MinPosition: h.After, Retry: h.Retry, Job: w})
 }
 
 // take hands a request to the core, and answers one that is unfit.
 func (s *session) take(q router.Request) {
 	if err := s.conn.Take(q, s); err != nil {
 		s.conn.Fault()
-		s.out = pgwire.AppendError(s.out, clients.Unfit(err))
+		s.out = pgwire.AppendError(s.out, frontend.Unfit(err))
 		s.settle(true)
 		s.after = nil // it is passed over, like all up to Sync
 	}
@@ -324,7 +324,7 @@
 	if err != nil {
 		return err
 	}
-	job, blank := clients.Simple(sql)
+	job, blank := frontend.Simple(sql)
 	if blank {
 		for name := range s.portals { // it ends the unit of work, like any simple query
 			s.drop(name)
@@ -339,7 +339,7 @@
 		s.sync()
 		return nil
 	}
-	if err := Plain(sql, s.classes.Writes(h.Class)); err != nil {
+	if err := Plain(sql, s.classes.IsWrite(h.Class)); err != nil {
 		s.error(pgwire.NotSupported, err.Error())
 		s.sync()
 		return nil
@@ -347,7 +347,7 @@
 	s.running = &work{ready: true}
 	s.flush()
 	s.take(router.Request{Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		At: s.conn.CameAt(), After: h.After, Retry: h.Retry, Job: rows{job}})
+		ReceivedAt: s.conn.CameAt(), MinPosition: h.After, Retry: h.Retry, Job: rows{job}})
 	return nil
 }
 
@@ -379,35 +379,35 @@
 }
 
 // Gone implements router.Client.
-func (s *session) Gone(look bool) bool { return s.conn.Gone(look) }
+func (s *session) Disconnected(look bool) bool { return s.conn.Gone(look) }
 
 // Committed implements router.Committer.
 func (s *session) Committed(position time.Duration) { s.conn.Committed(position) }
 
 // Begun implements router.Client.
-func (s *session) Begun(a router.Answer, f router.Flow) {
-	s.append(a.(*servers.Answer))
+func (s *session) ResponseStarted(a router.Response, f router.Flow) {
+	s.append(a.(*backend.Response))
 	p := s.out
 	s.out = nil
 	s.conn.Stream(p, f)
 }
 
 // Part implements router.Client.
-func (s *session) Part(p []byte) { s.conn.Part(p) }
+func (s *session) ResponsePart(p []byte) { s.conn.Part(p) }
 
 // Cut implements router.Client.
-func (s *session) Cut() { s.conn.Cut() }
+func (s *session) ResponseTruncated() { s.conn.Cut() }
 
 // Served implements router.Client.
-func (s *session) Served(a router.Answer) {
-	answer := a.(*servers.Answer)
+func (s *session) Served(a router.Response) {
+	answer := a.(*backend.Response)
 	w := s.running
 	s.append(answer)
 	s.ended(answer.Code != "" && w.stmt != nil)
 }
 
 // append adds what an answer says to the client.
-func (s *session) append(answer *servers.Answer) {
+func (s *session) append(answer *backend.Response) {
 	r := pgwire.NewReader(len(answer.Messages)+5, 0)
 	r.Feed(answer.Messages)
 	for {
@@ -423,13 +423,13 @@
 }
 
 // Refused implements router.Client.
-func (s *session) Refused(after time.Duration) {
-	s.out = pgwire.AppendError(s.out, clients.Refusal(after))
+func (s *session) Rejected(after time.Duration) {
+	s.out = pgwire.AppendError(s.out, frontend.Refusal(after))
 	s.ended(true)
 }
 
 // Failed implements router.Client.
 func (s *session) Failed(why string) {
-	s.out = pgwire.AppendError(s.out, clients.Failure(why))
+	s.out = pgwire.AppendError(s.out, frontend.Failure(why))
 	s.ended(true)
 }
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -3,11 +3,11 @@
 import (
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/sites"
+	"limeladder/internal/sitefailover"
 )
 
 // List passes on what discovery has told.
-func (r *Router) List(l balance.EndpointList) {
+func (r *Router) UpdateEndpoints(l balance.EndpointList) {
 	r.pending = append(r.pending, l)
 	r.listed(l)
 	r.listedSites(l)
@@ -58,17 +58,17 @@
 		r.probe(a.Endpoint, true)
 	case balance.Timer:
 		r.wake.Stop()
-		r.wake = r.loop.After(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
+		r.wake = r.loop.AfterFunc(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
 	case balance.PollEndpointList:
-		r.watcher.Track()
+		r.watcher.Poll()
 	case balance.PrimaryUpdate:
 		r.believe(a)
 		if r.sites != nil && a.Confirmed {
-			r.sites.events = append(r.sites.events, sites.Leads{Bank: a.Group, Machine: a.Endpoint})
+			r.sites.events = append(r.sites.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
 		}
 		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
 	case balance.LogLine:
-		text := a.Text[:min(len(a.Text), r.lim.LogText)]
+		text := a.Text[:min(len(a.Text), r.lim.Router.LogTextBytes)]
 		r.log.Info(text)
 		r.record(audit.Note{Topic: "decision", Text: text})
 	}
--- a/internal/lab/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"limeladder/balance"
-	"limeladder/internal/lab/model"
 	"limeladder/internal/limits"
+	"limeladder/internal/simulation/model"
 )
 
 // directory is discovery: it hears of changes late and tells them to those who watch. Where it is asked it serves one call after
@@ -121,7 +121,7 @@
 	l := balance.EndpointList{Kind: balance.ListFull, Entries: a.entries}
 	w.have = a.version
 	r.told(l)
-	r.core.List(l)
+	r.core.UpdateEndpoints(l)
 	r.turn()
 }
 
@@ -143,16 +143,16 @@
 		w.call()
 		return
 	}
-	lim := limits.For(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
+	lim := limits.New(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
 	now := r.f.clock.Now()
-	end := w.began + ((now-w.began)/lim.WatchWait+1)*lim.WatchWait // a watch without news was followed by the next one
+	end := w.began + ((now-w.began)/lim.Discovery.WatchWait+1)*lim.Discovery.WatchWait // a watch without news was followed by the next one
 	if p := r.peer(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.out {
 		p.out, p.outAt = true, end+told
 	}
 	w.lost = true
-	r.later(end+lim.WatchSlack-now, func() {
+	r.later(end+lim.Discovery.WatchSlack-now, func() {
 		w.lost, w.follows = false, false
-		r.core.List(balance.EndpointList{Kind: balance.ListSilent})
+		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 	})
 }
 
@@ -163,7 +163,7 @@
 	if w.cut() {
 		r.later(r.f.cfg.ConnectWithin, func() {
 			w.out, w.follows = false, false
-			r.core.List(balance.EndpointList{Kind: balance.ListSilent})
+			r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 		})
 		return
 	}
@@ -174,7 +174,7 @@
 		}
 		over = true
 		w.out, w.follows = false, false
-		r.core.List(balance.EndpointList{Kind: balance.ListFailed})
+		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFailed})
 		r.turn()
 	})
 	r.f.clock.After(r.f.jitter(r.f.cfg.Cross), func() {
@@ -195,7 +195,7 @@
 			}
 			w.out, w.follows, w.have, w.began = false, true, d.Version, r.f.clock.Now()
 			r.told(l)
-			r.core.List(l)
+			r.core.UpdateEndpoints(l)
 			r.turn()
 		})
 	})
--- a/internal/sock/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -1,4 +1,4 @@
-package sock
+package transport
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // However many marks are asked for, few are kept, the moment told is never later than the true one, and exact while there is room.
@@ -47,7 +47,7 @@
 // Bytes that wait, at the loop or in the system's buffer because the connection is read no further, have the moment at which they
 // came, not that at which they are looked at.
 func TestCameAtOfWhatIsNotRead(t *testing.T) {
-	l := loop.New()
+	l := eventloop.New()
 	e, err := New(l, 1024, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	t.Cleanup(func() { l.Stop(); e.Stop() })
 	s := &sink{want: 3, done: make(chan string, 9)}
 	k, c := pair(t, e, s)
-	do(l, func() { k.Hold(true) })
+	do(l, func() { k.SetPaused(true) })
 	c.Write([]byte("a")) // it fills the inbox
 	until(t, "the first has come", func() bool {
 		k.mu.Lock()
@@ -72,7 +72,7 @@
 	})
 	noted := l.Now()
 	until(t, "time has passed", func() bool { return l.Now() > noted+20*time.Millisecond })
-	do(l, func() { k.Hold(false) })
+	do(l, func() { k.SetPaused(false) })
 	wait(t, s.done, "got")
 	do(l, func() {
 		if first, last := k.CameAt(1), k.CameAt(3); first > last || last > noted {
--- a/internal/sock/sock.go
+++ b/internal/transport/sock.go
@@ -1,6 +1,6 @@
-// Package sock puts nbio's sockets under the loop: whatever happens on a connection is told in the loop's
+// Package transport puts nbio's sockets under the loop: whatever happens on a connection is told in the loop's
 // goroutine, in order.
-package sock
+package transport
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 	"github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
-	"limeladder/internal/loop"
+	"limeladder/internal/eventloop"
 )
 
 // Handler is told what happens on a connection. After Closed nothing more comes.
@@ -34,7 +34,7 @@
 
 // Engine owns the poller.
 type Engine struct {
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	nb        *nbio.Engine
 	inbox     int
 	finishing int     // connections that are being finished; owned by the loop, like all below
@@ -58,7 +58,7 @@
 
 // New starts the poller. maxFiles bounds the descriptors it has room for, inbox the bytes of one connection that may
 // wait for the loop: beyond them it is not read until the loop has looked at them.
-func New(l *loop.Loop, maxFiles, inbox int) (*Engine, error) {
+func New(l *eventloop.Loop, maxFiles, inbox int) (*Engine, error) {
 	logging.SetLevel(logging.LevelNone)
 	// nbio keeps a table of this many entries; its default follows the hard limit and may take 16 MB.
 	if nbio.MaxOpenFiles > maxFiles+64 {
@@ -134,7 +134,7 @@
 	finishing bool
 	within    time.Duration // to take more of what was written
 	before    int64         // what it had taken when that was looked at last
-	timer     *loop.Timer
+	timer     *eventloop.Timer
 	over      atomic.Bool // the peer has ended it, or it is closed
 
 	file sync.Mutex // held while the descriptor is used past nbio,
@@ -268,7 +268,7 @@
 func (c *Conn) Buffer(n int) { c.nb.SetWriteBuffer(n) }
 
 // Hold stops the reading of the connection, or goes on with it. What has come before its end is still told.
-func (c *Conn) Hold(on bool) {
+func (c *Conn) SetPaused(on bool) {
 	if c.closed || c.held == on {
 		return
 	}
@@ -383,7 +383,7 @@
 		return // the poller has closed it, and its end is on its way here
 	}
 	c.within, c.before = within, c.sent.Load()
-	if c.timer = c.engine.loop.After(within, c.wait); c.Flushed() {
+	if c.timer = c.engine.loop.AfterFunc(within, c.wait); c.Flushed() {
 		c.shut()
 	} else {
 		c.Await(0)
@@ -403,7 +403,7 @@
 func (c *Conn) wait() {
 	if sent := c.sent.Load(); sent > c.before {
 		c.before = sent
-		c.timer = c.engine.loop.After(c.within, c.wait)
+		c.timer = c.engine.loop.AfterFunc(c.within, c.wait)
 		return
 	}
 	c.hangUp()
@@ -417,7 +417,7 @@
 		c.release() // what lingers has a bound of its own
 	}
 	c.timer.Stop()
-	c.timer = e.loop.After(Linger, c.hangUp)
+	c.timer = e.loop.AfterFunc(Linger, c.hangUp)
 	// Guards the descriptors: peers that never end their side must not take those that others need.
 	if e.lingering = append(e.lingering, c); len(e.lingering) > e.most {
 		oldest := e.lingering[0]
