--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -39,6 +39,7 @@
 	weakReadBackoff   time.Duration
 }
 
+// newConcurrencyLimit returns a limit with nothing observed.
 func newConcurrencyLimit(attempts float64) concurrencyLimit {
 	return concurrencyLimit{
 		attempts:          attempts,
--- a/balance/config.go
+++ b/balance/config.go
@@ -65,7 +65,8 @@
 	if min(c.DrainGrace, c.PollWithin, c.SlowStartWindow, c.OverloadWindow, c.TimerResolution, c.MaxRetryAfter) < 0 {
 		return fmt.Errorf("DrainGrace, AskWithin, ColdFor, FallFor, Resolution, MaxRetryAfter: a time is negative")
 	}
-	if c.OverloadMultiple < 0 || c.OverloadMultiple > 0 && c.OverloadWindow == 0 {
+	windowMissing := c.OverloadMultiple > 0 && c.OverloadWindow == 0
+	if c.OverloadMultiple < 0 || windowMissing {
 		return fmt.Errorf("FallMultiple: %v without its window FallFor", c.OverloadMultiple)
 	}
 	if c.MaxAttempts < 0 || anyNegative(c.HealthCheckCost, c.OverQuotaWeight) {
@@ -82,6 +83,7 @@
 	return nil
 }
 
+// checkClasses says which setting of a class cannot be served.
 func (c *Config) checkClasses() error {
 	seen := map[string]bool{}
 	for _, class := range c.Classes {
@@ -122,7 +124,10 @@
 func (c *Config) tightestBound() time.Duration {
 	tightest := time.Duration(0)
 	for _, class := range c.Classes {
-		if class.Consistency == ConsistencyBounded && (tightest == 0 || class.MaxStaleness < tightest) {
+		if class.Consistency != ConsistencyBounded {
+			continue
+		}
+		if tightest == 0 || class.MaxStaleness < tightest {
 			tightest = class.MaxStaleness
 		}
 	}
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -30,6 +30,7 @@
 	backoff  time.Duration
 }
 
+// newDiscoveryPoll returns a poll that is due at once.
 func newDiscoveryPoll(config *Config, rng *rand.Rand) discoveryPoll {
 	return discoveryPoll{
 		rng:        rng,
@@ -74,7 +75,8 @@
 
 // retryDelay is how long to wait with the next poll after one that brought no list.
 func (p *discoveryPoll) retryDelay(now Time, silent bool) time.Duration {
-	if interval := min(p.backoff, p.drainGrace/2); silent && interval > 0 {
+	interval := min(p.backoff, p.drainGrace/2)
+	if silent && interval > 0 {
 		// What a silent discovery had to tell counts as told all the same, soon after, and the time in which sends
 		// must end runs. So the poll is repeated within a part of that time that leaves it its 2 s, each time: polls
 		// that are not heard cost discovery nothing.
--- a/balance/eligibility.go
+++ b/balance/eligibility.go
@@ -132,11 +132,12 @@
 	if !health.suspect {
 		return eligible
 	}
-	if endpoint.hasLiveAttempt() || b.now < health.recoveryAt || b.recoveryAwaitsReport(endpoint) {
+	tooSoon := endpoint.hasLiveAttempt() || b.now < health.recoveryAt
+	if tooSoon || b.recoveryAwaitsReport(endpoint) {
 		return recoveryNotDue
 	}
-	confirmedPrimary := endpoint.role.primaryAt > health.suspectSince
-	if request.class.Idempotency == NonIdempotent && !confirmedPrimary && !health.unreachable {
+	outcomeWouldBeKnown := health.unreachable || endpoint.role.primaryAt > health.suspectSince
+	if request.class.Idempotency == NonIdempotent && !outcomeWouldBeKnown {
 		return writeTooRisky
 	}
 	return eligible
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -16,7 +16,8 @@
 	if d.state == EndpointReady {
 		return true
 	}
-	return softRemoval && !d.everDraining && d.state != EndpointDraining
+	draining := d.everDraining || d.state == EndpointDraining
+	return softRemoval && !draining
 }
 
 // withdraw notes that the list no longer calls the endpoint ready.
@@ -84,12 +85,14 @@
 	endpoint.discovery.state = EndpointReady
 	// The list may lag by seconds: it counts only where no answer or report has said anything newer.
 	newlyListed := entry.Primary && !endpoint.discovery.listedPrimary
-	if newlyListed && !group.primary.known() && endpoint.role.replicaAt == 0 {
+	unobserved := !group.primary.known() && endpoint.role.replicaAt == 0
+	if newlyListed && unobserved {
 		b.promote(endpoint)
 	}
 	endpoint.discovery.listedPrimary = entry.Primary
 }
 
+// addEndpoint takes in an endpoint that is new to the list.
 func (b *Balancer) addEndpoint(entry EndpointEntry) *endpoint {
 	group := b.groupFor(entry.Group)
 	endpoint := newEndpoint(entry, group, b.config.initialLimit())
--- a/balance/event.go
+++ b/balance/event.go
@@ -98,9 +98,9 @@
 type Role int
 
 const (
-	RoleUnknown Role = iota
-	RolePrimary
-	RoleReplica
+	RoleUnknown Role = iota // it says nothing of its role
+	RolePrimary             // it takes the writes of its group
+	RoleReplica             // it takes no writes
 )
 
 // AttemptResult ends one attempt.
--- a/balance/health.go
+++ b/balance/health.go
@@ -67,16 +67,19 @@
 	h.refusedConnections = 0
 }
 
+// recoveryTimeReached says that the endpoint is suspect and its backoff is over.
+func (h *endpointHealth) recoveryTimeReached(now Time) bool { return h.suspect && now >= h.recoveryAt }
+
 // awaitsReport says that the endpoint is due for a recovery attempt, but has not answered a health check since the
 // last one.
 func (h *endpointHealth) awaitsReport(now Time) bool {
-	return h.suspect && now >= h.recoveryAt && !h.reportedSinceAttempt
+	return h.recoveryTimeReached(now) && !h.reportedSinceAttempt
 }
 
 // recoveryDue says that the endpoint is due for a recovery attempt and has answered a health check since the last
 // one.
 func (h *endpointHealth) recoveryDue(now Time) bool {
-	return h.suspect && now >= h.recoveryAt && h.reportedSinceAttempt
+	return h.recoveryTimeReached(now) && h.reportedSinceAttempt
 }
 
 // markSuspect notes that an endpoint is silent or cannot be reached, and sends it a health check.
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -27,6 +27,7 @@
 	perRequest float64
 }
 
+// newHealthCheckBudget returns a budget for health checks of the price, as a part of the weight of a request.
 func newHealthCheckBudget(price float64) healthCheckBudget {
 	return healthCheckBudget{
 		tokens:     initialHealthCheckBudget,
@@ -55,7 +56,8 @@
 // mayRepeat says whether another health check may be sent now. One without a result for long counts as lost.
 func (s *healthCheckState) mayRepeat(now Time, interval time.Duration) bool {
 	since := now - s.sentAt
-	return since >= interval && (!s.inFlight || since > activeWindow)
+	awaitsResult := s.inFlight && since <= activeWindow
+	return since >= interval && !awaitsResult
 }
 
 // resultExpected says that a health check is in flight whose result should come soon.
@@ -79,7 +81,8 @@
 		return
 	}
 	replication := &endpoint.replication
-	if lag := b.now - result.Position; lag < replication.lag || b.config.FreshnessCheck == FreshnessCheckNone {
+	lag := b.now - result.Position
+	if lag < replication.lag || b.config.FreshnessCheck == FreshnessCheckNone {
 		replication.observeLag(lag, b.now)
 	}
 	b.observeRole(endpoint, result.Role, result.Position) // a report is as old as a primary's position in it
@@ -116,13 +119,15 @@
 	var outdated []*endpoint
 	for _, endpoint := range group.endpoints {
 		b.expireResumption(endpoint)
-		inService := endpoint.inService()
-		if endpoint.health.suspect || endpoint.discovery.resumed && inService {
+		if endpoint.health.suspect {
 			group.hasSuspects = true
 		}
-		if !inService {
+		if !endpoint.inService() {
 			continue
 		}
+		if endpoint.discovery.resumed {
+			group.hasSuspects = true
+		}
 		if interval, due := b.healthCheckDue(endpoint); due {
 			b.sendHealthCheck(endpoint, interval)
 		} else if endpoint.positionWanted(b.now) {
@@ -147,19 +152,23 @@
 func (b *Balancer) expireResumption(endpoint *endpoint) {
 	discovery := &endpoint.discovery
 	recent := b.now-endpoint.slowStart.recoveredAt < 2*activeWindow
-	discovery.resumed = discovery.resumed && (discovery.suspended || recent)
+	if !discovery.suspended && !recent {
+		discovery.resumed = false
+	}
 }
 
 // healthCheckDue says whether the endpoint needs a health check of its own, and the least interval to the one before.
 func (b *Balancer) healthCheckDue(endpoint *endpoint) (interval time.Duration, due bool) {
-	group, health := endpoint.group, &endpoint.health
+	group := endpoint.group
+	health := &endpoint.health
 	usedSinceCheck := group.lastRequestAt > endpoint.check.sentAt
+	awaitsFreshPosition := health.recoveryDue(b.now) && b.positionExpired(endpoint)
 	switch {
 	case endpoint.discovery.resumed:
-	case !group.firstChecksSent && (group.primaryLost() || b.config.initialLimit() >= 1):
+	case b.needsFirstCheck(group):
 	case health.awaitsReport(b.now) && usedSinceCheck:
 	case endpoint.isPrimaryAwaitingReport() && len(group.pending) > 0:
-	case health.recoveryDue(b.now) && b.positionExpired(endpoint) && usedSinceCheck:
+	case awaitsFreshPosition && usedSinceCheck:
 		// Its position has aged while it waited for its recovery attempt, so no bounded read may try it.
 		return max(healthCheckInterval, health.recoveryBackoff), true
 	default:
@@ -168,6 +177,15 @@
 	return healthCheckInterval, true
 }
 
+// needsFirstCheck says that the group is used for the first time and its endpoints are all checked for role and
+// position. Where the list names the primary, an instance of many asks for nothing before a read needs it.
+func (b *Balancer) needsFirstCheck(group *replicaGroup) bool {
+	if group.firstChecksSent {
+		return false
+	}
+	return group.primaryLost() || !b.config.hasFractionalShare()
+}
+
 // isPrimaryAwaitingReport says that a suspect primary has reported nothing that is newer than the suspicion. A report
 // is older than its answer, so one that answers has to be checked again; it would be kept from its writes for ever.
 func (e *endpoint) isPrimaryAwaitingReport() bool {
--- a/balance/long_read.go
+++ b/balance/long_read.go
@@ -96,7 +96,8 @@
 
 // longReadShare is the part of the work asked of this instance that long reads are.
 func (b *Balancer) longReadShare() float64 {
-	long, all := 0.0, 0.0
+	long := 0.0
+	all := 0.0
 	for _, configured := range b.config.Classes { // in their order: sums in another order differ
 		class := b.classes[configured.Name]
 		work := class.arrivals * class.serviceTime
@@ -122,8 +123,12 @@
 // (longReadReplicas). And where the log is applied too slowly whoever reads, as on a slow machine, holding long reads
 // back gains nothing.
 func (b *Balancer) defersToBoundedReads(request *request, endpoint *endpoint) bool {
-	group, class := request.group, request.class
-	if endpoint.isPrimary() || !b.isLongRead(class) || b.config.hasFractionalShare() {
+	group := request.group
+	class := request.class
+	if endpoint.isPrimary() || !b.isLongRead(class) {
+		return false
+	}
+	if b.config.hasFractionalShare() {
 		return false
 	}
 	interval := b.config.instances() * longReadFactor * class.serviceTime
@@ -131,8 +136,9 @@
 		group.longReads.nextAt = b.now + secondsToDuration(interval*b.rng.Float64())
 	}
 	lost := group.shortage.at(b.now) / activeWindow.Seconds() * b.config.instances() * class.serviceTime
-	useful := endpoint.replication.lag <= b.tightestBound+secondsToDuration(longReadFactor*class.serviceTime)
-	if lost > request.weight && b.now < group.longReads.nextAt && useful {
+	soonRecent := endpoint.replication.lag <= b.tightestBound+secondsToDuration(longReadFactor*class.serviceTime)
+	worthMore := lost > request.weight && soonRecent
+	if worthMore && b.now < group.longReads.nextAt {
 		return true
 	}
 	group.longReads.nextAt = b.now + secondsToDuration(interval*(0.5+b.rng.Float64()))
@@ -142,7 +148,10 @@
 // recordShortage notes that a request is given up. What is given up while the group has no primary says nothing of
 // capacity.
 func (b *Balancer) recordShortage(request *request) {
-	if request.reached || request.class.Consistency != ConsistencyBounded || request.group.primaryLost() {
+	if request.reached || request.class.Consistency != ConsistencyBounded {
+		return
+	}
+	if request.group.primaryLost() {
 		return
 	}
 	request.group.shortage.add(request.weight, b.now)
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -71,7 +71,8 @@
 
 // recordStatus records what the end of an attempt says of its endpoint.
 func (b *Balancer) recordStatus(attempt *attempt, outcome AttemptResult) {
-	request, endpoint := attempt.request, attempt.endpoint
+	request := attempt.request
+	endpoint := attempt.endpoint
 	backOffUntil := b.now + secondsToDuration(request.class.latency/2)
 	switch outcome.Status {
 	case StatusDone:
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -34,7 +34,8 @@
 // isEjected says that an outlier gets no weak read that another endpoint can take: it waits for its next recovery
 // attempt, or has one in flight.
 func (e *endpoint) isEjected(now Time) bool {
-	return e.isOutlier() && (now < e.health.recoveryAt || len(e.inFlight) > 0)
+	waits := now < e.health.recoveryAt || len(e.inFlight) > 0
+	return waits && e.isOutlier()
 }
 
 // recordFailure counts a failed attempt, and ejects the endpoint if that makes it an outlier.
--- a/balance/pending_queue.go
+++ b/balance/pending_queue.go
@@ -96,7 +96,8 @@
 	end -= secondsToDuration(request.class.latency / 2)
 	// A write that is pending for its primary is often served after half of its time. Giving it up then pays only
 	// where keeping it for longer, in vain, has a price.
-	if !request.reached && (request.class.Idempotency == Idempotent || b.config.LateRejectCost > 0) {
+	rejectEarly := request.class.Idempotency == Idempotent || b.config.LateRejectCost > 0
+	if !request.reached && rejectEarly {
 		end = min(end, request.halfTime()-tickInterval)
 	}
 	return end
--- a/balance/primary_search.go
+++ b/balance/primary_search.go
@@ -38,10 +38,12 @@
 		return cmp.Compare(x.check.sentAt, y.check.sentAt)
 	})
 	for _, endpoint := range oldestFirst {
-		checkedThisRound := endpoint.check.sentAt >= group.search.nextAt
-		if !endpoint.inService() || endpoint.health.suspect || checkedThisRound {
+		if !endpoint.inService() || endpoint.health.suspect {
 			continue
 		}
+		if endpoint.check.sentAt >= group.search.nextAt {
+			continue // it was checked in this round
+		}
 		if !b.healthChecks.available() {
 			return
 		}
--- a/balance/request.go
+++ b/balance/request.go
@@ -58,10 +58,14 @@
 
 // openAttempt returns the attempt with the number if it has not ended, else nil.
 func (q *request) openAttempt(number int) *attempt {
-	if number < 0 || number >= len(q.attempts) || q.attempts[number].ended {
+	if number < 0 || number >= len(q.attempts) {
 		return nil
 	}
-	return q.attempts[number]
+	attempt := q.attempts[number]
+	if attempt.ended {
+		return nil
+	}
+	return attempt
 }
 
 // setObjective derives the objective of a new request from its class. Work for a client that retries is lost once its
@@ -142,7 +146,10 @@
 // says nothing of this response.
 func (b *Balancer) handleFirstByte(event FirstByte) {
 	request := b.requests[event.ID]
-	if request == nil || request.inFlight == 0 || event.Attempt != len(request.attempts)-1 {
+	if request == nil || request.inFlight == 0 {
+		return
+	}
+	if event.Attempt != len(request.attempts)-1 {
 		return
 	}
 	request.deadline = never
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -11,6 +11,7 @@
 // retryBudget limits retries to a part of the requests.
 type retryBudget struct{ tokens float64 }
 
+// newRetryBudget returns a full budget.
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryBudget} }
 
 // earn adds what one request brings.
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -85,7 +85,8 @@
 // that cost more than can be saved up, so large a part is sent as the credit is of the cost: which instance sends is
 // drawn anew in the time that the savings take to come.
 func (b *Balancer) slowStartCovers(endpoint *endpoint, rate, burst, cost float64) bool {
-	credit, slowStart := &endpoint.credit, &endpoint.slowStart
+	credit := &endpoint.credit
+	slowStart := &endpoint.slowStart
 	if !credit.isCounted() {
 		credit.start(burst*b.rng.Float64(), b.now) // drawn, so that instances do not all send at once
 		slowStart.ditherDrawnAt = 0
@@ -105,7 +106,8 @@
 // exceedsSlowStartBudget says that a request alone would take more than half of the budget, and is more than the
 // usual work: no share of a budget that is smaller than one such request keeps within it.
 func (b *Balancer) exceedsSlowStartBudget(request *request, least float64) bool {
-	work, arrivals := 0.0, 0.0
+	work := 0.0
+	arrivals := 0.0
 	for _, configured := range b.config.Classes { // in their order: sums in another order differ
 		class := b.classes[configured.Name]
 		work += class.arrivals * class.serviceTime
--- a/balance/throughput.go
+++ b/balance/throughput.go
@@ -19,7 +19,8 @@
 	measured.measurements++
 	weight := max(smoothing, 1/measured.measurements)
 	seconds := (b.now - measured.measuredAt).Seconds()
-	sum, groups := 0.0, 0.0
+	sum := 0.0
+	groups := 0.0
 	for _, group := range b.sortedGroups {
 		if busiest := b.measureGroup(group, seconds, weight); busiest > 0 {
 			sum += busiest
@@ -74,13 +75,14 @@
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
 			if endpoint.discovery.state != EndpointRemoved {
-				f(b.sight(endpoint))
+				f(b.view(endpoint))
 			}
 		}
 	}
 }
 
-func (b *Balancer) sight(endpoint *endpoint) EndpointView {
+// view is what the instance makes of the endpoint now.
+func (b *Balancer) view(endpoint *endpoint) EndpointView {
 	inService := endpoint.inService()
 	return EndpointView{
 		Endpoint:         endpoint.id,
