--- a/balance/concurrency_limit_test.go
+++ b/balance/concurrency_limit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Attempts that end unanswered say more about crowding than those that were served: the limit must fall with them.
+// Attempts that end unanswered say more about overload than those that were served: the limit must fall with them.
 func TestUnansweredAttemptsLowerTheLimit(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
@@ -13,7 +13,10 @@
 	for range 60 {
 		q := h.request("any")
 		for _, s := range actionsOf[Send](h.step(ms, q)) {
-			h.step(400*ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusTimedOut, Elapsed: 400 * ms, Finished: true})
+			h.step(
+				400*ms,
+				AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusTimedOut, Elapsed: 400 * ms, Finished: true},
+			)
 			h.reportAll("a")
 		}
 	}
@@ -22,7 +25,7 @@
 	}
 }
 
-// Many instances share each member: together they must not start with a flood.
+// Many instances share each endpoint: together they must not start with a flood.
 func TestInitialLimitIsShared(t *testing.T) {
 	c := testConfig()
 	c.Instances = 8
@@ -36,7 +39,7 @@
 	}
 }
 
-// A full member turns work away at once: sending it again at once would only load it more.
+// A full endpoint rejects work at once: sending it again at once would only add load.
 func TestRejectingEndpointIsLeftAlone(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	sends := 0
@@ -57,7 +60,7 @@
 	}
 }
 
-// What a silent connection has lost takes its whole time, which says nothing of how crowded its member is.
+// An attempt on a silent connection takes its whole timeout, which says nothing of the load of its endpoint.
 func TestLostAttemptIsNoOverload(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["a"]
@@ -68,7 +71,10 @@
 	for h.now < 102*time.Second {
 		q := h.request("write")
 		h.step(10*ms, q)
-		h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
+		h.step(
+			5*ms,
+			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary},
+		)
 		slow = n.limit.latencyRatio
 	}
 	h.step(ms, AttemptResult{ID: lost.ID, Endpoint: "a", Status: StatusTimedOut, Elapsed: 2900 * ms, Finished: true})
@@ -77,8 +83,8 @@
 	}
 }
 
-// A member that takes three tenths of the aim with nothing to do, as on real sockets, is not crowded: its limit stays. One
-// that takes half is.
+// An endpoint that takes three tenths of the latency objective with nothing to do, as on real sockets, is not
+// crowded: its limit stays. One that takes half is.
 func TestIdleEndpointIsNotCrowded(t *testing.T) {
 	c := testConfig()
 	c.Classes[1].MaxStaleness = time.Second // none of these reads is long beside it
@@ -98,19 +104,40 @@
 	}
 }
 
-// One of 300 instances whose weak read was late at a primary keeps the next ones away from it for a while; its writes go on.
+// One of 300 instances whose weak read was late at a primary keeps the next ones away from it for a while; its writes
+// go on.
 func TestWeakReadsBackOffFromACrowdedPrimary(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.HealthChecks = 300, false // no report ever makes a replica available
+	c.Instances = 300
+	c.HealthChecks = false // no report ever makes a replica available
 	for took, want := range map[time.Duration][2]time.Duration{20 * ms: {0, 60 * ms}, 700 * ms: {100 * ms, 400 * ms}} {
 		for _, class := range []string{"bounded", "write"} {
-			h := newHarness(t, c, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady, Primary: true},
-				{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}}})
+			h := newHarness(
+				t,
+				c,
+				EndpointList{
+					Kind: ListCached,
+					Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady, Primary: true},
+						{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}},
+				},
+			)
 			s := h.expectSends(h.step(0, h.request("bounded")), "a")
 			for range took / (10 * ms) { // it runs all the time
 				h.step(10 * ms)
 			}
-			h.step(0, AttemptResult{ID: s[0].ID, Attempt: 0, Endpoint: "a", Status: StatusDone, Elapsed: took, Finished: true, Role: RolePrimary, Position: h.now})
+			h.step(
+				0,
+				AttemptResult{
+					ID:       s[0].ID,
+					Attempt:  0,
+					Endpoint: "a",
+					Status:   StatusDone,
+					Elapsed:  took,
+					Finished: true,
+					Role:     RolePrimary,
+					Position: h.now,
+				},
+			)
 			from := h.now
 			acts := h.step(10*ms, h.request(class))
 			for len(actionsOf[Send](acts)) == 0 && h.now < from+5*time.Second {
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -22,14 +22,15 @@
 	}
 }
 
-// Many instances that start, or lose their watches, at one moment spread their calls; a few ask at once, as ever.
+// Many instances that start, or lose their subscriptions, at one moment spread their polls; a few poll at once.
 func TestManyInstancesSpreadTheirPolls(t *testing.T) {
 	spread := map[int]map[time.Duration]bool{}
 	for _, n := range []int{3, 36} {
 		spread[n] = map[time.Duration]bool{}
 		for seed := range uint64(40) {
 			c := testConfig()
-			c.Instances, c.PollDiscovery = n, true
+			c.Instances = n
+			c.PollDiscovery = true
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -46,9 +47,10 @@
 				for ; !asked; now += 10 * ms {
 					asked = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
 				}
-				// What changed counts as told 6 s after discovery had it, however the call ended: the next one, and the 2 s that it may
-				// wait for its turn, come within that.
-				if wait := now - at; wait+2*time.Second > 5600*ms || n == 3 && wait > 3*time.Second+100*ms || n == 36 && wait < 2*time.Second {
+				// What changed counts as told 6 s after discovery had it, however the call ended: the next one, and
+				// the 2 s that it may wait for its turn, come within that.
+				if wait := now - at; wait+2*time.Second > 5600*ms || n == 3 && wait > 3*time.Second+100*ms ||
+					n == 36 && wait < 2*time.Second {
 					t.Errorf("%d instances, failure %d: %v", n, round, wait)
 				}
 			}
@@ -59,13 +61,16 @@
 	}
 }
 
-// Eighty instances start at once from a list that has changed since. Discovery takes 14 calls a second, in turn, and drops
-// one that has waited for two seconds, at full cost. All have the news while what they do not know still counts as not told.
+// Eighty instances start at once from a cached list that has changed since. Discovery serves 14 polls a second, one
+// after the other, and drops one that has been queued for two seconds, at full cost. All have the new list while what
+// they do not know still counts as not told.
 func TestFleetThatStartsAtOnceGetsTheListInTime(t *testing.T) {
 	const fleet, turn, patience = 80, time.Second / 14, 2 * time.Second
 	for _, seed := range []uint64{1, 2, 3} {
 		c := testConfig()
-		c.Instances, c.PollDiscovery, c.PollWithin = fleet, true, 10*time.Second
+		c.Instances = fleet
+		c.PollDiscovery = true
+		c.PollWithin = 10 * time.Second
 		routers, answer := make([]*Balancer, fleet), make([]Time, fleet) // when the call that is out ends, 0 = none is
 		fails, late, told := make([]bool, fleet), make([]bool, fleet), make([]Time, fleet)
 		start := 100 * time.Second
@@ -118,15 +123,18 @@
 	}
 }
 
-// What was turned away only after it had waited for its turn has spent that time: the next call, and the 2 s that it may wait, still
-// come within the 6 s at which a change counts as told that came right behind the call before. One that is turned away at once is
-// not made again sooner than before.
+// A poll that was rejected only after it had been queued has spent that time: the next poll, and the 2 s that it may
+// be queued, still come within the 6 s at which a change counts as told that came right behind the poll before. After
+// one that is rejected at once the next is not sent sooner than before.
 func TestPollDelayRunsFromThePoll(t *testing.T) {
 	const patience, way = 2 * time.Second, 250 * ms
 	for seed := range uint64(100) {
 		for _, took := range []time.Duration{5 * ms, 700 * ms, patience} {
 			c := testConfig()
-			c.Instances, c.PollDiscovery, c.PollWithin, c.DrainGrace = 300, true, 10*time.Second, 1200*ms
+			c.Instances = 300
+			c.PollDiscovery = true
+			c.PollWithin = 10 * time.Second
+			c.DrainGrace = 1200 * ms
 			r, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -152,14 +160,17 @@
 	}
 }
 
-// The links between routers and discovery are cut while watches are out. What it had to tell counts as told 2 s after a
-// watch's wait is over, and sends must end within the grace from then on. Each of 300 instances asks again before that is
-// used up, whenever the link is back, and never all at once.
+// The links between routers and discovery are cut while subscriptions stand. What discovery had to tell counts as
+// told 2 s after a subscription's timeout, and sends must end within the grace from then on. Each of 300 instances
+// polls again before that is used up, whenever the link is back, and never all at once.
 func TestSilentDiscoveryIsPolledAgainWithinTheGrace(t *testing.T) {
 	const fleet, slack, connect = 300, time.Second, 250 * ms
 	for _, seed := range []uint64{1, 2, 3} {
 		c := testConfig()
-		c.Instances, c.PollDiscovery, c.PollWithin, c.DrainGrace = fleet, true, 10*time.Second, 2*time.Second
+		c.Instances = fleet
+		c.PollDiscovery = true
+		c.PollWithin = 10 * time.Second
+		c.DrainGrace = 2 * time.Second
 		in := map[time.Duration]int{} // calls by tenth of a second
 		for i := range fleet {
 			r, err := New(c, seed*1000+uint64(i))
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,11 +7,17 @@
 	"limeladder/balance"
 )
 
-// A gateway passes what happened and carries out what comes back.
+// A router passes what happened and carries out the actions that come back.
 func Example() {
 	router, err := balance.New(balance.Config{Instances: 1, Zone: "east", Classes: []balance.Class{
-		{Name: "write", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite,
-			Idempotency: balance.NonIdempotent},
+		{
+			Name:             "write",
+			LatencyObjective: time.Second,
+			ClientTimeout:    3 * time.Second,
+			PriorityWeight:   1,
+			Consistency:      balance.ConsistencyWrite,
+			Idempotency:      balance.NonIdempotent,
+		},
 	}}, 1)
 	if err != nil {
 		panic(err)
--- a/balance/expiry_test.go
+++ b/balance/expiry_test.go
@@ -6,14 +6,22 @@
 	"time"
 )
 
-// Members that are replaced under new ids, and groups that clients make up, must not add up.
+// Endpoints that are replaced under new ids, and groups that clients make up, must not add up.
 func TestNothingAddsUp(t *testing.T) {
 	c := testConfig()
 	c.ClientSessionTokens = false
 	h := newReadyHarness(t, c)
 	for i := range 400 {
 		id := func(i int) string { return fmt.Sprint("new", i) }
-		h.step(time.Second, EndpointList{Entries: []EndpointEntry{{Endpoint: id(i), Group: 1, State: EndpointReady}, {Endpoint: id(i - 3), Group: 1, State: EndpointRemoved}}})
+		h.step(
+			time.Second,
+			EndpointList{
+				Entries: []EndpointEntry{
+					{Endpoint: id(i), Group: 1, State: EndpointReady},
+					{Endpoint: id(i - 3), Group: 1, State: EndpointRemoved},
+				},
+			},
+		)
 		made := h.request("any")
 		made.Group = int64(1000 + i)
 		if acts := h.step(ms, made); len(actionsOf[Reject](acts)) != 1 {
@@ -22,7 +30,18 @@
 		q := h.request("write")
 		q.SessionID = int64(i + 1)
 		for _, s := range actionsOf[Send](h.step(ms, q)) {
-			h.step(ms, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RolePrimary, Position: h.now})
+			h.step(
+				ms,
+				AttemptResult{
+					ID:       s.ID,
+					Endpoint: s.Endpoint,
+					Status:   StatusDone,
+					Elapsed:  ms,
+					Finished: true,
+					Role:     RolePrimary,
+					Position: h.now,
+				},
+			)
 		}
 		for _, n := range h.balancer.groups[1].endpoints {
 			if n.discovery.state == EndpointReady {
@@ -31,7 +50,9 @@
 		}
 		h.step(time.Second)
 	}
-	if n := len(h.balancer.endpoints); n > 60 || len(h.balancer.groups) != 1 || len(h.balancer.sortedGroups) != 1 || len(h.balancer.groups[1].endpoints) != n || len(h.balancer.requests) > 9 {
+	if n := len(h.balancer.endpoints); n > 60 || len(h.balancer.groups) != 1 || len(h.balancer.sortedGroups) != 1 ||
+		len(h.balancer.groups[1].endpoints) != n ||
+		len(h.balancer.requests) > 9 {
 		t.Errorf("%d members, %d groups, %d requests", n, len(h.balancer.groups), len(h.balancer.requests))
 	}
 	if len(h.balancer.sessionCommits) > 9 {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// fleet is a model of many instances before the same members, in virtual time from one seed: just as much as the tests
-// below need. A member has cores that take work in turn; a replica applies nothing while a long read runs on it.
+// fleet is a model of many instances in front of the same endpoints, in virtual time from one seed: just as much as
+// the tests below need. An endpoint has cores that take work in turn; a replica applies nothing while a long read
+// runs on it.
 type fleet struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -53,7 +54,7 @@
 	work    []piece
 }
 
-// piece is work that has reached a member.
+// piece is work that has reached an endpoint.
 type piece struct {
 	at   Time
 	work time.Duration
@@ -89,19 +90,47 @@
 	behind = 10 * time.Millisecond
 )
 
-// fleetConfig is a deployment of eighty: reads within half a second, long ones of any age, writes.
+// fleetConfig is a deployment of eighty instances: reads within half a second, long ones of any age, writes.
 func fleetConfig() Config {
 	c := testConfig()
-	c.Instances, c.HealthCheckCost, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = 80, 0.08, 0.16, 18*time.Second, 2.5, 2*time.Second
+	c.Instances = 80
+	c.HealthCheckCost = 0.08
+	c.SlowStartFrom = 0.16
+	c.SlowStartWindow = 18 * time.Second
+	c.OverloadMultiple = 2.5
+	c.OverloadWindow = 2 * time.Second
 	c.Classes = []Class{
-		{Name: "bounded", LatencyObjective: 120 * ms, ClientTimeout: 450 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: ConsistencyBounded, MaxStaleness: 500 * ms},
-		{Name: "any", LatencyObjective: 1860 * ms, ClientTimeout: 3700 * ms, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: ConsistencyAny},
-		{Name: "write", LatencyObjective: 380 * ms, ClientTimeout: 1100 * ms, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: ConsistencyWrite, Idempotency: NonIdempotent},
+		{
+			Name:             "bounded",
+			LatencyObjective: 120 * ms,
+			ClientTimeout:    450 * ms,
+			PriorityWeight:   2,
+			LateWeightShare:  0.2,
+			Consistency:      ConsistencyBounded,
+			MaxStaleness:     500 * ms,
+		},
+		{
+			Name:             "any",
+			LatencyObjective: 1860 * ms,
+			ClientTimeout:    3700 * ms,
+			PriorityWeight:   6,
+			LateWeightShare:  0.2,
+			Consistency:      ConsistencyAny,
+		},
+		{
+			Name:             "write",
+			LatencyObjective: 380 * ms,
+			ClientTimeout:    1100 * ms,
+			PriorityWeight:   3,
+			LateWeightShare:  0.5,
+			Consistency:      ConsistencyWrite,
+			Idempotency:      NonIdempotent,
+		},
 	}
 	return c
 }
 
-// newFleet starts eighty instances with a list of groups of six, a primary and five replicas.
+// newFleet starts eighty instances with a list of groups of six endpoints, a primary and five replicas.
 func newFleet(t *testing.T, seed uint64, groups int) *fleet {
 	return newFleetOf(t, seed, groups, fleetConfig())
 }
@@ -112,9 +141,18 @@
 	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
-			m := &member{id: fmt.Sprintf("%02d%c", g, 'a'+i), group: int64(g), leads: i == 0, cores: make([]Time, 3), applied: f.now}
+			m := &member{
+				id:      fmt.Sprintf("%02d%c", g, 'a'+i),
+				group:   int64(g),
+				leads:   i == 0,
+				cores:   make([]Time, 3),
+				applied: f.now,
+			}
 			f.members[m.id] = m
-			l.Entries = append(l.Entries, EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.leads})
+			l.Entries = append(
+				l.Entries,
+				EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.leads},
+			)
 		}
 	}
 	l.Kind = ListCached
@@ -149,7 +187,8 @@
 				if f.routers[i] != r {
 					return // it has started anew
 				}
-				f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now) - 100*ms})
+				position := m.position(f.now) - 100*ms
+				f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: position})
 			})
 		case Timer:
 			at := f.now + a.After
@@ -222,8 +261,19 @@
 		case class == "any":
 			f.longs[m.id]++
 		}
-		f.step(i, AttemptResult{ID: id, Attempt: leg, Endpoint: m.id, Status: StatusDone, Elapsed: f.now - began, Finished: true, Role: m.role(),
-			Position: m.position(f.now)})
+		f.step(
+			i,
+			AttemptResult{
+				ID:       id,
+				Attempt:  leg,
+				Endpoint: m.id,
+				Status:   StatusDone,
+				Elapsed:  f.now - began,
+				Finished: true,
+				Role:     m.role(),
+				Position: m.position(f.now),
+			},
+		)
 	})
 }
 
@@ -264,8 +314,8 @@
 	f.now = until
 }
 
-// A fleet of which each instance sees one read a second of a group still reads from replicas: what its reads earn is enough
-// to know one that is recent enough.
+// A fleet of which each instance sees one read a second of a group still reads from replicas: what its reads earn is
+// enough to know one replica that is recent enough.
 func TestFleetReadsFromReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		f := newFleet(t, seed, 10)
@@ -281,8 +331,8 @@
 	}
 }
 
-// All instances send long reads to the same replicas of a group while they can take them, so the others keep up: to as many
-// of five as long reads are of the work, here two.
+// All instances send long reads to the same replicas of a group while they can take them, so the others keep up: to
+// as many of five as long reads are of the work, here two.
 func TestFleetAgreesWhereLongReadsGo(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		f := newFleet(t, seed, 4)
@@ -299,8 +349,8 @@
 	}
 }
 
-// Long reads of all instances together are more than one replica can do. They get so many that none of them waits for long
-// in a queue while others idle, though no instance alone has more than a few out.
+// Long reads of all instances together are more than one replica can do. They get so many replicas that none of them
+// is queued for long while others idle, though no instance alone has more than a few in flight.
 func TestLongReadsOfAFleetFitTheReplicasTheyGet(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		f := newFleet(t, seed, 4)
@@ -313,8 +363,9 @@
 	}
 }
 
-// Reads that any data will do for and that take much of the bound, but no more than bounded reads do: nothing is won by keeping them
-// apart, and the replicas that got them all would be crowded while others idle. They go to all.
+// Reads that any data will do for and that take much of the staleness bound, but no more than bounded reads do:
+// nothing is won by keeping them apart, and the replicas that got them all would be crowded while others idle. They
+// go to all.
 func TestReadsAsLongAsBoundedOnesGoToAllReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		c := fleetConfig()
@@ -338,7 +389,7 @@
 	}
 }
 
-// A member that starts cold gets work from all instances together, and never what would make it fall over.
+// An endpoint that warms up gets work from all instances together, and never so much that it fails.
 func TestFleetEasesInAWarmingEndpoint(t *testing.T) {
 	for seed, id := range []string{"00a", "00a", "00a", "00f", "00f"} {
 		f := newFleet(t, uint64(seed), 4)
@@ -347,7 +398,12 @@
 		m := f.members[id]
 		m.startAt, m.work = f.now, nil
 		for i := range f.routers {
-			f.step(i, EndpointList{Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}}})
+			f.step(
+				i,
+				EndpointList{
+					Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}},
+				},
+			)
 			f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
 		}
 		f.load(700, 4, 6*time.Second)
@@ -372,8 +428,8 @@
 	}
 }
 
-// Of 300 instances one sees six times the mean, and members have room. Each class is served there: what it may save up for
-// long reads is not kept back for short ones, which need a small part of it.
+// Of 300 instances one sees six times the mean, and endpoints have capacity. Each class is served there: credit that
+// may be saved up for long reads is not kept from short ones, which need a small part of it.
 func TestNoClassStarvesAtABusyInstance(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
@@ -390,8 +446,9 @@
 	}
 }
 
-// No replica of any group is recent enough, and the reads of 300 instances flood the primaries at once. Once those have worked
-// it off they get reads again, as many as leave their writes room: what took long then is forgotten though little of it is sent.
+// No replica of any group is recent enough, and the reads of 300 instances flood the primaries at once. Once those
+// have worked it off they get reads again, as many as leave capacity for their writes: a latency learned in the flood
+// is forgotten though little is sent.
 func TestReadsOfAFleetComeBackAfterAFlood(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
@@ -411,8 +468,9 @@
 	}
 }
 
-// One request a second comes to a group before 300 instances, in all, so each of them has nearly forgotten it by the next. Every
-// class is served: no limit, credit or report that an instance has to earn first keeps out the little there is.
+// One request a second comes to a group before 300 instances, in all, so each of them has nearly forgotten it by the
+// next. Every class is served: no limit, credit or report that an instance has to earn first keeps out the little
+// there is.
 func TestLittleTrafficOfAFleetIsServed(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
@@ -421,7 +479,14 @@
 		f.load(2, 2, 120*time.Second)
 		t.Logf("seed %d: %d of %d refused, %d long reads", seed, f.refused, f.requests, f.long)
 		if f.requests < 180 || f.refused*50 > f.requests || f.long == 0 || f.writes == 0 {
-			t.Errorf("seed %d: %d of %d refused; %d long reads and %d writes sent", seed, f.refused, f.requests, f.long, f.writes)
+			t.Errorf(
+				"seed %d: %d of %d refused; %d long reads and %d writes sent",
+				seed,
+				f.refused,
+				f.requests,
+				f.long,
+				f.writes,
+			)
 		}
 	}
 }
@@ -435,7 +500,17 @@
 	var l EndpointList
 	for _, g := range f.routers[i].sortedGroups {
 		for _, n := range g.endpoints {
-			l.Entries = append(l.Entries, EndpointEntry{Endpoint: n.id, Zone: n.zone, Group: g.id, State: n.discovery.state, Primary: f.members[n.id].leads, StartedAt: n.slowStart.startedAt})
+			l.Entries = append(
+				l.Entries,
+				EndpointEntry{
+					Endpoint:  n.id,
+					Zone:      n.zone,
+					Group:     g.id,
+					State:     n.discovery.state,
+					Primary:   f.members[n.id].leads,
+					StartedAt: n.slowStart.startedAt,
+				},
+			)
 		}
 	}
 	f.routers[i], f.woken[i], l.Kind = r, 0, ListCached
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -9,26 +9,68 @@
 
 const ms = time.Millisecond
 
-// base is a made-up deployment: one class of each need.
+// testConfig is a made-up deployment: one class of each consistency.
 func testConfig() Config {
 	return Config{
 		Instances: 1, Zone: "a", OverQuotaWeight: 0.1, TimerResolution: ms, HealthChecks: true, Cancellation: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 6, SlowStartFrom: 0.25,
 		SlowStartWindow: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, ClientSessionTokens: true,
 		Classes: []Class{
-			{Name: "any", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.2, Consistency: ConsistencyAny},
-			{Name: "bounded", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencyBounded, MaxStaleness: 300 * ms},
-			{Name: "session", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencySession},
-			{Name: "latest", LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1, Consistency: ConsistencyLatest},
-			{Name: "write", LatencyObjective: 400 * ms, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: ConsistencyWrite,
-				Idempotency: NonIdempotent},
-			{Name: "keyed", LatencyObjective: 400 * ms, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: ConsistencyWrite,
-				Idempotency: IdempotentWithKey, IdempotencyScope: ScopeGroup, IdempotencyWindow: 500 * ms},
+			{
+				Name:             "any",
+				LatencyObjective: 400 * ms,
+				ClientTimeout:    2 * time.Second,
+				PriorityWeight:   1,
+				LateWeightShare:  0.2,
+				Consistency:      ConsistencyAny,
+			},
+			{
+				Name:             "bounded",
+				LatencyObjective: 400 * ms,
+				ClientTimeout:    2 * time.Second,
+				PriorityWeight:   1,
+				Consistency:      ConsistencyBounded,
+				MaxStaleness:     300 * ms,
+			},
+			{
+				Name:             "session",
+				LatencyObjective: 400 * ms,
+				ClientTimeout:    2 * time.Second,
+				PriorityWeight:   1,
+				Consistency:      ConsistencySession,
+			},
+			{
+				Name:             "latest",
+				LatencyObjective: 400 * ms,
+				ClientTimeout:    2 * time.Second,
+				PriorityWeight:   1,
+				Consistency:      ConsistencyLatest,
+			},
+			{
+				Name:             "write",
+				LatencyObjective: 400 * ms,
+				ClientTimeout:    3 * time.Second,
+				PriorityWeight:   3,
+				LateWeightShare:  0.3,
+				Consistency:      ConsistencyWrite,
+				Idempotency:      NonIdempotent,
+			},
+			{
+				Name:              "keyed",
+				LatencyObjective:  400 * ms,
+				ClientTimeout:     3 * time.Second,
+				PriorityWeight:    3,
+				LateWeightShare:   0.3,
+				Consistency:       ConsistencyWrite,
+				Idempotency:       IdempotentWithKey,
+				IdempotencyScope:  ScopeGroup,
+				IdempotencyWindow: 500 * ms,
+			},
 		},
 	}
 }
 
-// rig drives one Router by hand. It models no member: each test says what comes back.
+// harness drives one balancer by hand. It models no endpoint: each test says what comes back.
 type harness struct {
 	t            *testing.T
 	balancer     *Balancer
@@ -47,10 +89,15 @@
 	return h
 }
 
-// three is a list of a group 1 with the members a, b and c.
+// threeEndpoints is a list of a group 1 with the endpoints a, b and c.
 func threeEndpoints(kind EndpointListKind) EndpointList {
 	return EndpointList{Kind: kind, Entries: []EndpointEntry{
-		{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady}, {Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
+		{
+			Endpoint: "a",
+			Zone:     "a",
+			Group:    1,
+			State:    EndpointReady,
+		}, {Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
 		{Endpoint: "c", Zone: "a", Group: 1, State: EndpointReady}}}
 }
 
@@ -64,14 +111,14 @@
 	return Request{ID: fmt.Sprint("q", h.requestCount), Class: class, Group: 1, SessionID: 5, TimeLeft: time.Second}
 }
 
-// ready is a rig whose router knows that a is the primary, and the positions of all.
+// newReadyHarness returns a harness whose balancer knows that a is the primary, and the positions of all.
 func newReadyHarness(t *testing.T, c Config) *harness {
 	h := newHarness(t, c, threeEndpoints(ListCached))
 	h.reportAll("a")
 	return h
 }
 
-// reports lets each member answer a probe now.
+// reportAll lets each endpoint answer a health check now.
 func (h *harness) reportAll(primary string) {
 	for _, id := range []string{"a", "b", "c"} {
 		role := RoleReplica
@@ -82,7 +129,7 @@
 	}
 }
 
-// silence lets all probes that are out come back with nothing.
+// failAllHealthChecks lets all health checks that are in flight time out.
 func (h *harness) failAllHealthChecks() {
 	for _, id := range []string{"a", "b", "c"} {
 		h.step(0, HealthCheckResult{Endpoint: id, Status: StatusTimedOut})
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -14,10 +14,13 @@
 	}
 	acts = h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	h.expectSends(acts, "b") // the read waits for the reports that are on their way
-	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RoleReplica, Position: h.now}), "c")
+	h.expectSends(
+		h.step(ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RoleReplica, Position: h.now}),
+		"c",
+	)
 }
 
-// Probes have a price: reads that keep finding no replica must not turn into a probe each.
+// Health checks have a price: reads that keep finding no replica must not turn into a health check each.
 func TestPositionChecksAreEarned(t *testing.T) {
 	c := testConfig()
 	c.HealthCheckCost = 0.05
@@ -33,7 +36,10 @@
 		}
 		for _, p := range actionsOf[HealthCheck](acts) {
 			probes++
-			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second})
+			h.step(
+				0,
+				HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second},
+			)
 		}
 	}
 	if probes == 0 || probes > asked/4 {
@@ -41,7 +47,8 @@
 	}
 }
 
-// A primary in doubt is asked until it says something newer than the doubt: a report is older than its answer.
+// A suspect primary is checked until it reports something newer than the suspicion: a report is older than its
+// answer.
 func TestSuspectPrimaryIsCheckedAgain(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["a"]
@@ -51,7 +58,10 @@
 		h.step(50 * ms)
 	}
 	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusTimedOut, Finished: true})
-	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: n.health.suspectSince - 10*ms})
+	h.step(
+		ms,
+		HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: n.health.suspectSince - 10*ms},
+	)
 	for range 40 {
 		acts := h.step(50*ms, h.request("write"))
 		if sent := actionsOf[Send](acts); len(sent) > 0 {
@@ -59,7 +69,10 @@
 		}
 		for _, p := range actionsOf[HealthCheck](acts) { // all reports are 60 ms old
 			role := map[bool]Role{true: RolePrimary, false: RoleReplica}[p.Endpoint == "a"]
-			acts := h.step(ms, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now - 60*ms})
+			acts := h.step(
+				ms,
+				HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now - 60*ms},
+			)
 			if sent := actionsOf[Send](acts); len(sent) > 0 {
 				return
 			}
@@ -68,11 +81,13 @@
 	t.Fatal("no write is tried for two seconds")
 }
 
-// Nobody leads, and the members stand still, further behind each second: they are asked less and less by reads that could not
-// go there. Where the list names the primary an instance of many asks for nothing before a read needs it.
+// A group has no primary, and its replicas stand still, further behind each second: reads that could not go there
+// cause fewer and fewer health checks. Where the list names the primary, an instance of many sends none before a read
+// needs it.
 func TestStalledReplicasAreCheckedRarely(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.HealthCheckCost = 80, 0.08
+	c.Instances = 80
+	c.HealthCheckCost = 0.08
 	l := threeEndpoints(ListCached)
 	l.Entries[0].Primary = true
 	h := newHarness(t, c, l)
@@ -94,10 +109,11 @@
 	}
 }
 
-// One report at a time is asked for where a read waits for one, however often the instance is woken meanwhile.
+// One report at a time is requested where a read is pending for one, however often the instance is woken meanwhile.
 func TestPendingReadSendsOneHealthCheck(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.HealthCheckCost = 80, 0.08
+	c.Instances = 80
+	c.HealthCheckCost = 0.08
 	h := newReadyHarness(t, c)
 	h.step(0, h.request("write")) // the first use asks all
 	h.reportAll("a")
@@ -114,7 +130,7 @@
 	}
 }
 
-// What is spent on reports goes to replicas that were recent enough when they last told, each in its turn.
+// The health check budget is spent on replicas that were recent enough when they last reported, each in its turn.
 func TestPositionChecksGoToRecentReplicas(t *testing.T) {
 	for _, recent := range []string{"b", "c"} {
 		h := newReadyHarness(t, testConfig())
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A connection that could not be opened is no outage for this instance if a probe passes: the same primary again.
+// A connection that could not be opened is no outage for this instance if a health check passes: the same primary
+// again.
 func TestOneFailedConnectionIsNoOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
@@ -28,7 +29,8 @@
 	}
 }
 
-// A network that breaks some connections everywhere must not make members suspects, cold, or primaries doubtful.
+// A network that breaks some connections everywhere must not make endpoints suspect or warming up, nor primaries
+// suspect.
 func TestOneBrokenConnectionIsNoOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
@@ -38,7 +40,14 @@
 	if len(actionsOf[HealthCheck](acts)) == 0 {
 		t.Fatal("the member is not asked whether it is there")
 	}
-	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now}, h.request("write")), "a")
+	h.expectSends(
+		h.step(
+			ms,
+			HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now},
+			h.request("write"),
+		),
+		"a",
+	)
 }
 
 func TestBrokenConnectionsOfADeadEndpointAreAnOutage(t *testing.T) {
@@ -65,37 +74,54 @@
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
-// Connections that break now and then, several in a row too, leave a member what it is: neither an outage nor cold.
+// Connections that break now and then, several in a row too, are neither an outage of their endpoint nor a restart.
 func TestBrokenConnectionsAreNoRestart(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for range 20 {
 		for range 4 {
 			q := h.request("write")
 			h.expectSends(h.step(ms, q), "a")
-			h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset}, HealthCheckResult{Endpoint: "a", Status: StatusReset})
+			h.step(
+				ms,
+				AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset},
+				HealthCheckResult{Endpoint: "a", Status: StatusReset},
+			)
 		}
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
-		h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
+		h.step(
+			ms,
+			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary},
+		)
 	}
-	// Nor is one that could not be reached once and is there again.
+	// Nor is one a restart that could not be reached once and answers again.
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset}, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
+	h.step(
+		ms,
+		AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset},
+		HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed},
+	)
 	n := h.balancer.endpoints["a"]
 	if !n.health.suspect {
 		t.Fatal("a member that cannot be reached is in doubt")
 	}
-	h.step(maxRecoveryBackoff, HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now + maxRecoveryBackoff})
+	h.step(
+		maxRecoveryBackoff,
+		HealthCheckResult{Endpoint: "a", Status: StatusDone, Role: RolePrimary, Position: h.now + maxRecoveryBackoff},
+	)
 	q = h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
+	h.step(
+		ms,
+		AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary},
+	)
 	if n.health.suspect || h.balancer.warmupFactor(n) < 1 {
 		t.Fatalf("suspect %v, warmth %v", n.health.suspect, h.balancer.warmupFactor(n))
 	}
 }
 
-// One that fails and recovers by turns waits longer for its trials each time.
+// An endpoint that fails and recovers by turns gets its recovery attempts later each time.
 func TestRelapseWaitsLonger(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
@@ -120,7 +146,7 @@
 	}
 }
 
-// A suspect replica is asked again when its position has aged, or no bounded read may ever try it.
+// A suspect replica is checked again when its position has aged, or no bounded read may ever try it.
 func TestSuspectReplicaIsTriedAgain(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
@@ -133,7 +159,18 @@
 			if s.Endpoint == "b" {
 				return
 			}
-			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			h.step(
+				0,
+				AttemptResult{
+					ID:       s.ID,
+					Endpoint: s.Endpoint,
+					Status:   StatusDone,
+					Elapsed:  ms,
+					Finished: true,
+					Role:     RoleReplica,
+					Position: h.now,
+				},
+			)
 		}
 		for _, p := range actionsOf[HealthCheck](acts) {
 			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now})
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// play feeds odd but legal events and checks what must hold whatever comes. It models no member: outcomes are drawn.
+// playEvents plays odd but legal events and checks what must hold whatever comes. It models no endpoint: outcomes are
+// drawn.
 func playEvents(t *testing.T, seed uint64) []Action { return playEventsWith(t, seed, testConfig()) }
 
 func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
@@ -44,8 +45,14 @@
 		if i < 400 && rng.IntN(2) == 0 {
 			n++
 			k := c.Classes[rng.IntN(len(c.Classes))].Name
-			q := Request{ID: fmt.Sprint("q", n), Class: k, Group: 1, SessionID: int64(rng.IntN(3)), TimeLeft: time.Duration(50+rng.IntN(900)) * ms,
-				SinceSessionWrite: time.Duration(rng.IntN(500)) * ms}
+			q := Request{
+				ID:                fmt.Sprint("q", n),
+				Class:             k,
+				Group:             1,
+				SessionID:         int64(rng.IntN(3)),
+				TimeLeft:          time.Duration(50+rng.IntN(900)) * ms,
+				SinceSessionWrite: time.Duration(rng.IntN(500)) * ms,
+			}
 			reqs[q.ID] = &live{class: k, die: now + q.TimeLeft}
 			events = append(events, q)
 		}
@@ -61,7 +68,14 @@
 				keep = append(keep, a)
 				continue
 			}
-			o := AttemptResult{ID: a.id, Attempt: a.leg, Endpoint: a.node, Status: Status(rng.IntN(9)), Elapsed: now - a.at, Role: Role(rng.IntN(3))}
+			o := AttemptResult{
+				ID:       a.id,
+				Attempt:  a.leg,
+				Endpoint: a.node,
+				Status:   Status(rng.IntN(9)),
+				Elapsed:  now - a.at,
+				Role:     Role(rng.IntN(3)),
+			}
 			if due {
 				o.Status = StatusTimedOut
 			}
@@ -85,12 +99,29 @@
 			node := []string{"a", "b", "c"}[rng.IntN(3)]
 			s := EndpointState(rng.IntN(3))
 			barred[node] = s != EndpointReady
-			events = append(events, EndpointList{Entries: []EndpointEntry{{Endpoint: node, Zone: "a", Group: 1, State: s, StartedAt: now}}})
+			events = append(
+				events,
+				EndpointList{Entries: []EndpointEntry{{Endpoint: node, Zone: "a", Group: 1, State: s, StartedAt: now}}},
+			)
 		case 1:
-			events = append(events, HealthCheckResult{Endpoint: []string{"a", "b", "x"}[rng.IntN(3)], Status: Status(rng.IntN(9)), Role: Role(rng.IntN(3)), Position: now - time.Duration(rng.IntN(300))*ms})
+			events = append(
+				events,
+				HealthCheckResult{
+					Endpoint: []string{"a", "b", "x"}[rng.IntN(3)],
+					Status:   Status(rng.IntN(9)),
+					Role:     Role(rng.IntN(3)),
+					Position: now - time.Duration(rng.IntN(300))*ms,
+				},
+			)
 		case 2:
-			events = append(events, AttemptResult{ID: "nobody", Attempt: 3}, ClientDisconnected{ID: "nobody"}, Wake{}, FirstByte{ID: "nobody"},
-				FirstByte{ID: fmt.Sprint("q", 1+rng.IntN(n+1)), Attempt: -1})
+			events = append(
+				events,
+				AttemptResult{ID: "nobody", Attempt: 3},
+				ClientDisconnected{ID: "nobody"},
+				Wake{},
+				FirstByte{ID: "nobody"},
+				FirstByte{ID: fmt.Sprint("q", 1+rng.IntN(n+1)), Attempt: -1},
+			)
 		case 4:
 			node := []string{"a", "b", "c", "x"}[rng.IntN(4)]
 			if out := rng.IntN(2) == 0; out != suspended[node] {
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -26,7 +26,17 @@
 				if stuck[s.ID] {
 					moved++
 				}
-				next = append(next, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 5 * ms, Finished: true})
+				next = append(
+					next,
+					AttemptResult{
+						ID:       s.ID,
+						Attempt:  h.attempts(s.ID) - 1,
+						Endpoint: s.Endpoint,
+						Status:   StatusDone,
+						Elapsed:  5 * ms,
+						Finished: true,
+					},
+				)
 			}
 			for _, c := range actionsOf[Cancel](acts) {
 				next = append(next, AttemptResult{ID: c.ID, Attempt: c.Attempt, Endpoint: "b", Status: StatusCancelled})
@@ -42,10 +52,13 @@
 	}
 }
 
-// A slow class must not make its members suspect: patience goes by what is out.
+// A slow class must not make its endpoints suspect: the silence timeout goes by what is in flight.
 func TestLongRequestIsGivenTime(t *testing.T) {
 	c := testConfig()
-	c.Classes = append(c.Classes, Class{Name: "report", LatencyObjective: 4 * time.Second, ClientTimeout: 9 * time.Second, PriorityWeight: 1})
+	c.Classes = append(
+		c.Classes,
+		Class{Name: "report", LatencyObjective: 4 * time.Second, ClientTimeout: 9 * time.Second, PriorityWeight: 1},
+	)
 	h := newReadyHarness(t, c)
 	q := h.request("report")
 	q.TimeLeft = 9 * time.Second
@@ -58,7 +71,7 @@
 	}
 }
 
-// An instance that did not run for a while must not take its own stall for the silence of members.
+// An instance that did not run for a while must not take its own pause for the silence of endpoints.
 func TestOwnPauseIsNoSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.expectSends(h.step(ms, h.request("any")), "bc")
@@ -69,7 +82,7 @@
 	}
 }
 
-// The end of an attempt that was taken back may be lost on its way: the client still gets its answer in time.
+// The end of a cancelled attempt may be lost on its way: the client still gets its answer in time.
 func TestCancelledReadIsAnsweredInTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("any")
@@ -84,7 +97,7 @@
 	}
 }
 
-// A connection that falls silent while its member answers others is given up; it is no sign of a silent member.
+// A connection that falls silent while its endpoint answers others is given up; it is no sign of a silent endpoint.
 func TestSilentConnectionIsNoSilentEndpoint(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	read, write := h.request("latest"), h.request("write")
@@ -103,7 +116,10 @@
 	for i := range 100 {
 		q := h.request("write")
 		step(10*ms, q)
-		step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
+		step(
+			5*ms,
+			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary},
+		)
 		if h.balancer.endpoints["a"].health.suspect {
 			t.Fatalf("suspect after %d answers", i)
 		}
@@ -121,13 +137,16 @@
 	}
 }
 
-// Where requests take a few milliseconds a pause of twenty is not silence: the scheduler alone may make it.
+// Where requests take a few milliseconds a pause of twenty is not silence: the scheduler alone may cause it.
 func TestShortPauseIsNoSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for range 200 { // answers take 2 ms
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
-		h.step(2*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary})
+		h.step(
+			2*ms,
+			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary},
+		)
 	}
 	for range 4 {
 		h.expectSends(h.step(ms, h.request("write")), "a")
--- a/balance/long_read_test.go
+++ b/balance/long_read_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Long reads that any data will do for go to one replica, whatever an instance knows of them, so that the others stay recent
-// enough; short ones are drawn as ever.
+// Long reads that any data will do for go to one replica, whatever an instance knows of them, so that the others stay
+// recent enough; short ones are drawn at random.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].LatencyObjective = 2 * time.Second
@@ -20,7 +20,8 @@
 	}
 }
 
-// Where no class is bounded a held up log hurts no read: reads that any data will do for go to all replicas, however long they are.
+// Where no class is bounded a delayed replica hurts no read: reads that any data will do for go to all replicas,
+// however long they are.
 func TestWithoutABoundNoReadIsLong(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].LatencyObjective = 2 * time.Second
@@ -30,7 +31,18 @@
 	for range 40 {
 		for _, s := range actionsOf[Send](h.step(ms, h.request("any"))) {
 			to[s.Endpoint]++
-			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			h.step(
+				0,
+				AttemptResult{
+					ID:       s.ID,
+					Endpoint: s.Endpoint,
+					Status:   StatusDone,
+					Elapsed:  ms,
+					Finished: true,
+					Role:     RoleReplica,
+					Position: h.now,
+				},
+			)
 		}
 	}
 	if to["b"] < 10 || to["c"] < 10 {
@@ -38,11 +50,22 @@
 	}
 }
 
-// scarce is a rig with a long class whose bounded reads have just been refused for want of room, and its replica b is recent again.
+// newShortageHarness returns a harness with a long class whose bounded reads have just been rejected for want of
+// capacity, and whose replica b is recent again.
 func newShortageHarness(t *testing.T, work float64) *harness {
 	c := testConfig()
 	c.Classes[1].PriorityWeight = 2
-	c.Classes = append(c.Classes, Class{Name: "long", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: ConsistencyAny})
+	c.Classes = append(
+		c.Classes,
+		Class{
+			Name:             "long",
+			LatencyObjective: 5 * time.Second,
+			ClientTimeout:    10 * time.Second,
+			PriorityWeight:   6,
+			LateWeightShare:  0.2,
+			Consistency:      ConsistencyAny,
+		},
+	)
 	h := newReadyHarness(t, c)
 	long := h.balancer.classes["long"]
 	long.serviceTime, long.latency = work, 1
@@ -74,8 +97,8 @@
 	return slices.DeleteFunc(actionsOf[Send](h.step(0, q)), func(s Send) bool { return s.ID != q.ID })
 }
 
-// While bounded reads are refused beside a primary, a long read, which would cost them its replica, is held back: not for good, and only
-// where that would help.
+// While bounded reads are rejected beside a primary, a long read, which would cost them its replica, stays pending:
+// not for good, and only where that would help.
 func TestLongReadsDeferToBoundedReads(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	if got := h.sendLongRead(); len(got) > 0 {
@@ -107,7 +130,7 @@
 	}
 }
 
-// What is refused while a bank has no primary says nothing of room.
+// What is rejected while a group has no primary says nothing of capacity.
 func TestRejectionsWithoutAPrimaryDeferNoLongRead(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	g := h.balancer.groups[1]
@@ -125,7 +148,7 @@
 	}
 }
 
-// Among so many instances that one has a share under one attempt none holds a long read back: it would free no replica.
+// Among so many instances that each has a share under one attempt none defers a long read: it would free no replica.
 func TestLongReadsOfALargeFleetDoNotDefer(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	h.balancer.config.Instances = 300
--- a/balance/pending_queue_test.go
+++ b/balance/pending_queue_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Nor does waiting for a connection go beyond half of the client's time.
+// A request that waits for a connection does not do so beyond half of its client's time.
 func TestSendIsOnlyGoodForHalfOfTheTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for _, class := range []string{"write", "any", "latest"} {
@@ -37,7 +37,8 @@
 	}
 }
 
-// A client that comes back has part of its aim behind it. Its wait tells how much, once its give-up time cuts it.
+// A client that retries has used up part of its latency objective. Its timeout tells how much, once the limit of its
+// class cuts it.
 func TestRetryingClientHasLessTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("bounded") // aim 400 ms, gives up after 2 s, nothing when late
@@ -58,8 +59,8 @@
 	h.expectSends(h.step(ms, q), "bc")
 }
 
-// A read that was never sent is refused before half of its client's time, so that the client can ask elsewhere. One
-// that a member has had in hand may wait for a further attempt.
+// A read that was never sent is rejected before half of its client's time, so that the client can ask elsewhere. One
+// that has reached an endpoint may stay pending for another attempt.
 func TestReadNeverSentIsRejectedBeforeHalfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
@@ -79,7 +80,7 @@
 	}
 }
 
-// Classes that are worth nothing are served too: a share of nothing is not taken for more than there is.
+// Classes without priority weight are served too: a share of nothing is not taken for more than there is.
 func TestRequestsWithoutWeightAreSent(t *testing.T) {
 	c := testConfig()
 	c.Instances = 300
@@ -91,7 +92,18 @@
 	for range 40 {
 		for _, s := range actionsOf[Send](h.step(500*ms, h.request("any"))) {
 			sent++
-			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true, Role: RoleReplica, Position: h.now})
+			h.step(
+				0,
+				AttemptResult{
+					ID:       s.ID,
+					Endpoint: s.Endpoint,
+					Status:   StatusDone,
+					Elapsed:  ms,
+					Finished: true,
+					Role:     RoleReplica,
+					Position: h.now,
+				},
+			)
 		}
 	}
 	if sent < 20 {
--- a/balance/primary_cache_test.go
+++ b/balance/primary_cache_test.go
@@ -11,10 +11,17 @@
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
-	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusMiss, Role: RoleReplica}), "c")
+	h.expectSends(
+		h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusMiss, Role: RoleReplica}),
+		"c",
+	)
 	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 2, Endpoint: "c", Status: StatusMiss, Role: RoleReplica}))
 	h.expectSends(h.step(50*ms, h.request("write"))) // one round of misses, then hold
-	h.expectSends(h.step(50*ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RolePrimary, Position: h.now + 40*ms}), "c", "c")
+	h.expectSends(
+		h.step(50*ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RolePrimary, Position: h.now + 40*ms}),
+		"c",
+		"c",
+	)
 }
 
 func TestMissMarksThePrimarySuspect(t *testing.T) {
@@ -22,7 +29,20 @@
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
-	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusDone, Elapsed: ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(
+		h.step(
+			ms,
+			AttemptResult{
+				ID:       q.ID,
+				Attempt:  1,
+				Endpoint: "b",
+				Status:   StatusDone,
+				Elapsed:  ms,
+				Finished: true,
+				Role:     RolePrimary,
+			},
+		),
+	)
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
@@ -34,7 +54,7 @@
 	h.expectSends(h.step(ms, h.request("write")), "a")
 }
 
-// A role that the list says 4 s late, behind two changes, moves no write: answers have told what came since.
+// A role that the list tells 4 s late, two changes behind, moves no write: answers have told what came since.
 func TestListedRoleFourSecondsOld(t *testing.T) {
 	h := newReadyHarness(t, testConfig()) // a leads
 	list := func(leads string) EndpointList {
@@ -46,7 +66,15 @@
 	}
 	h.step(ms, list("a"))
 	answer := func(n string, role Role) AttemptResult {
-		return AttemptResult{ID: fmt.Sprint("q", h.requestCount), Endpoint: n, Status: StatusDone, Elapsed: ms, Finished: true, Role: role, Position: h.now}
+		return AttemptResult{
+			ID:       fmt.Sprint("q", h.requestCount),
+			Endpoint: n,
+			Status:   StatusDone,
+			Elapsed:  ms,
+			Finished: true,
+			Role:     role,
+			Position: h.now,
+		}
 	}
 	write := func(want string) {
 		t.Helper()
@@ -54,7 +82,8 @@
 		h.step(ms, answer(want, RolePrimary))
 	}
 	write("a")
-	for _, change := range [][2]string{{"a", "b"}, {"b", "c"}} { // each says that it leads no more, the next one that it does
+	// Each says that it is primary no more, the next one that it is.
+	for _, change := range [][2]string{{"a", "b"}, {"b", "c"}} {
 		h.step(100*ms, HealthCheckResult{Endpoint: change[0], Status: StatusDone, Role: RoleReplica, Position: h.now})
 		h.step(100*ms, HealthCheckResult{Endpoint: change[1], Status: StatusDone, Role: RolePrimary, Position: h.now})
 		write(change[1])
@@ -72,7 +101,7 @@
 	h.expectSends(h.step(ms, h.request("write")), "c")
 }
 
-// A primary that hands over turns writes away while it still finishes others and answers reads as a primary.
+// A primary that hands over rejects writes while it still finishes others and answers reads as a primary.
 func TestPrimaryChangeDoesNotFlap(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	old, q := h.request("write"), h.request("write")
@@ -80,7 +109,10 @@
 	h.expectSends(h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica}), "b")
 	h.step(5*ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "b", Status: StatusMiss, Role: RoleReplica})
 	h.step(ms, AttemptResult{ID: q.ID, Attempt: 2, Endpoint: "c", Status: StatusMiss, Role: RoleReplica})
-	acts := h.step(5*ms, AttemptResult{ID: old.ID, Endpoint: "a", Status: StatusDone, Elapsed: 15 * ms, Finished: true, Role: RolePrimary})
+	acts := h.step(
+		5*ms,
+		AttemptResult{ID: old.ID, Endpoint: "a", Status: StatusDone, Elapsed: 15 * ms, Finished: true, Role: RolePrimary},
+	)
 	h.expectSends(acts)
 	r := h.request("any")
 	for n := 0; n < 10; n++ { // until the draw takes a
@@ -90,7 +122,12 @@
 		}
 		r = h.request("any")
 	}
-	h.expectSends(h.step(5*ms, AttemptResult{ID: r.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary}))
+	h.expectSends(
+		h.step(
+			5*ms,
+			AttemptResult{ID: r.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary},
+		),
+	)
 }
 
 // A primary that only this instance cannot reach: its group goes on committing, so it still takes the writes.
@@ -103,7 +140,10 @@
 	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusConnectFailed})
 	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
 	for leg, id := range []string{"b", "c"} {
-		h.step(ms, AttemptResult{ID: q.ID, Attempt: leg + 1, Endpoint: id, Status: StatusMiss, Role: RoleReplica, Position: h.now})
+		h.step(
+			ms,
+			AttemptResult{ID: q.ID, Attempt: leg + 1, Endpoint: id, Status: StatusMiss, Role: RoleReplica, Position: h.now},
+		)
 	}
 	acts := []Action{}
 	for range 60 {
@@ -113,7 +153,8 @@
 	h.expectSends(acts, "a")
 }
 
-// All members have denied that they lead. The write that comes once one of them does tries them again, without a probe.
+// All endpoints have said that they are replicas. The write that comes once one of them is primary tries them again,
+// without a health check.
 func TestSuccessorThatWasAReplicaIsTriedAgain(t *testing.T) {
 	c := testConfig()
 	c.HealthChecks = false
@@ -122,7 +163,14 @@
 		acts := h.step(100*ms, h.request("write"))
 		for range 6 {
 			for _, s := range actionsOf[Send](acts) {
-				o := AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusMiss, Elapsed: ms, Role: RoleReplica}
+				o := AttemptResult{
+					ID:       s.ID,
+					Attempt:  h.attempts(s.ID) - 1,
+					Endpoint: s.Endpoint,
+					Status:   StatusMiss,
+					Elapsed:  ms,
+					Role:     RoleReplica,
+				}
 				if s.Endpoint == leader {
 					o.Status, o.Role, o.Finished, served = StatusDone, RolePrimary, true, true
 				}
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A storm of probes: hundreds of instances that each look for a lost primary must not ask without end.
+// Hundreds of instances that each look for a lost primary must not overload its group with health checks.
 func TestSearchForALostPrimaryIsBounded(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("write"))
@@ -28,16 +28,21 @@
 	}
 }
 
-// An instance of eighty earns a probe in three requests, and reads of another group spend them. Its group's primary leaves, and another member leads: it is
-// found by the reads that need it, whichever one it is, though all others are behind.
+// An instance of eighty earns a health check in three requests, and reads of another group spend them. Its group's
+// primary leaves, and another endpoint becomes primary: it is found by the reads that need it, whichever one it is,
+// though all others are behind.
 func TestLostPrimaryIsFoundOnASmallBudget(t *testing.T) {
 	for _, leader := range []string{"b", "c", "d", "e", "f"} {
 		c := testConfig()
-		c.Instances, c.HealthCheckCost = 80, 0.08
+		c.Instances = 80
+		c.HealthCheckCost = 0.08
 		list := EndpointList{Kind: ListCached}
 		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-			list.Entries = append(list.Entries, EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, Primary: id == "a"},
-				EndpointEntry{Endpoint: id + "2", Zone: "a", Group: 2, State: EndpointReady, Primary: id == "a"})
+			list.Entries = append(
+				list.Entries,
+				EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, Primary: id == "a"},
+				EndpointEntry{Endpoint: id + "2", Zone: "a", Group: 2, State: EndpointReady, Primary: id == "a"},
+			)
 		}
 		h := newHarness(t, c, list)
 		led, found := "a", false
@@ -74,7 +79,10 @@
 		ask(20)
 		list.Entries[0].State, list.Kind = EndpointDraining, ListDelta
 		for _, id := range []string{"y", "z"} { // recent enough, but cold: they can take next to nothing
-			list.Entries = append(list.Entries, EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: h.now})
+			list.Entries = append(
+				list.Entries,
+				EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: h.now},
+			)
 		}
 		h.step(ms, list)
 		ask(3) // nobody leads for now
--- a/balance/quota_test.go
+++ b/balance/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// At hundreds of instances a tenant sends less than one request a second to each: that is within its share.
+// At hundreds of instances a tenant sends less than one request a second to each: that is within its quota.
 func TestSmallQuotaShareIsNotExceeded(t *testing.T) {
 	c := testConfig()
 	c.Instances = 200
--- a/balance/replica_selection_test.go
+++ b/balance/replica_selection_test.go
@@ -37,7 +37,10 @@
 	first := h.expectSends(h.step(0, q), "bc")[0].Endpoint
 	other := map[string]string{"b": "c", "c": "b"}[first]
 	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Endpoint: first, Status: StatusMiss, Role: RoleReplica}), other)
-	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: other, Status: StatusMiss, Role: RoleReplica}), "a")
+	h.expectSends(
+		h.step(ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: other, Status: StatusMiss, Role: RoleReplica}),
+		"a",
+	)
 }
 
 // When no replica has recent data, weak reads must not take all that the primary can do: writes have no other place.
--- a/balance/replication_test.go
+++ b/balance/replication_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What a member said of its lag seconds ago must not keep it out for good.
+// A lag that an endpoint reported seconds ago must not keep it out for good.
 func TestOldLagIsForgotten(t *testing.T) {
 	c := testConfig()
 	c.FreshnessCheck = FreshnessCheckReject
@@ -17,7 +17,17 @@
 			q = h.request("any")
 			s = h.expectSends(h.step(0, q), "bc")[0].Endpoint
 		}
-		h.step(ms, AttemptResult{ID: q.ID, Endpoint: id, Status: StatusDone, Finished: true, Role: RoleReplica, Position: h.now - time.Second})
+		h.step(
+			ms,
+			AttemptResult{
+				ID:       q.ID,
+				Endpoint: id,
+				Status:   StatusDone,
+				Finished: true,
+				Role:     RoleReplica,
+				Position: h.now - time.Second,
+			},
+		)
 	}
 	h.expectSends(h.step(ms, h.request("bounded")), "a")
 	h.expectSends(h.step(3*time.Second, h.request("bounded")), "bc")
@@ -47,7 +57,18 @@
 	h := newReadyHarness(t, c)
 	w := h.request("write")
 	h.expectSends(h.step(ms, w), "a")
-	h.step(20*ms, AttemptResult{ID: w.ID, Endpoint: "a", Status: StatusDone, Elapsed: 20 * ms, Finished: true, Role: RolePrimary, Position: h.now})
+	h.step(
+		20*ms,
+		AttemptResult{
+			ID:       w.ID,
+			Endpoint: "a",
+			Status:   StatusDone,
+			Elapsed:  20 * ms,
+			Finished: true,
+			Role:     RolePrimary,
+			Position: h.now,
+		},
+	)
 	h.failAllHealthChecks()
 	h.expectSends(h.step(ms, h.request("session")), "a")
 	h.step(20*ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
@@ -61,7 +82,10 @@
 	h.now += time.Second
 	q := h.request("latest")
 	h.expectSends(h.step(0, q), "a")
-	h.step(5*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary})
+	h.step(
+		5*ms,
+		AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary},
+	)
 	w := h.request("write")
 	h.expectSends(h.step(ms, w), "a")
 	h.step(ms, AttemptResult{ID: w.ID, Endpoint: "a", Status: StatusMiss, Role: RoleReplica})
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -32,9 +32,13 @@
 	first := h.now
 	repeat := h.step(50*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusError, Role: RolePrimary})
 	h.expectSends(repeat, "a")
-	// The way counts in: a repeat that waits for its connection is not written behind the window either.
+	// A repeat that waits for its connection is not written behind the window either.
 	if by := actionsOf[Send](repeat)[0].NotAfter; by == 0 || by >= first+h.balancer.classes["keyed"].IdempotencyWindow {
-		t.Fatalf("the repeat may be written until %v, the window ends at %v", by, first+h.balancer.classes["keyed"].IdempotencyWindow)
+		t.Fatalf(
+			"the repeat may be written until %v, the window ends at %v",
+			by,
+			first+h.balancer.classes["keyed"].IdempotencyWindow,
+		)
 	}
 	acts := h.step(460*ms, AttemptResult{ID: q.ID, Attempt: 1, Endpoint: "a", Status: StatusError, Role: RolePrimary})
 	h.expectSends(acts)
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -6,15 +6,24 @@
 	"time"
 )
 
-// One of 350 instances before 1,024 members in one list: each group is served at its own members, none is forgotten, and a change of the
-// list that takes out half of them all at once binds all of it.
+// One of 350 instances in front of 1,024 endpoints in one list: each group is served at its own endpoints, none is
+// forgotten, and a change of the list that withdraws half of them at once binds all of it.
 func TestThousandEndpointsAtOneOfManyInstances(t *testing.T) {
 	const members, groups, instances = 1024, 64, 350
 	c := testConfig()
 	c.Instances = instances
 	l := EndpointList{Kind: ListFull}
 	for i := range members {
-		l.Entries = append(l.Entries, EndpointEntry{Endpoint: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: EndpointReady, Primary: i < groups})
+		l.Entries = append(
+			l.Entries,
+			EndpointEntry{
+				Endpoint: fmt.Sprint("n", i),
+				Zone:     "a",
+				Group:    int64(i % groups),
+				State:    EndpointReady,
+				Primary:  i < groups,
+			},
+		)
 	}
 	h := newHarness(t, c, l)
 	used, served, left := map[string]int{}, map[int64]int{}, map[string]bool{}
@@ -36,9 +45,14 @@
 							}
 							used[a.Endpoint]++
 							served[g]++
-							back = append(back, AttemptResult{ID: id, Endpoint: a.Endpoint, Status: StatusDone, Finished: true, Elapsed: 5 * time.Millisecond, Role: RoleReplica, Position: h.now})
+							back = append(back, AttemptResult{
+								ID: id, Endpoint: a.Endpoint, Status: StatusDone, Finished: true, Elapsed: 5 * time.Millisecond,
+								Role: RoleReplica, Position: h.now,
+							})
 						case HealthCheck:
-							back = append(back, HealthCheckResult{Endpoint: a.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now})
+							back = append(back, HealthCheckResult{
+								Endpoint: a.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now,
+							})
 						}
 					}
 					if len(back) == 0 {
@@ -61,7 +75,10 @@
 	d := EndpointList{Kind: ListDelta}
 	for i := members / 2; i < members; i++ {
 		left[fmt.Sprint("n", i)] = true
-		d.Entries = append(d.Entries, EndpointEntry{Endpoint: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: EndpointDraining})
+		d.Entries = append(
+			d.Entries,
+			EndpointEntry{Endpoint: fmt.Sprint("n", i), Zone: "a", Group: int64(i % groups), State: EndpointDraining},
+		)
 	}
 	h.step(time.Millisecond, d)
 	served = map[int64]int{}
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// overfull is the most that a cold member got in any of the contract's windows since its start, in requests of mean work: by how
-// much it went beyond what the settings allow, N, less twice the root of N, and 2. It is put down to chance up to 0.
+// overfull is the most that a warming endpoint got in any window of the contract since its start, in requests of mean
+// work: by how much it went beyond what the settings allow, N, less twice the root of N, and 2. Up to 0 it is put
+// down to chance.
 func (f *fleet) overfull(m *member, c Config, mean time.Duration) (most, at float64) {
 	most = math.Inf(-1)
 	for from := m.startAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
@@ -38,8 +39,8 @@
 	}
 }
 
-// coldCase is a deployment whose members start cold.
-type coldCase struct {
+// slowStartCase is a deployment whose endpoints warm up.
+type slowStartCase struct {
 	name  string
 	cores int
 	times float64 // of the usual work
@@ -47,10 +48,10 @@
 	set   func(c *Config)
 }
 
-// The slow start of a member holds for the whole fleet, without a word between its instances: beyond what the settings allow, N
-// requests of mean work, only 2 x root of N + 2 is put down to chance. That holds with few and many instances, with uneven traffic,
-// where all were idle and could have saved up, where reads move there from members that leave at once, where instances start anew
-// meanwhile, and where N is far less than one request for each.
+// The slow start of an endpoint holds for the whole fleet, without a word between its instances: beyond what the
+// settings allow, N requests of mean work, only 2 x root of N + 2 is put down to chance. That holds with few and many
+// instances, with uneven traffic, where all were idle and could have saved up, where reads move there from endpoints
+// that drain at once, where instances start anew meanwhile, and where N is far less than one request for each.
 func TestSlowStartHoldsForTheFleet(t *testing.T) {
 	const mean = 39 * time.Millisecond // of the load's work, about
 	shapes := map[string]func(f *fleet, rate float64){
@@ -83,10 +84,14 @@
 			f.load(rate, 4, 8*time.Second)
 		},
 	}
-	for _, k := range []coldCase{
+	for _, k := range []slowStartCase{
 		{"usual work", 3, 1, 700, func(c *Config) {}},
 		{"long work, a short window", 1, 3, 150, func(c *Config) { c.OverloadMultiple, c.OverloadWindow = 2, time.Second }},
-		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) { c.OverloadMultiple, c.OverloadWindow, c.SlowStartFrom = 3, time.Second, 0.24 }},
+		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) {
+			c.OverloadMultiple = 3
+			c.OverloadWindow = time.Second
+			c.SlowStartFrom = 0.24
+		}},
 	} {
 		for _, instances := range []int{3, 20, 30, 300} {
 			for name, shape := range shapes {
@@ -111,7 +116,14 @@
 							m := f.members[id]
 							m.startAt, m.work = f.now, nil
 							for i := range f.routers {
-								f.step(i, EndpointList{Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}}})
+								f.step(
+									i,
+									EndpointList{
+										Entries: []EndpointEntry{
+											{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now},
+										},
+									},
+								)
 								f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
 							}
 							f.load(0.001, 4, 2*ms) // what was sent before they were told is no part of it
@@ -124,7 +136,14 @@
 								worst, at, of = over, when, seed
 							}
 						}
-						t.Logf("N %.1f at first, %d pieces of work; at most %.1f requests from the bound, %.1f s after its start, seed %d", bound, got, worst, at, of)
+						t.Logf(
+							"N %.1f at first, %d pieces of work; at most %.1f requests from the bound, %.1f s after its start, seed %d",
+							bound,
+							got,
+							worst,
+							at,
+							of,
+						)
 						if worst > 0 {
 							t.Errorf("%.1f requests of mean work too many, %.1f s after its start, seed %d", worst, at, of)
 						}
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -23,13 +23,13 @@
 			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusBusy})
 		}
 	}
-	// Nothing is known of what a warm member does: work goes one at a time, and what was turned away counts.
+	// Nothing is known of what a warm endpoint does: work goes one at a time, and rejected work counts.
 	if sends == 0 || sends > 30 {
 		t.Fatalf("%d sends in a second to a cold member", sends)
 	}
 }
 
-// Many instances, each told of a cold member, must not send it one request each at once: a plain count of sends.
+// Many instances, each told of a warming endpoint, must not send it one request each at once: a plain count of sends.
 func TestSlowStartBudgetOverManyInstances(t *testing.T) {
 	c := testConfig()
 	c.Instances = 200
@@ -62,13 +62,17 @@
 	}
 }
 
-// What instances have saved up for a cold member while nobody asked fits the budget of all of them together, beside what they get
-// meanwhile, however many they are: with two requests saved up at each, as it was, 80 sent 160 at once where 30 are allowed. It is
-// spent: little traffic reaches a cold member all the same.
+// What instances have saved up for a warming endpoint while nobody asked fits the budget of all of them together,
+// beside what they get meanwhile, however many they are: with two requests saved up at each, 80 would send 160 at
+// once where 30 are allowed. It is spent: little traffic reaches a warming endpoint all the same.
 func TestSavedCreditOfAFleetFitsTheBudget(t *testing.T) {
 	for _, instances := range []int{3, 20, 30, 80, 300} {
 		c := testConfig()
-		c.Instances, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = instances, 0.16, 100*time.Second, 2.5, 2*time.Second
+		c.Instances = instances
+		c.SlowStartFrom = 0.16
+		c.SlowStartWindow = 100 * time.Second
+		c.OverloadMultiple = 2.5
+		c.OverloadWindow = 2 * time.Second
 		work := c.Classes[0].LatencyObjective.Seconds() / 5 // as it is taken before any answer
 		for _, k := range c.Classes {
 			if k.Consistency == ConsistencyWrite {
@@ -83,8 +87,15 @@
 					var more []Send
 					for _, s := range acts {
 						sent++
-						more = append(more, actionsOf[Send](h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
-							Position: h.now, Finished: true}))...)
+						more = append(
+							more,
+							actionsOf[Send](
+								h.step(
+									0,
+									AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
+										Position: h.now, Finished: true},
+								),
+							)...)
 					}
 					acts = more
 				}
@@ -95,7 +106,13 @@
 					t.Fatal(err)
 				}
 				rigs[i] = &harness{t: t, balancer: r, now: at}
-				rigs[i].step(0, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "p", Group: 1, State: EndpointReady, Primary: true, StartedAt: at}}})
+				rigs[i].step(
+					0,
+					EndpointList{
+						Kind:    ListCached,
+						Entries: []EndpointEntry{{Endpoint: "p", Group: 1, State: EndpointReady, Primary: true, StartedAt: at}},
+					},
+				)
 				rigs[i].step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: at})
 				step(rigs[i], 0, rigs[i].request("write")) // its credit is counted from here
 			}
@@ -121,17 +138,30 @@
 				t.Errorf("%d instances, seed %d: %d in the contract's time, %.0f allowed", instances, seed, sent, most)
 			}
 			if float64(sent) < n/4 {
-				t.Errorf("%d instances, seed %d: %d in the contract's time, %.0f allowed: it is not used", instances, seed, sent, most)
+				t.Errorf(
+					"%d instances, seed %d: %d in the contract's time, %.0f allowed: it is not used",
+					instances,
+					seed,
+					sent,
+					most,
+				)
 			}
 		}
 	}
 }
 
-// What a cold member may get goes by what the busiest warm ones do, not by those that stand idle beside them.
+// What a warming endpoint may get goes by what the busiest warm ones do, not by those that stand idle beside them.
 func TestSlowStartBudgetGoesByTheBusiest(t *testing.T) {
 	c := testConfig()
-	c.Instances, c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple, c.OverloadWindow = 80, 0.16, 18*time.Second, 2.5, 2*time.Second
-	l := EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true}}}
+	c.Instances = 80
+	c.SlowStartFrom = 0.16
+	c.SlowStartWindow = 18 * time.Second
+	c.OverloadMultiple = 2.5
+	c.OverloadWindow = 2 * time.Second
+	l := EndpointList{
+		Kind:    ListCached,
+		Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true}},
+	}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		l.Entries = append(l.Entries, EndpointEntry{Endpoint: id, Group: 1, State: EndpointReady, Primary: id == "a"})
 	}
@@ -142,21 +172,30 @@
 			q.Group = group
 			for _, s := range actionsOf[Send](h.step(gap-20*ms, q)) {
 				n++
-				h.step(20*ms, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Role: RolePrimary,
-					Position: h.now, Finished: true})
+				h.step(
+					20*ms,
+					AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Role: RolePrimary,
+						Position: h.now, Finished: true},
+				)
 			}
 		}
 		return n
 	}
 	sent(1, 150, 100*ms) // a does two tenths of a second's work a second, the others nothing
-	h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true, StartedAt: h.now}}})
+	h.step(
+		0,
+		EndpointList{
+			Entries: []EndpointEntry{{Endpoint: "p", Group: 2, State: EndpointReady, Primary: true, StartedAt: h.now}},
+		},
+	)
 	h.step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	if n := sent(2, 25, 200*ms); n < 8 {
 		t.Fatalf("%d of 25 writes sent in 5 s", n)
 	}
 }
 
-// A zone that may not be used gets nothing, one that may be used in part gets less at a time, and one that is free again gets its part.
+// A zone that may not be used gets nothing, one that may be used in part gets less at a time, and one that is free
+// again gets its part.
 func TestZoneCapacity(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[1].Zone = "b"
--- a/balance/step_bench_test.go
+++ b/balance/step_bench_test.go
@@ -43,7 +43,9 @@
 						if action.Endpoint == "a" {
 							role = RolePrimary
 						}
-						router.Step(now, []Event{HealthCheckResult{Endpoint: action.Endpoint, Status: StatusDone, Role: role, Position: now}})
+						router.Step(now, []Event{HealthCheckResult{
+							Endpoint: action.Endpoint, Status: StatusDone, Role: role, Position: now,
+						}})
 					}
 				}
 			}
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -6,13 +6,20 @@
 	"testing"
 )
 
-// Of a member's share an instance of eighty has less than one attempt. What it saves up is enough for a long read, however
-// often short ones look at it in between.
+// Of an endpoint's share an instance of eighty has less than one attempt. What it saves up is enough for a long read,
+// however often short ones look at it in between.
 func TestShortReadsLeaveALongOneItsCredit(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
-	h := newHarness(t, c, EndpointList{Kind: ListCached, Entries: []EndpointEntry{{Endpoint: "a", Group: 1, State: EndpointReady, Primary: true},
-		{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}}})
+	h := newHarness(
+		t,
+		c,
+		EndpointList{
+			Kind: ListCached,
+			Entries: []EndpointEntry{{Endpoint: "a", Group: 1, State: EndpointReady, Primary: true},
+				{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}},
+		},
+	)
 	type end struct {
 		at Time
 		AttemptResult
@@ -45,8 +52,11 @@
 				served++
 			}
 			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Endpoint]
-			out = append(out, end{h.now + took, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
-				Elapsed: took, Role: role, Position: h.now, Finished: true}})
+			out = append(
+				out,
+				end{h.now + took, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
+					Elapsed: took, Role: role, Position: h.now, Finished: true}},
+			)
 			slices.SortStableFunc(out, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 		}
 	}
