--- a/balance/class.go
+++ b/balance/class.go
@@ -5,6 +5,7 @@
 // Consistency says how recent the data must be that a request of a class sees.
 type Consistency int
 
+// The kinds of consistency.
 const (
 	ConsistencyAny     Consistency = iota // any endpoint will do
 	ConsistencyBounded                    // no older than Class.MaxStaleness when the request is sent
@@ -16,6 +17,7 @@
 // Idempotency says what a repeat of a request would do.
 type Idempotency int
 
+// The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may be repeated and rejected freely
 	IdempotentWithKey                    // the endpoints of IdempotencyScope discard repeats for IdempotencyWindow
@@ -25,6 +27,7 @@
 // IdempotencyScope names the endpoints that discard the repeats of a request with an idempotency key.
 type IdempotencyScope int
 
+// The scopes of an idempotency key.
 const (
 	ScopeGroup IdempotencyScope = iota // the endpoints of the request's group
 	ScopeZone                          // the endpoints in the same zone
--- a/balance/concurrency_limit_test.go
+++ b/balance/concurrency_limit_test.go
@@ -117,8 +117,10 @@
 				c,
 				EndpointList{
 					Kind: ListCached,
-					Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady, Primary: true},
-						{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}},
+					Entries: []EndpointEntry{
+						{Endpoint: "a", Zone: "a", Group: 1, State: EndpointReady, Primary: true},
+						{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
+					},
 				},
 			)
 			s := h.expectSends(h.step(0, h.request("bounded")), "a")
--- a/balance/config.go
+++ b/balance/config.go
@@ -8,6 +8,7 @@
 // FreshnessCheck says what an endpoint does with a read that its data is too old for.
 type FreshnessCheck int
 
+// What an endpoint can do with such a read.
 const (
 	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
 	FreshnessCheckReject                       // it answers with a miss
@@ -50,56 +51,85 @@
 	SoftRemoval      bool          // only an entry that says draining forbids sends
 }
 
-// check says which setting cannot be served. The texts name the settings by the words that users of the configuration
-// know, which are not always those of the fields.
+// ConfigError says which settings cannot be served. It names them by the words that users of the configuration know,
+// which are not always those of the fields.
+type ConfigError struct {
+	Settings string
+	Reason   string
+}
+
+// Error returns the settings and the reason.
+func (e *ConfigError) Error() string { return e.Settings + ": " + e.Reason }
+
+// invalid returns a ConfigError with a formatted reason.
+func invalid(settings, format string, args ...any) error {
+	return &ConfigError{Settings: settings, Reason: fmt.Sprintf(format, args...)}
+}
+
+// check returns a *ConfigError if a setting cannot be served.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
-		return fmt.Errorf("Classes: none given")
+		return invalid("Classes", "none given")
 	}
 	if c.Instances < 1 {
-		return fmt.Errorf("Instances: %d, at least 1 needed", c.Instances)
+		return invalid("Instances", "%d, at least 1 needed", c.Instances)
 	}
 	if !isShare(c.SlowStartFrom) {
-		return fmt.Errorf("ColdFrom: %v is no share", c.SlowStartFrom)
+		return invalid("ColdFrom", "%v is no share", c.SlowStartFrom)
 	}
-	if min(c.DrainGrace, c.PollWithin, c.SlowStartWindow, c.OverloadWindow, c.TimerResolution, c.MaxRetryAfter) < 0 {
-		return fmt.Errorf("DrainGrace, AskWithin, ColdFor, FallFor, Resolution, MaxRetryAfter: a time is negative")
+	if c.shortestTime() < 0 {
+		return invalid("DrainGrace, AskWithin, ColdFor, FallFor, Resolution, MaxRetryAfter", "a time is negative")
 	}
 	windowMissing := c.OverloadMultiple > 0 && c.OverloadWindow == 0
 	if c.OverloadMultiple < 0 || windowMissing {
-		return fmt.Errorf("FallMultiple: %v without its window FallFor", c.OverloadMultiple)
+		return invalid("FallMultiple", "%v without its window FallFor", c.OverloadMultiple)
 	}
 	if c.MaxAttempts < 0 || anyNegative(c.HealthCheckCost, c.OverQuotaWeight) {
-		return fmt.Errorf("MostTries, ProbePrice, OverShareWorth: a value is negative")
+		return invalid("MostTries, ProbePrice, OverShareWorth", "a value is negative")
 	}
 	if err := c.checkClasses(); err != nil {
 		return err
 	}
 	for _, tenant := range c.Tenants {
 		if anyNegative(tenant.Quota) {
-			return fmt.Errorf("Tenants: Rate of %q is negative", tenant.Name)
+			return invalid("Tenants", "Rate of %q is negative", tenant.Name)
 		}
 	}
 	return nil
 }
 
-// checkClasses says which setting of a class cannot be served.
+// shortestTime is the least of the times in the configuration, so that it shows whether one is negative.
+func (c *Config) shortestTime() time.Duration {
+	return min(c.DrainGrace, c.PollWithin, c.SlowStartWindow, c.OverloadWindow, c.TimerResolution, c.MaxRetryAfter)
+}
+
+// checkClasses returns a *ConfigError if a setting of a class cannot be served.
 func (c *Config) checkClasses() error {
 	seen := map[string]bool{}
 	for _, class := range c.Classes {
-		switch {
-		case seen[class.Name]:
-			return fmt.Errorf("Classes: Name %q is there twice", class.Name)
-		case class.ClientTimeout <= 0:
-			return fmt.Errorf("Classes: GiveUp of %q is missing", class.Name)
-		case class.Consistency == ConsistencyBounded && class.MaxStaleness <= 0:
-			return fmt.Errorf("Classes: Bound of %q is missing", class.Name)
-		case min(class.LatencyObjective, class.IdempotencyWindow, class.MaxStaleness) < 0:
-			return fmt.Errorf("Classes: Aim, Window or Bound of %q is negative", class.Name)
-		case anyNegative(class.PriorityWeight, class.LateWeightShare, class.ObjectiveStretch):
-			return fmt.Errorf("Classes: Worth, LateShare or AimStretch of %q is negative", class.Name)
+		if seen[class.Name] {
+			return invalid("Classes", "Name %q is there twice", class.Name)
 		}
 		seen[class.Name] = true
+		if err := class.check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// check returns a *ConfigError if a setting of the class cannot be served.
+func (c *Class) check() error {
+	boundMissing := c.Consistency == ConsistencyBounded && c.MaxStaleness <= 0
+	switch {
+	case c.ClientTimeout <= 0:
+		return invalid("Classes", "GiveUp of %q is missing", c.Name)
+	case boundMissing:
+		return invalid("Classes", "Bound of %q is missing", c.Name)
+	case min(c.LatencyObjective, c.IdempotencyWindow, c.MaxStaleness) < 0:
+		return invalid("Classes", "Aim, Window or Bound of %q is negative", c.Name)
+	case anyNegative(c.PriorityWeight, c.LateWeightShare, c.ObjectiveStretch):
+		return invalid("Classes", "Worth, LateShare or AimStretch of %q is negative", c.Name)
 	}
 	return nil
 }
--- a/balance/event.go
+++ b/balance/event.go
@@ -11,6 +11,7 @@
 // EndpointState is the lifecycle of an endpoint as discovery tells it.
 type EndpointState int
 
+// The states of an endpoint.
 const (
 	EndpointRemoved  EndpointState = 0 // removed
 	EndpointReady    EndpointState = 1 // may be sent requests
@@ -20,6 +21,7 @@
 // EndpointListKind says how to read an EndpointList.
 type EndpointListKind int
 
+// The kinds of an endpoint list.
 const (
 	ListDelta  EndpointListKind = iota // only what changed
 	ListFull                           // everything
@@ -61,6 +63,7 @@
 // Status is how an attempt or a health check ended.
 type Status int
 
+// How an attempt or a health check can end.
 const (
 	StatusDone          Status = iota // served
 	StatusError                       // answered with an error; may have run
@@ -97,6 +100,7 @@
 // Role is what an answer or a load report says of its sender.
 type Role int
 
+// The roles of an endpoint.
 const (
 	RoleUnknown Role = iota // it says nothing of its role
 	RolePrimary             // it takes the writes of its group
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -26,7 +26,8 @@
 		[]balance.Event{
 			balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
 				{Endpoint: "db1", Zone: "east", Group: 7, State: balance.EndpointReady},
-				{Endpoint: "db2", Zone: "east", Group: 7, State: balance.EndpointReady, Primary: true}}},
+				{Endpoint: "db2", Zone: "east", Group: 7, State: balance.EndpointReady, Primary: true},
+			}},
 			balance.Request{ID: "r1", Class: "write", Group: 7, TimeLeft: 3 * time.Second},
 		})
 	for _, a := range acts {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -29,7 +29,6 @@
 	queued           time.Duration
 	writes           int // the same of writes
 	waited           time.Duration
-	still            bool // replicas apply nothing
 	probes, requests int
 	refused          int
 
@@ -132,12 +131,16 @@
 
 // newFleet starts eighty instances with a list of groups of six endpoints, a primary and five replicas.
 func newFleet(t *testing.T, seed uint64, groups int) *fleet {
+	t.Helper()
 	return newFleetOf(t, seed, groups, fleetConfig())
 }
 
 func newFleetOf(t *testing.T, seed uint64, groups int, c Config) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, members: map[string]*member{},
-		longs: map[string]int{}, came: map[string]int{}, lost: map[string]int{}, kind: map[string]string{}}
+	t.Helper()
+	f := &fleet{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, members: map[string]*member{},
+		longs: map[string]int{}, came: map[string]int{}, lost: map[string]int{}, kind: map[string]string{},
+	}
 	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
@@ -293,8 +296,10 @@
 		case n < 20:
 			class = "write"
 		}
-		q, i := Request{ID: fmt.Sprint("r", f.requests), Class: class, Group: int64(f.rng.IntN(groups)),
-			TimeLeft: fleetConfig().Classes[0].ClientTimeout}, f.rng.IntN(len(f.routers))
+		q, i := Request{
+			ID: fmt.Sprint("r", f.requests), Class: class, Group: int64(f.rng.IntN(groups)),
+			TimeLeft: fleetConfig().Classes[0].ClientTimeout,
+		}, f.rng.IntN(len(f.routers))
 		if f.busy > 0 {
 			if i = max(1, i); f.rng.IntN(10000) < f.busy {
 				i = 0
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -97,8 +97,10 @@
 			Zone:     "a",
 			Group:    1,
 			State:    EndpointReady,
-		}, {Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
-		{Endpoint: "c", Zone: "a", Group: 1, State: EndpointReady}}}
+		},
+		{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
+		{Endpoint: "c", Zone: "a", Group: 1, State: EndpointReady},
+	}}
 }
 
 func (h *harness) step(d time.Duration, events ...Event) []Action {
@@ -113,6 +115,7 @@
 
 // newReadyHarness returns a harness whose balancer knows that a is the primary, and the positions of all.
 func newReadyHarness(t *testing.T, c Config) *harness {
+	t.Helper()
 	h := newHarness(t, c, threeEndpoints(ListCached))
 	h.reportAll("a")
 	return h
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -12,7 +12,10 @@
 
 // playEvents plays odd but legal events and checks what must hold whatever comes. It models no endpoint: outcomes are
 // drawn.
-func playEvents(t *testing.T, seed uint64) []Action { return playEventsWith(t, seed, testConfig()) }
+func playEvents(t *testing.T, seed uint64) []Action {
+	t.Helper()
+	return playEventsWith(t, seed, testConfig())
+}
 
 func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
--- a/balance/long_read_test.go
+++ b/balance/long_read_test.go
@@ -53,6 +53,7 @@
 // newShortageHarness returns a harness with a long class whose bounded reads have just been rejected for want of
 // capacity, and whose replica b is recent again.
 func newShortageHarness(t *testing.T, work float64) *harness {
+	t.Helper()
 	c := testConfig()
 	c.Classes[1].PriorityWeight = 2
 	c.Classes = append(
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -85,7 +85,7 @@
 		},
 	}
 	for _, k := range []slowStartCase{
-		{"usual work", 3, 1, 700, func(c *Config) {}},
+		{"usual work", 3, 1, 700, func(*Config) {}},
 		{"long work, a short window", 1, 3, 150, func(c *Config) { c.OverloadMultiple, c.OverloadWindow = 2, time.Second }},
 		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) {
 			c.OverloadMultiple = 3
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -92,8 +92,10 @@
 							actionsOf[Send](
 								h.step(
 									0,
-									AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
-										Position: h.now, Finished: true},
+									AttemptResult{
+										ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
+										Position: h.now, Finished: true,
+									},
 								),
 							)...)
 					}
@@ -174,8 +176,10 @@
 				n++
 				h.step(
 					20*ms,
-					AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Role: RolePrimary,
-						Position: h.now, Finished: true},
+					AttemptResult{
+						ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Role: RolePrimary,
+						Position: h.now, Finished: true,
+					},
 				)
 			}
 		}
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -16,8 +16,10 @@
 		c,
 		EndpointList{
 			Kind: ListCached,
-			Entries: []EndpointEntry{{Endpoint: "a", Group: 1, State: EndpointReady, Primary: true},
-				{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady}},
+			Entries: []EndpointEntry{
+				{Endpoint: "a", Group: 1, State: EndpointReady, Primary: true},
+				{Endpoint: "b", Zone: "a", Group: 1, State: EndpointReady},
+			},
 		},
 	)
 	type end struct {
@@ -54,8 +56,10 @@
 			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Endpoint]
 			out = append(
 				out,
-				end{h.now + took, AttemptResult{ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
-					Elapsed: took, Role: role, Position: h.now, Finished: true}},
+				end{h.now + took, AttemptResult{
+					ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
+					Elapsed: took, Role: role, Position: h.now, Finished: true,
+				}},
 			)
 			slices.SortStableFunc(out, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 		}
