--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -5,6 +5,47 @@
 	"time"
 )
 
+func TestWakeTimer(t *testing.T) {
+	const now = 100 * time.Second
+	for _, c := range []struct {
+		name    string
+		firesAt Time
+		dueAt   []Time
+		want    time.Duration // 0 = no new timer
+	}{
+		{"nothing is due", never, nil, 0},
+		{"due later", never, []Time{now + 80*ms, now + 50*ms}, 50 * ms},
+		{"due sooner than a tick", never, []Time{now + ms}, tickInterval},
+		{"an earlier timer is set", now + 30*ms, []Time{now + 50*ms}, 0},
+		{"a later timer is set", now + 90*ms, []Time{now + 50*ms}, 50 * ms},
+		{"the timer fired a little early", now + 5*ms, []Time{now + 50*ms}, 50 * ms},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			timer := wakeTimer{firesAt: c.firesAt}
+			timer.begin(now)
+			for _, at := range c.dueAt {
+				timer.dueAt(at)
+			}
+			delay, ok := timer.set(now, tickInterval)
+			if delay != c.want || ok != (c.want > 0) {
+				t.Errorf("timer in %v, set %v; want %v", delay, ok, c.want)
+			}
+		})
+	}
+}
+
+func TestPauseOfTheInstanceIsNoticed(t *testing.T) {
+	timer := wakeTimer{firesAt: 10 * time.Second}
+	timer.begin(10*time.Second + pauseThreshold)
+	if timer.runningSince != 0 {
+		t.Errorf("a delay of %v is taken for a pause", pauseThreshold)
+	}
+	timer.begin(12 * time.Second)
+	if timer.runningSince != 12*time.Second {
+		t.Errorf("running since %v, want the end of the pause", timer.runningSince)
+	}
+}
+
 func TestRoutingOfEachClass(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for _, c := range []struct{ class, to string }{
--- a/balance/concurrency_limit_test.go
+++ b/balance/concurrency_limit_test.go
@@ -5,6 +5,72 @@
 	"time"
 )
 
+func TestConcurrencyLimitPermits(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		attempts float64
+		inFlight int
+		warmup   float64
+		want     bool
+	}{
+		{"below the limit", 4, 3, 1, true},
+		{"at the limit", 4, 4, 1, false},
+		{"at the limit of a warming endpoint", 4, 1, 0.25, false},
+		{"one attempt is always permitted", 0.1, 0, 1, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			limit := newConcurrencyLimit(c.attempts)
+			if got := limit.permits(c.inFlight, c.warmup); got != c.want {
+				t.Errorf("permitted: %v", got)
+			}
+		})
+	}
+}
+
+func TestRejectionsInARowCutTheLimitOnce(t *testing.T) {
+	limit := newConcurrencyLimit(16)
+	limit.recordRejection(time.Second, 2*time.Second, 1)
+	limit.recordRejection(time.Second+ms, 2*time.Second, 1)
+	if limit.attempts != 12 {
+		t.Errorf("limit %v, want 12", limit.attempts)
+	}
+	limit.recordRejection(2*time.Second, 3*time.Second, 10)
+	if limit.attempts != 10 {
+		t.Errorf("limit %v, want the least, 10", limit.attempts)
+	}
+}
+
+func TestLimitIsCrowded(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		ratio, least float64
+		fractional   bool
+		want         bool
+	}{
+		{"quick", 0.1, 0.05, false, false},
+		{"slower than usual", 0.4, 0.2, false, true},
+		{"always slow", 0.4, 0.39, false, false},
+		{"too slow whatever is usual", 0.6, 0.6, false, true},
+		{"slower than usual, few samples", 0.4, 0.2, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			limit := concurrencyLimit{latencyRatio: c.ratio, leastLatencyRatio: c.least}
+			if got := limit.isCrowded(c.fractional); got != c.want {
+				t.Errorf("crowded: %v", got)
+			}
+		})
+	}
+}
+
+func TestInitialAndLeastLimits(t *testing.T) {
+	for instances, want := range map[int][2]float64{1: {16, 1}, 8: {2, 0.5}, 20: {1, 0.2}, 300: {0.08, 4.0 / 300}} {
+		config := Config{Instances: instances}
+		if got := [2]float64{config.initialLimit(), config.minLimit()}; got != want {
+			t.Errorf("%d instances: limits %v, want %v", instances, got, want)
+		}
+	}
+}
+
 // Attempts that end unanswered say more about overload than those that were served: the limit must fall with them.
 func TestUnansweredAttemptsLowerTheLimit(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
--- a/balance/config_test.go
+++ b/balance/config_test.go
@@ -1,10 +1,34 @@
 package balance
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
+func TestConfigErrorNamesTheSettings(t *testing.T) {
+	c := testConfig()
+	c.Instances = 0
+	_, err := New(c, 1)
+	var configError *ConfigError
+	if !errors.As(err, &configError) {
+		t.Fatalf("%v is no ConfigError", err)
+	}
+	if configError.Settings != "Instances" || err.Error() != "Instances: 0, at least 1 needed" {
+		t.Errorf("settings %q, text %q", configError.Settings, err)
+	}
+}
+
+func TestTightestBound(t *testing.T) {
+	c := testConfig()
+	if got := c.tightestBound(); got != 300*ms {
+		t.Errorf("%v, want 300ms", got)
+	}
+	if got := (&Config{}).tightestBound(); got != 0 {
+		t.Errorf("%v without a bounded class, want 0", got)
+	}
+}
+
 func TestBadSettings(t *testing.T) {
 	c := testConfig()
 	c.Classes[1].MaxStaleness = 0
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -5,6 +5,28 @@
 	"time"
 )
 
+func TestDiscoveryStateAllowsSends(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		state       discoveryState
+		softRemoval bool
+		want        bool
+	}{
+		{"ready", discoveryState{state: EndpointReady}, false, true},
+		{"ready again after it drained", discoveryState{state: EndpointReady, everDraining: true}, true, true},
+		{"draining", discoveryState{state: EndpointDraining}, true, false},
+		{"removed", discoveryState{state: EndpointRemoved}, false, false},
+		{"removed softly", discoveryState{state: EndpointRemoved}, true, true},
+		{"removed softly after it drained", discoveryState{state: EndpointRemoved, everDraining: true}, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.state.allowsSends(c.softRemoval); got != c.want {
+				t.Errorf("allows sends: %v", got)
+			}
+		})
+	}
+}
+
 func TestDrainStopsAtOnce(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	l := EndpointList{
--- a/balance/expiry_test.go
+++ b/balance/expiry_test.go
@@ -6,6 +6,23 @@
 	"time"
 )
 
+func TestRemovedEndpointsExpire(t *testing.T) {
+	for soft, delay := range map[bool]time.Duration{false: expiryDelay, true: softRemovalExpiryDelay} {
+		c := testConfig()
+		c.SoftRemoval = soft
+		h := newReadyHarness(t, c)
+		h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "b", Group: 1, State: EndpointRemoved}}})
+		h.step(delay - 2*time.Second)
+		if h.balancer.endpoints["b"] == nil {
+			t.Errorf("soft removal %v: forgotten before %v", soft, delay)
+		}
+		h.step(4 * time.Second)
+		if h.balancer.endpoints["b"] != nil {
+			t.Errorf("soft removal %v: kept for longer than %v", soft, delay)
+		}
+	}
+}
+
 // Endpoints that are replaced under new ids, and groups that clients make up, must not add up.
 func TestNothingAddsUp(t *testing.T) {
 	c := testConfig()
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -5,6 +5,53 @@
 	"time"
 )
 
+func TestHealthCheckBudget(t *testing.T) {
+	budget := newHealthCheckBudget(healthCheckSpend) // a request earns one health check
+	for range int(initialHealthCheckBudget) {
+		if !budget.available() {
+			t.Fatal("the initial budget is not available")
+		}
+		budget.spend()
+	}
+	if budget.available() {
+		t.Fatal("more than the initial budget is available")
+	}
+	if budget.earn(); !budget.available() {
+		t.Error("a request has earned nothing")
+	}
+	for range 100 {
+		budget.earn()
+	}
+	if budget.tokens != maxHealthCheckBudget {
+		t.Errorf("%v saved up, want %v", budget.tokens, maxHealthCheckBudget)
+	}
+	budget = newHealthCheckBudget(0)
+	if budget.perRequest != healthCheckSpend/minHealthCheckPrice {
+		t.Errorf("free health checks: a request earns %v", budget.perRequest)
+	}
+}
+
+func TestHealthCheckRepeats(t *testing.T) {
+	const now = 100 * time.Second
+	for _, c := range []struct {
+		name  string
+		state healthCheckState
+		want  bool
+	}{
+		{"never checked", healthCheckState{}, true},
+		{"checked just now", healthCheckState{sentAt: now - healthCheckInterval + 1}, false},
+		{"the interval is over", healthCheckState{sentAt: now - healthCheckInterval}, true},
+		{"one is in flight", healthCheckState{sentAt: now - healthCheckInterval, inFlight: true}, false},
+		{"the one in flight is lost", healthCheckState{sentAt: now - activeWindow - 1, inFlight: true}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.state.mayRepeat(now, healthCheckInterval); got != c.want {
+				t.Errorf("may repeat: %v", got)
+			}
+		})
+	}
+}
+
 func TestFirstUseChecksAllEndpoints(t *testing.T) {
 	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	acts := h.step(ms, h.request("latest"), h.request("bounded"))
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -5,6 +5,61 @@
 	"time"
 )
 
+func TestHealthBackoff(t *testing.T) {
+	now := 100 * time.Second
+	var health endpointHealth
+	health.markSuspect(now)
+	if health.recoveryBackoff != minRecoveryBackoff || health.recoveryAt != now+minRecoveryBackoff {
+		t.Fatalf("first backoff %v until %v", health.recoveryBackoff, health.recoveryAt)
+	}
+	for range 5 {
+		health.extendBackoff(now)
+	}
+	if health.recoveryBackoff != maxRecoveryBackoff {
+		t.Errorf("backoff %v after five failures, want %v", health.recoveryBackoff, maxRecoveryBackoff)
+	}
+	health.clearSuspicion()
+	now += relapseWindow + ms
+	health.markSuspect(now)
+	if health.recoveryBackoff != minRecoveryBackoff {
+		t.Errorf("backoff %v after a quiet time, want %v", health.recoveryBackoff, minRecoveryBackoff)
+	}
+}
+
+func TestHealthRecovery(t *testing.T) {
+	const now = 100 * time.Second
+	for _, c := range []struct {
+		name                 string
+		health               endpointHealth
+		awaitsReport, mayTry bool
+	}{
+		{"not suspect", endpointHealth{reportedSinceAttempt: true}, false, false},
+		{"backing off", endpointHealth{suspect: true, recoveryAt: now + ms}, false, false},
+		{"backoff over, no report", endpointHealth{suspect: true, recoveryAt: now}, true, false},
+		{"backoff over, reported", endpointHealth{suspect: true, recoveryAt: now, reportedSinceAttempt: true}, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.health.awaitsReport(now); got != c.awaitsReport {
+				t.Errorf("awaits a report: %v", got)
+			}
+			if got := c.health.recoveryDue(now); got != c.mayTry {
+				t.Errorf("recovery due: %v", got)
+			}
+		})
+	}
+}
+
+func TestHealthReset(t *testing.T) {
+	health := endpointHealth{
+		suspect: true, unreachable: true, unreachableAgain: true, recoveryAt: never,
+		brokenConnections: 2, refusedConnections: 1,
+	}
+	health.reset()
+	if health != (endpointHealth{}) {
+		t.Errorf("%+v is left", health)
+	}
+}
+
 // A connection that could not be opened is no outage for this instance if a health check passes: the same primary
 // again.
 func TestOneFailedConnectionIsNoOutage(t *testing.T) {
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -6,6 +6,33 @@
 	"time"
 )
 
+func TestSilenceTimeout(t *testing.T) {
+	attemptOf := func(latency, latencyRatio float64) *attempt {
+		return &attempt{
+			request:  &request{class: &classState{Class: Class{LatencyObjective: time.Second}, latency: latency}},
+			endpoint: &endpoint{limit: concurrencyLimit{latencyRatio: latencyRatio}},
+		}
+	}
+	quick, slow, crowded := attemptOf(0.001, 0), attemptOf(1, 0), attemptOf(0.001, 0.5)
+	for _, c := range []struct {
+		name        string
+		inFlight    []*attempt
+		least, most time.Duration
+	}{
+		{"quick answers are given a pause at least", []*attempt{quick}, pauseThreshold, pauseThreshold},
+		{"one slow attempt", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
+		{"the slowest of several counts", []*attempt{quick, slow}, 3 * time.Second, 5 * time.Second},
+		{"more in flight, an answer should come sooner", []*attempt{slow, slow, slow, slow, slow}, 2 * time.Second, 3 * time.Second},
+		{"a slow endpoint", []*attempt{crowded}, 3 * time.Second, 4 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := silenceTimeout(c.inFlight...); got < c.least || got > c.most {
+				t.Errorf("%v, want %v to %v", got, c.least, c.most)
+			}
+		})
+	}
+}
+
 func TestSilentReplicaIsAvoidedAndItsReadsMove(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	stuck := map[string]bool{}
--- a/balance/long_read_test.go
+++ b/balance/long_read_test.go
@@ -6,6 +6,19 @@
 	"time"
 )
 
+func TestShortageIsForgotten(t *testing.T) {
+	var shortage boundedReadShortage
+	now := 100 * time.Second
+	shortage.add(2, now)
+	shortage.add(3, now)
+	if got := shortage.at(now); got != 5 {
+		t.Errorf("%v at once, want 5", got)
+	}
+	if got := shortage.at(now + activeWindow); got < 1.8 || got > 1.9 {
+		t.Errorf("%v after the active window, want 5/e", got)
+	}
+}
+
 // Long reads that any data will do for go to one replica, whatever an instance knows of them, so that the others stay
 // recent enough; short ones are drawn at random.
 func TestLongReadsKeepToOneReplica(t *testing.T) {
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -4,6 +4,54 @@
 	"testing"
 )
 
+func TestOutlierIsComparedWithItsPeers(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		rate  float64
+		peers []float64
+		want  bool
+	}{
+		{"none fails", 0, []float64{0, 0}, false},
+		{"it alone fails", 0.5, []float64{0, 0.4}, true},
+		{"all fail", 0.5, []float64{0.5, 0.4}, false},
+		{"it fails a little", outlierFailureMargin, []float64{0}, false},
+		{"it has no peers", 0.9, nil, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			group := &replicaGroup{}
+			addEndpoint := func(rate float64) *endpoint {
+				added := &endpoint{group: group, discovery: discoveryState{state: EndpointReady}}
+				added.outlier.failureRate = rate
+				group.add(added)
+				return added
+			}
+			tested := addEndpoint(c.rate)
+			for _, rate := range c.peers {
+				addEndpoint(rate)
+			}
+			if got := tested.isOutlier(); got != c.want {
+				t.Errorf("outlier: %v", got)
+			}
+		})
+	}
+}
+
+func TestOutlierStats(t *testing.T) {
+	var stats outlierStats
+	for range 30 {
+		stats.recordFailure()
+	}
+	if stats.failureRate < 0.9 {
+		t.Errorf("failure rate %v after 30 failures", stats.failureRate)
+	}
+	for range 30 {
+		stats.recordSuccess()
+	}
+	if stats.failureRate > 0.1 {
+		t.Errorf("failure rate %v after 30 successes", stats.failureRate)
+	}
+}
+
 // A primary that fails some requests is the only one that takes writes: they must not stay pending for its recovery
 // attempts.
 func TestOutlierPrimaryStillGetsItsWrites(t *testing.T) {
--- a/balance/pending_queue_test.go
+++ b/balance/pending_queue_test.go
@@ -1,10 +1,56 @@
 package balance
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
 
+func TestRankFallsWithTheObjective(t *testing.T) {
+	const now = 100 * time.Second
+	class := &classState{Class: Class{LateWeightShare: 0.2}, latency: 0.1}
+	rankAt := func(timeLeft time.Duration) float64 {
+		request := &request{class: class, weight: 1, objectiveAt: now + timeLeft}
+		request.updateRank(now)
+		return request.rank
+	}
+	early, soon, late := rankAt(time.Second), rankAt(50*ms), rankAt(-time.Second)
+	if early <= soon || soon <= late {
+		t.Errorf("ranks %v, %v, %v: want them to fall", early, soon, late)
+	}
+	if late != 0.2*1/0.1 {
+		t.Errorf("rank %v behind the objective, want the late share", late)
+	}
+}
+
+func TestPendingOrder(t *testing.T) {
+	first := &request{id: "first", rank: 2, objectiveAt: 9}
+	second := &request{id: "second", rank: 1, objectiveAt: 1}
+	third := &request{id: "third", rank: 1, objectiveAt: 2}
+	pending := []*request{third, first, second}
+	slices.SortStableFunc(pending, compareRanks)
+	if !slices.Equal(pending, []*request{first, second, third}) {
+		t.Errorf("%s, %s, %s", pending[0].id, pending[1].id, pending[2].id)
+	}
+}
+
+func TestRankDeficit(t *testing.T) {
+	var best bestRank
+	best.observe(&request{rank: 8, class: &classState{latency: 0.3}})
+	best.observe(&request{rank: 5, class: &classState{latency: 0.1}})
+	if best.rank != 8 || best.latency != 0.3 {
+		t.Fatalf("best %+v", best)
+	}
+	for rank, want := range map[float64]float64{0: 1, 2: 0.5, 4: 0, 8: 0} {
+		if got := best.deficit(&request{rank: rank}); got != want {
+			t.Errorf("deficit of rank %v: %v, want %v", rank, got, want)
+		}
+	}
+	if got := new(bestRank).deficit(&request{}); got != 1 {
+		t.Errorf("deficit of a request without weight, nothing seen: %v, want 1", got)
+	}
+}
+
 func TestPendingWriteIsRejectedInTime(t *testing.T) {
 	for held, most := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
 		c := testConfig()
--- a/balance/primary_cache_test.go
+++ b/balance/primary_cache_test.go
@@ -6,6 +6,46 @@
 	"time"
 )
 
+func TestPrimaryCacheAcceptsEvidence(t *testing.T) {
+	primary, other := &endpoint{id: "a"}, &endpoint{id: "b"}
+	const observed, suspect = 10 * time.Second, 20 * time.Second
+	for _, c := range []struct {
+		name     string
+		state    primaryState
+		endpoint *endpoint
+		at       Time
+		want     bool
+	}{
+		{"any endpoint while unknown", primaryUnknown, other, 0, true},
+		{"the cached primary again", primaryCached, primary, observed - ms, true},
+		{"another one, later", primaryCached, other, observed + ms, true},
+		{"another one, not later", primaryCached, other, observed, false},
+		{"the suspect primary from before the suspicion", primarySuspect, primary, suspect, false},
+		{"the suspect primary after it", primarySuspect, primary, suspect + ms, true},
+		{"another one while suspect", primarySuspect, other, observed + ms, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cache := primaryCache{state: c.state, endpoint: primary, observedAt: observed, suspectSince: suspect}
+			if got := cache.acceptsEvidence(c.endpoint, c.at); got != c.want {
+				t.Errorf("accepted: %v", got)
+			}
+		})
+	}
+}
+
+func TestSuspectPrimaryIsAnnouncedOnce(t *testing.T) {
+	h := newReadyHarness(t, testConfig())
+	var updates []PrimaryUpdate
+	for range 3 {
+		updates = append(updates, actionsOf[PrimaryUpdate](h.step(ms, EndpointList{Entries: []EndpointEntry{
+			{Endpoint: "a", Zone: "a", Group: 1, State: EndpointDraining},
+		}}))...)
+	}
+	if len(updates) != 1 || updates[0].Confirmed || updates[0].Endpoint != "a" || updates[0].Reason == "" {
+		t.Errorf("%+v, want one suspicion of a with its reason", updates)
+	}
+}
+
 func TestUnknownGroupTriesWritesInOrder(t *testing.T) {
 	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	q := h.request("write")
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -1,10 +1,29 @@
 package balance
 
 import (
+	"math/rand/v2"
 	"testing"
 	"time"
 )
 
+func TestPrimarySearchSlowsDown(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	var search primarySearch
+	search.start(time.Second)
+	if search.nextAt != time.Second {
+		t.Fatalf("first round at %v, want at once", search.nextAt)
+	}
+	for round := range 10 {
+		search.roundSent(time.Second, rng)
+		if wait := search.nextAt - time.Second; wait < healthCheckInterval/2 || wait > primarySearchInterval*3/2 {
+			t.Errorf("round %d: next one after %v", round, wait)
+		}
+	}
+	if search.interval != primarySearchInterval {
+		t.Errorf("interval %v after ten rounds, want %v", search.interval, primarySearchInterval)
+	}
+}
+
 // Hundreds of instances that each look for a lost primary must not overload its group with health checks.
 func TestSearchForALostPrimaryIsBounded(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
--- a/balance/quota_test.go
+++ b/balance/quota_test.go
@@ -5,6 +5,44 @@
 	"time"
 )
 
+func TestTokenBucket(t *testing.T) {
+	bucket := newTokenBucket(0.5)
+	now := 100 * time.Second
+	for i := range int(creditBurst) {
+		if !bucket.take(now) {
+			t.Fatalf("request %d of the burst is beyond the quota", i)
+		}
+	}
+	if bucket.take(now) {
+		t.Fatal("a request behind the burst is within the quota")
+	}
+	if now += 2 * time.Second; !bucket.take(now) {
+		t.Error("two seconds have refilled nothing")
+	}
+}
+
+func TestPriorityWeightBeyondTheQuota(t *testing.T) {
+	c := testConfig()
+	c.Tenants = []Tenant{{Name: "t", Quota: 1}}
+	b, err := New(c, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.now = 100 * time.Second
+	class := b.classes["write"]
+	for range int(creditBurst) {
+		if got := b.priorityWeight(class, "t"); got != 3 {
+			t.Fatalf("weight %v within the quota, want 3", got)
+		}
+	}
+	if got := b.priorityWeight(class, "t"); got != 3*c.OverQuotaWeight {
+		t.Errorf("weight %v beyond the quota, want %v", got, 3*c.OverQuotaWeight)
+	}
+	if got := b.priorityWeight(class, "unknown"); got != 3 {
+		t.Errorf("weight %v of a tenant without a quota, want 3", got)
+	}
+}
+
 // At hundreds of instances a tenant sends less than one request a second to each: that is within its quota.
 func TestSmallQuotaShareIsNotExceeded(t *testing.T) {
 	c := testConfig()
--- /dev/null
+++ b/balance/replica_group_test.go
@@ -0,0 +1,53 @@
+package balance
+
+import (
+	"testing"
+	"time"
+)
+
+func TestGroupInUse(t *testing.T) {
+	const now = 100 * time.Second
+	for lastRequestAt, want := range map[Time]bool{0: false, now - activeWindow - 1: false, now - activeWindow: true, now: true} {
+		group := &replicaGroup{lastRequestAt: lastRequestAt}
+		if got := group.inUse(now); got != want {
+			t.Errorf("last request at %v, in use %v", lastRequestAt, got)
+		}
+	}
+}
+
+func TestIdleGroup(t *testing.T) {
+	const now = 100 * time.Second
+	for _, c := range []struct {
+		name  string
+		group replicaGroup
+		want  bool
+	}{
+		{"not checked yet", replicaGroup{}, false},
+		{"nothing pending", replicaGroup{firstChecksSent: true}, true},
+		{"a request is pending", replicaGroup{firstChecksSent: true, pending: []*request{{}}}, false},
+		{"an endpoint may be suspect", replicaGroup{firstChecksSent: true, hasSuspects: true}, false},
+		{"a read has just found no replica", replicaGroup{firstChecksSent: true, unavailableAt: now}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.group.idle(now); got != c.want {
+				t.Errorf("idle: %v", got)
+			}
+		})
+	}
+}
+
+func TestGroupsAndEndpointsAreSorted(t *testing.T) {
+	b, err := New(testConfig(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, id := range []int64{3, 1, 2} {
+		b.groupFor(id).add(&endpoint{id: "b"})
+		b.groupFor(id).add(&endpoint{id: "a"})
+	}
+	for i, group := range b.sortedGroups {
+		if group.id != int64(i+1) || group.endpoints[0].id != "a" || group.endpoints[1].id != "b" {
+			t.Errorf("group %d at %d, its first endpoint is %s", group.id, i, group.endpoints[0].id)
+		}
+	}
+}
--- a/balance/replica_selection_test.go
+++ b/balance/replica_selection_test.go
@@ -4,6 +4,24 @@
 	"testing"
 )
 
+func TestPreferredReplicas(t *testing.T) {
+	local, remote := []*endpoint{{id: "b"}}, []*endpoint{{id: "c"}}
+	for _, c := range []struct {
+		name       string
+		candidates replicaCandidates
+		want       string
+	}{
+		{"the own zone first", replicaCandidates{local: local, remote: remote}, "b"},
+		{"another zone if there is none", replicaCandidates{remote: remote}, "c"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.candidates.preferred(); len(got) != 1 || got[0].id != c.want {
+				t.Errorf("%v, want %s", got, c.want)
+			}
+		})
+	}
+}
+
 func TestOwnZoneFirst(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[1].Zone = "far"
--- a/balance/replication_test.go
+++ b/balance/replication_test.go
@@ -5,6 +5,67 @@
 	"time"
 )
 
+func TestReplicationPositionOnlyAdvances(t *testing.T) {
+	const now = 10 * time.Second
+	for _, c := range []struct {
+		name     string
+		reported Time
+		want     Time
+	}{
+		{"newer", 6 * time.Second, 6 * time.Second},
+		{"older", 4 * time.Second, 5 * time.Second},
+		{"in the future", 11 * time.Second, 5 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			state := replicationState{position: 5 * time.Second}
+			state.advance(c.reported, now)
+			if state.position != c.want {
+				t.Errorf("position %v, want %v", state.position, c.want)
+			}
+		})
+	}
+}
+
+func TestReplicationKnownBehind(t *testing.T) {
+	const now = 100 * time.Second
+	for _, c := range []struct {
+		name      string
+		lag       time.Duration
+		reported  time.Duration // ago
+		staleness time.Duration // that the read bears
+		want      bool
+	}{
+		{"recent enough", 100 * ms, ms, 300 * ms, false},
+		{"behind", 400 * ms, ms, 300 * ms, true},
+		{"behind when it reported long ago", 400 * ms, activeWindow, 300 * ms, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var state replicationState
+			state.observeLag(c.lag, now-c.reported)
+			if got := state.knownBehind(now-c.staleness, now); got != c.want {
+				t.Errorf("known behind: %v", got)
+			}
+		})
+	}
+}
+
+func TestCommitAppliedEverywhere(t *testing.T) {
+	group := &replicaGroup{}
+	for _, position := range []Time{5 * time.Second, 7 * time.Second} {
+		group.add(&endpoint{
+			group:       group,
+			discovery:   discoveryState{state: EndpointReady},
+			replication: replicationState{position: position},
+		})
+	}
+	group.add(&endpoint{group: group, discovery: discoveryState{state: EndpointRemoved}})
+	for position, want := range map[Time]bool{5 * time.Second: true, 6 * time.Second: false} {
+		if got := (sessionCommit{position: position, group: group}).appliedEverywhere(); got != want {
+			t.Errorf("commit at %v applied everywhere: %v", position, got)
+		}
+	}
+}
+
 // A lag that an endpoint reported seconds ago must not keep it out for good.
 func TestOldLagIsForgotten(t *testing.T) {
 	c := testConfig()
--- /dev/null
+++ b/balance/request_test.go
@@ -0,0 +1,62 @@
+package balance
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOpenAttempt(t *testing.T) {
+	request := &request{attempts: []*attempt{{number: 0, ended: true}, {number: 1}}}
+	for number, want := range map[int]bool{-1: false, 0: false, 1: true, 2: false} {
+		if got := request.openAttempt(number) != nil; got != want {
+			t.Errorf("attempt %d is open: %v", number, got)
+		}
+	}
+}
+
+func TestTimesOfARequest(t *testing.T) {
+	request := &request{arrivedAt: 100 * time.Second, deadline: 102 * time.Second}
+	if got, want := request.halfTime(), 101*time.Second-tickInterval; got != want {
+		t.Errorf("half time %v, want %v", got, want)
+	}
+	if got, want := request.lastAnswer(), 102*time.Second-2*tickInterval; got != want {
+		t.Errorf("last answer %v, want %v", got, want)
+	}
+}
+
+func TestMinPosition(t *testing.T) {
+	b, err := New(testConfig(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.now = 100 * time.Second
+	b.sessionCommits[5] = sessionCommit{position: 90 * time.Second}
+	event := Request{SessionID: 5, SinceSessionWrite: time.Second}
+	for _, c := range []struct {
+		class  string
+		tokens bool
+		want   Time
+	}{
+		{"latest", true, 100 * time.Second},
+		{"any", true, 0},
+		{"session", true, 99*time.Second + commitRounding},
+		{"session", false, 90 * time.Second},
+	} {
+		b.config.ClientSessionTokens = c.tokens
+		if got := b.minPosition(b.classes[c.class], event); got != c.want {
+			t.Errorf("%s, tokens %v: %v, want %v", c.class, c.tokens, got, c.want)
+		}
+	}
+}
+
+func TestStreamingAttemptIsNotInFlight(t *testing.T) {
+	endpoint := &endpoint{}
+	streaming := &attempt{endpoint: endpoint}
+	endpoint.inFlight = []*attempt{streaming}
+	if !streaming.startStreaming(time.Second) || streaming.startStreaming(2*time.Second) {
+		t.Error("the first byte is news once")
+	}
+	if len(endpoint.inFlight) != 0 || endpoint.health.lastAnswerAt != time.Second {
+		t.Errorf("%d in flight, last answer at %v", len(endpoint.inFlight), endpoint.health.lastAnswerAt)
+	}
+}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -2,8 +2,62 @@
 
 import (
 	"testing"
+	"time"
 )
 
+func TestRetryBudget(t *testing.T) {
+	budget := newRetryBudget()
+	for range int(maxRetryBudget) {
+		if !budget.covers(1) {
+			t.Fatal("the saved budget does not cover a retry")
+		}
+		budget.spend(1)
+	}
+	if budget.covers(1) {
+		t.Fatal("a retry beyond the budget is covered")
+	}
+	if !budget.covers(0) {
+		t.Error("a retry that costs nothing is not covered")
+	}
+	for range 11 {
+		budget.earn()
+	}
+	if !budget.covers(1) {
+		t.Error("eleven requests have not earned a retry")
+	}
+}
+
+func TestRepeatMayRunTwice(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		class      Class
+		mayHaveRun bool
+		want       bool
+	}{
+		{"it has not run", Class{Idempotency: NonIdempotent}, false, false},
+		{"idempotent", Class{Idempotency: Idempotent}, true, false},
+		{"not idempotent", Class{Idempotency: NonIdempotent}, true, true},
+		{"a key known to the group", Class{Idempotency: IdempotentWithKey, IdempotencyScope: ScopeGroup}, true, true},
+		{"a key known to all", Class{Idempotency: IdempotentWithKey, IdempotencyScope: ScopeAll}, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			request := &request{class: &classState{Class: c.class}, mayHaveRun: c.mayHaveRun}
+			if got := request.repeatMayRunTwice(); got != c.want {
+				t.Errorf("may run twice: %v", got)
+			}
+		})
+	}
+}
+
+func TestFirstRunCounts(t *testing.T) {
+	request := &request{class: &classState{Class: Class{IdempotencyWindow: time.Second}}}
+	request.recordRun(&attempt{sentAt: 10 * time.Second, endpoint: &endpoint{zone: "a"}})
+	request.recordRun(&attempt{sentAt: 20 * time.Second, endpoint: &endpoint{zone: "b"}})
+	if want := 11*time.Second - tickInterval; request.idempotentUntil() != want || request.firstRunZone != "a" {
+		t.Errorf("idempotent until %v in zone %s, want %v in zone a", request.idempotentUntil(), request.firstRunZone, want)
+	}
+}
+
 func TestNonIdempotentWriteIsNeverRepeated(t *testing.T) {
 	for _, s := range []Status{StatusError, StatusTimedOut, StatusReset, StatusCancelled} {
 		h := newReadyHarness(t, testConfig())
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -6,6 +6,31 @@
 	"time"
 )
 
+func TestSlowStartCapacity(t *testing.T) {
+	const now = 100 * time.Second
+	config := Config{SlowStartFrom: 0.2, SlowStartWindow: 10 * time.Second}
+	for _, c := range []struct {
+		name  string
+		state slowStart
+		scale float64
+		want  float64
+	}{
+		{"started long ago", slowStart{}, 1, 1},
+		{"started just now", slowStart{startedAt: now}, 1, 0.2},
+		{"half of the window", slowStart{startedAt: now - 5*time.Second}, 1, 0.6},
+		{"the window is over", slowStart{startedAt: now - 10*time.Second}, 1, 1},
+		{"recovered after its start", slowStart{startedAt: now - time.Hour, recoveredAt: now}, 1, 0.2},
+		{"starts in the future", slowStart{startedAt: now + time.Second}, 1, 0.2},
+		{"in a zone at half", slowStart{startedAt: now}, 0.5, 0.1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.state.capacity(now, &config, c.scale); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("capacity %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
 func TestWarmingEndpointStaysWithinItsBudget(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[1].StartedAt = 99900 * ms
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -4,8 +4,37 @@
 	"cmp"
 	"slices"
 	"testing"
+	"time"
 )
 
+func TestWorkCreditRefills(t *testing.T) {
+	var credit workCredit
+	if credit.isCounted() {
+		t.Fatal("counted before its start")
+	}
+	credit.start(0.5, time.Second)
+	credit.refill(0.1, 2, 6*time.Second)
+	if credit.tokens != 1 {
+		t.Errorf("%v after five seconds, want 1", credit.tokens)
+	}
+	credit.refill(0.1, 2, time.Minute)
+	if credit.tokens != 2 {
+		t.Errorf("%v after a minute, want the burst, 2", credit.tokens)
+	}
+	if credit.reset(); credit.isCounted() {
+		t.Error("still counted after its reset")
+	}
+}
+
+func TestCreditOfAnEndpointWithAWholeShareIsUnlimited(t *testing.T) {
+	h := newReadyHarness(t, testConfig())
+	h.step(ms)
+	request := &request{class: h.balancer.classes["any"], group: h.balancer.groups[1]}
+	if check := h.balancer.checkCredit(request, h.balancer.endpoints["b"]); !check.covered || check.cost != 0 {
+		t.Errorf("%+v, want covered at no cost", check)
+	}
+}
+
 // Of an endpoint's share an instance of eighty has less than one attempt. What it saves up is enough for a long read,
 // however often short ones look at it in between.
 func TestShortReadsLeaveALongOneItsCredit(t *testing.T) {
