--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -13,7 +13,7 @@
 	}{
 		{"a few instances poll at once", Config{Instances: 3}, 0},
 		{"each further instance takes its time", Config{Instances: 13}, 10 * pollSpacing},
-		{"never longer than an instance may go unpolled", Config{Instances: 300, PollWithin: 10 * time.Second}, 4 * time.Second},
+		{"within the time an instance may go unpolled", Config{Instances: 300, PollWithin: 10 * time.Second}, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := pollSpread(&c.config); got != c.want {
--- a/balance/eligibility_test.go
+++ b/balance/eligibility_test.go
@@ -17,7 +17,9 @@
 		{"another group", "any", func(_ *Balancer, q *request, _ *endpoint) { q.group = &replicaGroup{} }, inOtherGroup},
 		{"answered", "any", func(_ *Balancer, q *request, _ *endpoint) { q.answered = true }, alreadyAnswered},
 		{"in flight", "any", func(_ *Balancer, q *request, _ *endpoint) { q.inFlight = 1 }, attemptInFlight},
-		{"suspended", "any", func(_ *Balancer, _ *request, e *endpoint) { e.discovery.suspended = true }, endpointSuspended},
+		{"suspended", "any", func(_ *Balancer, _ *request, e *endpoint) {
+			e.discovery.suspended = true
+		}, endpointSuspended},
 		{"draining", "any", func(_ *Balancer, _ *request, e *endpoint) {
 			e.discovery.state = EndpointDraining
 		}, endpointNotReady},
@@ -54,7 +56,9 @@
 			e.limit.attempts = 1
 			e.inFlight = []*attempt{{}}
 		}, concurrencyExhausted},
-		{"backing off", "any", func(b *Balancer, _ *request, e *endpoint) { e.limit.rejectingUntil = b.now + ms }, backingOff},
+		{"backing off", "any", func(b *Balancer, _ *request, e *endpoint) {
+			e.limit.rejectingUntil = b.now + ms
+		}, backingOff},
 		{"zone closed", "any", func(b *Balancer, _ *request, e *endpoint) { b.zoneCapacities[e.zone] = 0 }, zoneClosed},
 		{"no credit", "any", func(b *Balancer, _ *request, e *endpoint) {
 			e.limit.attempts = 0.5
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -17,190 +17,281 @@
 	return playEventsWith(t, seed, testConfig())
 }
 
+const (
+	playSteps        = 600
+	lastRequestStep  = 400 // no new requests after this step
+	lastStreamedStep = 500 // streaming responses end after this step
+	lastOpenStep     = 590 // attempts end after this step
+)
+
 func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	c.FreshnessCheck = FreshnessCheck(rng.IntN(3))
 	c.ClientSessionTokens = rng.IntN(2) == 0
-	r, err := New(c, seed)
+	b, err := New(c, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	type live struct {
-		class     string
-		die       Time
-		over      bool
-		mayRun    bool
-		begun     bool // its answer is passed on as it comes
-		out, legs int
-	}
-	type try struct {
-		id, node string
-		leg      int
-		at       Time
+	p := &eventPlayer{
+		t:              t,
+		seed:           seed,
+		config:         c,
+		rng:            rng,
+		balancer:       b,
+		now:            50 * time.Second,
+		requests:       map[string]*playedRequest{},
+		notReady:       map[string]bool{},
+		suspended:      map[string]bool{},
+		suspendedSince: map[string]int{},
 	}
-	reqs, open := map[string]*live{}, []try{}
-	barred, suspended, since := map[string]bool{}, map[string]bool{}, map[string]int{}
-	now, n := 50*time.Second, 0
-	events := []Event{threeEndpoints(ListCached)}
+	p.events = []Event{threeEndpoints(ListCached)}
 	var all []Action
-	for i := range 600 {
-		if i < 400 && rng.IntN(2) == 0 {
-			n++
-			k := c.Classes[rng.IntN(len(c.Classes))].Name
-			q := Request{
-				ID:                fmt.Sprint("q", n),
-				Class:             k,
-				Group:             1,
-				SessionID:         int64(rng.IntN(3)),
-				TimeLeft:          time.Duration(50+rng.IntN(900)) * ms,
-				SinceSessionWrite: time.Duration(rng.IntN(500)) * ms,
-			}
-			reqs[q.ID] = &live{class: k, die: now + q.TimeLeft}
-			events = append(events, q)
-		}
-		var keep []try
-		for _, a := range open {
-			q := reqs[a.id]
-			due := now >= q.die && !q.begun
-			if !due && !q.over && rng.IntN(8) == 0 {
-				q.begun = true
-				events = append(events, FirstByte{ID: a.id, Attempt: a.leg})
-			}
-			if !due && (rng.IntN(4) != 0 && i < 590 || q.begun && rng.IntN(20) != 0 && i < 500) {
-				keep = append(keep, a)
-				continue
-			}
-			o := AttemptResult{
-				ID:       a.id,
-				Attempt:  a.leg,
-				Endpoint: a.node,
-				Status:   Status(rng.IntN(9)),
-				Elapsed:  now - a.at,
-				Role:     Role(rng.IntN(3)),
-			}
-			if due {
-				o.Status = StatusTimedOut
-			}
-			if o.Role != RoleUnknown && rng.IntN(2) == 0 {
-				o.Position = now - time.Duration(rng.IntN(800))*ms
-			}
-			q.out--
-			if o.Status == StatusDone || q.begun {
-				q.over = true
-			}
-			o.Finished = q.over
-			switch o.Status {
-			case StatusError, StatusTimedOut, StatusReset, StatusCancelled, StatusDone:
-				q.mayRun = true
-			}
-			events = append(events, o)
+	for p.step = range playSteps {
+		all = append(all, p.play()...)
+	}
+	for id, q := range p.requests {
+		if !q.answered {
+			t.Fatalf("seed %d: %s has no final answer", seed, id)
 		}
-		open = keep
-		switch rng.IntN(12) {
-		case 0:
-			node := []string{"a", "b", "c"}[rng.IntN(3)]
-			s := EndpointState(rng.IntN(3))
-			barred[node] = s != EndpointReady
-			events = append(
-				events,
-				EndpointList{Entries: []EndpointEntry{{Endpoint: node, Zone: "a", Group: 1, State: s, StartedAt: now}}},
-			)
-		case 1:
-			events = append(
-				events,
-				HealthCheckResult{
-					Endpoint: []string{"a", "b", "x"}[rng.IntN(3)],
-					Status:   Status(rng.IntN(9)),
-					Role:     Role(rng.IntN(3)),
-					Position: now - time.Duration(rng.IntN(300))*ms,
-				},
-			)
-		case 2:
-			events = append(
-				events,
-				AttemptResult{ID: "nobody", Attempt: 3},
-				ClientDisconnected{ID: "nobody"},
-				Wake{},
-				FirstByte{ID: "nobody"},
-				FirstByte{ID: fmt.Sprint("q", 1+rng.IntN(n+1)), Attempt: -1},
-			)
-		case 4:
-			node := []string{"a", "b", "c", "x"}[rng.IntN(4)]
-			if out := rng.IntN(2) == 0; out != suspended[node] {
-				suspended[node], since[node] = out, i
-			}
-			events = append(events, Suspend{Endpoint: node, Suspended: suspended[node]})
-		case 3:
-			id := fmt.Sprint("q", 1+rng.IntN(n+1))
-			if q := reqs[id]; q != nil && !q.over {
-				q.over = true
-				events = append(events, ClientDisconnected{ID: id})
-			}
+	}
+	return all
+}
+
+// eventPlayer draws the events of each step and checks the actions that come back.
+type eventPlayer struct {
+	t        *testing.T
+	seed     uint64
+	config   Config
+	rng      *rand.Rand
+	balancer *Balancer
+	now      Time
+	step     int
+	events   []Event // of the next step
+
+	requestCount   int
+	requests       map[string]*playedRequest
+	open           []playedAttempt
+	notReady       map[string]bool // endpoints that drain or are removed
+	suspended      map[string]bool
+	suspendedSince map[string]int // the step
+}
+
+// playedRequest is what the caller knows of a request.
+type playedRequest struct {
+	class      string
+	deadline   Time
+	answered   bool
+	mayHaveRun bool
+	streaming  bool
+	inFlight   int
+	attempts   int
+}
+
+// playedAttempt is an attempt that has not ended.
+type playedAttempt struct {
+	requestID string
+	endpoint  string
+	number    int
+	sentAt    Time
+}
+
+// play draws the events of one step, plays it and checks its actions.
+func (p *eventPlayer) play() []Action {
+	p.t.Helper()
+	if p.step < lastRequestStep && p.rng.IntN(2) == 0 {
+		p.drawRequest()
+	}
+	p.drawOutcomes()
+	p.drawOtherEvent()
+	actions := p.balancer.Step(p.now, p.events)
+	p.events = nil
+	for _, action := range actions {
+		p.check(action)
+	}
+	p.now += time.Duration(1+p.rng.IntN(12)) * ms
+	return actions
+}
+
+func (p *eventPlayer) drawRequest() {
+	p.requestCount++
+	class := p.config.Classes[p.rng.IntN(len(p.config.Classes))].Name
+	request := Request{
+		ID:                fmt.Sprint("q", p.requestCount),
+		Class:             class,
+		Group:             1,
+		SessionID:         int64(p.rng.IntN(3)),
+		TimeLeft:          time.Duration(50+p.rng.IntN(900)) * ms,
+		SinceSessionWrite: time.Duration(p.rng.IntN(500)) * ms,
+	}
+	p.requests[request.ID] = &playedRequest{class: class, deadline: p.now + request.TimeLeft}
+	p.events = append(p.events, request)
+}
+
+// drawOutcomes ends some of the open attempts, and lets some responses begin to stream.
+func (p *eventPlayer) drawOutcomes() {
+	var stillOpen []playedAttempt
+	for _, attempt := range p.open {
+		request := p.requests[attempt.requestID]
+		due := p.now >= request.deadline && !request.streaming
+		if !due && !request.answered && p.rng.IntN(8) == 0 {
+			request.streaming = true
+			p.events = append(p.events, FirstByte{ID: attempt.requestID, Attempt: attempt.number})
 		}
-		acts := r.Step(now, events)
-		all = append(all, acts...)
-		events = nil
-		for _, a := range acts {
-			switch a := a.(type) {
-			case Send:
-				q := reqs[a.ID]
-				if q == nil || q.over || q.out > 0 {
-					t.Fatalf("seed %d: send of %q, which is over or out", seed, a.ID)
-				}
-				if q.mayRun && q.class == "write" {
-					t.Fatalf("seed %d: second run of unsafe %s", seed, a.ID)
-				}
-				if suspended[a.Endpoint] {
-					t.Fatalf("seed %d: send to %s, which is suspended", seed, a.Endpoint)
-				}
-				if barred[a.Endpoint] {
-					t.Fatalf("seed %d: send to %s, which drains or is gone", seed, a.Endpoint)
-				}
-				open = append(open, try{a.ID, a.Endpoint, q.legs, now})
-				q.out++
-				if q.legs++; c.MaxAttempts > 0 && q.legs > c.MaxAttempts {
-					t.Fatalf("seed %d: attempt %d of %s", seed, q.legs, a.ID)
-				}
-			case PollEndpointList:
-				if !c.PollDiscovery {
-					t.Fatalf("seed %d: the list is asked for where it is pushed", seed)
-				}
-			case HealthCheck:
-				if !c.HealthChecks {
-					t.Fatalf("seed %d: a probe where there are none", seed)
-				}
-				if suspended[a.Endpoint] && since[a.Endpoint] < i { // one may be asked for by an event before, in the same step
-					t.Fatalf("seed %d: probe of %s, which is suspended", seed, a.Endpoint)
-				}
-			case Cancel:
-				if !c.Cancellation {
-					t.Fatalf("seed %d: a cancel where there are none", seed)
-				}
-				if q := reqs[a.ID]; q.begun && a.Attempt == q.legs-1 {
-					t.Fatalf("seed %d: the answer to %s is cut off", seed, a.ID)
-				}
-			case Reject:
-				q := reqs[a.ID]
-				if q == nil || q.over || q.begun || q.mayRun && (q.class == "write" || q.class == "keyed") {
-					t.Fatalf("seed %d: refusal of %s", seed, a.ID)
-				}
-				q.over = true
-			case Fail:
-				if q := reqs[a.ID]; q == nil || q.over || q.begun {
-					t.Fatalf("seed %d: second answer to %s", seed, a.ID)
-				}
-				reqs[a.ID].over = true
-			}
+		if !due && p.staysOpen(request) {
+			stillOpen = append(stillOpen, attempt)
+			continue
 		}
-		now += time.Duration(1+rng.IntN(12)) * ms
+		p.drawOutcome(attempt, due)
 	}
-	for id, q := range reqs {
-		if !q.over {
-			t.Fatalf("seed %d: %s has no final answer", seed, id)
+	p.open = stillOpen
+}
+
+func (p *eventPlayer) staysOpen(request *playedRequest) bool {
+	if p.rng.IntN(4) != 0 && p.step < lastOpenStep {
+		return true
+	}
+	return request.streaming && p.rng.IntN(20) != 0 && p.step < lastStreamedStep
+}
+
+func (p *eventPlayer) drawOutcome(attempt playedAttempt, due bool) {
+	request := p.requests[attempt.requestID]
+	outcome := AttemptResult{
+		ID:       attempt.requestID,
+		Attempt:  attempt.number,
+		Endpoint: attempt.endpoint,
+		Status:   Status(p.rng.IntN(9)),
+		Elapsed:  p.now - attempt.sentAt,
+		Role:     Role(p.rng.IntN(3)),
+	}
+	if due {
+		outcome.Status = StatusTimedOut
+	}
+	if outcome.Role != RoleUnknown && p.rng.IntN(2) == 0 {
+		outcome.Position = p.now - time.Duration(p.rng.IntN(800))*ms
+	}
+	request.inFlight--
+	if outcome.Status == StatusDone || request.streaming {
+		request.answered = true
+	}
+	outcome.Finished = request.answered
+	switch outcome.Status {
+	case StatusError, StatusTimedOut, StatusReset, StatusCancelled, StatusDone:
+		request.mayHaveRun = true
+	}
+	p.events = append(p.events, outcome)
+}
+
+// drawOtherEvent draws an event that is none of an attempt, or none at all.
+func (p *eventPlayer) drawOtherEvent() {
+	switch p.rng.IntN(12) {
+	case 0:
+		p.drawEndpointState()
+	case 1:
+		p.events = append(p.events, HealthCheckResult{
+			Endpoint: []string{"a", "b", "x"}[p.rng.IntN(3)],
+			Status:   Status(p.rng.IntN(9)),
+			Role:     Role(p.rng.IntN(3)),
+			Position: p.now - time.Duration(p.rng.IntN(300))*ms,
+		})
+	case 2:
+		p.events = append(p.events,
+			AttemptResult{ID: "nobody", Attempt: 3},
+			ClientDisconnected{ID: "nobody"},
+			Wake{},
+			FirstByte{ID: "nobody"},
+			FirstByte{ID: p.drawID(), Attempt: -1},
+		)
+	case 3:
+		id := p.drawID()
+		if request := p.requests[id]; request != nil && !request.answered {
+			request.answered = true
+			p.events = append(p.events, ClientDisconnected{ID: id})
 		}
+	case 4:
+		p.drawSuspension()
+	}
+}
+
+// drawID draws the id of a request, or of none.
+func (p *eventPlayer) drawID() string { return fmt.Sprint("q", 1+p.rng.IntN(p.requestCount+1)) }
+
+func (p *eventPlayer) drawEndpointState() {
+	id := []string{"a", "b", "c"}[p.rng.IntN(3)]
+	state := EndpointState(p.rng.IntN(3))
+	p.notReady[id] = state != EndpointReady
+	p.events = append(p.events, EndpointList{Entries: []EndpointEntry{
+		{Endpoint: id, Zone: "a", Group: 1, State: state, StartedAt: p.now},
+	}})
+}
+
+func (p *eventPlayer) drawSuspension() {
+	id := []string{"a", "b", "c", "x"}[p.rng.IntN(4)]
+	if suspended := p.rng.IntN(2) == 0; suspended != p.suspended[id] {
+		p.suspended[id] = suspended
+		p.suspendedSince[id] = p.step
+	}
+	p.events = append(p.events, Suspend{Endpoint: id, Suspended: p.suspended[id]})
+}
+
+// check says what must hold for an action, and notes what it changes.
+func (p *eventPlayer) check(action Action) {
+	p.t.Helper()
+	switch action := action.(type) {
+	case Send:
+		p.checkSend(action)
+	case PollEndpointList:
+		p.require(p.config.PollDiscovery, "the list is polled where it is pushed")
+	case HealthCheck:
+		p.require(p.config.HealthChecks, "a health check where there are none")
+		// One may be asked for by an event before the suspension, in the same step.
+		suspendedBefore := p.suspended[action.Endpoint] && p.suspendedSince[action.Endpoint] < p.step
+		p.require(!suspendedBefore, "health check of %s, which is suspended", action.Endpoint)
+	case Cancel:
+		p.require(p.config.Cancellation, "a cancellation where there are none")
+		request := p.requests[action.ID]
+		cutsOff := request.streaming && action.Attempt == request.attempts-1
+		p.require(!cutsOff, "the answer to %s is cut off", action.ID)
+	case Reject:
+		request := p.checkAnswer(action.ID)
+		repeatable := request.class != "write" && request.class != "keyed"
+		p.require(repeatable || !request.mayHaveRun, "rejection of %s, which may have run", action.ID)
+	case Fail:
+		p.checkAnswer(action.ID)
+	}
+}
+
+func (p *eventPlayer) checkSend(send Send) {
+	p.t.Helper()
+	request := p.requests[send.ID]
+	p.require(request != nil && !request.answered, "send of %q, which is unknown or answered", send.ID)
+	p.require(request.inFlight == 0, "send of %q, which is in flight", send.ID)
+	p.require(!request.mayHaveRun || request.class != "write", "second run of the write %s", send.ID)
+	p.require(!p.suspended[send.Endpoint], "send to %s, which is suspended", send.Endpoint)
+	p.require(!p.notReady[send.Endpoint], "send to %s, which drains or is gone", send.Endpoint)
+	p.open = append(p.open, playedAttempt{send.ID, send.Endpoint, request.attempts, p.now})
+	request.inFlight++
+	request.attempts++
+	withinLimit := p.config.MaxAttempts == 0 || request.attempts <= p.config.MaxAttempts
+	p.require(withinLimit, "attempt %d of %s", request.attempts, send.ID)
+}
+
+// checkAnswer checks a final answer: one to each request, and none into a response that streams.
+func (p *eventPlayer) checkAnswer(id string) *playedRequest {
+	p.t.Helper()
+	request := p.requests[id]
+	p.require(request != nil && !request.answered, "second answer to %s", id)
+	p.require(!request.streaming, "answer to %s, whose response streams", id)
+	request.answered = true
+	return request
+}
+
+// require fails the test, with the seed, if something does not hold.
+func (p *eventPlayer) require(holds bool, format string, args ...any) {
+	p.t.Helper()
+	if !holds {
+		p.t.Fatalf("seed %d: %s", p.seed, fmt.Sprintf(format, args...))
 	}
-	return all
 }
 
 func FuzzInvariants(f *testing.F) {
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -22,7 +22,7 @@
 		{"quick answers are given a pause at least", []*attempt{quick}, pauseThreshold, pauseThreshold},
 		{"one slow attempt", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
 		{"the slowest of several counts", []*attempt{quick, slow}, 3 * time.Second, 5 * time.Second},
-		{"more in flight, an answer should come sooner", []*attempt{slow, slow, slow, slow, slow}, 2 * time.Second, 3 * time.Second},
+		{"more in flight, an answer comes sooner", []*attempt{slow, slow, slow, slow, slow}, 2 * time.Second, 3 * time.Second},
 		{"a slow endpoint", []*attempt{crowded}, 3 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balance/replica_group_test.go
+++ b/balance/replica_group_test.go
@@ -7,7 +7,8 @@
 
 func TestGroupInUse(t *testing.T) {
 	const now = 100 * time.Second
-	for lastRequestAt, want := range map[Time]bool{0: false, now - activeWindow - 1: false, now - activeWindow: true, now: true} {
+	inUse := map[Time]bool{0: false, now - activeWindow - 1: false, now - activeWindow: true, now: true}
+	for lastRequestAt, want := range inUse {
 		group := &replicaGroup{lastRequestAt: lastRequestAt}
 		if got := group.inUse(now); got != want {
 			t.Errorf("last request at %v, in use %v", lastRequestAt, got)
--- a/balance/throughput_test.go
+++ b/balance/throughput_test.go
@@ -22,7 +22,8 @@
 	h.balancer.endpoints["b"].health.suspect = true
 	views := map[string]EndpointView{}
 	h.balancer.EndpointViews(func(view EndpointView) { views[view.Endpoint] = view })
-	for id, want := range map[string][3]bool{"a": {true, true, true}, "b": {false, false, true}, "c": {false, false, false}} {
+	wanted := map[string][3]bool{"a": {true, true, true}, "b": {false, false, true}, "c": {false, false, false}}
+	for id, want := range wanted {
 		view := views[id]
 		if got := [3]bool{view.Primary, view.Available, view.InService}; got != want {
 			t.Errorf("%s: primary, available, in service %v, want %v", id, got, want)
