--- a/balance/eligibility_test.go
+++ b/balance/eligibility_test.go
@@ -23,7 +23,9 @@
 		{"draining", "any", func(_ *Balancer, _ *request, e *endpoint) {
 			e.discovery.state = EndpointDraining
 		}, endpointNotReady},
-		{"a write that may have run", "write", func(_ *Balancer, q *request, _ *endpoint) { q.mayHaveRun = true }, repeatUnsafe},
+		{"a write that may have run", "write", func(_ *Balancer, q *request, _ *endpoint) {
+			q.mayHaveRun = true
+		}, repeatUnsafe},
 		{"a key behind its window", "keyed", func(b *Balancer, q *request, _ *endpoint) {
 			q.mayHaveRun = true
 			q.firstRunAt = b.now - time.Second
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -55,66 +56,69 @@
 			{Endpoint: "b", Group: 1, State: EndpointReady, StartedAt: h.now},
 			{Endpoint: "later", Group: 1, State: EndpointReady},
 		}}
-		for _, l := range []EndpointList{threeEndpoints(ListFull), change} {
-			acts := h.step(10*ms, l, h.request("bounded"), h.request("any"))
-			for _, s := range actionsOf[Send](acts) {
-				if s.Endpoint == "b" || s.Endpoint == "later" {
-					t.Fatalf("sent: %+v", s)
-				}
-				h.step(
-					0,
-					AttemptResult{
-						ID:       s.ID,
-						Endpoint: s.Endpoint,
-						Status:   StatusDone,
-						Elapsed:  ms,
-						Role:     RoleReplica,
-						Finished: true,
-					},
-				)
-			}
-			for _, p := range actionsOf[HealthCheck](acts) {
-				if p.Endpoint == "b" {
-					t.Fatal("probed")
-				}
-			}
+		for _, list := range []EndpointList{threeEndpoints(ListFull), change} {
+			h.expectUnused(h.step(10*ms, list, h.request("bounded"), h.request("any")), "b", "later")
 		}
 	}
 	h.step(0, EndpointList{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[:1]})
 	h.step(2*expiryDelay, h.request("any")) // b is forgotten by now
 	h.reportAll("a")
-	if n := h.balancer.endpoints["b"]; n != nil {
+	if h.balancer.endpoints["b"] != nil {
 		t.Fatal("not forgotten")
 	}
 	h.step(0, threeEndpoints(ListFull))
-	h.expectSends(
-		h.step(0, Suspend{Endpoint: "a", Suspended: true}, h.request("write")),
-		"bc",
-	) // its primary is suspended: the round goes on without it
+	// The primary is suspended: exploratory writes go on without it.
+	h.expectSends(h.step(0, Suspend{Endpoint: "a", Suspended: true}, h.request("write")), "bc")
 	h.reportAll("c")
-	if s := h.step(ms, h.request("any"), h.request("any")); len(actionsOf[Send](s)) == 0 ||
-		actionsOf[Send](s)[0].Endpoint != "c" {
-		t.Fatalf("%v", s)
+	sends := actionsOf[Send](h.step(ms, h.request("any"), h.request("any")))
+	if len(sends) == 0 || sends[0].Endpoint != "c" {
+		t.Fatalf("%v", sends)
+	}
+	h.expectResumption()
+}
+
+// expectUnused checks that the endpoints get neither attempts nor health checks, and answers the attempts.
+func (h *harness) expectUnused(actions []Action, endpoints ...string) {
+	h.t.Helper()
+	for _, send := range actionsOf[Send](actions) {
+		if slices.Contains(endpoints, send.Endpoint) {
+			h.t.Fatalf("sent: %+v", send)
+		}
+		h.step(0, AttemptResult{
+			ID: send.ID, Endpoint: send.Endpoint, Status: StatusDone, Elapsed: ms, Role: RoleReplica, Finished: true,
+		})
 	}
-	n := h.balancer.endpoints["b"]
-	n.health.suspect, n.health.unreachable, n.health.recoveryAt, n.outlier.failureRate = true, true, never, 1
+	for _, check := range actionsOf[HealthCheck](actions) {
+		if slices.Contains(endpoints, check.Endpoint) {
+			h.t.Fatalf("checked: %+v", check)
+		}
+	}
+}
+
+// expectResumption resumes the suspended endpoint b with much held against it, and expects that it is checked at once
+// and used soon.
+func (h *harness) expectResumption() {
+	h.t.Helper()
+	resumed := h.balancer.endpoints["b"]
+	resumed.health.suspect = true
+	resumed.health.unreachable = true
+	resumed.health.recoveryAt = never
+	resumed.outlier.failureRate = 1
 	h.now += time.Second // its position has aged
-	acts := h.step(0, Suspend{Endpoint: "b"}, h.request("bounded"))
-	if n.health.suspect || h.balancer.warmupFactor(n) == 1 || len(actionsOf[Send](acts)) > 0 ||
-		len(actionsOf[HealthCheck](acts)) == 0 {
-		t.Fatalf("%+v: %v", n, acts)
+	actions := h.step(0, Suspend{Endpoint: "b"}, h.request("bounded"))
+	if resumed.health.suspect || h.balancer.warmupFactor(resumed) == 1 {
+		h.t.Fatalf("%+v: not resumed, or not warming up", resumed)
+	}
+	if len(actionsOf[Send](actions)) > 0 || len(actionsOf[HealthCheck](actions)) == 0 {
+		h.t.Fatalf("%v, want a health check and no send", actions)
 	}
 	for range 300 {
-		acts = h.step(
-			10*ms,
-			h.request("bounded"),
-			HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now},
-		)
-		for _, s := range actionsOf[Send](acts) {
-			if s.Endpoint == "b" {
-				return
-			}
+		report := HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now}
+		actions = h.step(10*ms, h.request("bounded"), report)
+		toResumed := func(send Send) bool { return send.Endpoint == "b" }
+		if slices.ContainsFunc(actionsOf[Send](actions), toResumed) {
+			return
 		}
 	}
-	t.Fatal("never used again")
+	h.t.Fatal("never used again")
 }
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -22,7 +23,7 @@
 		{"quick answers are given a pause at least", []*attempt{quick}, pauseThreshold, pauseThreshold},
 		{"one slow attempt", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
 		{"the slowest of several counts", []*attempt{quick, slow}, 3 * time.Second, 5 * time.Second},
-		{"more in flight, an answer comes sooner", []*attempt{slow, slow, slow, slow, slow}, 2 * time.Second, 3 * time.Second},
+		{"five in flight, an answer comes sooner", slices.Repeat([]*attempt{slow}, 5), 2 * time.Second, 3 * time.Second},
 		{"a slow endpoint", []*attempt{crowded}, 3 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,49 +35,50 @@
 }
 
 func TestSilentReplicaIsAvoidedAndItsReadsMove(t *testing.T) {
-	h := newReadyHarness(t, testConfig())
-	stuck := map[string]bool{}
-	moved, late := 0, 0
+	s := &silentReplica{harness: newReadyHarness(t, testConfig()), stuck: map[string]bool{}}
 	for i := range 300 {
-		q := h.request("any")
-		acts := h.step(10*ms, q)
-		for len(acts) > 0 {
-			var next []Event
-			for _, s := range actionsOf[Send](acts) {
-				if s.Endpoint == "b" {
-					stuck[s.ID] = true
-					if i > 200 {
-						late++
-					}
-					continue
-				}
-				if stuck[s.ID] {
-					moved++
-				}
-				next = append(
-					next,
-					AttemptResult{
-						ID:       s.ID,
-						Attempt:  h.attempts(s.ID) - 1,
-						Endpoint: s.Endpoint,
-						Status:   StatusDone,
-						Elapsed:  5 * ms,
-						Finished: true,
-					},
-				)
-			}
-			for _, c := range actionsOf[Cancel](acts) {
-				next = append(next, AttemptResult{ID: c.ID, Attempt: c.Attempt, Endpoint: "b", Status: StatusCancelled})
-			}
-			acts = nil
-			if len(next) > 0 {
-				acts = h.step(0, next...)
+		s.countLate = i > 200
+		answers := s.answer(s.step(10*ms, s.request("any")))
+		for len(answers) > 0 {
+			answers = s.answer(s.step(0, answers...))
+		}
+	}
+	if s.moved == 0 || s.late > 3 {
+		t.Fatalf("%d reads moved, %d sent to a silent endpoint after 2 s", s.moved, s.late)
+	}
+}
+
+// silentReplica answers all attempts but those at b, which says nothing.
+type silentReplica struct {
+	*harness
+	stuck     map[string]bool // requests that were sent to b
+	moved     int             // requests of these that were sent elsewhere
+	late      int             // attempts at b while they count
+	countLate bool
+}
+
+func (s *silentReplica) answer(actions []Action) []Event {
+	var answers []Event
+	for _, send := range actionsOf[Send](actions) {
+		if send.Endpoint == "b" {
+			s.stuck[send.ID] = true
+			if s.countLate {
+				s.late++
 			}
+			continue
+		}
+		if s.stuck[send.ID] {
+			s.moved++
 		}
+		answers = append(answers, AttemptResult{
+			ID: send.ID, Attempt: s.attempts(send.ID) - 1, Endpoint: send.Endpoint, Status: StatusDone,
+			Elapsed: 5 * ms, Finished: true,
+		})
 	}
-	if moved == 0 || late > 3 {
-		t.Fatalf("%d reads moved, %d sent to a silent member after 2 s", moved, late)
+	for _, c := range actionsOf[Cancel](actions) {
+		answers = append(answers, AttemptResult{ID: c.ID, Attempt: c.Attempt, Endpoint: "b", Status: StatusCancelled})
 	}
+	return answers
 }
 
 // A slow class must not make its endpoints suspect: the silence timeout goes by what is in flight.
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -51,63 +51,79 @@
 // primary leaves, and another endpoint becomes primary: it is found by the reads that need it, whichever one it is,
 // though all others are behind.
 func TestLostPrimaryIsFoundOnASmallBudget(t *testing.T) {
-	for _, leader := range []string{"b", "c", "d", "e", "f"} {
-		c := testConfig()
-		c.Instances = 80
-		c.HealthCheckCost = 0.08
-		list := EndpointList{Kind: ListCached}
-		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-			list.Entries = append(
-				list.Entries,
-				EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, Primary: id == "a"},
-				EndpointEntry{Endpoint: id + "2", Zone: "a", Group: 2, State: EndpointReady, Primary: id == "a"},
-			)
-		}
-		h := newHarness(t, c, list)
-		led, found := "a", false
-		var run func(acts []Action)
-		run = func(acts []Action) {
-			for _, s := range actionsOf[Send](acts) {
-				found = found || s.Endpoint == leader
-				run(h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true}))
+	for _, successor := range []string{"b", "c", "d", "e", "f"} {
+		t.Run(successor, func(t *testing.T) {
+			c := testConfig()
+			c.Instances = 80
+			c.HealthCheckCost = 0.08
+			list := EndpointList{Kind: ListCached}
+			for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+				list.Entries = append(list.Entries,
+					EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, Primary: id == "a"},
+					EndpointEntry{Endpoint: id + "2", Zone: "a", Group: 2, State: EndpointReady, Primary: id == "a"},
+				)
 			}
-			for _, p := range actionsOf[HealthCheck](acts) {
-				role, at := RoleReplica, h.now-10*time.Second
-				switch p.Endpoint {
-				case "y", "z":
-					at = h.now - 100*ms
-				case led, "a2":
-					role, at = RolePrimary, h.now
-				}
-				run(h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: at}))
+			s := &searchHarness{harness: newHarness(t, c, list), primary: "a", used: map[string]bool{}}
+			s.play(20)
+			list.Kind = ListDelta
+			list.Entries[0].State = EndpointDraining
+			for _, id := range []string{"y", "z"} { // recent enough, but warming up: they can take next to nothing
+				list.Entries = append(list.Entries,
+					EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: s.now},
+				)
 			}
-		}
-		ask := func(times int) {
-			for range times {
-				run(h.step(100*ms, h.request("bounded")))
-				for range 4 { // reads of another group spend all there is
-					q := h.request("bounded")
-					q.Group = 2
-					run(h.step(25*ms, q))
-				}
-				for range 5 { // an instance is woken for what it holds
-					run(h.step(100*ms, Wake{}))
-				}
+			s.step(ms, list)
+			s.play(3) // there is no primary for now
+			s.primary = successor
+			clear(s.used)
+			s.play(25)
+			if !s.used[successor] {
+				t.Errorf("%s is the primary, and is not found", successor)
 			}
+		})
+	}
+}
+
+// searchHarness answers the attempts and health checks of an instance whose replicas are all behind, except y and z.
+type searchHarness struct {
+	*harness
+	primary string
+	used    map[string]bool // endpoints that got an attempt
+}
+
+// play lets a read of the first group come so many times, and reads of another group that spend all there is.
+func (s *searchHarness) play(times int) {
+	for range times {
+		s.answer(s.step(100*ms, s.request("bounded")))
+		for range 4 {
+			q := s.request("bounded")
+			q.Group = 2
+			s.answer(s.step(25*ms, q))
+		}
+		for range 5 { // an instance is woken for what is pending
+			s.answer(s.step(100*ms, Wake{}))
 		}
-		ask(20)
-		list.Entries[0].State, list.Kind = EndpointDraining, ListDelta
-		for _, id := range []string{"y", "z"} { // recent enough, but cold: they can take next to nothing
-			list.Entries = append(
-				list.Entries,
-				EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: h.now},
-			)
+	}
+}
+
+func (s *searchHarness) answer(actions []Action) {
+	for _, send := range actionsOf[Send](actions) {
+		s.used[send.Endpoint] = true
+		s.answer(s.step(0, AttemptResult{
+			ID: send.ID, Endpoint: send.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true,
+		}))
+	}
+	for _, check := range actionsOf[HealthCheck](actions) {
+		result := HealthCheckResult{
+			Endpoint: check.Endpoint, Status: StatusDone, Role: RoleReplica, Position: s.now - 10*time.Second,
 		}
-		h.step(ms, list)
-		ask(3) // nobody leads for now
-		led = leader
-		if ask(25); !found {
-			t.Errorf("%s leads, and is not found", leader)
+		switch check.Endpoint {
+		case "y", "z":
+			result.Position = s.now - 100*ms
+		case s.primary, "a2":
+			result.Role = RolePrimary
+			result.Position = s.now
 		}
+		s.answer(s.step(0, result))
 	}
 }
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -53,7 +53,6 @@
 // instances, with uneven traffic, where all were idle and could have saved up, where reads move there from endpoints
 // that drain at once, where instances start anew meanwhile, and where N is far less than one request for each.
 func TestSlowStartHoldsForTheFleet(t *testing.T) {
-	const mean = 39 * time.Millisecond // of the load's work, about
 	shapes := map[string]func(f *fleet, rate float64){
 		"busy": func(f *fleet, rate float64) { f.load(rate, 4, 8*time.Second) },
 		"idle, then busy": func(f *fleet, rate float64) {
@@ -86,8 +85,11 @@
 	}
 	for _, k := range []slowStartCase{
 		{"usual work", 3, 1, 700, func(*Config) {}},
-		{"long work, a short window", 1, 3, 150, func(c *Config) { c.OverloadMultiple, c.OverloadWindow = 2, time.Second }},
-		{"a window of 1 s, members of eight cores", 8, 0.8, 1500, func(c *Config) {
+		{"long work, a short window", 1, 3, 150, func(c *Config) {
+			c.OverloadMultiple = 2
+			c.OverloadWindow = time.Second
+		}},
+		{"a window of 1 s, endpoints of eight cores", 8, 0.8, 1500, func(c *Config) {
 			c.OverloadMultiple = 3
 			c.OverloadWindow = time.Second
 			c.SlowStartFrom = 0.24
@@ -98,54 +100,8 @@
 				for _, id := range []string{"00a", "00f"} {
 					t.Run(fmt.Sprint(k.name, ", ", instances, " instances, ", name, ", ", id), func(t *testing.T) {
 						t.Parallel()
-						worst, at, of, got, bound := math.Inf(-1), 0.0, uint64(0), 0, 0.0
 						for seed := range uint64(2) {
-							c := fleetConfig()
-							c.Instances = instances
-							for i := range c.Classes { // a client waits for a multiple of the work
-								c.Classes[i].LatencyObjective = time.Duration(float64(c.Classes[i].LatencyObjective) * k.times)
-								c.Classes[i].ClientTimeout = time.Duration(float64(c.Classes[i].ClientTimeout) * k.times)
-							}
-							k.set(&c)
-							f := newFleetOf(t, 7+seed, 4, c)
-							f.times = k.times
-							for _, m := range f.members {
-								m.cores = make([]Time, k.cores)
-							}
-							f.load(k.rate, 4, 6*time.Second)
-							m := f.members[id]
-							m.startAt, m.work = f.now, nil
-							for i := range f.routers {
-								f.step(
-									i,
-									EndpointList{
-										Entries: []EndpointEntry{
-											{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now},
-										},
-									},
-								)
-								f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
-							}
-							f.load(0.001, 4, 2*ms) // what was sent before they were told is no part of it
-							m.work = nil
-							shape(f, k.rate)
-							got += len(m.work)
-							work := time.Duration(k.times * float64(mean))
-							bound = c.OverloadMultiple * c.SlowStartFrom * float64(k.cores) * c.OverloadWindow.Seconds() / work.Seconds()
-							if over, when := f.overfull(m, c, work); over > worst {
-								worst, at, of = over, when, seed
-							}
-						}
-						t.Logf(
-							"N %.1f at first, %d pieces of work; at most %.1f requests from the bound, %.1f s after its start, seed %d",
-							bound,
-							got,
-							worst,
-							at,
-							of,
-						)
-						if worst > 0 {
-							t.Errorf("%.1f requests of mean work too many, %.1f s after its start, seed %d", worst, at, of)
+							k.play(t, seed, instances, id, shape)
 						}
 					})
 				}
@@ -153,3 +109,56 @@
 		}
 	}
 }
+
+// play lets the endpoint start anew in a fleet under the load of a shape, and checks that it does not get too much.
+func (k slowStartCase) play(t *testing.T, seed uint64, instances int, id string, shape func(*fleet, float64)) {
+	t.Helper()
+	const mean = 39 * time.Millisecond // of the load's work, about
+	c := k.config(instances)
+	f := newFleetOf(t, 7+seed, 4, c)
+	f.times = k.times
+	for _, m := range f.members {
+		m.cores = make([]Time, k.cores)
+	}
+	f.load(k.rate, 4, 6*time.Second)
+	m := f.members[id]
+	f.restartMember(m)
+	f.load(0.001, 4, 2*ms) // what was sent before they were told is no part of it
+	m.work = nil
+	shape(f, k.rate)
+	work := time.Duration(k.times * float64(mean))
+	bound := c.OverloadMultiple * c.SlowStartFrom * float64(k.cores) * c.OverloadWindow.Seconds() / work.Seconds()
+	over, at := f.overfull(m, c, work)
+	t.Logf("seed %d: N %.1f at first, %d pieces of work; at most %.1f requests from the bound, %.1f s after its start",
+		seed, bound, len(m.work), over, at)
+	if over > 0 {
+		t.Errorf("seed %d: %.1f requests of mean work too many, %.1f s after its start", seed, over, at)
+	}
+}
+
+// config is the deployment of the case: a client waits for a multiple of the work.
+func (k slowStartCase) config(instances int) Config {
+	c := fleetConfig()
+	c.Instances = instances
+	for i := range c.Classes {
+		class := &c.Classes[i]
+		class.LatencyObjective = time.Duration(float64(class.LatencyObjective) * k.times)
+		class.ClientTimeout = time.Duration(float64(class.ClientTimeout) * k.times)
+	}
+	k.set(&c)
+	return c
+}
+
+// restartMember lets an endpoint start anew, and tells all instances.
+func (f *fleet) restartMember(m *member) {
+	m.startAt = f.now
+	m.work = nil
+	for i := range f.routers {
+		f.step(i, EndpointList{Entries: []EndpointEntry{
+			{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now},
+		}})
+		f.step(i, HealthCheckResult{
+			Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now),
+		})
+	}
+}
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -98,83 +99,94 @@
 		c.SlowStartWindow = 100 * time.Second
 		c.OverloadMultiple = 2.5
 		c.OverloadWindow = 2 * time.Second
-		work := c.Classes[0].LatencyObjective.Seconds() / 5 // as it is taken before any answer
-		for _, k := range c.Classes {
-			if k.Consistency == ConsistencyWrite {
-				work = k.LatencyObjective.Seconds() / 5
-			}
-		}
 		for seed := range uint64(5) {
-			at, sent := 100*time.Second, 0
-			rigs := make([]*harness, instances)
-			step := func(h *harness, d time.Duration, events ...Event) { // each attempt is answered at once
-				for acts := actionsOf[Send](h.step(d, events...)); len(acts) > 0; {
-					var more []Send
-					for _, s := range acts {
-						sent++
-						more = append(
-							more,
-							actionsOf[Send](
-								h.step(
-									0,
-									AttemptResult{
-										ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
-										Position: h.now, Finished: true,
-									},
-								),
-							)...)
-					}
-					acts = more
-				}
-			}
-			for i := range rigs {
-				r, err := New(c, 1000*seed+uint64(i))
-				if err != nil {
-					t.Fatal(err)
-				}
-				rigs[i] = &harness{t: t, balancer: r, now: at}
-				rigs[i].step(
-					0,
-					EndpointList{
-						Kind:    ListCached,
-						Entries: []EndpointEntry{{Endpoint: "p", Group: 1, State: EndpointReady, Primary: true, StartedAt: at}},
-					},
-				)
-				rigs[i].step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: at})
-				step(rigs[i], 0, rigs[i].request("write")) // its credit is counted from here
-			}
-			first := sent
-			warm := c.SlowStartFrom
-			n := c.OverloadMultiple * warm * c.OverloadWindow.Seconds() / work
-			if most := n + 2*math.Sqrt(n) + 2; float64(first) > most {
-				t.Errorf("%d instances, seed %d: %d at the start, %.0f allowed", instances, seed, first, most)
-			}
-			for _, h := range rigs { // idle for the better part of a minute, then all ask for more than they may
-				step(h, 58*time.Second)
-			}
-			sent = 0
-			for range 80 {
-				for _, h := range rigs {
-					step(h, 25*ms, h.request("write"))
-				}
-			}
-			warm += (1 - c.SlowStartFrom) * 0.58
-			n = c.OverloadMultiple * warm * c.OverloadWindow.Seconds() / work
-			most := n + 2*math.Sqrt(n) + 2
-			if t.Logf("%d instances, seed %d: %d of %.0f", instances, seed, sent, most); float64(sent) > most {
-				t.Errorf("%d instances, seed %d: %d in the contract's time, %.0f allowed", instances, seed, sent, most)
-			}
-			if float64(sent) < n/4 {
-				t.Errorf(
-					"%d instances, seed %d: %d in the contract's time, %.0f allowed: it is not used",
-					instances,
-					seed,
-					sent,
-					most,
-				)
-			}
+			t.Run(fmt.Sprint(instances, " instances, seed ", seed), func(t *testing.T) { checkSavedCredit(t, c, seed) })
+		}
+	}
+}
+
+func checkSavedCredit(t *testing.T, c Config, seed uint64) {
+	t.Helper()
+	f := newWarmingFleet(t, c, seed)
+	if most := allowed(f.budget(c.SlowStartFrom)); float64(f.sent) > most {
+		t.Errorf("%d at the start, %.0f allowed", f.sent, most)
+	}
+	for _, h := range f.instances { // idle for the better part of a minute, then all ask for more than they may
+		f.step(h, 58*time.Second)
+	}
+	f.sent = 0
+	for range 80 {
+		for _, h := range f.instances {
+			f.step(h, 25*ms, h.request("write"))
+		}
+	}
+	budget := f.budget(c.SlowStartFrom + (1-c.SlowStartFrom)*0.58)
+	t.Logf("%d of %.0f", f.sent, allowed(budget))
+	if float64(f.sent) > allowed(budget) {
+		t.Errorf("%d in the contract's time, %.0f allowed", f.sent, allowed(budget))
+	}
+	if float64(f.sent) < budget/4 {
+		t.Errorf("%d in the contract's time, %.0f allowed: it is not used", f.sent, allowed(budget))
+	}
+}
+
+// allowed is how many requests a budget of n allows, with what is put down to chance.
+func allowed(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+
+// warmingFleet is a fleet of instances whose only endpoint warms up. Each attempt is answered at once.
+type warmingFleet struct {
+	config    Config
+	instances []*harness
+	sent      int
+}
+
+// newWarmingFleet starts the fleet with one write at each instance: its credit is counted from there.
+func newWarmingFleet(t *testing.T, c Config, seed uint64) *warmingFleet {
+	t.Helper()
+	const at = 100 * time.Second
+	f := &warmingFleet{config: c}
+	for i := range c.Instances {
+		b, err := New(c, 1000*seed+uint64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		h := &harness{t: t, balancer: b, now: at}
+		f.instances = append(f.instances, h)
+		h.step(0, EndpointList{Kind: ListCached, Entries: []EndpointEntry{
+			{Endpoint: "p", Group: 1, State: EndpointReady, Primary: true, StartedAt: at},
+		}})
+		h.step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: at})
+		f.step(h, 0, h.request("write"))
+	}
+	return f
+}
+
+// step passes the events to an instance, and counts and answers its attempts.
+func (f *warmingFleet) step(h *harness, d time.Duration, events ...Event) {
+	sends := actionsOf[Send](h.step(d, events...))
+	for len(sends) > 0 {
+		var more []Send
+		for _, s := range sends {
+			f.sent++
+			more = append(more, actionsOf[Send](h.step(0, AttemptResult{
+				ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 80 * ms, Role: RolePrimary,
+				Position: h.now, Finished: true,
+			}))...)
+		}
+		sends = more
+	}
+}
+
+// budget is how many writes the settings allow in their window, at a part of the endpoint's capacity. Their work is
+// taken as it is before any answer.
+func (f *warmingFleet) budget(capacity float64) float64 {
+	work := 0.0
+	for _, class := range f.config.Classes {
+		if class.Consistency == ConsistencyWrite {
+			work = class.LatencyObjective.Seconds() / 5
 		}
 	}
+	return f.config.OverloadMultiple * capacity * f.config.OverloadWindow.Seconds() / work
 }
 
 // What a warming endpoint may get goes by what the busiest warm ones do, not by those that stand idle beside them.
