--- /dev/null
+++ b/balance/pending_queue_test.go
@@ -0,0 +1,158 @@
+package balance
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestRankFallsWithTheObjective(t *testing.T) {
+	const now = 100 * time.Second
+	class := &classState{Class: Class{LateWeightShare: 0.2}, latency: 0.1}
+	rankAt := func(timeLeft time.Duration) float64 {
+		request := &request{class: class, weight: 1, objectiveAt: now + timeLeft}
+		request.updateRank(now)
+		return request.rank
+	}
+	early, soon, late := rankAt(time.Second), rankAt(50*ms), rankAt(-time.Second)
+	if early <= soon || soon <= late {
+		t.Errorf("ranks %v, %v, %v: want them to fall", early, soon, late)
+	}
+	if late != 0.2*1/0.1 {
+		t.Errorf("rank %v behind the objective, want the late share", late)
+	}
+}
+
+func TestPendingOrder(t *testing.T) {
+	first := &request{id: "first", rank: 2, objectiveAt: 9}
+	second := &request{id: "second", rank: 1, objectiveAt: 1}
+	third := &request{id: "third", rank: 1, objectiveAt: 2}
+	pending := []*request{third, first, second}
+	slices.SortStableFunc(pending, compareRanks)
+	if !slices.Equal(pending, []*request{first, second, third}) {
+		t.Errorf("%s, %s, %s", pending[0].id, pending[1].id, pending[2].id)
+	}
+}
+
+func TestRankDeficit(t *testing.T) {
+	var best bestRank
+	best.observe(&request{rank: 8, class: &classState{latency: 0.3}})
+	best.observe(&request{rank: 5, class: &classState{latency: 0.1}})
+	if best.rank != 8 || best.latency != 0.3 {
+		t.Fatalf("best %+v", best)
+	}
+	for rank, want := range map[float64]float64{0: 1, 2: 0.5, 4: 0, 8: 0} {
+		if got := best.deficit(&request{rank: rank}); got != want {
+			t.Errorf("deficit of rank %v: %v, want %v", rank, got, want)
+		}
+	}
+	if got := new(bestRank).deficit(&request{}); got != 1 {
+		t.Errorf("deficit of a request without weight, nothing seen: %v, want 1", got)
+	}
+}
+
+func TestPendingWriteIsRejectedInTime(t *testing.T) {
+	for held, most := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
+		c := testConfig()
+		c.LateRejectCost = held
+		h := newHarness(t, c, EndpointList{Kind: ListCached})
+		q := h.request("write")
+		var acts []Action
+		h.step(0, q)
+		for h.now < 102*time.Second && len(actionsOf[Reject](acts)) == 0 {
+			acts = h.step(10 * ms)
+		}
+		if at := h.now - 100*time.Second; at > most || at < most-100*ms {
+			t.Fatalf("refused after %v, the client waits 1 s", at)
+		}
+		if actionsOf[Reject](acts)[0].RetryAfter == 0 {
+			t.Fatal("a refusal without a retry-after")
+		}
+	}
+}
+
+// A request that waits for a connection does not do so beyond half of its client's time.
+func TestSendIsOnlyGoodForHalfOfTheTime(t *testing.T) {
+	h := newReadyHarness(t, testConfig())
+	for _, class := range []string{"write", "any", "latest"} {
+		at := h.now + ms
+		s := h.expectSends(h.step(ms, h.request(class)), "abc")[0]
+		if s.NotAfter < at+450*ms || s.NotAfter > at+500*ms {
+			t.Errorf("%s: by %v", class, s.NotAfter-at)
+		}
+	}
+}
+
+// A client that retries has used up part of its latency objective. Its timeout tells how much, once the limit of its
+// class cuts it.
+func TestRetryingClientHasLessTime(t *testing.T) {
+	h := newReadyHarness(t, testConfig())
+	q := h.request("bounded") // aim 400 ms, gives up after 2 s, nothing when late
+	q.TimeLeft = 2 * time.Second
+	h.expectSends(h.step(ms, q), "bc")
+	q = h.request("bounded")
+	q.Retry, q.TimeLeft = true, 1500*ms // 500 ms have gone: no answer can be in time
+	acts := h.step(ms, q)
+	h.expectSends(acts)
+	if len(actionsOf[Reject](acts)) != 1 {
+		t.Fatalf("%v, want a refusal at once", acts)
+	}
+	q = h.request("bounded")
+	q.Retry, q.TimeLeft = true, 1900*ms
+	h.expectSends(h.step(ms, q), "bc")
+	q = h.request("bounded") // not a retry: this client just has less patience
+	q.TimeLeft = 1500 * ms
+	h.expectSends(h.step(ms, q), "bc")
+}
+
+// A read that was never sent is rejected before half of its client's time, so that the client can ask elsewhere. One
+// that has reached an endpoint may stay pending for another attempt.
+func TestReadNeverSentIsRejectedBeforeHalfItsTime(t *testing.T) {
+	for _, reached := range []bool{false, true} {
+		h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
+		q := h.request("any")
+		h.step(0, q)
+		if reached {
+			n := h.expectSends(h.step(10*ms, threeEndpoints(ListFull)), "abc")[0].Endpoint
+			h.step(0, EndpointList{Kind: ListFull}, AttemptResult{ID: q.ID, Endpoint: n, Status: StatusBusy})
+		}
+		var acts []Action
+		for h.now < 102*time.Second && len(actionsOf[Reject](acts)) == 0 {
+			acts = h.step(10 * ms)
+		}
+		if at := h.now - 100*time.Second; reached != (at >= 500*ms) || at > time.Second {
+			t.Fatalf("reached %v: refused after %v, the client waits 1 s", reached, at)
+		}
+	}
+}
+
+// Classes without priority weight are served too: a share of nothing is not taken for more than there is.
+func TestRequestsWithoutWeightAreSent(t *testing.T) {
+	c := testConfig()
+	c.Instances = 300
+	for i := range c.Classes {
+		c.Classes[i].PriorityWeight = 0
+	}
+	h := newReadyHarness(t, c)
+	sent := 0
+	for range 40 {
+		for _, s := range actionsOf[Send](h.step(500*ms, h.request("any"))) {
+			sent++
+			h.step(
+				0,
+				AttemptResult{
+					ID:       s.ID,
+					Endpoint: s.Endpoint,
+					Status:   StatusDone,
+					Elapsed:  ms,
+					Finished: true,
+					Role:     RoleReplica,
+					Position: h.now,
+				},
+			)
+		}
+	}
+	if sent < 20 {
+		t.Fatalf("%d of 40 sent", sent)
+	}
+}
