--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Sink takes messages in order and says how many; what it did not take it is offered again. It may wait for a disk.
+// Sink takes messages in order.
 type Sink interface {
+	// Put says how many messages it took; the rest is offered again. It may wait for a disk.
 	Put(msgs [][]byte) int
 }
 
@@ -41,8 +42,10 @@
 
 // NewShipper starts one.
 func NewShipper(opt ShipperOptions, q *Queue, e *Encoder, sink Sink) *Shipper {
-	s := &Shipper{opt: opt, queue: q, enc: e, sink: sink, keys: make(chan Key, 1), quit: make(chan time.Time, 1),
-		done: make(chan struct{}), headAt: opt.Now()}
+	s := &Shipper{
+		opt: opt, queue: q, enc: e, sink: sink, keys: make(chan Key, 1), quit: make(chan time.Time, 1),
+		done: make(chan struct{}), headAt: opt.Now(),
+	}
 	go s.run()
 	return s
 }
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"crypto/tls"
+	"errors"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -112,8 +113,10 @@
 
 // NewSender starts to send. It finds what earlier processes have left in the spool.
 func NewSender(opt Options, log *slog.Logger) (*Sender, error) {
-	s := &Sender{opt: opt, log: log, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}),
-		start: time.Now(), using: -1, filled: time.Now(), adopted: time.Now()}
+	s := &Sender{
+		opt: opt, log: log, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}),
+		start: time.Now(), using: -1, filled: time.Now(), adopted: time.Now(),
+	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.turn = *NewFailover(len(opt.Collectors), opt.Seed, opt.First, opt.Last)
 	if opt.Spool != "" {
@@ -137,7 +140,7 @@
 		k, err := s.own.Append(msgs[n:])
 		s.spooled.Add(uint64(k))
 		n += k
-		if err != nil && err != spool.ErrFull {
+		if err != nil && !errors.Is(err, spool.ErrFull) {
 			s.fault(err)
 			n += s.remember(msgs[n:])
 		}
@@ -182,8 +185,10 @@
 
 // Stats returns what was done so far.
 func (s *Sender) Stats() Stats {
-	return Stats{Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connects.Load(), Spooled: s.spooled.Load(),
-		Lost: s.lost.Load(), SpoolErrs: s.errs.Load(), Skipped: s.skipped.Load(), Connected: s.connected.Load()}
+	return Stats{
+		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connects.Load(), Spooled: s.spooled.Load(),
+		Lost: s.lost.Load(), SpoolErrs: s.errs.Load(), Skipped: s.skipped.Load(), Connected: s.connected.Load(),
+	}
 }
 
 // Change sets other collectors; what is on its way to an old one is finished first.
@@ -226,7 +231,7 @@
 		}
 	}
 	for _, o := range s.left {
-		o.Close()
+		_ = o.Close() // where its cursor is not kept the next start sends messages again, and loses none
 	}
 	s.lost.Add(uint64(len(rest)))
 	s.waiting, s.bytes = nil, 0
