--- a/internal/simulation/multiprocess/sites_test.go
+++ b/internal/simulation/multiprocess/sites_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// hardCases are those that are named in docs/design/site-loss.md. Routers are dealt to sites in turn: r1 n, r2 s, r3 w or n, ...
+// hardCases are those that are named in docs/design/site-failover.md. Routers are dealt to sites in turn: r1 n, r2 s, r3 w or n, ...
 func hardCases() map[string]hard {
 	slow := func(at, length time.Duration, part float64, who ...string) fleet.Fault {
 		f := fault(at, "slow", length, who...)
--- a/internal/sitefailover/ramp.go
+++ b/internal/sitefailover/ramp.go
@@ -76,7 +76,7 @@
 	switch to {
 	case SiteLost:
 		// A first return is bounded by what each of its machines bears while it is cold, and pacing it beyond that only wastes them
-		// (docs/design/site-loss.md). One that goes again as it comes back is not to be believed so soon.
+		// (docs/design/site-failover.md). One that goes again as it comes back is not to be believed so soon.
 		if flaps > 0 {
 			x := r.of(site)
 			x.part, x.running, x.next = r.first(), false, 0
