--- /dev/null
+++ b/internal/store/fsm/event.go
@@ -0,0 +1,39 @@
+package fsm
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+)
+
+// Event says that a record has changed.
+type Event struct {
+	Revision uint64
+	Key      string
+	Deleted  bool
+}
+
+// ErrCompacted says that a watch is so far behind that the events it asks for are dropped: it has to read all records.
+var ErrCompacted = errors.New("older than what is kept")
+
+// EventsSince returns the events after a revision, oldest first.
+func (s *State) EventsSince(revision uint64) ([]Event, error) {
+	if revision < s.compacted {
+		return nil, ErrCompacted
+	}
+	byRevision := func(event Event, revision uint64) int { return cmp.Compare(event.Revision, revision) }
+	first, _ := slices.BinarySearchFunc(s.events, revision+1, byRevision)
+	return slices.Clone(s.events[first:]), nil
+}
+
+// appendEvent keeps an event, and drops the oldest ones beyond the limit.
+func (s *State) appendEvent(event Event) {
+	s.events = append(s.events, event)
+	excess := len(s.events) - s.limits.Events
+	if excess <= 0 {
+		return
+	}
+	s.compacted = s.events[excess-1].Revision
+	// The memory of the dropped events is released when append next allocates.
+	s.events = s.events[excess:]
+}
--- a/internal/store/fsm/golden_test.go
+++ b/internal/store/fsm/golden_test.go
@@ -61,27 +61,29 @@
 // goldenChanges are the log entries of the golden state, in order. Between them they set every field.
 func goldenChanges() []fsm.Change {
 	return []fsm.Change{
-		{ID: "site-a.1.1", Author: "site-a", At: writtenAt, Ops: []fsm.Op{
-			{Key: "settings/site-a", Kind: fsm.Config, Schema: 3, Value: []byte(`{"weight":1}`), If: revision(0)},
+		{ID: "site-a.1.1", Author: "site-a", ProposedAt: writtenAt, Ops: []fsm.Op{
+			{Key: "settings/site-a", Kind: fsm.KindConfig, Schema: 3, Value: []byte(`{"weight":1}`), IfRevision: revision(0)},
 			{Key: "endpoint-1", Value: []byte("ready")},
 		}},
-		{ID: "site-a.1.2", Author: "site-b", At: writtenAt + time.Second, Ops: []fsm.Op{
-			{Key: "settings/site-a", Kind: fsm.Config, Schema: 4, Value: []byte(`{"weight":2}`), If: revision(1)},
+		{ID: "site-a.1.2", Author: "site-b", ProposedAt: writtenAt + time.Second, Ops: []fsm.Op{
+			{Key: "settings/site-a", Kind: fsm.KindConfig, Schema: 4, Value: []byte(`{"weight":2}`), IfRevision: revision(1)},
 		}},
-		{ID: "site-b.1.1", Author: "site-b", At: writtenAt + 2*time.Second, Ops: []fsm.Op{
-			{Key: "settings/site-a", Kind: fsm.Config, Schema: 4, Value: []byte(`{"weight":9}`), If: revision(1)},
+		{ID: "site-b.1.1", Author: "site-b", ProposedAt: writtenAt + 2*time.Second, Ops: []fsm.Op{
+			{Key: "settings/site-a", Kind: fsm.KindConfig, Schema: 4, Value: []byte(`{"weight":9}`), IfRevision: revision(1)},
 		}},
 		{Ops: []fsm.Op{{Key: "endpoint-2", Kind: "address", Value: []byte{0, 0xff, '"'}}}},
-		{ID: "site-b.1.2", Author: "site-b", At: writtenAt + 3*time.Second, Ops: []fsm.Op{
-			{Key: "settings/site-a", Delete: true, If: revision(2)},
-			{Key: "settings/site-b", Kind: fsm.Config, Schema: 1, Value: []byte(`{}`)},
+		{ID: "site-b.1.2", Author: "site-b", ProposedAt: writtenAt + 3*time.Second, Ops: []fsm.Op{
+			{Key: "settings/site-a", Delete: true, IfRevision: revision(2)},
+			{Key: "settings/site-b", Kind: fsm.KindConfig, Schema: 1, Value: []byte(`{}`)},
 		}},
 	}
 }
 
 // goldenLimits drop the oldest event and keep the rest of the golden state.
 func goldenLimits() fsm.Limits {
-	return fsm.Limits{Key: 64, Value: 256, Ops: 8, Records: 16, Bytes: 4096, History: 4, IDs: 8, Events: 5}
+	return fsm.Limits{
+		KeyBytes: 64, ValueBytes: 256, Ops: 8, Records: 16, TotalBytes: 4096, HistoryLength: 4, RememberedIDs: 8, Events: 5,
+	}
 }
 
 func TestGoldenChanges(t *testing.T) {
@@ -124,14 +126,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := fsm.Restore(snapshot, fsm.Usual())
+	state, err := fsm.Restore(snapshot, fsm.DefaultLimits())
 	if err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "the revision", state.Revision(), uint64(1))
-	equal(t, "the records", state.List(""), []fsm.Record{
-		{Key: "endpoint-1", Value: []byte("ready"), Created: 1, Revision: 1},
-		{Key: "endpoint-2", Value: []byte("draining"), Created: 1, Revision: 1},
+	equal(t, "the records", state.Range(""), []fsm.Record{
+		{Key: "endpoint-1", Value: []byte("ready"), CreateRevision: 1, ModRevision: 1},
+		{Key: "endpoint-2", Value: []byte("draining"), CreateRevision: 1, ModRevision: 1},
 	})
 }
 
@@ -139,9 +141,9 @@
 func TestGoldenResults(t *testing.T) {
 	results := []fsm.Result{
 		{Revision: 7},
-		{Fault: fsm.Conflict, Key: "endpoint-1", Have: 3, Again: true},
-		{Fault: fsm.TooMuch},
-		{Fault: fsm.Bad},
+		{Reason: fsm.ReasonConflict, Key: "endpoint-1", CurrentRevision: 3, Duplicate: true},
+		{Reason: fsm.ReasonLimitExceeded},
+		{Reason: fsm.ReasonInvalid},
 	}
 	var lines [][]byte
 	for _, result := range results {
@@ -194,36 +196,36 @@
 	}
 
 	settingsB := fsm.Record{
-		Key: "settings/site-b", Kind: "config", Schema: 1, Value: []byte(`{}`), Created: 4, Revision: 4,
+		Key: "settings/site-b", Kind: "config", Schema: 1, Value: []byte(`{}`), CreateRevision: 4, ModRevision: 4,
 	}
 	equal(t, "the revision", state.Revision(), uint64(4))
 	equal(t, "the number of records", state.Len(), 3)
 	equal(t, "the size", state.Bytes(), 45)
-	equal(t, "the records", state.List(""), []fsm.Record{
-		{Key: "endpoint-1", Value: []byte("ready"), Created: 1, Revision: 1},
-		{Key: "endpoint-2", Kind: "address", Value: []byte{0, 0xff, '"'}, Created: 3, Revision: 3},
+	equal(t, "the records", state.Range(""), []fsm.Record{
+		{Key: "endpoint-1", Value: []byte("ready"), CreateRevision: 1, ModRevision: 1},
+		{Key: "endpoint-2", Kind: "address", Value: []byte{0, 0xff, '"'}, CreateRevision: 3, ModRevision: 3},
 		settingsB,
 	})
-	equal(t, "the history of a deleted record", state.History("settings/site-a"), []fsm.Past{
+	equal(t, "the history of a deleted record", state.History("settings/site-a"), []fsm.HistoryEntry{
 		{
 			Record: fsm.Record{
-				Key: "settings/site-a", Kind: "config", Schema: 3, Value: []byte(`{"weight":1}`), Created: 1, Revision: 1,
+				Key: "settings/site-a", Kind: "config", Schema: 3, Value: []byte(`{"weight":1}`), CreateRevision: 1, ModRevision: 1,
 			},
-			Author: "site-a", At: writtenAt,
+			Author: "site-a", ProposedAt: writtenAt,
 		},
 		{
 			Record: fsm.Record{
-				Key: "settings/site-a", Kind: "config", Schema: 4, Value: []byte(`{"weight":2}`), Created: 1, Revision: 2,
+				Key: "settings/site-a", Kind: "config", Schema: 4, Value: []byte(`{"weight":2}`), CreateRevision: 1, ModRevision: 2,
 			},
-			Author: "site-b", At: writtenAt + time.Second,
+			Author: "site-b", ProposedAt: writtenAt + time.Second,
 		},
 		{
-			Record: fsm.Record{Key: "settings/site-a", Kind: "config", Value: []byte{}, Created: 1, Revision: 4},
-			Author: "site-b", At: writtenAt + 3*time.Second, Deleted: true,
+			Record: fsm.Record{Key: "settings/site-a", Kind: "config", Value: []byte{}, CreateRevision: 1, ModRevision: 4},
+			Author: "site-b", ProposedAt: writtenAt + 3*time.Second, Deleted: true,
 		},
 	})
-	equal(t, "the history of a record", state.History("settings/site-b"), []fsm.Past{
-		{Record: settingsB, Author: "site-b", At: writtenAt + 3*time.Second},
+	equal(t, "the history of a record", state.History("settings/site-b"), []fsm.HistoryEntry{
+		{Record: settingsB, Author: "site-b", ProposedAt: writtenAt + 3*time.Second},
 	})
 	checkGoldenEvents(t, state)
 	checkGoldenIDs(t, state)
@@ -231,7 +233,7 @@
 
 func checkGoldenEvents(t *testing.T, state *fsm.State) {
 	t.Helper()
-	events, err := state.Since(1)
+	events, err := state.EventsSince(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,8 +243,8 @@
 		{Revision: 4, Key: "settings/site-a", Deleted: true},
 		{Revision: 4, Key: "settings/site-b"},
 	})
-	if _, err := state.Since(0); !errors.Is(err, fsm.ErrCut) {
-		t.Errorf("the events since revision 0 end in %v, want %v", err, fsm.ErrCut)
+	if _, err := state.EventsSince(0); !errors.Is(err, fsm.ErrCompacted) {
+		t.Errorf("the events since revision 0 end in %v, want %v", err, fsm.ErrCompacted)
 	}
 }
 
@@ -250,10 +252,10 @@
 func checkGoldenIDs(t *testing.T, state *fsm.State) {
 	t.Helper()
 	results := map[string]fsm.Result{
-		"site-a.1.1": {Revision: 1, Again: true},
-		"site-a.1.2": {Revision: 2, Again: true},
-		"site-b.1.1": {Fault: "conflict", Key: "settings/site-a", Have: 2, Again: true},
-		"site-b.1.2": {Revision: 4, Again: true},
+		"site-a.1.1": {Revision: 1, Duplicate: true},
+		"site-a.1.2": {Revision: 2, Duplicate: true},
+		"site-b.1.1": {Reason: "conflict", Key: "settings/site-a", CurrentRevision: 2, Duplicate: true},
+		"site-b.1.2": {Revision: 4, Duplicate: true},
 	}
 	for id, want := range results {
 		got := state.Apply(fsm.Change{ID: id, Ops: []fsm.Op{{Key: "endpoint-1", Value: []byte("again")}}})
--- /dev/null
+++ b/internal/store/fsm/history_test.go
@@ -0,0 +1,72 @@
+package fsm
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The last configurations are kept with their authors and times, and one is restored unless the record has changed
+// since.
+func TestHistory(t *testing.T) {
+	s := New(smallLimits())
+	for i := range 5 {
+		value := []byte{byte(i)}
+		mustApply(t, s, Change{Author: fmt.Sprint("op", i), ProposedAt: time.Duration(i), Ops: []Op{
+			{Key: "c", Kind: KindConfig, Schema: i, Value: value},
+			{Key: "s", Value: value},
+		}})
+	}
+	history := s.History("c")
+	if len(history) != 3 || history[0].Author != "op2" || history[2].ProposedAt != 4 || history[2].Schema != 4 {
+		t.Fatalf("%+v", history)
+	}
+	if other := s.History("s"); len(other) != 0 {
+		t.Fatalf("a record that is no configuration has the history %+v", other)
+	}
+	rollback, err := s.Rollback("c", history[0].ModRevision)
+	if err != nil {
+		t.Fatal(err)
+	}
+	tooLate, err := s.Rollback("c", history[1].ModRevision)
+	if err != nil {
+		t.Fatal(err)
+	}
+	mustApply(t, s, rollback)
+	if restored, _ := s.Get("c"); restored.Value[0] != 2 || restored.Schema != 2 || restored.Kind != KindConfig {
+		t.Fatalf("%+v", restored)
+	}
+	if result := s.Apply(tooLate); result.Reason != ReasonConflict {
+		t.Fatalf("%+v", result)
+	}
+	mustApply(t, s, Change{Ops: []Op{{Key: "c", Delete: true}}})
+	if history := s.History("c"); !history[len(history)-1].Deleted {
+		t.Fatalf("%+v", history)
+	}
+}
+
+// A history that does not hold a revision is told from one that does.
+func TestRollbackToUnknownRevision(t *testing.T) {
+	s := New(smallLimits())
+	for range 4 {
+		mustApply(t, s, Change{Ops: []Op{{Key: "c", Kind: KindConfig}}})
+	}
+	for _, test := range []struct {
+		name     string
+		key      string
+		revision uint64
+		want     error
+	}{
+		{"dropped", "c", 1, ErrNoSuchRevision},
+		{"never made", "c", 9, ErrNoSuchRevision},
+		{"unknown key", "d", 2, ErrNoSuchRevision},
+		{"kept", "c", 2, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := s.Rollback(test.key, test.revision); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+		})
+	}
+}
--- a/internal/store/fsm/snapshot.go
+++ b/internal/store/fsm/snapshot.go
@@ -10,118 +10,120 @@
 	"github.com/zeebo/blake3"
 )
 
-// A snapshot is a line that names its form, the length of what follows, its sum, and the state as JSON. Those of the first
-// form were a bare JSON object of keys and values.
-const form = "limeladder state 2\n"
-
-const head = len(form) + 8 + 32
+// A snapshot is a line that names its version, the length of the body as 8 bytes, the BLAKE3 sum of the body, and the
+// body: the state as JSON. A snapshot of the first version of the program is a bare JSON object of keys and values.
+const (
+	snapshotMagic       = "limeladder state 2\n"
+	snapshotLengthBytes = 8
+	snapshotSumBytes    = 32
+	snapshotHeaderBytes = len(snapshotMagic) + snapshotLengthBytes + snapshotSumBytes
+)
 
-// ErrSnapshot says that a snapshot is not what was written.
-var ErrSnapshot = errors.New("the snapshot is damaged")
+// ErrSnapshotDamaged says that a snapshot is not what was written. Nothing of it is used.
+var ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 
-// image is a State as a snapshot keeps it.
+// image is the body of a snapshot.
 type image struct {
-	Revision uint64
-	Cut      uint64
-	Records  []*Record
-	History  map[string][]Past
-	IDs      []imageID
-	Events   []Event
-}
-
-type imageID struct {
-	ID     string
-	Result Result
+	Revision   uint64
+	Compacted  uint64 `json:"Cut"`
+	Records    []*Record
+	History    map[string][]HistoryEntry
+	Remembered []rememberedResult `json:"IDs"`
+	Events     []Event
 }
 
-// Snapshot writes all of it. The same state gives the same bytes.
+// Snapshot encodes the state. The same state gives the same bytes.
 func (s *State) Snapshot() ([]byte, error) {
-	img := image{Revision: s.revision, Cut: s.cut, History: s.history, Events: s.events}
-	for _, key := range keys(s.records) {
+	img := image{
+		Revision:   s.revision,
+		Compacted:  s.compacted,
+		History:    s.history,
+		Remembered: append([]rememberedResult(nil), s.remembered...),
+		Events:     s.events,
+	}
+	for _, key := range sortedKeys(s.records) {
 		img.Records = append(img.Records, s.records[key])
 	}
-	for _, d := range s.ids {
-		img.IDs = append(img.IDs, imageID{d.id, d.result})
-	}
 	body, err := json.Marshal(img)
 	if err != nil {
 		return nil, err
 	}
 	sum := blake3.Sum256(body)
-	out := binary.BigEndian.AppendUint64([]byte(form), uint64(len(body)))
-	return append(append(out, sum[:]...), body...), nil
+	encoded := binary.BigEndian.AppendUint64([]byte(snapshotMagic), uint64(len(body)))
+	encoded = append(encoded, sum[:]...)
+	return append(encoded, body...), nil
 }
 
-// Restore reads a snapshot. Of one that is damaged nothing is taken.
-func Restore(p []byte, lim Limits) (*State, error) {
-	if !bytes.HasPrefix(p, []byte(form)) {
-		return first(p, lim)
-	}
-	if len(p) < head {
-		return nil, fmt.Errorf("%w: %d bytes", ErrSnapshot, len(p))
+// Restore decodes a snapshot. An error wraps ErrSnapshotDamaged.
+func Restore(snapshot []byte, limits Limits) (*State, error) {
+	if !bytes.HasPrefix(snapshot, []byte(snapshotMagic)) {
+		return restoreFirstVersion(snapshot, limits)
 	}
-	body := p[head:]
-	if n := binary.BigEndian.Uint64(p[len(form):]); n != uint64(len(body)) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrSnapshot, len(body), n)
-	}
-	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], p[len(form)+8:head]) {
-		return nil, fmt.Errorf("%w: its sum is another", ErrSnapshot)
+	body, err := snapshotBody(snapshot)
+	if err != nil {
+		return nil, err
 	}
 	var img image
 	if err := json.Unmarshal(body, &img); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrSnapshot, err)
-	}
-	s := New(lim)
-	s.revision, s.cut, s.events = img.Revision, img.Cut, img.Events
-	for _, r := range img.Records {
-		if r == nil || s.records[r.Key] != nil {
-			return nil, fmt.Errorf("%w: a key twice", ErrSnapshot)
+		return nil, fmt.Errorf("%w: %w", ErrSnapshotDamaged, err)
+	}
+	s := New(limits)
+	s.revision = img.Revision
+	s.compacted = img.Compacted
+	s.events = img.Events
+	for _, record := range img.Records {
+		if record == nil || s.records[record.Key] != nil {
+			return nil, fmt.Errorf("%w: a key twice", ErrSnapshotDamaged)
 		}
-		s.records[r.Key] = r
-		s.bytes += size(r.Key, r.Value)
+		s.records[record.Key] = record
+		s.bytes += size(record.Key, record.Value)
 	}
 	if img.History != nil {
 		s.history = img.History
 	}
-	for _, d := range img.IDs {
-		s.remember(d.ID, d.Result)
+	for _, remembered := range img.Remembered {
+		s.remember(remembered.ID, remembered.Result)
 	}
 	return s, nil
 }
 
-// first reads the first form: what it holds are records of no kind, all of the first revision.
-func first(p []byte, lim Limits) (*State, error) {
-	values := map[string][]byte{}
-	if err := json.Unmarshal(p, &values); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrSnapshot, err)
+// snapshotBody checks the header of a snapshot and returns what stands behind it.
+func snapshotBody(snapshot []byte) ([]byte, error) {
+	if len(snapshot) < snapshotHeaderBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrSnapshotDamaged, len(snapshot))
 	}
-	s := New(lim)
-	if len(values) == 0 {
-		return s, nil
+	header := snapshot[len(snapshotMagic):snapshotHeaderBytes]
+	body := snapshot[snapshotHeaderBytes:]
+	if length := binary.BigEndian.Uint64(header); length != uint64(len(body)) {
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrSnapshotDamaged, len(body), length)
 	}
-	s.revision, s.cut = 1, 1
-	for _, key := range keys(values) {
-		s.records[key] = &Record{Key: key, Value: values[key], Created: 1, Revision: 1}
-		s.bytes += size(key, values[key])
+	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], header[snapshotLengthBytes:]) {
+		return nil, fmt.Errorf("%w: its sum is another", ErrSnapshotDamaged)
 	}
-	return s, nil
+	return body, nil
 }
 
-// Decode reads a change as the log holds it. Entries of the first form set one key.
-func Decode(p []byte) (Change, error) {
-	var c struct {
-		Change
-		Key   *string
-		Value []byte
+// restoreFirstVersion decodes a snapshot of the first version: its records have no kind, and all the first revision.
+func restoreFirstVersion(snapshot []byte, limits Limits) (*State, error) {
+	values := map[string][]byte{}
+	if err := json.Unmarshal(snapshot, &values); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSnapshotDamaged, err)
 	}
-	if err := json.Unmarshal(p, &c); err != nil {
-		return Change{}, err
+	s := New(limits)
+	if len(values) == 0 {
+		return s, nil
 	}
-	if c.Key != nil && len(c.Ops) == 0 {
-		return Change{Ops: []Op{{Key: *c.Key, Value: c.Value}}}, nil
+	const firstRevision = 1
+	s.revision = firstRevision
+	s.compacted = firstRevision
+	for _, key := range sortedKeys(values) {
+		s.records[key] = &Record{
+			Key:            key,
+			Value:          values[key],
+			CreateRevision: firstRevision,
+			ModRevision:    firstRevision,
+		}
+		s.bytes += size(key, values[key])
 	}
-	return c.Change, nil
+	return s, nil
 }
-
-// Encode writes it.
-func (c Change) Encode() ([]byte, error) { return json.Marshal(c) }
--- /dev/null
+++ b/internal/store/member_tls_test.go
@@ -0,0 +1,215 @@
+package store
+
+import (
+	"crypto/tls"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"limeladder/internal/store/fsm"
+	"limeladder/internal/testserver/collector"
+)
+
+// issue writes the files of a member: a certificate for a DNS name, its key, and the authorities that are trusted.
+func issue(
+	t *testing.T, dir, member, dnsName string, issuer *collector.Authority, trusted ...*collector.Authority,
+) Files {
+	t.Helper()
+	_, cert, key, err := issuer.Issue(dnsName, time.Now().Add(time.Hour))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var authorities []byte
+	for _, authority := range trusted {
+		authorities = append(authorities, authority.PEM...)
+	}
+	files := Files{
+		CA:   filepath.Join(dir, member+".ca"),
+		Cert: filepath.Join(dir, member+".cert"),
+		Key:  filepath.Join(dir, member+".key"),
+	}
+	for path, content := range map[string][]byte{files.CA: authorities, files.Cert: cert, files.Key: key} {
+		writeFile(t, path+".new", content)
+		if err := os.Rename(path+".new", path); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
+
+func newAuthority(t *testing.T) *collector.Authority {
+	t.Helper()
+	authority, err := collector.NewAuthority()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return authority
+}
+
+// issueCertificate returns a certificate with its key.
+func issueCertificate(t *testing.T, dir, name, dnsName string, issuer *collector.Authority) tls.Certificate {
+	t.Helper()
+	files := issue(t, dir, name, dnsName, issuer, issuer)
+	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cert
+}
+
+// checkCommits commits a new value at each member and checks that all of them get it.
+func checkCommits(t *testing.T, c *cluster, value string) {
+	t.Helper()
+	for name, s := range c.members {
+		change := fsm.Change{ID: value + name, Ops: []fsm.Op{{Key: "n", Value: []byte(value)}}}
+		eventually(t, value+": "+name+" commits", func() bool {
+			result, err := s.Commit(change)
+			return err == nil && result.Applied()
+		})
+	}
+	for name, s := range c.members {
+		eventuallyHas(t, name, s, "n", value)
+	}
+}
+
+// isAnswered says whether a member answers a forwarded write with success.
+func isAnswered(t *testing.T, conn net.Conn) bool {
+	t.Helper()
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(3 * time.Second))
+	if _, err := conn.Write([]byte{protocolForward, 0, 0, 0, 2, '{', '}'}); err != nil {
+		return false
+	}
+	answer, err := io.ReadAll(conn)
+	if err != nil && len(answer) == 0 {
+		return false
+	}
+	return len(answer) > 0 && answer[0] == forwardAccepted
+}
+
+// waitForReload waits until members look at their files again.
+func waitForReload() { time.Sleep(reloadInterval + 100*time.Millisecond) }
+
+// checkStrangersRejected checks that whoever is no member of a cluster, whose authority is trusted, gets no answer.
+func checkStrangersRejected(t *testing.T, c *cluster, dir string, trusted *collector.Authority) {
+	t.Helper()
+	for _, test := range []struct {
+		name  string
+		certs []tls.Certificate
+	}{
+		{"without a certificate", nil},
+		{"with a certificate of another authority", []tls.Certificate{
+			issueCertificate(t, dir, "x", "m1", newAuthority(t)),
+		}},
+		{"with a certificate of no member", []tls.Certificate{
+			issueCertificate(t, dir, "y", "stranger", trusted),
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			config := &tls.Config{InsecureSkipVerify: true, Certificates: test.certs}
+			conn, err := net.Dial("tcp", c.addresses["m0"])
+			if err != nil {
+				t.Fatal(err)
+			}
+			secured := tls.Client(conn, config)
+			defer secured.Close()
+			secured.SetDeadline(time.Now().Add(3 * time.Second))
+			// The write may succeed: the member's refusal comes after the client's side of the handshake.
+			_, _ = secured.Write([]byte{protocolForward, 0, 0, 0, 2, '{', '}'})
+			if _, err := io.ReadFull(secured, make([]byte, 1)); err == nil {
+				t.Error("it is answered")
+			}
+		})
+	}
+	t.Run("in the clear", func(t *testing.T) {
+		conn, err := net.Dial("tcp", c.addresses["m0"])
+		if err != nil {
+			t.Fatal(err)
+		}
+		if isAnswered(t, conn) {
+			t.Error("it is answered")
+		}
+	})
+}
+
+// Members that authenticate each other work, and go on while authority and certificates are replaced under them, one
+// after the other and without a restart. Whoever is no member gets nowhere.
+func TestMembersAuthenticateEachOther(t *testing.T) {
+	dir := t.TempDir()
+	old := newAuthority(t)
+	next := newAuthority(t)
+	c := newCluster(t, 0, 64)
+	c.addresses = peers(t, 3)
+	for name := range c.addresses {
+		c.start(t, name, issue(t, dir, name, name, old, old))
+	}
+	checkCommits(t, c, "at first")
+
+	t.Run("strangers", func(t *testing.T) { checkStrangersRejected(t, c, dir, old) })
+
+	// Both authorities are trusted everywhere, then each member gets its new certificate, then the old authority goes.
+	for name := range c.addresses {
+		issue(t, dir, name, name, old, old, next)
+	}
+	waitForReload()
+	checkCommits(t, c, "with both authorities")
+	for name := range c.addresses {
+		issue(t, dir, name, name, next, old, next)
+		waitForReload()
+		checkCommits(t, c, "with a new certificate for "+name)
+	}
+	for name := range c.addresses {
+		issue(t, dir, name, name, next, next)
+	}
+	waitForReload()
+	checkCommits(t, c, "with the new authority alone")
+
+	otherMember := issueCertificate(t, dir, "z", "m2", next).Leaf
+	if otherMember == nil {
+		t.Fatal("no leaf")
+	}
+	if err := c.members["m1"].stream.tls.checkMember(otherMember, c.addresses["m1"]); err == nil {
+		t.Error("one member is taken for another")
+	}
+
+	writeFile(t, filepath.Join(dir, "m1.key"), []byte("half"))
+	waitForReload()
+	checkCommits(t, c, "with a file that can't be used")
+}
+
+// The files that members authenticate each other with are checked at the start, each fault in one line that names the
+// setting.
+func TestBadFiles(t *testing.T) {
+	addresses := peers(t, 1)
+	dir := t.TempDir()
+	authority := newAuthority(t)
+	good := issue(t, dir, "good", "m0", authority, authority)
+	otherMember := issue(t, dir, "wrong", "m7", authority, authority)
+	missing := filepath.Join(dir, "none")
+	for _, test := range []struct {
+		name  string
+		files Files
+		want  string
+	}{
+		{"no authority", Files{Cert: good.Cert, Key: good.Key}, "store.ca: "},
+		{"certificate is missing", Files{CA: good.CA, Cert: missing, Key: good.Key}, "store.cert: "},
+		{"key is missing", Files{CA: good.CA, Cert: good.Cert, Key: missing}, "store.key: "},
+		{"authority is a key", Files{CA: good.Key, Cert: good.Cert, Key: good.Key}, "store.ca: no certificate"},
+		{"key of another certificate", Files{CA: good.CA, Cert: good.Cert, Key: otherMember.Key}, "store.cert: tls"},
+		{"certificate of another member", otherMember, "store.cert: it is not for m0"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			config := Config{
+				Name: "m0", Folder: t.TempDir(), Peers: addresses, Entries: 8, Queue: 8, Secret: test.files,
+			}
+			_, err := Open(config, discardLog)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s", err, test.want)
+			}
+		})
+	}
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -5,9 +5,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -17,82 +15,147 @@
 	"limeladder/internal/store/fsm"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // peers reserves addresses that the kernel picks.
 func peers(t *testing.T, n int) map[string]string {
-	out := map[string]string{}
+	t.Helper()
+	addresses := map[string]string{}
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		out[fmt.Sprintf("m%d", i)] = ln.Addr().String()
+		addresses[fmt.Sprintf("m%d", i)] = ln.Addr().String()
 	}
-	return out
+	return addresses
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	deadline := time.Now().Add(60 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
 			t.Fatal("never: " + what)
 		}
+		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func has(s *Store, key, want string) func() bool {
-	return func() bool { v, ok := s.Get(key); return ok && string(v) == want }
+func hasValue(s *Store, key, want string) bool {
+	value, ok := s.Get(key)
+	return ok && string(value) == want
 }
 
-func TestMembersAgreeAndSurviveRestarts(t *testing.T) {
-	addrs, dir := peers(t, 3), t.TempDir()
-	open := func(name string) *Store {
-		s, err := Open(Config{Name: name, Folder: filepath.Join(dir, name), Peers: addrs, Entries: 8, Queue: 64}, quiet)
-		if err != nil {
-			t.Fatal(err)
+func eventuallyHas(t *testing.T, name string, s *Store, key, want string) {
+	t.Helper()
+	eventually(t, fmt.Sprintf("%s has %s=%s", name, key, want), func() bool { return hasValue(s, key, want) })
+}
+
+// cluster is a store with all its members in one process.
+type cluster struct {
+	addresses map[string]string
+	folder    string
+	entries   int
+	members   map[string]*Store
+}
+
+// newCluster starts n members. They are closed at the end of the test.
+func newCluster(t *testing.T, n, entries int) *cluster {
+	t.Helper()
+	c := &cluster{addresses: peers(t, n), folder: t.TempDir(), entries: entries, members: map[string]*Store{}}
+	t.Cleanup(func() {
+		for name := range c.members {
+			c.stop(t, name)
 		}
-		return s
+	})
+	for name := range c.addresses {
+		c.start(t, name, Files{})
+	}
+	return c
+}
+
+func (c *cluster) start(t *testing.T, name string, files Files) {
+	t.Helper()
+	s, err := Open(Config{
+		Name: name, Folder: filepath.Join(c.folder, name), Peers: c.addresses, Entries: c.entries, Queue: 64, Secret: files,
+	}, discardLog)
+	if err != nil {
+		t.Fatal(err)
 	}
-	all := map[string]*Store{}
-	for name := range addrs {
-		all[name] = open(name)
+	c.members[name] = s
+}
+
+func (c *cluster) stop(t *testing.T, name string) {
+	t.Helper()
+	if err := c.members[name].Close(); err != nil {
+		t.Error(err)
 	}
-	for name, s := range all {
-		if !s.Put("from/"+name, []byte(name)) {
-			t.Fatal("no room")
+	delete(c.members, name)
+}
+
+// commit proposes a change at a member until its outcome is known.
+func (c *cluster) commit(t *testing.T, name string, change fsm.Change) fsm.Result {
+	t.Helper()
+	var result fsm.Result
+	eventually(t, name+" knows of a majority", func() bool {
+		var err error
+		result, err = c.members[name].Commit(change)
+		return err == nil
+	})
+	return result
+}
+
+func (c *cluster) leader(t *testing.T) *Store {
+	t.Helper()
+	var leader *Store
+	eventually(t, "a leader", func() bool {
+		for _, s := range c.members {
+			if s.raft.State() == raft.Leader {
+				leader = s
+			}
 		}
+		return leader != nil
+	})
+	return leader
+}
+
+func mustPut(t *testing.T, s *Store, key, value string) {
+	t.Helper()
+	if !s.Put(key, []byte(value)) {
+		t.Fatalf("no room for %s", key)
+	}
+}
+
+func TestMembersAgreeAndSurviveRestarts(t *testing.T) {
+	c := newCluster(t, 3, 8)
+	for name, s := range c.members {
+		mustPut(t, s, "from/"+name, name)
 	}
-	for _, s := range all {
-		for name := range addrs {
-			eventually(t, name+" everywhere", has(s, "from/"+name, name))
+	for name, s := range c.members {
+		for author := range c.addresses {
+			eventuallyHas(t, name, s, "from/"+author, author)
 		}
 	}
 	// One member is away while the others go on, then comes back and catches up.
-	if err := all["m0"].Close(); err != nil {
-		t.Fatal(err)
-	}
+	c.stop(t, "m0")
 	for i := range 30 {
-		all["m1"].Put("count", fmt.Append(nil, i))
-	}
-	eventually(t, "the last count", has(all["m2"], "count", "29"))
-	all["m0"] = open("m0")
-	eventually(t, "caught up", has(all["m0"], "count", "29"))
-	// All of them end and start again: nothing is lost.
-	for _, s := range all {
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
-		}
+		mustPut(t, c.members["m1"], "count", fmt.Sprint(i))
 	}
-	for name := range addrs {
-		all[name] = open(name)
+	eventuallyHas(t, "m2", c.members["m2"], "count", "29")
+	c.start(t, "m0", Files{})
+	eventuallyHas(t, "m0", c.members["m0"], "count", "29")
+	// All members stop and start again: nothing is lost. None may stop again before all have caught up, because a member
+	// learns from a majority what it has.
+	for name := range c.addresses {
+		c.stop(t, name)
 	}
-	for _, s := range all {
-		eventually(t, "still there", has(s, "count", "29"))
+	for name := range c.addresses {
+		c.start(t, name, Files{})
 	}
-	for _, s := range all { // not before: what a member has is told to it by a majority
-		s.Close()
+	for name, s := range c.members {
+		eventuallyHas(t, name, s, "count", "29")
 	}
 }
 
@@ -106,186 +169,92 @@
 	}
 }
 
-// Wherever a crash cuts the file, what was acknowledged before is there and the rest is reported.
-func TestTornData(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "log")
-	w, err := openWAL(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ends := []int64{0}
-	for i := range uint64(5) {
-		if err := w.StoreLog(&raft.Log{Index: i + 1, Term: 1, Data: []byte("entry")}); err != nil {
-			t.Fatal(err)
-		}
-		ends = append(ends, w.size)
-	}
-	w.close()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for n := range text {
-		os.WriteFile(path, text[:n], 0o600)
-		w, err := openWAL(path)
-		if err != nil {
-			t.Fatalf("cut at %d: %v", n, err)
-		}
-		whole := 0
-		for ends[whole+1] <= int64(n) {
-			whole++
-		}
-		if w.hi != uint64(whole) || w.torn != int64(n)-ends[whole] || w.size != ends[whole] {
-			t.Fatalf("cut at %d: %d logs, %d bytes torn", n, w.hi, w.torn)
+// Of members that each want to be the first, one is.
+func checkOneFirst(t *testing.T, c *cluster) {
+	t.Helper()
+	applied := 0
+	for name := range c.addresses {
+		absent := uint64(0)
+		result := c.commit(t, name, fsm.Change{ID: "once-" + name, Author: name, Ops: []fsm.Op{
+			{Key: "lock", Kind: fsm.KindConfig, Value: []byte(name), IfRevision: &absent},
+			{Key: "by", Value: []byte(name)},
+		}})
+		if result.Applied() {
+			applied++
+			continue
 		}
-		w.close()
-	}
-	rng := rand.New(rand.NewPCG(1, 1))
-	for range 100 { // one bad byte in a record's body before the last
-		bad := append([]byte(nil), text...)
-		at := int(ends[rng.IntN(4)]) + headBytes + rng.IntN(20)
-		bad[at] ^= 0x40
-		os.WriteFile(path, bad, 0o600)
-		if _, err := openWAL(path); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("byte %d: %v", at, err)
+		var conflict *fsm.ConflictError
+		if !errors.As(result.Err(), &conflict) || conflict.Key != "lock" {
+			t.Errorf("%+v", result)
 		}
 	}
-}
-
-func TestCompact(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "log")
-	w, err := openWAL(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	w.SetUint64([]byte("term"), 7)
-	for i := range uint64(20) {
-		w.StoreLog(&raft.Log{Index: i + 1, Data: make([]byte, 64<<10)})
-	}
-	if err := w.DeleteRange(1, 18); err != nil {
-		t.Fatal(err)
-	}
-	w.close()
-	if w, err = openWAL(path); err != nil {
-		t.Fatal(err)
+	if applied != 1 {
+		t.Fatalf("%d are the first", applied)
 	}
-	defer w.close()
-	term, err := w.GetUint64([]byte("term"))
-	if w.lo != 19 || w.hi != 20 || w.size > 400<<10 || term != 7 || err != nil {
-		t.Fatalf("logs %d to %d, %d bytes, term %d, %v", w.lo, w.hi, w.size, term, err)
-	}
-}
-
-func FuzzWAL(f *testing.F) {
-	p, _ := encode(record{Key: "k", Value: []byte("v")})
-	f.Add(p)
-	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		path := filepath.Join(t.TempDir(), "log")
-		os.WriteFile(path, text, 0o600)
-		if w, err := openWAL(path); err == nil {
-			if w.size+w.torn != int64(len(text)) {
-				t.Fatalf("%d bytes kept, %d torn, of %d", w.size, w.torn, len(text))
-			}
-			w.close()
-		}
-	})
 }
 
-// Changes proposed at any member hold whole or not at all, once, and are the same everywhere; without a majority they are
-// refused while reads go on; a log and a snapshot of the first form are read on.
+// Changes proposed at any member hold completely or not at all, once, and are the same everywhere. An entry of the
+// first version of the program is applied.
 func TestCommit(t *testing.T) {
-	addrs, dir := peers(t, 3), t.TempDir()
-	all := map[string]*Store{}
-	open := func(name string) {
-		s, err := Open(Config{Name: name, Folder: filepath.Join(dir, name), Peers: addrs, Entries: 8, Queue: 64}, quiet)
-		if err != nil {
-			t.Fatal(err)
-		}
-		all[name] = s
-	}
-	for name := range addrs {
-		open(name)
-	}
-	defer func() {
-		for _, s := range all {
-			s.Close()
-		}
-	}()
-	commit := func(name string, c fsm.Change) fsm.Result {
-		t.Helper()
-		var r fsm.Result
-		eventually(t, "a majority", func() (ok bool) {
-			var err error
-			r, err = all[name].Commit(c)
-			return err == nil
-		})
-		return r
-	}
-	var leader *Store
-	eventually(t, "a leader", func() bool {
-		for _, s := range all {
-			if s.raft.State() == raft.Leader {
-				leader = s
-			}
-		}
-		return leader != nil
-	})
-	if err := leader.raft.Apply([]byte(`{"Key":"old","Value":"eA=="}`), time.Second).Error(); err != nil { // as the first form had it
+	c := newCluster(t, 3, 8)
+	leader := c.leader(t)
+	firstVersion := []byte(`{"Key":"old","Value":"eA=="}`)
+	if err := leader.raft.Apply(firstVersion, time.Second).Error(); err != nil {
 		t.Fatal(err)
 	}
-	zero := uint64(0)
-	won := 0
-	for name := range addrs { // each wants to be the first
-		r := commit(name, fsm.Change{ID: "once-" + name, Author: name, Ops: []fsm.Op{{Key: "lock", Kind: fsm.Config, Value: []byte(name), If: &zero}, {Key: "by", Value: []byte(name)}}})
-		if r.Fault == "" {
-			won++
-		} else if r.Fault != fsm.Conflict || r.Key != "lock" {
-			t.Errorf("%+v", r)
+	checkOneFirst(t, c)
+	first, _ := leader.GetRecord("lock")
+	// A change whose answer was lost is committed again, with the same id.
+	for range 3 {
+		result := c.commit(t, "m1", fsm.Change{ID: "same", Ops: []fsm.Op{
+			{Key: "lock", Kind: fsm.KindConfig, Value: []byte("x"), IfRevision: &first.ModRevision},
+		}})
+		if !result.Applied() {
+			t.Fatalf("%+v", result)
 		}
 	}
-	if won != 1 {
-		t.Fatalf("%d have won", won)
+	if history := leader.History("lock"); len(history) != 2 || string(history[1].Value) != "x" {
+		t.Fatalf("%+v", history)
 	}
-	first, _ := leader.Read("lock")
-	for range 3 { // an answer that is lost: the same change comes again
-		if r := commit("m1", fsm.Change{ID: "same", Ops: []fsm.Op{{Key: "lock", Kind: fsm.Config, Value: []byte("x"), If: &first.Revision}}}); r.Fault != "" {
-			t.Fatalf("%+v", r)
-		}
-	}
-	if h := leader.History("lock"); len(h) != 2 || string(h[1].Value) != "x" {
-		t.Fatalf("%+v", h)
-	}
-	if r, err := leader.Rollback("lock", first.Revision, "op"); err != nil || r.Fault != "" {
-		t.Fatal(r, err)
+	if result, err := leader.Rollback("lock", first.ModRevision, "op"); err != nil || !result.Applied() {
+		t.Fatal(result, err)
 	}
-	for name, s := range all {
-		eventually(t, name+" has it", has(s, "lock", string(first.Value)))
-		if !has(s, "old", "x")() || len(s.History("lock")) != 3 {
-			t.Errorf("%s: %+v", name, s.History("lock"))
+	for name, s := range c.members {
+		eventuallyHas(t, name, s, "lock", string(first.Value))
+		if history := s.History("lock"); !hasValue(s, "old", "x") || len(history) != 3 {
+			t.Errorf("%s: %+v", name, history)
 		}
-		if l, rev := s.List("l"); len(l) != 1 || rev != l[0].Revision {
-			t.Errorf("%s: %+v at %d", name, l, rev)
+		if records, revision := s.Range("l"); len(records) != 1 || revision != records[0].ModRevision {
+			t.Errorf("%s: %+v at %d", name, records, revision)
 		}
 	}
-	if e, err := leader.Since(first.Revision); err != nil || len(e) != 2 {
-		t.Errorf("%+v %v", e, err)
+	if events, err := leader.EventsSince(first.ModRevision); err != nil || len(events) != 2 {
+		t.Errorf("%+v %v", events, err)
 	}
-	for i := range 20 { // beyond a snapshot
-		commit("m2", fsm.Change{Ops: []fsm.Op{{Key: "n", Value: []byte{byte(i)}}}})
-	}
-	all["m0"].Close()
-	open("m0")
-	eventually(t, "a restart has all", func() bool { return has(all["m0"], "n", "\x13")() && len(all["m0"].History("lock")) == 3 })
-	all["m1"].Close()
-	all["m2"].Close()
-	eventually(t, "nobody leads", func() bool {
-		_, err := all["m0"].Commit(fsm.Change{Ops: []fsm.Op{{Key: "n"}}})
+}
+
+// A member that restarts has all of it, also beyond a snapshot. Without a majority changes are refused while reads go
+// on.
+func TestNoLeader(t *testing.T) {
+	c := newCluster(t, 3, 8)
+	for range 3 {
+		c.commit(t, "m1", fsm.Change{Ops: []fsm.Op{{Key: "lock", Kind: fsm.KindConfig}}})
+	}
+	for i := range 20 {
+		c.commit(t, "m2", fsm.Change{Ops: []fsm.Op{{Key: "n", Value: []byte{byte(i)}}}})
+	}
+	c.stop(t, "m0")
+	c.start(t, "m0", Files{})
+	m0 := c.members["m0"]
+	eventuallyHas(t, "m0", m0, "n", "\x13")
+	eventually(t, "m0 has the history", func() bool { return len(m0.History("lock")) == 3 })
+	c.stop(t, "m1")
+	c.stop(t, "m2")
+	eventually(t, "m0 knows of no leader", func() bool {
+		_, err := m0.Commit(fsm.Change{Ops: []fsm.Op{{Key: "n"}}})
 		return errors.Is(err, ErrNoLeader)
 	})
-	if !has(all["m0"], "n", "\x13")() {
+	if !hasValue(m0, "n", "\x13") {
 		t.Error("reads need a majority")
 	}
-	delete(all, "m1")
-	delete(all, "m2")
 }
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"os"
 	"path/filepath"
@@ -14,210 +13,216 @@
 	"github.com/hashicorp/raft"
 )
 
-// wal keeps raft's log and its few stable values in one file of checksummed records. What stands in the file is also
-// held in memory; snapshots keep it short.
-type wal struct {
-	mu     sync.Mutex
-	path   string
-	file   *os.File
-	size   int64
-	logs   map[uint64]*raft.Log
-	lo, hi uint64
-	stable map[string][]byte
-	torn   int64 // bytes of an unfinished record that were cut off at the start
-}
+// compactionThreshold is the size of the file from which a deletion of entries rewrites it.
+const compactionThreshold = 1 << 20
 
-// record is one change: exactly one of its parts is set.
-type record struct {
-	Logs  []*raft.Log `json:",omitempty"`
-	Key   string      `json:",omitempty"`
-	Value []byte      `json:",omitempty"`
-	Min   uint64      `json:",omitempty"` // with Max: the logs from Min to Max are dropped
-	Max   uint64      `json:",omitempty"`
+// wal keeps the log of raft and its few stable values in one file of checksummed records. The content of the file is
+// also held in memory; snapshots keep it short. It implements raft.LogStore and raft.StableStore.
+type wal struct {
+	mu         sync.Mutex
+	path       string
+	file       *os.File
+	size       int64                // of the file
+	entries    map[uint64]*raft.Log // by index, without gaps
+	firstIndex uint64               // 0 if there are no entries
+	lastIndex  uint64
+	stable     map[string][]byte
+	tornBytes  int64 // of an unfinished record that were cut off at the start
 }
 
-// ErrDamaged says that a record in the middle of the file does not have its checksum. What stands behind it was
-// promised to the peers, so the file is not used.
-var ErrDamaged = errors.New("damaged record")
-
-const (
-	headBytes   = 8
-	recordBytes = 64 << 20
-	compactAt   = 1 << 20
-)
-
 func openWAL(path string) (*wal, error) {
-	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	w := &wal{path: path, file: f, logs: map[uint64]*raft.Log{}, stable: map[string][]byte{}}
-	if err := w.load(); err != nil {
-		f.Close()
-		return nil, fmt.Errorf("%s: %w", path, err)
+	w := &wal{path: path, file: file, entries: map[uint64]*raft.Log{}, stable: map[string][]byte{}}
+	err = w.load()
+	if err == nil {
+		return w, nil
+	}
+	_ = file.Close() // the caller needs the reason of the failed start
+	var damaged *DamagedError
+	if errors.As(err, &damaged) {
+		return nil, err // it names the file
 	}
-	return w, nil
+	return nil, fmt.Errorf("%s: %w", path, err)
 }
 
-// load reads the file. A record that its end cuts short was never acknowledged: it is cut off and reported.
+// load reads the file. A record that the end of the file cuts short was never acknowledged: it is cut off and reported.
 func (w *wal) load() error {
-	text, err := io.ReadAll(w.file)
+	content, err := io.ReadAll(w.file)
 	if err != nil {
 		return err
 	}
-	at := int64(0)
-	for rest := text; len(rest) > 0; rest = text[at:] {
-		body, n, whole := cut(rest)
-		if !whole {
-			w.torn = int64(len(rest))
+	for w.size < int64(len(content)) {
+		rest := content[w.size:]
+		length, complete := recordLength(rest)
+		if !complete {
 			break
 		}
-		if body == nil {
-			if int64(n) == int64(len(rest)) { // the last one: its bytes were not all written
-				w.torn = int64(len(rest))
-				break
-			}
-			return fmt.Errorf("%w at byte %d", ErrDamaged, at)
+		isLast := length == len(rest)
+		valid := hasValidChecksum(rest[:length])
+		if isLast && !valid {
+			break // a crash came before all of its bytes were written
+		}
+		if !valid {
+			return &DamagedError{File: w.path, Offset: w.size}
 		}
-		var r record
-		if err := json.Unmarshal(body, &r); err != nil {
-			return fmt.Errorf("%w at byte %d: %v", ErrDamaged, at, err)
+		var record walRecord
+		if err := json.Unmarshal(rest[recordHeaderBytes:length], &record); err != nil {
+			return &DamagedError{File: w.path, Offset: w.size, Err: err}
 		}
-		w.apply(r)
-		at += int64(n)
+		w.apply(record)
+		w.size += int64(length)
 	}
-	w.size = at
-	if w.torn > 0 {
-		if err := w.file.Truncate(at); err != nil {
+	w.tornBytes = int64(len(content)) - w.size
+	return w.cutTornRecord()
+}
+
+// cutTornRecord leaves the file open behind its last complete record.
+func (w *wal) cutTornRecord() error {
+	if w.tornBytes > 0 {
+		if err := w.file.Truncate(w.size); err != nil {
 			return err
 		}
 		if err := w.file.Sync(); err != nil {
 			return err
 		}
 	}
-	_, err = w.file.Seek(at, io.SeekStart)
+	_, err := w.file.Seek(w.size, io.SeekStart)
 	return err
 }
 
-// cut returns the first record of p and its length; body is nil where the checksum does not fit, and whole is false
-// where p ends within it.
-func cut(p []byte) (body []byte, n int, whole bool) {
-	if len(p) < headBytes {
-		return nil, 0, false
-	}
-	size := int(binary.BigEndian.Uint32(p))
-	if size > recordBytes || len(p) < headBytes+size {
-		return nil, 0, false
-	}
-	n = headBytes + size
-	body = p[headBytes:n]
-	if crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)) != binary.BigEndian.Uint32(p[4:]) {
-		return nil, n, true
-	}
-	return body, n, true
-}
-
-func (w *wal) apply(r record) {
-	for _, l := range r.Logs {
-		w.logs[l.Index] = l
-		if w.lo == 0 || l.Index < w.lo {
-			w.lo = l.Index
+// apply carries out a record in memory.
+func (w *wal) apply(record walRecord) {
+	for _, entry := range record.Entries {
+		w.entries[entry.Index] = entry
+		if w.firstIndex == 0 || entry.Index < w.firstIndex {
+			w.firstIndex = entry.Index
 		}
-		w.hi = max(w.hi, l.Index)
+		w.lastIndex = max(w.lastIndex, entry.Index)
 	}
-	if r.Key != "" {
-		w.stable[r.Key] = r.Value
+	if record.Key != "" {
+		w.stable[record.Key] = record.Value
 	}
-	if r.Max > 0 {
-		for i := max(r.Min, w.lo); i <= min(r.Max, w.hi); i++ {
-			delete(w.logs, i)
-		}
-		switch {
-		case len(w.logs) == 0:
-			w.lo, w.hi = 0, 0
-		case r.Min <= w.lo:
-			w.lo = max(w.lo, r.Max+1)
-		default:
-			w.hi = min(w.hi, r.Min-1)
-		}
+	if record.deletesEntries() {
+		w.deleteEntries(record.FirstDeleted, record.LastDeleted)
 	}
 }
 
-func encode(r record) ([]byte, error) {
-	body, err := json.Marshal(r)
-	if err != nil {
-		return nil, err
+// deleteEntries drops the entries of a range, which reaches to one of the ends of the log.
+func (w *wal) deleteEntries(first, last uint64) {
+	for index := max(first, w.firstIndex); index <= min(last, w.lastIndex); index++ {
+		delete(w.entries, index)
+	}
+	switch {
+	case len(w.entries) == 0:
+		w.firstIndex = 0
+		w.lastIndex = 0
+	case first <= w.firstIndex:
+		w.firstIndex = max(w.firstIndex, last+1)
+	default:
+		w.lastIndex = min(w.lastIndex, first-1)
 	}
-	p := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	p = binary.BigEndian.AppendUint32(p, crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
-	return append(p, body...), nil
 }
 
 // add writes a record through to the disk before it counts.
-func (w *wal) add(r record) error {
-	p, err := encode(r)
+func (w *wal) add(record walRecord) error {
+	encoded, err := record.encode()
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, err := w.file.Write(p); err != nil {
-		// Guards the records to come: one behind half a record would be lost with it.
-		w.file.Truncate(w.size)
-		w.file.Seek(w.size, io.SeekStart)
+	if _, err := w.file.Write(encoded); err != nil {
+		w.discardPartialRecord()
 		return err
 	}
 	if err := w.file.Sync(); err != nil {
 		return err
 	}
-	w.size += int64(len(p))
-	w.apply(r)
-	if r.Max > 0 && w.size > compactAt {
+	w.size += int64(len(encoded))
+	w.apply(record)
+	if record.deletesEntries() && w.size > compactionThreshold {
 		return w.compact()
 	}
 	return nil
 }
 
-// compact writes what still counts to a new file that takes the old one's place.
+// discardPartialRecord cuts off what a failed write has left: a record behind half of another one would be lost with
+// it. Its own errors are not reported, the one of the write is.
+func (w *wal) discardPartialRecord() {
+	_ = w.file.Truncate(w.size)
+	_, _ = w.file.Seek(w.size, io.SeekStart)
+}
+
+// compact writes what still counts to a new file that takes the place of the old one.
 func (w *wal) compact() error {
-	var out []byte
-	put := func(r record) error {
-		p, err := encode(r)
-		out = append(out, p...)
+	content, err := w.encodeAll()
+	if err != nil {
 		return err
 	}
-	for k, v := range w.stable {
-		if err := put(record{Key: k, Value: v}); err != nil {
-			return err
+	file, err := w.replaceFile(content)
+	if err != nil {
+		return err
+	}
+	_ = w.file.Close() // nothing more is written to it, and it has no name any more
+	w.file = file
+	w.size = int64(len(content))
+	return syncFolder(filepath.Dir(w.path))
+}
+
+// encodeAll returns records that amount to what is held in memory.
+func (w *wal) encodeAll() ([]byte, error) {
+	var content []byte
+	appendRecord := func(record walRecord) error {
+		encoded, err := record.encode()
+		content = append(content, encoded...)
+		return err
+	}
+	for key, value := range w.stable {
+		if err := appendRecord(walRecord{Key: key, Value: value}); err != nil {
+			return nil, err
 		}
 	}
-	for i := w.lo; i > 0 && i <= w.hi; i++ {
-		if err := put(record{Logs: []*raft.Log{w.logs[i]}}); err != nil {
-			return err
+	for index := w.firstIndex; index > 0 && index <= w.lastIndex; index++ {
+		if err := appendRecord(walRecord{Entries: []*raft.Log{w.entries[index]}}); err != nil {
+			return nil, err
 		}
 	}
-	f, err := os.OpenFile(w.path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	return content, nil
+}
+
+// replaceFile writes content to a new file, renames it into place, and returns it open behind the content.
+func (w *wal) replaceFile(content []byte) (*os.File, error) {
+	newPath := w.path + ".new"
+	file, err := os.OpenFile(newPath, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	if _, err = f.Write(out); err == nil {
-		err = f.Sync()
+	_, err = file.Write(content)
+	if err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
-		err = os.Rename(w.path+".new", w.path)
+		err = os.Rename(newPath, w.path)
 	}
 	if err != nil {
-		f.Close()
-		return err
+		_ = file.Close() // the file is given up
+		return nil, err
 	}
-	w.file.Close()
-	w.file, w.size = f, int64(len(out))
-	dir, err := os.Open(filepath.Dir(w.path))
+	return file, nil
+}
+
+// syncFolder makes a rename in a folder survive a crash.
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer dir.Close()
-	return dir.Sync()
+	err = folder.Sync()
+	_ = folder.Close() // it was only read
+	return err
 }
 
 func (w *wal) close() error { return w.file.Close() }
@@ -226,68 +231,74 @@
 func (w *wal) FirstIndex() (uint64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lo, nil
+	return w.firstIndex, nil
 }
 
 // LastIndex implements raft.LogStore.
 func (w *wal) LastIndex() (uint64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.hi, nil
+	return w.lastIndex, nil
 }
 
 // GetLog implements raft.LogStore.
 func (w *wal) GetLog(index uint64, log *raft.Log) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.logs[index]
-	if l == nil {
+	entry := w.entries[index]
+	if entry == nil {
 		return raft.ErrLogNotFound
 	}
-	*log = *l
+	*log = *entry
 	return nil
 }
 
 // StoreLog implements raft.LogStore.
 func (w *wal) StoreLog(log *raft.Log) error { return w.StoreLogs([]*raft.Log{log}) }
 
-// StoreLogs implements raft.LogStore.
+// StoreLogs implements raft.LogStore. It copies the entries, because raft goes on using its own.
 func (w *wal) StoreLogs(logs []*raft.Log) error {
-	kept := make([]*raft.Log, len(logs))
-	for i, l := range logs {
-		c := *l // raft goes on using its own
-		kept[i] = &c
+	entries := make([]*raft.Log, len(logs))
+	for i, log := range logs {
+		entry := *log
+		entries[i] = &entry
 	}
-	return w.add(record{Logs: kept})
+	return w.add(walRecord{Entries: entries})
 }
 
 // DeleteRange implements raft.LogStore.
-func (w *wal) DeleteRange(min, max uint64) error { return w.add(record{Min: min, Max: max}) }
+func (w *wal) DeleteRange(first, last uint64) error {
+	return w.add(walRecord{FirstDeleted: first, LastDeleted: last})
+}
 
 // Set implements raft.StableStore.
-func (w *wal) Set(key, val []byte) error { return w.add(record{Key: string(key), Value: val}) }
+func (w *wal) Set(key, value []byte) error { return w.add(walRecord{Key: string(key), Value: value}) }
+
+// errKeyNotFound has the text by which raft knows that a stable value was never set.
+var errKeyNotFound = errors.New("not found")
 
 // Get implements raft.StableStore.
 func (w *wal) Get(key []byte) ([]byte, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	v, ok := w.stable[string(key)]
+	value, ok := w.stable[string(key)]
 	if !ok {
-		return nil, errors.New("not found") // raft looks for this text
+		return nil, errKeyNotFound
 	}
-	return v, nil
+	return value, nil
 }
 
 // SetUint64 implements raft.StableStore.
-func (w *wal) SetUint64(key []byte, val uint64) error {
-	return w.Set(key, binary.BigEndian.AppendUint64(nil, val))
+func (w *wal) SetUint64(key []byte, value uint64) error {
+	return w.Set(key, binary.BigEndian.AppendUint64(nil, value))
 }
 
 // GetUint64 implements raft.StableStore.
 func (w *wal) GetUint64(key []byte) (uint64, error) {
-	v, err := w.Get(key)
-	if err != nil || len(v) != 8 {
+	const uint64Bytes = 8
+	value, err := w.Get(key)
+	if err != nil || len(value) != uint64Bytes {
 		return 0, err
 	}
-	return binary.BigEndian.Uint64(v), nil
+	return binary.BigEndian.Uint64(value), nil
 }
