--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,450 @@
+package config_test
+
+import (
+	"bytes"
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"encoding/json"
+	"encoding/pem"
+	"flag"
+	"math/big"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"limeladder/balance"
+	"limeladder/internal/audit"
+	"limeladder/internal/config"
+	"limeladder/internal/syslog"
+)
+
+// The files under testdata set every key that the program at commit 4e3d53a knows. Operators and the platform keep such
+// files, so each key keeps its name and its meaning. Decoding alone would not show that a key of JSON has changed its
+// case, and neither form would show that a new key stands nowhere in the golden files: each file is also encoded again
+// from what was read and compared key by key.
+
+var update = flag.Bool("update", false, "write testdata/edge-config.compact.json instead of comparing with it")
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// value is what a key of a file was read as.
+type value struct {
+	key       string
+	got, want any
+}
+
+func checkValues(t *testing.T, values []value) {
+	t.Helper()
+	for _, v := range values {
+		t.Run(v.key, func(t *testing.T) {
+			if !reflect.DeepEqual(v.got, v.want) {
+				t.Errorf("%s was read as %#v, want %#v", v.key, v.got, v.want)
+			}
+		})
+	}
+}
+
+func encodeJSON(t *testing.T, v any) []byte {
+	t.Helper()
+	text, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// decodeTree reads JSON by its keys alone; numbers stay text.
+func decodeTree(t *testing.T, text []byte) (tree map[string]any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&tree); err != nil {
+		t.Fatal(err)
+	}
+	return tree
+}
+
+func noEnvironment(string) string { return "" }
+
+func parseGolden(t *testing.T) *config.Config {
+	t.Helper()
+	parsed, err := config.Parse(readGolden(t, "edge-config.json"), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+func TestGoldenEdgeConfigKeys(t *testing.T) {
+	encoded := encodeJSON(t, parseGolden(t))
+	if *update {
+		if err := os.WriteFile("testdata/edge-config.compact.json", encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if stored := readGolden(t, "edge-config.compact.json"); !bytes.Equal(encoded, stored) {
+		t.Errorf("encoded as\n%s, want\n%s", encoded, stored)
+	}
+	got, want := decodeTree(t, encoded), decodeTree(t, readGolden(t, "edge-config.json"))
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("encoded as\n%v, want\n%v", got, want)
+	}
+	reread, err := config.Parse(readGolden(t, "edge-config.compact.json"), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(reread, parseGolden(t)) {
+		t.Error("what was encoded is read as something else")
+	}
+}
+
+func TestGoldenEdgeConfigValues(t *testing.T) {
+	c := parseGolden(t)
+	checkValues(t, []value{
+		{"name", c.Name, "router-1"},
+		{"listen", c.Listen, "127.0.0.1:6432"},
+		{"discovery", c.Discovery, "127.0.0.1:8500"},
+		{"operator", c.Operator, "127.0.0.1:8600"},
+		{"seed", c.SeedValue, uint64(0x8c1f30d27a5be964)},
+		{"limits.cores", c.Limits.Cores, 1.5},
+		{"limits.memory_mb", c.Limits.MemoryMB, 192},
+		{"limits.sockets", c.Limits.Sockets, 1024},
+		{"known.version", c.Known.Version, int64(41)},
+		{"known.full", c.Known.Full, true},
+		{"known.servers", c.Known.Servers, goldenServers()},
+		{"settings.Extra.OriginTimeNs", *c.Settings.Extra.OriginTimeNs, int64(1_800_000_000_000_000_000)},
+		{"settings.Limits.ConnIdleNs", c.Settings.Limits.ConnIdleNs, int64(32)},
+		{"settings.Limits.ConnectTimeoutNs", c.Settings.Limits.ConnectTimeoutNs, int64(33)},
+		{"settings.Limits.MaxOpen", c.Settings.Limits.MaxOpen, 34},
+		{"settings", c.Balance, goldenBalance()},
+		{"inherited", c.Inherited, 0},
+	})
+}
+
+func goldenServers() []config.Entry {
+	return []config.Entry{
+		{
+			ID: "endpoint-1", Addr: "127.0.0.1:6001", Zone: "site-a", Cell: 3, State: "ready", Weight: 1.5,
+			StartedMs: 1_800_000_000_000, Mode: "read-write",
+		},
+		{
+			ID: "endpoint-2", Addr: "127.0.0.1:6002", Zone: "site-b", Cell: 4, State: "draining", Weight: 0.5,
+			StartedMs: 1_800_000_000_001, Mode: "read-only",
+		},
+		{
+			ID: "endpoint-3", Addr: "127.0.0.1:6003", Zone: "site-c", Cell: 5, State: "gone", Weight: 0.25,
+			StartedMs: 1_800_000_000_002, Mode: "read-only",
+		},
+	}
+}
+
+// goldenBalance is what the settings of the golden file mean to the decision module.
+func goldenBalance() balance.Config {
+	return balance.Config{
+		Instances: 3, Zone: "site-a", OverShareWorth: 0.125, Resolution: 1_000_001, Ask: true,
+		AskWithin: 41, DrainGrace: 42, Checks: balance.ChecksRefuse, ClientTokens: true,
+		Probes: true, ProbePrice: 0.0625, HeldBack: 0.3, Cancel: true,
+		RetryAfter: true, MaxRetryAfter: 31, MostTries: 35,
+		ColdFrom: 0.3125, ColdFor: 43, FallMultiple: 4.5, FallFor: 44, SoftRemoval: true,
+		Tenants: []balance.Tenant{{Name: "tenant-1", Rate: 12.5}, {Name: "tenant-2", Rate: 7.5}},
+		Classes: []balance.Class{
+			{
+				Name: "view", Aim: 1_000_000_002, GiveUp: 2_000_000_003, Window: 3_000_000_004, AimStretch: 1.75,
+				Worth: 2.5, LateShare: 0.375, Effect: balance.Safe, Scope: balance.ScopeGroup,
+				Need: balance.NeedAny, Bound: 21,
+			},
+			{
+				Name: "order", Aim: 1_000_000_005, GiveUp: 2_000_000_006, Window: 3_000_000_007, AimStretch: 1.875,
+				Worth: 3.5, LateShare: 0.625, Effect: balance.Keyed, Scope: balance.ScopeZone,
+				Need: balance.NeedBounded, Bound: 22,
+			},
+			{
+				Name: "job", Aim: 1_000_000_008, GiveUp: 2_000_000_009, Window: 3_000_000_010, AimStretch: 1.5,
+				Worth: 4.5, LateShare: 0.875, Effect: balance.Unsafe, Scope: balance.ScopeAll,
+				Need: balance.NeedUpdate, Bound: 23,
+			},
+			{
+				Name: "status", Aim: 1_000_000_011, GiveUp: 2_000_000_012, Window: 3_000_000_013, AimStretch: 1.25,
+				Worth: 5.5, LateShare: 0.75, Effect: balance.Safe, Scope: balance.ScopeAll,
+				Need: balance.NeedSession, Bound: 24,
+			},
+			{
+				Name: "report", Aim: 1_000_000_014, GiveUp: 2_000_000_015, Window: 3_000_000_016, AimStretch: 1.125,
+				Worth: 6.5, LateShare: 0.5, Effect: balance.Safe, Scope: balance.ScopeAll,
+				Need: balance.NeedLatest, Bound: 25,
+			},
+		},
+	}
+}
+
+func TestGoldenServersMeaning(t *testing.T) {
+	want := []balance.Entry{
+		{
+			Node: "endpoint-1", Zone: "site-a", Group: 3, State: balance.Ready, Primary: true,
+			ReadyAt: 1_800_000_000_000 * time.Millisecond,
+		},
+		{
+			Node: "endpoint-2", Zone: "site-b", Group: 4, State: balance.Draining,
+			ReadyAt: 1_800_000_000_001 * time.Millisecond,
+		},
+		{
+			Node: "endpoint-3", Zone: "site-c", Group: 5, State: balance.Gone,
+			ReadyAt: 1_800_000_000_002 * time.Millisecond,
+		},
+	}
+	for i, server := range parseGolden(t).Known.Servers {
+		t.Run(server.ID, func(t *testing.T) {
+			got, err := server.Balance()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got != want[i] {
+				t.Errorf("read as %+v, want %+v", got, want[i])
+			}
+		})
+	}
+}
+
+// Words that the golden file has no room for, each in the place of another one.
+func TestGoldenEdgeConfigWords(t *testing.T) {
+	text := string(readGolden(t, "edge-config.json"))
+	for _, test := range []struct {
+		old, word string
+		got       func(balance.Config) any
+		want      any
+	}{
+		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.Ask }, false},
+		{`"Guards": "reject"`, `"Guards": "silent"`, func(c balance.Config) any { return c.Checks }, balance.ChecksNone},
+		{`"Guards": "reject"`, `"Guards": "hold"`, func(c balance.Config) any { return c.Checks }, balance.ChecksWait},
+		{`"Guards": "reject"`, `"Guards": ""`, func(c balance.Config) any { return c.Checks }, balance.ChecksNone},
+		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientTokens }, false},
+		{`"Group": "cell"`, `"Group": ""`, func(c balance.Config) any { return c.Classes[0].Scope }, balance.ScopeAll},
+	} {
+		t.Run(test.word, func(t *testing.T) {
+			changed := strings.Replace(text, test.old, test.word, 1)
+			if changed == text {
+				t.Fatalf("the golden file does not hold %s", test.old)
+			}
+			c, err := config.Parse([]byte(changed), noEnvironment)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := test.got(c.Balance); !reflect.DeepEqual(got, test.want) {
+				t.Errorf("read as %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// The environment names the file, and stands above or behind what the file says.
+func TestGoldenEnvironment(t *testing.T) {
+	environment := map[string]string{
+		"EDGE_CONFIG":       filepath.Join("testdata", "edge-config.json"),
+		"EDGE_NAME":         "router-2",
+		"EDGE_LISTEN":       "127.0.0.1:6433",
+		"EDGE_OPERATOR":     "127.0.0.1:8601",
+		"EDGE_DISCOVERY":    "127.0.0.1:8501",
+		"EDGE_INHERITED_FD": "7",
+	}
+	getenv := func(name string) string { return environment[name] }
+	c, err := config.Load(getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := bytes.Replace(readGolden(t, "edge-config.json"), []byte(`"127.0.0.1:8500"`), []byte(`""`), 1)
+	behind, err := config.Parse(text, getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkValues(t, []value{
+		{"EDGE_NAME", c.Name, "router-2"},
+		{"EDGE_LISTEN", c.Listen, "127.0.0.1:6433"},
+		{"EDGE_OPERATOR", c.Operator, "127.0.0.1:8601"},
+		{"EDGE_INHERITED_FD", c.Inherited, 7},
+		{"discovery of the file", c.Discovery, "127.0.0.1:8500"},
+		{"EDGE_DISCOVERY", behind.Discovery, "127.0.0.1:8501"},
+	})
+}
+
+// writeCertificate makes a certificate that vouches for itself, and its key.
+func writeCertificate(t *testing.T, certFile, keyFile string) *x509.Certificate {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(1), DNSNames: []string{"site-a"}, IsCA: true, BasicConstraintsValid: true,
+		NotBefore: time.Unix(1_700_000_000, 0), NotAfter: time.Unix(4_000_000_000, 0),
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, block := range map[string]*pem.Block{
+		certFile: {Type: "CERTIFICATE", Bytes: der},
+		keyFile:  {Type: "PRIVATE KEY", Bytes: keyDER},
+	} {
+		if err := os.WriteFile(name, pem.EncodeToMemory(block), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	parsed, err := x509.ParseCertificate(der)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+// loadGolden reads the golden deploy file beside the files that it names.
+func loadGolden(t *testing.T) (deploy config.Deploy, authority, router *x509.Certificate) {
+	t.Helper()
+	files := map[string][]byte{}
+	for _, name := range []string{"limeladder.toml", "keys.toml"} {
+		files[name] = readGolden(t, name)
+	}
+	t.Chdir(t.TempDir())
+	for name, text := range files {
+		if err := os.WriteFile(name, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	authority = writeCertificate(t, "collector-ca.pem", "collector-ca-key.pem")
+	router = writeCertificate(t, "router.pem", "router-key.pem")
+	deploy, err := config.LoadDeploy("limeladder.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return deploy, authority, router
+}
+
+func decodeTOML(t *testing.T, text []byte) (tree map[string]any, keys []string) {
+	t.Helper()
+	meta, err := toml.Decode(string(text), &tree)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range meta.Keys() {
+		keys = append(keys, key.String())
+	}
+	slices.Sort(keys)
+	return tree, keys
+}
+
+func TestGoldenDeployKeys(t *testing.T) {
+	want, goldenKeys := decodeTOML(t, readGolden(t, "limeladder.toml"))
+	deployed, err := os.ReadFile("../../deploy/limeladder.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, deployedKeys := decodeTOML(t, deployed)
+	isPeer := func(key string) bool { return strings.HasPrefix(key, "store.peers.") }
+	if goldenKeys = slices.DeleteFunc(goldenKeys, isPeer); !slices.Equal(goldenKeys, deployedKeys) {
+		t.Errorf("the golden file has the keys\n%q, the deployed one\n%q", goldenKeys, deployedKeys)
+	}
+
+	deploy, _, _ := loadGolden(t)
+	var encoded bytes.Buffer
+	if err := toml.NewEncoder(&encoded).Encode(deploy); err != nil {
+		t.Fatal(err)
+	}
+	got, _ := decodeTOML(t, encoded.Bytes())
+	collectors := got["syslog"].(map[string]any)
+	if address, ok := collectors["address"]; !ok || address != "" {
+		t.Errorf("syslog.address is %v, want it empty beside syslog.collectors", address)
+	}
+	delete(collectors, "address")
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("encoded as\n%v, want\n%v", got, want)
+	}
+}
+
+func TestGoldenDeployValues(t *testing.T) {
+	d, authority, router := loadGolden(t)
+	pool := x509.NewCertPool()
+	pool.AddCert(authority)
+	checkValues(t, []value{
+		{"extended.listen", d.Extended.Listen, "127.0.0.1:5432"},
+		{"changeover.classes", d.Changeover.Classes, []string{"job", "order"}},
+		{"changeover.count", d.Changeover.Count, 64},
+		{"changeover.bytes", d.Changeover.Bytes, 65536},
+		{"changeover.time", d.Changeover.Time, 1500 * time.Millisecond},
+		{"sites.watch", d.Sites.Watch, true},
+		{"sites.act", d.Sites.Act, true},
+		{"syslog.collectors", d.Syslog.Parsed, []syslog.Collector{
+			{Network: "tls", Address: "192.0.2.1:6514"},
+			{Network: "tcp", Address: "[2001:db8::1]:601"},
+			{Network: "udp", Address: "192.0.2.2:514"},
+		}},
+		{"syslog.anywhere", d.Syslog.Anywhere, true},
+		{"syslog.facility", d.Syslog.FacilityCode, uint8(19)},
+		{"syslog.enterprise", d.Syslog.Enterprise, int64(4294967295)},
+		{"syslog.host", d.Syslog.Host, "site-a"},
+		{"syslog.bytes", d.Syslog.Bytes, 480},
+		{"syslog.repeat", d.Syslog.Repeat, 4096},
+		{"syslog.ca", d.Syslog.TLS.RootCAs.Equal(pool), true},
+		{"syslog.cert", d.Syslog.TLS.Certificates[0].Certificate, [][]byte{router.Raw}},
+		{"syslog.server_name", d.Syslog.TLS.ServerName, "collector.example"},
+		{"the oldest version of TLS", d.Syslog.TLS.MinVersion, uint16(tls.VersionTLS12)},
+		{"syslog.queue.records", d.Syslog.Queue.Records, 512},
+		{"syslog.queue.bytes", d.Syslog.Queue.Bytes, 131072},
+		{"syslog.queue.flush", d.Syslog.Queue.Flush, 2 * time.Second},
+		{"syslog.spool.folder", d.Syslog.Spool.Folder, "spool"},
+		{"syslog.spool.bytes", d.Syslog.Spool.Bytes, int64(2097152)},
+		{"syslog.spool.replay", d.Syslog.Spool.Replay, 100},
+		{"audit rules", d.Audit.Rules, audit.Rules{
+			Kinds: []string{"answer", "DRAIN", "list"}, Outcomes: []string{"refused", "Failed"}, Reads: 0.25,
+		}},
+		{"audit.keys", d.Audit.Loaded, audit.Keys{
+			{Name: "key-2", Secret: [32]byte([]byte(" !\"#$%&'()*+,-./0123456789:;<=>?"))},
+			{Name: "key-1", Secret: [32]byte{
+				0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15,
+				16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31,
+			}},
+		}},
+		{"audit.heads", d.Audit.Heads, 32},
+		{"audit.heads_time", d.Audit.Every, 3 * time.Second},
+		{"store.name", d.Store.Name, "site-a"},
+		{"store.folder", d.Store.Folder, "store"},
+		{"store.ca", d.Store.CA, "store-ca.pem"},
+		{"store.cert", d.Store.Cert, "store.pem"},
+		{"store.key", d.Store.Key, "store-key.pem"},
+		{"store.peers", d.Store.Peers, map[string]string{
+			"site-a": "192.0.2.11:7000", "site-b": "192.0.2.12:7000", "site-c": "192.0.2.13:7000",
+		}},
+	})
+}
+
+func TestGoldenDeployAddress(t *testing.T) {
+	d, err := config.LoadDeploy(filepath.Join("testdata", "limeladder-address.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkValues(t, []value{
+		{"syslog.address", d.Syslog.Parsed, []syslog.Collector{{Network: "udp", Address: "127.0.0.1:5514"}}},
+		{"the usual facility", d.Syslog.FacilityCode, uint8(3)},
+		{"the usual enterprise number", d.Syslog.Enterprise, int64(32473)},
+		{"the usual bytes", d.Syslog.Bytes, 2048},
+		{"the usual share of reads", d.Audit.Rules.Reads, 1.0},
+	})
+}
