--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -14,7 +14,7 @@
 	"limeladder/balance"
 	"limeladder/internal/audit"
 	"limeladder/internal/syslog"
-	"limeladder/internal/syslogread"
+	"limeladder/internal/syslog/parser"
 )
 
 // The golden file testdata/records.log was written by the program at commit 4e3d53a: one record of each kind, chained.
@@ -135,44 +135,53 @@
 func goldenEvents() []goldenRecord {
 	return []goldenRecord{
 		{
-			audit.Start{Router: "router-1", Key: "key-2"}, 5, "START",
+			audit.Start{Router: "router-1", Key: "key-2"},
+			5, "START",
 			"event/router=router-1 event/key=key-2", "recording begins",
 		},
 		{
-			audit.Drain{Node: "endpoint-1", Group: 3, State: "draining", By: "list"}, 5, "DRAIN",
+			audit.Drain{Node: "endpoint-1", Group: 3, State: "draining", By: "list"},
+			5, "DRAIN",
 			"event/node=endpoint-1 event/group=3 event/state=draining event/by=list",
 			"db machine endpoint-1 is draining, says list",
 		},
 		{
-			audit.Router{State: "drained", By: "operator"}, 5, "ROUTER",
+			audit.Router{State: "drained", By: "operator"},
+			5, "ROUTER",
 			"event/state=drained event/by=operator", "the router is drained, says operator",
 		},
 		{
-			audit.Primary{Group: 3, Node: "endpoint-1", Believed: true}, 5, "PRIMARY",
+			audit.Primary{Group: 3, Node: "endpoint-1", Believed: true},
+			5, "PRIMARY",
 			"event/group=3 event/node=endpoint-1 event/state=believed", "primary endpoint-1 of group 3 is believed",
 		},
 		{
-			audit.Primary{Group: 4, Node: "endpoint-2", Why: "miss"}, 5, "PRIMARY",
+			audit.Primary{Group: 4, Node: "endpoint-2", Why: "miss"},
+			5, "PRIMARY",
 			"event/group=4 event/node=endpoint-2 event/state=doubted event/why=miss",
 			"primary endpoint-2 of group 4 is doubted",
 		},
 		{
-			audit.List{Version: 41, Full: true, Ready: 5, Draining: 6, Going: 7}, 6, "LIST",
+			audit.List{Version: 41, Full: true, Ready: 5, Draining: 6, Going: 7},
+			6, "LIST",
 			"event/version=41 event/full=1 event/ready=5 event/draining=6 event/gone=7", "",
 		},
 		{audit.Reload{What: "configuration"}, 5, "RELOAD", "event/what=configuration event/taken=1", ""},
 		{
-			audit.Reload{What: "keys", Err: "not there"}, 4, "RELOAD",
+			audit.Reload{What: "keys", Err: "not there"},
+			4, "RELOAD",
 			"event/what=keys event/taken=0 event/why=not there", "",
 		},
 		{
-			audit.Dropped{Count: 10, First: 2, Last: 12, Of: [4]uint64{1, 2, 3, 4}}, 3, "DROPPED",
+			audit.Dropped{Count: 10, First: 2, Last: 12, Of: [4]uint64{1, 2, 3, 4}},
+			3, "DROPPED",
 			"event/count=10 event/first=2 event/last=12 event/reads=1 event/usual=2 event/refusals=3 event/states=4",
 			"10 records found no room",
 		},
 		{audit.Note{Topic: "store", Text: "no leader"}, 6, "NOTE", "event/topic=store", "no leader"},
 		{
-			audit.End{Taken: 21, Served: 22, Refused: 23, Failed: 24, Left: 25}, 5, "END",
+			audit.End{Taken: 21, Served: 22, Refused: 23, Failed: 24, Left: 25},
+			5, "END",
 			"event/taken=21 event/served=22 event/refused=23 event/failed=24 event/left=25", "recording ends",
 		},
 	}
@@ -248,7 +257,7 @@
 }
 
 // spell returns the parameters of a message as element/name=value, without the enterprise number.
-func spell(t *testing.T, message *syslogread.Message) (params []string) {
+func spell(t *testing.T, message *parser.Message) (params []string) {
 	t.Helper()
 	for _, element := range message.Elements {
 		name, number, own := strings.Cut(string(element.ID), "@")
@@ -266,7 +275,7 @@
 	lines := goldenLines(t, encodeGolden(t))
 	for i, record := range goldenRecords() {
 		t.Run(record.id+"/"+string(rune('a'+i)), func(t *testing.T) {
-			var message syslogread.Message
+			var message parser.Message
 			if err := message.Read(lines[i]); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -157,55 +157,55 @@
 // goldenBalance is what the settings of the golden file mean to the decision module.
 func goldenBalance() balance.Config {
 	return balance.Config{
-		Instances: 3, Zone: "site-a", OverShareWorth: 0.125, Resolution: 1_000_001, Ask: true,
-		AskWithin: 41, DrainGrace: 42, Checks: balance.ChecksRefuse, ClientTokens: true,
-		Probes: true, ProbePrice: 0.0625, HeldBack: 0.3, Cancel: true,
-		RetryAfter: true, MaxRetryAfter: 31, MostTries: 35,
-		ColdFrom: 0.3125, ColdFor: 43, FallMultiple: 4.5, FallFor: 44, SoftRemoval: true,
-		Tenants: []balance.Tenant{{Name: "tenant-1", Rate: 12.5}, {Name: "tenant-2", Rate: 7.5}},
+		Instances: 3, Zone: "site-a", OverQuotaWeight: 0.125, TimerResolution: 1_000_001, PollDiscovery: true,
+		PollWithin: 41, DrainGrace: 42, FreshnessCheck: balance.FreshnessCheckReject, ClientSessionTokens: true,
+		HealthChecks: true, HealthCheckCost: 0.0625, LateRejectCost: 0.3, Cancellation: true,
+		RetryAfter: true, MaxRetryAfter: 31, MaxAttempts: 35,
+		SlowStartFrom: 0.3125, SlowStartWindow: 43, OverloadMultiple: 4.5, OverloadWindow: 44, SoftRemoval: true,
+		Tenants: []balance.Tenant{{Name: "tenant-1", Quota: 12.5}, {Name: "tenant-2", Quota: 7.5}},
 		Classes: []balance.Class{
 			{
-				Name: "view", Aim: 1_000_000_002, GiveUp: 2_000_000_003, Window: 3_000_000_004, AimStretch: 1.75,
-				Worth: 2.5, LateShare: 0.375, Effect: balance.Safe, Scope: balance.ScopeGroup,
-				Need: balance.NeedAny, Bound: 21,
+				Name: "view", LatencyObjective: 1_000_000_002, ClientTimeout: 2_000_000_003, IdempotencyWindow: 3_000_000_004, ObjectiveStretch: 1.75,
+				PriorityWeight: 2.5, LateWeightShare: 0.375, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeGroup,
+				Consistency: balance.ConsistencyAny, MaxStaleness: 21,
 			},
 			{
-				Name: "order", Aim: 1_000_000_005, GiveUp: 2_000_000_006, Window: 3_000_000_007, AimStretch: 1.875,
-				Worth: 3.5, LateShare: 0.625, Effect: balance.Keyed, Scope: balance.ScopeZone,
-				Need: balance.NeedBounded, Bound: 22,
+				Name: "order", LatencyObjective: 1_000_000_005, ClientTimeout: 2_000_000_006, IdempotencyWindow: 3_000_000_007, ObjectiveStretch: 1.875,
+				PriorityWeight: 3.5, LateWeightShare: 0.625, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeZone,
+				Consistency: balance.ConsistencyBounded, MaxStaleness: 22,
 			},
 			{
-				Name: "job", Aim: 1_000_000_008, GiveUp: 2_000_000_009, Window: 3_000_000_010, AimStretch: 1.5,
-				Worth: 4.5, LateShare: 0.875, Effect: balance.Unsafe, Scope: balance.ScopeAll,
-				Need: balance.NeedUpdate, Bound: 23,
+				Name: "job", LatencyObjective: 1_000_000_008, ClientTimeout: 2_000_000_009, IdempotencyWindow: 3_000_000_010, ObjectiveStretch: 1.5,
+				PriorityWeight: 4.5, LateWeightShare: 0.875, Idempotency: balance.NonIdempotent, IdempotencyScope: balance.ScopeAll,
+				Consistency: balance.ConsistencyWrite, MaxStaleness: 23,
 			},
 			{
-				Name: "status", Aim: 1_000_000_011, GiveUp: 2_000_000_012, Window: 3_000_000_013, AimStretch: 1.25,
-				Worth: 5.5, LateShare: 0.75, Effect: balance.Safe, Scope: balance.ScopeAll,
-				Need: balance.NeedSession, Bound: 24,
+				Name: "status", LatencyObjective: 1_000_000_011, ClientTimeout: 2_000_000_012, IdempotencyWindow: 3_000_000_013, ObjectiveStretch: 1.25,
+				PriorityWeight: 5.5, LateWeightShare: 0.75, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeAll,
+				Consistency: balance.ConsistencySession, MaxStaleness: 24,
 			},
 			{
-				Name: "report", Aim: 1_000_000_014, GiveUp: 2_000_000_015, Window: 3_000_000_016, AimStretch: 1.125,
-				Worth: 6.5, LateShare: 0.5, Effect: balance.Safe, Scope: balance.ScopeAll,
-				Need: balance.NeedLatest, Bound: 25,
+				Name: "report", LatencyObjective: 1_000_000_014, ClientTimeout: 2_000_000_015, IdempotencyWindow: 3_000_000_016, ObjectiveStretch: 1.125,
+				PriorityWeight: 6.5, LateWeightShare: 0.5, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeAll,
+				Consistency: balance.ConsistencyLatest, MaxStaleness: 25,
 			},
 		},
 	}
 }
 
 func TestGoldenServersMeaning(t *testing.T) {
-	want := []balance.Entry{
+	want := []balance.EndpointEntry{
 		{
-			Node: "endpoint-1", Zone: "site-a", Group: 3, State: balance.Ready, Primary: true,
-			ReadyAt: 1_800_000_000_000 * time.Millisecond,
+			Endpoint: "endpoint-1", Zone: "site-a", Group: 3, State: balance.EndpointReady, Primary: true,
+			StartedAt: 1_800_000_000_000 * time.Millisecond,
 		},
 		{
-			Node: "endpoint-2", Zone: "site-b", Group: 4, State: balance.Draining,
-			ReadyAt: 1_800_000_000_001 * time.Millisecond,
+			Endpoint: "endpoint-2", Zone: "site-b", Group: 4, State: balance.EndpointDraining,
+			StartedAt: 1_800_000_000_001 * time.Millisecond,
 		},
 		{
-			Node: "endpoint-3", Zone: "site-c", Group: 5, State: balance.Gone,
-			ReadyAt: 1_800_000_000_002 * time.Millisecond,
+			Endpoint: "endpoint-3", Zone: "site-c", Group: 5, State: balance.EndpointRemoved,
+			StartedAt: 1_800_000_000_002 * time.Millisecond,
 		},
 	}
 	for i, server := range parseGolden(t).Known.Servers {
@@ -229,12 +229,12 @@
 		got       func(balance.Config) any
 		want      any
 	}{
-		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.Ask }, false},
-		{`"Guards": "reject"`, `"Guards": "silent"`, func(c balance.Config) any { return c.Checks }, balance.ChecksNone},
-		{`"Guards": "reject"`, `"Guards": "hold"`, func(c balance.Config) any { return c.Checks }, balance.ChecksWait},
-		{`"Guards": "reject"`, `"Guards": ""`, func(c balance.Config) any { return c.Checks }, balance.ChecksNone},
-		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientTokens }, false},
-		{`"Group": "cell"`, `"Group": ""`, func(c balance.Config) any { return c.Classes[0].Scope }, balance.ScopeAll},
+		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.PollDiscovery }, false},
+		{`"Guards": "reject"`, `"Guards": "silent"`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckNone},
+		{`"Guards": "reject"`, `"Guards": "hold"`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckWait},
+		{`"Guards": "reject"`, `"Guards": ""`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckNone},
+		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientSessionTokens }, false},
+		{`"Group": "cell"`, `"Group": ""`, func(c balance.Config) any { return c.Classes[0].IdempotencyScope }, balance.ScopeAll},
 	} {
 		t.Run(test.word, func(t *testing.T) {
 			changed := strings.Replace(text, test.old, test.word, 1)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"limeladder/internal/store/data"
+	"limeladder/internal/store/fsm"
 )
 
 // The golden files under testdata were written by the program at commit 4e3d53a: wal.log by the log store alone, and
@@ -184,22 +184,22 @@
 }
 
 // goldenChanges are what the golden member was asked for: six before its snapshot, two behind it.
-func goldenChanges() []data.Change {
+func goldenChanges() []fsm.Change {
 	absent, first := uint64(0), uint64(1)
-	set := func(id, key, value string) data.Change {
-		return data.Change{ID: id, Author: "site-a", At: 7, Ops: []data.Op{{Key: key, Value: []byte(value)}}}
+	set := func(id, key, value string) fsm.Change {
+		return fsm.Change{ID: id, Author: "site-a", ProposedAt: 7, Ops: []fsm.Op{{Key: key, Value: []byte(value)}}}
 	}
-	return []data.Change{
-		{ID: "1", Author: "site-a", At: 5, Ops: []data.Op{
-			{Key: "settings", Kind: data.Config, Schema: 2, Value: []byte("one"), If: &absent},
+	return []fsm.Change{
+		{ID: "1", Author: "site-a", ProposedAt: 5, Ops: []fsm.Op{
+			{Key: "settings", Kind: fsm.KindConfig, Schema: 2, Value: []byte("one"), IfRevision: &absent},
 		}},
-		{ID: "2", Author: "site-b", At: 6, Ops: []data.Op{
-			{Key: "settings", Kind: data.Config, Schema: 3, Value: []byte("two"), If: &first},
+		{ID: "2", Author: "site-b", ProposedAt: 6, Ops: []fsm.Op{
+			{Key: "settings", Kind: fsm.KindConfig, Schema: 3, Value: []byte("two"), IfRevision: &first},
 		}},
 		set("3", "endpoint-1", "ready"),
 		set("4", "endpoint-2", "ready"),
 		set("5", "endpoint-3", "ready"),
-		{ID: "6", Ops: []data.Op{{Key: "endpoint-3", Delete: true}}},
+		{ID: "6", Ops: []fsm.Op{{Key: "endpoint-3", Delete: true}}},
 		set("7", "endpoint-2", "draining"),
 		set("8", "endpoint-4", "ready"),
 	}
@@ -263,7 +263,7 @@
 	if s.Torn() != 0 {
 		t.Errorf("%d bytes of the log were dropped", s.Torn())
 	}
-	records, revision := s.List("")
+	records, revision := s.Range("")
 	if want := goldenRecords(); revision != 8 || !reflect.DeepEqual(records, want) {
 		t.Errorf("revision %d: %+v, want revision 8: %+v", revision, records, want)
 	}
@@ -272,7 +272,7 @@
 	}
 	checkMemberEvents(t, s)
 	for i, change := range goldenChanges() {
-		want := data.Result{Revision: uint64(i) + 1, Again: true}
+		want := fsm.Result{Revision: uint64(i) + 1, Duplicate: true}
 		if got, err := s.Commit(change); err != nil || got != want {
 			t.Errorf("change %s once more gives %+v, %v, want %+v", change.ID, got, err, want)
 		}
@@ -286,7 +286,7 @@
 	if err != nil || len(snapshots) != 1 {
 		t.Fatalf("the snapshots are %q, %v, want one", snapshots, err)
 	}
-	state, err := data.Restore(readFile(t, snapshots[0]), data.Usual())
+	state, err := fsm.Restore(readFile(t, snapshots[0]), fsm.DefaultLimits())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,38 +299,42 @@
 	}
 }
 
-func goldenRecords() []data.Record {
-	return []data.Record{
-		{Key: "endpoint-1", Value: []byte("ready"), Created: 3, Revision: 3},
-		{Key: "endpoint-2", Value: []byte("draining"), Created: 4, Revision: 7},
-		{Key: "endpoint-4", Value: []byte("ready"), Created: 8, Revision: 8},
-		{Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"), Created: 1, Revision: 2},
+func goldenRecords() []fsm.Record {
+	return []fsm.Record{
+		{Key: "endpoint-1", Value: []byte("ready"), CreateRevision: 3, ModRevision: 3},
+		{Key: "endpoint-2", Value: []byte("draining"), CreateRevision: 4, ModRevision: 7},
+		{Key: "endpoint-4", Value: []byte("ready"), CreateRevision: 8, ModRevision: 8},
+		{Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"), CreateRevision: 1, ModRevision: 2},
 	}
 }
 
-func goldenHistory() []data.Past {
-	return []data.Past{
+func goldenHistory() []fsm.HistoryEntry {
+	return []fsm.HistoryEntry{
 		{
-			Record: data.Record{Key: "settings", Kind: "config", Schema: 2, Value: []byte("one"), Created: 1, Revision: 1},
-			Author: "site-a", At: 5,
+			Record: fsm.Record{Key: "settings", Kind: "config", Schema: 2, Value: []byte("one"), CreateRevision: 1, ModRevision: 1},
+			Author: "site-a", ProposedAt: 5,
 		},
 		{
-			Record: data.Record{Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"), Created: 1, Revision: 2},
-			Author: "site-b", At: 6,
+			Record: fsm.Record{Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"), CreateRevision: 1, ModRevision: 2},
+			Author: "site-b", ProposedAt: 6,
 		},
 	}
 }
 
 func checkMemberEvents(t *testing.T, s *Store) {
 	t.Helper()
-	got, err := s.Since(0)
+	got, err := s.EventsSince(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []data.Event{
-		{Revision: 1, Key: "settings"}, {Revision: 2, Key: "settings"}, {Revision: 3, Key: "endpoint-1"},
-		{Revision: 4, Key: "endpoint-2"}, {Revision: 5, Key: "endpoint-3"},
-		{Revision: 6, Key: "endpoint-3", Deleted: true}, {Revision: 7, Key: "endpoint-2"},
+	want := []fsm.Event{
+		{Revision: 1, Key: "settings"},
+		{Revision: 2, Key: "settings"},
+		{Revision: 3, Key: "endpoint-1"},
+		{Revision: 4, Key: "endpoint-2"},
+		{Revision: 5, Key: "endpoint-3"},
+		{Revision: 6, Key: "endpoint-3", Deleted: true},
+		{Revision: 7, Key: "endpoint-2"},
 		{Revision: 8, Key: "endpoint-4"},
 	}
 	if !reflect.DeepEqual(got, want) {
