--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -71,7 +71,7 @@
 				Request: "request-1", Class: "view", Tenant: "tenant-1", Client: "192.0.2.1:4000", Group: 3,
 				Node: "endpoint-1", Outcome: audit.Served, Queued: 5 * time.Microsecond,
 				Worked: 70 * time.Microsecond, Total: 75 * time.Microsecond,
-				Attempts: []audit.Attempt{{Node: "endpoint-1", End: balance.Done, Took: 70 * time.Microsecond}},
+				Attempts: []audit.Attempt{{Node: "endpoint-1", End: balance.StatusDone, Took: 70 * time.Microsecond}},
 			},
 			6, "ANSWER",
 			"answer/outcome=served answer/sqlstate=00000 answer/writes=0 answer/may-have-run=0 " +
@@ -122,8 +122,8 @@
 // goldenAttempts are one of each end.
 func goldenAttempts() (attempts []audit.Attempt) {
 	ends := []balance.Status{
-		balance.Done, balance.Error, balance.Busy, balance.TimedOut, balance.ConnectFailed, balance.Reset,
-		balance.Cancelled, balance.Skipped, balance.Miss, audit.Out,
+		balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusTimedOut, balance.StatusConnectFailed, balance.StatusReset,
+		balance.StatusCancelled, balance.StatusNotSent, balance.StatusMiss, audit.Out,
 	}
 	for i, end := range ends {
 		node := "endpoint-" + string(rune('0'+i))
--- /dev/null
+++ b/internal/hotrestart/folder.go
@@ -0,0 +1,184 @@
+package hotrestart
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"io/fs"
+	"net/url"
+	"os"
+	"path/filepath"
+)
+
+// The files of the folder. A process of another version of the program uses the same folder, so names and contents
+// stay.
+const (
+	suspendedFolder    = "suspended" // a file for each suspended endpoint
+	drainedFile        = "drained"   // is there while the router is drained
+	knownEndpointsFile = "listed"    // ids as a JSON array
+	endpointListFile   = "list"
+	servingLockFile    = "serves"
+	successorLockFile  = "next"
+	editLockFile       = "edit"
+	temporaryPattern   = "part.*" // files that are not renamed into place yet
+)
+
+// folder reads and writes the files. One goroutine uses it at a time.
+type folder struct {
+	path               string
+	knownEndpointsInfo fs.FileInfo // of the file that was read last; nil if none was
+	endpointListInfo   fs.FileInfo
+}
+
+func folderPath(root, listen string) string {
+	return filepath.Join(root, "limeladder-"+url.PathEscape(listen))
+}
+
+// createFolder makes the folder of the router that listens at the given address.
+func createFolder(root, listen string) (*folder, error) {
+	path := folderPath(root, listen)
+	if err := os.MkdirAll(filepath.Join(path, suspendedFolder), 0o700); err != nil {
+		return nil, err
+	}
+	return &folder{path: path}, nil
+}
+
+func (f *folder) file(name string) string { return filepath.Join(f.path, name) }
+
+// read returns what the folder says now, given what it said before. Files that are stale or broken are passed over.
+func (f *folder) read(before State, maxKnown int) State {
+	suspended, ok := f.readSuspended()
+	if !ok {
+		return before
+	}
+	now := State{
+		Suspended:      suspended,
+		Drained:        f.readDrained(),
+		KnownEndpoints: before.KnownEndpoints,
+		EndpointList:   before.EndpointList,
+	}
+	if f.changed(knownEndpointsFile, &f.knownEndpointsInfo) {
+		now.KnownEndpoints = union(now.KnownEndpoints, f.readKnownEndpoints(), maxKnown)
+	}
+	if f.changed(endpointListFile, &f.endpointListInfo) {
+		if list, err := os.ReadFile(f.file(endpointListFile)); err == nil {
+			now.EndpointList = list
+		}
+	}
+	return now
+}
+
+// readSuspended returns the ids of the suspended endpoints, and whether their folder can be read.
+func (f *folder) readSuspended() (ids map[string]bool, ok bool) {
+	entries, err := os.ReadDir(f.file(suspendedFolder))
+	if err != nil {
+		return nil, false
+	}
+	ids = map[string]bool{}
+	for _, entry := range entries {
+		content, err := os.ReadFile(filepath.Join(f.path, suspendedFolder, entry.Name()))
+		if err != nil {
+			continue
+		}
+		id := string(content)
+		if suspendedFileName(id) == entry.Name() {
+			ids[id] = true
+		}
+	}
+	return ids, true
+}
+
+func (f *folder) readDrained() bool {
+	_, err := os.Stat(f.file(drainedFile))
+	return err == nil
+}
+
+func (f *folder) readKnownEndpoints() []string {
+	content, err := os.ReadFile(f.file(knownEndpointsFile))
+	if err != nil {
+		return nil
+	}
+	var ids []string
+	if json.Unmarshal(content, &ids) != nil {
+		return nil
+	}
+	return ids
+}
+
+// changed says whether a file is another one than when it was last asked.
+func (f *folder) changed(name string, last *fs.FileInfo) bool {
+	info, err := os.Stat(f.file(name))
+	if err != nil {
+		return false
+	}
+	if *last != nil && isSameVersion(info, *last) {
+		return false
+	}
+	*last = info
+	return true
+}
+
+// isSameVersion compares more than the times: they would hide the second of two changes within one tick of the clock of
+// the file system.
+func isSameVersion(a, b fs.FileInfo) bool {
+	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
+}
+
+// suspendedFileName returns the name of the file of an endpoint. The id itself, which may hold anything, is its
+// content.
+func suspendedFileName(id string) string {
+	sum := sha256.Sum256([]byte(id))
+	return hex.EncodeToString(sum[:])
+}
+
+// write renames a complete file into place: the other process never reads half of it.
+func (f *folder) write(name string, content []byte) error {
+	temporary, err := os.CreateTemp(f.path, temporaryPattern)
+	if err != nil {
+		return err
+	}
+	_, err = temporary.Write(content)
+	err = errors.Join(err, temporary.Close())
+	if err != nil {
+		return err
+	}
+	return os.Rename(temporary.Name(), f.file(name))
+}
+
+// remove removes a file if it is there.
+func (f *folder) remove(name string) error {
+	err := os.Remove(f.file(name))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	return err
+}
+
+// removeTemporaryFiles removes what a process left that was killed while it wrote.
+func (f *folder) removeTemporaryFiles() {
+	paths, err := filepath.Glob(f.file(temporaryPattern))
+	if err != nil {
+		return
+	}
+	for _, path := range paths {
+		_ = os.Remove(path) // it takes a little room; the next start tries again
+	}
+}
+
+// union adds to ids those of more that are new, and drops the oldest beyond a limit.
+func union(ids, more []string, limit int) []string {
+	seen := map[string]bool{}
+	all := make([]string, 0, len(ids)+len(more))
+	add := func(ids []string) {
+		for _, id := range ids {
+			if !seen[id] {
+				seen[id] = true
+				all = append(all, id)
+			}
+		}
+	}
+	add(ids)
+	add(more)
+	return all[max(0, len(all)-limit):]
+}
