--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,178 +1,191 @@
-// Package config reads EDGE_CONFIG and the files under deploy/. A fault names the field it stands in.
+// Package config reads EDGE_CONFIG, which the platform writes, and deploy/limeladder.toml, which the operators write,
+// and translates their words once into the terms of the code.
+//
+// The package owns the names and ranges of all fields, and reads the files that they name: keys and certificates. It
+// does not watch files and starts no goroutine; the caller reads anew when it is told to. An error about a field is a
+// *FieldError, one line that names the field.
 package config
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"strconv"
-	"time"
 
 	"limeladder/balance"
 )
 
-// Entry is one db machine as discovery names it.
-type Entry struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Cell      int64   `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"started_ms"`
-	Mode      string  `json:"mode"`
-}
+const (
+	edgeConfig      = "EDGE_CONFIG"
+	edgeInheritedFD = "EDGE_INHERITED_FD"
 
-// List is an answer of discovery.
-type List struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
-}
+	// firstInheritedFD is the first descriptor behind the standard streams.
+	firstInheritedFD = 3
 
-// Balance turns an entry into the decision module's form.
-func (e Entry) Balance() (balance.EndpointEntry, error) {
-	b := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
-	if e.StartedMs > 0 {
-		b.StartedAt = time.Duration(e.StartedMs) * time.Millisecond
-	}
-	switch e.State {
-	case "ready":
-		b.State = balance.EndpointReady
-	case "draining":
-		b.State = balance.EndpointDraining
-	case "gone":
-		b.State = balance.EndpointRemoved
-	default:
-		return b, fmt.Errorf("state: unknown word %q", e.State)
-	}
-	if e.ID == "" {
-		return b, errors.New("id: missing")
-	}
-	return b, nil
-}
+	minMemoryMB = 32
+	minSockets  = 64
+
+	// lateRejectCost is what it costs to reject or fail, after half of its client's timeout, a request that was never
+	// forwarded. It holds on sockets; the protocol of the simulator has no such cost, so the settings have no field for
+	// it.
+	lateRejectCost = 0.3
+)
 
 // Config is what a router is told when it starts.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // where operators call, "" = nowhere
+	Operator  string `json:"operator"` // address of the admin API; empty if it is off
 	Seed      string `json:"seed"`
-	Limits    struct {
-		Cores    float64 `json:"cores"`
-		MemoryMB int     `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
-	} `json:"limits"`
-	Known    *List    `json:"known"`
+	Limits    Limits `json:"limits"`
+	Known     *List  `json:"known"`
+
 	Settings Settings `json:"settings"`
 
 	SeedValue uint64         `json:"-"`
-	Inherited int            `json:"-"` // descriptor of the socket where clients connect, 0 = it has to be bound
+	Inherited int            `json:"-"` // descriptor of the socket where clients connect; 0 if it has to be bound
 	Balance   balance.Config `json:"-"`
 }
 
-// heldBack is what it costs to refuse or fail, beyond half of its client's time, what was never sent. It holds on
-// sockets; the simulator's wire knows no such price, so the settings have no field for it.
-const heldBack = 0.3
+// Limits are what the platform grants.
+type Limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
 
-// Load reads the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_OPERATOR override it, EDGE_DISCOVERY stands in where it
-// names no discovery.
+// Load reads the file that EDGE_CONFIG names, and the environment; see Parse.
 func Load(getenv func(string) string) (*Config, error) {
-	path := getenv("EDGE_CONFIG")
+	path := getenv(edgeConfig)
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG: not set")
+		return nil, fieldErrorf(edgeConfig, "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return nil, &FieldError{Field: edgeConfig, Reason: err}
 	}
 	return Parse(text, getenv)
 }
 
-// Parse checks the text of a configuration.
+// Parse reads and checks the text of a configuration. EDGE_NAME, EDGE_LISTEN and EDGE_OPERATOR override it;
+// EDGE_DISCOVERY is used if it names no discovery.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(text, c); err != nil {
-		var t *json.UnmarshalTypeError
-		if errors.As(err, &t) {
-			return nil, fmt.Errorf("%s: a %s does not fit", t.Field, t.Value)
+		return nil, decodeError(err)
+	}
+	c.applyEnvironment(getenv)
+	for _, step := range []func() error{
+		c.checkAddresses,
+		func() error { return c.readInheritedFD(getenv(edgeInheritedFD)) },
+		c.readSeed,
+		c.Limits.check,
+		c.Settings.checkTimeouts,
+		c.readBalance,
+		c.checkKnown,
+	} {
+		if err := step(); err != nil {
+			return nil, err
 		}
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen,
-		"EDGE_OPERATOR": &c.Operator} {
-		if v := getenv(name); v != "" {
-			*field = v
+	return c, nil
+}
+
+// decodeError names the field of a value of the wrong type, or the whole configuration if it is not JSON.
+func decodeError(err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fieldErrorf(typeErr.Field, "a %s does not fit", typeErr.Value)
+	}
+	return &FieldError{Field: edgeConfig, Reason: err}
+}
+
+func (c *Config) applyEnvironment(getenv func(string) string) {
+	override := func(field *string, variable string) {
+		if value := getenv(variable); value != "" {
+			*field = value
 		}
 	}
+	override(&c.Name, "EDGE_NAME")
+	override(&c.Listen, "EDGE_LISTEN")
+	override(&c.Operator, "EDGE_OPERATOR")
 	// The environment stays as it was at the start while the file is replaced: the file is the newer of the two.
 	if c.Discovery == "" {
 		c.Discovery = getenv("EDGE_DISCOVERY")
 	}
-	if err := address(c.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	if err := address(c.Discovery); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
-	}
-	if c.Operator != "" {
-		if err := address(c.Operator); err != nil {
-			return nil, fmt.Errorf("operator: %w", err)
-		}
+}
+
+func (c *Config) checkAddresses() error {
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return err
 	}
-	var err error
-	if v := getenv("EDGE_INHERITED_FD"); v != "" {
-		if c.Inherited, err = strconv.Atoi(v); err != nil || c.Inherited < 3 {
-			return nil, fmt.Errorf("EDGE_INHERITED_FD: %q is no descriptor", v)
-		}
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return err
 	}
-	if c.SeedValue, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", c.Seed)
+	if c.Operator == "" {
+		return nil
 	}
-	switch l := c.Limits; {
-	case !(l.Cores > 0):
-		return nil, fmt.Errorf("limits.cores: %v is not above 0", l.Cores)
-	case l.MemoryMB < 32:
-		return nil, fmt.Errorf("limits.memory_mb: %d, at least 32 needed", l.MemoryMB)
-	case l.Sockets < 64:
-		return nil, fmt.Errorf("limits.sockets: %d, at least 64 needed", l.Sockets)
+	return checkAddress("operator", c.Operator)
+}
+
+func (c *Config) readInheritedFD(text string) error {
+	if text == "" {
+		return nil
 	}
-	if c.Settings.Limits.ConnectTimeoutNs <= 0 {
-		return nil, errors.New("settings.Limits.ConnectTimeoutNs: missing")
+	descriptor, err := strconv.Atoi(text)
+	if err != nil || descriptor < firstInheritedFD {
+		return fieldErrorf(edgeInheritedFD, "%q is no descriptor", text)
 	}
-	if c.Settings.Limits.ConnIdleNs <= 0 {
-		return nil, errors.New("settings.Limits.ConnIdleNs: missing")
+	c.Inherited = descriptor
+	return nil
+}
+
+func (c *Config) readSeed() error {
+	seed, err := strconv.ParseUint(c.Seed, 16, 64)
+	if err != nil {
+		return fieldErrorf("seed", "%q is no hexadecimal number of 64 bits", c.Seed)
 	}
-	if c.Balance, err = c.Settings.Balance(); err != nil {
-		return nil, fmt.Errorf("settings.%w", err)
+	c.SeedValue = seed
+	return nil
+}
+
+func (l Limits) check() error {
+	hasCores := l.Cores > 0 // false for NaN too
+	switch {
+	case !hasCores:
+		return fieldErrorf("limits.cores", "%v is not above 0", l.Cores)
+	case l.MemoryMB < minMemoryMB:
+		return fieldErrorf("limits.memory_mb", "%d, at least %d needed", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return fieldErrorf("limits.sockets", "%d, at least %d needed", l.Sockets, minSockets)
 	}
-	c.Balance.LateRejectCost = heldBack
-	if _, err := balance.New(c.Balance, 0); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	return nil
+}
+
+// readBalance translates the settings for the decision module, and has it check them.
+func (c *Config) readBalance() error {
+	translated, err := c.Settings.Balance()
+	if err != nil {
+		return inObject("settings", err)
 	}
-	if c.Known != nil {
-		for i, e := range c.Known.Servers {
-			if _, err := e.Balance(); err != nil {
-				return nil, fmt.Errorf("known.servers[%d].%w", i, err)
-			}
-		}
+	translated.LateRejectCost = lateRejectCost
+	if _, err := balance.New(translated, 0); err != nil {
+		return &FieldError{Field: "settings", Reason: err}
 	}
-	return c, nil
+	c.Balance = translated
+	return nil
 }
 
-func address(s string) error {
-	if s == "" {
-		return errors.New("missing")
+func (c *Config) checkKnown() error {
+	if c.Known == nil {
+		return nil
 	}
-	_, port, err := net.SplitHostPort(s)
-	if err != nil {
-		return err
-	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q is no port", port)
+	for i, entry := range c.Known.Servers {
+		if _, err := entry.Balance(); err != nil {
+			return inObject(fmt.Sprintf("known.servers[%d]", i), err)
+		}
 	}
 	return nil
 }
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io/fs"
 	"os"
 	"time"
@@ -11,33 +10,47 @@
 )
 
 // Deploy is what the operators set in deploy/limeladder.toml. What is left empty is off.
+//
+// The daemon keeps it in the store as JSON. A field that is renamed keeps its old name there by a json tag.
 type Deploy struct {
-	Extended struct {
-		Listen string `toml:"listen"` // where the second front listens
-	} `toml:"extended"`
-	Changeover struct {
-		Classes []string      `toml:"classes"` // whose requests are held; empty = off
-		Count   int           `toml:"count"`   // that are held, 0 = by memory
-		Bytes   int           `toml:"bytes"`   // of their statements, 0 = by memory
-		Time    time.Duration `toml:"time"`    // the longest that one is held, 0 = until its own deadline
-	} `toml:"changeover"`
-	Sites struct {
-		Watch bool `toml:"watch"` // whole sites are judged, and their loss is planned
-		Act   bool `toml:"act"`   // what is too much while one is lost is refused, and its return is paced
-	} `toml:"sites"`
-	Syslog Syslog `toml:"syslog"`
-	Audit  Audit  `toml:"audit"`
-	Store  struct {
-		Name   string            `toml:"name"`   // this member's name among the peers
-		Folder string            `toml:"folder"` // where its log is kept
-		Peers  map[string]string `toml:"peers"`  // name to address, this member's too
-		CA     string            `toml:"ca"`     // who vouches for members, PEM; "" = they talk in the clear
-		Cert   string            `toml:"cert"`   // this member's, with its name among the DNS names
-		Key    string            `toml:"key"`
-	} `toml:"store"`
+	Extended   Extended   `toml:"extended"`
+	Changeover Changeover `toml:"changeover"`
+	Sites      Sites      `toml:"sites"`
+	Syslog     Syslog     `toml:"syslog"`
+	Audit      Audit      `toml:"audit"`
+	Store      Store      `toml:"store"`
 }
 
-// LoadDeploy reads the file at path; one that is not there leaves all of it off.
+// Extended turns the extended-query frontend on.
+type Extended struct {
+	Listen string `toml:"listen"` // its address
+}
+
+// Changeover says which requests wait through a failover, and how many.
+type Changeover struct {
+	Classes []string      `toml:"classes"` // whose requests wait; empty = off
+	Count   int           `toml:"count"`   // of requests that wait; 0 = by memory
+	Bytes   int           `toml:"bytes"`   // of their statements; 0 = by memory
+	Time    time.Duration `toml:"time"`    // the longest that one waits; 0 = until its own deadline
+}
+
+// Sites says what is done about the loss of a site.
+type Sites struct {
+	Watch bool `toml:"watch"` // sites are observed, and capacity is forecast for the loss of each
+	Act   bool `toml:"act"`   // while one is lost, excess load is shed, and its recovery is ramped
+}
+
+// Store says who this member of the replicated store is and where all of them are reached.
+type Store struct {
+	Name   string            `toml:"name"`   // of this member, among the peers
+	Folder string            `toml:"folder"` // of its log
+	Peers  map[string]string `toml:"peers"`  // addresses by name, this member's too
+	CA     string            `toml:"ca"`     // PEM file of the authorities that members trust; empty = no encryption
+	Cert   string            `toml:"cert"`   // PEM file of this member's certificate, with its name among the DNS names
+	Key    string            `toml:"key"`
+}
+
+// LoadDeploy reads the file at path. If there is none, all of it is off.
 func LoadDeploy(path string) (Deploy, error) {
 	var d Deploy
 	text, err := os.ReadFile(path)
@@ -49,47 +62,88 @@
 	}
 	meta, err := toml.Decode(string(text), &d)
 	if err != nil {
-		return d, fmt.Errorf("%s: %w", path, err)
+		return d, &FieldError{File: path, Reason: err}
 	}
-	if extra := meta.Undecoded(); len(extra) > 0 {
-		return d, fmt.Errorf("%s: %s: no such field", path, extra[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return d, &FieldError{File: path, Field: unknown[0].String(), Reason: errors.New("no such field")}
 	}
-	if d.Sites.Act && !d.Sites.Watch {
-		return d, fmt.Errorf("%s: sites.act: nothing is known of sites without sites.watch", path)
+	if err := d.check(); err != nil {
+		return d, inFile(path, err)
 	}
-	if d.Extended.Listen != "" {
-		if err := address(d.Extended.Listen); err != nil {
-			return d, fmt.Errorf("%s: extended.listen: %w", path, err)
+	return d, nil
+}
+
+// check checks the fields and reads what they name.
+func (d *Deploy) check() error {
+	for _, check := range []func() error{
+		d.Sites.check,
+		d.Extended.check,
+		d.Changeover.check,
+		d.Syslog.check,
+		d.Audit.check,
+		d.Store.check,
+	} {
+		if err := check(); err != nil {
+			return err
 		}
 	}
-	switch c := d.Changeover; {
-	case c.Count < 0 || c.Count > 1<<20:
-		return d, fmt.Errorf("%s: changeover.count: %d does not lie between 0 and %d", path, c.Count, 1<<20)
-	case c.Bytes < 0 || c.Bytes > 1<<30:
-		return d, fmt.Errorf("%s: changeover.bytes: %d does not lie between 0 and %d", path, c.Bytes, 1<<30)
-	case c.Time < 0 || c.Time > time.Hour:
-		return d, fmt.Errorf("%s: changeover.time: %v does not lie between 0s and 1h", path, c.Time)
+	return nil
+}
+
+func (s *Sites) check() error {
+	if s.Act && !s.Watch {
+		return fieldErrorf("sites.act", "nothing is known of sites without sites.watch")
+	}
+	return nil
+}
+
+func (e *Extended) check() error {
+	if e.Listen == "" {
+		return nil
 	}
-	if err := d.Syslog.check(); err != nil {
-		return d, fmt.Errorf("%s: %w", path, err)
+	return checkAddress("extended.listen", e.Listen)
+}
+
+func (c *Changeover) check() error {
+	const (
+		maxCount = 1 << 20
+		maxBytes = 1 << 30
+		maxTime  = time.Hour
+	)
+	return firstError(
+		checkRange("changeover.count", c.Count, 0, maxCount),
+		checkRange("changeover.bytes", c.Bytes, 0, maxBytes),
+		checkDuration("changeover.time", c.Time, maxTime, "1h"),
+	)
+}
+
+// isSet says whether any field of the store is set.
+func (s *Store) isSet() bool {
+	return s.Name+s.Folder != "" || len(s.Peers) > 0 || s.CA+s.Cert+s.Key != ""
+}
+
+// hasSomeFiles says whether some but not all files for encryption are named.
+func (s *Store) hasSomeFiles() bool {
+	hasCA := s.CA != ""
+	return hasCA != (s.Cert != "") || hasCA != (s.Key != "")
+}
+
+func (s *Store) check() error {
+	if !s.isSet() {
+		return nil
 	}
-	if err := d.Audit.check(); err != nil {
-		return d, fmt.Errorf("%s: %w", path, err)
+	switch {
+	case s.hasSomeFiles():
+		return fieldErrorf("store.ca", "ca, cert and key go together")
+	case s.Folder == "":
+		return &FieldError{Field: "store.folder", Reason: errMissing}
+	case s.Peers[s.Name] == "":
+		return fieldErrorf("store.name", "%q is none of store.peers", s.Name)
 	}
-	if s := d.Store; s.Name != "" || s.Folder != "" || len(s.Peers) > 0 || s.CA+s.Cert+s.Key != "" {
-		switch {
-		case (s.CA != "") != (s.Cert != "") || (s.CA != "") != (s.Key != ""):
-			return d, fmt.Errorf("%s: store.ca: ca, cert and key go together", path)
-		case s.Folder == "":
-			return d, fmt.Errorf("%s: store.folder: missing", path)
-		case s.Peers[s.Name] == "":
-			return d, fmt.Errorf("%s: store.name: %q is none of store.peers", path, s.Name)
-		}
-		for name, a := range s.Peers {
-			if err := address(a); err != nil {
-				return d, fmt.Errorf("%s: store.peers.%s: %w", path, name, err)
-			}
+	for name, address := range s.Peers {
+		if err := checkAddress("store.peers."+name, address); err != nil {
+			return err
 		}
 	}
-	return d, nil
+	return nil
 }
