--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,10 @@
 const good = `{"name":"n3","listen":"10.0.0.4:6432","discovery":"10.2.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"version":41,"full":true,"servers":[{"id":"s","addr":"a:1","state":"ready","cell":3,"started_ms":5}]},
- "settings":{"Instances":3,"Locality":"a","Discovery":"ask","Lanes":[{"Name":"r","AimNs":1,"GiveUpNs":2,"Effect":"safe","Group":"all"}],
- "Extra":{"Guards":"silent","NeedsByClass":["loose"],"OriginTimeNs":1},"Limits":{"ConnIdleNs":15,"ConnectTimeoutNs":25}}}`
+ "settings":{"Instances":3,"Locality":"a","Discovery":"ask",
+ "Lanes":[{"Name":"r","AimNs":1,"GiveUpNs":2,"Effect":"safe","Group":"all"}],
+ "Extra":{"Guards":"silent","NeedsByClass":["loose"],"OriginTimeNs":1},
+ "Limits":{"ConnIdleNs":15,"ConnectTimeoutNs":25}}}`
 
 func noVariables(string) string { return "" }
 
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -13,29 +13,29 @@
 //
 // The daemon keeps it in the store as JSON. A field that is renamed keeps its old name there by a json tag.
 type Deploy struct {
-	Extended   Extended   `toml:"extended"`
-	Changeover Changeover `toml:"changeover"`
-	Sites      Sites      `toml:"sites"`
-	Syslog     Syslog     `toml:"syslog"`
-	Audit      Audit      `toml:"audit"`
-	Store      Store      `toml:"store"`
+	Extended   ExtendedQuery `toml:"extended" json:"Extended"`
+	Changeover Failover      `toml:"changeover" json:"Changeover"`
+	Sites      SiteFailover  `toml:"sites" json:"Sites"`
+	Syslog     Syslog        `toml:"syslog"`
+	Audit      Audit         `toml:"audit"`
+	Store      Store         `toml:"store"`
 }
 
-// Extended turns the extended-query frontend on.
-type Extended struct {
+// ExtendedQuery turns the extended-query frontend on.
+type ExtendedQuery struct {
 	Listen string `toml:"listen"` // its address
 }
 
-// Changeover says which requests wait through a failover, and how many.
-type Changeover struct {
+// Failover says which requests wait through a failover, and how many.
+type Failover struct {
 	Classes []string      `toml:"classes"` // whose requests wait; empty = off
 	Count   int           `toml:"count"`   // of requests that wait; 0 = by memory
 	Bytes   int           `toml:"bytes"`   // of their statements; 0 = by memory
 	Time    time.Duration `toml:"time"`    // the longest that one waits; 0 = until its own deadline
 }
 
-// Sites says what is done about the loss of a site.
-type Sites struct {
+// SiteFailover says what is done about the loss of a site.
+type SiteFailover struct {
 	Watch bool `toml:"watch"` // sites are observed, and capacity is forecast for the loss of each
 	Act   bool `toml:"act"`   // while one is lost, excess load is shed, and its recovery is ramped
 }
@@ -90,30 +90,30 @@
 	return nil
 }
 
-func (s *Sites) check() error {
+func (s *SiteFailover) check() error {
 	if s.Act && !s.Watch {
 		return fieldErrorf("sites.act", "nothing is known of sites without sites.watch")
 	}
 	return nil
 }
 
-func (e *Extended) check() error {
+func (e *ExtendedQuery) check() error {
 	if e.Listen == "" {
 		return nil
 	}
 	return checkAddress("extended.listen", e.Listen)
 }
 
-func (c *Changeover) check() error {
+func (f *Failover) check() error {
 	const (
 		maxCount = 1 << 20
 		maxBytes = 1 << 30
 		maxTime  = time.Hour
 	)
 	return firstError(
-		checkRange("changeover.count", c.Count, 0, maxCount),
-		checkRange("changeover.bytes", c.Bytes, 0, maxBytes),
-		checkDuration("changeover.time", c.Time, maxTime, "1h"),
+		checkRange("changeover.count", f.Count, 0, maxCount),
+		checkRange("changeover.bytes", f.Bytes, 0, maxBytes),
+		checkDuration("changeover.time", f.Time, maxTime, "1h"),
 	)
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -165,27 +165,33 @@
 		Tenants: []balance.Tenant{{Name: "tenant-1", Quota: 12.5}, {Name: "tenant-2", Quota: 7.5}},
 		Classes: []balance.Class{
 			{
-				Name: "view", LatencyObjective: 1_000_000_002, ClientTimeout: 2_000_000_003, IdempotencyWindow: 3_000_000_004, ObjectiveStretch: 1.75,
+				Name: "view", LatencyObjective: 1_000_000_002, ClientTimeout: 2_000_000_003,
+				IdempotencyWindow: 3_000_000_004, ObjectiveStretch: 1.75,
 				PriorityWeight: 2.5, LateWeightShare: 0.375, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeGroup,
 				Consistency: balance.ConsistencyAny, MaxStaleness: 21,
 			},
 			{
-				Name: "order", LatencyObjective: 1_000_000_005, ClientTimeout: 2_000_000_006, IdempotencyWindow: 3_000_000_007, ObjectiveStretch: 1.875,
-				PriorityWeight: 3.5, LateWeightShare: 0.625, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeZone,
+				Name: "order", LatencyObjective: 1_000_000_005, ClientTimeout: 2_000_000_006,
+				IdempotencyWindow: 3_000_000_007, ObjectiveStretch: 1.875,
+				PriorityWeight: 3.5, LateWeightShare: 0.625,
+				Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeZone,
 				Consistency: balance.ConsistencyBounded, MaxStaleness: 22,
 			},
 			{
-				Name: "job", LatencyObjective: 1_000_000_008, ClientTimeout: 2_000_000_009, IdempotencyWindow: 3_000_000_010, ObjectiveStretch: 1.5,
+				Name: "job", LatencyObjective: 1_000_000_008, ClientTimeout: 2_000_000_009,
+				IdempotencyWindow: 3_000_000_010, ObjectiveStretch: 1.5,
 				PriorityWeight: 4.5, LateWeightShare: 0.875, Idempotency: balance.NonIdempotent, IdempotencyScope: balance.ScopeAll,
 				Consistency: balance.ConsistencyWrite, MaxStaleness: 23,
 			},
 			{
-				Name: "status", LatencyObjective: 1_000_000_011, ClientTimeout: 2_000_000_012, IdempotencyWindow: 3_000_000_013, ObjectiveStretch: 1.25,
+				Name: "status", LatencyObjective: 1_000_000_011, ClientTimeout: 2_000_000_012,
+				IdempotencyWindow: 3_000_000_013, ObjectiveStretch: 1.25,
 				PriorityWeight: 5.5, LateWeightShare: 0.75, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeAll,
 				Consistency: balance.ConsistencySession, MaxStaleness: 24,
 			},
 			{
-				Name: "report", LatencyObjective: 1_000_000_014, ClientTimeout: 2_000_000_015, IdempotencyWindow: 3_000_000_016, ObjectiveStretch: 1.125,
+				Name: "report", LatencyObjective: 1_000_000_014, ClientTimeout: 2_000_000_015,
+				IdempotencyWindow: 3_000_000_016, ObjectiveStretch: 1.125,
 				PriorityWeight: 6.5, LateWeightShare: 0.5, Idempotency: balance.Idempotent, IdempotencyScope: balance.ScopeAll,
 				Consistency: balance.ConsistencyLatest, MaxStaleness: 25,
 			},
@@ -224,17 +230,19 @@
 // Words that the golden file has no room for, each in the place of another one.
 func TestGoldenEdgeConfigWords(t *testing.T) {
 	text := string(readGolden(t, "edge-config.json"))
+	freshness := func(c balance.Config) any { return c.FreshnessCheck }
+	scope := func(c balance.Config) any { return c.Classes[0].IdempotencyScope }
 	for _, test := range []struct {
 		old, word string
 		got       func(balance.Config) any
 		want      any
 	}{
 		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.PollDiscovery }, false},
-		{`"Guards": "reject"`, `"Guards": "silent"`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckNone},
-		{`"Guards": "reject"`, `"Guards": "hold"`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckWait},
-		{`"Guards": "reject"`, `"Guards": ""`, func(c balance.Config) any { return c.FreshnessCheck }, balance.FreshnessCheckNone},
+		{`"Guards": "reject"`, `"Guards": "silent"`, freshness, balance.FreshnessCheckNone},
+		{`"Guards": "reject"`, `"Guards": "hold"`, freshness, balance.FreshnessCheckWait},
+		{`"Guards": "reject"`, `"Guards": ""`, freshness, balance.FreshnessCheckNone},
 		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientSessionTokens }, false},
-		{`"Group": "cell"`, `"Group": ""`, func(c balance.Config) any { return c.Classes[0].IdempotencyScope }, balance.ScopeAll},
+		{`"Group": "cell"`, `"Group": ""`, scope, balance.ScopeAll},
 	} {
 		t.Run(test.word, func(t *testing.T) {
 			changed := strings.Replace(text, test.old, test.word, 1)
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -157,7 +157,11 @@
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		t.Fatal(err)
 	}
-	return func() { file.Close() }
+	return func() {
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
+	}
 }
 
 // isLocked says whether another open file holds the lock of a file.
@@ -167,8 +171,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil
+	locked := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return locked
 }
 
 // The process that serves holds the lock of one file, the one that is to replace it holds that of another.
--- a/internal/hotrestart/lock.go
+++ b/internal/hotrestart/lock.go
@@ -60,9 +60,9 @@
 	l.edit.close()
 }
 
-// successorWaits says whether another process waits to serve alone. Only such a process holds the lock of the successor
+// hasSuccessor says whether another process waits to serve alone. Only such a process holds the lock of the successor
 // for long; the one that serves tries it in passing.
-func (l locks) successorWaits() bool {
+func (l locks) hasSuccessor() bool {
 	if !l.successor.tryAcquire() {
 		return true
 	}
--- a/internal/hotrestart/watcher.go
+++ b/internal/hotrestart/watcher.go
@@ -61,7 +61,7 @@
 	if s.folder == nil {
 		return
 	}
-	if s.alone && !s.locks.successorWaits() {
+	if s.alone && !s.locks.hasSuccessor() {
 		return
 	}
 	before := s.seen
--- a/internal/limits/compute.go
+++ b/internal/limits/compute.go
@@ -21,9 +21,9 @@
 	guaranteedShutdown = 3 * time.Second
 )
 
-// New computes the limits from what the platform grants (memory in MiB, file descriptors) and what the settings say: the
-// time in which a connection to an endpoint comes up, the time after which an idle one is dropped by its endpoint, and
-// the longest time that a client waits for an answer.
+// New computes the limits from what the platform grants (memory in MiB, file descriptors) and what the settings say:
+// the time in which a connection to an endpoint comes up, the time after which an idle one is dropped by its endpoint,
+// and the longest time that a client waits for an answer.
 func New(memoryMiB, descriptors int, connectTimeout, connectionIdle, longestRequest time.Duration) Limits {
 	return Limits{
 		Memory:     memory(memoryMiB),
@@ -41,8 +41,8 @@
 	}
 }
 
-// connectionDescriptors is what is left of the descriptors for connections of clients and to endpoints. Connections that are
-// closed and wait for their peer to close its side (transport.Lingering) are counted apart.
+// connectionDescriptors is what is left of the descriptors for connections of clients and to endpoints. Connections
+// that are closed and wait for their peer to close its side (transport.Lingering) are counted apart.
 func connectionDescriptors(descriptors int) int {
 	lingering := max(1, descriptors/32)
 	return descriptors - reservedDescriptors - operatorConnections - lingering
@@ -57,8 +57,8 @@
 	return Memory{
 		// The rest is for what the collector does not see, and for its being late.
 		TargetBytes: int64(memoryMiB) * mib * 3 / 5,
-		// A few MiB are in use while responses of several hundred KiB pass: at the usual 100 the collector would run at every few
-		// of them, on a part of a core.
+		// A few MiB are in use while responses of several hundred KiB pass: at the usual 100 the collector would run at every
+		// few of them, on a part of a core.
 		GCPercent: 400,
 	}
 }
--- a/internal/limits/variants.go
+++ b/internal/limits/variants.go
@@ -13,19 +13,19 @@
 	)
 	l.Discovery.ResumeFromKnown = routers > mayAskForCompleteList
 	if routers <= mayWatchOften {
-		// A watch that has fallen silent is found when its wait is over, and what it missed counts as notified 6 s after it fell
-		// silent. A few routers can ask this often, and still have the time for one more call that is late.
+		// A watch that has fallen silent is found when its wait is over, and what it missed counts as notified 6 s after it
+		// fell silent. A few routers can ask this often, and still have the time for one more call that is late.
 		l.Discovery.WatchWait = 3 * time.Second
 	}
 	return l
 }
 
-// ForPushedLists returns the limits for a list that is pushed to an agent on the router's own machine, where a call costs
-// nobody anything.
+// ForPushedLists returns the limits for a list that is pushed to an agent on the router's own machine, where a call
+// costs nobody anything.
 //
 // What the agent has counts as notified, received or not, and sends must end within the drain grace: a call that is not
-// answered is found and repeated within three quarters of it, however it failed. Without a grace (0) the shortest one is
-// assumed.
+// answered is found and repeated within three quarters of it, however it failed. Without a grace (0) the shortest one
+// is assumed.
 func (l Limits) ForPushedLists(drainGrace time.Duration) Limits {
 	const shortest, longest = 200 * time.Millisecond, 2 * time.Second
 	quarter := min(max(drainGrace, shortest), longest) / 4
@@ -39,9 +39,9 @@
 	return l
 }
 
-// DuringHotRestart returns what a process may use while another process of the same router is alive: the platform counts
-// them as one. All clients come over to the new process before the old one has exited, and have no more connections than
-// before: the frontend keeps more than a half.
+// DuringHotRestart returns what a process may use while another process of the same router is alive: the platform
+// counts them as one. All clients come over to the new process before the old one has exited, and have no more
+// connections than before: the frontend keeps more than a half.
 func (l Limits) DuringHotRestart() Limits {
 	l.Memory.TargetBytes /= 2
 	l.Memory.GCPercent = 100
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.close()
+	defer mustClose(t, w)
 	first, _ := w.FirstIndex()
 	last, _ := w.LastIndex()
 	if first != 2 || last != 5 {
@@ -311,11 +311,17 @@
 func goldenHistory() []fsm.HistoryEntry {
 	return []fsm.HistoryEntry{
 		{
-			Record: fsm.Record{Key: "settings", Kind: "config", Schema: 2, Value: []byte("one"), CreateRevision: 1, ModRevision: 1},
+			Record: fsm.Record{
+				Key: "settings", Kind: "config", Schema: 2, Value: []byte("one"),
+				CreateRevision: 1, ModRevision: 1,
+			},
 			Author: "site-a", ProposedAt: 5,
 		},
 		{
-			Record: fsm.Record{Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"), CreateRevision: 1, ModRevision: 2},
+			Record: fsm.Record{
+				Key: "settings", Kind: "config", Schema: 3, Value: []byte("two"),
+				CreateRevision: 1, ModRevision: 2,
+			},
 			Author: "site-b", ProposedAt: 6,
 		},
 	}
