--- a/internal/config/audit.go
+++ b/internal/config/audit.go
@@ -12,12 +12,12 @@
 
 // Audit says what is recorded.
 type Audit struct {
-	Kinds    []string      `toml:"kinds"`      // of events; empty = all
-	Outcomes []string      `toml:"outcomes"`   // of requests; empty = all
-	Reads    *float64      `toml:"reads"`      // the share of the served reads, 0 to 1; nil = all
-	Keys     string        `toml:"keys"`       // the key file; empty = records do not chain
-	Heads    int           `toml:"heads"`      // messages from one head of the chain to the next; 0 = 256
-	Every    time.Duration `toml:"heads_time"` // the longest time between two heads; 0 = 10 s
+	Kinds    []string      `toml:"kinds"`                   // of events; empty = all
+	Outcomes []string      `toml:"outcomes"`                // of requests; empty = all
+	Reads    *float64      `toml:"reads"`                   // the share of the served reads, 0 to 1; nil = all
+	Keys     string        `toml:"keys"`                    // the key file; empty = records do not chain
+	Heads    int           `toml:"heads"`                   // messages from one head of the chain to the next; 0 = 256
+	Every    time.Duration `toml:"heads_time" json:"Every"` // the longest time between two heads; 0 = 10 s
 
 	// Loaded and Rules are what the fields above amount to.
 	Loaded audit.Keys  `toml:"-" json:"Loaded"`
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -111,6 +111,14 @@
 			t.Fatalf("%v does not say what is wrong with the record", damage)
 		}
 	})
+	t.Run("the store does not open", func(t *testing.T) {
+		folder := filepath.Dir(path)
+		_, err := Open(Config{Name: "m0", Folder: folder, Peers: peers(t, 1)}, discardLog)
+		var damage *DamagedError
+		if !errors.As(err, &damage) || err.Error() != "store: "+damage.Error() {
+			t.Errorf("%v is no damage", err)
+		}
+	})
 }
 
 func TestCompact(t *testing.T) {
