--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
@@ -127,3 +128,25 @@
 		s.answer(s.step(0, result))
 	}
 }
+
+// A budget of one health check a round reaches all endpoints in turn.
+func TestPrimarySearchChecksTheOldestFirst(t *testing.T) {
+	h := newReadyHarness(t, testConfig())
+	b := h.balancer
+	group := b.groups[1]
+	var checked []string
+	for round := range 6 {
+		b.now = h.now + time.Duration(round+1)*time.Second
+		b.actions = nil
+		b.healthChecks.tokens = 1
+		group.search.nextAt = b.now
+		b.searchPrimary(group)
+		for _, check := range actionsOf[HealthCheck](b.actions) {
+			checked = append(checked, check.Endpoint)
+			b.endpoints[check.Endpoint].check.inFlight = false
+		}
+	}
+	if !slices.Equal(checked, []string{"a", "b", "c", "a", "b", "c"}) {
+		t.Errorf("checked %v, want each in its turn", checked)
+	}
+}
