--- a/balance/eligibility.go
+++ b/balance/eligibility.go
@@ -53,8 +53,10 @@
 	if !endpoint.discovery.allowsSends(b.config.SoftRemoval) {
 		return endpointNotReady
 	}
-	if reason := request.repeatable(endpoint, b.now); reason != eligible {
-		return reason
+	if request.mayHaveRun {
+		if reason := request.repeatable(endpoint, b.now); reason != eligible {
+			return reason
+		}
 	}
 	if !b.dataRecentEnough(request, endpoint) {
 		return dataTooOld
@@ -75,11 +77,8 @@
 	return eligible
 }
 
-// repeatable says whether the request, if it may have run, would not run a second time at the endpoint.
+// repeatable says whether a request that may have run would not run a second time at the endpoint.
 func (q *request) repeatable(endpoint *endpoint, now Time) eligibility {
-	if !q.mayHaveRun {
-		return eligible
-	}
 	switch q.class.Idempotency {
 	case NonIdempotent:
 		return repeatUnsafe
@@ -105,8 +104,10 @@
 
 // capacityFor says whether the endpoint can take the request, however recent its data.
 func (b *Balancer) capacityFor(request *request, endpoint *endpoint) eligibility {
-	if reason := b.suspectEligibility(request, endpoint); reason != eligible {
-		return reason
+	if endpoint.health.suspect {
+		if reason := b.suspectEligibility(request, endpoint); reason != eligible {
+			return reason
+		}
 	}
 	if !endpoint.limit.permits(len(endpoint.inFlight), b.warmupFactor(endpoint)) {
 		return concurrencyExhausted
@@ -129,9 +130,6 @@
 // not run at all.
 func (b *Balancer) suspectEligibility(request *request, endpoint *endpoint) eligibility {
 	health := &endpoint.health
-	if !health.suspect {
-		return eligible
-	}
 	tooSoon := endpoint.hasLiveAttempt() || b.now < health.recoveryAt
 	if tooSoon || b.recoveryAwaitsReport(endpoint) {
 		return recoveryNotDue
--- a/balance/pending_queue.go
+++ b/balance/pending_queue.go
@@ -65,8 +65,8 @@
 	clear(group.pending[len(stillPending):])
 	group.pending = stillPending
 	for _, request := range stillPending {
-		b.wake.dueAt(b.now + (b.now-request.arrivedAt)/pendingRecheckDivisor)
-		b.wake.dueAt(b.lastUsefulSend(request) - tickInterval)
+		recheckAt := b.now + (b.now-request.arrivedAt)/pendingRecheckDivisor
+		b.wake.dueAt(min(recheckAt, request.usefulUntil-tickInterval))
 	}
 }
 
@@ -75,7 +75,8 @@
 	if request.answered {
 		return false
 	}
-	if request.abandoned || b.now >= b.lastUsefulSend(request) {
+	request.usefulUntil = b.lastUsefulSend(request)
+	if request.abandoned || b.now >= request.usefulUntil {
 		b.giveUp(request)
 		return false
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -15,6 +15,7 @@
 	arrivedAt     Time
 	objectiveAt   Time // an answer by then has full weight
 	deadline      Time // the client disconnects then; never once a response streams
+	usefulUntil   Time // see lastUsefulSend
 	weight        float64
 	rank          float64 // priority among the pending requests of its group
 	attempts      []*attempt
