--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -14,11 +14,14 @@
 )
 
 // corpus are the messages of one start: n answers with heads between them, from START to the last head.
-func corpus(t testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
-	e, err := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
-		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0]})
+func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
+	tb.Helper()
+	e, err := audit.NewEncoder(audit.EncoderOptions{
+		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
+		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0), Refused: "53300", Failed: "08007", Key: &keys[0],
+	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	seq := uint64(0)
 	add := func(ev audit.Event) {
@@ -28,7 +31,7 @@
 	head := func(next *audit.Key) {
 		p, err := e.Chain(time.Unix(1.8e9, int64(seq)*1e6), next)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		msgs = append(msgs, bytes.Clone(p))
 	}
@@ -70,12 +73,12 @@
 
 func lines(msgs [][]byte) []byte { return append(bytes.Join(msgs, []byte("\n")), '\n') }
 
-func look(t testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
-	t.Helper()
+func look(tb testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
+	tb.Helper()
 	v := verify.New(opt)
 	for i, p := range files {
 		if err := v.File(fmt.Sprint("file", i), bytes.NewReader(p)); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return v.Report()
@@ -177,9 +180,8 @@
 
 // A record of losses has to fit what is missing.
 func TestLossesHaveToFit(t *testing.T) {
-	e, _ := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
 	for told, whole := range map[uint64]bool{3: true, 2: false, 1: false} {
-		e, _ = audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
+		e, _ := audit.NewEncoder(audit.EncoderOptions{Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one})
 		var msgs [][]byte
 		for _, r := range []audit.Record{{Seq: 1, Event: audit.Start{}}, {Seq: 5, Event: audit.Dropped{Count: told, First: 2, Last: 4}}, {Seq: 6, Event: audit.End{}}} {
 			msgs = append(msgs, bytes.Clone(e.Encode(r)))
@@ -258,12 +260,16 @@
 			}
 			buf = append(buf, '\n')
 			if len(buf) > 1<<19 {
-				w.Write(buf)
+				if _, err := w.Write(buf); err != nil {
+					t.Error(err)
+				}
 				buf = buf[:0]
 			}
 		}
-		w.Write(buf)
-		w.Close()
+		if _, err := w.Write(buf); err != nil {
+			t.Error(err)
+		}
+		_ = w.Close() // a pipe's end never fails to close
 	}()
 	v := verify.New(options())
 	if err := v.File("f", r); err != nil {
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -78,8 +78,10 @@
 				}
 			}
 		}
-		core.EnableFailoverQueue(failover.Config{Instances: cfg.Instances, Classes: classes, MaxPending: lim.Router.PendingWrites, MaxPendingBytes: lim.Router.PendingWriteBytes,
-			DeadlineMargin: lim.Router.DeadlineMargin, MaxRetryAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
+		core.EnableFailoverQueue(failover.Config{
+			Instances: cfg.Instances, Classes: classes, MaxPending: lim.Router.PendingWrites, MaxPendingBytes: lim.Router.PendingWriteBytes,
+			DeadlineMargin: lim.Router.DeadlineMargin, MaxRetryAfter: cfg.MaxRetryAfter,
+		}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
 		core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -44,7 +44,7 @@
 	if err := m.Read([]byte(good()[1])); err != nil || !m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
 		t.Fatal(m.Time, err)
 	}
-	if m.Read([]byte(good()[8])); string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
+	if err := m.Read([]byte(good()[8])); err != nil || string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
 		t.Fatalf("%q", m.Elements[0].Params)
 	}
 }
@@ -52,7 +52,8 @@
 func TestBad(t *testing.T) {
 	head := "<7>1 - - - - - "
 	var m Message
-	for _, s := range []string{"", "<", "<192>1 - - - - - -", "<07>1 - - - - - -", "<7>2 - - - - - -", "<7>1  - - - - -", "<7>1 - - - - -", "7>1 - - - - - -",
+	for _, s := range []string{
+		"", "<", "<192>1 - - - - - -", "<07>1 - - - - - -", "<7>2 - - - - - -", "<7>1  - - - - -", "<7>1 - - - - -", "7>1 - - - - - -",
 		"<7>1 2003-13-11T22:14:15Z - - - - -", "<7>1 2003-02-29T22:14:15Z - - - - -", "<7>1 2003-02-28T24:14:15Z - - - - -", "<7>1 2003-02-28T22:14:60Z - - - - -",
 		"<7>1 2003-02-28t22:14:15Z - - - - -", "<7>1 2003-02-28T22:14:15z - - - - -", "<7>1 2003-02-28T22:14:15.1234567Z - - - - -", "<7>1 2003-02-28T22:14:15.Z - - - - -",
 		"<7>1 2003-02-28T22:14:15 - - - - -", "<7>1 2003-02-28T22:14:15+24:00 - - - - -", "<7>1 - " + strings.Repeat("h", 256) + " - - - -",
@@ -62,7 +63,8 @@
 		head + `[a@1][a@1]`, head + "[" + strings.Repeat("a", 31) + "@1]", head + `[a@1 ="x"]`, head + `[a@1 b="x"c="y"]`,
 		head + `[meta sequenceId="0"]`, head + `[meta sequenceId="2147483648"]`, head + `[meta x="1"]`, head + `[timeQuality isSynced="2"]`,
 		head + `[timeQuality isSynced="0" syncAccuracy="1"]`, head + `[timeQuality tzKnown="1" syncAccuracy="1"]`, head + `[origin software="` + strings.Repeat("s", 49) + `"]`,
-		head + "- \xef\xbb\xbf\xff"} {
+		head + "- \xef\xbb\xbf\xff",
+	} {
 		if m.Read([]byte(s)) == nil {
 			t.Errorf("taken: %q", s)
 		}
@@ -120,7 +122,7 @@
 				if len(q.Name) == 0 || len(q.Value) > len(p) {
 					t.Fatalf("%q", p)
 				}
-				Plain(q.Value)
+				_, _ = Plain(q.Value) // it may fail; it must not panic
 			}
 		}
 	})
@@ -141,7 +143,7 @@
 					t.Fatalf("%s %d: %q %v", name, i, got, err)
 				}
 			}
-			if _, err := fr.Next(); err != io.EOF || fr.Offset() != int64(len(p)) {
+			if _, err := fr.Next(); !errors.Is(err, io.EOF) || fr.Offset() != int64(len(p)) {
 				t.Fatalf("%s: %v at %d", name, err, fr.Offset())
 			}
 		}
@@ -150,12 +152,14 @@
 		for err == nil {
 			_, err = fr.Next()
 		}
-		if err != ErrCut {
+		if !errors.Is(err, ErrCut) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for text, want := range map[string]error{"5 abc": ErrCut, "0 ": ErrFrame, "05 abcde": ErrFrame, "1001 ": ErrLong, "99999999999999999999 ": ErrLong, "5x": ErrFrame, "x": ErrFrame,
-		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut} {
+	for text, want := range map[string]error{
+		"5 abc": ErrCut, "0 ": ErrFrame, "05 abcde": ErrFrame, "1001 ": ErrLong, "99999999999999999999 ": ErrLong, "5x": ErrFrame, "x": ErrFrame,
+		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut,
+	} {
 		if _, err := NewFrames(strings.NewReader(text), 1000).Next(); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, %v wanted", text, err, want)
 		}
