--- a/internal/sitefailover/door.go
+++ b/internal/sitefailover/door.go
@@ -10,12 +10,12 @@
 
 // Limits of the door.
 const (
-	doorTick = 500 * time.Millisecond // how often shares are looked at: a few times in a second of a loss
-	mostShed = 1 - keepShare          // of a class: the rest shows that there is room again
-	mostPart = 3.0                    // times its part of what is refused is the most that a class bears: none pays for all others
-	rise     = 0.25                   // a share grows by this at most in a tick,
-	fall     = 0.05                   // and falls by this: what is opened too early is refused twice
-	unsure   = 0.15                   // of all work: what a plan may be off by is left to the module, which sees each machine's queue
+	admissionInterval = 500 * time.Millisecond // how often shares are looked at: a few times in a second of a loss
+	maxRejectedShare  = 1 - probeShare         // of a class: the rest shows that there is room again
+	maxClassBurden    = 3.0                    // times its part of what is refused is the most that a class bears: none pays for all others
+	maxShareIncrease  = 0.25                   // a share grows by this at most in a tick,
+	maxShareDecrease  = 0.05                   // and falls by this: what is opened too early is refused twice
+	planUncertainty   = 0.15                   // of all work: what a plan may be off by is left to the module, which sees each machine's queue
 )
 
 // DoorConfig bounds a Door.
@@ -37,33 +37,33 @@
 // Door turns away, while a site is lost, as much of the cheapest work as the plan surely finds no place for. It works by shares: routers that
 // know nothing of each other refuse together about what is too much.
 type AdmissionController struct {
-	cfg    AdmissionConfig
-	rng    *rand.Rand
-	open   bool // nothing is refused
-	next   time.Duration
-	shares map[DemandKey]*share
+	cfg        AdmissionConfig
+	rng        *rand.Rand
+	admitsAll  bool // nothing is refused
+	nextUpdate time.Duration
+	rejections map[DemandKey]*classRejection
 }
 
 // Resources of a bank.
 const (
-	primary = iota
-	replicas
+	primaryResource = iota
+	replicaResource
 )
 
 func resource(strong bool) int {
 	if strong {
-		return primary
+		return primaryResource
 	}
-	return replicas
+	return replicaResource
 }
 
-var whereName = [...]string{"primary", "replicas"}
+var resourceNames = [...]string{"primary", "replicas"}
 
-type share struct {
-	part, want, plan float64
-	debt             float64 // of the next refusal
-	since            time.Duration
-	where            int
+type classRejection struct {
+	share, target, planned float64
+	debt                   float64 // of the next refusal
+	since                  time.Duration
+	resource               int
 }
 
 // NewDoor returns a Door that is open.
@@ -71,24 +71,24 @@
 	if cfg.RetrySpread <= 0 {
 		cfg.RetrySpread = time.Second
 	}
-	return &AdmissionController{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 5)), open: true, shares: map[DemandKey]*share{}}
+	return &AdmissionController{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 5)), admitsAll: true, rejections: map[DemandKey]*classRejection{}}
 }
 
 // Open says that nothing is refused.
-func (d *AdmissionController) AdmitsAll() bool { return d.open }
+func (d *AdmissionController) AdmitsAll() bool { return d.admitsAll }
 
 // Ask is a request at the door: whether it is turned away, and after what time it may come again.
 //
 // Each class of a bank is refused evenly, by a debt that starts anywhere: that is the share to the last request, however few come.
 func (d *AdmissionController) ShouldReject(k DemandKey) (refused bool, after time.Duration) {
-	if d.open {
+	if d.admitsAll {
 		return false, 0
 	}
-	s := d.shares[k]
-	if s == nil || s.part <= 0 {
+	s := d.rejections[k]
+	if s == nil || s.share <= 0 {
 		return false, 0
 	}
-	if s.debt += s.part; s.debt < 1 {
+	if s.debt += s.share; s.debt < 1 {
 		return false, 0
 	}
 	s.debt--
@@ -98,35 +98,35 @@
 }
 
 // Due says when Look wants to be called next, 0 = it is open and waits for a site.
-func (d *AdmissionController) NextUpdate() time.Duration { return d.next }
+func (d *AdmissionController) NextUpdate() time.Duration { return d.nextUpdate }
 
 // Look moves the shares. troubled says that some site is lost; in is what is there now, lost machines left out.
 func (d *AdmissionController) Update(now time.Duration, troubled bool, in func() PlanInput) {
-	if !troubled && d.open {
-		d.next = 0
+	if !troubled && d.admitsAll {
+		d.nextUpdate = 0
 		return
 	}
-	if now < d.next {
+	if now < d.nextUpdate {
 		return
 	}
-	if d.open { // routers look at different moments
-		d.next = now + time.Duration(d.rng.Int64N(int64(doorTick)))
-		d.open = false
+	if d.admitsAll { // routers look at different moments
+		d.nextUpdate = now + time.Duration(d.rng.Int64N(int64(admissionInterval)))
+		d.admitsAll = false
 	} else {
-		d.next = now + doorTick
+		d.nextUpdate = now + admissionInterval
 	}
-	for _, s := range d.shares {
-		s.want, s.plan = 0, 0
+	for _, s := range d.rejections {
+		s.target, s.planned = 0, 0
 	}
 	if troubled {
-		d.plan(in())
+		d.setTargets(in())
 	}
 	shut := false
-	for k, s := range d.shares {
-		was := s.part
-		s.part = math.Max(s.part-fall, math.Min(s.part+rise, s.want))
-		if s.part <= 0 {
-			delete(d.shares, k)
+	for k, s := range d.rejections {
+		was := s.share
+		s.share = math.Max(s.share-maxShareDecrease, math.Min(s.share+maxShareIncrease, s.target))
+		if s.share <= 0 {
+			delete(d.rejections, k)
 			continue
 		}
 		if was <= 0 {
@@ -135,15 +135,15 @@
 		shut = true
 	}
 	if !shut && !troubled {
-		d.open, d.next = true, 0
+		d.admitsAll, d.nextUpdate = true, 0
 	}
 }
 
 // plan wants what in can't carry to be refused: by bank and resource as much work as the plan finds no place for, less what it may be
 // off by, from the least worth for its work on.
-func (d *AdmissionController) plan(in PlanInput) {
-	for _, b := range gather(in) {
-		c := b.carry("")
+func (d *AdmissionController) setTargets(in PlanInput) {
+	for _, b := range collectGroups(in) {
+		c := b.allocate("")
 		var all, over [2]float64
 		for i, x := range b.demands {
 			w := resource(x.NeedsPrimary)
@@ -151,11 +151,11 @@
 			over[w] += (1 - c.served[i]) * x.Rate * x.Work
 		}
 		for w := range all {
-			if c.lead == nil {
+			if c.primary == nil {
 				continue // nothing of it can be served: the module refuses what it must, and a successor may come any time
 			}
-			left := over[w] - unsure*all[w]
-			most := math.Min(mostShed, mostPart*left/all[w])
+			left := over[w] - planUncertainty*all[w]
+			most := math.Min(maxRejectedShare, maxClassBurden*left/all[w])
 			for i := len(b.demands) - 1; i >= 0; i-- {
 				x := b.demands[i]
 				if resource(x.NeedsPrimary) != w {
@@ -164,15 +164,15 @@
 				work, k := x.Rate*x.Work, DemandKey{x.Class, b.id}
 				part := math.Max(0, math.Min(most, left/work))
 				left -= part * work
-				s := d.shares[k]
+				s := d.rejections[k]
 				if s == nil {
 					if part == 0 {
 						continue
 					}
-					s = &share{where: w, debt: d.rng.Float64()}
-					d.shares[k] = s
+					s = &classRejection{resource: w, debt: d.rng.Float64()}
+					d.rejections[k] = s
 				}
-				s.want, s.plan = part, 1-c.served[i]
+				s.target, s.planned = part, 1-c.served[i]
 			}
 		}
 	}
@@ -180,9 +180,9 @@
 
 // Shares are what is refused now, in the order of banks, the most refused first.
 func (d *AdmissionController) RejectedShares() (out []RejectedShare) {
-	for k, s := range d.shares {
-		if s.part > 0 {
-			out = append(out, RejectedShare{k.Group, k.Class, whereName[s.where], s.part, s.since, s.want < s.part, s.plan})
+	for k, s := range d.rejections {
+		if s.share > 0 {
+			out = append(out, RejectedShare{k.Group, k.Class, resourceNames[s.resource], s.share, s.since, s.target < s.share, s.planned})
 		}
 	}
 	slices.SortFunc(out, func(a, b RejectedShare) int {
--- a/internal/sitefailover/door_test.go
+++ b/internal/sitefailover/door_test.go
@@ -23,7 +23,7 @@
 
 // steady lets a door look for so long.
 func steady(d *AdmissionController, at *time.Duration, troubled bool, in PlanInput, length time.Duration) {
-	for end := *at + length; *at < end; *at += doorTick {
+	for end := *at + length; *at < end; *at += admissionInterval {
 		d.Update(*at, troubled, func() PlanInput { return in })
 	}
 }
@@ -44,10 +44,10 @@
 	in := left(2, 2, 20, 20, 10)
 	in.Demands[2].Rate = 20
 	d.Update(at, true, func() PlanInput { return in })
-	if got := parts(d); got["cheap"] > rise+1e-9 {
+	if got := parts(d); got["cheap"] > maxShareIncrease+1e-9 {
 		t.Errorf("at once: %v", got)
 	}
-	at += doorTick
+	at += admissionInterval
 	steady(d, &at, true, in, 10*sec)
 	got := parts(d)
 	refused := 0.1 * (20*got["cheap"] + 20*got["dear"] + 20*got["write"])
@@ -55,8 +55,8 @@
 		t.Errorf("%v, %.2f of work", got, refused)
 	}
 	before := got["cheap"]
-	steady(d, &at, true, left(20, 2, 20, 20, 10), doorTick)
-	if now := parts(d)["cheap"]; now < before-fall-1e-9 || now >= before {
+	steady(d, &at, true, left(20, 2, 20, 20, 10), admissionInterval)
+	if now := parts(d)["cheap"]; now < before-maxShareDecrease-1e-9 || now >= before {
 		t.Errorf("from %.2f to %.2f in a tick", before, now)
 	}
 	steady(d, &at, false, PlanInput{}, 20*sec)
@@ -118,15 +118,15 @@
 			share := map[DemandKey]float64{}
 			for _, s := range d.RejectedShares() {
 				share[DemandKey{s.Class, s.Group}] = s.Share
-				if s.Share > mostShed+1e-9 || s.Share <= 0 {
+				if s.Share > maxRejectedShare+1e-9 || s.Share <= 0 {
 					t.Fatalf("%+v", s)
 				}
 			}
 			if !troubled && !d.AdmitsAll() && len(share) > 0 && d.NextUpdate() == 0 {
 				t.Fatal("shut for ever")
 			}
-			for _, b := range gather(in) {
-				c := b.carry("")
+			for _, b := range collectGroups(in) {
+				c := b.allocate("")
 				var over, refused [2]float64
 				for i, x := range b.demands {
 					w := resource(x.NeedsPrimary)
@@ -134,7 +134,7 @@
 					refused[w] += share[DemandKey{x.Class, b.id}] * x.Rate * x.Work
 				}
 				for w := range over {
-					if troubled && (c.lead == nil && refused[w] > 0 || refused[w] > over[w]+1e-6) {
+					if troubled && (c.primary == nil && refused[w] > 0 || refused[w] > over[w]+1e-6) {
 						t.Fatalf("bank %d: %.3f refused, %.3f too much", b.id, refused[w], over[w])
 					}
 				}
@@ -235,14 +235,14 @@
 		t.Errorf("%.2f %v", got, told)
 	}
 	u.Retain(func(id string) bool { return id == "near" })
-	if len(u.told) != 1 {
-		t.Errorf("%d kept", len(u.told))
+	if len(u.endpoints) != 1 {
+		t.Errorf("%d kept", len(u.endpoints))
 	}
-	for i := range 2 * useMost {
+	for i := range 2 * maxTrackedEndpoints {
 		u.Record(fmt.Sprint(i), 1, 1)
 	}
-	if len(u.told) > useMost {
-		t.Errorf("%d kept", len(u.told))
+	if len(u.endpoints) > maxTrackedEndpoints {
+		t.Errorf("%d kept", len(u.endpoints))
 	}
 	var idle UtilizationTracker
 	for range 60 {
--- a/internal/sitefailover/evidence.go
+++ b/internal/sitefailover/evidence.go
@@ -27,17 +27,17 @@
 }
 
 // Kind is what the evidence says of a site that is not well.
-type Kind uint8
+type FaultKind uint8
 
 const (
-	KindUnclear     Kind = iota
-	KindLost             // its machines are lost: nothing speaks for their being alive
-	KindPartitioned      // this router can't reach it, and it lives: its banks go on committing
-	KindIsolated         // this router reaches no other site than its own, or none at all: the fault is on its side as likely
-	KindRemoved          // the list says that its machines have gone
+	FaultUnclear     FaultKind = iota
+	FaultSiteLost              // its machines are lost: nothing speaks for their being alive
+	FaultPartitioned           // this router can't reach it, and it lives: its banks go on committing
+	FaultIsolated              // this router reaches no other site than its own, or none at all: the fault is on its side as likely
+	FaultDelisted              // the list says that its machines have gone
 )
 
-func (k Kind) String() string {
+func (k FaultKind) String() string {
 	return [...]string{"unclear", "site lost", "cut off from here", "alone on this side", "listed as gone"}[k]
 }
 
@@ -53,21 +53,21 @@
 // Evidence of a site is looked at over watchWindow: a router with little traffic hears of a machine now and then. A suspicion lasts
 // for watchHold before the site counts as lost: a moment's silence of a network is shorter.
 const (
-	watchWindow = 2 * time.Second
-	watchHold   = 500 * time.Millisecond
+	defaultEvidenceWindow = 2 * time.Second
+	defaultSuspicionTime  = 500 * time.Millisecond
 )
 
 // Watch is how a router in a site of its own watches all of them, where machines take so long to get warm; most bounds their number.
 func DefaultConfig(own string, cold time.Duration, most int) Config {
-	return Config{OwnSite: own, EvidenceWindow: watchWindow, SuspicionTime: watchHold, SettleTime: max(watchWindow, cold), MaxEndpoints: most}
+	return Config{OwnSite: own, EvidenceWindow: defaultEvidenceWindow, SuspicionTime: defaultSuspicionTime, SettleTime: max(defaultEvidenceWindow, cold), MaxEndpoints: most}
 }
 
 // The shares of a site's known machines.
 const (
-	mostDown  = 0.6 // from here on it is suspected,
-	otherDown = 0.3 // if no more than this is down elsewhere
-	fewDown   = 0.2 // and at most this may be down for it to settle
-	mostFlaps = 5   // doublings of what a site that flaps has to wait
+	suspectDownShare      = 0.6 // from here on it is suspected,
+	maxDownShareElsewhere = 0.3 // if no more than this is down elsewhere
+	settleDownShare       = 0.2 // and at most this may be down for it to settle
+	maxFlapDoublings      = 5   // doublings of what a site that flaps has to wait
 )
 
 // Event is something that happened.
@@ -144,7 +144,7 @@
 type StateChanged struct {
 	Site     string
 	From, To SiteState
-	Kind     Kind
+	Kind     FaultKind
 	Evidence string
 }
 
@@ -155,45 +155,45 @@
 func (Wake) action()         {}
 
 // machine is what is known of one.
-type machine struct {
-	id, site string
-	bank     int64
-	drains   bool          // it was told to leave before it failed: a deploy is no loss
-	gone     bool          // the list has dropped it without that
-	off      time.Duration // since when no list names it, 0 = one does
-	heard    time.Duration
-	bad      time.Duration // the first failure since it was heard, 0 = none
-	fails    int
-	why      Failure
-	lives    bool // its bank went on committing just behind its first failure: nobody else could have led so soon
+type endpoint struct {
+	id, site              string
+	group                 int64
+	draining              bool          // it was told to leave before it failed: a deploy is no loss
+	delisted              bool          // the list has dropped it without that
+	unlistedSince         time.Duration // since when no list names it, 0 = one does
+	answeredAt            time.Duration
+	failingSince          time.Duration // the first failure since it was heard, 0 = none
+	failures              int
+	lastFailure           Failure
+	committedAfterFailure bool // its bank went on committing just behind its first failure: nobody else could have led so soon
 }
 
 // site is one.
 type site struct {
-	name     string
-	machines map[string]*machine
-	state    SiteState
-	kind     Kind
-	since    time.Duration
-	calm     time.Duration // since when few of it are down, 0 = they are not
-	evidence string
-	flaps    int
-	declared time.Duration
-	fresh    int // machines that were listed for the first time while it was not well, and have taken nobody's place yet
+	name                  string
+	endpoints             map[string]*endpoint
+	state                 SiteState
+	fault                 FaultKind
+	stateSince            time.Duration
+	mostlyUpSince         time.Duration // since when few of it are down, 0 = they are not
+	evidence              string
+	flaps                 int
+	declaredLostUntil     time.Duration
+	unmatchedNewEndpoints int // machines that were listed for the first time while it was not well, and have taken nobody's place yet
 }
 
 // Model follows all sites.
 type Monitor struct {
-	cfg      Config
-	now      time.Duration
-	machines map[string]*machine
-	sites    map[string]*site
-	leads    map[int64]string
+	cfg       Config
+	now       time.Duration
+	endpoints map[string]*endpoint
+	sites     map[string]*site
+	primaries map[int64]string
 }
 
 // New returns a Model that knows nothing.
 func New(cfg Config) *Monitor {
-	return &Monitor{cfg: cfg, machines: map[string]*machine{}, sites: map[string]*site{}, leads: map[int64]string{}}
+	return &Monitor{cfg: cfg, endpoints: map[string]*endpoint{}, sites: map[string]*site{}, primaries: map[int64]string{}}
 }
 
 // Step takes what has happened by now and returns what has changed, in the order of the sites' names.
@@ -202,179 +202,179 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case EndpointListed:
-			m.listed(e)
+			m.recordListing(e)
 		case EndpointListComplete:
-			m.whole(e)
+			m.retainListed(e)
 		case EndpointAnswered:
-			if x := m.machines[e.Endpoint]; x != nil {
-				x.heard, x.bad, x.fails, x.gone, x.lives = now, 0, 0, false, false
+			if x := m.endpoints[e.Endpoint]; x != nil {
+				x.answeredAt, x.failingSince, x.failures, x.delisted, x.committedAfterFailure = now, 0, 0, false, false
 			}
 		case AttemptFailed:
-			if x := m.machines[e.Endpoint]; x != nil {
-				if x.fails++; x.bad == 0 {
-					x.bad = now
+			if x := m.endpoints[e.Endpoint]; x != nil {
+				if x.failures++; x.failingSince == 0 {
+					x.failingSince = now
 				}
-				x.why = e.Failure
+				x.lastFailure = e.Failure
 			}
 		case PrimaryObserved:
-			m.leads[e.Group] = e.Endpoint
+			m.primaries[e.Group] = e.Endpoint
 		case ReplicaApplied:
-			if x := m.machines[e.Endpoint]; x != nil {
-				m.applied(x.bank, e.Position)
+			if x := m.endpoints[e.Endpoint]; x != nil {
+				m.recordAppliedPosition(x.group, e.Position)
 			}
 		case DeclareLost:
 			if s := m.sites[e.Site]; s != nil {
-				s.declared = e.Until
+				s.declaredLostUntil = e.Until
 			}
 		}
 	}
-	return m.judge()
+	return m.evaluateSites()
 }
 
-func (m *Monitor) listed(e EndpointListed) {
-	x := m.machines[e.Endpoint]
+func (m *Monitor) recordListing(e EndpointListed) {
+	x := m.endpoints[e.Endpoint]
 	if x == nil {
-		if e.State == EndpointRemoved || len(m.machines) >= m.cfg.MaxEndpoints {
+		if e.State == EndpointRemoved || len(m.endpoints) >= m.cfg.MaxEndpoints {
 			return
 		}
-		x = &machine{id: e.Endpoint}
-		m.machines[e.Endpoint] = x
+		x = &endpoint{id: e.Endpoint}
+		m.endpoints[e.Endpoint] = x
 	}
 	first := x.site == ""
-	x.bank = e.Group
+	x.group = e.Group
 	if x.site != e.Site || m.sites[e.Site] == nil {
-		m.leave(x)
+		m.detach(x)
 		x.site = e.Site
 		s := m.sites[e.Site]
 		if s == nil {
-			s = &site{name: e.Site, machines: map[string]*machine{}}
+			s = &site{name: e.Site, endpoints: map[string]*endpoint{}}
 			m.sites[e.Site] = s
 		}
-		s.machines[x.id] = x
+		s.endpoints[x.id] = x
 	}
 	s := m.sites[e.Site]
 	if first && s.state != SiteHealthy {
-		s.fresh++
+		s.unmatchedNewEndpoints++
 	}
-	x.off = 0
+	x.unlistedSince = 0
 	switch e.State {
 	case EndpointReady:
-		x.drains, x.gone = false, false
+		x.draining, x.delisted = false, false
 	case EndpointDraining:
-		x.drains = true
+		x.draining = true
 	case EndpointRemoved:
-		x.gone = !x.drains
+		x.delisted = !x.draining
 	}
-	m.replace(s)
+	m.forgetReplaced(s)
 }
 
 // replace forgets machines that have gone, one for each new one. Danger: a site that returns under new ids is held to be half lost, or lost
 // again, by those that nobody will see any more.
-func (m *Monitor) replace(s *site) {
-	for _, id := range slices.Sorted(maps.Keys(s.machines)) {
-		if s.fresh > 0 && s.machines[id].gone {
-			s.fresh--
-			m.drop(s.machines[id])
+func (m *Monitor) forgetReplaced(s *site) {
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		if s.unmatchedNewEndpoints > 0 && s.endpoints[id].delisted {
+			s.unmatchedNewEndpoints--
+			m.forget(s.endpoints[id])
 		}
 	}
 }
 
 // whole forgets what is no more listed. One that failed before it went keeps counting while its site is not well: it was lost.
-func (m *Monitor) whole(e EndpointListComplete) {
+func (m *Monitor) retainListed(e EndpointListComplete) {
 	named := map[string]bool{}
 	for _, id := range e.Endpoints {
 		named[id] = true
 	}
-	for id, x := range m.machines {
+	for id, x := range m.endpoints {
 		if !named[id] {
-			if s := m.sites[x.site]; s != nil && s.state != SiteHealthy && x.down(m.now, m.cfg.EvidenceWindow) {
-				if x.gone = !x.drains; x.off == 0 {
-					x.off = m.now
+			if s := m.sites[x.site]; s != nil && s.state != SiteHealthy && x.isDown(m.now, m.cfg.EvidenceWindow) {
+				if x.delisted = !x.draining; x.unlistedSince == 0 {
+					x.unlistedSince = m.now
 				}
-				m.replace(s)
+				m.forgetReplaced(s)
 				continue
 			}
-			m.drop(x)
+			m.forget(x)
 		}
 	}
 }
 
 // forgetAfter is how long a machine that no list names any more goes on to speak of its site's loss.
-const forgetAfter = 10 * time.Minute
+const delistedRetention = 10 * time.Minute
 
-func (m *Monitor) drop(x *machine) {
-	m.leave(x)
-	delete(m.machines, x.id)
+func (m *Monitor) forget(x *endpoint) {
+	m.detach(x)
+	delete(m.endpoints, x.id)
 }
 
-func (m *Monitor) leave(x *machine) {
+func (m *Monitor) detach(x *endpoint) {
 	if s := m.sites[x.site]; s != nil {
-		if delete(s.machines, x.id); len(s.machines) == 0 {
+		if delete(s.endpoints, x.id); len(s.endpoints) == 0 {
 			delete(m.sites, x.site)
 		}
 	}
 }
 
 // down says that a machine has failed and not been heard since: twice, or once and then nothing for a while.
-func (x *machine) down(now, window time.Duration) bool {
-	return x.gone || x.bad > 0 && (x.fails > 1 || now-x.bad >= window/4)
+func (x *endpoint) isDown(now, window time.Duration) bool {
+	return x.delisted || x.failingSince > 0 && (x.failures > 1 || now-x.failingSince >= window/4)
 }
 
 // figures are what is known of some machines.
-type figures struct {
-	down, fine int
-	banks      map[int64]bool // of those that are down
+type evidenceCounts struct {
+	down, up   int
+	downGroups map[int64]bool // of those that are down
 }
 
-func (f figures) known() int { return f.down + f.fine }
+func (f evidenceCounts) known() int { return f.down + f.up }
 
-func (f figures) share() float64 {
+func (f evidenceCounts) downShare() float64 {
 	if f.known() == 0 {
 		return 0
 	}
 	return float64(f.down) / float64(f.known())
 }
 
-func (m *Monitor) count(s *site, f *figures) {
-	for _, x := range s.machines {
+func (m *Monitor) countEvidence(s *site, f *evidenceCounts) {
+	for _, x := range s.endpoints {
 		switch {
-		case x.drains:
-		case x.down(m.now, m.cfg.EvidenceWindow):
+		case x.draining:
+		case x.isDown(m.now, m.cfg.EvidenceWindow):
 			f.down++
-			f.banks[x.bank] = true
-		case x.heard > 0 && m.now-x.heard <= m.cfg.EvidenceWindow:
-			f.fine++
+			f.downGroups[x.group] = true
+		case x.answeredAt > 0 && m.now-x.answeredAt <= m.cfg.EvidenceWindow:
+			f.up++
 		}
 	}
 }
 
 // judge moves each site to the state that the evidence gives it.
-func (m *Monitor) judge() (acts []Action) {
-	for _, x := range m.machines {
-		if x.off > 0 && m.now-x.off > forgetAfter {
-			m.drop(x)
+func (m *Monitor) evaluateSites() (acts []Action) {
+	for _, x := range m.endpoints {
+		if x.unlistedSince > 0 && m.now-x.unlistedSince > delistedRetention {
+			m.forget(x)
 		}
 	}
 	names := slices.Sorted(maps.Keys(m.sites))
-	all := map[string]figures{}
+	all := map[string]evidenceCounts{}
 	for _, name := range names {
-		f := figures{banks: map[int64]bool{}}
-		m.count(m.sites[name], &f)
+		f := evidenceCounts{downGroups: map[int64]bool{}}
+		m.countEvidence(m.sites[name], &f)
 		all[name] = f
 	}
 	wake := time.Duration(0)
 	for _, name := range names {
 		s, f := m.sites[name], all[name]
-		others := figures{banks: map[int64]bool{}}
+		others := evidenceCounts{downGroups: map[int64]bool{}}
 		reached := false // another site than this one and the router's own answers
 		for o, g := range all {
-			if o == name || g.share() >= mostDown { // one that fails itself says nothing of what all share
+			if o == name || g.downShare() >= suspectDownShare { // one that fails itself says nothing of what all share
 				continue
 			}
-			others.down, others.fine = others.down+g.down, others.fine+g.fine
-			reached = reached || o != m.cfg.OwnSite && g.fine > 0
+			others.down, others.up = others.down+g.down, others.up+g.up
+			reached = reached || o != m.cfg.OwnSite && g.up > 0
 		}
-		if c, ok := m.move(s, f, others, reached); ok {
+		if c, ok := m.advance(s, f, others, reached); ok {
 			acts = append(acts, c)
 		}
 		if s.state != SiteHealthy {
@@ -382,9 +382,9 @@
 				wake = next
 			}
 		}
-		for _, x := range s.machines { // a single failure speaks once it has lasted
-			if x.bad > 0 && !x.down(m.now, m.cfg.EvidenceWindow) {
-				if next := x.bad + m.cfg.EvidenceWindow/4; wake == 0 || next < wake {
+		for _, x := range s.endpoints { // a single failure speaks once it has lasted
+			if x.failingSince > 0 && !x.isDown(m.now, m.cfg.EvidenceWindow) {
+				if next := x.failingSince + m.cfg.EvidenceWindow/4; wake == 0 || next < wake {
 					wake = next
 				}
 			}
@@ -397,43 +397,43 @@
 }
 
 // failing says whether a site's figures speak against the site as a whole.
-func (m *Monitor) failing(s *site, f, others figures) bool {
-	if f.known() == 0 || f.share() < mostDown || 2*f.known() < m.here(s) {
+func (m *Monitor) siteIsFailing(s *site, f, others evidenceCounts) bool {
+	if f.known() == 0 || f.downShare() < suspectDownShare || 2*f.known() < m.countExpected(s) {
 		return false
 	}
-	if banks := m.banks(s); banks > 1 && len(f.banks) < 2 {
+	if banks := m.countGroups(s); banks > 1 && len(f.downGroups) < 2 {
 		return false // one bank's trouble
 	}
-	if others.known() > 0 && others.share() > otherDown && others.fine > 0 {
+	if others.known() > 0 && others.downShare() > maxDownShareElsewhere && others.up > 0 {
 		return false // it is no site's own: something that all share
 	}
 	return true
 }
 
 // here is how many machines of a site are not told to leave.
-func (m *Monitor) here(s *site) (n int) {
-	for _, x := range s.machines {
-		if !x.drains {
+func (m *Monitor) countExpected(s *site) (n int) {
+	for _, x := range s.endpoints {
+		if !x.draining {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Monitor) banks(s *site) int {
+func (m *Monitor) countGroups(s *site) int {
 	seen := map[int64]bool{}
-	for _, x := range s.machines {
-		if !x.drains {
-			seen[x.bank] = true
+	for _, x := range s.endpoints {
+		if !x.draining {
+			seen[x.group] = true
 		}
 	}
 	return len(seen)
 }
 
 // lives says that something speaks for a site that can't be reached: a bank whose primary is there has committed since it failed.
-func (m *Monitor) lives(s *site) bool {
-	for bank, id := range m.leads {
-		if x := s.machines[id]; x != nil && x.bank == bank && x.lives {
+func (m *Monitor) commitsProveAlive(s *site) bool {
+	for bank, id := range m.primaries {
+		if x := s.endpoints[id]; x != nil && x.group == bank && x.committedAfterFailure {
 			return true
 		}
 	}
@@ -441,44 +441,44 @@
 }
 
 // applied notes up to when a bank has committed. Later than the window behind a failure it may be a successor's commits that are seen.
-func (m *Monitor) applied(bank int64, upto time.Duration) {
-	if x := m.machines[m.leads[bank]]; x != nil && x.bad > 0 && upto > x.bad+m.cfg.EvidenceWindow/4 && upto <= x.bad+m.cfg.EvidenceWindow {
-		x.lives = true
+func (m *Monitor) recordAppliedPosition(bank int64, upto time.Duration) {
+	if x := m.endpoints[m.primaries[bank]]; x != nil && x.failingSince > 0 && upto > x.failingSince+m.cfg.EvidenceWindow/4 && upto <= x.failingSince+m.cfg.EvidenceWindow {
+		x.committedAfterFailure = true
 	}
 }
 
 // kindOf is what the evidence says the fault is.
-func (m *Monitor) kindOf(s *site, others figures, reached bool) Kind {
+func (m *Monitor) classifyFault(s *site, others evidenceCounts, reached bool) FaultKind {
 	gone := 0
-	for _, x := range s.machines {
-		if x.gone {
+	for _, x := range s.endpoints {
+		if x.delisted {
 			gone++
 		}
 	}
 	switch {
-	case m.lives(s):
-		return KindPartitioned
-	case gone > 0 && 2*gone >= m.here(s):
-		return KindRemoved
-	case others.fine == 0, !reached && len(m.sites) > 2:
-		return KindIsolated
+	case m.commitsProveAlive(s):
+		return FaultPartitioned
+	case gone > 0 && 2*gone >= m.countExpected(s):
+		return FaultDelisted
+	case others.up == 0, !reached && len(m.sites) > 2:
+		return FaultIsolated
 	case len(m.sites) <= 2 && s.name != m.cfg.OwnSite && m.cfg.OwnSite != "":
-		return KindUnclear // of two sites one can't tell by itself which side the fault is on
+		return FaultUnclear // of two sites one can't tell by itself which side the fault is on
 	}
-	return KindLost
+	return FaultSiteLost
 }
 
 // move takes a site from one state to the next, one step at a time.
-func (m *Monitor) move(s *site, f, others figures, reached bool) (c StateChanged, moved bool) {
-	bad := m.failing(s, f, others)
-	said := s.declared > m.now
-	if f.share() > fewDown {
-		s.calm = 0
-	} else if s.calm == 0 {
-		s.calm = m.now
-	}
-	wait := m.cfg.SuspicionTime << min(s.flaps, mostFlaps)
-	settle := m.cfg.SettleTime << min(s.flaps, mostFlaps)
+func (m *Monitor) advance(s *site, f, others evidenceCounts, reached bool) (c StateChanged, moved bool) {
+	bad := m.siteIsFailing(s, f, others)
+	said := s.declaredLostUntil > m.now
+	if f.downShare() > settleDownShare {
+		s.mostlyUpSince = 0
+	} else if s.mostlyUpSince == 0 {
+		s.mostlyUpSince = m.now
+	}
+	wait := m.cfg.SuspicionTime << min(s.flaps, maxFlapDoublings)
+	settle := m.cfg.SettleTime << min(s.flaps, maxFlapDoublings)
 	next := s.state
 	switch s.state {
 	case SiteHealthy, SiteSettled:
@@ -487,63 +487,63 @@
 			next = SiteLost
 		case bad:
 			next = SiteSuspected
-		case s.state == SiteSettled && m.now-s.since >= settle:
+		case s.state == SiteSettled && m.now-s.stateSince >= settle:
 			next, s.flaps = SiteHealthy, max(0, s.flaps-1)
 		}
 	case SiteSuspected:
 		switch {
-		case said, bad && m.now-s.since >= m.cfg.SuspicionTime:
+		case said, bad && m.now-s.stateSince >= m.cfg.SuspicionTime:
 			next = SiteLost
-		case !bad && f.share() < mostDown, !bad && m.now-s.since >= 2*m.cfg.EvidenceWindow:
+		case !bad && f.downShare() < suspectDownShare, !bad && m.now-s.stateSince >= 2*m.cfg.EvidenceWindow:
 			next = SiteHealthy
 		}
 	case SiteLost:
 		// What has been lost for a moment has to answer for longer each time.
-		if !said && (f.fine > 0 || f.down == 0) && f.share() < mostDown && m.now-s.since >= wait-m.cfg.SuspicionTime {
+		if !said && (f.up > 0 || f.down == 0) && f.downShare() < suspectDownShare && m.now-s.stateSince >= wait-m.cfg.SuspicionTime {
 			next = SiteRecovering
 		}
 	case SiteRecovering:
 		switch {
 		case said, bad:
 			next, s.flaps = SiteLost, s.flaps+1
-		case s.calm > 0 && m.now-s.calm >= settle:
+		case s.mostlyUpSince > 0 && m.now-s.mostlyUpSince >= settle:
 			next = SiteSettled
 		}
 	}
 	if next == s.state {
 		if s.state == SiteLost || s.state == SiteSuspected {
-			s.kind = m.kindOf(s, others, reached) // it may become clear later
+			s.fault = m.classifyFault(s, others, reached) // it may become clear later
 		}
 		return c, false
 	}
 	c = StateChanged{Site: s.name, From: s.state, To: next}
 	if next == SiteSuspected || next == SiteLost {
-		s.kind = m.kindOf(s, others, reached)
+		s.fault = m.classifyFault(s, others, reached)
 	} else if next == SiteHealthy {
-		s.kind = KindUnclear
+		s.fault = FaultUnclear
 	}
-	s.evidence = fmt.Sprintf("%d of %d known machines down (%s), %d of %d elsewhere", f.down, f.known(), m.reasons(s), others.down, others.known())
+	s.evidence = fmt.Sprintf("%d of %d known machines down (%s), %d of %d elsewhere", f.down, f.known(), m.failureSummary(s), others.down, others.known())
 	if said {
 		s.evidence = "declared by an operator; " + s.evidence
 	}
-	c.Kind, c.Evidence = s.kind, s.evidence
-	s.state, s.since = next, m.now
+	c.Kind, c.Evidence = s.fault, s.evidence
+	s.state, s.stateSince = next, m.now
 	if next == SiteHealthy {
-		s.fresh = 0
+		s.unmatchedNewEndpoints = 0
 	}
 	return c, true
 }
 
 // reasons says how a site's machines fail.
-func (m *Monitor) reasons(s *site) string {
+func (m *Monitor) failureSummary(s *site) string {
 	n := map[string]int{}
-	for _, x := range s.machines {
+	for _, x := range s.endpoints {
 		switch {
-		case x.drains || !x.down(m.now, m.cfg.EvidenceWindow):
-		case x.gone:
+		case x.draining || !x.isDown(m.now, m.cfg.EvidenceWindow):
+		case x.delisted:
 			n["gone"]++
 		default:
-			n[[...]string{"refused", "reset", "silent"}[x.why]]++
+			n[[...]string{"refused", "reset", "silent"}[x.lastFailure]]++
 		}
 	}
 	if len(n) == 0 {
--- a/internal/sitefailover/evidence_test.go
+++ b/internal/sitefailover/evidence_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *world) is(site string, want SiteState, kind Kind) {
+func (w *world) is(site string, want SiteState, kind FaultKind) {
 	w.t.Helper()
 	for _, v := range w.m.Views() {
 		if v.Site == site {
@@ -110,21 +110,21 @@
 		w.run(3 * time.Second)
 		w.lose("s", why)
 		w.run(200 * ms)
-		w.is("s", SiteSuspected, KindLost)
+		w.is("s", SiteSuspected, FaultSiteLost)
 		w.run(600 * ms)
-		w.is("s", SiteLost, KindLost)
-		w.is("w", SiteHealthy, KindUnclear)
+		w.is("s", SiteLost, FaultSiteLost)
+		w.is("w", SiteHealthy, FaultUnclear)
 		if e := w.seen[len(w.seen)-1].Evidence; !strings.Contains(e, "4 of 4 known machines down (4 ") || !strings.Contains(e, "0 of 8 elsewhere") {
 			t.Errorf("%q", e)
 		}
 		w.run(20 * time.Second)
 		w.back("s")
 		w.run(200 * ms)
-		w.is("s", SiteRecovering, KindLost)
+		w.is("s", SiteRecovering, FaultSiteLost)
 		w.run(5 * time.Second)
-		w.is("s", SiteSettled, KindLost)
+		w.is("s", SiteSettled, FaultSiteLost)
 		w.run(5 * time.Second)
-		w.is("s", SiteHealthy, KindUnclear)
+		w.is("s", SiteHealthy, FaultUnclear)
 		if len(w.seen) != 5 {
 			t.Errorf("%v", w.seen)
 		}
@@ -191,10 +191,10 @@
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
 	w.run(150 * ms)
-	w.is("s", SiteSuspected, KindLost)
+	w.is("s", SiteSuspected, FaultSiteLost)
 	w.back("s")
 	w.run(100 * ms)
-	w.is("s", SiteHealthy, KindUnclear)
+	w.is("s", SiteHealthy, FaultUnclear)
 }
 
 // A router that is cut off from a site that lives can tell: the site's banks go on committing. One that reaches no other site is alone.
@@ -203,9 +203,9 @@
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", SiteLost, KindLost)
+	w.is("s", SiteLost, FaultSiteLost)
 	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
-	w.is("s", SiteLost, KindPartitioned)
+	w.is("s", SiteLost, FaultPartitioned)
 
 	// What is committed much later may be a successor's: it says nothing of the old primary.
 	w = newWorld(t, "n", 4, "n", "s", "w")
@@ -213,27 +213,27 @@
 	w.lose("s", FailureRefused)
 	w.run(4 * time.Second)
 	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
-	w.is("s", SiteLost, KindLost)
+	w.is("s", SiteLost, FaultSiteLost)
 
 	w = newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
 	w.lose("w", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", SiteLost, KindIsolated)
-	w.is("w", SiteLost, KindIsolated)
-	w.is("n", SiteHealthy, KindUnclear)
+	w.is("s", SiteLost, FaultIsolated)
+	w.is("w", SiteLost, FaultIsolated)
+	w.is("n", SiteHealthy, FaultUnclear)
 
 	// Of two sites one can't tell whose side the fault is on; the list can.
 	w = newWorld(t, "n", 4, "n", "s")
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("s", SiteLost, KindUnclear)
+	w.is("s", SiteLost, FaultUnclear)
 	for i := range 3 {
 		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointRemoved})
 	}
-	w.is("s", SiteLost, KindRemoved)
+	w.is("s", SiteLost, FaultDelisted)
 }
 
 // The second site is lost while the first one returns, and half of it.
@@ -244,13 +244,13 @@
 	w.run(2 * time.Second)
 	w.back("s")
 	w.run(500 * ms)
-	w.is("s", SiteRecovering, KindLost)
+	w.is("s", SiteRecovering, FaultSiteLost)
 	w.lose("w", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("w", SiteLost, KindLost)
-	w.is("s", SiteRecovering, KindLost)
+	w.is("w", SiteLost, FaultSiteLost)
+	w.is("s", SiteRecovering, FaultSiteLost)
 	w.run(5 * time.Second)
-	w.is("s", SiteSettled, KindLost)
+	w.is("s", SiteSettled, FaultSiteLost)
 }
 
 // A site that flaps has to answer for longer each time before it is taken back, up to a bound.
@@ -278,7 +278,7 @@
 		t.Errorf("%v", lost)
 	}
 	w.run(10 * time.Minute)
-	w.is("s", SiteHealthy, KindUnclear)
+	w.is("s", SiteHealthy, FaultUnclear)
 }
 
 // Machines that come back under new ids are the site's return.
@@ -305,7 +305,7 @@
 		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointDraining})
 	}
 	w.run(20 * time.Second)
-	w.is("s", SiteHealthy, KindUnclear)
+	w.is("s", SiteHealthy, FaultUnclear)
 }
 
 // What operators declare holds until its time; a site that nobody knows is nothing.
@@ -321,7 +321,7 @@
 		t.Fatalf("%+v", v)
 	}
 	w.run(20 * time.Second)
-	w.is("s", SiteHealthy, KindUnclear)
+	w.is("s", SiteHealthy, FaultUnclear)
 }
 
 // Whatever happens, a site is in a state with an exit: once all answer for long it is well, whatever came before; what is followed is
@@ -349,8 +349,8 @@
 					delete(last, s)
 				}
 			}
-			if len(m.machines) > cfg.MaxEndpoints {
-				t.Fatalf("%d machines", len(m.machines))
+			if len(m.endpoints) > cfg.MaxEndpoints {
+				t.Fatalf("%d machines", len(m.endpoints))
 			}
 		}
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
@@ -375,9 +375,9 @@
 		for range 2 { // all answer, for longer than the longest wait
 			for end := now + 5*time.Minute; now < end; now += 500 * ms {
 				var events []Event
-				for id, x := range m.machines {
-					if x.gone {
-						events = append(events, EndpointListed{Endpoint: id, Site: x.site, Group: x.bank})
+				for id, x := range m.endpoints {
+					if x.delisted {
+						events = append(events, EndpointListed{Endpoint: id, Site: x.site, Group: x.group})
 					}
 					events = append(events, EndpointAnswered{id})
 				}
@@ -390,7 +390,7 @@
 			}
 		}
 		step(EndpointListComplete{})
-		if len(m.machines) > 0 || len(m.sites) > 0 {
+		if len(m.endpoints) > 0 || len(m.sites) > 0 {
 			t.Fatal("something is left of an empty list")
 		}
 	})
@@ -404,7 +404,7 @@
 		w.run(3 * time.Second)
 		w.lose("s", FailureRefused)
 		w.run(2 * time.Second)
-		w.is("s", SiteLost, KindLost)
+		w.is("s", SiteLost, FaultSiteLost)
 		appear := func() {
 			for b := range 4 {
 				id := fmt.Sprint("new", b)
@@ -434,7 +434,7 @@
 				t.Errorf("%s: lost again: %s", name, c.Evidence)
 			}
 		}
-		w.is("s", SiteHealthy, KindUnclear)
+		w.is("s", SiteHealthy, FaultUnclear)
 		for _, v := range w.m.Views() {
 			if v.Site == "s" && (v.Endpoints != 4 || v.Down != 0) {
 				t.Errorf("%s: %+v", name, v)
--- a/internal/sitefailover/meter.go
+++ b/internal/sitefailover/meter.go
@@ -12,52 +12,52 @@
 }
 
 // meterSpan is over how long demand is averaged: long enough for a router that sees little, short enough for a burst of seconds.
-const meterSpan = 10 * time.Second
+const demandTimeConstant = 10 * time.Second
 
 // meterMost is how many keys are counted: classes and banks come from settings and lists, but a client may name any bank.
-const meterMost = 4096
+const maxDemandKeys = 4096
 
 // Meter measures demand: a rate that forgets with meterSpan. The zero Meter is empty.
 type DemandMeter struct {
-	rates map[DemandKey]*rate
+	demands map[DemandKey]*demandRate
 }
 
-type rate struct {
-	level float64 // requests, forgotten exponentially
-	at    time.Duration
-	since time.Duration // its first request: the mean of a short while is not that of a long one
+type demandRate struct {
+	level     float64 // requests, forgotten exponentially
+	updatedAt time.Duration
+	firstAt   time.Duration // its first request: the mean of a short while is not that of a long one
 }
 
 // Asked counts one request.
 func (m *DemandMeter) Record(now time.Duration, k DemandKey) {
-	r := m.rates[k]
+	r := m.demands[k]
 	if r == nil {
-		if len(m.rates) >= meterMost {
+		if len(m.demands) >= maxDemandKeys {
 			m.forget(now)
 		}
-		if len(m.rates) >= meterMost {
+		if len(m.demands) >= maxDemandKeys {
 			return
 		}
-		if m.rates == nil {
-			m.rates = map[DemandKey]*rate{}
+		if m.demands == nil {
+			m.demands = map[DemandKey]*demandRate{}
 		}
-		r = &rate{at: now, since: now}
-		m.rates[k] = r
+		r = &demandRate{updatedAt: now, firstAt: now}
+		m.demands[k] = r
 	}
-	r.fade(now)
+	r.decay(now)
 	r.level++
 }
 
-func (r *rate) fade(now time.Duration) {
-	r.level *= math.Exp(-float64(now-r.at) / float64(meterSpan))
-	r.at = now
+func (r *demandRate) decay(now time.Duration) {
+	r.level *= math.Exp(-float64(now-r.updatedAt) / float64(demandTimeConstant))
+	r.updatedAt = now
 }
 
 // forget drops what has not been asked for long.
 func (m *DemandMeter) forget(now time.Duration) {
-	for k, r := range m.rates {
-		if r.fade(now); r.level < 0.01 {
-			delete(m.rates, k)
+	for k, r := range m.demands {
+		if r.decay(now); r.level < 0.01 {
+			delete(m.demands, k)
 		}
 	}
 }
@@ -66,10 +66,10 @@
 func (m *DemandMeter) Rates(now time.Duration) map[DemandKey]float64 {
 	out := map[DemandKey]float64{}
 	m.forget(now)
-	for k, r := range m.rates {
+	for k, r := range m.demands {
 		// Of a level that began so long ago only this part has had time to build up.
-		built := max(0.05, 1-math.Exp(-float64(now-r.since)/float64(meterSpan)))
-		out[k] = r.level / (built * meterSpan.Seconds())
+		built := max(0.05, 1-math.Exp(-float64(now-r.firstAt)/float64(demandTimeConstant)))
+		out[k] = r.level / (built * demandTimeConstant.Seconds())
 	}
 	return out
 }
--- a/internal/sitefailover/meter_test.go
+++ b/internal/sitefailover/meter_test.go
@@ -34,14 +34,14 @@
 	if len(m.Rates(now)) != 0 {
 		t.Errorf("%v", m.Rates(now))
 	}
-	for i := range 3 * meterMost {
+	for i := range 3 * maxDemandKeys {
 		m.Record(now, DemandKey{"view", int64(i)})
 	}
-	if len(m.rates) > meterMost {
-		t.Errorf("%d names", len(m.rates))
+	if len(m.demands) > maxDemandKeys {
+		t.Errorf("%d names", len(m.demands))
 	}
 	now += 5 * time.Minute
-	if m.Record(now, DemandKey{"view", -1}); len(m.rates) != 1 {
-		t.Errorf("%d names", len(m.rates))
+	if m.Record(now, DemandKey{"view", -1}); len(m.demands) != 1 {
+		t.Errorf("%d names", len(m.demands))
 	}
 }
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -36,16 +36,16 @@
 
 // keepShare is the part of each class and bank that is let through whatever it is worth: without any, nothing would tell that there is room
 // again.
-const keepShare = 0.02
+const probeShare = 0.02
 
 // full is the part of a resource's carrying power that a plan counts with: the rest is for chance.
-const full = 0.95
+const usableCapacity = 0.95
 
 // Loss is what the loss of a site would mean.
 type SiteLossPlan struct {
 	Site         string      `json:"site"`
 	Groups       []GroupLoss `json:"banks"`
-	Moves        []Move      `json:"moves"`
+	LoadShifts   []LoadShift `json:"moves"`
 	Rejections   []Rejection `json:"refused"`
 	WeightKept   float64     `json:"worth_kept"`   // part of the worth asked for that is still served
 	WeightServed float64     `json:"worth_served"` // the same with all sites
@@ -64,7 +64,7 @@
 }
 
 // Move is work that goes elsewhere, in seconds of work a second.
-type Move struct {
+type LoadShift struct {
 	Group int64   `json:"bank"`
 	From  string  `json:"from"`
 	To    string  `json:"to"`
@@ -82,7 +82,7 @@
 
 // Make plans the loss of each site that has a machine, in the order of their names. It costs a sort of each bank's demands for each site.
 func PlanLosses(in PlanInput) (out []SiteLossPlan) {
-	banks := gather(in)
+	banks := collectGroups(in)
 	var names []string
 	for _, x := range in.Endpoints {
 		if !slices.Contains(names, x.Site) {
@@ -91,22 +91,24 @@
 	}
 	slices.Sort(names)
 	for _, b := range banks {
-		b.now = b.carry("")
+		b.current = b.allocate("")
 	}
 	for _, name := range names {
-		l := SiteLossPlan{Site: name, Groups: []GroupLoss{}, Moves: []Move{}, Rejections: []Rejection{}}
+		l := SiteLossPlan{Site: name, Groups: []GroupLoss{}, LoadShifts: []LoadShift{}, Rejections: []Rejection{}}
 		asked, kept, now := 0.0, 0.0, 0.0
 		for _, b := range banks {
-			after := b.carry(name)
-			a, k, n := b.worth(after)
+			after := b.allocate(name)
+			a, k, n := b.priorityWeights(after)
 			asked, kept, now = asked+a, kept+k, now+n
-			here := slices.ContainsFunc(b.members, func(x *PlanEndpoint) bool { return x.Site == name && x.Available })
+			here := slices.ContainsFunc(b.endpoints, func(x *PlanEndpoint) bool { return x.Site == name && x.Available })
 			if here {
-				l.Groups = append(l.Groups, GroupLoss{Group: b.id, LosesPrimary: b.now.lead != nil && b.now.lead.Site == name, NoneLeft: after.lead == nil, Successor: after.leads(),
-					PrimaryUse: after.usedP, ReplicaUse: after.usedR, PrimaryUseNow: b.now.usedP, ReplicaUseNow: b.now.usedR})
-				l.Moves = append(l.Moves, b.moves(name, after)...)
+				l.Groups = append(l.Groups, GroupLoss{
+					Group: b.id, LosesPrimary: b.current.primary != nil && b.current.primary.Site == name, NoneLeft: after.primary == nil, Successor: after.primaryID(),
+					PrimaryUse: after.primaryUse, ReplicaUse: after.replicaUse, PrimaryUseNow: b.current.primaryUse, ReplicaUseNow: b.current.replicaUse,
+				})
+				l.LoadShifts = append(l.LoadShifts, b.loadShifts(name, after)...)
 			}
-			l.Rejections = append(l.Rejections, b.refused(after)...)
+			l.Rejections = append(l.Rejections, b.rejections(after)...)
 		}
 		if l.WeightKept, l.WeightServed = 1, 1; asked > 0 {
 			l.WeightKept, l.WeightServed = kept/asked, now/asked
@@ -118,12 +120,12 @@
 
 // gather sorts an input by banks, in the order of their numbers: members by id, demands by the worth for a second of work, the most first.
 // What is refused first is refused from the other end.
-func gather(in PlanInput) (out []*bank) {
-	banks := map[int64]*bank{}
-	get := func(id int64) *bank {
+func collectGroups(in PlanInput) (out []*replicaGroup) {
+	banks := map[int64]*replicaGroup{}
+	get := func(id int64) *replicaGroup {
 		b := banks[id]
 		if b == nil {
-			b = &bank{id: id}
+			b = &replicaGroup{id: id}
 			banks[id] = b
 			out = append(out, b)
 		}
@@ -131,7 +133,7 @@
 	}
 	for i, x := range in.Endpoints {
 		b := get(x.Group)
-		b.members = append(b.members, &in.Endpoints[i])
+		b.endpoints = append(b.endpoints, &in.Endpoints[i])
 	}
 	for _, d := range in.Demands {
 		if d.Rate > 0 && d.Work > 0 {
@@ -139,9 +141,9 @@
 			b.demands = append(b.demands, d)
 		}
 	}
-	slices.SortFunc(out, func(x, y *bank) int { return cmp.Compare(x.id, y.id) })
+	slices.SortFunc(out, func(x, y *replicaGroup) int { return cmp.Compare(x.id, y.id) })
 	for _, b := range out {
-		slices.SortFunc(b.members, func(x, y *PlanEndpoint) int { return cmp.Compare(x.ID, y.ID) })
+		slices.SortFunc(b.endpoints, func(x, y *PlanEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		slices.SortStableFunc(b.demands, func(x, y Demand) int {
 			return cmp.Or(cmp.Compare(y.PriorityWeight/y.Work, x.PriorityWeight/x.Work), cmp.Compare(x.Class, y.Class))
 		})
@@ -150,50 +152,50 @@
 }
 
 // bank is one, with what is asked of it in the order of its worth.
-type bank struct {
-	id      int64
-	members []*PlanEndpoint
-	demands []Demand
-	now     carried
+type replicaGroup struct {
+	id        int64
+	endpoints []*PlanEndpoint
+	demands   []Demand
+	current   allocation
 }
 
 // carried is how a bank's demands are served without one site.
-type carried struct {
-	lead         *PlanEndpoint // nil = nobody can
-	served       []float64
-	onP          []float64 // work of each demand at the primary; the rest of it is at the replicas
-	capP, capR   float64
-	usedP, usedR float64
+type allocation struct {
+	primary                          *PlanEndpoint // nil = nobody can
+	served                           []float64
+	primaryWork                      []float64 // work of each demand at the primary; the rest of it is at the replicas
+	primaryCapacity, replicaCapacity float64
+	primaryUse, replicaUse           float64
 }
 
-func (c carried) leads() string {
-	if c.lead == nil {
+func (c allocation) primaryID() string {
+	if c.primary == nil {
 		return ""
 	}
-	return c.lead.ID
+	return c.primary.ID
 }
 
 // carry shares out a bank's work among those that are left. Reads that any member serves go to replicas first.
-func (b *bank) carry(without string) (c carried) {
+func (b *replicaGroup) allocate(without string) (c allocation) {
 	left := func(x *PlanEndpoint) bool { return x.Available && x.Site != without }
-	for _, x := range b.members {
-		if left(x) && (c.lead == nil || x.Primary) {
-			c.lead = x // the primary where it is left, else the first that can follow
+	for _, x := range b.endpoints {
+		if left(x) && (c.primary == nil || x.Primary) {
+			c.primary = x // the primary where it is left, else the first that can follow
 		}
 	}
-	c.served, c.onP = make([]float64, len(b.demands)), make([]float64, len(b.demands))
-	if c.lead == nil {
+	c.served, c.primaryWork = make([]float64, len(b.demands)), make([]float64, len(b.demands))
+	if c.primary == nil {
 		return c
 	}
-	for _, x := range b.members {
+	for _, x := range b.endpoints {
 		switch {
-		case x == c.lead:
-			c.capP = full * x.Capacity
+		case x == c.primary:
+			c.primaryCapacity = usableCapacity * x.Capacity
 		case left(x):
-			c.capR += full * x.Capacity
+			c.replicaCapacity += usableCapacity * x.Capacity
 		}
 	}
-	p, r := c.capP, c.capR
+	p, r := c.primaryCapacity, c.replicaCapacity
 	put := func(i int, d Demand, want float64) {
 		if !d.NeedsPrimary {
 			at := min(want, r)
@@ -202,22 +204,22 @@
 		}
 		at := min(want, p)
 		p -= at
-		c.served[i], c.onP[i] = c.served[i]+at, c.onP[i]+at
+		c.served[i], c.primaryWork[i] = c.served[i]+at, c.primaryWork[i]+at
 	}
 	for i, d := range b.demands {
-		put(i, d, keepShare*d.Rate*d.Work)
+		put(i, d, probeShare*d.Rate*d.Work)
 	}
 	for i, d := range b.demands {
-		put(i, d, (1-keepShare)*d.Rate*d.Work)
+		put(i, d, (1-probeShare)*d.Rate*d.Work)
 	}
 	for i, d := range b.demands {
 		c.served[i] = min(1, c.served[i]/(d.Rate*d.Work))
 	}
-	c.usedP, c.usedR = part(c.capP-p, c.capP/full), part(c.capR-r, c.capR/full)
+	c.primaryUse, c.replicaUse = ratio(c.primaryCapacity-p, c.primaryCapacity/usableCapacity), ratio(c.replicaCapacity-r, c.replicaCapacity/usableCapacity)
 	return c
 }
 
-func part(a, of float64) float64 {
+func ratio(a, of float64) float64 {
 	if of <= 0 {
 		return 0
 	}
@@ -225,21 +227,21 @@
 }
 
 // worth is what is asked for, kept with c, and served now.
-func (b *bank) worth(c carried) (asked, kept, now float64) {
+func (b *replicaGroup) priorityWeights(c allocation) (asked, kept, now float64) {
 	for i, d := range b.demands {
 		w := d.Rate * d.PriorityWeight
-		asked, kept, now = asked+w, kept+w*c.served[i], now+w*b.now.served[i]
+		asked, kept, now = asked+w, kept+w*c.served[i], now+w*b.current.served[i]
 	}
 	return asked, kept, now
 }
 
 // refused is what c can't carry, the first to be refused first.
-func (b *bank) refused(c carried) (out []Rejection) {
+func (b *replicaGroup) rejections(c allocation) (out []Rejection) {
 	for i := len(b.demands) - 1; i >= 0; i-- {
 		d := b.demands[i]
 		if share := 1 - c.served[i]; share > 1e-9 {
 			where := "replicas"
-			if d.NeedsPrimary || c.capR == 0 {
+			if d.NeedsPrimary || c.replicaCapacity == 0 {
 				where = "primary"
 			}
 			out = append(out, Rejection{b.id, d.Class, where, share, share * d.Rate})
@@ -249,16 +251,16 @@
 }
 
 // moves is the work that a site does now and who does it then, each by its part of what it carries.
-func (b *bank) moves(site string, after carried) (out []Move) {
-	from, to := b.loads(b.now, ""), b.loads(after, site)
+func (b *replicaGroup) loadShifts(site string, after allocation) (out []LoadShift) {
+	from, to := b.endpointLoads(b.current, ""), b.endpointLoads(after, site)
 	freed := 0.0
-	for _, x := range b.members {
+	for _, x := range b.endpoints {
 		if x.Site == site {
 			freed += from[x.ID]
 		}
 	}
 	more, grown := map[string]float64{}, 0.0
-	for _, x := range b.members {
+	for _, x := range b.endpoints {
 		if d := to[x.ID] - from[x.ID]; x.Site != site && d > 1e-9 {
 			more[x.ID], grown = d, grown+d
 		}
@@ -266,13 +268,13 @@
 	if grown == 0 || freed == 0 {
 		return nil
 	}
-	for _, f := range b.members {
+	for _, f := range b.endpoints {
 		if f.Site != site || from[f.ID] <= 1e-9 {
 			continue
 		}
-		for _, x := range b.members {
+		for _, x := range b.endpoints {
 			if w := from[f.ID] / freed * min(more[x.ID], more[x.ID]*freed/grown); w > 1e-9 {
-				out = append(out, Move{b.id, f.ID, x.ID, w})
+				out = append(out, LoadShift{b.id, f.ID, x.ID, w})
 			}
 		}
 	}
@@ -280,20 +282,20 @@
 }
 
 // loads is each member's work.
-func (b *bank) loads(c carried, without string) map[string]float64 {
+func (b *replicaGroup) endpointLoads(c allocation, without string) map[string]float64 {
 	out := map[string]float64{}
-	if c.lead == nil {
+	if c.primary == nil {
 		return out
 	}
 	p, all := 0.0, 0.0
 	for i, d := range b.demands {
-		p += c.onP[i]
+		p += c.primaryWork[i]
 		all += c.served[i] * d.Rate * d.Work
 	}
-	out[c.lead.ID] = p
-	for _, x := range b.members {
-		if x != c.lead && x.Available && x.Site != without && c.capR > 0 {
-			out[x.ID] = (all - p) * full * x.Capacity / c.capR
+	out[c.primary.ID] = p
+	for _, x := range b.endpoints {
+		if x != c.primary && x.Available && x.Site != without && c.replicaCapacity > 0 {
+			out[x.ID] = (all - p) * usableCapacity * x.Capacity / c.replicaCapacity
 		}
 	}
 	return out
@@ -320,7 +322,7 @@
 			}
 			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Group, who, percent(b.PrimaryUse), percent(b.ReplicaUse), percent(b.PrimaryUseNow), percent(b.ReplicaUseNow))
 		}
-		for _, m := range l.Moves {
+		for _, m := range l.LoadShifts {
 			fmt.Fprintf(t, "  bank %d: %.2f of work from %s to %s\n", m.Group, m.Work, m.From, m.To)
 		}
 		for i, r := range l.Rejections {
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -15,7 +15,9 @@
 func two() PlanInput {
 	return PlanInput{
 		Endpoints: []PlanEndpoint{
-			{ID: "a", Site: "n", Group: 1, Primary: true, Available: true, Capacity: 3}, {ID: "b", Site: "s", Group: 1, Available: true, Capacity: 3}, {ID: "c", Site: "s", Group: 1, Available: true, Capacity: 3},
+			{ID: "a", Site: "n", Group: 1, Primary: true, Available: true, Capacity: 3},
+			{ID: "b", Site: "s", Group: 1, Available: true, Capacity: 3},
+			{ID: "c", Site: "s", Group: 1, Available: true, Capacity: 3},
 			{ID: "d", Site: "s", Group: 2, Primary: true, Available: true, Capacity: 3},
 		},
 		Demands: []Demand{
@@ -64,7 +66,7 @@
 	}
 	near(t, "views refused", n.Rejections[1].Share, 1-(2.85+0.85-0.02)/4)
 	moved := 0.0
-	for _, m := range n.Moves {
+	for _, m := range n.LoadShifts {
 		if m.From != "a" || m.Group != 1 {
 			t.Errorf("%+v", m)
 		}
@@ -109,12 +111,16 @@
 		for b := range banks {
 			carry := rapid.Float64Range(0, 8).Draw(t, "carry") // of each member: where a stronger one follows a loss may keep more
 			for i := range rapid.IntRange(1, 4).Draw(t, "members") {
-				in.Endpoints = append(in.Endpoints, PlanEndpoint{ID: fmt.Sprint("m", b, i), Group: int64(b), Primary: i == 0, Site: rapid.SampledFrom(names).Draw(t, "site"),
-					Available: rapid.IntRange(0, 4).Draw(t, "up") > 0, Capacity: carry})
+				in.Endpoints = append(in.Endpoints, PlanEndpoint{
+					ID: fmt.Sprint("m", b, i), Group: int64(b), Primary: i == 0, Site: rapid.SampledFrom(names).Draw(t, "site"),
+					Available: rapid.IntRange(0, 4).Draw(t, "up") > 0, Capacity: carry,
+				})
 			}
 			for k := range rapid.IntRange(0, 4).Draw(t, "classes") {
-				in.Demands = append(in.Demands, Demand{Class: fmt.Sprint("k", k), Group: int64(b), Rate: rapid.Float64Range(0.1, 80).Draw(t, "rate"), Work: rapid.Float64Range(0.01, 0.3).Draw(t, "work"),
-					PriorityWeight: rapid.Float64Range(0, 6).Draw(t, "worth"), NeedsPrimary: rapid.Bool().Draw(t, "strong")})
+				in.Demands = append(in.Demands, Demand{
+					Class: fmt.Sprint("k", k), Group: int64(b), Rate: rapid.Float64Range(0.1, 80).Draw(t, "rate"), Work: rapid.Float64Range(0.01, 0.3).Draw(t, "work"),
+					PriorityWeight: rapid.Float64Range(0, 6).Draw(t, "worth"), NeedsPrimary: rapid.Bool().Draw(t, "strong"),
+				})
 			}
 		}
 		for _, l := range PlanLosses(in) {
@@ -135,9 +141,9 @@
 					switch {
 					case x.Group != r.Group || !x.Available || x.Site == l.Site:
 					case x.ID == lead:
-						capP = x.Capacity * full
+						capP = x.Capacity * usableCapacity
 					default:
-						capR += x.Capacity * full
+						capR += x.Capacity * usableCapacity
 					}
 				}
 				if r.Share < 0 || r.Share > 1+1e-9 || math.Abs(r.Rate-r.Share*d.Rate) > 1e-6 {
@@ -161,7 +167,7 @@
 					if used += done; o.NeedsPrimary {
 						strong += done
 					}
-					if o.NeedsPrimary == d.NeedsPrimary && o.PriorityWeight/o.Work < d.PriorityWeight/d.Work && 1-share > keepShare+1e-6 {
+					if o.NeedsPrimary == d.NeedsPrimary && o.PriorityWeight/o.Work < d.PriorityWeight/d.Work && 1-share > probeShare+1e-6 {
 						t.Fatalf("%s is carried to %v while %s is refused: %+v", o.Class, 1-share, d.Class, l.Rejections)
 					}
 				}
@@ -191,7 +197,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			d.Update(at, true, func() PlanInput { return in })
-			at += doorTick
+			at += admissionInterval
 		}
 	})
 	b.Run("ask", func(b *testing.B) {
--- a/internal/sitefailover/ramp.go
+++ b/internal/sitefailover/ramp.go
@@ -15,11 +15,11 @@
 
 // Of a ramp.
 const (
-	rampSteps = 8    // from First to all of it
-	rampBack  = 0.5  // what a relapse leaves
-	rampPause = 2    // steps without growth behind one
-	rampBad   = 0.15 // ends at the site's machines from which on it is one: a site that is well has none to speak of
-	rampSeen  = 8    // of so many ends at least
+	rampSteps           = 8    // from First to all of it
+	relapseFactor       = 0.5  // what a relapse leaves
+	relapsePauseSteps   = 2    // steps without growth behind one
+	relapseFailureShare = 0.15 // ends at the site's machines from which on it is one: a site that is well has none to speak of
+	relapseMinOutcomes  = 8    // of so many ends at least
 )
 
 // Paced is the part of its machines' power that a site may be used for from now on, by all that this router sends. Part 1 is the end of it.
@@ -42,31 +42,31 @@
 // more often a site has gone again. It holds each router to its own part, which together are the site's.
 type RecoveryRamp struct {
 	cfg   RecoveryRampConfig
-	sites map[string]*ramp
+	ramps map[string]*siteRamp
 }
 
-type ramp struct {
-	part    float64
-	told    float64
-	next    time.Duration
-	every   time.Duration
-	good    int
-	bad     int
-	bound   float64
-	until   time.Duration // of the bound, 0 = there is none
-	running bool
+type siteRamp struct {
+	share        float64
+	reported     float64
+	nextStep     time.Duration
+	stepInterval time.Duration
+	successes    int
+	failures     int
+	limit        float64
+	limitUntil   time.Duration // of the bound, 0 = there is none
+	running      bool
 }
 
 // NewRamp returns one that no site is on.
 func NewRecoveryRamp(cfg RecoveryRampConfig) *RecoveryRamp {
-	return &RecoveryRamp{cfg: cfg, sites: map[string]*ramp{}}
+	return &RecoveryRamp{cfg: cfg, ramps: map[string]*siteRamp{}}
 }
 
-func (r *RecoveryRamp) of(site string) *ramp {
-	x := r.sites[site]
+func (r *RecoveryRamp) rampOf(site string) *siteRamp {
+	x := r.ramps[site]
 	if x == nil {
-		x = &ramp{part: 1, told: 1}
-		r.sites[site] = x
+		x = &siteRamp{share: 1, reported: 1}
+		r.ramps[site] = x
 	}
 	return x
 }
@@ -78,42 +78,42 @@
 		// A first return is bounded by what each of its machines bears while it is cold, and pacing it beyond that only wastes them
 		// (docs/design/site-loss.md). One that goes again as it comes back is not to be believed so soon.
 		if flaps > 0 {
-			x := r.of(site)
-			x.part, x.running, x.next = r.first(), false, 0
+			x := r.rampOf(site)
+			x.share, x.running, x.nextStep = r.initialShare(), false, 0
 		}
 	case SiteRecovering:
 		if flaps == 0 {
 			return
 		}
-		x := r.of(site)
-		slow := time.Duration(1) << min(flaps, mostFlaps)
-		x.part, x.running, x.good, x.bad = r.first()/float64(slow), true, 0, 0
-		x.every = slow * r.cfg.Duration / rampSteps
-		x.next = now + x.every
+		x := r.rampOf(site)
+		slow := time.Duration(1) << min(flaps, maxFlapDoublings)
+		x.share, x.running, x.successes, x.failures = r.initialShare()/float64(slow), true, 0, 0
+		x.stepInterval = slow * r.cfg.Duration / rampSteps
+		x.nextStep = now + x.stepInterval
 	case SiteHealthy:
-		if x := r.sites[site]; x != nil {
-			x.part, x.running = 1, false
+		if x := r.ramps[site]; x != nil {
+			x.share, x.running = 1, false
 		}
 	}
 }
 
-func (r *RecoveryRamp) first() float64 { return max(0.05, min(1, r.cfg.InitialShare)) }
+func (r *RecoveryRamp) initialShare() float64 { return max(0.05, min(1, r.cfg.InitialShare)) }
 
 // Ended is what became of something sent to a site's machine: of what says something of the machine.
 func (r *RecoveryRamp) RecordOutcome(site string, bad bool) {
-	if x := r.sites[site]; x != nil && x.running {
+	if x := r.ramps[site]; x != nil && x.running {
 		if bad {
-			x.bad++
+			x.failures++
 		} else {
-			x.good++
+			x.successes++
 		}
 	}
 }
 
 // Bind takes an operators' word; Until 0 takes it back.
 func (r *RecoveryRamp) SetLimit(b RampLimit) {
-	x := r.of(b.Site)
-	x.bound, x.until = max(0, min(1, b.Share)), b.Until
+	x := r.rampOf(b.Site)
+	x.limit, x.limitUntil = max(0, min(1, b.Share)), b.Until
 }
 
 // Look moves what is due, and says what has changed, in the order of the sites' names. Due is when it wants to look again, 0 = at the
@@ -124,46 +124,46 @@
 			due = at
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.sites)) {
-		x := r.sites[name]
+	for _, name := range slices.Sorted(maps.Keys(r.ramps)) {
+		x := r.ramps[name]
 		why := "it may be used again"
-		if x.part < 1 {
+		if x.share < 1 {
 			why = "it has gone again as it came back"
 		}
-		if x.running && now >= x.next {
-			switch all := x.good + x.bad; {
-			case all >= rampSeen && float64(x.bad) > rampBad*float64(all):
-				x.part = max(r.first()/(1<<mostFlaps), rampBack*x.part)
-				x.next = now + rampPause*x.every
+		if x.running && now >= x.nextStep {
+			switch all := x.successes + x.failures; {
+			case all >= relapseMinOutcomes && float64(x.failures) > relapseFailureShare*float64(all):
+				x.share = max(r.initialShare()/(1<<maxFlapDoublings), relapseFactor*x.share)
+				x.nextStep = now + relapsePauseSteps*x.stepInterval
 				why = "relapse: it is taken back"
 			default:
 				// Without a word from there it goes on too: a router with little traffic would never know.
-				x.part = min(1, x.part+(1-r.first())/rampSteps)
-				x.next = now + x.every
+				x.share = min(1, x.share+(1-r.initialShare())/rampSteps)
+				x.nextStep = now + x.stepInterval
 			}
-			if x.good, x.bad = 0, 0; x.part >= 1 {
+			if x.successes, x.failures = 0, 0; x.share >= 1 {
 				x.running = false
 			}
 		}
-		part := x.part
-		if x.until > 0 && now >= x.until {
-			x.until = 0
+		part := x.share
+		if x.limitUntil > 0 && now >= x.limitUntil {
+			x.limitUntil = 0
 		}
-		if x.until > 0 {
-			part = min(part, x.bound)
-			if x.bound < x.part {
+		if x.limitUntil > 0 {
+			part = min(part, x.limit)
+			if x.limit < x.share {
 				why = "bound by operators"
 			}
-			wake(x.until)
+			wake(x.limitUntil)
 		}
-		if part != x.told {
-			x.told = part
+		if part != x.reported {
+			x.reported = part
 			out = append(out, RampChange{name, part, why})
 		}
 		if x.running {
-			wake(x.next)
-		} else if x.part >= 1 && x.until == 0 {
-			delete(r.sites, name)
+			wake(x.nextStep)
+		} else if x.share >= 1 && x.limitUntil == 0 {
+			delete(r.ramps, name)
 		}
 	}
 	return out, due
@@ -178,9 +178,9 @@
 
 // Paces are the sites that are not used for all they can do, in the order of their names.
 func (r *RecoveryRamp) Ramps() (out []SiteRamp) {
-	for name, x := range r.sites {
-		if x.told < 1 {
-			out = append(out, SiteRamp{name, x.told, x.until})
+	for name, x := range r.ramps {
+		if x.reported < 1 {
+			out = append(out, SiteRamp{name, x.reported, x.limitUntil})
 		}
 	}
 	slices.SortFunc(out, func(a, b SiteRamp) int { return cmp.Compare(a.Site, b.Site) })
--- a/internal/sitefailover/uses.go
+++ b/internal/sitefailover/uses.go
@@ -7,38 +7,38 @@
 
 // Uses are what machines tell of their own use in reports, beside what they do for this router.
 type UtilizationTracker struct {
-	told map[string]*use
+	endpoints map[string]*utilization
 }
 
 // use is what a machine's reports have told, in moving means: of the quotient of two noisy figures the mean would be far too high.
-type use struct {
-	rate, part float64
-	n          int
+type utilization struct {
+	workRate, busyShare float64
+	reports             int
 }
 
 const (
-	useWeight = 0.1  // of a new report
-	useLeast  = 8    // reports of all machines from which on they tell something
-	useNoise  = 0.02 // a mean use below this tells nothing
-	useMost   = 4096 // machines
+	reportWeight        = 0.1  // of a new report
+	minReports          = 8    // reports of all machines from which on they tell something
+	minBusyShare        = 0.02 // a mean use below this tells nothing
+	maxTrackedEndpoints = 4096 // machines
 )
 
 // Told takes a report: rate is what the machine does for this router, in seconds of work a second, part what all its work takes of it.
 func (u *UtilizationTracker) Record(machine string, rate, part float64) {
-	x := u.told[machine]
+	x := u.endpoints[machine]
 	if x == nil {
-		if len(u.told) >= useMost {
+		if len(u.endpoints) >= maxTrackedEndpoints {
 			return
 		}
-		if u.told == nil {
-			u.told = map[string]*use{}
+		if u.endpoints == nil {
+			u.endpoints = map[string]*utilization{}
 		}
-		x = &use{}
-		u.told[machine] = x
+		x = &utilization{}
+		u.endpoints[machine] = x
 	}
-	x.n++
-	w := max(useWeight, 1/float64(x.n))
-	x.rate, x.part = x.rate+w*(rate-x.rate), x.part+w*(part-x.part)
+	x.reports++
+	w := max(reportWeight, 1/float64(x.reports))
+	x.workRate, x.busyShare = x.workRate+w*(rate-x.workRate), x.busyShare+w*(part-x.busyShare)
 }
 
 // Fair is what a machine can do for this router, in seconds of work a second, if it gets as large a part of each as it has of all machines' work
@@ -46,11 +46,11 @@
 // where nothing is known.
 func (u *UtilizationTracker) FairCapacity() (carry float64, told bool) {
 	rate, part, n := 0.0, 0.0, 0
-	for _, id := range slices.Sorted(maps.Keys(u.told)) { // in order: sums in another differ
-		x := u.told[id]
-		rate, part, n = rate+x.rate, part+min(1, x.part), n+x.n
+	for _, id := range slices.Sorted(maps.Keys(u.endpoints)) { // in order: sums in another differ
+		x := u.endpoints[id]
+		rate, part, n = rate+x.workRate, part+min(1, x.busyShare), n+x.reports
 	}
-	if n < useLeast || rate <= 0 || part < useNoise*float64(len(u.told)) {
+	if n < minReports || rate <= 0 || part < minBusyShare*float64(len(u.endpoints)) {
 		return 0, false
 	}
 	return rate / part, true
@@ -58,9 +58,9 @@
 
 // Forget drops machines that are not kept.
 func (u *UtilizationTracker) Retain(keep func(machine string) bool) {
-	for id := range u.told {
+	for id := range u.endpoints {
 		if !keep(id) {
-			delete(u.told, id)
+			delete(u.endpoints, id)
 		}
 	}
 }
--- a/internal/sitefailover/view.go
+++ b/internal/sitefailover/view.go
@@ -12,7 +12,7 @@
 type SiteView struct {
 	Site      string
 	State     SiteState
-	Kind      Kind
+	Kind      FaultKind
 	Since     time.Duration // of its state, on the caller's clock
 	Evidence  string        // of its last change
 	Endpoints int
@@ -23,9 +23,9 @@
 // Views are all sites, in the order of their names.
 func (m *Monitor) Views() (out []SiteView) {
 	for _, s := range m.sites {
-		f := figures{banks: map[int64]bool{}}
-		m.count(s, &f)
-		out = append(out, SiteView{s.name, s.state, s.kind, s.since, s.evidence, len(s.machines), f.down, s.flaps})
+		f := evidenceCounts{downGroups: map[int64]bool{}}
+		m.countEvidence(s, &f)
+		out = append(out, SiteView{s.name, s.state, s.fault, s.stateSince, s.evidence, len(s.endpoints), f.down, s.flaps})
 	}
 	slices.SortFunc(out, func(a, b SiteView) int { return cmp.Compare(a.Site, b.Site) })
 	return out
@@ -57,7 +57,7 @@
 
 // Site is where a machine stands, "" = not known.
 func (m *Monitor) SiteOf(id string) string {
-	if x := m.machines[id]; x != nil {
+	if x := m.endpoints[id]; x != nil {
 		return x.site
 	}
 	return ""
@@ -65,6 +65,6 @@
 
 // Down says whether a machine is taken for down.
 func (m *Monitor) IsDown(id string) bool {
-	x := m.machines[id]
-	return x != nil && x.down(m.now, m.cfg.EvidenceWindow)
+	x := m.endpoints[id]
+	return x != nil && x.isDown(m.now, m.cfg.EvidenceWindow)
 }
