--- a/internal/simulation/stats/foresight.go
+++ b/internal/simulation/stats/foresight.go
@@ -50,7 +50,7 @@
 			rate += r.Rate
 		}
 		for _, b := range l.Groups {
-			if b.NoneLeft {
+			if b.NoEndpointLeft {
 				f.None++
 			}
 		}
--- a/internal/sitefailover/demand.go
+++ b/internal/sitefailover/demand.go
@@ -19,10 +19,10 @@
 
 // Meter measures demand: a rate that forgets with meterSpan. The zero Meter is empty.
 type DemandMeter struct {
-	demands map[DemandKey]*demandRate
+	demands map[DemandKey]*decayingCount
 }
 
-type demandRate struct {
+type decayingCount struct {
 	level     float64 // requests, forgotten exponentially
 	updatedAt time.Duration
 	firstAt   time.Duration // its first request: the mean of a short while is not that of a long one
@@ -39,16 +39,16 @@
 			return
 		}
 		if m.demands == nil {
-			m.demands = map[DemandKey]*demandRate{}
+			m.demands = map[DemandKey]*decayingCount{}
 		}
-		r = &demandRate{updatedAt: now, firstAt: now}
+		r = &decayingCount{updatedAt: now, firstAt: now}
 		m.demands[k] = r
 	}
 	r.decay(now)
 	r.level++
 }
 
-func (r *demandRate) decay(now time.Duration) {
+func (r *decayingCount) decay(now time.Duration) {
 	r.level *= math.Exp(-float64(now-r.updatedAt) / float64(demandTimeConstant))
 	r.updatedAt = now
 }
--- a/internal/sitefailover/monitor.go
+++ b/internal/sitefailover/monitor.go
@@ -155,7 +155,7 @@
 func (Wake) action()         {}
 
 // machine is what is known of one.
-type endpoint struct {
+type endpointEvidence struct {
 	id, site              string
 	group                 int64
 	draining              bool          // it was told to leave before it failed: a deploy is no loss
@@ -169,9 +169,9 @@
 }
 
 // site is one.
-type site struct {
+type siteStatus struct {
 	name                  string
-	endpoints             map[string]*endpoint
+	endpoints             map[string]*endpointEvidence
 	state                 SiteState
 	fault                 FaultKind
 	stateSince            time.Duration
@@ -186,14 +186,14 @@
 type Monitor struct {
 	cfg       Config
 	now       time.Duration
-	endpoints map[string]*endpoint
-	sites     map[string]*site
+	endpoints map[string]*endpointEvidence
+	sites     map[string]*siteStatus
 	primaries map[int64]string
 }
 
 // New returns a Model that knows nothing.
 func New(cfg Config) *Monitor {
-	return &Monitor{cfg: cfg, endpoints: map[string]*endpoint{}, sites: map[string]*site{}, primaries: map[int64]string{}}
+	return &Monitor{cfg: cfg, endpoints: map[string]*endpointEvidence{}, sites: map[string]*siteStatus{}, primaries: map[int64]string{}}
 }
 
 // Step takes what has happened by now and returns what has changed, in the order of the sites' names.
@@ -237,7 +237,7 @@
 		if e.State == EndpointRemoved || len(m.endpoints) >= m.cfg.MaxEndpoints {
 			return
 		}
-		x = &endpoint{id: e.Endpoint}
+		x = &endpointEvidence{id: e.Endpoint}
 		m.endpoints[e.Endpoint] = x
 	}
 	first := x.site == ""
@@ -247,7 +247,7 @@
 		x.site = e.Site
 		s := m.sites[e.Site]
 		if s == nil {
-			s = &site{name: e.Site, endpoints: map[string]*endpoint{}}
+			s = &siteStatus{name: e.Site, endpoints: map[string]*endpointEvidence{}}
 			m.sites[e.Site] = s
 		}
 		s.endpoints[x.id] = x
@@ -270,7 +270,7 @@
 
 // replace forgets machines that have gone, one for each new one. Danger: a site that returns under new ids is held to be half lost, or lost
 // again, by those that nobody will see any more.
-func (m *Monitor) forgetReplaced(s *site) {
+func (m *Monitor) forgetReplaced(s *siteStatus) {
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		if s.unmatchedNewEndpoints > 0 && s.endpoints[id].delisted {
 			s.unmatchedNewEndpoints--
@@ -302,12 +302,12 @@
 // forgetAfter is how long a machine that no list names any more goes on to speak of its site's loss.
 const delistedRetention = 10 * time.Minute
 
-func (m *Monitor) forget(x *endpoint) {
+func (m *Monitor) forget(x *endpointEvidence) {
 	m.detach(x)
 	delete(m.endpoints, x.id)
 }
 
-func (m *Monitor) detach(x *endpoint) {
+func (m *Monitor) detach(x *endpointEvidence) {
 	if s := m.sites[x.site]; s != nil {
 		if delete(s.endpoints, x.id); len(s.endpoints) == 0 {
 			delete(m.sites, x.site)
@@ -316,7 +316,7 @@
 }
 
 // down says that a machine has failed and not been heard since: twice, or once and then nothing for a while.
-func (x *endpoint) isDown(now, window time.Duration) bool {
+func (x *endpointEvidence) isDown(now, window time.Duration) bool {
 	return x.delisted || x.failingSince > 0 && (x.failures > 1 || now-x.failingSince >= window/4)
 }
 
@@ -335,7 +335,7 @@
 	return float64(f.down) / float64(f.known())
 }
 
-func (m *Monitor) countEvidence(s *site, f *evidenceCounts) {
+func (m *Monitor) countEvidence(s *siteStatus, f *evidenceCounts) {
 	for _, x := range s.endpoints {
 		switch {
 		case x.draining:
@@ -397,7 +397,7 @@
 }
 
 // failing says whether a site's figures speak against the site as a whole.
-func (m *Monitor) siteIsFailing(s *site, f, others evidenceCounts) bool {
+func (m *Monitor) siteIsFailing(s *siteStatus, f, others evidenceCounts) bool {
 	if f.known() == 0 || f.downShare() < suspectDownShare || 2*f.known() < m.countExpected(s) {
 		return false
 	}
@@ -411,7 +411,7 @@
 }
 
 // here is how many machines of a site are not told to leave.
-func (m *Monitor) countExpected(s *site) (n int) {
+func (m *Monitor) countExpected(s *siteStatus) (n int) {
 	for _, x := range s.endpoints {
 		if !x.draining {
 			n++
@@ -420,7 +420,7 @@
 	return n
 }
 
-func (m *Monitor) countGroups(s *site) int {
+func (m *Monitor) countGroups(s *siteStatus) int {
 	seen := map[int64]bool{}
 	for _, x := range s.endpoints {
 		if !x.draining {
@@ -431,7 +431,7 @@
 }
 
 // lives says that something speaks for a site that can't be reached: a bank whose primary is there has committed since it failed.
-func (m *Monitor) commitsProveAlive(s *site) bool {
+func (m *Monitor) commitsProveAlive(s *siteStatus) bool {
 	for bank, id := range m.primaries {
 		if x := s.endpoints[id]; x != nil && x.group == bank && x.committedAfterFailure {
 			return true
@@ -448,7 +448,7 @@
 }
 
 // kindOf is what the evidence says the fault is.
-func (m *Monitor) classifyFault(s *site, others evidenceCounts, reached bool) FaultKind {
+func (m *Monitor) classifyFault(s *siteStatus, others evidenceCounts, reached bool) FaultKind {
 	gone := 0
 	for _, x := range s.endpoints {
 		if x.delisted {
@@ -469,7 +469,7 @@
 }
 
 // move takes a site from one state to the next, one step at a time.
-func (m *Monitor) advance(s *site, f, others evidenceCounts, reached bool) (c StateChanged, moved bool) {
+func (m *Monitor) advance(s *siteStatus, f, others evidenceCounts, reached bool) (c StateChanged, moved bool) {
 	bad := m.siteIsFailing(s, f, others)
 	said := s.declaredLostUntil > m.now
 	if f.downShare() > settleDownShare {
@@ -535,7 +535,7 @@
 }
 
 // reasons says how a site's machines fail.
-func (m *Monitor) failureSummary(s *site) string {
+func (m *Monitor) failureSummary(s *siteStatus) string {
 	n := map[string]int{}
 	for _, x := range s.endpoints {
 		switch {
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -55,12 +55,12 @@
 type GroupLoss struct {
 	Group         int64   `json:"bank"`
 	LosesPrimary  bool    `json:"loses_primary"`
-	NoneLeft      bool    `json:"none_left"` // it is wholly inside the site: nothing of it can be served
+	NoEndpointLeft      bool    `json:"none_left"` // it is wholly inside the site: nothing of it can be served
 	Successor     string  `json:"successor"` // who is likely to lead, "" = nobody can
-	PrimaryUse    float64 `json:"primary"`   // use of who leads then, part of what it carries
-	ReplicaUse    float64 `json:"replicas"`  // the same of all others together
-	PrimaryUseNow float64 `json:"primary_now"`
-	ReplicaUseNow float64 `json:"replicas_now"`
+	PrimaryUtilization    float64 `json:"primary"`   // use of who leads then, part of what it carries
+	ReplicaUtilization    float64 `json:"replicas"`  // the same of all others together
+	CurrentPrimaryUtilization float64 `json:"primary_now"`
+	CurrentReplicaUtilization float64 `json:"replicas_now"`
 }
 
 // Move is work that goes elsewhere, in seconds of work a second.
@@ -103,8 +103,8 @@
 			here := slices.ContainsFunc(b.endpoints, func(x *PlanEndpoint) bool { return x.Site == name && x.Available })
 			if here {
 				l.Groups = append(l.Groups, GroupLoss{
-					Group: b.id, LosesPrimary: b.current.primary != nil && b.current.primary.Site == name, NoneLeft: after.primary == nil, Successor: after.primaryID(),
-					PrimaryUse: after.primaryUse, ReplicaUse: after.replicaUse, PrimaryUseNow: b.current.primaryUse, ReplicaUseNow: b.current.replicaUse,
+					Group: b.id, LosesPrimary: b.current.primary != nil && b.current.primary.Site == name, NoEndpointLeft: after.primary == nil, Successor: after.primaryID(),
+					PrimaryUtilization: after.primaryUtilization, ReplicaUtilization: after.replicaUtilization, CurrentPrimaryUtilization: b.current.primaryUtilization, CurrentReplicaUtilization: b.current.replicaUtilization,
 				})
 				l.LoadShifts = append(l.LoadShifts, b.loadShifts(name, after)...)
 			}
@@ -120,12 +120,12 @@
 
 // gather sorts an input by banks, in the order of their numbers: members by id, demands by the worth for a second of work, the most first.
 // What is refused first is refused from the other end.
-func collectGroups(in PlanInput) (out []*replicaGroup) {
-	banks := map[int64]*replicaGroup{}
-	get := func(id int64) *replicaGroup {
+func collectGroups(in PlanInput) (out []*groupDemand) {
+	banks := map[int64]*groupDemand{}
+	get := func(id int64) *groupDemand {
 		b := banks[id]
 		if b == nil {
-			b = &replicaGroup{id: id}
+			b = &groupDemand{id: id}
 			banks[id] = b
 			out = append(out, b)
 		}
@@ -141,7 +141,7 @@
 			b.demands = append(b.demands, d)
 		}
 	}
-	slices.SortFunc(out, func(x, y *replicaGroup) int { return cmp.Compare(x.id, y.id) })
+	slices.SortFunc(out, func(x, y *groupDemand) int { return cmp.Compare(x.id, y.id) })
 	for _, b := range out {
 		slices.SortFunc(b.endpoints, func(x, y *PlanEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		slices.SortStableFunc(b.demands, func(x, y Demand) int {
@@ -152,7 +152,7 @@
 }
 
 // bank is one, with what is asked of it in the order of its worth.
-type replicaGroup struct {
+type groupDemand struct {
 	id        int64
 	endpoints []*PlanEndpoint
 	demands   []Demand
@@ -165,7 +165,7 @@
 	served                           []float64
 	primaryWork                      []float64 // work of each demand at the primary; the rest of it is at the replicas
 	primaryCapacity, replicaCapacity float64
-	primaryUse, replicaUse           float64
+	primaryUtilization, replicaUtilization           float64
 }
 
 func (c allocation) primaryID() string {
@@ -176,7 +176,7 @@
 }
 
 // carry shares out a bank's work among those that are left. Reads that any member serves go to replicas first.
-func (b *replicaGroup) allocate(without string) (c allocation) {
+func (b *groupDemand) allocate(without string) (c allocation) {
 	left := func(x *PlanEndpoint) bool { return x.Available && x.Site != without }
 	for _, x := range b.endpoints {
 		if left(x) && (c.primary == nil || x.Primary) {
@@ -215,7 +215,7 @@
 	for i, d := range b.demands {
 		c.served[i] = min(1, c.served[i]/(d.Rate*d.Work))
 	}
-	c.primaryUse, c.replicaUse = ratio(c.primaryCapacity-p, c.primaryCapacity/usableCapacity), ratio(c.replicaCapacity-r, c.replicaCapacity/usableCapacity)
+	c.primaryUtilization, c.replicaUtilization = ratio(c.primaryCapacity-p, c.primaryCapacity/usableCapacity), ratio(c.replicaCapacity-r, c.replicaCapacity/usableCapacity)
 	return c
 }
 
@@ -227,7 +227,7 @@
 }
 
 // worth is what is asked for, kept with c, and served now.
-func (b *replicaGroup) priorityWeights(c allocation) (asked, kept, now float64) {
+func (b *groupDemand) priorityWeights(c allocation) (asked, kept, now float64) {
 	for i, d := range b.demands {
 		w := d.Rate * d.PriorityWeight
 		asked, kept, now = asked+w, kept+w*c.served[i], now+w*b.current.served[i]
@@ -236,7 +236,7 @@
 }
 
 // refused is what c can't carry, the first to be refused first.
-func (b *replicaGroup) rejections(c allocation) (out []Rejection) {
+func (b *groupDemand) rejections(c allocation) (out []Rejection) {
 	for i := len(b.demands) - 1; i >= 0; i-- {
 		d := b.demands[i]
 		if share := 1 - c.served[i]; share > 1e-9 {
@@ -251,7 +251,7 @@
 }
 
 // moves is the work that a site does now and who does it then, each by its part of what it carries.
-func (b *replicaGroup) loadShifts(site string, after allocation) (out []LoadShift) {
+func (b *groupDemand) loadShifts(site string, after allocation) (out []LoadShift) {
 	from, to := b.endpointLoads(b.current, ""), b.endpointLoads(after, site)
 	freed := 0.0
 	for _, x := range b.endpoints {
@@ -282,7 +282,7 @@
 }
 
 // loads is each member's work.
-func (b *replicaGroup) endpointLoads(c allocation, without string) map[string]float64 {
+func (b *groupDemand) endpointLoads(c allocation, without string) map[string]float64 {
 	out := map[string]float64{}
 	if c.primary == nil {
 		return out
@@ -315,12 +315,12 @@
 		for _, b := range l.Groups {
 			who := b.Successor
 			switch {
-			case b.NoneLeft:
+			case b.NoEndpointLeft:
 				who = "none: wholly inside"
 			case b.LosesPrimary:
 				who += " (successor)"
 			}
-			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Group, who, percent(b.PrimaryUse), percent(b.ReplicaUse), percent(b.PrimaryUseNow), percent(b.ReplicaUseNow))
+			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Group, who, percent(b.PrimaryUtilization), percent(b.ReplicaUtilization), percent(b.CurrentPrimaryUtilization), percent(b.CurrentReplicaUtilization))
 		}
 		for _, m := range l.LoadShifts {
 			fmt.Fprintf(t, "  bank %d: %.2f of work from %s to %s\n", m.Group, m.Work, m.From, m.To)
