--- a/internal/simulation/stats/foresight.go
+++ b/internal/simulation/stats/foresight.go
@@ -50,7 +50,7 @@
 			rate += r.Rate
 		}
 		for _, b := range l.Groups {
-			if b.NoEndpointLeft {
+			if b.NoneLeft {
 				f.None++
 			}
 		}
--- a/internal/sitefailover/admission.go
+++ b/internal/sitefailover/admission.go
@@ -8,185 +8,243 @@
 	"time"
 )
 
-// Limits of the door.
 const (
-	admissionInterval = 500 * time.Millisecond // how often shares are looked at: a few times in a second of a loss
-	maxRejectedShare  = 1 - probeShare         // of a class: the rest shows that there is room again
-	maxClassBurden    = 3.0                    // times its part of what is refused is the most that a class bears: none pays for all others
-	maxShareIncrease  = 0.25                   // a share grows by this at most in a tick,
-	maxShareDecrease  = 0.05                   // and falls by this: what is opened too early is refused twice
-	planUncertainty   = 0.15                   // of all work: what a plan may be off by is left to the module, which sees each machine's queue
+	// admissionInterval is the time between two updates of the rejected shares, a few of them within a second of a loss.
+	admissionInterval = 500 * time.Millisecond
+	// maxRejectedShare of a class is rejected at most; what is still admitted shows that there is capacity again.
+	maxRejectedShare = 1 - probeShare
+	// maxClassBurden bounds what a class bears, in multiples of its proportional part of all rejected work, so that no
+	// class pays for all others.
+	maxClassBurden = 3.0
+	// maxShareIncrease is by how much a rejected share grows in an interval at most.
+	maxShareIncrease = 0.25
+	// maxShareDecrease is by how much a rejected share falls in an interval at most. It is the smaller one because work
+	// that is admitted too early is rejected a second time.
+	maxShareDecrease = 0.05
+	// planUncertainty is the part of all work by which a plan may be wrong. So much is left to the balancer, which sees
+	// the queue of each endpoint.
+	planUncertainty = 0.15
+	// defaultRetrySpread holds where AdmissionConfig.RetrySpread is not set.
+	defaultRetrySpread = time.Second
+	// admissionStream separates the random numbers of this package from others that are drawn from the same seed.
+	admissionStream = 5
 )
 
-// DoorConfig bounds a Door.
+// AdmissionConfig bounds an AdmissionController.
 type AdmissionConfig struct {
-	RetrySpread time.Duration // those refused are asked to come back within this, the longest that clients heed; 0 = a second
+	// RetrySpread is the latest time after which rejected clients are asked to retry, the longest that clients respect.
+	// 0 = one second.
+	RetrySpread time.Duration
 }
 
-// Share is what is refused of a class of a bank, and why.
+// RejectedShare is the share of a class's requests to a replica group that is rejected, and why.
 type RejectedShare struct {
 	Group        int64         `json:"bank"`
 	Class        string        `json:"class"`
-	Saturated    string        `json:"where"`   // what is short: primary or replicas
-	Share        float64       `json:"part"`    // of what is asked for
-	Since        time.Duration `json:"-"`       // on the caller's clock
-	Ending       bool          `json:"ends"`    // it is on its way down
-	PlannedShare float64       `json:"by_plan"` // what the plan alone would refuse
+	Saturated    string        `json:"where"`   // Saturated is the resource that is short, "primary" or "replicas".
+	Share        float64       `json:"part"`    // Share is the part of the requests.
+	Since        time.Duration `json:"-"`       // Since is on the caller's clock.
+	Ending       bool          `json:"ends"`    // Ending says that the share is falling.
+	PlannedShare float64       `json:"by_plan"` // PlannedShare is what the plan alone would reject.
 }
 
-// Door turns away, while a site is lost, as much of the cheapest work as the plan surely finds no place for. It works by shares: routers that
-// know nothing of each other refuse together about what is too much.
+// AdmissionController sheds load while a site is lost: of the work with the least weight as much as the plan surely finds
+// no capacity for. It decides by shares, so that routers which know nothing of each other together reject what is too
+// much. It is not safe for concurrent use.
 type AdmissionController struct {
 	cfg        AdmissionConfig
 	rng        *rand.Rand
-	admitsAll  bool // nothing is refused
-	nextUpdate time.Duration
+	admitsAll  bool
+	nextUpdate time.Duration // 0 = none is due while all is admitted
 	rejections map[DemandKey]*classRejection
 }
 
-// Resources of a bank.
-const (
-	primaryResource = iota
-	replicaResource
-)
-
-func resource(strong bool) int {
-	if strong {
-		return primaryResource
-	}
-	return replicaResource
-}
-
-var resourceNames = [...]string{"primary", "replicas"}
-
+// classRejection is what is rejected of one class in one replica group.
 type classRejection struct {
-	share, target, planned float64
-	debt                   float64 // of the next refusal
-	since                  time.Duration
-	resource               int
+	resource resource
+	share    float64 // rejected now
+	target   float64 // the share moves towards it
+	planned  float64 // what the plan alone would reject
+	debt     float64 // grows by share with each request; at 1 a request is rejected
+	since    time.Duration
 }
 
-// NewDoor returns a Door that is open.
+// NewAdmissionController returns an AdmissionController that admits everything.
 func NewAdmissionController(cfg AdmissionConfig, seed uint64) *AdmissionController {
 	if cfg.RetrySpread <= 0 {
-		cfg.RetrySpread = time.Second
+		cfg.RetrySpread = defaultRetrySpread
+	}
+	return &AdmissionController{
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(seed, admissionStream)),
+		admitsAll:  true,
+		rejections: map[DemandKey]*classRejection{},
 	}
-	return &AdmissionController{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 5)), admitsAll: true, rejections: map[DemandKey]*classRejection{}}
 }
 
-// Open says that nothing is refused.
-func (d *AdmissionController) AdmitsAll() bool { return d.admitsAll }
+// AdmitsAll reports whether nothing is rejected and no site is lost.
+func (c *AdmissionController) AdmitsAll() bool { return c.admitsAll }
 
-// Ask is a request at the door: whether it is turned away, and after what time it may come again.
+// ShouldReject decides on one request: whether it is rejected, and after what time its client may retry.
 //
-// Each class of a bank is refused evenly, by a debt that starts anywhere: that is the share to the last request, however few come.
-func (d *AdmissionController) ShouldReject(k DemandKey) (refused bool, after time.Duration) {
-	if d.admitsAll {
+// Each class of a group is rejected evenly, by a debt with a random start. That keeps to the share however few requests
+// each router sees.
+func (c *AdmissionController) ShouldReject(key DemandKey) (rejected bool, retryAfter time.Duration) {
+	if c.admitsAll {
 		return false, 0
 	}
-	s := d.rejections[k]
-	if s == nil || s.share <= 0 {
+	rejection := c.rejections[key]
+	if rejection == nil || !rejection.rejectsNext() {
 		return false, 0
 	}
-	if s.debt += s.share; s.debt < 1 {
-		return false, 0
+	return true, c.drawRetryAfter()
+}
+
+// rejectsNext counts a request and reports whether it is one to reject.
+func (r *classRejection) rejectsNext() bool {
+	if r.share <= 0 {
+		return false
+	}
+	r.debt += r.share
+	if r.debt < 1 {
+		return false
 	}
-	s.debt--
-	// The room that is missing will be missing for a while: half of the time that clients heed at least, drawn, so that those
-	// sent away do not return together.
-	return true, d.cfg.RetrySpread/2 + time.Duration(d.rng.Int64N(int64(d.cfg.RetrySpread/2)+1))
+	r.debt--
+	return true
 }
 
-// Due says when Look wants to be called next, 0 = it is open and waits for a site.
-func (d *AdmissionController) NextUpdate() time.Duration { return d.nextUpdate }
+// drawRetryAfter draws a time from the upper half of RetrySpread: the lack of capacity will last for a while, and the
+// rejected clients must not return together.
+func (c *AdmissionController) drawRetryAfter() time.Duration {
+	half := c.cfg.RetrySpread / 2
+	return half + time.Duration(c.rng.Int64N(int64(half)+1))
+}
+
+// NextUpdate returns when Update wants to be called next, 0 = not before a site is lost.
+func (c *AdmissionController) NextUpdate() time.Duration { return c.nextUpdate }
 
-// Look moves the shares. troubled says that some site is lost; in is what is there now, lost machines left out.
-func (d *AdmissionController) Update(now time.Duration, troubled bool, in func() PlanInput) {
-	if !troubled && d.admitsAll {
-		d.nextUpdate = 0
+// Update moves the rejected shares, if an update is due. siteLost says that some site is lost. input is called where a
+// plan is needed, and returns what there is now, without the endpoints of lost sites.
+func (c *AdmissionController) Update(now time.Duration, siteLost bool, input func() PlanInput) {
+	if !siteLost && c.admitsAll {
+		c.nextUpdate = 0
 		return
 	}
-	if now < d.nextUpdate {
+	if now < c.nextUpdate {
 		return
 	}
-	if d.admitsAll { // routers look at different moments
-		d.nextUpdate = now + time.Duration(d.rng.Int64N(int64(admissionInterval)))
-		d.admitsAll = false
-	} else {
-		d.nextUpdate = now + admissionInterval
+	c.scheduleUpdate(now)
+	for _, rejection := range c.rejections {
+		rejection.target = 0
+		rejection.planned = 0
 	}
-	for _, s := range d.rejections {
-		s.target, s.planned = 0, 0
+	if siteLost {
+		c.setTargets(input())
 	}
-	if troubled {
-		d.setTargets(in())
+	c.moveShares(now)
+	if len(c.rejections) == 0 && !siteLost {
+		c.admitsAll = true
+		c.nextUpdate = 0
 	}
-	shut := false
-	for k, s := range d.rejections {
-		was := s.share
-		s.share = math.Max(s.share-maxShareDecrease, math.Min(s.share+maxShareIncrease, s.target))
-		if s.share <= 0 {
-			delete(d.rejections, k)
-			continue
+}
+
+// scheduleUpdate sets the time of the next update. The first interval is drawn, so that routers update at different
+// times.
+func (c *AdmissionController) scheduleUpdate(now time.Duration) {
+	if !c.admitsAll {
+		c.nextUpdate = now + admissionInterval
+		return
+	}
+	c.nextUpdate = now + time.Duration(c.rng.Int64N(int64(admissionInterval)))
+	c.admitsAll = false
+}
+
+// moveShares moves each share towards its target and forgets the shares that have come to nothing.
+func (c *AdmissionController) moveShares(now time.Duration) {
+	for key, rejection := range c.rejections {
+		before := rejection.share
+		raised := math.Min(before+maxShareIncrease, rejection.target)
+		rejection.share = math.Max(before-maxShareDecrease, raised)
+		switch {
+		case rejection.share <= 0:
+			delete(c.rejections, key)
+		case before <= 0:
+			rejection.since = now
 		}
-		if was <= 0 {
-			s.since = now
+	}
+}
+
+// setTargets sets as the targets, for each group and resource, the work that the plan finds no capacity for, less what
+// the plan may be off by, beginning with the least weight for its work.
+func (c *AdmissionController) setTargets(input PlanInput) {
+	for _, group := range collectGroups(input) {
+		plan := group.allocate(noSiteLost)
+		if plan.primary == nil {
+			continue // the balancer rejects what it must, and a successor may come at any time
+		}
+		total, unplaced := group.workByResource(plan)
+		for saturated := range resourceCount {
+			c.setGroupTargets(group, plan, saturated, total[saturated], unplaced[saturated])
 		}
-		shut = true
 	}
-	if !shut && !troubled {
-		d.admitsAll, d.nextUpdate = true, 0
+}
+
+// workByResource sums up the demanded work, and that of it which the plan finds no capacity for.
+func (g *groupDemand) workByResource(plan allocation) (total, unplaced [resourceCount]float64) {
+	for i, demand := range g.demands {
+		needed := demand.resource()
+		total[needed] += demand.Rate * demand.Work
+		unplaced[needed] += (1 - plan.served[i]) * demand.Rate * demand.Work
 	}
+	return total, unplaced
 }
 
-// plan wants what in can't carry to be refused: by bank and resource as much work as the plan finds no place for, less what it may be
-// off by, from the least worth for its work on.
-func (d *AdmissionController) setTargets(in PlanInput) {
-	for _, b := range collectGroups(in) {
-		c := b.allocate("")
-		var all, over [2]float64
-		for i, x := range b.demands {
-			w := resource(x.NeedsPrimary)
-			all[w] += x.Rate * x.Work
-			over[w] += (1 - c.served[i]) * x.Rate * x.Work
+// setGroupTargets sets the targets of the demands that need one resource of a group.
+func (c *AdmissionController) setGroupTargets(
+	group *groupDemand, plan allocation, saturated resource, total, unplaced float64,
+) {
+	excess := unplaced - planUncertainty*total
+	maxShare := math.Min(maxRejectedShare, maxClassBurden*excess/total)
+	for i, demand := range slices.Backward(group.demands) {
+		if demand.resource() != saturated {
+			continue
 		}
-		for w := range all {
-			if c.primary == nil {
-				continue // nothing of it can be served: the module refuses what it must, and a successor may come any time
-			}
-			left := over[w] - planUncertainty*all[w]
-			most := math.Min(maxRejectedShare, maxClassBurden*left/all[w])
-			for i := len(b.demands) - 1; i >= 0; i-- {
-				x := b.demands[i]
-				if resource(x.NeedsPrimary) != w {
-					continue
-				}
-				work, k := x.Rate*x.Work, DemandKey{x.Class, b.id}
-				part := math.Max(0, math.Min(most, left/work))
-				left -= part * work
-				s := d.rejections[k]
-				if s == nil {
-					if part == 0 {
-						continue
-					}
-					s = &classRejection{resource: w, debt: d.rng.Float64()}
-					d.rejections[k] = s
-				}
-				s.target, s.planned = part, 1-c.served[i]
+		work := demand.Rate * demand.Work
+		share := math.Max(0, math.Min(maxShare, excess/work))
+		excess -= share * work
+		key := DemandKey{Class: demand.Class, Group: group.id}
+		rejection := c.rejections[key]
+		if rejection == nil {
+			if share == 0 {
+				continue
 			}
+			rejection = &classRejection{resource: saturated, debt: c.rng.Float64()}
+			c.rejections[key] = rejection
 		}
+		rejection.target = share
+		rejection.planned = 1 - plan.served[i]
 	}
 }
 
-// Shares are what is refused now, in the order of banks, the most refused first.
-func (d *AdmissionController) RejectedShares() (out []RejectedShare) {
-	for k, s := range d.rejections {
-		if s.share > 0 {
-			out = append(out, RejectedShare{k.Group, k.Class, resourceNames[s.resource], s.share, s.since, s.target < s.share, s.planned})
+// RejectedShares returns what is rejected now, in the order of the groups' numbers, the highest share first.
+func (c *AdmissionController) RejectedShares() []RejectedShare {
+	var shares []RejectedShare
+	for key, rejection := range c.rejections {
+		if rejection.share <= 0 {
+			continue
 		}
+		shares = append(shares, RejectedShare{
+			Group:        key.Group,
+			Class:        key.Class,
+			Saturated:    rejection.resource.String(),
+			Share:        rejection.share,
+			Since:        rejection.since,
+			Ending:       rejection.target < rejection.share,
+			PlannedShare: rejection.planned,
+		})
 	}
-	slices.SortFunc(out, func(a, b RejectedShare) int {
+	slices.SortFunc(shares, func(a, b RejectedShare) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(b.Share, a.Share), cmp.Compare(a.Class, b.Class))
 	})
-	return out
+	return shares
 }
--- a/internal/sitefailover/admission_test.go
+++ b/internal/sitefailover/admission_test.go
@@ -129,7 +129,7 @@
 				c := b.allocate("")
 				var over, refused [2]float64
 				for i, x := range b.demands {
-					w := resource(x.NeedsPrimary)
+					w := x.resource()
 					over[w] += (1 - c.served[i]) * x.Rate * x.Work
 					refused[w] += share[DemandKey{x.Class, b.id}] * x.Rate * x.Work
 				}
--- a/internal/sitefailover/demand.go
+++ b/internal/sitefailover/demand.go
@@ -5,33 +5,41 @@
 	"time"
 )
 
-// Key names what is counted.
+const (
+	// demandTimeConstant is the time over which demand is averaged: long enough for a router that sees few requests,
+	// short enough for a burst of seconds.
+	demandTimeConstant = 10 * time.Second
+	// maxDemandKeys bounds the keys that are counted, because a client may name any group.
+	maxDemandKeys = 4096
+	// negligibleCount is the count below which a demand is forgotten.
+	negligibleCount = 0.01
+	// minBuiltUpShare bounds the extrapolation from a demand that has only just begun.
+	minBuiltUpShare = 0.05
+)
+
+// DemandKey names what is counted: the requests of a class to a replica group.
 type DemandKey struct {
 	Class string
 	Group int64
 }
 
-// meterSpan is over how long demand is averaged: long enough for a router that sees little, short enough for a burst of seconds.
-const demandTimeConstant = 10 * time.Second
-
-// meterMost is how many keys are counted: classes and banks come from settings and lists, but a client may name any bank.
-const maxDemandKeys = 4096
-
-// Meter measures demand: a rate that forgets with meterSpan. The zero Meter is empty.
+// DemandMeter measures demand as a moving average. The zero DemandMeter is ready for use. It is not safe for concurrent
+// use.
 type DemandMeter struct {
 	demands map[DemandKey]*decayingCount
 }
 
+// decayingCount counts requests and forgets them exponentially.
 type decayingCount struct {
-	level     float64 // requests, forgotten exponentially
+	level     float64 // requests, as of updatedAt
 	updatedAt time.Duration
-	firstAt   time.Duration // its first request: the mean of a short while is not that of a long one
+	firstAt   time.Duration // the first request: a count that began lately has not built up yet
 }
 
-// Asked counts one request.
-func (m *DemandMeter) Record(now time.Duration, k DemandKey) {
-	r := m.demands[k]
-	if r == nil {
+// Record counts one request.
+func (m *DemandMeter) Record(now time.Duration, key DemandKey) {
+	count := m.demands[key]
+	if count == nil {
 		if len(m.demands) >= maxDemandKeys {
 			m.forget(now)
 		}
@@ -41,44 +49,50 @@
 		if m.demands == nil {
 			m.demands = map[DemandKey]*decayingCount{}
 		}
-		r = &decayingCount{updatedAt: now, firstAt: now}
-		m.demands[k] = r
+		count = &decayingCount{updatedAt: now, firstAt: now}
+		m.demands[key] = count
 	}
-	r.decay(now)
-	r.level++
+	count.decay(now)
+	count.level++
+}
+
+func (c *decayingCount) decay(now time.Duration) {
+	c.level *= math.Exp(-float64(now-c.updatedAt) / float64(demandTimeConstant))
+	c.updatedAt = now
 }
 
-func (r *decayingCount) decay(now time.Duration) {
-	r.level *= math.Exp(-float64(now-r.updatedAt) / float64(demandTimeConstant))
-	r.updatedAt = now
+// perSecond is the rate of requests.
+func (c *decayingCount) perSecond(now time.Duration) float64 {
+	// Of the level that a steady demand reaches, only this share has had time to build up.
+	builtUp := max(minBuiltUpShare, 1-math.Exp(-float64(now-c.firstAt)/float64(demandTimeConstant)))
+	return c.level / (builtUp * demandTimeConstant.Seconds())
 }
 
-// forget drops what has not been asked for long.
+// forget drops the keys for which there was no request for a long time.
 func (m *DemandMeter) forget(now time.Duration) {
-	for k, r := range m.demands {
-		if r.decay(now); r.level < 0.01 {
-			delete(m.demands, k)
+	for key, count := range m.demands {
+		count.decay(now)
+		if count.level < negligibleCount {
+			delete(m.demands, key)
 		}
 	}
 }
 
-// Rates are requests a second by key.
+// Rates returns the requests a second by key.
 func (m *DemandMeter) Rates(now time.Duration) map[DemandKey]float64 {
-	out := map[DemandKey]float64{}
+	rates := map[DemandKey]float64{}
 	m.forget(now)
-	for k, r := range m.demands {
-		// Of a level that began so long ago only this part has had time to build up.
-		built := max(0.05, 1-math.Exp(-float64(now-r.firstAt)/float64(demandTimeConstant)))
-		out[k] = r.level / (built * demandTimeConstant.Seconds())
+	for key, count := range m.demands {
+		rates[key] = count.perSecond(now)
 	}
-	return out
+	return rates
 }
 
-// Classes are requests a second by class.
+// RatesByClass returns the requests a second by class.
 func (m *DemandMeter) RatesByClass(now time.Duration) map[string]float64 {
-	out := map[string]float64{}
-	for k, v := range m.Rates(now) {
-		out[k.Class] += v
+	rates := map[string]float64{}
+	for key, rate := range m.Rates(now) {
+		rates[key.Class] += rate
 	}
-	return out
+	return rates
 }
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -1,69 +1,57 @@
 package sitefailover
 
-import (
-	"cmp"
-	"fmt"
-	"io"
-	"math"
-	"slices"
-	"text/tabwriter"
-)
+import "slices"
 
-// Member is a machine as the plan counts with it. Carry is what it can do for this router, in seconds of work a second.
+// PlanEndpoint is an endpoint as a plan counts with it.
 type PlanEndpoint struct {
-	ID, Site  string
+	ID        string
+	Site      string
 	Group     int64
 	Primary   bool
-	Available bool // it can take something now
-	Capacity  float64
+	Available bool    // Available says that it can take work now.
+	Capacity  float64 // Capacity is what it can do for this router, in seconds of work a second.
 }
 
-// Demand is what is asked of a bank in one class.
+// Demand is what is asked of a replica group in one class.
 type Demand struct {
 	Class          string
 	Group          int64
-	Rate           float64 // requests a second
-	Work           float64 // seconds of work of one
-	PriorityWeight float64 // of one
-	NeedsPrimary   bool    // it needs the primary
+	Rate           float64 // Rate is in requests a second.
+	Work           float64 // Work is that of one request, in seconds.
+	PriorityWeight float64 // PriorityWeight is that of one request.
+	NeedsPrimary   bool
 }
 
-// Input is all that a plan is made of.
+// PlanInput is everything that a plan is made from.
 type PlanInput struct {
 	Endpoints []PlanEndpoint
 	Demands   []Demand
 }
 
-// keepShare is the part of each class and bank that is let through whatever it is worth: without any, nothing would tell that there is room
-// again.
-const probeShare = 0.02
-
-// full is the part of a resource's carrying power that a plan counts with: the rest is for chance.
-const usableCapacity = 0.95
-
-// Loss is what the loss of a site would mean.
+// SiteLossPlan is what the loss of a site would mean.
 type SiteLossPlan struct {
 	Site         string      `json:"site"`
-	Groups       []GroupLoss `json:"banks"`
+	Groups       []GroupLoss `json:"banks"` // Groups are those that have an available endpoint in the site.
 	LoadShifts   []LoadShift `json:"moves"`
 	Rejections   []Rejection `json:"refused"`
-	WeightKept   float64     `json:"worth_kept"`   // part of the worth asked for that is still served
-	WeightServed float64     `json:"worth_served"` // the same with all sites
+	WeightKept   float64     `json:"worth_kept"`   // WeightKept is the share of the demanded weight served without the site.
+	WeightServed float64     `json:"worth_served"` // WeightServed is the same share with all sites.
 }
 
-// Bank is what becomes of one.
+// GroupLoss is what becomes of one replica group. Utilizations are shares of what the endpoints can do.
 type GroupLoss struct {
-	Group         int64   `json:"bank"`
-	LosesPrimary  bool    `json:"loses_primary"`
-	NoEndpointLeft      bool    `json:"none_left"` // it is wholly inside the site: nothing of it can be served
-	Successor     string  `json:"successor"` // who is likely to lead, "" = nobody can
-	PrimaryUtilization    float64 `json:"primary"`   // use of who leads then, part of what it carries
-	ReplicaUtilization    float64 `json:"replicas"`  // the same of all others together
+	Group        int64  `json:"bank"`
+	LosesPrimary bool   `json:"loses_primary"`
+	NoneLeft     bool   `json:"none_left"` // NoneLeft says that nothing of the group can be served without the site.
+	Successor    string `json:"successor"` // Successor is the likely primary without the site, "" = there can be none.
+
+	PrimaryUtilization        float64 `json:"primary"`
+	ReplicaUtilization        float64 `json:"replicas"`
 	CurrentPrimaryUtilization float64 `json:"primary_now"`
 	CurrentReplicaUtilization float64 `json:"replicas_now"`
 }
 
-// Move is work that goes elsewhere, in seconds of work a second.
+// LoadShift is work that another endpoint takes over, in seconds of work a second.
 type LoadShift struct {
 	Group int64   `json:"bank"`
 	From  string  `json:"from"`
@@ -71,268 +59,192 @@
 	Work  float64 `json:"work"`
 }
 
-// Refusal is what can't be carried, in the order in which it is refused.
+// Rejection is work that has no place.
 type Rejection struct {
 	Group     int64   `json:"bank"`
 	Class     string  `json:"class"`
-	Saturated string  `json:"where"` // primary or replicas: what is full
-	Share     float64 `json:"share"` // of what is asked for in it
-	Rate      float64 `json:"rate"`  // requests a second
+	Saturated string  `json:"where"` // Saturated is the resource that is full, "primary" or "replicas".
+	Share     float64 `json:"share"` // Share is the part of the class's demand in the group.
+	Rate      float64 `json:"rate"`  // Rate is in requests a second.
 }
 
-// Make plans the loss of each site that has a machine, in the order of their names. It costs a sort of each bank's demands for each site.
-func PlanLosses(in PlanInput) (out []SiteLossPlan) {
-	banks := collectGroups(in)
-	var names []string
-	for _, x := range in.Endpoints {
-		if !slices.Contains(names, x.Site) {
-			names = append(names, x.Site)
-		}
+// PlanLosses plans the loss of each site that has an endpoint, in the order of the sites' names. The rejections of a
+// group stand in the order in which they would be made. It costs a sort of each group's demands, and for each site a
+// pass over all endpoints and demands.
+func PlanLosses(input PlanInput) []SiteLossPlan {
+	groups := collectGroups(input)
+	for _, group := range groups {
+		group.current = group.allocate(noSiteLost)
 	}
-	slices.Sort(names)
-	for _, b := range banks {
-		b.current = b.allocate("")
+	var plans []SiteLossPlan
+	for _, site := range siteNames(input.Endpoints) {
+		plans = append(plans, planLoss(site, groups))
 	}
-	for _, name := range names {
-		l := SiteLossPlan{Site: name, Groups: []GroupLoss{}, LoadShifts: []LoadShift{}, Rejections: []Rejection{}}
-		asked, kept, now := 0.0, 0.0, 0.0
-		for _, b := range banks {
-			after := b.allocate(name)
-			a, k, n := b.priorityWeights(after)
-			asked, kept, now = asked+a, kept+k, now+n
-			here := slices.ContainsFunc(b.endpoints, func(x *PlanEndpoint) bool { return x.Site == name && x.Available })
-			if here {
-				l.Groups = append(l.Groups, GroupLoss{
-					Group: b.id, LosesPrimary: b.current.primary != nil && b.current.primary.Site == name, NoEndpointLeft: after.primary == nil, Successor: after.primaryID(),
-					PrimaryUtilization: after.primaryUtilization, ReplicaUtilization: after.replicaUtilization, CurrentPrimaryUtilization: b.current.primaryUtilization, CurrentReplicaUtilization: b.current.replicaUtilization,
-				})
-				l.LoadShifts = append(l.LoadShifts, b.loadShifts(name, after)...)
-			}
-			l.Rejections = append(l.Rejections, b.rejections(after)...)
-		}
-		if l.WeightKept, l.WeightServed = 1, 1; asked > 0 {
-			l.WeightKept, l.WeightServed = kept/asked, now/asked
-		}
-		out = append(out, l)
-	}
-	return out
+	return plans
 }
 
-// gather sorts an input by banks, in the order of their numbers: members by id, demands by the worth for a second of work, the most first.
-// What is refused first is refused from the other end.
-func collectGroups(in PlanInput) (out []*groupDemand) {
-	banks := map[int64]*groupDemand{}
-	get := func(id int64) *groupDemand {
-		b := banks[id]
-		if b == nil {
-			b = &groupDemand{id: id}
-			banks[id] = b
-			out = append(out, b)
+func siteNames(endpoints []PlanEndpoint) []string {
+	var names []string
+	for _, endpoint := range endpoints {
+		if !slices.Contains(names, endpoint.Site) {
+			names = append(names, endpoint.Site)
 		}
-		return b
 	}
-	for i, x := range in.Endpoints {
-		b := get(x.Group)
-		b.endpoints = append(b.endpoints, &in.Endpoints[i])
+	slices.Sort(names)
+	return names
+}
+
+// planLoss plans the loss of one site.
+func planLoss(site string, groups []*groupDemand) SiteLossPlan {
+	plan := SiteLossPlan{
+		Site:         site,
+		Groups:       []GroupLoss{},
+		LoadShifts:   []LoadShift{},
+		Rejections:   []Rejection{},
+		WeightKept:   1,
+		WeightServed: 1,
 	}
-	for _, d := range in.Demands {
-		if d.Rate > 0 && d.Work > 0 {
-			b := get(d.Group)
-			b.demands = append(b.demands, d)
+	total := weights{}
+	for _, group := range groups {
+		after := group.allocate(site)
+		total.add(group.weights(after))
+		if group.hasAvailableEndpointIn(site) {
+			plan.Groups = append(plan.Groups, group.loss(site, after))
+			plan.LoadShifts = append(plan.LoadShifts, group.loadShifts(site, after)...)
 		}
+		plan.Rejections = append(plan.Rejections, group.rejections(after)...)
 	}
-	slices.SortFunc(out, func(x, y *groupDemand) int { return cmp.Compare(x.id, y.id) })
-	for _, b := range out {
-		slices.SortFunc(b.endpoints, func(x, y *PlanEndpoint) int { return cmp.Compare(x.ID, y.ID) })
-		slices.SortStableFunc(b.demands, func(x, y Demand) int {
-			return cmp.Or(cmp.Compare(y.PriorityWeight/y.Work, x.PriorityWeight/x.Work), cmp.Compare(x.Class, y.Class))
-		})
+	if total.demanded > 0 {
+		plan.WeightKept = total.remaining / total.demanded
+		plan.WeightServed = total.current / total.demanded
 	}
-	return out
+	return plan
 }
 
-// bank is one, with what is asked of it in the order of its worth.
-type groupDemand struct {
-	id        int64
-	endpoints []*PlanEndpoint
-	demands   []Demand
-	current   allocation
+// weights are sums of priority weights a second.
+type weights struct {
+	demanded  float64
+	remaining float64 // served without the site
+	current   float64 // served with all sites
 }
 
-// carried is how a bank's demands are served without one site.
-type allocation struct {
-	primary                          *PlanEndpoint // nil = nobody can
-	served                           []float64
-	primaryWork                      []float64 // work of each demand at the primary; the rest of it is at the replicas
-	primaryCapacity, replicaCapacity float64
-	primaryUtilization, replicaUtilization           float64
+func (w *weights) add(other weights) {
+	w.demanded += other.demanded
+	w.remaining += other.remaining
+	w.current += other.current
 }
 
-func (c allocation) primaryID() string {
-	if c.primary == nil {
-		return ""
-	}
-	return c.primary.ID
+func (g *groupDemand) hasAvailableEndpointIn(site string) bool {
+	return slices.ContainsFunc(g.endpoints, func(endpoint *PlanEndpoint) bool {
+		return endpoint.Site == site && endpoint.Available
+	})
 }
 
-// carry shares out a bank's work among those that are left. Reads that any member serves go to replicas first.
-func (b *groupDemand) allocate(without string) (c allocation) {
-	left := func(x *PlanEndpoint) bool { return x.Available && x.Site != without }
-	for _, x := range b.endpoints {
-		if left(x) && (c.primary == nil || x.Primary) {
-			c.primary = x // the primary where it is left, else the first that can follow
-		}
-	}
-	c.served, c.primaryWork = make([]float64, len(b.demands)), make([]float64, len(b.demands))
-	if c.primary == nil {
-		return c
-	}
-	for _, x := range b.endpoints {
-		switch {
-		case x == c.primary:
-			c.primaryCapacity = usableCapacity * x.Capacity
-		case left(x):
-			c.replicaCapacity += usableCapacity * x.Capacity
-		}
-	}
-	p, r := c.primaryCapacity, c.replicaCapacity
-	put := func(i int, d Demand, want float64) {
-		if !d.NeedsPrimary {
-			at := min(want, r)
-			r, want = r-at, want-at
-			c.served[i] += at
-		}
-		at := min(want, p)
-		p -= at
-		c.served[i], c.primaryWork[i] = c.served[i]+at, c.primaryWork[i]+at
+// loss sums up what becomes of the group without the site.
+func (g *groupDemand) loss(site string, after allocation) GroupLoss {
+	return GroupLoss{
+		Group:                     g.id,
+		LosesPrimary:              g.current.primary != nil && g.current.primary.Site == site,
+		NoneLeft:                  after.primary == nil,
+		Successor:                 after.primaryID(),
+		PrimaryUtilization:        after.primaryUtilization,
+		ReplicaUtilization:        after.replicaUtilization,
+		CurrentPrimaryUtilization: g.current.primaryUtilization,
+		CurrentReplicaUtilization: g.current.replicaUtilization,
 	}
-	for i, d := range b.demands {
-		put(i, d, probeShare*d.Rate*d.Work)
-	}
-	for i, d := range b.demands {
-		put(i, d, (1-probeShare)*d.Rate*d.Work)
-	}
-	for i, d := range b.demands {
-		c.served[i] = min(1, c.served[i]/(d.Rate*d.Work))
-	}
-	c.primaryUtilization, c.replicaUtilization = ratio(c.primaryCapacity-p, c.primaryCapacity/usableCapacity), ratio(c.replicaCapacity-r, c.replicaCapacity/usableCapacity)
-	return c
-}
-
-func ratio(a, of float64) float64 {
-	if of <= 0 {
-		return 0
-	}
-	return a / of
 }
 
-// worth is what is asked for, kept with c, and served now.
-func (b *groupDemand) priorityWeights(c allocation) (asked, kept, now float64) {
-	for i, d := range b.demands {
-		w := d.Rate * d.PriorityWeight
-		asked, kept, now = asked+w, kept+w*c.served[i], now+w*b.current.served[i]
+// weights sums up the priority weight of the group's demands, beside what is served of it after the loss and now.
+func (g *groupDemand) weights(after allocation) weights {
+	sum := weights{}
+	for i, demand := range g.demands {
+		weight := demand.Rate * demand.PriorityWeight
+		sum.demanded += weight
+		sum.remaining += weight * after.served[i]
+		sum.current += weight * g.current.served[i]
 	}
-	return asked, kept, now
+	return sum
 }
 
-// refused is what c can't carry, the first to be refused first.
-func (b *groupDemand) rejections(c allocation) (out []Rejection) {
-	for i := len(b.demands) - 1; i >= 0; i-- {
-		d := b.demands[i]
-		if share := 1 - c.served[i]; share > 1e-9 {
-			where := "replicas"
-			if d.NeedsPrimary || c.replicaCapacity == 0 {
-				where = "primary"
-			}
-			out = append(out, Rejection{b.id, d.Class, where, share, share * d.Rate})
+// rejections are the group's demands that have no place, those of the least weight for their work first.
+func (g *groupDemand) rejections(after allocation) []Rejection {
+	var rejections []Rejection
+	for i, demand := range slices.Backward(g.demands) {
+		saturated := replicaResource
+		if demand.NeedsPrimary || after.replicaCapacity == 0 {
+			saturated = primaryResource
+		}
+		if share := 1 - after.served[i]; share > negligible {
+			rejections = append(rejections, Rejection{
+				Group:     g.id,
+				Class:     demand.Class,
+				Saturated: saturated.String(),
+				Share:     share,
+				Rate:      share * demand.Rate,
+			})
 		}
 	}
-	return out
+	return rejections
 }
 
-// moves is the work that a site does now and who does it then, each by its part of what it carries.
-func (b *groupDemand) loadShifts(site string, after allocation) (out []LoadShift) {
-	from, to := b.endpointLoads(b.current, ""), b.endpointLoads(after, site)
+// loadShifts says which endpoints take over the work that the site does now. Each endpoint of the site is relieved in
+// proportion to its work, and each other endpoint takes over in proportion to the growth of its own.
+func (g *groupDemand) loadShifts(site string, after allocation) []LoadShift {
+	loadBefore := g.endpointLoads(g.current, noSiteLost)
+	loadAfter := g.endpointLoads(after, site)
 	freed := 0.0
-	for _, x := range b.endpoints {
-		if x.Site == site {
-			freed += from[x.ID]
+	totalGrowth := 0.0
+	growth := map[string]float64{}
+	for _, endpoint := range g.endpoints {
+		if endpoint.Site == site {
+			freed += loadBefore[endpoint.ID]
+			continue
 		}
-	}
-	more, grown := map[string]float64{}, 0.0
-	for _, x := range b.endpoints {
-		if d := to[x.ID] - from[x.ID]; x.Site != site && d > 1e-9 {
-			more[x.ID], grown = d, grown+d
+		if delta := loadAfter[endpoint.ID] - loadBefore[endpoint.ID]; delta > negligible {
+			growth[endpoint.ID] = delta
+			totalGrowth += delta
 		}
 	}
-	if grown == 0 || freed == 0 {
+	if totalGrowth == 0 || freed == 0 {
 		return nil
 	}
-	for _, f := range b.endpoints {
-		if f.Site != site || from[f.ID] <= 1e-9 {
+	var shifts []LoadShift
+	for _, from := range g.endpoints {
+		if from.Site != site || loadBefore[from.ID] <= negligible {
 			continue
 		}
-		for _, x := range b.endpoints {
-			if w := from[f.ID] / freed * min(more[x.ID], more[x.ID]*freed/grown); w > 1e-9 {
-				out = append(out, LoadShift{b.id, f.ID, x.ID, w})
+		for _, to := range g.endpoints {
+			taken := min(growth[to.ID], growth[to.ID]*freed/totalGrowth)
+			work := loadBefore[from.ID] / freed * taken
+			if work > negligible {
+				shifts = append(shifts, LoadShift{Group: g.id, From: from.ID, To: to.ID, Work: work})
 			}
 		}
 	}
-	return out
+	return shifts
 }
 
-// loads is each member's work.
-func (b *groupDemand) endpointLoads(c allocation, without string) map[string]float64 {
-	out := map[string]float64{}
-	if c.primary == nil {
-		return out
+// endpointLoads is the work of each endpoint under an allocation that was made without a site.
+func (g *groupDemand) endpointLoads(allocated allocation, lostSite string) map[string]float64 {
+	loads := map[string]float64{}
+	if allocated.primary == nil {
+		return loads
 	}
-	p, all := 0.0, 0.0
-	for i, d := range b.demands {
-		p += c.primaryWork[i]
-		all += c.served[i] * d.Rate * d.Work
+	primaryWork := 0.0
+	totalWork := 0.0
+	for i, demand := range g.demands {
+		primaryWork += allocated.primaryWork[i]
+		totalWork += allocated.served[i] * demand.Rate * demand.Work
 	}
-	out[c.primary.ID] = p
-	for _, x := range b.endpoints {
-		if x != c.primary && x.Available && x.Site != without && c.replicaCapacity > 0 {
-			out[x.ID] = (all - p) * usableCapacity * x.Capacity / c.replicaCapacity
-		}
+	replicaWork := totalWork - primaryWork
+	loads[allocated.primary.ID] = primaryWork
+	if allocated.replicaCapacity <= 0 {
+		return loads
 	}
-	return out
-}
-
-// Table writes plans for people.
-func WriteTable(w io.Writer, plans []SiteLossPlan) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	if len(plans) == 0 {
-		fmt.Fprintln(t, "no sites: no machine is listed")
-	}
-	for _, l := range plans {
-		fmt.Fprintf(t, "loss of %s: worth kept %.1f%% (now %.1f%%)\n", l.Site, 100*l.WeightKept, 100*l.WeightServed)
-		if len(l.Groups) > 0 {
-			fmt.Fprintln(t, "  bank\tprimary then\tuse\treplicas' use\tnow\tnow")
-		}
-		for _, b := range l.Groups {
-			who := b.Successor
-			switch {
-			case b.NoEndpointLeft:
-				who = "none: wholly inside"
-			case b.LosesPrimary:
-				who += " (successor)"
-			}
-			fmt.Fprintf(t, "  %d\t%s\t%s\t%s\t%s\t%s\n", b.Group, who, percent(b.PrimaryUtilization), percent(b.ReplicaUtilization), percent(b.CurrentPrimaryUtilization), percent(b.CurrentReplicaUtilization))
-		}
-		for _, m := range l.LoadShifts {
-			fmt.Fprintf(t, "  bank %d: %.2f of work from %s to %s\n", m.Group, m.Work, m.From, m.To)
-		}
-		for i, r := range l.Rejections {
-			fmt.Fprintf(t, "  refused %d.: bank %d %s at the %s, %.0f%%, %.1f a second\n", i+1, r.Group, r.Class, r.Saturated, 100*r.Share, r.Rate)
-		}
-		if len(l.Rejections) == 0 {
-			fmt.Fprintln(t, "  nothing is refused")
+	for _, endpoint := range g.endpoints {
+		if endpoint != allocated.primary && endpoint.remainsWithout(lostSite) {
+			loads[endpoint.ID] = replicaWork * usableCapacity * endpoint.Capacity / allocated.replicaCapacity
 		}
 	}
-	return t.Flush()
+	return loads
 }
-
-func percent(x float64) string { return fmt.Sprintf("%.0f%%", 100*math.Min(x, 9.99)) }
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("%+v", plans)
 	}
 	s := plans[1]
-	if len(s.Groups) != 2 || s.Groups[0].LosesPrimary || s.Groups[0].NoEndpointLeft || s.Groups[0].Successor != "a" || !s.Groups[1].NoEndpointLeft || s.Groups[1].Successor != "" {
+	if len(s.Groups) != 2 || s.Groups[0].LosesPrimary || s.Groups[0].NoneLeft || s.Groups[0].Successor != "a" || !s.Groups[1].NoneLeft || s.Groups[1].Successor != "" {
 		t.Fatalf("%+v", s.Groups)
 	}
 	near(t, "the primary's use", s.Groups[0].PrimaryUtilization, 0.95)
@@ -92,7 +92,7 @@
 		t.Error(out.String())
 	}
 	p := PlanLosses(PlanInput{Endpoints: []PlanEndpoint{{ID: "a", Group: 1, Available: true, Capacity: 1}, {ID: "b", Group: 1, Available: true, Capacity: 1}}, Demands: []Demand{{Class: "x", Group: 1, Rate: 1, Work: 0.1, PriorityWeight: 1}}})
-	if len(p) != 1 || p[0].Site != "" || !p[0].Groups[0].NoEndpointLeft || p[0].WeightKept != 0 {
+	if len(p) != 1 || p[0].Site != "" || !p[0].Groups[0].NoneLeft || p[0].WeightKept != 0 {
 		t.Errorf("without zones all stand in one site: %+v", p)
 	}
 	p = PlanLosses(PlanInput{Endpoints: []PlanEndpoint{{ID: "a", Site: "n", Group: 1, Available: true, Capacity: 1}, {ID: "b", Site: "s", Group: 1, Capacity: 1}}})
--- a/internal/sitefailover/recovery_ramp.go
+++ b/internal/sitefailover/recovery_ramp.go
@@ -7,182 +7,257 @@
 	"time"
 )
 
-// RampConfig bounds a Ramp.
-type RecoveryRampConfig struct {
-	InitialShare float64       // the part of what its machines can do that a site gets first: that which a cold machine has
-	Duration     time.Duration // a return without trouble takes so long: as machines take to get warm
-}
+const (
+	// rampSteps is the number of steps from the initial share to all of a site.
+	rampSteps = 8
+	// minInitialShare bounds RecoveryRampConfig.InitialShare from below, so that a ramp sees outcomes at all.
+	minInitialShare = 0.05
+	// relapseFactor is what a relapse leaves of a site's share.
+	relapseFactor = 0.5
+	// relapsePauseSteps is the number of steps without growth behind a relapse.
+	relapsePauseSteps = 2
+	// relapseFailureShare is the share of failures that makes a step a relapse; a healthy site has next to none.
+	relapseFailureShare = 0.15
+	// relapseMinOutcomes is the number of outcomes from which on a step can be a relapse.
+	relapseMinOutcomes = 8
+)
 
-// Of a ramp.
+// Why the share of a site changes, as operators read it.
 const (
-	rampSteps           = 8    // from First to all of it
-	relapseFactor       = 0.5  // what a relapse leaves
-	relapsePauseSteps   = 2    // steps without growth behind one
-	relapseFailureShare = 0.15 // ends at the site's machines from which on it is one: a site that is well has none to speak of
-	relapseMinOutcomes  = 8    // of so many ends at least
+	reasonComplete = "it may be used again"
+	reasonFlapped  = "it has gone again as it came back"
+	reasonRelapse  = "relapse: it is taken back"
+	reasonLimited  = "bound by operators"
 )
 
-// Paced is the part of its machines' power that a site may be used for from now on, by all that this router sends. Part 1 is the end of it.
+// RecoveryRampConfig bounds a RecoveryRamp.
+type RecoveryRampConfig struct {
+	// InitialShare is the share of its capacity for which a site is used first: that which a cold endpoint has.
+	InitialShare float64
+	// Duration is how long a recovery without a relapse takes: as long as endpoints warm up.
+	Duration time.Duration
+}
+
+// RampChange says that from now on this router may use a site for Share of the capacity of its endpoints. Share 1 is the
+// end of the ramp.
 type RampChange struct {
 	Site   string
 	Share  float64
-	Reason string
+	Reason string // Reason is for operators.
 }
 
-func (RampChange) action() {}
-
-// Bound is an operators' word on a site's return: no more than Part until a moment. Part 0 forbids it.
+// RampLimit is an operator's limit on the use of a site: no more than Share until a time on the caller's clock. Share 0
+// forbids the use, and a zero Until takes the limit back.
 type RampLimit struct {
 	Site  string
 	Share float64
 	Until time.Duration
 }
 
-// Ramp paces the return of sites: step by step while what goes there is answered, halved and paused at a sign of relapse, the slower the
-// more often a site has gone again. It holds each router to its own part, which together are the site's.
+// RecoveryRamp paces the return of load to sites that have flapped: step by step while what is sent there is answered,
+// halved and paused at a relapse, and the slower the more often the site has flapped. It holds each router to its own
+// part; together these are the site's. It is not safe for concurrent use.
 type RecoveryRamp struct {
 	cfg   RecoveryRampConfig
 	ramps map[string]*siteRamp
 }
 
+// siteRamp is the ramp of one site.
 type siteRamp struct {
-	share        float64
-	reported     float64
+	share    float64 // by the ramp alone, without an operator's limit
+	reported float64 // the share that the caller was told last
+
+	running      bool
 	nextStep     time.Duration
 	stepInterval time.Duration
-	successes    int
-	failures     int
-	limit        float64
-	limitUntil   time.Duration // of the bound, 0 = there is none
-	running      bool
+	successes    int // in this step
+	failures     int // in this step
+
+	limit      float64       // an operator's
+	limitUntil time.Duration // 0 = there is no limit
 }
 
-// NewRamp returns one that no site is on.
+// NewRecoveryRamp returns a RecoveryRamp that holds back no site.
 func NewRecoveryRamp(cfg RecoveryRampConfig) *RecoveryRamp {
 	return &RecoveryRamp{cfg: cfg, ramps: map[string]*siteRamp{}}
 }
 
+// rampOf returns the ramp of a site, a new one if it has none.
 func (r *RecoveryRamp) rampOf(site string) *siteRamp {
-	x := r.ramps[site]
-	if x == nil {
-		x = &siteRamp{share: 1, reported: 1}
-		r.ramps[site] = x
+	ramp := r.ramps[site]
+	if ramp == nil {
+		ramp = &siteRamp{share: 1, reported: 1}
+		r.ramps[site] = ramp
 	}
-	return x
+	return ramp
 }
 
-// Moved takes a change of a site's state: a return begins or goes on, another loss ends it.
+// SiteStateChanged takes a transition of a site. The ramp starts when a site recovers that has flapped, and stops when it
+// is lost or healthy.
+//
+// A first recovery is not paced: slow start bounds each endpoint while it is cold, and a ramp beyond that was measured to
+// waste capacity (docs/design/site-loss.md). A site that has flapped is not to be trusted so soon.
 func (r *RecoveryRamp) SiteStateChanged(now time.Duration, site string, to SiteState, flaps int) {
 	switch to {
 	case SiteLost:
-		// A first return is bounded by what each of its machines bears while it is cold, and pacing it beyond that only wastes them
-		// (docs/design/site-loss.md). One that goes again as it comes back is not to be believed so soon.
 		if flaps > 0 {
-			x := r.rampOf(site)
-			x.share, x.running, x.nextStep = r.initialShare(), false, 0
+			r.rampOf(site).reset(r.initialShare())
 		}
 	case SiteRecovering:
-		if flaps == 0 {
-			return
+		if flaps > 0 {
+			r.rampOf(site).start(now, r.initialShare(), r.cfg.Duration, flaps)
 		}
-		x := r.rampOf(site)
-		slow := time.Duration(1) << min(flaps, maxFlapDoublings)
-		x.share, x.running, x.successes, x.failures = r.initialShare()/float64(slow), true, 0, 0
-		x.stepInterval = slow * r.cfg.Duration / rampSteps
-		x.nextStep = now + x.stepInterval
 	case SiteHealthy:
-		if x := r.ramps[site]; x != nil {
-			x.share, x.running = 1, false
+		if ramp := r.ramps[site]; ramp != nil {
+			ramp.share = 1
+			ramp.running = false
 		}
 	}
 }
 
-func (r *RecoveryRamp) initialShare() float64 { return max(0.05, min(1, r.cfg.InitialShare)) }
+// initialShare is the configured one within its bounds.
+func (r *RecoveryRamp) initialShare() float64 {
+	return max(minInitialShare, min(1, r.cfg.InitialShare))
+}
 
-// Ended is what became of something sent to a site's machine: of what says something of the machine.
-func (r *RecoveryRamp) RecordOutcome(site string, bad bool) {
-	if x := r.ramps[site]; x != nil && x.running {
-		if bad {
-			x.failures++
-		} else {
-			x.successes++
-		}
-	}
+// reset stops the ramp and takes the site back to its initial share.
+func (r *siteRamp) reset(initialShare float64) {
+	r.share = initialShare
+	r.running = false
+	r.nextStep = 0
 }
 
-// Bind takes an operators' word; Until 0 takes it back.
-func (r *RecoveryRamp) SetLimit(b RampLimit) {
-	x := r.rampOf(b.Site)
-	x.limit, x.limitUntil = max(0, min(1, b.Share)), b.Until
+// start begins a ramp that is lower at first, and slower, by a factor of two for each flap.
+func (r *siteRamp) start(now time.Duration, initialShare float64, duration time.Duration, flaps int) {
+	slowdown := time.Duration(1) << min(flaps, maxFlapDoublings)
+	r.share = initialShare / float64(slowdown)
+	r.running = true
+	r.successes = 0
+	r.failures = 0
+	r.stepInterval = slowdown * duration / rampSteps
+	r.nextStep = now + r.stepInterval
 }
 
-// Look moves what is due, and says what has changed, in the order of the sites' names. Due is when it wants to look again, 0 = at the
-// next change of a site.
-func (r *RecoveryRamp) Update(now time.Duration) (out []RampChange, due time.Duration) {
-	wake := func(at time.Duration) {
-		if at > 0 && (due == 0 || at < due) {
-			due = at
-		}
+// RecordOutcome takes the outcome of something sent to one of a site's endpoints. Callers leave out outcomes that say
+// nothing of the endpoint.
+func (r *RecoveryRamp) RecordOutcome(site string, failed bool) {
+	ramp := r.ramps[site]
+	if ramp == nil || !ramp.running {
+		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.ramps)) {
-		x := r.ramps[name]
-		why := "it may be used again"
-		if x.share < 1 {
-			why = "it has gone again as it came back"
-		}
-		if x.running && now >= x.nextStep {
-			switch all := x.successes + x.failures; {
-			case all >= relapseMinOutcomes && float64(x.failures) > relapseFailureShare*float64(all):
-				x.share = max(r.initialShare()/(1<<maxFlapDoublings), relapseFactor*x.share)
-				x.nextStep = now + relapsePauseSteps*x.stepInterval
-				why = "relapse: it is taken back"
-			default:
-				// Without a word from there it goes on too: a router with little traffic would never know.
-				x.share = min(1, x.share+(1-r.initialShare())/rampSteps)
-				x.nextStep = now + x.stepInterval
-			}
-			if x.successes, x.failures = 0, 0; x.share >= 1 {
-				x.running = false
-			}
+	if failed {
+		ramp.failures++
+	} else {
+		ramp.successes++
+	}
+}
+
+// SetLimit sets an operator's limit or takes it back.
+func (r *RecoveryRamp) SetLimit(limit RampLimit) {
+	ramp := r.rampOf(limit.Site)
+	ramp.limit = max(0, min(1, limit.Share))
+	ramp.limitUntil = limit.Until
+}
+
+// Update takes the steps that are due and returns what has changed, in the order of the sites' names. due is when Update
+// wants to be called next, 0 = not before the next change of a site.
+func (r *RecoveryRamp) Update(now time.Duration) (changes []RampChange, due time.Duration) {
+	for _, site := range slices.Sorted(maps.Keys(r.ramps)) {
+		ramp := r.ramps[site]
+		share, reason := ramp.update(now, r.initialShare())
+		if share != ramp.reported {
+			ramp.reported = share
+			changes = append(changes, RampChange{Site: site, Share: share, Reason: reason})
 		}
-		part := x.share
-		if x.limitUntil > 0 && now >= x.limitUntil {
-			x.limitUntil = 0
+		if at, ok := ramp.due(); ok && (due == 0 || at < due) {
+			due = at
 		}
-		if x.limitUntil > 0 {
-			part = min(part, x.limit)
-			if x.limit < x.share {
-				why = "bound by operators"
-			}
-			wake(x.limitUntil)
+		if ramp.finished() {
+			delete(r.ramps, site)
 		}
-		if part != x.reported {
-			x.reported = part
-			out = append(out, RampChange{name, part, why})
+	}
+	return changes, due
+}
+
+// update takes a step if one is due, and returns the share that holds now beside the reason for it.
+func (r *siteRamp) update(now time.Duration, initialShare float64) (share float64, reason string) {
+	reason = reasonComplete
+	if r.share < 1 {
+		reason = reasonFlapped
+	}
+	if r.running && now >= r.nextStep {
+		if r.relapsed() {
+			r.retreat(now, initialShare)
+			reason = reasonRelapse
+		} else {
+			r.grow(now, initialShare)
 		}
-		if x.running {
-			wake(x.nextStep)
-		} else if x.share >= 1 && x.limitUntil == 0 {
-			delete(r.ramps, name)
+		r.successes = 0
+		r.failures = 0
+		if r.share >= 1 {
+			r.running = false
 		}
 	}
-	return out, due
+	if r.limitUntil > 0 && now >= r.limitUntil {
+		r.limitUntil = 0
+	}
+	if r.hasLimit() && r.limit < r.share {
+		return r.limit, reasonLimited
+	}
+	return r.share, reason
+}
+
+// relapsed reports whether too much has failed in this step.
+func (r *siteRamp) relapsed() bool {
+	outcomes := r.successes + r.failures
+	return outcomes >= relapseMinOutcomes && float64(r.failures) > relapseFailureShare*float64(outcomes)
+}
+
+// retreat lowers the share and pauses the ramp.
+func (r *siteRamp) retreat(now time.Duration, initialShare float64) {
+	r.share = max(initialShare/(1<<maxFlapDoublings), relapseFactor*r.share)
+	r.nextStep = now + relapsePauseSteps*r.stepInterval
+}
+
+// grow takes the ramp one step on. It does so without outcomes too: a router with few requests would never have enough.
+func (r *siteRamp) grow(now time.Duration, initialShare float64) {
+	r.share = min(1, r.share+(1-initialShare)/rampSteps)
+	r.nextStep = now + r.stepInterval
+}
+
+func (r *siteRamp) hasLimit() bool { return r.limitUntil > 0 }
+
+// due is when the ramp changes by time alone. ok is false if it does not.
+func (r *siteRamp) due() (at time.Duration, ok bool) {
+	if r.hasLimit() {
+		at = r.limitUntil
+	}
+	if r.running && (at == 0 || r.nextStep < at) {
+		at = r.nextStep
+	}
+	return at, at > 0
+}
+
+// finished reports whether the ramp holds the site back no more, now or later.
+func (r *siteRamp) finished() bool {
+	return !r.running && r.share >= 1 && !r.hasLimit()
 }
 
-// Pace is how far a site's return is, for those on call.
+// SiteRamp is how far the recovery of a site is, for operators.
 type SiteRamp struct {
 	Site  string
 	Share float64
-	Until time.Duration // an operators' bound holds until then, 0 = there is none
+	Until time.Duration // Until is when an operator's limit ends, 0 = there is none.
 }
 
-// Paces are the sites that are not used for all they can do, in the order of their names.
-func (r *RecoveryRamp) Ramps() (out []SiteRamp) {
-	for name, x := range r.ramps {
-		if x.reported < 1 {
-			out = append(out, SiteRamp{name, x.reported, x.limitUntil})
+// Ramps returns the sites that are held back now, in the order of their names.
+func (r *RecoveryRamp) Ramps() []SiteRamp {
+	var ramps []SiteRamp
+	for site, ramp := range r.ramps {
+		if ramp.reported < 1 {
+			ramps = append(ramps, SiteRamp{Site: site, Share: ramp.reported, Until: ramp.limitUntil})
 		}
 	}
-	slices.SortFunc(out, func(a, b SiteRamp) int { return cmp.Compare(a.Site, b.Site) })
-	return out
+	slices.SortFunc(ramps, func(a, b SiteRamp) int { return cmp.Compare(a.Site, b.Site) })
+	return ramps
 }
--- a/internal/sitefailover/utilization.go
+++ b/internal/sitefailover/utilization.go
@@ -5,59 +5,79 @@
 	"slices"
 )
 
-// Uses are what machines tell of their own use in reports, beside what they do for this router.
+const (
+	// reportWeight is the weight of a new report in the moving means.
+	reportWeight = 0.1
+	// minReports is the number of reports of all endpoints from which on they tell a capacity.
+	minReports = 8
+	// minBusyShare is the mean utilization below which reports tell nothing but noise.
+	minBusyShare = 0.02
+	// maxTrackedEndpoints bounds the endpoints that are followed.
+	maxTrackedEndpoints = 4096
+)
+
+// UtilizationTracker estimates the capacity of endpoints from their load reports, beside the work that they do for this
+// router. The zero UtilizationTracker is ready for use. It is not safe for concurrent use.
 type UtilizationTracker struct {
 	endpoints map[string]*utilization
 }
 
-// use is what a machine's reports have told, in moving means: of the quotient of two noisy figures the mean would be far too high.
+// utilization holds moving means of what an endpoint reports. They are kept apart because the mean of the quotient of two
+// noisy figures would be far too high.
 type utilization struct {
-	workRate, busyShare float64
-	reports             int
+	workRate  float64 // for this router, in seconds of work a second
+	busyShare float64 // by the work of all routers
+	reports   int
 }
 
-const (
-	reportWeight        = 0.1  // of a new report
-	minReports          = 8    // reports of all machines from which on they tell something
-	minBusyShare        = 0.02 // a mean use below this tells nothing
-	maxTrackedEndpoints = 4096 // machines
-)
-
-// Told takes a report: rate is what the machine does for this router, in seconds of work a second, part what all its work takes of it.
-func (u *UtilizationTracker) Record(machine string, rate, part float64) {
-	x := u.endpoints[machine]
-	if x == nil {
+// Record takes a load report. workRate is what the endpoint does for this router, in seconds of work a second, busyShare
+// the part of the endpoint that is busy with all its work.
+func (u *UtilizationTracker) Record(endpoint string, workRate, busyShare float64) {
+	means := u.endpoints[endpoint]
+	if means == nil {
 		if len(u.endpoints) >= maxTrackedEndpoints {
 			return
 		}
 		if u.endpoints == nil {
 			u.endpoints = map[string]*utilization{}
 		}
-		x = &utilization{}
-		u.endpoints[machine] = x
+		means = &utilization{}
+		u.endpoints[endpoint] = means
 	}
-	x.reports++
-	w := max(reportWeight, 1/float64(x.reports))
-	x.workRate, x.busyShare = x.workRate+w*(rate-x.workRate), x.busyShare+w*(part-x.busyShare)
+	means.add(workRate, busyShare)
+}
+
+// add takes a report into the means. The first reports count more, so that they don't count from zero.
+func (u *utilization) add(workRate, busyShare float64) {
+	u.reports++
+	weight := max(reportWeight, 1/float64(u.reports))
+	u.workRate += weight * (workRate - u.workRate)
+	u.busyShare += weight * (busyShare - u.busyShare)
 }
 
-// Fair is what a machine can do for this router, in seconds of work a second, if it gets as large a part of each as it has of all machines' work
-// now. Of one machine it may have much more, or nothing, since it sends to its own site first; in a loss that is over. told is false
-// where nothing is known.
-func (u *UtilizationTracker) FairCapacity() (carry float64, told bool) {
-	rate, part, n := 0.0, 0.0, 0
-	for _, id := range slices.Sorted(maps.Keys(u.endpoints)) { // in order: sums in another differ
-		x := u.endpoints[id]
-		rate, part, n = rate+x.workRate, part+min(1, x.busyShare), n+x.reports
+// FairCapacity returns what an endpoint can do for this router, in seconds of work a second, if the router gets the same
+// part of each endpoint as it has of the work of all endpoints now. Of a single endpoint it may have much more, or
+// nothing, because it prefers its own site; once a site is lost that is over. ok is false where too little is known.
+func (u *UtilizationTracker) FairCapacity() (capacity float64, ok bool) {
+	workRate := 0.0
+	busyShare := 0.0
+	reports := 0
+	// The order is fixed because a sum of floating-point numbers depends on it.
+	for _, id := range slices.Sorted(maps.Keys(u.endpoints)) {
+		means := u.endpoints[id]
+		workRate += means.workRate
+		busyShare += min(1, means.busyShare)
+		reports += means.reports
 	}
-	if n < minReports || rate <= 0 || part < minBusyShare*float64(len(u.endpoints)) {
+	idle := busyShare < minBusyShare*float64(len(u.endpoints))
+	if reports < minReports || workRate <= 0 || idle {
 		return 0, false
 	}
-	return rate / part, true
+	return workRate / busyShare, true
 }
 
-// Forget drops machines that are not kept.
-func (u *UtilizationTracker) Retain(keep func(machine string) bool) {
+// Retain forgets the endpoints for which keep returns false.
+func (u *UtilizationTracker) Retain(keep func(endpoint string) bool) {
 	for id := range u.endpoints {
 		if !keep(id) {
 			delete(u.endpoints, id)
--- a/internal/sitefailover/view.go
+++ b/internal/sitefailover/view.go
@@ -1,70 +1,77 @@
 package sitefailover
 
-// What a Model says of sites and machines to those who ask.
-
 import (
 	"cmp"
 	"slices"
 	"time"
 )
 
-// View is a site as those on call see it.
+// SiteView is a site as operators see it.
 type SiteView struct {
 	Site      string
 	State     SiteState
 	Kind      FaultKind
-	Since     time.Duration // of its state, on the caller's clock
-	Evidence  string        // of its last change
+	Since     time.Duration // Since is when the site entered its state, on the caller's clock.
+	Evidence  string        // Evidence is that of the last change of state.
 	Endpoints int
 	Down      int
 	Flaps     int
 }
 
-// Views are all sites, in the order of their names.
-func (m *Monitor) Views() (out []SiteView) {
-	for _, s := range m.sites {
-		f := evidenceCounts{downGroups: map[int64]bool{}}
-		m.countEvidence(s, &f)
-		out = append(out, SiteView{s.name, s.state, s.fault, s.stateSince, s.evidence, len(s.endpoints), f.down, s.flaps})
+// Views returns all sites in the order of their names.
+func (m *Monitor) Views() []SiteView {
+	var views []SiteView
+	for _, site := range m.sites {
+		views = append(views, SiteView{
+			Site:      site.name,
+			State:     site.state,
+			Kind:      site.fault,
+			Since:     site.stateSince,
+			Evidence:  site.evidence,
+			Endpoints: len(site.endpoints),
+			Down:      m.countEvidence(site).down,
+			Flaps:     site.flaps,
+		})
 	}
-	slices.SortFunc(out, func(a, b SiteView) int { return cmp.Compare(a.Site, b.Site) })
-	return out
+	slices.SortFunc(views, func(a, b SiteView) int { return cmp.Compare(a.Site, b.Site) })
+	return views
 }
 
-// Troubled says that some site is lost. A suspicion alone is not enough: it may be wrong. One that returns is bounded machine by machine.
+// AnyLost reports whether some site is lost. A suspected site does not count because the suspicion may be wrong, nor a
+// recovering one because slow start bounds the use of each of its endpoints.
 func (m *Monitor) AnyLost() bool {
-	for _, s := range m.sites {
-		if s.state == SiteLost {
+	for _, site := range m.sites {
+		if site.state == SiteLost {
 			return true
 		}
 	}
 	return false
 }
 
-// Lost says that a site is taken for lost, by evidence or an operators' word.
+// IsLost reports whether a site is taken for lost, by the evidence or by an operator's declaration.
 func (m *Monitor) IsLost(name string) bool {
-	s := m.sites[name]
-	return s != nil && s.state == SiteLost
+	site := m.sites[name]
+	return site != nil && site.state == SiteLost
 }
 
-// Flaps is how often a site has gone again while it came back.
+// Flaps returns how often a site has failed again while it recovered.
 func (m *Monitor) Flaps(name string) int {
-	if s := m.sites[name]; s != nil {
-		return s.flaps
+	if site := m.sites[name]; site != nil {
+		return site.flaps
 	}
 	return 0
 }
 
-// Site is where a machine stands, "" = not known.
+// SiteOf returns the site of an endpoint, "" if the endpoint is not known.
 func (m *Monitor) SiteOf(id string) string {
-	if x := m.endpoints[id]; x != nil {
-		return x.site
+	if endpoint := m.endpoints[id]; endpoint != nil {
+		return endpoint.site
 	}
 	return ""
 }
 
-// Down says whether a machine is taken for down.
+// IsDown reports whether an endpoint is taken for down.
 func (m *Monitor) IsDown(id string) bool {
-	x := m.endpoints[id]
-	return x != nil && x.isDown(m.now, m.cfg.EvidenceWindow)
+	endpoint := m.endpoints[id]
+	return endpoint != nil && m.isDown(endpoint)
 }
