--- a/internal/sitefailover/demand_test.go
+++ b/internal/sitefailover/demand_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A steady demand is measured from its first second on, a change within some time constants; what is no longer asked for
-// is forgotten, and the number of keys that clients can make up is bounded.
+// A steady demand is measured from its first second on, a change within some time constants; what is no longer asked
+// for is forgotten, and the number of keys that clients can make up is bounded.
 func TestDemandMeter(t *testing.T) {
 	var meter DemandMeter
 	key := DemandKey{Class: "view", Group: 1}
--- a/internal/sitefailover/endpoint_evidence.go
+++ b/internal/sitefailover/endpoint_evidence.go
@@ -73,7 +73,7 @@
 // lately, count for nothing.
 type evidenceCounts struct {
 	down       int
-	answering         int
+	answering  int
 	downGroups map[int64]bool // the groups of the endpoints that are down
 }
 
--- a/internal/sitefailover/monitor_test.go
+++ b/internal/sitefailover/monitor_test.go
@@ -12,173 +12,224 @@
 
 const ms = time.Millisecond
 
-func config(own string) Config {
-	return Config{OwnSite: own, EvidenceWindow: 2 * time.Second, SuspicionTime: 500 * ms, SettleTime: 4 * time.Second, MaxEndpoints: 500}
+func testConfig(ownSite string) Config {
+	return Config{
+		OwnSite:        ownSite,
+		EvidenceWindow: 2 * time.Second,
+		SuspicionTime:  500 * ms,
+		SettleTime:     4 * time.Second,
+		MaxEndpoints:   500,
+	}
 }
 
-// world drives a Model: in each step every machine that can answers, the others fail.
+// world drives a Monitor: in each step every endpoint that can answers, the others fail.
 type world struct {
-	t     *testing.T
-	m     *Monitor
-	now   time.Duration
-	ids   []string
-	site  map[string]string
-	bad   map[string]Failure
-	seen  []StateChanged
-	extra []Event
+	t       *testing.T
+	monitor *Monitor
+	now     time.Duration
+	ids     []string
+	site    map[string]string
+	failing map[string]Failure
+	changes []StateChanged
 }
 
-// newWorld has banks of one machine in each site, the primary of bank n in site n.
-func newWorld(t *testing.T, own string, banks int, names ...string) *world {
-	w := &world{t: t, m: New(config(own)), now: 100 * time.Second, site: map[string]string{}, bad: map[string]Failure{}}
+// newWorld has groups of one endpoint in each site, the primary of group n in site n.
+func newWorld(t *testing.T, ownSite string, groups int, sites ...string) *world {
+	t.Helper()
+	w := &world{
+		t:       t,
+		monitor: New(testConfig(ownSite)),
+		now:     100 * time.Second,
+		site:    map[string]string{},
+		failing: map[string]Failure{},
+	}
 	var events []Event
-	for b := range banks {
-		for _, s := range names {
-			id := fmt.Sprintf("%s%d", s, b)
-			w.ids, w.site[id] = append(w.ids, id), s
-			events = append(events, EndpointListed{Endpoint: id, Site: s, Group: int64(b)})
+	for group := range groups {
+		for _, site := range sites {
+			id := fmt.Sprintf("%s%d", site, group)
+			w.ids = append(w.ids, id)
+			w.site[id] = site
+			events = append(events, EndpointListed{Endpoint: id, Site: site, Group: int64(group)})
 		}
-		events = append(events, PrimaryObserved{Group: int64(b), Endpoint: fmt.Sprintf("%s%d", names[b%len(names)], b)})
+		primary := fmt.Sprintf("%s%d", sites[group%len(sites)], group)
+		events = append(events, PrimaryObserved{Group: int64(group), Endpoint: primary})
 	}
 	w.step(0, events...)
 	return w
 }
 
-func (w *world) step(d time.Duration, events ...Event) {
-	w.now += d
-	for _, a := range w.m.Step(w.now, events) {
-		switch a := a.(type) {
+func (w *world) step(length time.Duration, events ...Event) {
+	w.t.Helper()
+	w.now += length
+	for _, action := range w.monitor.Step(w.now, events) {
+		switch action := action.(type) {
 		case StateChanged:
-			w.seen = append(w.seen, a)
+			w.changes = append(w.changes, action)
 		case Wake:
-			if a.At <= w.now {
-				w.t.Fatalf("it wants to be woken at %v, now is %v", a.At, w.now)
+			if action.At <= w.now {
+				w.t.Fatalf("it wants to be woken at %v, now is %v", action.At, w.now)
 			}
 		}
 	}
 }
 
-// run lets time pass, with a word of each machine every 50 ms.
-func (w *world) run(d time.Duration) {
-	for end := w.now + d; w.now < end; {
+// list steps with one entry of an endpoint list.
+func (w *world) list(id, site string, group int, state EndpointState) {
+	w.t.Helper()
+	w.step(ms, EndpointListed{Endpoint: id, Site: site, Group: int64(group), State: state})
+}
+
+// run lets time pass, with an outcome of each endpoint every 50 ms.
+func (w *world) run(length time.Duration) {
+	w.t.Helper()
+	for end := w.now + length; w.now < end; {
 		var events []Event
 		for _, id := range w.ids {
-			if why, bad := w.bad[id]; bad {
-				events = append(events, AttemptFailed{id, why})
+			if failure, failing := w.failing[id]; failing {
+				events = append(events, AttemptFailed{Endpoint: id, Failure: failure})
 			} else {
-				events = append(events, EndpointAnswered{id})
+				events = append(events, EndpointAnswered{Endpoint: id})
 			}
 		}
-		w.step(50*ms, append(events, w.extra...)...)
+		w.step(50*ms, events...)
 	}
 }
 
-// lose lets all of a site fail, back lets it answer.
-func (w *world) lose(site string, why Failure) {
+// lose lets all of a site fail.
+func (w *world) lose(site string, failure Failure) {
 	for _, id := range w.ids {
 		if w.site[id] == site {
-			w.bad[id] = why
+			w.failing[id] = failure
 		}
 	}
 }
 
-func (w *world) back(site string) {
+// restore lets all of a site answer.
+func (w *world) restore(site string) {
 	for _, id := range w.ids {
 		if w.site[id] == site {
-			delete(w.bad, id)
+			delete(w.failing, id)
 		}
 	}
 }
 
-func (w *world) is(site string, want SiteState, kind FaultKind) {
+// view returns a site as operators see it.
+func (w *world) view(site string) SiteView {
 	w.t.Helper()
-	for _, v := range w.m.Views() {
-		if v.Site == site {
-			if v.State != want || v.Kind != kind {
-				w.t.Fatalf("%s is %v (%v), not %v (%v): %s", site, v.State, v.Kind, want, kind, v.Evidence)
-			}
-			return
+	for _, view := range w.monitor.Views() {
+		if view.Site == site {
+			return view
 		}
 	}
 	w.t.Fatalf("no site %s", site)
+	return SiteView{}
 }
 
-// A site that is lost is suspected at once, lost once it lasts, and comes back by way of returning and settled.
-func TestSiteIsLostAndReturns(t *testing.T) {
-	for _, why := range []Failure{FailureRefused, FailureReset, FailureTimeout} {
-		w := newWorld(t, "n", 4, "n", "s", "w")
-		w.run(3 * time.Second)
-		w.lose("s", why)
-		w.run(200 * ms)
-		w.is("s", SiteSuspected, FaultSiteLost)
-		w.run(600 * ms)
-		w.is("s", SiteLost, FaultSiteLost)
-		w.is("w", SiteHealthy, FaultUnclear)
-		if e := w.seen[len(w.seen)-1].Evidence; !strings.Contains(e, "4 of 4 known machines down (4 ") || !strings.Contains(e, "0 of 8 elsewhere") {
-			t.Errorf("%q", e)
-		}
-		w.run(20 * time.Second)
-		w.back("s")
-		w.run(200 * ms)
-		w.is("s", SiteRecovering, FaultSiteLost)
-		w.run(5 * time.Second)
-		w.is("s", SiteSettled, FaultSiteLost)
-		w.run(5 * time.Second)
-		w.is("s", SiteHealthy, FaultUnclear)
-		if len(w.seen) != 5 {
-			t.Errorf("%v", w.seen)
-		}
+func (w *world) expect(site string, state SiteState, fault FaultKind) {
+	w.t.Helper()
+	view := w.view(site)
+	if view.State != state || view.Kind != fault {
+		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Kind, state, fault, view.Evidence)
 	}
 }
 
-// What is no loss of a site is not taken for one: one bank's trouble, a fault that all sites share, a deploy that takes half a site out,
-// a few bad machines, one break on each connection, a list that falls silent.
-func TestWhatIsNoLoss(t *testing.T) {
-	for name, befall := range map[string]func(w *world){
-		"one bank": func(w *world) {
-			for _, id := range w.ids {
-				if strings.HasSuffix(id, "0") {
-					w.bad[id] = FailureTimeout
-				}
-			}
-		},
-		"a shared slowdown": func(w *world) {
-			for i, id := range w.ids {
-				if i%2 == 0 {
-					w.bad[id] = FailureTimeout
+// A site that is lost is suspected at once, lost once it lasts, and comes back by way of recovering and settled.
+func TestSiteIsLostAndRecovers(t *testing.T) {
+	for _, failure := range []Failure{FailureRefused, FailureReset, FailureTimeout} {
+		t.Run(failure.String(), func(t *testing.T) {
+			w := newWorld(t, "n", 4, "n", "s", "w")
+			w.run(3 * time.Second)
+			w.lose("s", failure)
+			w.run(200 * ms)
+			w.expect("s", SiteSuspected, FaultSiteLost)
+			w.run(600 * ms)
+			w.expect("s", SiteLost, FaultSiteLost)
+			w.expect("w", SiteHealthy, FaultUnclear)
+			evidence := w.changes[len(w.changes)-1].Evidence
+			for _, want := range []string{"4 of 4 known machines down (4 ", "0 of 8 elsewhere"} {
+				if !strings.Contains(evidence, want) {
+					t.Errorf("%q is missing in %q", want, evidence)
 				}
 			}
-		},
-		"a deploy": func(w *world) {
-			for _, id := range []string{"s0", "s1", "s2"} {
-				w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: 0, State: EndpointDraining})
-				w.bad[id] = FailureRefused
-			}
-			w.step(ms, EndpointListed{Endpoint: "s0", Site: "s", State: EndpointRemoved})
-		},
-		"two of four": func(w *world) { w.bad["s1"], w.bad["s2"] = FailureRefused, FailureTimeout },
-		"one break each": func(w *world) {
-			for _, id := range w.ids {
-				if w.site[id] == "s" {
-					w.step(ms, AttemptFailed{id, FailureReset})
-				}
+			w.run(20 * time.Second)
+			w.restore("s")
+			w.run(200 * ms)
+			w.expect("s", SiteRecovering, FaultSiteLost)
+			w.run(5 * time.Second)
+			w.expect("s", SiteSettled, FaultSiteLost)
+			w.run(5 * time.Second)
+			w.expect("s", SiteHealthy, FaultUnclear)
+			if len(w.changes) != 5 {
+				t.Errorf("%v", w.changes)
 			}
-		},
-		"nothing is heard": func(w *world) { w.ids = nil },
+		})
+	}
+}
+
+// failOneGroup lets the endpoints of group 0 fail in all sites.
+func failOneGroup(w *world) {
+	for _, id := range w.ids {
+		if strings.HasSuffix(id, "0") {
+			w.failing[id] = FailureTimeout
+		}
+	}
+}
+
+// failEverySecond lets every second endpoint fail, wherever it stands.
+func failEverySecond(w *world) {
+	for i, id := range w.ids {
+		if i%2 == 0 {
+			w.failing[id] = FailureTimeout
+		}
+	}
+}
+
+// deployMostOfSite drains most of a site, as a deploy does.
+func deployMostOfSite(w *world) {
+	for _, id := range []string{"s0", "s1", "s2"} {
+		w.list(id, "s", 0, EndpointDraining)
+		w.failing[id] = FailureRefused
+	}
+	w.list("s0", "s", 0, EndpointRemoved)
+}
+
+// resetEachOnce breaks one connection to each endpoint of a site.
+func resetEachOnce(w *world) {
+	for _, id := range w.ids {
+		if w.site[id] == "s" {
+			w.step(ms, AttemptFailed{Endpoint: id, Failure: FailureReset})
+		}
+	}
+}
+
+func failTwoOfFour(w *world) {
+	w.failing["s1"] = FailureRefused
+	w.failing["s2"] = FailureTimeout
+}
+
+// What is no loss of a site is not taken for one.
+func TestWhatIsNoLoss(t *testing.T) {
+	for name, happen := range map[string]func(w *world){
+		"a fault of one group":                 failOneGroup,
+		"a slowdown that all sites share":      failEverySecond,
+		"a deploy that takes out half a site":  deployMostOfSite,
+		"two of four endpoints":                failTwoOfFour,
+		"one reset of each connection":         resetEachOnce,
+		"a list and endpoints that are silent": func(w *world) { w.ids = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, "n", 4, "n", "s", "w")
 			w.run(3 * time.Second)
-			befall(w)
+			happen(w)
 			w.run(10 * time.Second)
-			for _, c := range w.seen {
-				if c.To == SiteLost {
-					t.Fatalf("%+v", c)
+			for _, change := range w.changes {
+				if change.To == SiteLost {
+					t.Fatalf("%+v", change)
 				}
 			}
-			for _, v := range w.m.Views() {
-				if v.State != SiteHealthy {
-					t.Errorf("%s stays %v", v.Site, v.State)
+			for _, view := range w.monitor.Views() {
+				if view.State != SiteHealthy {
+					t.Errorf("%s stays %v", view.Site, view.State)
 				}
 			}
 		})
@@ -191,98 +242,100 @@
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
 	w.run(150 * ms)
-	w.is("s", SiteSuspected, FaultSiteLost)
-	w.back("s")
+	w.expect("s", SiteSuspected, FaultSiteLost)
+	w.restore("s")
 	w.run(100 * ms)
-	w.is("s", SiteHealthy, FaultUnclear)
+	w.expect("s", SiteHealthy, FaultUnclear)
 }
 
-// A router that is cut off from a site that lives can tell: the site's banks go on committing. One that reaches no other site is alone.
-func TestCutOffAndAlone(t *testing.T) {
-	w := newWorld(t, "n", 4, "n", "s", "w")
-	w.run(3 * time.Second)
-	w.lose("s", FailureTimeout)
-	w.run(2 * time.Second)
-	w.is("s", SiteLost, FaultSiteLost)
-	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
-	w.is("s", SiteLost, FaultPartitioned)
-
-	// What is committed much later may be a successor's: it says nothing of the old primary.
-	w = newWorld(t, "n", 4, "n", "s", "w")
-	w.run(3 * time.Second)
-	w.lose("s", FailureRefused)
-	w.run(4 * time.Second)
-	w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
-	w.is("s", SiteLost, FaultSiteLost)
-
-	w = newWorld(t, "n", 4, "n", "s", "w")
-	w.run(3 * time.Second)
-	w.lose("s", FailureTimeout)
-	w.lose("w", FailureTimeout)
-	w.run(2 * time.Second)
-	w.is("s", SiteLost, FaultIsolated)
-	w.is("w", SiteLost, FaultIsolated)
-	w.is("n", SiteHealthy, FaultUnclear)
-
-	// Of two sites one can't tell whose side the fault is on; the list can.
-	w = newWorld(t, "n", 4, "n", "s")
-	w.run(3 * time.Second)
-	w.lose("s", FailureTimeout)
-	w.run(2 * time.Second)
-	w.is("s", SiteLost, FaultUnclear)
-	for i := range 3 {
-		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointRemoved})
-	}
-	w.is("s", SiteLost, FaultDelisted)
+// A partition and an isolated router are told from a lost site where the evidence allows it.
+func TestPartitionAndIsolation(t *testing.T) {
+	t.Run("commits just behind the failure prove that the site is alive", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultSiteLost)
+		w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+		w.expect("s", SiteLost, FaultPartitioned)
+	})
+	t.Run("commits much later may be a successor's", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureRefused)
+		w.run(4 * time.Second)
+		w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+		w.expect("s", SiteLost, FaultSiteLost)
+	})
+	t.Run("a router that reaches no other site is isolated", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.lose("w", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultIsolated)
+		w.expect("w", SiteLost, FaultIsolated)
+		w.expect("n", SiteHealthy, FaultUnclear)
+	})
+	t.Run("with two sites only the list tells on which side the fault is", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultUnclear)
+		for group := range 3 {
+			w.list(fmt.Sprint("s", group), "s", group, EndpointRemoved)
+		}
+		w.expect("s", SiteLost, FaultDelisted)
+	})
 }
 
-// The second site is lost while the first one returns, and half of it.
-func TestSecondSiteWhileTheFirstReturns(t *testing.T) {
+// A second site is lost while the first one recovers.
+func TestSecondSiteIsLostWhileTheFirstRecovers(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
 	w.lose("s", FailureRefused)
 	w.run(2 * time.Second)
-	w.back("s")
+	w.restore("s")
 	w.run(500 * ms)
-	w.is("s", SiteRecovering, FaultSiteLost)
+	w.expect("s", SiteRecovering, FaultSiteLost)
 	w.lose("w", FailureTimeout)
 	w.run(2 * time.Second)
-	w.is("w", SiteLost, FaultSiteLost)
-	w.is("s", SiteRecovering, FaultSiteLost)
+	w.expect("w", SiteLost, FaultSiteLost)
+	w.expect("s", SiteRecovering, FaultSiteLost)
 	w.run(5 * time.Second)
-	w.is("s", SiteSettled, FaultSiteLost)
+	w.expect("s", SiteSettled, FaultSiteLost)
 }
 
-// A site that flaps has to answer for longer each time before it is taken back, up to a bound.
-func TestFlappingWaitsLonger(t *testing.T) {
+// A site that flaps has to answer for longer each time before it recovers, up to a bound.
+func TestFlappingSiteWaitsLonger(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	var lost []time.Duration
+	var waits []time.Duration
 	for range 9 {
 		w.lose("s", FailureRefused)
 		w.run(1500 * ms)
-		at := w.now
-		w.back("s")
-		for w.run(50 * ms); ; w.run(50 * ms) {
-			if v := w.m.Views()[1]; v.State == SiteRecovering {
-				break
-			}
-			if w.now-at > time.Minute {
-				t.Fatal("it never returns")
+		restoredAt := w.now
+		w.restore("s")
+		w.run(50 * ms)
+		for w.view("s").State != SiteRecovering {
+			if w.now-restoredAt > time.Minute {
+				t.Fatal("it never recovers")
 			}
+			w.run(50 * ms)
 		}
-		lost = append(lost, w.now-at)
+		waits = append(waits, w.now-restoredAt)
 		w.run(1500 * ms)
 	}
-	if lost[0] > 200*ms || lost[5] < 5*time.Second || lost[8] > lost[7]+200*ms {
-		t.Errorf("%v", lost)
+	if waits[0] > 200*ms || waits[5] < 5*time.Second || waits[8] > waits[7]+200*ms {
+		t.Errorf("%v", waits)
 	}
 	w.run(10 * time.Minute)
-	w.is("s", SiteHealthy, FaultUnclear)
+	w.expect("s", SiteHealthy, FaultUnclear)
 }
 
-// Machines that come back under new ids are the site's return.
-func TestReturnUnderNewIDs(t *testing.T) {
+// Endpoints that come back under new identifiers are the site's recovery.
+func TestRecoveryUnderNewIdentifiers(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
 	w.lose("s", FailureTimeout)
@@ -293,152 +346,185 @@
 			ids = append(ids, id)
 		}
 	}
-	for i := range 4 {
-		id := fmt.Sprint("new", i)
-		ids, w.site[id] = append(ids, id), "s"
-		w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: int64(i)})
+	for group := range 4 {
+		id := fmt.Sprint("new", group)
+		ids = append(ids, id)
+		w.site[id] = "s"
+		w.list(id, "s", group, EndpointReady)
 	}
 	w.ids = ids
 	w.step(ms, EndpointListComplete{Endpoints: ids})
 	w.run(time.Second)
-	for i := range 4 { // the old ones are off the list for good
-		w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", i), Site: "s", Group: int64(i), State: EndpointDraining})
+	for group := range 4 { // the old ones are off the list for good
+		w.list(fmt.Sprint("s", group), "s", group, EndpointDraining)
 	}
 	w.run(20 * time.Second)
-	w.is("s", SiteHealthy, FaultUnclear)
+	w.expect("s", SiteHealthy, FaultUnclear)
 }
 
-// What operators declare holds until its time; a site that nobody knows is nothing.
-func TestDeclared(t *testing.T) {
+// What operators declare holds until its time; a declaration on a site that nobody knows is ignored.
+func TestDeclaredLoss(t *testing.T) {
 	w := newWorld(t, "n", 4, "n", "s", "w")
 	w.run(3 * time.Second)
-	w.step(ms, DeclareLost{Site: "s", Until: w.now + 5*time.Second}, DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
-	if c := w.seen[len(w.seen)-1]; c.To != SiteLost || !strings.HasPrefix(c.Evidence, "declared by an operator") {
-		t.Fatalf("%+v", c)
+	w.step(ms,
+		DeclareLost{Site: "s", Until: w.now + 5*time.Second},
+		DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
+	change := w.changes[len(w.changes)-1]
+	if change.To != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
+		t.Fatalf("%+v", change)
 	}
 	w.run(4 * time.Second)
-	if v := w.m.Views(); v[1].State != SiteLost || len(v) != 3 {
-		t.Fatalf("%+v", v)
+	if views := w.monitor.Views(); views[1].State != SiteLost || len(views) != 3 {
+		t.Fatalf("%+v", views)
 	}
 	w.run(20 * time.Second)
-	w.is("s", SiteHealthy, FaultUnclear)
+	w.expect("s", SiteHealthy, FaultUnclear)
+}
+
+// randomHistory gives a Monitor events that are drawn, and checks after each step what always holds.
+type randomHistory struct {
+	t       *rapid.T
+	monitor *Monitor
+	now     time.Duration
+	states  map[string]SiteState // as the actions tell them
+}
+
+func (h *randomHistory) step(events ...Event) {
+	for _, action := range h.monitor.Step(h.now, events) {
+		change, ok := action.(StateChanged)
+		if !ok {
+			continue
+		}
+		if h.states[change.Site] != change.From || change.From == change.To {
+			h.t.Fatalf("%+v, it was %v", change, h.states[change.Site])
+		}
+		h.states[change.Site] = change.To
+	}
+	for site := range h.states {
+		if h.monitor.sites[site] == nil {
+			delete(h.states, site)
+		}
+	}
+	if len(h.monitor.endpoints) > h.monitor.cfg.MaxEndpoints {
+		h.t.Fatalf("%d endpoints are followed", len(h.monitor.endpoints))
+	}
 }
 
-// Whatever happens, a site is in a state with an exit: once all answer for long it is well, whatever came before; what is followed is
-// bounded; and a list of nothing leaves nothing.
+// drawEvent draws one event of any kind, failures and listings more often than others.
+func (h *randomHistory) drawEvent() Event {
+	t := h.t
+	sites := rapid.SampledFrom([]string{"n", "s", "w"})
+	ids := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "number")) })
+	switch rapid.IntRange(0, 7).Draw(t, "kind") {
+	case 0, 1:
+		return EndpointListed{
+			Endpoint: ids.Draw(t, "id"),
+			Site:     sites.Draw(t, "site"),
+			Group:    rapid.Int64Range(0, 3).Draw(t, "group"),
+			State:    EndpointState(rapid.IntRange(0, 2).Draw(t, "state")),
+		}
+	case 2:
+		return EndpointAnswered{Endpoint: ids.Draw(t, "id")}
+	case 3, 4:
+		return AttemptFailed{Endpoint: ids.Draw(t, "id"), Failure: Failure(rapid.IntRange(0, 2).Draw(t, "failure"))}
+	case 5:
+		return ReplicaApplied{Endpoint: ids.Draw(t, "id"), Position: h.now}
+	case 6:
+		seconds := rapid.IntRange(0, 5).Draw(t, "until")
+		return DeclareLost{Site: sites.Draw(t, "site"), Until: h.now + time.Duration(seconds)*time.Second}
+	default:
+		return EndpointListComplete{Endpoints: rapid.SliceOfN(ids, 0, 6).Draw(t, "list")}
+	}
+}
+
+// answerAll lets all endpoints answer, and lists those again that are off the list.
+func (h *randomHistory) answerAll(length time.Duration) {
+	for end := h.now + length; h.now < end; h.now += 500 * ms {
+		var events []Event
+		for id, endpoint := range h.monitor.endpoints {
+			if endpoint.delisted {
+				events = append(events, EndpointListed{Endpoint: id, Site: endpoint.site, Group: endpoint.group})
+			}
+			events = append(events, EndpointAnswered{Endpoint: id})
+		}
+		h.step(events...)
+	}
+}
+
+// Whatever happens, a site is in a state with an exit: once all answer for long it is healthy, whatever came before;
+// the number of endpoints that are followed is bounded; and an empty list leaves nothing.
 func TestEveryStateHasAnExit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := config(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own"))
+		cfg := testConfig(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own site"))
 		cfg.MaxEndpoints = 9
-		m := New(cfg)
-		now := 50 * time.Second
-		names := []string{"n", "s", "w"}
-		id := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "m")) })
-		last := map[string]SiteState{}
-		step := func(events ...Event) {
-			for _, a := range m.Step(now, events) {
-				if c, ok := a.(StateChanged); ok {
-					if last[c.Site] != c.From || c.From == c.To {
-						t.Fatalf("%+v, it was %v", c, last[c.Site])
-					}
-					last[c.Site] = c.To
-				}
-			}
-			for s := range last {
-				if m.sites[s] == nil {
-					delete(last, s)
-				}
-			}
-			if len(m.endpoints) > cfg.MaxEndpoints {
-				t.Fatalf("%d machines", len(m.endpoints))
-			}
-		}
+		history := &randomHistory{t: t, monitor: New(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
-			var e Event
-			switch rapid.IntRange(0, 7).Draw(t, "kind") {
-			case 0, 1:
-				e = EndpointListed{Endpoint: id.Draw(t, "id"), Site: rapid.SampledFrom(names).Draw(t, "site"), Group: rapid.Int64Range(0, 3).Draw(t, "bank"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))}
-			case 2:
-				e = EndpointAnswered{id.Draw(t, "id")}
-			case 3, 4:
-				e = AttemptFailed{id.Draw(t, "id"), Failure(rapid.IntRange(0, 2).Draw(t, "why"))}
-			case 5:
-				e = ReplicaApplied{Endpoint: id.Draw(t, "id"), Position: now}
-			case 6:
-				e = DeclareLost{Site: rapid.SampledFrom(names).Draw(t, "site"), Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "until"))*time.Second}
-			default:
-				e = EndpointListComplete{Endpoints: rapid.SliceOfN(id, 0, 6).Draw(t, "whole")}
-			}
-			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
-			step(e)
+			event := history.drawEvent()
+			history.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
+			history.step(event)
 		}
-		for range 2 { // all answer, for longer than the longest wait
-			for end := now + 5*time.Minute; now < end; now += 500 * ms {
-				var events []Event
-				for id, x := range m.endpoints {
-					if x.delisted {
-						events = append(events, EndpointListed{Endpoint: id, Site: x.site, Group: x.group})
-					}
-					events = append(events, EndpointAnswered{id})
-				}
-				step(events...)
+		history.answerAll(10 * time.Minute) // longer than the longest wait of a site that has flapped
+		for _, view := range history.monitor.Views() {
+			if view.State != SiteHealthy {
+				t.Fatalf("%s stays %v", view.Site, view.State)
 			}
 		}
-		for _, v := range m.Views() {
-			if v.State != SiteHealthy {
-				t.Fatalf("%s stays %v", v.Site, v.State)
-			}
-		}
-		step(EndpointListComplete{})
-		if len(m.endpoints) > 0 || len(m.sites) > 0 {
+		history.step(EndpointListComplete{})
+		if len(history.monitor.endpoints) > 0 || len(history.monitor.sites) > 0 {
 			t.Fatal("something is left of an empty list")
 		}
 	})
 }
 
-// A site that comes back with other machines is returning, whichever way round the list tells of old and new ones, and stays so: those that
-// are gone for good don't speak against it.
-func TestNewIDsTakeThePlaceOfOldOnes(t *testing.T) {
-	for name, newFirst := range map[string]bool{"new ones first": true, "old ones first": false} {
-		w := newWorld(t, "n", 4, "n", "s", "w")
-		w.run(3 * time.Second)
-		w.lose("s", FailureRefused)
-		w.run(2 * time.Second)
-		w.is("s", SiteLost, FaultSiteLost)
-		appear := func() {
-			for b := range 4 {
-				id := fmt.Sprint("new", b)
-				w.ids, w.site[id] = append(w.ids, id), "s"
-				w.step(ms, EndpointListed{Endpoint: id, Site: "s", Group: int64(b)})
-			}
-		}
-		if newFirst {
-			appear()
-		}
-		for b := range 4 {
-			w.step(ms, EndpointListed{Endpoint: fmt.Sprint("s", b), Site: "s", Group: int64(b), State: EndpointRemoved})
-		}
-		if !newFirst {
-			appear()
+// replaceEndpoints lists new endpoints for all of site s, and removes the old ones before or after that.
+func replaceEndpoints(w *world, newFirst bool) {
+	w.t.Helper()
+	listNew := func() {
+		for group := range 4 {
+			id := fmt.Sprint("new", group)
+			w.site[id] = "s"
+			w.list(id, "s", group, EndpointReady)
 		}
-		w.ids = w.ids[:0]
-		for id, site := range w.site {
-			if site != "s" || strings.HasPrefix(id, "new") {
-				w.ids = append(w.ids, id)
-			}
+	}
+	if newFirst {
+		listNew()
+	}
+	for group := range 4 {
+		w.list(fmt.Sprint("s", group), "s", group, EndpointRemoved)
+	}
+	if !newFirst {
+		listNew()
+	}
+	w.ids = w.ids[:0]
+	for id, site := range w.site {
+		if site != "s" || strings.HasPrefix(id, "new") {
+			w.ids = append(w.ids, id)
 		}
-		slices.Sort(w.ids)
-		w.run(20 * time.Second)
-		for _, c := range w.seen {
-			if c.Site == "s" && c.From == SiteRecovering && c.To == SiteLost {
-				t.Errorf("%s: lost again: %s", name, c.Evidence)
+	}
+	slices.Sort(w.ids)
+}
+
+// A site that comes back with other endpoints recovers, in whichever order the list tells of old and new ones, and
+// stays recovered: those that are gone for good don't speak against it.
+func TestNewEndpointsTakeThePlaceOfOldOnes(t *testing.T) {
+	for name, newFirst := range map[string]bool{"new ones first": true, "old ones first": false} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, "n", 4, "n", "s", "w")
+			w.run(3 * time.Second)
+			w.lose("s", FailureRefused)
+			w.run(2 * time.Second)
+			w.expect("s", SiteLost, FaultSiteLost)
+			replaceEndpoints(w, newFirst)
+			w.run(20 * time.Second)
+			for _, change := range w.changes {
+				if change.Site == "s" && change.From == SiteRecovering && change.To == SiteLost {
+					t.Errorf("lost again: %s", change.Evidence)
+				}
 			}
-		}
-		w.is("s", SiteHealthy, FaultUnclear)
-		for _, v := range w.m.Views() {
-			if v.Site == "s" && (v.Endpoints != 4 || v.Down != 0) {
-				t.Errorf("%s: %+v", name, v)
+			w.expect("s", SiteHealthy, FaultUnclear)
+			if view := w.view("s"); view.Endpoints != 4 || view.Down != 0 {
+				t.Errorf("%+v", view)
 			}
-		}
+		})
 	}
 }
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -53,10 +53,10 @@
 
 // LoadShift is work that another endpoint takes over, in seconds of work a second.
 type LoadShift struct {
-	Group int64   `json:"bank"`
-	FromEndpoint  string  `json:"from"`
-	ToEndpoint    string  `json:"to"`
-	Work  float64 `json:"work"`
+	Group        int64   `json:"bank"`
+	FromEndpoint string  `json:"from"`
+	ToEndpoint   string  `json:"to"`
+	Work         float64 `json:"work"`
 }
 
 // Rejection is work that has no place.
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// Whatever is asked of whatever fleet: nothing is rejected where there is capacity, nothing of less weight for its work is
-// served while more is rejected at the same resource, and a loss serves no more than there was.
+// Whatever is asked of whatever fleet: nothing is rejected where there is capacity, nothing of less weight for its work
+// is served while more is rejected at the same resource, and a loss serves no more than there was.
 func TestPlansRejectNoMoreThanNeeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawFleet(t)
