--- /dev/null
+++ b/internal/sitefailover/monitor_test.go
@@ -0,0 +1,530 @@
+package sitefailover
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const ms = time.Millisecond
+
+func testConfig(ownSite string) Config {
+	return Config{
+		OwnSite:        ownSite,
+		EvidenceWindow: 2 * time.Second,
+		SuspicionTime:  500 * ms,
+		SettleTime:     4 * time.Second,
+		MaxEndpoints:   500,
+	}
+}
+
+// world drives a Monitor: in each step every endpoint that can answers, the others fail.
+type world struct {
+	t       *testing.T
+	monitor *Monitor
+	now     time.Duration
+	ids     []string
+	site    map[string]string
+	failing map[string]Failure
+	changes []StateChanged
+}
+
+// newWorld has groups of one endpoint in each site, the primary of group n in site n.
+func newWorld(t *testing.T, ownSite string, groups int, sites ...string) *world {
+	t.Helper()
+	w := &world{
+		t:       t,
+		monitor: New(testConfig(ownSite)),
+		now:     100 * time.Second,
+		site:    map[string]string{},
+		failing: map[string]Failure{},
+	}
+	var events []Event
+	for group := range groups {
+		for _, site := range sites {
+			id := fmt.Sprintf("%s%d", site, group)
+			w.ids = append(w.ids, id)
+			w.site[id] = site
+			events = append(events, EndpointListed{Endpoint: id, Site: site, Group: int64(group)})
+		}
+		primary := fmt.Sprintf("%s%d", sites[group%len(sites)], group)
+		events = append(events, PrimaryObserved{Group: int64(group), Endpoint: primary})
+	}
+	w.step(0, events...)
+	return w
+}
+
+func (w *world) step(length time.Duration, events ...Event) {
+	w.t.Helper()
+	w.now += length
+	for _, action := range w.monitor.Step(w.now, events) {
+		switch action := action.(type) {
+		case StateChanged:
+			w.changes = append(w.changes, action)
+		case Wake:
+			if action.At <= w.now {
+				w.t.Fatalf("it wants to be woken at %v, now is %v", action.At, w.now)
+			}
+		}
+	}
+}
+
+// list steps with one entry of an endpoint list.
+func (w *world) list(id, site string, group int, state EndpointState) {
+	w.t.Helper()
+	w.step(ms, EndpointListed{Endpoint: id, Site: site, Group: int64(group), State: state})
+}
+
+// run lets time pass, with an outcome of each endpoint every 50 ms.
+func (w *world) run(length time.Duration) {
+	w.t.Helper()
+	for end := w.now + length; w.now < end; {
+		var events []Event
+		for _, id := range w.ids {
+			if failure, failing := w.failing[id]; failing {
+				events = append(events, AttemptFailed{Endpoint: id, Failure: failure})
+			} else {
+				events = append(events, EndpointAnswered{Endpoint: id})
+			}
+		}
+		w.step(50*ms, events...)
+	}
+}
+
+// lose lets all of a site fail.
+func (w *world) lose(site string, failure Failure) {
+	for _, id := range w.ids {
+		if w.site[id] == site {
+			w.failing[id] = failure
+		}
+	}
+}
+
+// restore lets all of a site answer.
+func (w *world) restore(site string) {
+	for _, id := range w.ids {
+		if w.site[id] == site {
+			delete(w.failing, id)
+		}
+	}
+}
+
+// view returns a site as operators see it.
+func (w *world) view(site string) SiteView {
+	w.t.Helper()
+	for _, view := range w.monitor.Views() {
+		if view.Site == site {
+			return view
+		}
+	}
+	w.t.Fatalf("no site %s", site)
+	return SiteView{}
+}
+
+func (w *world) expect(site string, state SiteState, fault FaultKind) {
+	w.t.Helper()
+	view := w.view(site)
+	if view.State != state || view.Kind != fault {
+		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Kind, state, fault, view.Evidence)
+	}
+}
+
+// A site that is lost is suspected at once, lost once it lasts, and comes back by way of recovering and settled.
+func TestSiteIsLostAndRecovers(t *testing.T) {
+	for _, failure := range []Failure{FailureRefused, FailureReset, FailureTimeout} {
+		t.Run(failure.String(), func(t *testing.T) {
+			w := newWorld(t, "n", 4, "n", "s", "w")
+			w.run(3 * time.Second)
+			w.lose("s", failure)
+			w.run(200 * ms)
+			w.expect("s", SiteSuspected, FaultSiteLost)
+			w.run(600 * ms)
+			w.expect("s", SiteLost, FaultSiteLost)
+			w.expect("w", SiteHealthy, FaultUnclear)
+			evidence := w.changes[len(w.changes)-1].Evidence
+			for _, want := range []string{"4 of 4 known machines down (4 ", "0 of 8 elsewhere"} {
+				if !strings.Contains(evidence, want) {
+					t.Errorf("%q is missing in %q", want, evidence)
+				}
+			}
+			w.run(20 * time.Second)
+			w.restore("s")
+			w.run(200 * ms)
+			w.expect("s", SiteRecovering, FaultSiteLost)
+			w.run(5 * time.Second)
+			w.expect("s", SiteSettled, FaultSiteLost)
+			w.run(5 * time.Second)
+			w.expect("s", SiteHealthy, FaultUnclear)
+			if len(w.changes) != 5 {
+				t.Errorf("%v", w.changes)
+			}
+		})
+	}
+}
+
+// failOneGroup lets the endpoints of group 0 fail in all sites.
+func failOneGroup(w *world) {
+	for _, id := range w.ids {
+		if strings.HasSuffix(id, "0") {
+			w.failing[id] = FailureTimeout
+		}
+	}
+}
+
+// failEverySecond lets every second endpoint fail, wherever it stands.
+func failEverySecond(w *world) {
+	for i, id := range w.ids {
+		if i%2 == 0 {
+			w.failing[id] = FailureTimeout
+		}
+	}
+}
+
+// deployMostOfSite drains most of a site, as a deploy does.
+func deployMostOfSite(w *world) {
+	for _, id := range []string{"s0", "s1", "s2"} {
+		w.list(id, "s", 0, EndpointDraining)
+		w.failing[id] = FailureRefused
+	}
+	w.list("s0", "s", 0, EndpointRemoved)
+}
+
+// resetEachOnce breaks one connection to each endpoint of a site.
+func resetEachOnce(w *world) {
+	for _, id := range w.ids {
+		if w.site[id] == "s" {
+			w.step(ms, AttemptFailed{Endpoint: id, Failure: FailureReset})
+		}
+	}
+}
+
+func failTwoOfFour(w *world) {
+	w.failing["s1"] = FailureRefused
+	w.failing["s2"] = FailureTimeout
+}
+
+// What is no loss of a site is not taken for one.
+func TestWhatIsNoLoss(t *testing.T) {
+	for name, happen := range map[string]func(w *world){
+		"a fault of one group":                 failOneGroup,
+		"a slowdown that all sites share":      failEverySecond,
+		"a deploy that takes out half a site":  deployMostOfSite,
+		"two of four endpoints":                failTwoOfFour,
+		"one reset of each connection":         resetEachOnce,
+		"a list and endpoints that are silent": func(w *world) { w.ids = nil },
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, "n", 4, "n", "s", "w")
+			w.run(3 * time.Second)
+			happen(w)
+			w.run(10 * time.Second)
+			for _, change := range w.changes {
+				if change.To == SiteLost {
+					t.Fatalf("%+v", change)
+				}
+			}
+			for _, view := range w.monitor.Views() {
+				if view.State != SiteHealthy {
+					t.Errorf("%s stays %v", view.Site, view.State)
+				}
+			}
+		})
+	}
+}
+
+// A suspicion that nothing more speaks for ends by itself.
+func TestSuspicionEnds(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	w.lose("s", FailureTimeout)
+	w.run(150 * ms)
+	w.expect("s", SiteSuspected, FaultSiteLost)
+	w.restore("s")
+	w.run(100 * ms)
+	w.expect("s", SiteHealthy, FaultUnclear)
+}
+
+// A partition and an isolated router are told from a lost site where the evidence allows it.
+func TestPartitionAndIsolation(t *testing.T) {
+	t.Run("commits just behind the failure prove that the site is alive", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultSiteLost)
+		w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+		w.expect("s", SiteLost, FaultPartitioned)
+	})
+	t.Run("commits much later may be a successor's", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureRefused)
+		w.run(4 * time.Second)
+		w.step(ms, ReplicaApplied{Endpoint: "n1", Position: w.now})
+		w.expect("s", SiteLost, FaultSiteLost)
+	})
+	t.Run("a router that reaches no other site is isolated", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s", "w")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.lose("w", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultIsolated)
+		w.expect("w", SiteLost, FaultIsolated)
+		w.expect("n", SiteHealthy, FaultUnclear)
+	})
+	t.Run("with two sites only the list tells on which side the fault is", func(t *testing.T) {
+		w := newWorld(t, "n", 4, "n", "s")
+		w.run(3 * time.Second)
+		w.lose("s", FailureTimeout)
+		w.run(2 * time.Second)
+		w.expect("s", SiteLost, FaultUnclear)
+		for group := range 3 {
+			w.list(fmt.Sprint("s", group), "s", group, EndpointRemoved)
+		}
+		w.expect("s", SiteLost, FaultDelisted)
+	})
+}
+
+// A second site is lost while the first one recovers.
+func TestSecondSiteIsLostWhileTheFirstRecovers(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	w.lose("s", FailureRefused)
+	w.run(2 * time.Second)
+	w.restore("s")
+	w.run(500 * ms)
+	w.expect("s", SiteRecovering, FaultSiteLost)
+	w.lose("w", FailureTimeout)
+	w.run(2 * time.Second)
+	w.expect("w", SiteLost, FaultSiteLost)
+	w.expect("s", SiteRecovering, FaultSiteLost)
+	w.run(5 * time.Second)
+	w.expect("s", SiteSettled, FaultSiteLost)
+}
+
+// A site that flaps has to answer for longer each time before it recovers, up to a bound.
+func TestFlappingSiteWaitsLonger(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	var waits []time.Duration
+	for range 9 {
+		w.lose("s", FailureRefused)
+		w.run(1500 * ms)
+		restoredAt := w.now
+		w.restore("s")
+		w.run(50 * ms)
+		for w.view("s").State != SiteRecovering {
+			if w.now-restoredAt > time.Minute {
+				t.Fatal("it never recovers")
+			}
+			w.run(50 * ms)
+		}
+		waits = append(waits, w.now-restoredAt)
+		w.run(1500 * ms)
+	}
+	if waits[0] > 200*ms || waits[5] < 5*time.Second || waits[8] > waits[7]+200*ms {
+		t.Errorf("%v", waits)
+	}
+	w.run(10 * time.Minute)
+	w.expect("s", SiteHealthy, FaultUnclear)
+}
+
+// Endpoints that come back under new identifiers are the site's recovery.
+func TestRecoveryUnderNewIdentifiers(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	w.lose("s", FailureTimeout)
+	w.run(2 * time.Second)
+	var ids []string
+	for _, id := range w.ids {
+		if w.site[id] != "s" {
+			ids = append(ids, id)
+		}
+	}
+	for group := range 4 {
+		id := fmt.Sprint("new", group)
+		ids = append(ids, id)
+		w.site[id] = "s"
+		w.list(id, "s", group, EndpointReady)
+	}
+	w.ids = ids
+	w.step(ms, EndpointListComplete{Endpoints: ids})
+	w.run(time.Second)
+	for group := range 4 { // the old ones are off the list for good
+		w.list(fmt.Sprint("s", group), "s", group, EndpointDraining)
+	}
+	w.run(20 * time.Second)
+	w.expect("s", SiteHealthy, FaultUnclear)
+}
+
+// What operators declare holds until its time; a declaration on a site that nobody knows is ignored.
+func TestDeclaredLoss(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	w.step(ms,
+		DeclareLost{Site: "s", Until: w.now + 5*time.Second},
+		DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
+	change := w.changes[len(w.changes)-1]
+	if change.To != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
+		t.Fatalf("%+v", change)
+	}
+	w.run(4 * time.Second)
+	if views := w.monitor.Views(); views[1].State != SiteLost || len(views) != 3 {
+		t.Fatalf("%+v", views)
+	}
+	w.run(20 * time.Second)
+	w.expect("s", SiteHealthy, FaultUnclear)
+}
+
+// randomHistory gives a Monitor events that are drawn, and checks after each step what always holds.
+type randomHistory struct {
+	t       *rapid.T
+	monitor *Monitor
+	now     time.Duration
+	states  map[string]SiteState // as the actions tell them
+}
+
+func (h *randomHistory) step(events ...Event) {
+	for _, action := range h.monitor.Step(h.now, events) {
+		change, ok := action.(StateChanged)
+		if !ok {
+			continue
+		}
+		if h.states[change.Site] != change.From || change.From == change.To {
+			h.t.Fatalf("%+v, it was %v", change, h.states[change.Site])
+		}
+		h.states[change.Site] = change.To
+	}
+	for site := range h.states {
+		if h.monitor.sites[site] == nil {
+			delete(h.states, site)
+		}
+	}
+	if len(h.monitor.endpoints) > h.monitor.cfg.MaxEndpoints {
+		h.t.Fatalf("%d endpoints are followed", len(h.monitor.endpoints))
+	}
+}
+
+// drawEvent draws one event of any kind, failures and listings more often than others.
+func (h *randomHistory) drawEvent() Event {
+	t := h.t
+	sites := rapid.SampledFrom([]string{"n", "s", "w"})
+	ids := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "number")) })
+	switch rapid.IntRange(0, 7).Draw(t, "kind") {
+	case 0, 1:
+		return EndpointListed{
+			Endpoint: ids.Draw(t, "id"),
+			Site:     sites.Draw(t, "site"),
+			Group:    rapid.Int64Range(0, 3).Draw(t, "group"),
+			State:    EndpointState(rapid.IntRange(0, 2).Draw(t, "state")),
+		}
+	case 2:
+		return EndpointAnswered{Endpoint: ids.Draw(t, "id")}
+	case 3, 4:
+		return AttemptFailed{Endpoint: ids.Draw(t, "id"), Failure: Failure(rapid.IntRange(0, 2).Draw(t, "failure"))}
+	case 5:
+		return ReplicaApplied{Endpoint: ids.Draw(t, "id"), Position: h.now}
+	case 6:
+		seconds := rapid.IntRange(0, 5).Draw(t, "until")
+		return DeclareLost{Site: sites.Draw(t, "site"), Until: h.now + time.Duration(seconds)*time.Second}
+	default:
+		return EndpointListComplete{Endpoints: rapid.SliceOfN(ids, 0, 6).Draw(t, "list")}
+	}
+}
+
+// answerAll lets all endpoints answer, and lists those again that are off the list.
+func (h *randomHistory) answerAll(length time.Duration) {
+	for end := h.now + length; h.now < end; h.now += 500 * ms {
+		var events []Event
+		for id, endpoint := range h.monitor.endpoints {
+			if endpoint.delisted {
+				events = append(events, EndpointListed{Endpoint: id, Site: endpoint.site, Group: endpoint.group})
+			}
+			events = append(events, EndpointAnswered{Endpoint: id})
+		}
+		h.step(events...)
+	}
+}
+
+// Whatever happens, a site is in a state with an exit: once all answer for long it is healthy, whatever came before;
+// the number of endpoints that are followed is bounded; and an empty list leaves nothing.
+func TestEveryStateHasAnExit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cfg := testConfig(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own site"))
+		cfg.MaxEndpoints = 9
+		history := &randomHistory{t: t, monitor: New(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
+		for range rapid.IntRange(0, 200).Draw(t, "steps") {
+			event := history.drawEvent()
+			history.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
+			history.step(event)
+		}
+		history.answerAll(10 * time.Minute) // longer than the longest wait of a site that has flapped
+		for _, view := range history.monitor.Views() {
+			if view.State != SiteHealthy {
+				t.Fatalf("%s stays %v", view.Site, view.State)
+			}
+		}
+		history.step(EndpointListComplete{})
+		if len(history.monitor.endpoints) > 0 || len(history.monitor.sites) > 0 {
+			t.Fatal("something is left of an empty list")
+		}
+	})
+}
+
+// replaceEndpoints lists new endpoints for all of site s, and removes the old ones before or after that.
+func replaceEndpoints(w *world, newFirst bool) {
+	w.t.Helper()
+	listNew := func() {
+		for group := range 4 {
+			id := fmt.Sprint("new", group)
+			w.site[id] = "s"
+			w.list(id, "s", group, EndpointReady)
+		}
+	}
+	if newFirst {
+		listNew()
+	}
+	for group := range 4 {
+		w.list(fmt.Sprint("s", group), "s", group, EndpointRemoved)
+	}
+	if !newFirst {
+		listNew()
+	}
+	w.ids = w.ids[:0]
+	for id, site := range w.site {
+		if site != "s" || strings.HasPrefix(id, "new") {
+			w.ids = append(w.ids, id)
+		}
+	}
+	slices.Sort(w.ids)
+}
+
+// A site that comes back with other endpoints recovers, in whichever order the list tells of old and new ones, and
+// stays recovered: those that are gone for good don't speak against it.
+func TestNewEndpointsTakeThePlaceOfOldOnes(t *testing.T) {
+	for name, newFirst := range map[string]bool{"new ones first": true, "old ones first": false} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, "n", 4, "n", "s", "w")
+			w.run(3 * time.Second)
+			w.lose("s", FailureRefused)
+			w.run(2 * time.Second)
+			w.expect("s", SiteLost, FaultSiteLost)
+			replaceEndpoints(w, newFirst)
+			w.run(20 * time.Second)
+			for _, change := range w.changes {
+				if change.Site == "s" && change.From == SiteRecovering && change.To == SiteLost {
+					t.Errorf("lost again: %s", change.Evidence)
+				}
+			}
+			w.expect("s", SiteHealthy, FaultUnclear)
+			if view := w.view("s"); view.Endpoints != 4 || view.Down != 0 {
+				t.Errorf("%+v", view)
+			}
+		})
+	}
+}
