--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -7,47 +7,47 @@
 )
 
 // admit turns away what is too much and hands the rest to the decision module.
-func (r *Router) admit(q *request) {
-	if len(r.inHand) >= r.lim.Router.InFlightRequests {
+func (router *Router) admit(req *request) {
+	if len(router.inFlight) >= router.limits.Router.InFlightRequests {
 		// Guards memory: what is beyond the limit is turned away before anything is kept of it.
-		r.loop.Post(func() { r.refuse(q, 0) })
+		router.loop.Post(func() { router.reject(req, 0) })
 		return
 	}
-	if q.dieAt <= r.loop.Now() {
+	if req.answerBy <= router.loop.Now() {
 		// It waited unread behind others for all of its time: nobody waits for what it would run.
-		r.count.Expired++
-		r.loop.Post(func() { r.refuseFor(q, 0, "its time was over before it could be begun") })
+		router.counts.Expired++
+		router.loop.Post(func() { router.rejectFor(req, 0, "its time was over before it could be begun") })
 		return
 	}
-	r.asks(q)
-	if after, refused := r.turnedAway(q); refused {
-		r.count.RejectedForSiteLoss++
-		r.loop.Post(func() { r.refuseFor(q, after, "a site is lost and there is no place for it") })
+	router.recordDemand(req)
+	if after, refused := router.rejectedForSiteLoss(req); refused {
+		router.counts.RejectedForSiteLoss++
+		router.loop.Post(func() { router.rejectFor(req, after, "a site is lost and there is no place for it") })
 		return
 	}
-	r.inHand[q.id] = q
+	router.inFlight[req.id] = req
 	// The module ends what it holds in time; the timer is for attempts that are out, and guards against a
 	// request that would stay without any answer.
-	q.timer = r.loop.AfterFunc(q.dieAt-r.loop.Now(), func() { r.expire(q) })
-	if r.holder != nil {
-		_, q.waits = r.holder.classes[q.Class]
+	req.timer = router.loop.AfterFunc(req.answerBy-router.loop.Now(), func() { router.expire(req) })
+	if router.failoverQueue != nil {
+		_, req.queueable = router.failoverQueue.classes[req.Class]
 	}
-	if !q.waits || !r.holds(q) {
-		r.enter(q)
+	if !req.queueable || !router.enqueue(req) {
+		router.submit(req)
 	}
 }
 
 // enter hands a request to the module.
-func (r *Router) enter(q *request) {
-	c, now := r.classes[q.Class], r.loop.Now()
-	e := balance.Request{ID: q.id, Class: q.Class, Group: q.Group, TimeLeft: max(0, q.dieAt-now), Retry: q.Retry, PriorAttempts: q.before}
-	if q.Session != "" && (c.Consistency == balance.ConsistencySession || c.Consistency == balance.ConsistencyWrite) {
+func (router *Router) submit(req *request) {
+	c, now := router.classes[req.Class], router.loop.Now()
+	e := balance.Request{ID: req.id, Class: req.Class, Group: req.Group, TimeLeft: max(0, req.answerBy-now), Retry: req.Retry, PriorAttempts: req.priorAttempts}
+	if req.Session != "" && (c.Consistency == balance.ConsistencySession || c.Consistency == balance.ConsistencyWrite) {
 		h := fnv.New64a()
-		h.Write([]byte(q.Session))
+		h.Write([]byte(req.Session))
 		e.SessionID = int64(h.Sum64()>>11) | 1
 	}
-	if q.MinPosition > 0 {
-		e.SinceSessionWrite = max(1, now-q.MinPosition)
+	if req.MinPosition > 0 {
+		e.SinceSessionWrite = max(1, now-req.MinPosition)
 	}
-	r.pending = append(r.pending, e)
+	router.balancerEvents = append(router.balancerEvents, e)
 }
--- a/internal/router/book.go
+++ b/internal/router/book.go
@@ -16,55 +16,57 @@
 }
 
 // Counts returns a copy of the counters.
-func (r *Router) Counts() Counts { return r.count }
+func (router *Router) Counts() Counts { return router.counts }
 
 // book enters the end of an attempt and tells the module of it.
-func (r *Router) book(q *request, leg int, res Result) {
-	now := r.loop.Now()
-	r.log.Debug("attempt", "request", q.Label, "class", q.Class, "leg", leg, "node", q.node, "status", int(res.Status),
-		"role", int(res.Role), "took", now-q.sentAt)
+func (router *Router) recordAttempt(req *request, leg int, res Result) {
+	now := router.loop.Now()
+	router.log.Debug("attempt", "request", req.Label, "class", req.Class, "leg", leg, "node", req.endpoint, "status", int(res.Status),
+		"role", int(res.Role), "took", now-req.sentAt)
 	if slices.Contains([]balance.Status{balance.StatusError, balance.StatusTimedOut, balance.StatusReset, balance.StatusCancelled}, res.Status) {
-		q.mayRun = true
+		req.mayHaveRun = true
 	}
-	r.ended(q, res.Status)
+	router.auditAttempt(req, res.Status)
 	// Guards the module's sight of load: how long a slow peer takes over an answer says nothing of how busy it is.
-	took := now - q.sentAt
+	took := now - req.sentAt
 	if res.ResponseStartedAt > 0 {
-		took = res.ResponseStartedAt - q.sentAt
+		took = res.ResponseStartedAt - req.sentAt
 	}
 	if res.Status == balance.StatusDone {
-		r.heard(q, res, took, now) // before its end is told: an answer that is not counted lets no more out
-		if c, ok := q.client.(Committer); ok && !q.over && res.Position > 0 && res.Code == "" && r.IsWrite(q.Class) {
+		router.attemptEnded(req, res, took, now) // before its end is told: an answer that is not counted lets no more out
+		if c, ok := req.client.(Committer); ok && !req.finished && res.Position > 0 && res.Code == "" && router.IsWrite(req.Class) {
 			c.Committed(res.Position)
 		}
-		r.serve(q, res.Response, res.Code)
-	} else if q.began {
-		r.cut(q)
+		router.forwardResponse(req, res.Response, res.Code)
+	} else if req.responseStarted {
+		router.truncate(req)
 	}
-	r.outcome(q, leg, q.node, res, took)
+	router.reportOutcome(req, leg, req.endpoint, res, took)
 	if res.Status != balance.StatusDone {
-		r.heard(q, res, took, now)
+		router.attemptEnded(req, res, took, now)
 	}
-	r.forget(q)
+	router.release(req)
 }
 
-func (r *Router) outcome(q *request, leg int, node string, res Result, took time.Duration) {
-	r.count.Attempts[res.Status]++
-	r.evidence(node, res)
-	r.pending = append(r.pending, balance.AttemptResult{ID: q.id, Attempt: leg, Endpoint: node, Status: res.Status, Elapsed: took,
-		Finished: q.over, Role: res.Role, Position: res.Position})
+func (router *Router) reportOutcome(req *request, leg int, node string, res Result, took time.Duration) {
+	router.counts.Attempts[res.Status]++
+	router.recordSiteEvidence(node, res)
+	router.balancerEvents = append(router.balancerEvents, balance.AttemptResult{
+		ID: req.id, Attempt: leg, Endpoint: node, Status: res.Status, Elapsed: took,
+		Finished: req.finished, Role: res.Role, Position: res.Position,
+	})
 }
 
-func (r *Router) leave(q *request) {
-	r.pending = append(r.pending, balance.ClientDisconnected{ID: q.id})
+func (router *Router) withdrawFromBalancer(req *request) {
+	router.balancerEvents = append(router.balancerEvents, balance.ClientDisconnected{ID: req.id})
 }
 
 // forget drops a request that is answered and has nothing out.
-func (r *Router) forget(q *request) {
-	if q.over && q.call == nil {
-		q.timer.Stop()
-		q.timer = nil
-		delete(r.inHand, q.id)
-		r.released(q)
+func (router *Router) release(req *request) {
+	if req.finished && req.attempt == nil {
+		req.timer.Stop()
+		req.timer = nil
+		delete(router.inFlight, req.id)
+		router.requestDone(req)
 	}
 }
--- a/internal/router/hold.go
+++ b/internal/router/hold.go
@@ -16,96 +16,96 @@
 // decides; here it is told what happens, and what it asks is carried out. Without it none of this costs anything.
 
 // holder is the model and the timer that wakes it.
-type holder struct {
-	model   *failover.Tracker
-	classes map[string]failover.Class
-	timer   *eventloop.Timer
-	at      time.Duration                                 // when the timer is due
-	change  func(bank int64, term uint64, primary string) // told of each successor, nil = nobody is
+type failoverQueue struct {
+	tracker     *failover.Tracker
+	classes     map[string]failover.Class
+	timer       *eventloop.Timer
+	timerDue    time.Duration                                 // when the timer is due
+	onPromotion func(bank int64, term uint64, primary string) // told of each successor, nil = nobody is
 }
 
 // HoldThrough turns holding on. It is called before the first list.
-func (r *Router) EnableFailoverQueue(cfg failover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
-	r.holder = &holder{model: failover.New(cfg, seed), classes: cfg.Classes, change: change}
+func (router *Router) EnableFailoverQueue(cfg failover.Config, seed uint64, change func(bank int64, term uint64, primary string)) {
+	router.failoverQueue = &failoverQueue{tracker: failover.New(cfg, seed), classes: cfg.Classes, onPromotion: change}
 }
 
 // Banks is what those on call see of the changes; nil where nothing is held.
-func (r *Router) FailoverViews() []failover.GroupView {
-	if r.holder == nil {
+func (router *Router) FailoverViews() []failover.GroupView {
+	if router.failoverQueue == nil {
 		return nil
 	}
-	return r.holder.model.Views(r.loop.Now())
+	return router.failoverQueue.tracker.Views(router.loop.Now())
 }
 
 // Announce says that operators are about to change a bank's primary, and whether the bank is known.
-func (r *Router) AnnounceFailover(bank int64, within time.Duration) bool {
-	if r.holder == nil {
+func (router *Router) AnnounceFailover(bank int64, within time.Duration) bool {
+	if router.failoverQueue == nil {
 		return false
 	}
-	known := r.holder.model.Announce(r.loop.Now(), bank, within)
-	r.Step()
+	known := router.failoverQueue.tracker.Announce(router.loop.Now(), bank, within)
+	router.Step()
 	return known
 }
 
 // Hint is what an earlier start knew of a bank.
-func (r *Router) RestoreTerm(bank int64, term uint64, primary string) {
-	if r.holder != nil {
-		r.holder.model.RestoreTerm(bank, term, primary)
+func (router *Router) RestoreTerm(bank int64, term uint64, primary string) {
+	if router.failoverQueue != nil {
+		router.failoverQueue.tracker.RestoreTerm(bank, term, primary)
 	}
 }
 
 // holds takes a request into the model's queue, if its bank is in change.
-func (r *Router) holds(q *request) bool {
-	h := r.holder
-	if h == nil || !h.model.ShouldQueue(q.Group, q.Class) {
+func (router *Router) enqueue(req *request) bool {
+	h := router.failoverQueue
+	if h == nil || !h.tracker.ShouldQueue(req.Group, req.Class) {
 		return false
 	}
-	q.parked = true
+	req.queued = true
 	size := 0
-	if s, ok := q.Job.(interface{ Size() int }); ok {
+	if s, ok := req.Job.(interface{ Size() int }); ok {
 		size = s.Size()
 	}
-	now := r.loop.Now()
-	h.model.Enqueue(now, failover.Request{ID: q.id, Group: q.Group, Class: q.Class, Client: r.whose(q), Deadline: q.ReceivedAt + q.Deadline, Size: size})
-	r.wakeHolder(now + 10*time.Millisecond)
+	now := router.loop.Now()
+	h.tracker.Enqueue(now, failover.Request{ID: req.id, Group: req.Group, Class: req.Class, Client: router.clientKey(req), Deadline: req.ReceivedAt + req.Deadline, Size: size})
+	router.wakeFailoverQueue(now + 10*time.Millisecond)
 	return true
 }
 
-func (r *Router) whose(q *request) string {
-	if q.Client != "" {
-		return q.Client
+func (router *Router) clientKey(req *request) string {
+	if req.Client != "" {
+		return req.Client
 	}
-	return q.Session
+	return req.Session
 }
 
 // withdraw takes a request back from the module, as if its client had gone, and holds it. Nothing of it may have run.
-func (r *Router) withdraw(q *request) {
-	if q.over || q.parked || q.call != nil || q.mayRun || q.began {
+func (router *Router) withdraw(req *request) {
+	if req.finished || req.queued || req.attempt != nil || req.mayHaveRun || req.responseStarted {
 		return
 	}
-	if !r.holder.model.ShouldQueue(q.Group, q.Class) {
+	if !router.failoverQueue.tracker.ShouldQueue(req.Group, req.Class) {
 		return
 	}
-	if r.module.MaxAttempts() > 0 && q.before+q.tries >= r.module.MaxAttempts() {
+	if router.balancer.MaxAttempts() > 0 && req.priorAttempts+req.attemptCount >= router.balancer.MaxAttempts() {
 		return // the module ends it
 	}
-	r.leave(q)
-	q.before += q.tries
-	q.tries = 0
-	r.holds(q)
+	router.withdrawFromBalancer(req)
+	req.priorAttempts += req.attemptCount
+	req.attemptCount = 0
+	router.enqueue(req)
 }
 
 // sent tells of an attempt.
-func (r *Router) sent(q *request) {
-	if q.waits {
-		r.holder.model.AttemptSent(q.sentAt, q.node, q.id)
-		r.wakeHolder(q.sentAt + 50*time.Millisecond)
+func (router *Router) attemptSent(req *request) {
+	if req.queueable {
+		router.failoverQueue.tracker.AttemptSent(req.sentAt, req.endpoint, req.id)
+		router.wakeFailoverQueue(req.sentAt + 50*time.Millisecond)
 	}
 }
 
 // heard tells of an attempt's end, and holds again what has proved not to have run.
-func (r *Router) heard(q *request, res Result, took, now time.Duration) {
-	h := r.holder
+func (router *Router) attemptEnded(req *request, res Result, took, now time.Duration) {
+	h := router.failoverQueue
 	if h == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 	case balance.StatusDone:
 		end = failover.EndAnswered
 	case balance.StatusMiss:
-		if end = failover.EndAnswered; r.IsWrite(q.Class) {
+		if end = failover.EndAnswered; router.IsWrite(req.Class) {
 			end = failover.EndNotPrimary
 		}
 	case balance.StatusBusy:
@@ -123,16 +123,16 @@
 		end = failover.EndUnreachable
 	}
 	class := ""
-	if q.waits && res.Status == balance.StatusDone {
-		class = q.Class
+	if req.queueable && res.Status == balance.StatusDone {
+		class = req.Class
 	}
-	h.model.AttemptEnded(now, q.node, q.id, end, role(res.Role), res.Position, class, took)
-	if q.waits && res.Status != balance.StatusDone {
-		r.withdraw(q)
+	h.tracker.AttemptEnded(now, req.endpoint, req.id, end, failoverRole(res.Role), res.Position, class, took)
+	if req.queueable && res.Status != balance.StatusDone {
+		router.withdraw(req)
 	}
 }
 
-func role(r balance.Role) failover.Role {
+func failoverRole(r balance.Role) failover.Role {
 	switch r {
 	case balance.RolePrimary:
 		return failover.RolePrimary
@@ -142,36 +142,36 @@
 	return failover.RoleUnknown
 }
 
-func (r *Router) reported(node string, res Result) {
-	if h := r.holder; h != nil {
-		h.model.HealthCheckEnded(r.loop.Now(), node, res.Status == balance.StatusDone, role(res.Role), res.Position)
+func (router *Router) healthCheckEnded(node string, res Result) {
+	if h := router.failoverQueue; h != nil {
+		h.tracker.HealthCheckEnded(router.loop.Now(), node, res.Status == balance.StatusDone, failoverRole(res.Role), res.Position)
 	}
 }
 
-func (r *Router) believe(a balance.PrimaryUpdate) {
-	h := r.holder
+func (router *Router) updatePrimary(a balance.PrimaryUpdate) {
+	h := router.failoverQueue
 	if h == nil {
 		return
 	}
 	if !a.Confirmed {
-		h.model.SuspectPrimary(r.loop.Now(), a.Group, a.Endpoint)
+		h.tracker.SuspectPrimary(router.loop.Now(), a.Group, a.Endpoint)
 		return
 	}
-	_, before, _, _ := h.model.Group(a.Group)
-	h.model.ObservePrimary(r.loop.Now(), a.Group, a.Endpoint)
-	if _, term, primary, _ := h.model.Group(a.Group); term != before && h.change != nil {
-		h.change(a.Group, term, primary)
+	_, before, _, _ := h.tracker.Group(a.Group)
+	h.tracker.ObservePrimary(router.loop.Now(), a.Group, a.Endpoint)
+	if _, term, primary, _ := h.tracker.Group(a.Group); term != before && h.onPromotion != nil {
+		h.onPromotion(a.Group, term, primary)
 	}
 }
 
-func (r *Router) barred(node string, out bool) {
-	if h := r.holder; h != nil {
-		h.model.Suspend(r.loop.Now(), node, out)
+func (router *Router) suspendFailoverEndpoint(node string, out bool) {
+	if h := router.failoverQueue; h != nil {
+		h.tracker.Suspend(router.loop.Now(), node, out)
 	}
 }
 
-func (r *Router) listed(l balance.EndpointList) {
-	h := r.holder
+func (router *Router) updateFailoverEndpoints(l balance.EndpointList) {
+	h := router.failoverQueue
 	if h == nil || l.Kind == balance.ListFailed || l.Kind == balance.ListSilent {
 		return
 	}
@@ -179,83 +179,83 @@
 	for _, e := range l.Entries {
 		in = append(in, failover.Endpoint{ID: e.Endpoint, Group: e.Group, Draining: e.State == balance.EndpointDraining, Removed: e.State == balance.EndpointRemoved})
 	}
-	h.model.UpdateEndpoints(r.loop.Now(), in, l.Kind != balance.ListDelta)
+	h.tracker.UpdateEndpoints(router.loop.Now(), in, l.Kind != balance.ListDelta)
 }
 
 // released tells that a request is answered.
-func (r *Router) released(q *request) {
-	if q.waits && r.holder.model.InProgress() {
-		r.holder.model.RequestDone(r.loop.Now(), q.Group, q.id)
+func (router *Router) requestDone(req *request) {
+	if req.queueable && router.failoverQueue.tracker.InProgress() {
+		router.failoverQueue.tracker.RequestDone(router.loop.Now(), req.Group, req.id)
 	}
 }
 
 // wakeHolder sees to it that the model is looked at by then.
-func (r *Router) wakeHolder(at time.Duration) {
-	h := r.holder
-	if h.timer != nil && h.at <= at {
+func (router *Router) wakeFailoverQueue(at time.Duration) {
+	h := router.failoverQueue
+	if h.timer != nil && h.timerDue <= at {
 		return
 	}
 	h.timer.Stop()
-	h.at = at
-	h.timer = r.loop.AfterFunc(at-r.loop.Now(), func() {
+	h.timerDue = at
+	h.timer = router.loop.AfterFunc(at-router.loop.Now(), func() {
 		h.timer = nil
-		r.tickHolder()
+		router.tickFailoverQueue()
 	})
 }
 
-func (r *Router) tickHolder() {
-	if next := r.holder.model.Tick(r.loop.Now()); next > 0 {
-		r.wakeHolder(next)
+func (router *Router) tickFailoverQueue() {
+	if next := router.failoverQueue.tracker.Tick(router.loop.Now()); next > 0 {
+		router.wakeFailoverQueue(next)
 	}
 }
 
 // changes carries out what the model asks.
-func (r *Router) changes() {
-	h := r.holder
-	if h == nil || !h.model.HasActions() {
+func (router *Router) performFailoverActions() {
+	h := router.failoverQueue
+	if h == nil || !h.tracker.HasActions() {
 		return
 	}
-	for h.model.HasActions() {
-		for _, a := range h.model.Actions() {
-			r.change(a)
+	for h.tracker.HasActions() {
+		for _, a := range h.tracker.Actions() {
+			router.performFailoverAction(a)
 		}
-		r.tickHolder()
+		router.tickFailoverQueue()
 	}
 }
 
-func (r *Router) change(a failover.Action) {
-	h := r.holder
+func (router *Router) performFailoverAction(a failover.Action) {
+	h := router.failoverQueue
 	switch a.Kind {
 	case failover.ActionRelease:
-		if q := r.inHand[a.ID]; q != nil && q.parked && !q.over {
-			q.parked = false
-			r.enter(q)
+		if req := router.inFlight[a.ID]; req != nil && req.queued && !req.finished {
+			req.queued = false
+			router.submit(req)
 		}
 	case failover.ActionReject:
-		if q := r.inHand[a.ID]; q != nil && q.parked {
-			q.parked = false
-			r.log.Debug("held in vain", "request", q.Label, "class", q.Class, "why", a.Reason.String())
-			r.refuse(q, a.RetryAfter)
+		if req := router.inFlight[a.ID]; req != nil && req.queued {
+			req.queued = false
+			router.log.Debug("held in vain", "request", req.Label, "class", req.Class, "why", a.Reason.String())
+			router.reject(req, a.RetryAfter)
 		}
 	case failover.ActionHealthCheck:
-		r.probe(a.Endpoint, false)
+		router.checkHealth(a.Endpoint, false)
 	case failover.ActionWithdraw:
 		var out []*request
-		for _, q := range r.inHand {
-			if q.waits && q.Group == a.Group {
-				out = append(out, q)
+		for _, req := range router.inFlight {
+			if req.queueable && req.Group == a.Group {
+				out = append(out, req)
 			}
 		}
 		slices.SortFunc(out, func(a, b *request) int {
 			return cmp.Or(cmp.Compare(a.ReceivedAt, b.ReceivedAt), cmp.Compare(a.id, b.id))
 		})
-		for _, q := range out {
-			r.withdraw(q)
+		for _, req := range out {
+			router.withdraw(req)
 		}
 	case failover.ActionPhaseChanged:
-		phase, term, primary, last := h.model.Group(a.Group)
+		phase, term, primary, last := h.tracker.Group(a.Group)
 		text := "bank " + strconv.FormatInt(a.Group, 10) + ": " + phase.String() + ", term " + strconv.FormatUint(term, 10) + ", " + last.Evidence.String()
-		r.log.Info("changeover", "bank", a.Group, "phase", phase.String(), "term", term, "primary", primary, "evidence", last.Evidence.String(), "node", last.Endpoint)
-		r.record(audit.Note{Topic: "changeover", Text: text})
+		router.log.Info("changeover", "bank", a.Group, "phase", phase.String(), "term", term, "primary", primary, "evidence", last.Evidence.String(), "node", last.Endpoint)
+		router.audited(audit.Note{Topic: "changeover", Text: text})
 	}
 }
--- a/internal/router/hold_bench_test.go
+++ b/internal/router/hold_bench_test.go
@@ -16,43 +16,46 @@
 )
 
 // quick plays db machines that answer at once.
-type quick struct{ l *eventloop.Loop }
+type instantPeers struct{ loop *eventloop.Loop }
 
-func (k quick) Start(a Attempt, done func(Result)) AttemptHandle {
-	k.l.Post(func() { done(Result{Status: balance.StatusDone, Role: balance.RolePrimary}) })
+func (k instantPeers) Start(a Attempt, done func(Result)) AttemptHandle {
+	k.loop.Post(func() { done(Result{Status: balance.StatusDone, Role: balance.RolePrimary}) })
 	return k
 }
-func (quick) NotWritten() bool       { return false }
-func (quick) Disconnected(bool) bool { return false }
-func (quick) Cancel() bool           { return true }
-func (quick) HealthCheck(node string, done func(Result)) {
+func (instantPeers) NotWritten() bool       { return false }
+func (instantPeers) Disconnected(bool) bool { return false }
+func (instantPeers) Cancel() bool           { return true }
+func (instantPeers) HealthCheck(node string, done func(Result)) {
 	done(Result{Status: balance.StatusTimedOut})
 }
-func (quick) Suspend(string, bool)           {}
-func (quick) Poll()                          {}
-func (quick) ResponseStarted(Response, Flow) {}
-func (quick) ResponsePart([]byte)            {}
-func (quick) ResponseTruncated()             {}
-func (quick) Rejected(time.Duration)         {}
-func (quick) Failed(string)                  {}
-func (quick) Served(Response)                {}
+func (instantPeers) Suspend(string, bool)           {}
+func (instantPeers) Poll()                          {}
+func (instantPeers) ResponseStarted(Response, Flow) {}
+func (instantPeers) ResponsePart([]byte)            {}
+func (instantPeers) ResponseTruncated()             {}
+func (instantPeers) Rejected(time.Duration)         {}
+func (instantPeers) Failed(string)                  {}
+func (instantPeers) Served(Response)                {}
 
-func steady(b testing.TB, hold, primary bool) (*Router, *eventloop.Loop) {
+func newBenchmarkRouter(b testing.TB, hold, primary bool) (*Router, *eventloop.Loop) {
 	l := eventloop.New()
 	lim := limits.New(192, 8192, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MaxAttempts: 4, Classes: []balance.Class{
-		{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}}}, 1, nil)
+	router, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", MaxAttempts: 4, Classes: []balance.Class{
+		{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
+	}}, 1, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Connect(quick{l}, quick{l})
+	router.Connect(instantPeers{l}, instantPeers{l})
 	if hold {
-		r.EnableFailoverQueue(failover.Config{Instances: 1, Classes: map[string]failover.Class{"job": {PriorityWeight: 1, Work: 10 * time.Millisecond}}, MaxPending: 20_000, MaxPendingBytes: 1 << 30,
-			DeadlineMargin: 10 * time.Millisecond}, 1, nil)
+		router.EnableFailoverQueue(failover.Config{
+			Instances: 1, Classes: map[string]failover.Class{"job": {PriorityWeight: 1, Work: 10 * time.Millisecond}}, MaxPending: 20_000, MaxPendingBytes: 1 << 30,
+			DeadlineMargin: 10 * time.Millisecond,
+		}, 1, nil)
 	}
-	r.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
-	r.Step()
-	return r, l
+	router.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
+	router.Step()
+	return router, l
 }
 
 // BenchmarkSteadyWrite routes writes one after the other through a bank whose primary stands, without and with holding.
@@ -60,7 +63,7 @@
 	for round := range 3 { // by turns, so that the machine treats them alike
 		for _, hold := range []bool{false, true} {
 			b.Run(fmt.Sprintf("holding %v, round %d", hold, round), func(b *testing.B) {
-				r, l := steady(b, hold, true)
+				router, l := newBenchmarkRouter(b, hold, true)
 				n := 0
 				var next func()
 				next = func() {
@@ -68,12 +71,12 @@
 						l.Stop()
 						return
 					}
-					r.Accept(Request{Class: "job", Label: strconv.Itoa(n), Deadline: time.Second, ReceivedAt: l.Now()}, quick{l})
+					router.Accept(Request{Class: "job", Label: strconv.Itoa(n), Deadline: time.Second, ReceivedAt: l.Now()}, instantPeers{l})
 					l.Post(func() { l.Post(next) })
 				}
 				b.ResetTimer()
 				l.Post(next)
-				l.Run(r.Step)
+				l.Run(router.Step)
 			})
 		}
 	}
@@ -81,7 +84,7 @@
 
 // BenchmarkTenThousandHeld tells what ten thousand writes cost while they are held in the core: the whole of them, and what
 // of it holding adds to what a request costs anyway.
-func BenchmarkTenThousandHeld(b *testing.B) {
+func BenchmarkTenThousandPending(b *testing.B) {
 	heap := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -90,21 +93,21 @@
 	}
 	for b.Loop() {
 		for _, hold := range []bool{false, true} { // without, the module holds them
-			r, l := steady(b, hold, false)
+			router, l := newBenchmarkRouter(b, hold, false)
 			if hold {
-				r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
+				router.perform(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 			}
 			before := heap()
 			const n = 10_000
 			for i := range n {
-				r.Accept(Request{Class: "job", Label: strconv.Itoa(i), Client: strconv.Itoa(i % 500), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, quick{l})
+				router.Accept(Request{Class: "job", Label: strconv.Itoa(i), Client: strconv.Itoa(i % 500), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, instantPeers{l})
 			}
-			r.Step()
-			if v := r.FailoverViews(); hold && (len(v) != 1 || v[0].Pending != n) || r.InFlight() != n {
-				b.Fatalf("%+v, %d in hand", v, r.InFlight())
+			router.Step()
+			if v := router.FailoverViews(); hold && (len(v) != 1 || v[0].Pending != n) || router.InFlight() != n {
+				b.Fatalf("%+v, %d in hand", v, router.InFlight())
 			}
 			b.ReportMetric((heap()-before)/(1<<20), fmt.Sprintf("MiB-holding-%v", hold))
-			runtime.KeepAlive(r)
+			runtime.KeepAlive(router)
 		}
 	}
 }
--- a/internal/router/hold_test.go
+++ b/internal/router/hold_test.go
@@ -10,60 +10,60 @@
 )
 
 // slowly plays db machines that answer when they are told to.
-type slowly struct {
-	quick
-	l    *eventloop.Loop
-	open []func(Result)
+type manualPeers struct {
+	instantPeers
+	loop     *eventloop.Loop
+	inFlight []func(Result)
 }
 
-func (s *slowly) Start(a Attempt, done func(Result)) AttemptHandle {
-	s.open = append(s.open, done)
+func (s *manualPeers) Start(a Attempt, done func(Result)) AttemptHandle {
+	s.inFlight = append(s.inFlight, done)
 	return s
 }
 
 // answer lets those attempts that are out end.
-func (s *slowly) answer(status balance.Status) {
-	open := s.open
-	s.open = nil
+func (s *manualPeers) endAll(status balance.Status) {
+	open := s.inFlight
+	s.inFlight = nil
 	for _, done := range open {
 		done(Result{Status: status, Role: balance.RolePrimary})
 	}
 }
 
 // What was held goes out to a successor a few at first and more with each answer.
-func TestEachAnswerLetsMoreOut(t *testing.T) {
-	r, l := steady(t, true, true)
-	s := &slowly{quick: quick{l}, l: l}
-	r.Connect(s, s)
+func TestEachAnswerReleasesMorePendingWrites(t *testing.T) {
+	router, l := newBenchmarkRouter(t, true, true)
+	s := &manualPeers{instantPeers: instantPeers{l}, loop: l}
+	router.Connect(s, s)
 	out := func(want int) {
 		t.Helper()
-		r.Step()
-		if v := r.FailoverViews()[0]; v.ReleasedInFlight != want {
+		router.Step()
+		if v := router.FailoverViews()[0]; v.ReleasedInFlight != want {
 			t.Fatalf("%d out, not %d: %+v", v.ReleasedInFlight, want, v)
 		}
 	}
-	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
+	router.perform(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 	for i := range 500 {
-		r.Accept(Request{Class: "job", Label: strconv.Itoa(i), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, quick{l})
+		router.Accept(Request{Class: "job", Label: strconv.Itoa(i), Deadline: 3 * time.Second, ReceivedAt: l.Now()}, instantPeers{l})
 	}
-	r.Step()
-	if v := r.FailoverViews()[0]; v.Pending != 500 || len(s.open) != 0 {
-		t.Fatalf("%+v, %d sent", v, len(s.open))
+	router.Step()
+	if v := router.FailoverViews()[0]; v.Pending != 500 || len(s.inFlight) != 0 {
+		t.Fatalf("%+v, %d sent", v, len(s.inFlight))
 	}
-	r.act(balance.PrimaryUpdate{Group: 0, Endpoint: "n1", Confirmed: true})
+	router.perform(balance.PrimaryUpdate{Group: 0, Endpoint: "n1", Confirmed: true})
 	out(8)
-	s.answer(balance.StatusDone)
+	s.endAll(balance.StatusDone)
 	out(16)
-	s.answer(balance.StatusDone)
-	if v := r.FailoverViews()[0]; v.ReleasedInFlight < 24 || v.ReleasedInFlight > 32 {
+	s.endAll(balance.StatusDone)
+	if v := router.FailoverViews()[0]; v.ReleasedInFlight < 24 || v.ReleasedInFlight > 32 {
 		t.Fatalf("%+v", v)
 	}
 	for range 6 {
-		r.Step()
-		s.answer(balance.StatusDone)
+		router.Step()
+		s.endAll(balance.StatusDone)
 	}
-	r.Step()
-	if v := r.FailoverViews()[0]; v.ReleasedInFlight < 64 {
+	router.Step()
+	if v := router.FailoverViews()[0]; v.ReleasedInFlight < 64 {
 		t.Fatalf("%d out behind eight rounds of answers", v.ReleasedInFlight)
 	}
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -7,39 +7,39 @@
 
 // What is recorded of a request. Without an Audit none of it costs anything.
 
-func (r *Router) record(e audit.Event) {
-	if r.audit != nil {
-		r.audit.Record(e)
+func (router *Router) audited(e audit.Event) {
+	if router.audit != nil {
+		router.audit.Record(e)
 	}
 }
 
 // ended notes the end of the attempt that was out.
-func (r *Router) ended(q *request, as balance.Status) {
-	if r.audit == nil || q.over {
+func (router *Router) auditAttempt(req *request, as balance.Status) {
+	if router.audit == nil || req.finished {
 		return
 	}
-	took := r.loop.Now() - q.sentAt
-	q.worked += took
-	q.attempts = append(q.attempts, audit.Attempt{Node: q.node, End: as, Took: took})
+	took := router.loop.Now() - req.sentAt
+	req.attemptTime += took
+	req.endedAttempts = append(req.endedAttempts, audit.Attempt{Node: req.endpoint, End: as, Took: took})
 }
 
 // answered records a final answer; a says what only its giver knows.
-func (r *Router) answered(q *request, o audit.Outcome, a audit.Answer) {
-	if r.audit == nil {
+func (router *Router) auditAnswer(req *request, o audit.Outcome, a audit.Answer) {
+	if router.audit == nil {
 		return
 	}
-	now := r.loop.Now()
-	class := r.classes[q.Class]
-	a.Request, a.Class, a.Group, a.Tenant, a.Client, a.Node = q.Label, q.Class, q.Group, q.Tenant, q.Client, q.node
+	now := router.loop.Now()
+	class := router.classes[req.Class]
+	a.Request, a.Class, a.Group, a.Tenant, a.Client, a.Node = req.Label, req.Class, req.Group, req.Tenant, req.Client, req.endpoint
 	a.Outcome, a.Writes = o, class.Idempotency != balance.Idempotent || class.Consistency == balance.ConsistencyWrite
-	a.Attempts, a.Worked, a.Total, a.Queued = q.attempts, q.worked, now-q.ReceivedAt, now-q.ReceivedAt
-	if q.tries > 0 {
-		a.Queued = q.firstAt - q.ReceivedAt
+	a.Attempts, a.Worked, a.Total, a.Queued = req.endedAttempts, req.attemptTime, now-req.ReceivedAt, now-req.ReceivedAt
+	if req.attemptCount > 0 {
+		a.Queued = req.firstSentAt - req.ReceivedAt
 	}
-	if q.call != nil { // it is answered while an attempt is out
-		a.Attempts = append(a.Attempts, audit.Attempt{Node: q.node, End: audit.Out, Took: now - q.sentAt})
-		a.Worked += now - q.sentAt
+	if req.attempt != nil { // it is answered while an attempt is out
+		a.Attempts = append(a.Attempts, audit.Attempt{Node: req.endpoint, End: audit.Out, Took: now - req.sentAt})
+		a.Worked += now - req.sentAt
 	}
-	a.MayRun = a.Writes && (q.mayRun || q.call != nil || o == audit.Served || o == audit.Cut)
-	r.audit.Record(&a)
+	a.MayRun = a.Writes && (req.mayHaveRun || req.attempt != nil || o == audit.Served || o == audit.Cut)
+	router.audit.Record(&a)
 }
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -9,68 +9,68 @@
 
 // The final answers. Each request gets one of them, once.
 
-func (r *Router) serve(q *request, a Response, code string) {
-	if q.over {
+func (router *Router) forwardResponse(req *request, a Response, code string) {
+	if req.finished {
 		return
 	}
-	r.end(q)
-	r.count.Served++
-	r.answered(q, audit.Served, audit.Answer{Code: code})
-	q.client.Served(a)
-	r.forget(q)
+	router.finish(req)
+	router.counts.Served++
+	router.auditAnswer(req, audit.Served, audit.Answer{Code: code})
+	req.client.Served(a)
+	router.release(req)
 }
 
 // begin passes on an answer that has begun to come. From here on no time of the request's own ends it, and no other attempt
 // takes its place: what the db machine still gives must not be cut off.
-func (r *Router) begin(q *request, leg int, a Response, f Flow) {
-	q.began = true
-	q.timer.Stop()
-	q.timer = nil
-	r.pending = append(r.pending, balance.FirstByte{ID: q.id, Attempt: leg})
-	if !q.over {
-		q.client.ResponseStarted(a, f)
+func (router *Router) startResponse(req *request, leg int, a Response, f Flow) {
+	req.responseStarted = true
+	req.timer.Stop()
+	req.timer = nil
+	router.balancerEvents = append(router.balancerEvents, balance.FirstByte{ID: req.id, Attempt: leg})
+	if !req.finished {
+		req.client.ResponseStarted(a, f)
 	}
 }
 
 // cut ends a request whose answer was passed on and will not become whole.
-func (r *Router) cut(q *request) {
-	if q.over {
+func (router *Router) truncate(req *request) {
+	if req.finished {
 		return
 	}
-	r.end(q)
-	r.count.Failed++
-	r.log.Debug("cut", "request", q.Label, "class", q.Class, "after", r.loop.Now()-q.ReceivedAt)
-	r.answered(q, audit.Cut, audit.Answer{Why: "its answer broke off"})
-	q.client.ResponseTruncated()
-	r.forget(q)
+	router.finish(req)
+	router.counts.Failed++
+	router.log.Debug("cut", "request", req.Label, "class", req.Class, "after", router.loop.Now()-req.ReceivedAt)
+	router.auditAnswer(req, audit.Cut, audit.Answer{Why: "its answer broke off"})
+	req.client.ResponseTruncated()
+	router.release(req)
 }
 
-func (r *Router) refuse(q *request, after time.Duration) { r.refuseFor(q, after, "") }
+func (router *Router) reject(req *request, after time.Duration) { router.rejectFor(req, after, "") }
 
 // refuseFor tells the record why, where it is not that no db machine could take it.
-func (r *Router) refuseFor(q *request, after time.Duration, why string) {
-	if q.over {
+func (router *Router) rejectFor(req *request, after time.Duration, why string) {
+	if req.finished {
 		return
 	}
-	r.end(q)
-	r.count.Rejected++
-	r.log.Debug("refused", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.ReceivedAt, "why", why)
+	router.finish(req)
+	router.counts.Rejected++
+	router.log.Debug("refused", "request", req.Label, "class", req.Class, "tries", req.attemptCount, "after", router.loop.Now()-req.ReceivedAt, "why", why)
 	if after <= 0 {
-		after = r.lim.Router.DefaultRetryAfter // a refusal always says when to come back
+		after = router.limits.Router.DefaultRetryAfter // a refusal always says when to come back
 	}
-	r.answered(q, audit.Refused, audit.Answer{Retry: after, Why: why})
-	q.client.Rejected(after)
-	r.forget(q)
+	router.auditAnswer(req, audit.Refused, audit.Answer{Retry: after, Why: why})
+	req.client.Rejected(after)
+	router.release(req)
 }
 
-func (r *Router) fail(q *request, why string) {
-	if q.over {
+func (router *Router) fail(req *request, why string) {
+	if req.finished {
 		return
 	}
-	r.end(q)
-	r.count.Failed++
-	r.log.Debug("failed", "request", q.Label, "class", q.Class, "tries", q.tries, "after", r.loop.Now()-q.ReceivedAt, "why", why)
-	r.answered(q, audit.Failed, audit.Answer{Why: why})
-	q.client.Failed(why)
-	r.forget(q)
+	router.finish(req)
+	router.counts.Failed++
+	router.log.Debug("failed", "request", req.Label, "class", req.Class, "tries", req.attemptCount, "after", router.loop.Now()-req.ReceivedAt, "why", why)
+	router.auditAnswer(req, audit.Failed, audit.Answer{Why: why})
+	req.client.Failed(why)
+	router.release(req)
 }
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -7,69 +7,69 @@
 )
 
 // List passes on what discovery has told.
-func (r *Router) UpdateEndpoints(l balance.EndpointList) {
-	r.pending = append(r.pending, l)
-	r.listed(l)
-	r.listedSites(l)
+func (router *Router) UpdateEndpoints(l balance.EndpointList) {
+	router.balancerEvents = append(router.balancerEvents, l)
+	router.updateFailoverEndpoints(l)
+	router.updateSiteEndpoints(l)
 }
 
 // Suspend takes a db machine out for operators, or lets it back in. It binds when it returns.
-func (r *Router) Suspend(node string, out bool) {
-	r.servers.Suspend(node, out) // first: what came before in the same step may still ask for a probe
-	r.pending = append(r.pending, balance.Suspend{Endpoint: node, Suspended: out})
-	r.barred(node, out)
-	r.Step()
+func (router *Router) Suspend(node string, out bool) {
+	router.backends.Suspend(node, out) // first: what came before in the same step may still ask for a probe
+	router.balancerEvents = append(router.balancerEvents, balance.Suspend{Endpoint: node, Suspended: out})
+	router.suspendFailoverEndpoint(node, out)
+	router.Step()
 }
 
 // Step lets the decision module look at what has come and carries out what it decides. The loop calls it each
 // time all that had come is handed over.
-func (r *Router) Step() {
-	for again := true; again; again = len(r.pending) > 0 {
-		for r.changes(); len(r.pending) > 0; r.changes() {
-			events := r.pending
-			r.pending = nil
-			for _, a := range r.module.Step(r.loop.Now(), events) {
-				r.act(a)
+func (router *Router) Step() {
+	for again := true; again; again = len(router.balancerEvents) > 0 {
+		for router.performFailoverActions(); len(router.balancerEvents) > 0; router.performFailoverActions() {
+			events := router.balancerEvents
+			router.balancerEvents = nil
+			for _, a := range router.balancer.Step(router.loop.Now(), events) {
+				router.perform(a)
 			}
 		}
-		r.stepSites()
+		router.stepSites()
 	}
 }
 
-func (r *Router) act(a balance.Action) {
+func (router *Router) perform(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
-		if q := r.inHand[a.ID]; q != nil {
-			r.send(q, a)
+		if req := router.inFlight[a.ID]; req != nil {
+			router.startAttempt(req, a)
 		}
 	case balance.Reject:
-		if q := r.inHand[a.ID]; q != nil {
-			r.refuse(q, a.RetryAfter)
+		if req := router.inFlight[a.ID]; req != nil {
+			router.reject(req, a.RetryAfter)
 		}
 	case balance.Fail:
-		if q := r.inHand[a.ID]; q != nil {
-			r.fail(q, "the request may have run")
+		if req := router.inFlight[a.ID]; req != nil {
+			router.fail(req, "the request may have run")
 		}
 	case balance.Cancel:
-		if q := r.inHand[a.ID]; q != nil && q.tries-1 == a.Attempt && !q.began {
-			r.cancel(q, balance.StatusCancelled)
+		if req := router.inFlight[a.ID]; req != nil && req.attemptCount-1 == a.Attempt && !req.responseStarted {
+			router.cancel(req, balance.StatusCancelled)
 		}
 	case balance.HealthCheck:
-		r.probe(a.Endpoint, true)
+		router.checkHealth(a.Endpoint, true)
 	case balance.Timer:
-		r.wake.Stop()
-		r.wake = r.loop.AfterFunc(a.After, func() { r.pending = append(r.pending, balance.Wake{}) })
+		router.balancerTimer.Stop()
+		router.balancerTimer = router.loop.AfterFunc(a.After, func() { router.balancerEvents = append(router.balancerEvents, balance.Wake{}) })
 	case balance.PollEndpointList:
-		r.watcher.Poll()
+		router.discovery.Poll()
 	case balance.PrimaryUpdate:
-		r.believe(a)
-		if r.sites != nil && a.Confirmed {
-			r.sites.events = append(r.sites.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
+		router.updatePrimary(a)
+		if router.siteMonitor != nil && a.Confirmed {
+			router.siteMonitor.events = append(router.siteMonitor.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
 		}
-		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
+		router.audited(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
 	case balance.LogLine:
-		text := a.Text[:min(len(a.Text), r.lim.Router.LogTextBytes)]
-		r.log.Info(text)
-		r.record(audit.Note{Topic: "decision", Text: text})
+		text := a.Text[:min(len(a.Text), router.limits.Router.LogTextBytes)]
+		router.log.Info(text)
+		router.audited(audit.Note{Topic: "decision", Text: text})
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -108,49 +108,49 @@
 
 // Router owns the decision module and all requests in hand.
 type Router struct {
-	loop      *eventloop.Loop
-	lim       limits.Limits
-	log       *slog.Logger
-	module    *balance.Balancer
-	servers   Backends
-	watcher   DiscoveryPoller
-	audit     Audit           // nil = nothing is recorded
-	holder    *holder         // nil = nothing is held through a change of primary
-	sites     *watcherOfSites // nil = whole sites are not watched
-	classes   map[string]balance.Class
-	probes    bool // machines may be asked for reports
-	instances int
-
-	pending []balance.Event
-	inHand  map[string]*request
-	open    map[string]bool // the labels of those that are owed an answer
-	last    uint64          // the number of the newest request
-	wake    *eventloop.Timer
-	endAt   time.Duration // what is taken from now on is answered by then, 0 = in its own time
-	count   Counts
+	loop                *eventloop.Loop
+	limits              limits.Limits
+	log                 *slog.Logger
+	balancer            *balance.Balancer
+	backends            Backends
+	discovery           DiscoveryPoller
+	audit               Audit          // nil = nothing is recorded
+	failoverQueue       *failoverQueue // nil = nothing is held through a change of primary
+	siteMonitor         *siteMonitor   // nil = whole sites are not watched
+	classes             map[string]balance.Class
+	healthChecksEnabled bool // machines may be asked for reports
+	instances           int
+
+	balancerEvents    []balance.Event
+	inFlight          map[string]*request
+	openRequestIDs    map[string]bool // the labels of those that are owed an answer
+	lastRequestNumber uint64          // the number of the newest request
+	balancerTimer     *eventloop.Timer
+	shutdownDeadline  time.Duration // what is taken from now on is answered by then, 0 = in its own time
+	counts            Counts
 }
 
 // request is one that is owed an answer, or whose attempt is still out.
 type request struct {
 	Request
-	id     string
-	client Client
-	dieAt  time.Duration
-	timer  *eventloop.Timer
-	tries  int
-	mayRun bool          // an attempt was written that is not proved to have had no effect
-	call   AttemptHandle // the attempt that is out
-	node   string
-	sentAt time.Duration
-	began  bool // its answer is passed on as it comes
-	over   bool // answered, or its client has left
-	waits  bool // its class is one that may be held
-	parked bool // held through a change of primary: the module does not know of it
-
-	attempts []audit.Attempt // those that have ended, where there is a record
-	firstAt  time.Duration   // when the first one began
-	before   int             // attempts before it was handed to the module again, none of which ran
-	worked   time.Duration
+	id              string
+	client          Client
+	answerBy        time.Duration
+	timer           *eventloop.Timer
+	attemptCount    int
+	mayHaveRun      bool          // an attempt was written that is not proved to have had no effect
+	attempt         AttemptHandle // the attempt that is out
+	endpoint        string
+	sentAt          time.Duration
+	responseStarted bool // its answer is passed on as it comes
+	finished        bool // answered, or its client has left
+	queueable       bool // its class is one that may be held
+	queued          bool // held through a change of primary: the module does not know of it
+
+	endedAttempts []audit.Attempt // those that have ended, where there is a record
+	firstSentAt   time.Duration   // when the first one began
+	priorAttempts int             // attempts before it was handed to the module again, none of which ran
+	attemptTime   time.Duration
 }
 
 // New returns a Router that has yet to hear of any db machine. With a nil Audit nothing is recorded.
@@ -159,26 +159,30 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{loop: l, lim: lim, log: log, module: m, audit: a, classes: map[string]balance.Class{}, probes: cfg.HealthChecks, instances: cfg.Instances,
-		inHand: map[string]*request{}, open: map[string]bool{}}
+	router := &Router{
+		loop: l, limits: lim, log: log, balancer: m, audit: a, classes: map[string]balance.Class{}, healthChecksEnabled: cfg.HealthChecks, instances: cfg.Instances,
+		inFlight: map[string]*request{}, openRequestIDs: map[string]bool{},
+	}
 	for _, c := range cfg.Classes {
-		r.classes[c.Name] = c
+		router.classes[c.Name] = c
 	}
-	return r, nil
+	return router, nil
 }
 
 // Connect names the peers; it is called once, before anything else.
-func (r *Router) Connect(s Backends, w DiscoveryPoller) { r.servers, r.watcher = s, w }
+func (router *Router) Connect(s Backends, w DiscoveryPoller) {
+	router.backends, router.discovery = s, w
+}
 
 // EndBy lets what is taken from now on be answered by then, though its client may wait longer: the process may be ended after that.
-func (r *Router) SetShutdownDeadline(at time.Duration) { r.endAt = at }
+func (router *Router) SetShutdownDeadline(at time.Duration) { router.shutdownDeadline = at }
 
 // InHand is the number of requests that are owed an answer or have an attempt out.
-func (r *Router) InFlight() int { return len(r.inHand) }
+func (router *Router) InFlight() int { return len(router.inFlight) }
 
 // Writes says whether the requests of a class may change data, so that they must not run twice.
-func (r *Router) IsWrite(class string) bool {
-	c := r.classes[class]
+func (router *Router) IsWrite(class string) bool {
+	c := router.classes[class]
 	return c.Idempotency != balance.Idempotent || c.Consistency == balance.ConsistencyWrite
 }
 
@@ -190,7 +194,7 @@
 }
 
 // Order tells the order of a class's requests.
-func (r *Router) OrderingOf(class string) Ordering {
-	n := r.classes[class].Consistency
-	return Ordering{Writes: r.IsWrite(class), ReadsOwnWrites: n == balance.ConsistencySession, ReadsAllWrites: n == balance.ConsistencyLatest}
+func (router *Router) OrderingOf(class string) Ordering {
+	n := router.classes[class].Consistency
+	return Ordering{Writes: router.IsWrite(class), ReadsOwnWrites: n == balance.ConsistencySession, ReadsAllWrites: n == balance.ConsistencyLatest}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,139 +16,148 @@
 )
 
 // peer plays servers, watcher and events, and keeps the calls that are out.
-type peer struct {
+type testPeers struct {
 	t       *testing.T
-	calls   []*call
+	calls   []*testAttempt
 	written bool // whether what is cancelled had been written
 	events  []audit.Event
 }
 
-type call struct {
-	p    *peer
-	a    Attempt
-	done func(Result)
-	over bool
+type testAttempt struct {
+	peers   *testPeers
+	attempt Attempt
+	done    func(Result)
+	ended   bool
 
 	status balance.Status
 }
 
-func (p *peer) Start(a Attempt, done func(Result)) AttemptHandle {
-	c := &call{p: p, a: a, done: done}
+func (p *testPeers) Start(a Attempt, done func(Result)) AttemptHandle {
+	c := &testAttempt{peers: p, attempt: a, done: done}
 	for _, o := range p.calls {
-		if !o.over && o.a.Job == a.Job {
+		if !o.ended && o.attempt.Job == a.Job {
 			p.t.Error("two attempts at once")
 		}
 	}
 	p.calls = append(p.calls, c)
 	return c
 }
-func (p *peer) HealthCheck(node string, done func(Result)) {
+
+func (p *testPeers) HealthCheck(node string, done func(Result)) {
 	done(Result{Status: balance.StatusTimedOut})
 }
-func (p *peer) Poll()                {}
-func (p *peer) Suspend(string, bool) {}
-func (p *peer) Record(e audit.Event) { p.events = append(p.events, e) }
-func (c *call) Cancel() bool         { c.over = true; return c.p.written }
-func (c *call) NotWritten() bool     { return !c.over && !c.p.written }
-func (c *call) end(s balance.Status) { c.over, c.status = true, s; c.done(Result{Status: s}) }
+func (p *testPeers) Poll()                  {}
+func (p *testPeers) Suspend(string, bool)   {}
+func (p *testPeers) Record(e audit.Event)   { p.events = append(p.events, e) }
+func (c *testAttempt) Cancel() bool         { c.ended = true; return c.peers.written }
+func (c *testAttempt) NotWritten() bool     { return !c.ended && !c.peers.written }
+func (c *testAttempt) end(s balance.Status) { c.ended, c.status = true, s; c.done(Result{Status: s}) }
 
 // owed counts the answers to one request.
-type owed struct {
-	served, refused, failed int
-	begun, parts, cut       int
-	gone                    bool
-	after                   time.Duration
-	at                      time.Duration
-	l                       *eventloop.Loop
+type testClient struct {
+	served, rejected, failed                   int
+	responsesStarted, responseBytes, truncated int
+	disconnected                               bool
+	retryAfter                                 time.Duration
+	answeredAt                                 time.Duration
+	loop                                       *eventloop.Loop
 }
 
-func (o *owed) Disconnected(bool) bool         { return o.gone }
-func (o *owed) ResponseStarted(Response, Flow) { o.begun++ }
-func (o *owed) ResponsePart(p []byte)          { o.parts += len(p) }
-func (o *owed) ResponseTruncated()             { o.cut++ }
-func (o *owed) Served(Response)                { o.served++; o.at = o.l.Now() }
-func (o *owed) Rejected(after time.Duration)   { o.refused++; o.after = after; o.at = o.l.Now() }
-func (o *owed) Failed(string)                  { o.failed++; o.at = o.l.Now() }
-func (o *owed) total() int                     { return o.served + o.refused + o.failed }
+func (o *testClient) Disconnected(bool) bool         { return o.disconnected }
+func (o *testClient) ResponseStarted(Response, Flow) { o.responsesStarted++ }
+func (o *testClient) ResponsePart(p []byte)          { o.responseBytes += len(p) }
+func (o *testClient) ResponseTruncated()             { o.truncated++ }
+func (o *testClient) Served(Response)                { o.served++; o.answeredAt = o.loop.Now() }
+func (o *testClient) Rejected(after time.Duration) {
+	o.rejected++
+	o.retryAfter = after
+	o.answeredAt = o.loop.Now()
+}
+func (o *testClient) Failed(string) { o.failed++; o.answeredAt = o.loop.Now() }
+func (o *testClient) answers() int  { return o.served + o.rejected + o.failed }
 
-func start(t *testing.T) (*Router, *peer, *eventloop.Loop) {
+func newTestRouter(t *testing.T) (*Router, *testPeers, *eventloop.Loop) {
 	l := eventloop.New()
-	r, p := startOn(t, l, true)
-	return r, p, l
+	router, p := newTestRouterOn(t, l, true)
+	return router, p, l
 }
 
 // startOn is start on a loop that the test made; the primary may be missing.
-func startOn(t *testing.T, l *eventloop.Loop, primary bool) (*Router, *peer) {
-	p := &peer{t: t, written: true}
+func newTestRouterOn(t *testing.T, l *eventloop.Loop, primary bool) (*Router, *testPeers) {
+	p := &testPeers{t: t, written: true}
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	r, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{Instances: 1, Zone: "a", Cancellation: true,
+	router, err := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), balance.Config{
+		Instances: 1, Zone: "a", Cancellation: true,
 		MaxAttempts: 4, Classes: []balance.Class{
 			{Name: "look", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny},
-			{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}}}, 1, p)
+			{Name: "job", LatencyObjective: 100 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
+		},
+	}, 1, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Connect(p, p)
-	r.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
-		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady}}})
-	return r, p
+	router.Connect(p, p)
+	router.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
+		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary}, {Endpoint: "n2", Zone: "a", State: balance.EndpointReady},
+	}})
+	return router, p
 }
 
 // play runs the loop for a while; do is called in it first.
-func play(r *Router, l *eventloop.Loop, d time.Duration, do func()) {
+func runFor(router *Router, l *eventloop.Loop, d time.Duration, do func()) {
 	l.Post(do)
 	l.Post(func() { l.AfterFunc(d, l.Stop) })
-	l.Run(r.Step)
+	l.Run(router.Step)
 }
 
-func TestTheFinalAnswerComesBeforeTheClientGivesUp(t *testing.T) {
+func TestFinalAnswerComesBeforeClientDeadline(t *testing.T) {
 	for class, written := range map[string]bool{"job": true, "look": true} {
-		r, p, l := start(t)
+		router, p, l := newTestRouter(t)
 		p.written = written
-		o := &owed{l: l}
+		o := &testClient{loop: l}
 		var at time.Duration
-		play(r, l, 200*time.Millisecond, func() {
+		runFor(router, l, 200*time.Millisecond, func() {
 			at = l.Now()
-			r.Accept(Request{Class: class, Deadline: 120 * time.Millisecond, ReceivedAt: at, Job: 1}, o)
+			router.Accept(Request{Class: class, Deadline: 120 * time.Millisecond, ReceivedAt: at, Job: 1}, o)
 		})
-		if len(p.calls) == 0 || !p.calls[0].over {
+		if len(p.calls) == 0 || !p.calls[0].ended {
 			t.Fatalf("%s: its attempt is still out", class)
 		}
-		if o.total() != 1 || class == "job" && o.failed != 1 || class == "look" && o.refused != 1 {
+		if o.answers() != 1 || class == "job" && o.failed != 1 || class == "look" && o.rejected != 1 {
 			t.Fatalf("%s: %+v", class, o)
 		}
-		if o.at-at >= 120*time.Millisecond {
-			t.Logf("%s: answered after %v", class, o.at-at) // a busy machine may be late; the order is what is tested
+		if o.answeredAt-at >= 120*time.Millisecond {
+			t.Logf("%s: answered after %v", class, o.answeredAt-at) // a busy machine may be late; the order is what is tested
 		}
-		if o.refused == 1 && o.after <= 0 {
+		if o.rejected == 1 && o.retryAfter <= 0 {
 			t.Fatal("a refusal that does not say when to come back")
 		}
-		if r.InFlight() != 0 {
-			t.Fatalf("%d in hand", r.InFlight())
+		if router.InFlight() != 0 {
+			t.Fatalf("%d in hand", router.InFlight())
 		}
 	}
 }
 
 // Once an answer is passed on neither the end of the client's time nor the module ends it; if it breaks off the client is
 // told by Cut, once, and nothing is sent again.
-func TestLongAnswer(t *testing.T) {
+func TestStreamedResponse(t *testing.T) {
 	for _, end := range []balance.Status{balance.StatusDone, balance.StatusReset, balance.StatusError} {
-		r, p, l := start(t)
-		o := &owed{l: l}
-		play(r, l, 400*time.Millisecond, func() {
-			r.Accept(Request{Class: "look", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
+		router, p, l := newTestRouter(t)
+		o := &testClient{loop: l}
+		runFor(router, l, 400*time.Millisecond, func() {
+			router.Accept(Request{Class: "look", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
 			l.AfterFunc(20*time.Millisecond, func() {
-				p.calls[0].a.OnResponseStarted(nil, nil)
-				p.calls[0].a.OnResponsePart(make([]byte, 7))
-				r.act(balance.Cancel{ID: "1", Attempt: 0})
+				p.calls[0].attempt.OnResponseStarted(nil, nil)
+				p.calls[0].attempt.OnResponsePart(make([]byte, 7))
+				router.perform(balance.Cancel{ID: "1", Attempt: 0})
 			})
 			l.AfterFunc(300*time.Millisecond, func() {
-				p.calls[0].a.OnResponsePart(make([]byte, 7))
+				p.calls[0].attempt.OnResponsePart(make([]byte, 7))
 				p.calls[0].end(end)
 			})
 		})
-		if done := end == balance.StatusDone; o.begun != 1 || o.parts != 14 || o.total()+o.cut != 1 || done != (o.served == 1) || len(p.calls) != 1 || r.InFlight() != 0 {
-			t.Errorf("%v: %+v, %d attempts, %d in hand", end, o, len(p.calls), r.InFlight())
+		if done := end == balance.StatusDone; o.responsesStarted != 1 || o.responseBytes != 14 || o.answers()+o.truncated != 1 || done != (o.served == 1) || len(p.calls) != 1 || router.InFlight() != 0 {
+			t.Errorf("%v: %+v, %d attempts, %d in hand", end, o, len(p.calls), router.InFlight())
 		}
 		var recorded []*audit.Answer
 		for _, e := range p.events {
@@ -164,15 +173,15 @@
 }
 
 // The module hears when an answer began to come, not when a slow peer had given the whole of it.
-func TestTookEndsWithTheFirstByte(t *testing.T) {
-	r, p, l := start(t)
+func TestElapsedEndsWithFirstByte(t *testing.T) {
+	router, p, l := newTestRouter(t)
 	var took time.Duration
-	play(r, l, 200*time.Millisecond, func() {
+	runFor(router, l, 200*time.Millisecond, func() {
 		at := l.Now()
-		r.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: at, Job: 1}, &owed{l: l})
+		router.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: at, Job: 1}, &testClient{loop: l})
 		l.AfterFunc(150*time.Millisecond, func() {
 			p.calls[0].done(Result{Status: balance.StatusDone, ResponseStartedAt: at + 10*time.Millisecond})
-			took = r.pending[len(r.pending)-1].(balance.AttemptResult).Elapsed
+			took = router.balancerEvents[len(router.balancerEvents)-1].(balance.AttemptResult).Elapsed
 		})
 	})
 	if took > 10*time.Millisecond {
@@ -180,36 +189,36 @@
 	}
 }
 
-func TestWhatWasNeverWrittenIsRefused(t *testing.T) {
-	r, p, l := start(t)
+func TestUnwrittenRequestIsRejected(t *testing.T) {
+	router, p, l := newTestRouter(t)
 	p.written = false
-	o := &owed{l: l}
-	play(r, l, 200*time.Millisecond, func() {
-		r.Accept(Request{Class: "job", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
+	o := &testClient{loop: l}
+	runFor(router, l, 200*time.Millisecond, func() {
+		router.Accept(Request{Class: "job", Deadline: 120 * time.Millisecond, ReceivedAt: l.Now(), Job: 1}, o)
 	})
-	if o.refused != 1 || o.total() != 1 {
+	if o.rejected != 1 || o.answers() != 1 {
 		t.Fatalf("%+v", o)
 	}
 }
 
-func TestTurnedAwayAtTheDoor(t *testing.T) {
-	r, _, l := start(t)
-	r.lim.Router.InFlightRequests = 1
-	a, b, c := &owed{l: l}, &owed{l: l}, &owed{l: l}
-	play(r, l, 50*time.Millisecond, func() {
-		for want, q := range map[error]Request{ErrUnknownClass: {Class: "none", Deadline: time.Second}, ErrNoTimeLeft: {Class: "look"}} {
-			if _, err := r.Accept(q, a); err != want {
+func TestInvalidAndExcessRequestsAreRejected(t *testing.T) {
+	router, _, l := newTestRouter(t)
+	router.limits.Router.InFlightRequests = 1
+	a, b, c := &testClient{loop: l}, &testClient{loop: l}, &testClient{loop: l}
+	runFor(router, l, 50*time.Millisecond, func() {
+		for want, req := range map[error]Request{ErrUnknownClass: {Class: "none", Deadline: time.Second}, ErrNoTimeLeft: {Class: "look"}} {
+			if _, err := router.Accept(req, a); err != want {
 				t.Errorf("%v, not %v", err, want)
 			}
 		}
-		r.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, b)
+		router.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, b)
 		// It would be given what another client has asked for.
-		if _, err := r.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 4}, a); err != ErrDuplicateRequest {
+		if _, err := router.Accept(Request{Label: "b", Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 4}, a); err != ErrDuplicateRequest {
 			t.Error(err)
 		}
-		r.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, c)
+		router.Accept(Request{Class: "look", Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, c)
 	})
-	if a.total() != 0 || b.total() != 0 || c.refused != 1 || c.after <= 0 {
+	if a.answers() != 0 || b.answers() != 0 || c.rejected != 1 || c.retryAfter <= 0 {
 		t.Fatalf("%+v %+v %+v", a, b, c)
 	}
 }
@@ -218,8 +227,8 @@
 // may have run, and nothing stays behind.
 func TestRandomOutcomes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
-	r, p, l := start(t)
-	var all []*owed
+	router, p, l := newTestRouter(t)
+	var all []*testClient
 	left := map[int]bool{}
 	var ids []string
 	tick := func() {}
@@ -228,33 +237,37 @@
 		if n++; n > 300 {
 			return
 		}
-		o := &owed{l: l}
+		o := &testClient{loop: l}
 		class := []string{"look", "job"}[rng.IntN(2)]
-		id, _ := r.Accept(Request{Class: class, Label: fmt.Sprint(class, n), Deadline: time.Duration(20+rng.IntN(80)) * time.Millisecond,
-			ReceivedAt: l.Now(), Job: fmt.Sprintf("%s%d", class, n)}, o)
+		id, _ := router.Accept(Request{
+			Class: class, Label: fmt.Sprint(class, n), Deadline: time.Duration(20+rng.IntN(80)) * time.Millisecond,
+			ReceivedAt: l.Now(), Job: fmt.Sprintf("%s%d", class, n),
+		}, o)
 		ids = append(ids, id)
 		all = append(all, o)
-		if i := rng.IntN(len(all)); rng.IntN(6) == 0 && all[i].total() == 0 {
+		if i := rng.IntN(len(all)); rng.IntN(6) == 0 && all[i].answers() == 0 {
 			left[i] = true
-			r.Disconnect(ids[i])
+			router.Disconnect(ids[i])
 		}
 		for _, c := range p.calls {
-			if !c.over && rng.IntN(3) == 0 {
-				c.end([]balance.Status{balance.StatusDone, balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusConnectFailed,
-					balance.StatusReset, balance.StatusNotSent, balance.StatusMiss}[rng.IntN(8)])
+			if !c.ended && rng.IntN(3) == 0 {
+				c.end([]balance.Status{
+					balance.StatusDone, balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusConnectFailed,
+					balance.StatusReset, balance.StatusNotSent, balance.StatusMiss,
+				}[rng.IntN(8)])
 			}
 		}
 		l.AfterFunc(time.Millisecond, tick)
 	}
-	play(r, l, 800*time.Millisecond, tick)
+	runFor(router, l, 800*time.Millisecond, tick)
 	may := map[any]bool{}
 	for _, c := range p.calls {
-		if may[c.a.Job] {
-			t.Fatalf("%v: sent again", c.a.Job)
+		if may[c.attempt.Job] {
+			t.Fatalf("%v: sent again", c.attempt.Job)
 		}
 		// A call that ended without a status was cancelled at its deadline: it may have run.
 		safe := c.status == balance.StatusBusy || c.status == balance.StatusConnectFailed || c.status == balance.StatusNotSent || c.status == balance.StatusMiss
-		may[c.a.Job] = strings.HasPrefix(c.a.Job.(string), "job") && !safe
+		may[c.attempt.Job] = strings.HasPrefix(c.attempt.Job.(string), "job") && !safe
 	}
 	recorded, outcomes := map[string]*audit.Answer{}, map[audit.Outcome]int{}
 	for _, e := range p.events {
@@ -266,7 +279,7 @@
 			outcomes[a.Outcome]++
 		}
 	}
-	if c := r.Counts(); len(recorded) != len(all) || uint64(outcomes[audit.Served]) != c.Served || uint64(outcomes[audit.Refused]) != c.Rejected ||
+	if c := router.Counts(); len(recorded) != len(all) || uint64(outcomes[audit.Served]) != c.Served || uint64(outcomes[audit.Refused]) != c.Rejected ||
 		uint64(outcomes[audit.Failed]) != c.Failed || uint64(outcomes[audit.Left]) != c.Disconnected {
 		t.Fatalf("%d records of %d requests: %v, counted %+v", len(recorded), len(all), outcomes, c)
 	}
@@ -281,89 +294,89 @@
 		if left[i] {
 			want = 0
 		}
-		if o.total() != want {
+		if o.answers() != want {
 			t.Fatalf("request %d, left %v: %+v", i, left[i], o)
 		}
 	}
-	if r.InFlight() != 0 || len(r.open) != 0 {
-		t.Fatalf("%d in hand, %d open", r.InFlight(), len(r.open))
+	if router.InFlight() != 0 || len(router.openRequestIDs) != 0 {
+		t.Fatalf("%d in hand, %d open", router.InFlight(), len(router.openRequestIDs))
 	}
 }
 
 // A client that leaves gives up the attempt of its read, and hears nothing; what may change data runs to its end.
-func TestLeavingGivesAReadUp(t *testing.T) {
+func TestDisconnectCancelsReadsOnly(t *testing.T) {
 	for class, given := range map[string]bool{"look": true, "job": false} {
-		r, p, l := start(t)
-		o := &owed{l: l}
-		play(r, l, 100*time.Millisecond, func() {
-			id, _ := r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
-			l.AfterFunc(20*time.Millisecond, func() { r.Disconnect(id) })
+		router, p, l := newTestRouter(t)
+		o := &testClient{loop: l}
+		runFor(router, l, 100*time.Millisecond, func() {
+			id, _ := router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+			l.AfterFunc(20*time.Millisecond, func() { router.Disconnect(id) })
 		})
-		if len(p.calls) != 1 || p.calls[0].over != given || o.total() != 0 || (r.InFlight() == 0) != given {
-			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
+		if len(p.calls) != 1 || p.calls[0].ended != given || o.answers() != 0 || (router.InFlight() == 0) != given {
+			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, router.InFlight())
 		}
 	}
 }
 
 // A client that has gone gets no attempt begun, first or further, though the close has yet to be told; nor does one go out that
 // waits for a connection when its client leaves, whatever the class.
-func TestNothingIsBegunForAClientThatHasGone(t *testing.T) {
+func TestNoAttemptStartsForADisconnectedClient(t *testing.T) {
 	for _, class := range []string{"look", "job"} {
-		r, p, l := start(t)
-		o := &owed{l: l, gone: true}
-		play(r, l, 100*time.Millisecond, func() { r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o) })
-		if len(p.calls) != 0 || o.total() != 0 || r.InFlight() != 0 || r.Counts().Disconnected != 1 {
-			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
+		router, p, l := newTestRouter(t)
+		o := &testClient{loop: l, disconnected: true}
+		runFor(router, l, 100*time.Millisecond, func() { router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o) })
+		if len(p.calls) != 0 || o.answers() != 0 || router.InFlight() != 0 || router.Counts().Disconnected != 1 {
+			t.Errorf("%s: %d attempts, %+v, %d in hand", class, len(p.calls), o, router.InFlight())
 		}
 
 		// It goes between two attempts.
-		r, p, l = start(t)
-		o = &owed{l: l}
-		play(r, l, 200*time.Millisecond, func() {
-			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+		router, p, l = newTestRouter(t)
+		o = &testClient{loop: l}
+		runFor(router, l, 200*time.Millisecond, func() {
+			router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
 			l.AfterFunc(20*time.Millisecond, func() {
-				o.gone = true
+				o.disconnected = true
 				p.calls[0].end(balance.StatusBusy)
 			})
 		})
-		if len(p.calls) != 1 || o.total() != 0 || r.InFlight() != 0 {
-			t.Errorf("%s, a further one: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
+		if len(p.calls) != 1 || o.answers() != 0 || router.InFlight() != 0 {
+			t.Errorf("%s, a further one: %d attempts, %+v, %d in hand", class, len(p.calls), o, router.InFlight())
 		}
 
 		// It leaves while its attempt waits for a connection; the attempt asks again right before it is written.
-		r, p, l = start(t)
+		router, p, l = newTestRouter(t)
 		p.written = false
-		o = &owed{l: l}
-		play(r, l, 100*time.Millisecond, func() {
-			id, _ := r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
+		o = &testClient{loop: l}
+		runFor(router, l, 100*time.Millisecond, func() {
+			id, _ := router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, o)
 			l.AfterFunc(20*time.Millisecond, func() {
-				o.gone = true
-				if !p.calls[0].a.Abandoned() {
+				o.disconnected = true
+				if !p.calls[0].attempt.Abandoned() {
 					t.Errorf("%s: its attempt is still wanted", class)
 				}
-				r.Disconnect(id)
+				router.Disconnect(id)
 			})
 		})
-		if len(p.calls) != 1 || !p.calls[0].over || o.total() != 0 || r.InFlight() != 0 {
-			t.Errorf("%s, waiting: %d attempts, %+v, %d in hand", class, len(p.calls), o, r.InFlight())
+		if len(p.calls) != 1 || !p.calls[0].ended || o.answers() != 0 || router.InFlight() != 0 {
+			t.Errorf("%s, waiting: %d attempts, %+v, %d in hand", class, len(p.calls), o, router.InFlight())
 		}
 	}
 }
 
 // What is taken late in a shutdown is answered before the platform ends the process, though its client would wait longer.
-func TestWhatIsTakenLateIsAnsweredByTheEnd(t *testing.T) {
+func TestShutdownDeadlineBoundsLateRequests(t *testing.T) {
 	for _, class := range []string{"look", "job"} {
-		r, _, l := start(t)
-		early, late, last := &owed{l: l}, &owed{l: l}, &owed{l: l}
-		play(r, l, 400*time.Millisecond, func() {
-			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, early)
-			r.SetShutdownDeadline(l.Now() + 100*time.Millisecond)
-			r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, late)
+		router, _, l := newTestRouter(t)
+		early, late, last := &testClient{loop: l}, &testClient{loop: l}, &testClient{loop: l}
+		runFor(router, l, 400*time.Millisecond, func() {
+			router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 1}, early)
+			router.SetShutdownDeadline(l.Now() + 100*time.Millisecond)
+			router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 2}, late)
 			l.AfterFunc(150*time.Millisecond, func() {
-				r.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, last)
+				router.Accept(Request{Class: class, Deadline: time.Second, ReceivedAt: l.Now(), Job: 3}, last)
 			})
 		})
-		if early.total() != 0 && early.at <= late.at || late.total() != 1 || last.refused != 1 || last.total() != 1 {
+		if early.answers() != 0 && early.answeredAt <= late.answeredAt || late.answers() != 1 || last.rejected != 1 || last.answers() != 1 {
 			t.Errorf("%s: %+v %+v %+v", class, early, late, last)
 		}
 	}
