--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -1,53 +1,44 @@
 package router
 
-import (
-	"hash/fnv"
+import "time"
 
-	"limeladder/balance"
+// Reasons in the audit record of a request that was rejected before the balancer heard of it.
+const (
+	reasonExpiredUnread = "its time was over before it could be begun"
+	reasonSiteLost      = "a site is lost and there is no place for it"
 )
 
-// admit turns away what is too much and hands the rest to the decision module.
-func (router *Router) admit(req *request) {
-	if len(router.inFlight) >= router.limits.Router.InFlightRequests {
-		// Guards memory: what is beyond the limit is turned away before anything is kept of it.
-		router.loop.Post(func() { router.reject(req, 0) })
+// admit sheds what is too much, and hands the rest to the failover queue or to the balancer.
+func (r *Router) admit(req *request) {
+	if len(r.inFlight) >= r.limits.Router.InFlightRequests {
+		// Nothing is kept of a request beyond the limit, so that memory stays bounded.
+		r.rejectLater(req, 0, "")
 		return
 	}
-	if req.answerBy <= router.loop.Now() {
-		// It waited unread behind others for all of its time: nobody waits for what it would run.
-		router.counts.Expired++
-		router.loop.Post(func() { router.rejectFor(req, 0, "its time was over before it could be begun") })
+	if req.answerBy <= r.loop.Now() {
+		// It was queued unread behind others for all of its time: nobody waits for the answer any more.
+		r.counts.Expired++
+		r.rejectLater(req, 0, reasonExpiredUnread)
 		return
 	}
-	router.recordDemand(req)
-	if after, refused := router.rejectedForSiteLoss(req); refused {
-		router.counts.RejectedForSiteLoss++
-		router.loop.Post(func() { router.rejectFor(req, after, "a site is lost and there is no place for it") })
+	r.siteMonitor.recordDemand(req)
+	if retryAfter, rejected := r.siteAdmission.shouldReject(req); rejected {
+		r.counts.RejectedForSiteLoss++
+		r.rejectLater(req, retryAfter, reasonSiteLost)
 		return
 	}
-	router.inFlight[req.id] = req
-	// The module ends what it holds in time; the timer is for attempts that are out, and guards against a
-	// request that would stay without any answer.
-	req.timer = router.loop.AfterFunc(req.answerBy-router.loop.Now(), func() { router.expire(req) })
-	if router.failoverQueue != nil {
-		_, req.queueable = router.failoverQueue.classes[req.Class]
-	}
-	if !req.queueable || !router.enqueue(req) {
-		router.submit(req)
+	r.inFlight[req.id] = req
+	// The balancer ends in time what it has queued. The timer is for attempts in flight, and makes sure that no
+	// request stays without an answer.
+	req.timer = r.loop.AfterFunc(req.answerBy-r.loop.Now(), func() { r.expire(req) })
+	req.queueable = r.failoverQueue.takesClass(req.Class)
+	if req.queueable && r.failoverQueue.enqueue(req) {
+		return
 	}
+	r.submit(req)
 }
 
-// enter hands a request to the module.
-func (router *Router) submit(req *request) {
-	c, now := router.classes[req.Class], router.loop.Now()
-	e := balance.Request{ID: req.id, Class: req.Class, Group: req.Group, TimeLeft: max(0, req.answerBy-now), Retry: req.Retry, PriorAttempts: req.priorAttempts}
-	if req.Session != "" && (c.Consistency == balance.ConsistencySession || c.Consistency == balance.ConsistencyWrite) {
-		h := fnv.New64a()
-		h.Write([]byte(req.Session))
-		e.SessionID = int64(h.Sum64()>>11) | 1
-	}
-	if req.MinPosition > 0 {
-		e.SinceSessionWrite = max(1, now-req.MinPosition)
-	}
-	router.balancerEvents = append(router.balancerEvents, e)
+// rejectLater rejects a request once Accept has returned.
+func (r *Router) rejectLater(req *request, retryAfter time.Duration, reason string) {
+	r.loop.Post(func() { r.rejectFor(req, retryAfter, reason) })
 }
--- /dev/null
+++ b/internal/router/audit_record.go
@@ -0,0 +1,73 @@
+package router
+
+import (
+	"limeladder/balance"
+	"limeladder/internal/audit"
+)
+
+// auditLog is where audit events go. Without a sink nothing is recorded, and nothing is collected for it.
+type auditLog struct{ sink Audit }
+
+func (l auditLog) enabled() bool { return l.sink != nil }
+
+func (l auditLog) record(event audit.Event) {
+	if l.sink != nil {
+		l.sink.Record(event)
+	}
+}
+
+// auditAttempt notes the end of the attempt that was in flight, for the record of the answer.
+func (r *Router) auditAttempt(req *request, status balance.Status) {
+	if !r.audit.enabled() || req.finished {
+		return
+	}
+	duration := r.loop.Now() - req.attempts.sentAt
+	req.history.duration += duration
+	req.history.ended = append(req.history.ended, audit.Attempt{
+		Node: req.attempts.endpoint,
+		End:  status,
+		Took: duration,
+	})
+}
+
+// auditAnswer records a final answer. The answer comes with what only its caller knows.
+func (r *Router) auditAnswer(req *request, outcome audit.Outcome, answer audit.Answer) {
+	if !r.audit.enabled() {
+		return
+	}
+	now := r.loop.Now()
+	answer.Request = req.Label
+	answer.Class = req.Class
+	answer.Group = req.Group
+	answer.Tenant = req.Tenant
+	answer.Client = req.Client
+	answer.Node = req.attempts.endpoint
+	answer.Outcome = outcome
+	answer.Writes = r.IsWrite(req.Class)
+	answer.Attempts = req.history.ended
+	answer.Worked = req.history.duration
+	answer.Total = now - req.ReceivedAt
+	answer.Queued = answer.Total
+	if req.attempts.requested > 0 {
+		answer.Queued = req.history.firstSentAt - req.ReceivedAt
+	}
+	if req.attempts.isInFlight() {
+		duration := now - req.attempts.sentAt
+		answer.Attempts = append(answer.Attempts, audit.Attempt{
+			Node: req.attempts.endpoint,
+			End:  audit.Out,
+			Took: duration,
+		})
+		answer.Worked += duration
+	}
+	answer.MayRun = answer.Writes && req.mayHaveRun(outcome)
+	r.audit.record(&answer)
+}
+
+// mayHaveRun says whether a request that is answered so has run, or may have run, or still may.
+func (req *request) mayHaveRun(outcome audit.Outcome) bool {
+	if outcome == audit.Served || outcome == audit.Cut {
+		return true
+	}
+	return req.attempts.mayHaveRun || req.attempts.isInFlight()
+}
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -1,45 +1,107 @@
 package router
 
 import (
+	"time"
+
 	"limeladder/balance"
-	"limeladder/internal/audit"
 )
 
-// What is recorded of a request. Without an Audit none of it costs anything.
+// Counts is what has happened since the start.
+type Counts struct {
+	Accepted            uint64 // requests, also those that were rejected at once
+	Served              uint64
+	Rejected            uint64
+	Failed              uint64
+	Disconnected        uint64                         // requests whose client left before the answer
+	RejectedForSiteLoss uint64                         // of those rejected: shed while a site was lost
+	Expired             uint64                         // of those rejected: their time was over before they were admitted
+	Attempts            [balance.StatusMiss + 1]uint64 // by status
+}
+
+// Counts returns a copy of the counters.
+func (r *Router) Counts() Counts { return r.counts }
 
-func (router *Router) audited(e audit.Event) {
-	if router.audit != nil {
-		router.audit.Record(e)
+// recordAttempt records the end of an attempt and reports it to all who learn from it. A response is forwarded on the
+// way.
+func (r *Router) recordAttempt(req *request, number int, result Result) {
+	now := r.loop.Now()
+	attempts := &req.attempts
+	r.log.Debug("attempt ended", "request", req.Label, "class", req.Class, "attempt", number,
+		"endpoint", attempts.endpoint, "status", int(result.Status), "role", int(result.Role),
+		"elapsed", now-attempts.sentAt)
+	if statusMayHaveRun(result.Status) {
+		attempts.mayHaveRun = true
+	}
+	r.auditAttempt(req, result.Status)
+	elapsed := attempts.elapsed(now, result.ResponseStartedAt)
+	served := result.Status == balance.StatusDone
+	if served {
+		// The failover queue has to hear of it before the request is released: it lets more queued writes out with
+		// each answer, and does not count the answer to a request that it has forgotten.
+		r.failoverQueue.attemptEnded(req, &result, elapsed, now)
+		r.notifyCommitted(req, &result)
+		r.serve(req, result.Response, result.Code)
+	} else if attempts.responseStarted {
+		r.truncate(req)
 	}
+	r.reportOutcome(req, number, attempts.endpoint, result, elapsed)
+	if !served {
+		r.failoverQueue.attemptEnded(req, &result, elapsed, now)
+	}
+	r.release(req)
 }
 
-// ended notes the end of the attempt that was out.
-func (router *Router) auditAttempt(req *request, as balance.Status) {
-	if router.audit == nil || req.finished {
-		return
+// elapsed is how long the newest attempt took until its response began to arrive, or until it ended without one. The
+// time that a slow peer takes to send a long response says nothing of how busy it is.
+func (s *attemptState) elapsed(now, responseStartedAt time.Duration) time.Duration {
+	if responseStartedAt > 0 {
+		return responseStartedAt - s.sentAt
 	}
-	took := router.loop.Now() - req.sentAt
-	req.attemptTime += took
-	req.endedAttempts = append(req.endedAttempts, audit.Attempt{Node: req.endpoint, End: as, Took: took})
+	return now - s.sentAt
 }
 
-// answered records a final answer; a says what only its giver knows.
-func (router *Router) auditAnswer(req *request, o audit.Outcome, a audit.Answer) {
-	if router.audit == nil {
+// notifyCommitted tells the client of a write that was served the position of the write.
+func (r *Router) notifyCommitted(req *request, result *Result) {
+	committer, ok := req.client.(Committer)
+	if !ok || req.finished {
 		return
 	}
-	now := router.loop.Now()
-	class := router.classes[req.Class]
-	a.Request, a.Class, a.Group, a.Tenant, a.Client, a.Node = req.Label, req.Class, req.Group, req.Tenant, req.Client, req.endpoint
-	a.Outcome, a.Writes = o, class.Idempotency != balance.Idempotent || class.Consistency == balance.ConsistencyWrite
-	a.Attempts, a.Worked, a.Total, a.Queued = req.endedAttempts, req.attemptTime, now-req.ReceivedAt, now-req.ReceivedAt
-	if req.attemptCount > 0 {
-		a.Queued = req.firstSentAt - req.ReceivedAt
+	committed := result.Position > 0 && result.Code == ""
+	if committed && r.IsWrite(req.Class) {
+		committer.Committed(result.Position)
 	}
-	if req.attempt != nil { // it is answered while an attempt is out
-		a.Attempts = append(a.Attempts, audit.Attempt{Node: req.endpoint, End: audit.Out, Took: now - req.sentAt})
-		a.Worked += now - req.sentAt
+}
+
+// reportOutcome counts the end of an attempt and hands it to the balancer and the site parts.
+func (r *Router) reportOutcome(
+	req *request, number int, endpoint string, result Result, elapsed time.Duration,
+) {
+	r.counts.Attempts[result.Status]++
+	r.reportToSites(endpoint, &result)
+	r.notifyBalancer(balance.AttemptResult{
+		ID:       req.id,
+		Attempt:  number,
+		Endpoint: endpoint,
+		Status:   result.Status,
+		Elapsed:  elapsed,
+		Finished: req.finished,
+		Role:     result.Role,
+		Position: result.Position,
+	})
+}
+
+// reportToSites hands the end of an attempt or a health check to the site monitor and to site admission.
+func (r *Router) reportToSites(endpoint string, result *Result) {
+	r.siteMonitor.recordResult(endpoint, result)
+	r.siteAdmission.recordResult(endpoint, result.Status)
+}
+
+// release drops a request that is answered and has nothing in flight.
+func (r *Router) release(req *request) {
+	if !req.isSettled() {
+		return
 	}
-	a.MayRun = a.Writes && (req.mayHaveRun || req.attempt != nil || o == audit.Served || o == audit.Cut)
-	router.audit.Record(&a)
+	req.stopTimer()
+	delete(r.inFlight, req.id)
+	r.failoverQueue.requestDone(req)
 }
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -1,75 +1,184 @@
 package router
 
 import (
+	"hash/fnv"
+	"time"
+
 	"limeladder/balance"
 	"limeladder/internal/audit"
-	"limeladder/internal/sitefailover"
 )
 
-// List passes on what discovery has told.
-func (router *Router) UpdateEndpoints(l balance.EndpointList) {
-	router.balancerEvents = append(router.balancerEvents, l)
-	router.updateFailoverEndpoints(l)
-	router.updateSiteEndpoints(l)
-}
-
-// Suspend takes a db machine out for operators, or lets it back in. It binds when it returns.
-func (router *Router) Suspend(node string, out bool) {
-	router.backends.Suspend(node, out) // first: what came before in the same step may still ask for a probe
-	router.balancerEvents = append(router.balancerEvents, balance.Suspend{Endpoint: node, Suspended: out})
-	router.suspendFailoverEndpoint(node, out)
-	router.Step()
-}
-
-// Step lets the decision module look at what has come and carries out what it decides. The loop calls it each
-// time all that had come is handed over.
-func (router *Router) Step() {
-	for again := true; again; again = len(router.balancerEvents) > 0 {
-		for router.performFailoverActions(); len(router.balancerEvents) > 0; router.performFailoverActions() {
-			events := router.balancerEvents
-			router.balancerEvents = nil
-			for _, a := range router.balancer.Step(router.loop.Now(), events) {
-				router.perform(a)
-			}
+// reasonMayHaveRun is what a client reads when the balancer gives a request up that was written.
+const reasonMayHaveRun = "the request may have run"
+
+// UpdateEndpoints passes on what discovery has reported.
+func (r *Router) UpdateEndpoints(list balance.EndpointList) {
+	r.notifyBalancer(list)
+	r.failoverQueue.endpointsUpdated(list)
+	r.siteMonitor.endpointsUpdated(list)
+}
+
+// Suspend takes an endpoint out of service for operators, or lets it back in. It is in force when it returns.
+func (r *Router) Suspend(endpoint string, suspended bool) {
+	// The backends come first: earlier events of the same step may still ask for a health check.
+	r.backends.Suspend(endpoint, suspended)
+	r.notifyBalancer(balance.Suspend{Endpoint: endpoint, Suspended: suspended})
+	r.failoverQueue.endpointSuspended(endpoint, suspended)
+	r.Step()
+}
+
+// Step lets the balancer, the failover queue and the site monitor look at what has happened, and carries out what they
+// decide. The loop calls it each time when all that has arrived is handed over.
+func (r *Router) Step() {
+	for {
+		r.stepBalancer()
+		r.siteMonitor.step()
+		if len(r.balancerEvents) == 0 {
+			return
 		}
-		router.stepSites()
 	}
 }
 
-func (router *Router) perform(a balance.Action) {
-	switch a := a.(type) {
-	case balance.Send:
-		if req := router.inFlight[a.ID]; req != nil {
-			router.startAttempt(req, a)
+// stepBalancer goes on until neither the failover queue nor the balancer has anything left to do.
+func (r *Router) stepBalancer() {
+	for {
+		r.failoverQueue.performActions()
+		if len(r.balancerEvents) == 0 {
+			return
 		}
-	case balance.Reject:
-		if req := router.inFlight[a.ID]; req != nil {
-			router.reject(req, a.RetryAfter)
+		events := r.balancerEvents
+		r.balancerEvents = nil
+		for _, action := range r.balancer.Step(r.loop.Now(), events) {
+			r.perform(action)
 		}
+	}
+}
+
+// notifyBalancer hands the balancer an event with the next step.
+func (r *Router) notifyBalancer(event balance.Event) {
+	r.balancerEvents = append(r.balancerEvents, event)
+}
+
+// submit hands a request to the balancer.
+func (r *Router) submit(req *request) {
+	now := r.loop.Now()
+	event := balance.Request{
+		ID:            req.id,
+		Class:         req.Class,
+		Group:         req.Group,
+		TimeLeft:      max(0, req.answerBy-now),
+		Retry:         req.Retry,
+		PriorAttempts: req.attempts.prior,
+	}
+	if req.Session != "" && dependsOnSession(r.classes[req.Class].Consistency) {
+		event.SessionID = sessionID(req.Session)
+	}
+	if req.MinPosition > 0 {
+		event.SinceSessionWrite = max(1, now-req.MinPosition)
+	}
+	r.notifyBalancer(event)
+}
+
+// dependsOnSession says whether the balancer has to know the session of a request: reads that have to see the
+// session's writes, and those writes.
+func dependsOnSession(consistency balance.Consistency) bool {
+	return consistency == balance.ConsistencySession || consistency == balance.ConsistencyWrite
+}
+
+// sessionID is the number that the balancer knows a session by. It is never 0, which stands for no session, and has no
+// more than 53 bits, which a JSON number carries exactly.
+func sessionID(session string) int64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(session))
+	return int64(hash.Sum64()>>11) | 1
+}
+
+// withdraw takes a request back from the balancer, as if its client had left.
+func (r *Router) withdraw(req *request) {
+	r.notifyBalancer(balance.ClientDisconnected{ID: req.id})
+}
+
+// perform carries out one action of the balancer.
+func (r *Router) perform(action balance.Action) {
+	switch action := action.(type) {
+	case balance.Send:
+		r.performSend(action)
+	case balance.Reject:
+		r.performReject(action)
 	case balance.Fail:
-		if req := router.inFlight[a.ID]; req != nil {
-			router.fail(req, "the request may have run")
-		}
+		r.performFail(action)
 	case balance.Cancel:
-		if req := router.inFlight[a.ID]; req != nil && req.attemptCount-1 == a.Attempt && !req.responseStarted {
-			router.cancel(req, balance.StatusCancelled)
-		}
+		r.performCancel(action)
 	case balance.HealthCheck:
-		router.checkHealth(a.Endpoint, true)
+		r.checkHealthForBalancer(action.Endpoint)
 	case balance.Timer:
-		router.balancerTimer.Stop()
-		router.balancerTimer = router.loop.AfterFunc(a.After, func() { router.balancerEvents = append(router.balancerEvents, balance.Wake{}) })
+		r.performTimer(action)
 	case balance.PollEndpointList:
-		router.discovery.Poll()
+		r.discovery.Poll()
 	case balance.PrimaryUpdate:
-		router.updatePrimary(a)
-		if router.siteMonitor != nil && a.Confirmed {
-			router.siteMonitor.events = append(router.siteMonitor.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
-		}
-		router.audited(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
+		r.performPrimaryUpdate(action)
 	case balance.LogLine:
-		text := a.Text[:min(len(a.Text), router.limits.Router.LogTextBytes)]
-		router.log.Info(text)
-		router.audited(audit.Note{Topic: "decision", Text: text})
+		r.performLog(action)
+	}
+}
+
+func (r *Router) performSend(action balance.Send) {
+	req := r.inFlight[action.ID]
+	if req != nil {
+		r.startAttempt(req, action)
+	}
+}
+
+func (r *Router) performReject(action balance.Reject) {
+	req := r.inFlight[action.ID]
+	if req != nil {
+		r.reject(req, action.RetryAfter)
+	}
+}
+
+func (r *Router) performFail(action balance.Fail) {
+	req := r.inFlight[action.ID]
+	if req != nil {
+		r.fail(req, reasonMayHaveRun)
+	}
+}
+
+func (r *Router) performCancel(action balance.Cancel) {
+	req := r.inFlight[action.ID]
+	if req != nil && req.acceptsCancel(action.Attempt) {
+		r.cancelAttempt(req, balance.StatusCancelled)
+	}
+}
+
+func (r *Router) performTimer(action balance.Timer) {
+	r.balancerTimer.Stop()
+	r.balancerTimer = r.loop.AfterFunc(action.After, func() { r.notifyBalancer(balance.Wake{}) })
+}
+
+func (r *Router) performPrimaryUpdate(update balance.PrimaryUpdate) {
+	r.failoverQueue.primaryUpdated(update)
+	r.siteMonitor.primaryUpdated(update)
+	r.audit.record(audit.Primary{
+		Group:    update.Group,
+		Node:     update.Endpoint,
+		Believed: update.Confirmed,
+		Why:      update.Reason,
+	})
+}
+
+func (r *Router) performLog(entry balance.LogLine) {
+	text := entry.Text[:min(len(entry.Text), r.limits.Router.LogTextBytes)]
+	r.log.Info("balancer decision", "detail", text)
+	r.audit.record(audit.Note{Topic: "decision", Text: text})
+}
+
+// earliest is the earlier of two moments, where 0 stands for none.
+func earliest(a, b time.Duration) time.Duration {
+	if a <= 0 {
+		return max(b, 0)
+	}
+	if b <= 0 {
+		return a
 	}
+	return min(a, b)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -298,8 +298,8 @@
 			t.Fatalf("request %d, left %v: %+v", i, left[i], o)
 		}
 	}
-	if router.InFlight() != 0 || len(router.openRequestIDs) != 0 {
-		t.Fatalf("%d in hand, %d open", router.InFlight(), len(router.openRequestIDs))
+	if router.InFlight() != 0 || len(router.openLabels) != 0 {
+		t.Fatalf("%d in hand, %d open", router.InFlight(), len(router.openLabels))
 	}
 }
 
