--- /dev/null
+++ b/internal/router/forward_test.go
@@ -0,0 +1,59 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"limeladder/balance"
+	"limeladder/internal/audit"
+)
+
+// Once a response is forwarded neither the request's deadline nor the balancer ends it. If it breaks off the client is
+// told once, by ResponseTruncated, and nothing is sent again.
+func TestStreamedResponse(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		end       balance.Status
+		served    int
+		truncated int
+		outcome   audit.Outcome
+	}{
+		{"complete", balance.StatusDone, 1, 0, audit.Served},
+		{"connection reset", balance.StatusReset, 0, 1, audit.Cut},
+		{"endpoint failed", balance.StatusError, 0, 1, audit.Cut},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			router, peers, loop := newTestRouter(t)
+			client := &fakeClient{loop: loop}
+			runFor(router, loop, 400*time.Millisecond, func() {
+				req := Request{Class: readClass, Deadline: 120 * time.Millisecond, ReceivedAt: loop.Now(), Job: 1}
+				id := accept(t, router, req, client)
+				loop.AfterFunc(20*time.Millisecond, func() {
+					peers.attempts[0].OnResponseStarted(nil, nil)
+					peers.attempts[0].OnResponsePart(make([]byte, 7))
+					router.perform(balance.Cancel{ID: id, Attempt: 0})
+				})
+				loop.AfterFunc(300*time.Millisecond, func() {
+					peers.attempts[0].OnResponsePart(make([]byte, 7))
+					peers.attempts[0].end(test.end)
+				})
+			})
+			if client.responsesStarted != 1 || client.responseBytes != 14 {
+				t.Errorf("forwarded: %+v", client)
+			}
+			if client.served != test.served || client.truncated != test.truncated || client.answers() != test.served {
+				t.Errorf("answered: %+v", client)
+			}
+			if len(peers.attempts) != 1 || router.InFlight() != 0 {
+				t.Errorf("%d attempts, %d in flight", len(peers.attempts), router.InFlight())
+			}
+			recorded := peers.answers()
+			if len(recorded) != 1 || len(recorded[0].Attempts) != 1 {
+				t.Fatalf("recorded as %+v", recorded)
+			}
+			if recorded[0].Outcome != test.outcome || recorded[0].Attempts[0].End != test.end {
+				t.Errorf("recorded as %+v", recorded[0])
+			}
+		})
+	}
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,8 +10,9 @@
 	"limeladder/internal/limits"
 )
 
-// Audit stores audit events. Record never blocks and makes no system call.
+// Audit stores audit events.
 type Audit interface {
+	// Record stores one event. It never blocks and makes no system call.
 	Record(event audit.Event)
 }
 
