--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -9,7 +9,7 @@
 	"limeladder/internal/audit"
 )
 
-// Reasons why Accept takes a request in no form; nothing is kept of it.
+// Errors of Accept: nothing is kept of such a request, and its client gets no call.
 var (
 	ErrUnknownClass     = errors.New("no class of that name")
 	ErrNoTimeLeft       = errors.New("no time is left to answer in")
@@ -105,19 +105,19 @@
 	r.release(req)
 }
 
-// disconnectIfGone says whether the client of a request has left, and handles that like a call of Disconnect.
+// detectDisconnect says whether the client of a request has left, and handles that like a call of Disconnect.
 //
 // A router that is short of CPU time learns of a closed connection long after the fact. An attempt that starts in the
 // meantime is for nobody, while a client that came back has another one in flight.
-func (r *Router) disconnectIfGone(req *request) bool {
-	if !req.finished && r.clientIsGone(req) {
+func (r *Router) detectDisconnect(req *request) bool {
+	if !req.finished && r.clientDisconnected(req) {
 		r.Disconnect(req.id)
 	}
 	return req.finished
 }
 
-// clientIsGone asks the frontend whether the client of a request has left.
-func (r *Router) clientIsGone(req *request) bool {
+// clientDisconnected asks the frontend whether the client of a request has left.
+func (r *Router) clientDisconnected(req *request) bool {
 	askSystem := r.age(req) > connectionCheckAge
 	return req.client.Disconnected(askSystem)
 }
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -46,7 +46,7 @@
 			"in_flight", req.attempts.isInFlight())
 		return false
 	}
-	return !r.disconnectIfGone(req)
+	return !r.detectDisconnect(req)
 }
 
 // attemptCallbacks is what the backends call during one attempt.
@@ -68,7 +68,7 @@
 }
 
 func (c *attemptCallbacks) abandoned() bool {
-	return c.req.finished || c.router.clientIsGone(c.req)
+	return c.req.finished || c.router.clientDisconnected(c.req)
 }
 
 func (c *attemptCallbacks) done(result Result) {
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// randomRun sends one request a millisecond, lets some clients leave, and ends attempts as the dice fall.
+// randomRun sends one request a millisecond, lets some clients leave, and ends attempts at random.
 type randomRun struct {
 	rng      *rand.Rand
 	router   *Router
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -85,8 +85,8 @@
 	return consistency == balance.ConsistencySession || consistency == balance.ConsistencyWrite
 }
 
-// sessionID is the number that the balancer knows a session by. It is never 0, which stands for no session, and has no
-// more than 53 bits, which a JSON number carries exactly.
+// sessionID is the number that the balancer knows a session by. It is never 0, which stands for no session, and has 53
+// bits at most.
 func sessionID(session string) int64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(session))
--- a/internal/router/route_test.go
+++ b/internal/router/route_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestSessionIDIsOddAndFitsAJSONNumber(t *testing.T) {
+func TestSessionIDIsNeverZeroAndHas53BitsAtMost(t *testing.T) {
 	for _, session := range []string{"s", "another session", "\x00"} {
 		id := sessionID(session)
 		if id <= 0 || id >= 1<<53 || id != sessionID(session) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -28,7 +28,7 @@
 
 	failoverQueue *failoverQueue // nil = writes are not queued during a failover
 	siteMonitor   *siteMonitor   // nil = sites are not followed
-	siteAdmission *siteAdmission // nil = what is known of sites binds nothing
+	siteAdmission *siteAdmission // nil = the state of sites changes nothing for requests
 
 	classes             map[string]balance.Class
 	healthChecksEnabled bool
--- a/internal/router/site_monitor.go
+++ b/internal/router/site_monitor.go
@@ -39,7 +39,7 @@
 }
 
 // siteMonitor follows the state of whole sites and plans for their loss. sitefailover.Monitor judges; the siteMonitor
-// tells it what happens. Which endpoint serves a request is not its business. A nil siteMonitor does nothing.
+// tells it what happens. It never chooses an endpoint for a request. A nil siteMonitor does nothing.
 type siteMonitor struct {
 	host       siteMonitorHost
 	statistics endpointStatistics
