--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -15,7 +15,7 @@
 )
 
 // follow starts a watch that goes on by itself, at an agent, within a grace.
-func follow(t *testing.T, grace time.Duration) (told, *testserver.Agent) {
+func followAgent(t *testing.T, grace time.Duration) (recordingListener, *testserver.Agent) {
 	a, err := testserver.NewAgent(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
@@ -25,20 +25,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told{make(chan config.List, 999), make(chan bool, 999)}
+	s := recordingListener{make(chan config.List, 999), make(chan bool, 999)}
 	lim := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
-	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), a.Addr, s)
+	watcher := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), a.Addr, s)
 	go l.Run(func() {})
-	l.Post(func() { w.FollowPushed(7) })
-	t.Cleanup(func() { l.Post(w.Stop); l.Stop(); e.Stop(); a.Stop() })
-	if got := next(t, s); !got.Full || len(got.Servers) != 1 {
+	l.Post(func() { watcher.FollowPushed(7) })
+	t.Cleanup(func() { l.Post(watcher.Stop); l.Stop(); e.Stop(); a.Stop() })
+	if got := nextNonEmptyList(t, s); !got.Full || len(got.Servers) != 1 {
 		t.Fatalf("%+v", got)
 	}
 	return s, a
 }
 
 // next is the next list that says something.
-func next(t *testing.T, s told) config.List {
+func nextNonEmptyList(t *testing.T, s recordingListener) config.List {
 	t.Helper()
 	for end := time.After(20 * time.Second); ; {
 		select {
@@ -68,7 +68,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, a := follow(t, 500*time.Millisecond)
+			s, a := followAgent(t, 500*time.Millisecond)
 			for range 2 {
 				back := fail(a)
 				for range 3 { // it has tried again and failed
@@ -80,7 +80,7 @@
 				}
 				a.Push(drain)
 				back()
-				if got := next(t, s); got.Servers[0].State != "draining" {
+				if got := nextNonEmptyList(t, s); got.Servers[0].State != "draining" {
 					t.Fatalf("%+v", got)
 				}
 			}
@@ -95,13 +95,13 @@
 		if found := max(l.Discovery.WatchWait+l.Discovery.WatchSlack, l.Discovery.CallTimeout) + l.Discovery.MaxRetryInterval; found > grace*3/4 {
 			t.Errorf("grace %v: made again after %v", grace, found)
 		}
-		p := pace{most: l.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(1, 2))}
+		p := retryBackoff{maxInterval: l.Discovery.MaxRetryInterval, rng: rand.New(rand.NewPCG(1, 2))}
 		for range 50 {
-			if gap := p.failed(); gap > l.Discovery.MaxRetryInterval || gap <= 0 {
+			if gap := p.nextDelay(); gap > l.Discovery.MaxRetryInterval || gap <= 0 {
 				t.Errorf("grace %v: a wait of %v", grace, gap)
 			}
 		}
-		if p.heard(); p.failed() > paceFirst {
+		if p.reset(); p.nextDelay() > initialRetryInterval {
 			t.Errorf("grace %v: a first wait is long", grace)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // An agent whose watches do not wait is not asked without pause.
 func TestHastyAgentIsNotAskedWithoutPause(t *testing.T) {
-	s, a := follow(t, 500*time.Millisecond)
+	s, a := followAgent(t, 500*time.Millisecond)
 	a.Hasty(true)
 	was, at := a.Calls(), time.Now()
 	time.Sleep(300 * time.Millisecond)
@@ -126,14 +126,14 @@
 		t.Errorf("%d calls in %v", n, time.Since(at))
 	}
 	a.Push(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "draining"})
-	if got := next(t, s); got.Servers[0].State != "draining" {
+	if got := nextNonEmptyList(t, s); got.Servers[0].State != "draining" {
 		t.Fatalf("%+v", got)
 	}
 }
 
 // What an agent is sent between two watches of a router, or several times in one, is heard with the next call.
 func TestFollowHearsWhatCameBetweenWatches(t *testing.T) {
-	s, a := follow(t, 500*time.Millisecond)
+	s, a := followAgent(t, 500*time.Millisecond)
 	for i := range 200 {
 		state := []string{"ready", "draining"}[i%2]
 		a.Push(config.Entry{ID: "s", Addr: "127.0.0.1:1", State: state})
@@ -141,7 +141,7 @@
 			continue
 		}
 		for end := time.Now().Add(20 * time.Second); ; {
-			if got := next(t, s); got.Version >= int64(i)+2 {
+			if got := nextNonEmptyList(t, s); got.Version >= int64(i)+2 {
 				if got.Servers[0].State != state {
 					t.Fatalf("change %d: %+v", i, got)
 				}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -9,111 +9,113 @@
 )
 
 // response reads one HTTP/1.1 response as it comes in.
-type response struct {
-	header, most int // bytes allowed
+type httpResponse struct {
+	maxHeaderBytes, maxBodyBytes int // bytes allowed
 
-	buf    []byte
-	status int
-	close  bool // the connection is not to be used again
-	length int  // -1 = chunked, -2 = until the connection ends
-	inBody bool
-	body   []byte
+	buffered         []byte
+	status           int
+	closesConnection bool // the connection is not to be used again
+	bodyLength       int  // -1 = chunked, -2 = until the connection ends
+	headerRead       bool
+	body             []byte
 }
 
-var errHTTP = errors.New("malformed HTTP response")
+var errMalformedResponse = errors.New("malformed HTTP response")
 
 // feed takes bytes and says whether the response is whole.
-func (r *response) feed(p []byte) (whole bool, err error) {
-	r.buf = append(r.buf, p...)
-	if !r.inBody {
-		end := bytes.Index(r.buf, []byte("\r\n\r\n"))
+func (response *httpResponse) feed(p []byte) (whole bool, err error) {
+	response.buffered = append(response.buffered, p...)
+	if !response.headerRead {
+		end := bytes.Index(response.buffered, []byte("\r\n\r\n"))
 		if end < 0 {
-			if len(r.buf) > r.header {
-				return false, fmt.Errorf("%w: its header is too long", errHTTP)
+			if len(response.buffered) > response.maxHeaderBytes {
+				return false, fmt.Errorf("%w: its header is too long", errMalformedResponse)
 			}
 			return false, nil
 		}
-		if err := r.head(string(r.buf[:end])); err != nil {
+		if err := response.parseHeader(string(response.buffered[:end])); err != nil {
 			return false, err
 		}
-		r.buf, r.inBody = r.buf[end+4:], true
+		response.buffered, response.headerRead = response.buffered[end+4:], true
 	}
 	switch {
-	case r.length == -1:
-		return r.chunks()
-	case r.length == -2:
-		if r.body = append(r.body, r.buf...); len(r.body) > r.most {
-			return false, fmt.Errorf("%w: its body is too long", errHTTP)
+	case response.bodyLength == -1:
+		return response.readChunks()
+	case response.bodyLength == -2:
+		if response.body = append(response.body, response.buffered...); len(response.body) > response.maxBodyBytes {
+			return false, fmt.Errorf("%w: its body is too long", errMalformedResponse)
 		}
-		r.buf = r.buf[:0]
+		response.buffered = response.buffered[:0]
 		return false, nil
-	case len(r.buf) < r.length:
+	case len(response.buffered) < response.bodyLength:
 		return false, nil
-	case len(r.buf) > r.length:
-		return false, fmt.Errorf("%w: bytes behind its end", errHTTP)
+	case len(response.buffered) > response.bodyLength:
+		return false, fmt.Errorf("%w: bytes behind its end", errMalformedResponse)
 	}
-	r.body = r.buf
+	response.body = response.buffered
 	return true, nil
 }
 
 // ended says whether the end of the connection makes the response whole.
-func (r *response) ended() bool { return r.inBody && r.length == -2 }
+func (response *httpResponse) completeAtClose() bool {
+	return response.headerRead && response.bodyLength == -2
+}
 
-func (r *response) head(text string) error {
+func (response *httpResponse) parseHeader(text string) error {
 	lines := strings.Split(text, "\r\n")
 	f := strings.SplitN(lines[0], " ", 3)
 	if len(f) < 2 || f[0] != "HTTP/1.1" && f[0] != "HTTP/1.0" {
-		return fmt.Errorf("%w: status line %.40q", errHTTP, lines[0])
+		return fmt.Errorf("%w: status line %.40q", errMalformedResponse, lines[0])
 	}
 	var err error
-	if r.status, err = strconv.Atoi(f[1]); err != nil || r.status < 100 || r.status > 599 {
-		return fmt.Errorf("%w: status %.40q", errHTTP, f[1])
+	if response.status, err = strconv.Atoi(f[1]); err != nil || response.status < 100 || response.status > 599 {
+		return fmt.Errorf("%w: status %.40q", errMalformedResponse, f[1])
 	}
-	r.length, r.close = -2, f[0] == "HTTP/1.0"
+	response.bodyLength, response.closesConnection = -2, f[0] == "HTTP/1.0"
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return fmt.Errorf("%w: header line %.40q", errHTTP, line)
+			return fmt.Errorf("%w: header line %.40q", errMalformedResponse, line)
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || int(n) > r.most {
-				return fmt.Errorf("%w: length %.40q", errHTTP, value)
+			if err != nil || int(n) > response.maxBodyBytes {
+				return fmt.Errorf("%w: length %.40q", errMalformedResponse, value)
 			}
-			if r.length == -2 {
-				r.length = int(n)
+			if response.bodyLength == -2 {
+				response.bodyLength = int(n)
 			}
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") {
-				return fmt.Errorf("%w: encoding %.40q", errHTTP, value)
+				return fmt.Errorf("%w: encoding %.40q", errMalformedResponse, value)
 			}
-			r.length = -1
+			response.bodyLength = -1
 		case "connection":
-			r.close = r.close || strings.EqualFold(value, "close")
+			response.closesConnection = response.closesConnection || strings.EqualFold(value, "close")
 		}
 	}
-	if r.status == 204 || r.status == 304 {
-		r.length = 0
+	if response.status == 204 || response.status == 304 {
+		response.bodyLength = 0
 	}
-	r.close = r.close || r.length == -2
+	response.closesConnection = response.closesConnection || response.bodyLength == -2
 	return nil
 }
 
-func (r *response) chunks() (whole bool, err error) {
+func (response *httpResponse) readChunks() (whole bool, err error) {
 	for {
-		line, rest, ok := bytes.Cut(r.buf, []byte("\r\n"))
+		line, rest, ok := bytes.Cut(response.buffered, []byte("\r\n"))
 		if !ok {
-			if len(r.buf) > r.header {
-				return false, fmt.Errorf("%w: chunk line", errHTTP)
+			if len(response.buffered) > response.maxHeaderBytes {
+				return false, fmt.Errorf("%w: chunk line", errMalformedResponse)
 			}
 			return false, nil
 		}
 		size, _, _ := strings.Cut(string(line), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(r.body)+int(n) > r.most {
-			return false, fmt.Errorf("%w: chunk %.40q", errHTTP, line)
+		if err != nil || len(response.body)+int(n) > response.maxBodyBytes {
+			return false, fmt.Errorf("%w: chunk %.40q", errMalformedResponse, line)
 		}
 		if n == 0 {
 			// Trailers may follow; an empty line ends them.
@@ -126,9 +128,9 @@
 			return false, nil
 		}
 		if rest[n] != '\r' || rest[n+1] != '\n' {
-			return false, fmt.Errorf("%w: end of a chunk", errHTTP)
+			return false, fmt.Errorf("%w: end of a chunk", errMalformedResponse)
 		}
-		r.body = append(r.body, rest[:n]...)
-		r.buf = rest[n+2:]
+		response.body = append(response.body, rest[:n]...)
+		response.buffered = rest[n+2:]
 	}
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -20,7 +20,7 @@
 	"limeladder/internal/transport"
 )
 
-func answers() []string {
+func sampleResponses() []string {
 	return []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n",
@@ -28,80 +28,80 @@
 	}
 }
 
-func feed(text string, next func(left int) int) (r *response, whole bool, err error) {
-	r = &response{header: 512, most: 4096}
+func feedResponse(text string, next func(left int) int) (response *httpResponse, whole bool, err error) {
+	response = &httpResponse{maxHeaderBytes: 512, maxBodyBytes: 4096}
 	for p := []byte(text); len(p) > 0 && !whole && err == nil; {
 		n := next(len(p))
-		whole, err = r.feed(p[:n])
+		whole, err = response.feed(p[:n])
 		p = p[n:]
 	}
-	return r, whole, err
+	return response, whole, err
 }
 
 func TestRandomCutsAndGarbage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	for i, text := range answers() {
+	for i, text := range sampleResponses() {
 		for range 200 {
-			r, whole, err := feed(text, func(left int) int { return 1 + rng.IntN(left) })
-			if !whole || err != nil || i < 2 && string(r.body) != "hello" || i == 2 && (r.status != 503 || !r.close) {
-				t.Fatalf("answer %d: %v %v %+v", i, whole, err, r)
+			response, whole, err := feedResponse(text, func(left int) int { return 1 + rng.IntN(left) })
+			if !whole || err != nil || i < 2 && string(response.body) != "hello" || i == 2 && (response.status != 503 || !response.closesConnection) {
+				t.Fatalf("answer %d: %v %v %+v", i, whole, err, response)
 			}
 			bad := []byte(text)
 			for range 1 + rng.IntN(6) {
 				bad[rng.IntN(len(bad))] = byte(rng.Uint32())
 			}
-			feed(string(bad), func(left int) int { return 1 + rng.IntN(left) })
+			feedResponse(string(bad), func(left int) int { return 1 + rng.IntN(left) })
 		}
 	}
 }
 
 func FuzzResponse(f *testing.F) {
-	for _, text := range answers() {
+	for _, text := range sampleResponses() {
 		f.Add(text)
 	}
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		a, whole1, err1 := feed(text, func(left int) int { return left })
-		b, whole2, err2 := feed(text, func(left int) int { return 1 })
+		a, whole1, err1 := feedResponse(text, func(left int) int { return left })
+		b, whole2, err2 := feedResponse(text, func(left int) int { return 1 })
 		if len(a.body) > 4096 || len(b.body) > 4096 || whole1 && whole2 && string(a.body) != string(b.body) {
 			t.Fatalf("%v %v %v %v", whole1, whole2, err1, err2)
 		}
 	})
 }
 
-type told struct {
+type recordingListener struct {
 	lists chan config.List
 	fails chan bool
 }
 
-func (s told) EndpointListReceived(l config.List) { s.lists <- l }
-func (s told) PollFailed(silent bool)             { s.fails <- silent }
+func (s recordingListener) EndpointListReceived(l config.List) { s.lists <- l }
+func (s recordingListener) PollFailed(silent bool)             { s.fails <- silent }
 
-func watch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (told, *Watcher, *eventloop.Loop) {
+func startWatch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (recordingListener, *Watcher, *eventloop.Loop) {
 	srv := httptest.NewServer(h)
 	l := eventloop.New()
 	e, err := transport.New(l, 256, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told{make(chan config.List, 99), make(chan bool, 99)}
-	w := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), srv.Listener.Addr().String(), s)
+	s := recordingListener{make(chan config.List, 99), make(chan bool, 99)}
+	watcher := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), srv.Listener.Addr().String(), s)
 	go l.Run(func() {})
-	l.Post(w.Poll)
-	t.Cleanup(func() { l.Post(w.Stop); l.Stop(); e.Stop(); srv.CloseClientConnections(); srv.Close() })
-	return s, w, l
+	l.Post(watcher.Poll)
+	t.Cleanup(func() { l.Post(watcher.Stop); l.Stop(); e.Stop(); srv.CloseClientConnections(); srv.Close() })
+	return s, watcher, l
 }
 
 // lim has calls that wait far longer than any machine stalls. Guards the tests: a call that ends as silent by such a stall is
 // followed by none before Track, and who waits for its list would wait for ever.
-func lim() limits.Limits {
+func testLimits() limits.Limits {
 	l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second)
 	l.Backend.ConnectTimeout, l.Discovery.WatchWait, l.Discovery.WatchSlack, l.Discovery.CallTimeout = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
 	return l
 }
 
 // heard is the next list. No call may fail before it.
-func heard(t *testing.T, s told) config.List {
+func nextList(t *testing.T, s recordingListener) config.List {
 	t.Helper()
 	select {
 	case l := <-s.lists:
@@ -116,7 +116,7 @@
 
 func TestWatchGoesOn(t *testing.T) {
 	n := 0
-	s, _, _ := watch(t, lim(), func(w http.ResponseWriter, r *http.Request) {
+	s, _, _ := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 		n++         // the first list has version 0
 		if n == 3 { // an answer that ends its connection
 			w.Header().Set("Connection", "close")
@@ -127,7 +127,7 @@
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready","cell":3}]}`, n-1, n == 1)
 	})
 	for i := range int64(6) {
-		if l := heard(t, s); l.Version != i || l.Full != (i == 0) || len(l.Servers) != 1 || l.Servers[0].Cell != 3 {
+		if l := nextList(t, s); l.Version != i || l.Full != (i == 0) || len(l.Servers) != 1 || l.Servers[0].Cell != 3 {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // lateAfter is how long a call must have waited in TestFailuresAreTold for a reset to be no refusal.
-const lateAfter = 20 * time.Millisecond
+const lateResetDelay = 20 * time.Millisecond
 
 func TestFailuresAreTold(t *testing.T) {
 	var calls atomic.Int32
@@ -182,24 +182,24 @@
 				return
 			}
 			<-late
-			time.Sleep(2 * lateAfter)
+			time.Sleep(2 * lateResetDelay)
 			c, _, _ := w.(http.Hijacker).Hijack()
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := lim()
+			lim := testLimits()
 			switch {
 			case name == "silent", strings.HasSuffix(name, "half of a list"), strings.HasSuffix(name, "trickles"):
 				lim.Discovery.WatchSlack, lim.Discovery.CallTimeout = 200*time.Millisecond, 200*time.Millisecond
 			case strings.HasSuffix(name, "late"):
 				lim.Discovery.WatchWait = 20 * time.Second
 			}
-			s, w, l := watch(t, lim, h)
+			s, watcher, l := startWatch(t, lim, h)
 			if strings.HasSuffix(name, "late") {
-				heard(t, s)
-				l.Post(func() { w.lim.Discovery.CallTimeout = lateAfter; close(late) })
+				nextList(t, s)
+				l.Post(func() { watcher.limits.Discovery.CallTimeout = lateResetDelay; close(late) })
 			}
 			for range 2 { // after a failure nothing is asked before Track
 				select {
@@ -207,7 +207,7 @@
 					if silent == (name == "busy" || name == "reset" || strings.HasSuffix(name, "without end")) {
 						t.Fatalf("silent: %v", silent)
 					}
-					l.Post(w.Poll)
+					l.Post(watcher.Poll)
 				case got := <-s.lists:
 					t.Fatalf("%+v", got)
 				case <-time.After(20 * time.Second):
@@ -221,12 +221,12 @@
 // An answer that is on its way in when its call's time is over is heard, and no call fails: what discovery writes counts as told.
 // The rest is held back until that time is over on the watcher's own clock.
 func TestAnAnswerThatIsComingIsNotGivenUp(t *testing.T) {
-	lim := lim()
+	lim := testLimits()
 	lim.Backend.StallTimeout, lim.Discovery.CallTimeout = 20*time.Second, 2*time.Second // so that only the length of the answer ends it, and its gaps may be 0.5 s
 	var began, rest = make(chan bool), make(chan bool)
 	letGo := sync.OnceFunc(func() { close(rest) })
 	text := `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready"}]}`
-	s, w, l := watch(t, lim, func(w http.ResponseWriter, r *http.Request) {
+	s, watcher, l := startWatch(t, lim, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
@@ -250,22 +250,22 @@
 	t.Cleanup(letGo)
 	<-began
 	var due time.Duration
-	in(l, func() { due = w.at + lim.Discovery.CallTimeout })
+	runInLoop(l, func() { due = watcher.startedAt + lim.Discovery.CallTimeout })
 	for over := false; !over; time.Sleep(time.Millisecond) {
-		in(l, func() { over = l.Now() > due+10*time.Millisecond })
+		runInLoop(l, func() { over = l.Now() > due+10*time.Millisecond })
 	}
 	letGo()
-	if got := heard(t, s); got.Version != 7 {
+	if got := nextList(t, s); got.Version != 7 {
 		t.Fatalf("%+v", got)
 	}
 }
 
 // An answer that has come while the loop was busy beyond the call's time is looked at before the call is given up.
 func TestAnAnswerThatHasComeIsLookedAtFirst(t *testing.T) {
-	lim := lim()
+	lim := testLimits()
 	lim.Discovery.CallTimeout = 300 * time.Millisecond
 	asked, busy := make(chan bool), make(chan bool)
-	s, w, l := watch(t, lim, func(w http.ResponseWriter, r *http.Request) {
+	s, watcher, l := startWatch(t, lim, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
@@ -275,24 +275,24 @@
 		io.WriteString(w, `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready"}]}`)
 	})
 	<-asked
-	in(l, func() {
-		if w.conn == nil {
+	runInLoop(l, func() {
+		if watcher.conn == nil {
 			t.Error("no connection")
 			close(busy)
 			return
 		}
 		close(busy)
-		for w.conn.Quiet() || l.Now() <= w.at+lim.Discovery.CallTimeout {
+		for watcher.conn.Quiet() || l.Now() <= watcher.startedAt+lim.Discovery.CallTimeout {
 			time.Sleep(time.Millisecond) // the loop is busy until the answer is there, and the call's time over
 		}
 	})
-	if got := heard(t, s); got.Version != 7 {
+	if got := nextList(t, s); got.Version != 7 {
 		t.Fatalf("%+v", got)
 	}
 }
 
 // in runs f in the loop.
-func in(l *eventloop.Loop, f func()) {
+func runInLoop(l *eventloop.Loop, f func()) {
 	done := make(chan bool)
 	l.Post(func() { f(); close(done) })
 	<-done
@@ -302,7 +302,7 @@
 func TestAListWithoutALengthInPieces(t *testing.T) {
 	text := "{\n  \"version\": 7,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"s\",\n      \"state\": \"ready\"\n    }\n  ]\n}\n"
 	for _, piece := range []int{1, 7, len(text)} {
-		s, _, _ := watch(t, lim(), func(w http.ResponseWriter, r *http.Request) {
+		s, _, _ := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 				return
@@ -313,7 +313,7 @@
 				io.WriteString(c, p[:min(piece, len(p))])
 			}
 		})
-		if l := heard(t, s); l.Version != 7 || len(l.Servers) != 1 {
+		if l := nextList(t, s); l.Version != 7 || len(l.Servers) != 1 {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -347,7 +347,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls, whole := 0, 0
-			s, w, l := watch(t, lim(), func(w http.ResponseWriter, r *http.Request) {
+			s, watcher, l := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 				if calls++; r.URL.RawQuery == "" {
 					whole++
 				}
@@ -358,17 +358,17 @@
 				fmt.Fprint(w, c.bad)
 			})
 			var text strings.Builder
-			l.Post(func() { w.log = slog.New(slog.NewTextHandler(&text, nil)) })
-			if got := heard(t, s); got.Version != 7 {
+			l.Post(func() { watcher.log = slog.New(slog.NewTextHandler(&text, nil)) })
+			if got := nextList(t, s); got.Version != 7 {
 				t.Fatalf("%+v", got)
 			}
 			for i := range c.fails {
 				select {
 				case silent := <-s.fails:
-					if silent != (i <= olderMost) { // it was written, so it counts as told; but not for ever at once
+					if silent != (i <= maxOlderAnswers) { // it was written, so it counts as told; but not for ever at once
 						t.Fatalf("fault %d: asked for again soon: %v", i, silent)
 					}
-					l.Post(w.Poll)
+					l.Post(watcher.Poll)
 				case got := <-s.lists:
 					t.Fatalf("%+v", got)
 				case <-time.After(20 * time.Second):
@@ -376,12 +376,12 @@
 				}
 			}
 			if c.within > 0 {
-				if got := heard(t, s); got.Version != c.within {
+				if got := nextList(t, s); got.Version != c.within {
 					t.Fatalf("%+v", got)
 				}
 			}
 			done := make(chan int)
-			l.Post(func() { w.Stop(); done <- strings.Count(text.String(), "discovery failed") })
+			l.Post(func() { watcher.Stop(); done <- strings.Count(text.String(), "discovery failed") })
 			if n := <-done; n != 1 {
 				t.Errorf("said %d times", n)
 			}
@@ -395,7 +395,7 @@
 // A watch moves at once, with the whole list first; what the old address says or does after that is not heard.
 func TestMove(t *testing.T) {
 	var asked, goOn = make(chan bool, 9), make(chan bool)
-	s, w, l := watch(t, lim(), func(w http.ResponseWriter, r *http.Request) {
+	s, watcher, l := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") != "" {
 			asked <- true
 			<-goOn
@@ -404,7 +404,7 @@
 	})
 	answer := sync.OnceFunc(func() { close(goOn) })
 	t.Cleanup(answer) // a server does not end while a call to it is out
-	heard(t, s)
+	nextList(t, s)
 	select {
 	case <-asked:
 	case <-time.After(20 * time.Second):
@@ -418,9 +418,9 @@
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"new","state":"ready"}]}`, lists, lists == 1)
 	}))
 	defer other.Close()
-	l.Post(func() { w.MoveTo(other.Listener.Addr().String()) })
+	l.Post(func() { watcher.MoveTo(other.Listener.Addr().String()) })
 	for i := range 3 {
-		got := heard(t, s)
+		got := nextList(t, s)
 		if got.Servers[0].ID != "new" || got.Full != (i == 0) {
 			t.Fatalf("%+v", got)
 		}
@@ -428,7 +428,7 @@
 			answer() // the old one answers, too late
 		}
 	}
-	l.Post(w.Stop)
+	l.Post(watcher.Stop)
 	if len(s.fails) > 0 {
 		t.Fatal("a move is no failure")
 	}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -7,21 +7,21 @@
 
 // pace is how soon a watch that goes on by itself calls again after calls that brought no list: longer each time, with jitter,
 // up to a bound. It has no clock.
-type pace struct {
-	most time.Duration
-	gap  time.Duration // the longest that the next wait may be, 0 = none has failed since the last list
-	rng  *rand.Rand
+type retryBackoff struct {
+	maxInterval time.Duration
+	interval    time.Duration // the longest that the next wait may be, 0 = none has failed since the last list
+	rng         *rand.Rand
 }
 
 // paceFirst is the longest first wait: an agent that restarts is away for some milliseconds.
-const paceFirst = 10 * time.Millisecond
+const initialRetryInterval = 10 * time.Millisecond
 
 // failed returns the wait after one more call that brought no list.
-func (p *pace) failed() time.Duration {
-	gap := min(max(p.gap, paceFirst), p.most)
-	p.gap = 2 * gap
+func (p *retryBackoff) nextDelay() time.Duration {
+	gap := min(max(p.interval, initialRetryInterval), p.maxInterval)
+	p.interval = 2 * gap
 	return gap/2 + time.Duration(p.rng.Int64N(int64(gap/2)+1))
 }
 
 // heard notes a list.
-func (p *pace) heard() { p.gap = 0 }
+func (p *retryBackoff) reset() { p.interval = 0 }
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -51,9 +51,9 @@
 		"chunked, in pieces": {true, true, 700, false}, "a change": {false, false, 1 << 20, true}, "a change, indented, in pieces": {false, true, 700, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := lim()
+			lim := testLimits()
 			lim.Discovery.CallTimeout *= 50 // the machine that tests may be slow
-			s, _, _ := watch(t, lim, func(w http.ResponseWriter, r *http.Request) {
+			s, _, _ := startWatch(t, lim, func(w http.ResponseWriter, r *http.Request) {
 				p := text(c.full, c.indented)
 				if c.length {
 					w.Header().Set("Content-Length", fmt.Sprint(len(p)))
--- a/internal/failover/hold.go
+++ b/internal/failover/hold.go
@@ -6,61 +6,61 @@
 )
 
 // hold is one request that waits for a primary.
-type hold struct {
+type pendingRequest struct {
 	Request
-	bank   *bank
-	worth  float64
-	at     time.Duration
-	latest time.Duration // it can't be answered in time if it is let out later than this
-	index  int           // in the bank's queue
-	client *client
-	slot   int // among the client's
+	group          *replicaGroup
+	priorityWeight float64
+	enqueuedAt     time.Duration
+	latestRelease  time.Duration // it can't be answered in time if it is let out later than this
+	deadlineIndex  int           // in the bank's queue
+	clientQueue    *clientQueue
+	clientIndex    int // among the client's
 }
 
 // queue is a bank's heap by the latest useful moment: the earliest is let out first, and is the first that is too late.
-type queue []*hold
+type deadlineHeap []*pendingRequest
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].latest < q[j].latest }
-func (q queue) Swap(i, j int) {
+func (q deadlineHeap) Len() int           { return len(q) }
+func (q deadlineHeap) Less(i, j int) bool { return q[i].latestRelease < q[j].latestRelease }
+func (q deadlineHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].deadlineIndex, q[j].deadlineIndex = i, j
 }
-func (q *queue) Push(x any) {
-	h := x.(*hold)
-	h.index = len(*q)
-	*q = append(*q, h)
+func (q *deadlineHeap) Push(x any) {
+	pending := x.(*pendingRequest)
+	pending.deadlineIndex = len(*q)
+	*q = append(*q, pending)
 }
-func (q *queue) Pop() any {
+func (q *deadlineHeap) Pop() any {
 	n := len(*q) - 1
-	h := (*q)[n]
+	pending := (*q)[n]
 	(*q)[n] = nil
 	*q = (*q)[:n]
-	h.index = -1
-	return h
+	pending.deadlineIndex = -1
+	return pending
 }
 
 // client is who has asked; clients is a heap of them by how many of theirs are held, the most first.
-type client struct {
-	name  string
-	held  []*hold
-	index int
+type clientQueue struct {
+	name      string
+	pending   []*pendingRequest
+	heapIndex int
 }
 
-type clients []*client
+type clientHeap []*clientQueue
 
-func (c clients) Len() int           { return len(c) }
-func (c clients) Less(i, j int) bool { return len(c[i].held) > len(c[j].held) }
-func (c clients) Swap(i, j int) {
+func (c clientHeap) Len() int           { return len(c) }
+func (c clientHeap) Less(i, j int) bool { return len(c[i].pending) > len(c[j].pending) }
+func (c clientHeap) Swap(i, j int) {
 	c[i], c[j] = c[j], c[i]
-	c[i].index, c[j].index = i, j
+	c[i].heapIndex, c[j].heapIndex = i, j
 }
-func (c *clients) Push(x any) {
-	k := x.(*client)
-	k.index = len(*c)
+func (c *clientHeap) Push(x any) {
+	k := x.(*clientQueue)
+	k.heapIndex = len(*c)
 	*c = append(*c, k)
 }
-func (c *clients) Pop() any {
+func (c *clientHeap) Pop() any {
 	n := len(*c) - 1
 	k := (*c)[n]
 	(*c)[n] = nil
@@ -69,73 +69,73 @@
 }
 
 // Holds says whether a request of that class and bank would be held now, rather than given to the module.
-func (m *Tracker) ShouldQueue(id int64, class string) bool {
-	b := m.banks[id]
-	if b == nil || !b.in() && (b.phase != PhaseSuccessorSeen || len(b.queue) == 0) {
+func (tracker *Tracker) ShouldQueue(id int64, class string) bool {
+	group := tracker.groups[id]
+	if group == nil || !group.queuesWrites() && (group.phase != PhaseSuccessorSeen || len(group.pending) == 0) {
 		return false
 	}
-	_, ok := m.cfg.Classes[class]
+	_, ok := tracker.cfg.Classes[class]
 	return ok
 }
 
 // Held says whether a request is held.
-func (m *Tracker) IsPending(id string) bool { return m.held[id] != nil }
+func (tracker *Tracker) IsPending(id string) bool { return tracker.pending[id] != nil }
 
 // Hold takes a request. What can't be answered in time is given up at once; where there is no room the least valuable one
 // goes, of the client that has the most.
-func (m *Tracker) Enqueue(now time.Duration, q Request) {
-	if m.held[q.ID] != nil {
+func (tracker *Tracker) Enqueue(now time.Duration, q Request) {
+	if tracker.pending[q.ID] != nil {
 		return
 	}
-	h := &hold{Request: q, bank: m.bank(q.Group), worth: m.cfg.Classes[q.Class].PriorityWeight, at: now, latest: m.latest(q)}
-	if now >= h.latest {
-		m.giveUp(h, ReasonDeadline, now)
+	pending := &pendingRequest{Request: q, group: tracker.groupFor(q.Group), priorityWeight: tracker.cfg.Classes[q.Class].PriorityWeight, enqueuedAt: now, latestRelease: tracker.latestRelease(q)}
+	if now >= pending.latestRelease {
+		tracker.reject(pending, ReasonDeadline, now)
 		return
 	}
-	k := m.byName[q.Client]
+	k := tracker.clientQueuesByName[q.Client]
 	if q.Client == "" {
 		k = nil
 	}
 	if k == nil {
-		k = &client{name: q.Client}
+		k = &clientQueue{name: q.Client}
 		if q.Client != "" {
-			m.byName[q.Client] = k
+			tracker.clientQueuesByName[q.Client] = k
 		}
-		heap.Push(&m.clients, k)
+		heap.Push(&tracker.clientQueues, k)
 	}
-	h.client = k
-	h.slot = len(k.held)
-	k.held = append(k.held, h)
-	heap.Fix(&m.clients, k.index)
-	m.held[q.ID] = h
-	if len(h.bank.queue) == 0 {
-		h.bank.oldest = now
+	pending.clientQueue = k
+	pending.clientIndex = len(k.pending)
+	k.pending = append(k.pending, pending)
+	heap.Fix(&tracker.clientQueues, k.heapIndex)
+	tracker.pending[q.ID] = pending
+	if len(pending.group.pending) == 0 {
+		pending.group.oldestPending = now
 	}
-	heap.Push(&h.bank.queue, h)
-	m.bytes += q.Size
-	for len(m.held) > m.cfg.MaxPending || m.bytes > m.cfg.MaxPendingBytes {
-		least := m.least()
-		m.drop(least)
-		m.giveUp(least, ReasonQueueFull, now)
+	heap.Push(&pending.group.pending, pending)
+	tracker.pendingBytes += q.Size
+	for len(tracker.pending) > tracker.cfg.MaxPending || tracker.pendingBytes > tracker.cfg.MaxPendingBytes {
+		least := tracker.leastValuable()
+		tracker.removePending(least)
+		tracker.reject(least, ReasonQueueFull, now)
 	}
-	if m.held[q.ID] != nil {
-		m.let(h.bank, now)
+	if tracker.pending[q.ID] != nil {
+		tracker.releasePending(pending.group, now)
 	}
 	// Before this was held its members were asked now and then only.
-	h.bank.credit += probePaid / float64(max(1, m.cfg.Instances))
-	if b := h.bank; b.in() && b.paid() {
-		b.nextAsk = min(b.nextAsk, now+b.gap*3/4+time.Duration(m.rng.Int64N(int64(b.gap/2))))
+	pending.group.healthCheckCredit += healthCheckRoundsPerRequest / float64(max(1, tracker.cfg.Instances))
+	if group := pending.group; group.queuesWrites() && group.canPayHealthCheckRound() {
+		group.nextHealthCheckRound = min(group.nextHealthCheckRound, now+group.healthCheckInterval*3/4+time.Duration(tracker.rng.Int64N(int64(group.healthCheckInterval/2))))
 	}
 }
 
 // least is the least valuable one of the client that has the most held: of the least worth, and among equals the one that
 // came last, since it has waited least.
-func (m *Tracker) least() *hold {
-	k := m.clients[0]
-	least := k.held[0]
-	for _, h := range k.held[1:] {
-		if h.worth < least.worth || h.worth == least.worth && h.at >= least.at {
-			least = h
+func (tracker *Tracker) leastValuable() *pendingRequest {
+	k := tracker.clientQueues[0]
+	least := k.pending[0]
+	for _, pending := range k.pending[1:] {
+		if pending.priorityWeight < least.priorityWeight || pending.priorityWeight == least.priorityWeight && pending.enqueuedAt >= least.enqueuedAt {
+			least = pending
 		}
 	}
 	return least
@@ -143,117 +143,117 @@
 
 // latest is the last moment in which it is of use to let a request out: the client's deadline, less the answer's way, less
 // what it takes to serve it.
-func (m *Tracker) latest(q Request) time.Duration {
-	return q.Deadline - m.cfg.DeadlineMargin - m.expect(q.Class)
+func (tracker *Tracker) latestRelease(q Request) time.Duration {
+	return q.Deadline - tracker.cfg.DeadlineMargin - tracker.expectedWorkOf(q.Class)
 }
 
 // expect is the time that a request of a class takes once it is sent.
-func (m *Tracker) expect(class string) time.Duration {
-	if w := m.work[class]; w != nil {
+func (tracker *Tracker) expectedWorkOf(class string) time.Duration {
+	if w := tracker.expectedWork[class]; w != nil {
 		return *w
 	}
-	return m.cfg.Classes[class].Work
+	return tracker.cfg.Classes[class].Work
 }
 
 // drop takes a request out of the queue.
-func (m *Tracker) drop(h *hold) {
-	delete(m.held, h.ID)
-	heap.Remove(&h.bank.queue, h.index)
-	m.bytes -= h.Size
-	k := h.client
-	last := len(k.held) - 1
-	k.held[h.slot] = k.held[last]
-	k.held[h.slot].slot = h.slot
-	k.held[last] = nil
-	k.held = k.held[:last]
-	if len(k.held) == 0 {
-		heap.Remove(&m.clients, k.index)
-		delete(m.byName, k.name)
+func (tracker *Tracker) removePending(pending *pendingRequest) {
+	delete(tracker.pending, pending.ID)
+	heap.Remove(&pending.group.pending, pending.deadlineIndex)
+	tracker.pendingBytes -= pending.Size
+	k := pending.clientQueue
+	last := len(k.pending) - 1
+	k.pending[pending.clientIndex] = k.pending[last]
+	k.pending[pending.clientIndex].clientIndex = pending.clientIndex
+	k.pending[last] = nil
+	k.pending = k.pending[:last]
+	if len(k.pending) == 0 {
+		heap.Remove(&tracker.clientQueues, k.heapIndex)
+		delete(tracker.clientQueuesByName, k.name)
 	} else {
-		heap.Fix(&m.clients, k.index)
+		heap.Fix(&tracker.clientQueues, k.heapIndex)
 	}
 }
 
-func (m *Tracker) giveUp(h *hold, why Reason, now time.Duration) {
-	h.bank.givenUp[why]++
-	m.do(Action{Kind: ActionReject, ID: h.ID, Group: h.bank.id, RetryAfter: m.after(h.bank, now), Reason: why})
+func (tracker *Tracker) reject(pending *pendingRequest, why Reason, now time.Duration) {
+	pending.group.rejectedTotal[why]++
+	tracker.emit(Action{Kind: ActionReject, ID: pending.ID, Group: pending.group.id, RetryAfter: tracker.retryAfter(pending.group, now), Reason: why})
 }
 
 // after is when a client may come back: when the change is over, as far as those before it tell. It is drawn from a
 // quarter more, so that those who are sent away do not return together.
-func (m *Tracker) after(b *bank, now time.Duration) time.Duration {
-	left := againLeast
-	if b.in() {
-		left = max(againLeast, m.usual-(now-b.changed))
-		if now-b.changed > m.usual { // longer than usual: as long again
-			left = max(againLeast, (now-b.changed)/2)
+func (tracker *Tracker) retryAfter(group *replicaGroup, now time.Duration) time.Duration {
+	left := minRetryAfter
+	if group.queuesWrites() {
+		left = max(minRetryAfter, tracker.usualFailoverDuration-(now-group.failoverSince))
+		if now-group.failoverSince > tracker.usualFailoverDuration { // longer than usual: as long again
+			left = max(minRetryAfter, (now-group.failoverSince)/2)
 		}
 	}
-	left += time.Duration(m.rng.Int64N(int64(left/4) + 1))
-	if m.cfg.MaxRetryAfter > 0 {
-		left = min(left, m.cfg.MaxRetryAfter)
+	left += time.Duration(tracker.rng.Int64N(int64(left/4) + 1))
+	if tracker.cfg.MaxRetryAfter > 0 {
+		left = min(left, tracker.cfg.MaxRetryAfter)
 	}
 	return left
 }
 
 // Busy says whether anything is held, or let out and not answered.
-func (m *Tracker) InProgress() bool { return len(m.held)+m.outs > 0 }
+func (tracker *Tracker) InProgress() bool { return len(tracker.pending)+tracker.releasedInFlight > 0 }
 
 // Done says that a request is answered, or that its client has left.
-func (m *Tracker) RequestDone(now time.Duration, bank int64, id string) {
-	if !m.InProgress() {
+func (tracker *Tracker) RequestDone(now time.Duration, bank int64, id string) {
+	if !tracker.InProgress() {
 		return
 	}
-	if h := m.held[id]; h != nil {
-		m.drop(h)
+	if pending := tracker.pending[id]; pending != nil {
+		tracker.removePending(pending)
 	}
-	if b := m.banks[bank]; b != nil && b.out[id] {
-		delete(b.out, id)
-		m.outs--
-		m.let(b, now)
+	if group := tracker.groups[bank]; group != nil && group.released[id] {
+		delete(group.released, id)
+		tracker.releasedInFlight--
+		tracker.releasePending(group, now)
 	}
 }
 
 // expire gives up what can't be answered in time any more, and what was held for as long as any may be.
-func (m *Tracker) expire(b *bank, now time.Duration) {
-	for len(b.queue) > 0 && now >= b.queue[0].latest {
-		h := b.queue[0]
-		m.drop(h)
-		m.giveUp(h, ReasonDeadline, now)
+func (tracker *Tracker) rejectExpired(group *replicaGroup, now time.Duration) {
+	for len(group.pending) > 0 && now >= group.pending[0].latestRelease {
+		pending := group.pending[0]
+		tracker.removePending(pending)
+		tracker.reject(pending, ReasonDeadline, now)
 	}
-	if m.cfg.MaxPendingTime <= 0 || now < b.oldest+m.cfg.MaxPendingTime || len(b.queue) == 0 {
+	if tracker.cfg.MaxPendingTime <= 0 || now < group.oldestPending+tracker.cfg.MaxPendingTime || len(group.pending) == 0 {
 		return
 	}
-	var old []*hold
-	b.oldest = now
-	for _, h := range b.queue {
-		if now-h.at >= m.cfg.MaxPendingTime {
-			old = append(old, h)
+	var old []*pendingRequest
+	group.oldestPending = now
+	for _, pending := range group.pending {
+		if now-pending.enqueuedAt >= tracker.cfg.MaxPendingTime {
+			old = append(old, pending)
 		} else {
-			b.oldest = min(b.oldest, h.at)
+			group.oldestPending = min(group.oldestPending, pending.enqueuedAt)
 		}
 	}
-	for _, h := range old {
-		m.drop(h)
-		m.giveUp(h, ReasonQueueTimeout, now)
+	for _, pending := range old {
+		tracker.removePending(pending)
+		tracker.reject(pending, ReasonQueueTimeout, now)
 	}
 }
 
 // let lets out what the window has room for, the earliest deadline first.
-func (m *Tracker) let(b *bank, now time.Duration) {
-	if b.phase != PhaseSuccessorSeen {
+func (tracker *Tracker) releasePending(group *replicaGroup, now time.Duration) {
+	if group.phase != PhaseSuccessorSeen {
 		return
 	}
-	for len(b.queue) > 0 && float64(len(b.out)) < b.window {
-		h := b.queue[0]
-		m.drop(h)
-		if now >= h.latest {
-			m.giveUp(h, ReasonDeadline, now)
+	for len(group.pending) > 0 && float64(len(group.released)) < group.releaseLimit {
+		pending := group.pending[0]
+		tracker.removePending(pending)
+		if now >= pending.latestRelease {
+			tracker.reject(pending, ReasonDeadline, now)
 			continue
 		}
-		b.out[h.ID] = true
-		m.outs++
-		b.released++
-		m.do(Action{Kind: ActionRelease, ID: h.ID, Group: b.id})
+		group.released[pending.ID] = true
+		tracker.releasedInFlight++
+		group.releasedTotal++
+		tracker.emit(Action{Kind: ActionRelease, ID: pending.ID, Group: group.id})
 	}
 }
--- a/internal/failover/model.go
+++ b/internal/failover/model.go
@@ -112,74 +112,74 @@
 	ReasonDeadline     Reason = iota // no answer could come in time any more
 	ReasonQueueFull                  // over the bound, and the least valuable
 	ReasonQueueTimeout               // held for as long as any may be
-	reasons
+	reasonCount
 )
 
 func (r Reason) String() string { return []string{"too late", "no room", "too long"}[r] }
 
 // The tuned constants.
 const (
-	patienceLeast = 60 * time.Millisecond  // silence is no evidence before
-	patienceDevs  = 6                      // deviations beyond the mean that an answer may take
-	patienceSlack = 2                      // times that
-	probeFirst    = 15 * time.Millisecond  // between rounds of probes while something is held, at first,
-	probeMost     = 50 * time.Millisecond  // and later: the goal is 60 ms at the median
-	probeGrow     = 1.15                   // from round to round
-	probePaid     = 20.0                   // rounds of probes that each held request pays for, over all routers;
-	probeSlow     = 250 * time.Millisecond // what is not paid for is asked so often,
-	probeShare    = 50 * time.Millisecond  // or, where that is longer, this for each router: the banks are asked by all of them
-	probeWait     = 400 * time.Millisecond // a probe that is not answered by then is taken for lost
-	suspectFor    = 120 * time.Millisecond // a suspicion that nothing lifts becomes a loss
-	windowFirst   = 8.0                    // released and not answered at first, over all routers
-	windowMost    = 256.0
-	settleFor     = time.Second
-	changeUsual   = 1500 * time.Millisecond // how long a change takes, until some were seen
-	smooth        = 0.2
-	markSmooth    = 0.1
-	againLeast    = 50 * time.Millisecond
-	evidenceKept  = 16 // lines of each bank's history
+	minSilenceTimeout                  = 60 * time.Millisecond  // silence is no evidence before
+	silenceTimeoutDeviations           = 6                      // deviations beyond the mean that an answer may take
+	silenceTimeoutFactor               = 2                      // times that
+	firstHealthCheckInterval           = 15 * time.Millisecond  // between rounds of probes while something is held, at first,
+	maxHealthCheckInterval             = 50 * time.Millisecond  // and later: the goal is 60 ms at the median
+	healthCheckIntervalGrowth          = 1.15                   // from round to round
+	healthCheckRoundsPerRequest        = 20.0                   // rounds of probes that each held request pays for, over all routers;
+	unpaidHealthCheckInterval          = 250 * time.Millisecond // what is not paid for is asked so often,
+	unpaidHealthCheckIntervalPerRouter = 50 * time.Millisecond  // or, where that is longer, this for each router: the banks are asked by all of them
+	healthCheckTimeout                 = 400 * time.Millisecond // a probe that is not answered by then is taken for lost
+	suspicionTime                      = 120 * time.Millisecond // a suspicion that nothing lifts becomes a loss
+	initialReleaseLimit                = 8.0                    // released and not answered at first, over all routers
+	maxReleaseLimit                    = 256.0
+	settleTime                         = time.Second
+	defaultFailoverDuration            = 1500 * time.Millisecond // how long a change takes, until some were seen
+	failoverDurationSmoothing          = 0.2
+	responseTimeSmoothing              = 0.1
+	minRetryAfter                      = 50 * time.Millisecond
+	maxTransitionHistory               = 16 // lines of each bank's history
 )
 
 // Model is the state of all banks. Only one goroutine may use it.
 type Tracker struct {
-	cfg     Config
-	rng     *rand.Rand
-	banks   map[int64]*bank
-	order   []*bank
-	nodes   map[string]*member
-	held    map[string]*hold
-	clients clients
-	byName  map[string]*client
-	bytes   int
-	acts    []Action
-	work    map[string]*time.Duration // what a served request of a class takes
-	outs    int                       // let out and not answered, in all banks
-	usual   time.Duration             // how long a change takes
+	cfg                   Config
+	rng                   *rand.Rand
+	groups                map[int64]*replicaGroup
+	orderedGroups         []*replicaGroup
+	endpoints             map[string]*trackedEndpoint
+	pending               map[string]*pendingRequest
+	clientQueues          clientHeap
+	clientQueuesByName    map[string]*clientQueue
+	pendingBytes          int
+	actions               []Action
+	expectedWork          map[string]*time.Duration // what a served request of a class takes
+	releasedInFlight      int                       // let out and not answered, in all banks
+	usualFailoverDuration time.Duration             // how long a change takes
 }
 
 // bank is one group.
-type bank struct {
-	id       int64
-	phase    Phase
-	term     uint64
-	primary  *member // believed, or doubted
-	members  []*member
-	since    time.Duration // of the phase
-	changed  time.Duration // when the change began
-	limit    time.Duration // of an announced change, 0 = none
-	settleAt time.Duration
-
-	doubted  bool // by the module, which says when it believes again
-	queue    queue
-	oldest   time.Duration // none that is held came before
-	window   float64
-	out      map[string]bool // released and not answered
-	nextAsk  time.Duration
-	gap      time.Duration
-	credit   float64 // rounds of probes that are paid for
-	history  []Transition
-	released uint64
-	givenUp  [reasons]uint64
+type replicaGroup struct {
+	id              int64
+	phase           Phase
+	term            uint64
+	primary         *trackedEndpoint // believed, or doubted
+	endpoints       []*trackedEndpoint
+	phaseSince      time.Duration // of the phase
+	failoverSince   time.Duration // when the change began
+	announcedUntil  time.Duration // of an announced change, 0 = none
+	releaseReviewAt time.Duration
+
+	primarySuspect       bool // by the module, which says when it believes again
+	pending              deadlineHeap
+	oldestPending        time.Duration // none that is held came before
+	releaseLimit         float64
+	released             map[string]bool // released and not answered
+	nextHealthCheckRound time.Duration
+	healthCheckInterval  time.Duration
+	healthCheckCredit    float64 // rounds of probes that are paid for
+	history              []Transition
+	releasedTotal        uint64
+	rejectedTotal        [reasonCount]uint64
 }
 
 // Line is a step in a bank's history.
@@ -192,84 +192,84 @@
 }
 
 // member is one db machine.
-type member struct {
-	id       string
-	bank     *bank
-	pos      time.Duration // the newest position that it told
-	posAt    time.Duration
-	out      bool // drains, is gone, or operators have taken it out
-	barred   bool
-	mean     float64 // of the time that an answer takes, seconds
-	dev      float64
-	seen     int
-	heard    time.Duration // its last answer
-	waiting  []attempt     // those that are out, oldest first
-	asking   bool          // a probe is out
-	askedAt  time.Duration //
-	failures int           // connections refused or broken in a row
-	lenient  float64       // patience after suspicions that were wrong
-	_        [0]func()     // not comparable
+type trackedEndpoint struct {
+	id                    string
+	group                 *replicaGroup
+	position              time.Duration // the newest position that it told
+	positionAt            time.Duration
+	draining              bool // drains, is gone, or operators have taken it out
+	suspended             bool
+	responseTimeMean      float64 // of the time that an answer takes, seconds
+	responseTimeDeviation float64
+	responseTimeSamples   int
+	lastAnswerAt          time.Duration // its last answer
+	attemptsInFlight      []attempt     // those that are out, oldest first
+	healthCheckInFlight   bool          // a probe is out
+	healthCheckSentAt     time.Duration //
+	connectFailures       int           // connections refused or broken in a row
+	leniency              float64       // patience after suspicions that were wrong
+	_                     [0]func()     // not comparable
 }
 
 type attempt struct {
-	id string
-	at time.Duration
+	requestID string
+	sentAt    time.Duration
 }
 
 // New returns a Model that knows no bank.
 func New(cfg Config, seed uint64) *Tracker {
-	return &Tracker{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0xc4a)), banks: map[int64]*bank{}, nodes: map[string]*member{}, held: map[string]*hold{},
-		byName: map[string]*client{}, work: map[string]*time.Duration{}, usual: changeUsual}
+	return &Tracker{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0xc4a)), groups: map[int64]*replicaGroup{}, endpoints: map[string]*trackedEndpoint{}, pending: map[string]*pendingRequest{},
+		clientQueuesByName: map[string]*clientQueue{}, expectedWork: map[string]*time.Duration{}, usualFailoverDuration: defaultFailoverDuration}
 }
 
 // Actions returns what is to be done since the last call.
-func (m *Tracker) Actions() []Action {
-	acts := m.acts
-	m.acts = nil
+func (tracker *Tracker) Actions() []Action {
+	acts := tracker.actions
+	tracker.actions = nil
 	return acts
 }
 
 // Pending says whether there is anything to do.
-func (m *Tracker) HasActions() bool { return len(m.acts) > 0 }
+func (tracker *Tracker) HasActions() bool { return len(tracker.actions) > 0 }
 
-func (m *Tracker) do(a Action) { m.acts = append(m.acts, a) }
+func (tracker *Tracker) emit(a Action) { tracker.actions = append(tracker.actions, a) }
 
-func (m *Tracker) bank(id int64) *bank {
-	b := m.banks[id]
-	if b == nil {
-		b = &bank{id: id, out: map[string]bool{}}
-		m.banks[id] = b
-		m.order = append(m.order, b)
-		slices.SortFunc(m.order, func(a, b *bank) int { return cmp.Compare(a.id, b.id) })
+func (tracker *Tracker) groupFor(id int64) *replicaGroup {
+	group := tracker.groups[id]
+	if group == nil {
+		group = &replicaGroup{id: id, released: map[string]bool{}}
+		tracker.groups[id] = group
+		tracker.orderedGroups = append(tracker.orderedGroups, group)
+		slices.SortFunc(tracker.orderedGroups, func(a, group *replicaGroup) int { return cmp.Compare(a.id, group.id) })
 	}
-	return b
+	return group
 }
 
 // in says whether writes of the bank are held.
-func (b *bank) in() bool {
-	return b.phase == PhaseSuspected || b.phase == PhasePrimaryLost || b.phase == PhaseSwitchover
+func (group *replicaGroup) queuesWrites() bool {
+	return group.phase == PhaseSuspected || group.phase == PhasePrimaryLost || group.phase == PhaseSwitchover
 }
 
 // move takes a bank to another phase.
-func (m *Tracker) move(b *bank, to Phase, why Evidence, node string, now time.Duration) {
-	if b.phase == to {
+func (tracker *Tracker) transition(group *replicaGroup, to Phase, why Evidence, node string, now time.Duration) {
+	if group.phase == to {
 		return
 	}
-	from := b.phase
-	if !b.in() && (to == PhaseSuspected || to == PhasePrimaryLost || to == PhaseSwitchover) {
+	from := group.phase
+	if !group.queuesWrites() && (to == PhaseSuspected || to == PhasePrimaryLost || to == PhaseSwitchover) {
 		if from == PhaseSteady || from == PhaseSettled {
-			b.changed = now
+			group.failoverSince = now
 		}
-		b.gap, b.credit = probeFirst, 0
-		b.nextAsk = now + time.Duration(m.rng.Int64N(int64(min(probeSlow, probeShare/10*time.Duration(1+m.cfg.Instances)))))
-		m.do(Action{Kind: ActionWithdraw, Group: b.id})
+		group.healthCheckInterval, group.healthCheckCredit = firstHealthCheckInterval, 0
+		group.nextHealthCheckRound = now + time.Duration(tracker.rng.Int64N(int64(min(unpaidHealthCheckInterval, unpaidHealthCheckIntervalPerRouter/10*time.Duration(1+tracker.cfg.Instances)))))
+		tracker.emit(Action{Kind: ActionWithdraw, Group: group.id})
 	}
-	b.phase, b.since = to, now
-	if len(b.history) == evidenceKept {
-		b.history = append(b.history[:0], b.history[1:]...)
+	group.phase, group.phaseSince = to, now
+	if len(group.history) == maxTransitionHistory {
+		group.history = append(group.history[:0], group.history[1:]...)
 	}
-	b.history = append(b.history, Transition{At: now, From: from, To: to, Evidence: why, Endpoint: node, Term: b.term})
-	m.do(Action{Kind: ActionPhaseChanged, Group: b.id})
+	group.history = append(group.history, Transition{At: now, From: from, To: to, Evidence: why, Endpoint: node, Term: group.term})
+	tracker.emit(Action{Kind: ActionPhaseChanged, Group: group.id})
 }
 
 // ---- What is told
@@ -283,161 +283,161 @@
 }
 
 // Listed notes members of banks. What it does not name stays as it was, or is gone where it is the whole list.
-func (m *Tracker) UpdateEndpoints(now time.Duration, members []Endpoint, whole bool) {
+func (tracker *Tracker) UpdateEndpoints(now time.Duration, members []Endpoint, whole bool) {
 	named := map[string]bool{}
 	for _, e := range members {
 		named[e.ID] = true
-		n := m.nodes[e.ID]
+		endpoint := tracker.endpoints[e.ID]
 		if e.Removed {
-			m.gone(n, now)
+			tracker.endpointRemoved(endpoint, now)
 			continue
 		}
-		if n != nil && n.bank.id != e.Group {
-			m.forget(n)
-			n = nil
+		if endpoint != nil && endpoint.group.id != e.Group {
+			tracker.forgetEndpoint(endpoint)
+			endpoint = nil
 		}
-		b := m.bank(e.Group)
-		if n == nil {
-			n = &member{id: e.ID, bank: b, lenient: 1}
-			m.nodes[e.ID] = n
-			b.members = append(b.members, n)
-			slices.SortFunc(b.members, func(a, b *member) int { return cmp.Compare(a.id, b.id) })
+		group := tracker.groupFor(e.Group)
+		if endpoint == nil {
+			endpoint = &trackedEndpoint{id: e.ID, group: group, leniency: 1}
+			tracker.endpoints[e.ID] = endpoint
+			group.endpoints = append(group.endpoints, endpoint)
+			slices.SortFunc(group.endpoints, func(a, b *trackedEndpoint) int { return cmp.Compare(a.id, b.id) })
 		}
-		if n.out = e.Draining; n.out && b.primary == n && !b.in() {
-			m.move(b, PhaseSwitchover, EvidenceDraining, n.id, now)
+		if endpoint.draining = e.Draining; endpoint.draining && group.primary == endpoint && !group.queuesWrites() {
+			tracker.transition(group, PhaseSwitchover, EvidenceDraining, endpoint.id, now)
 		}
 	}
 	if !whole {
 		return
 	}
-	for _, b := range m.order {
-		for _, n := range slices.Clone(b.members) {
-			if !named[n.id] {
-				m.gone(n, now)
+	for _, group := range tracker.orderedGroups {
+		for _, endpoint := range slices.Clone(group.endpoints) {
+			if !named[endpoint.id] {
+				tracker.endpointRemoved(endpoint, now)
 			}
 		}
 	}
 }
 
 // gone forgets a member that is not listed any more.
-func (m *Tracker) gone(n *member, now time.Duration) {
+func (tracker *Tracker) endpointRemoved(endpoint *trackedEndpoint, now time.Duration) {
 	switch {
-	case n == nil:
-	case n.bank.primary != n:
-		m.forget(n)
+	case endpoint == nil:
+	case endpoint.group.primary != endpoint:
+		tracker.forgetEndpoint(endpoint)
 	default:
-		if n.out = true; !n.bank.in() {
-			m.move(n.bank, PhaseSwitchover, EvidenceDraining, n.id, now)
+		if endpoint.draining = true; !endpoint.group.queuesWrites() {
+			tracker.transition(endpoint.group, PhaseSwitchover, EvidenceDraining, endpoint.id, now)
 		}
 	}
 }
 
-func (m *Tracker) forget(n *member) {
-	delete(m.nodes, n.id)
-	n.bank.members = slices.DeleteFunc(n.bank.members, func(o *member) bool { return o == n })
-	if n.bank.primary == n {
-		n.bank.primary = nil
+func (tracker *Tracker) forgetEndpoint(endpoint *trackedEndpoint) {
+	delete(tracker.endpoints, endpoint.id)
+	endpoint.group.endpoints = slices.DeleteFunc(endpoint.group.endpoints, func(o *trackedEndpoint) bool { return o == endpoint })
+	if endpoint.group.primary == endpoint {
+		endpoint.group.primary = nil
 	}
 }
 
 // Suspend notes that operators have taken a member out, or let it back in.
-func (m *Tracker) Suspend(now time.Duration, node string, out bool) {
-	n := m.nodes[node]
-	if n == nil {
+func (tracker *Tracker) Suspend(now time.Duration, node string, out bool) {
+	endpoint := tracker.endpoints[node]
+	if endpoint == nil {
 		return
 	}
-	if n.barred = out; out && n.bank.primary == n && !n.bank.in() {
-		m.move(n.bank, PhaseSwitchover, EvidenceSuspended, n.id, now)
+	if endpoint.suspended = out; out && endpoint.group.primary == endpoint && !endpoint.group.queuesWrites() {
+		tracker.transition(endpoint.group, PhaseSwitchover, EvidenceSuspended, endpoint.id, now)
 	}
 }
 
 // Announce says that operators are about to change a bank's primary: its writes are held from now on, until another one is
 // believed or the time has passed. It says whether the bank is known.
-func (m *Tracker) Announce(now time.Duration, id int64, within time.Duration) bool {
-	b := m.banks[id]
-	if b == nil {
+func (tracker *Tracker) Announce(now time.Duration, id int64, within time.Duration) bool {
+	group := tracker.groups[id]
+	if group == nil {
 		return false
 	}
-	b.limit = now + within
-	if b.phase != PhaseSwitchover {
-		m.move(b, PhaseSwitchover, EvidenceAnnounced, name(b.primary), now)
+	group.announcedUntil = now + within
+	if group.phase != PhaseSwitchover {
+		tracker.transition(group, PhaseSwitchover, EvidenceAnnounced, endpointID(group.primary), now)
 	}
 	return true
 }
 
-func name(n *member) string {
-	if n == nil {
+func endpointID(endpoint *trackedEndpoint) string {
+	if endpoint == nil {
 		return ""
 	}
-	return n.id
+	return endpoint.id
 }
 
 // Believe notes whom the module takes for a bank's primary.
-func (m *Tracker) ObservePrimary(now time.Duration, id int64, node string) {
-	b, n := m.bank(id), m.nodes[node]
-	if n == nil {
-		n = &member{id: node, bank: b, lenient: 1}
-		m.nodes[node] = n
-		b.members = append(b.members, n)
-		slices.SortFunc(b.members, func(a, b *member) int { return cmp.Compare(a.id, b.id) })
-	}
-	first := b.primary == nil && b.phase == PhaseSteady
-	fresh := b.primary != n
+func (tracker *Tracker) ObservePrimary(now time.Duration, groupID int64, id string) {
+	group, endpoint := tracker.groupFor(groupID), tracker.endpoints[id]
+	if endpoint == nil {
+		endpoint = &trackedEndpoint{id: id, group: group, leniency: 1}
+		tracker.endpoints[id] = endpoint
+		group.endpoints = append(group.endpoints, endpoint)
+		slices.SortFunc(group.endpoints, func(a, b *trackedEndpoint) int { return cmp.Compare(a.id, b.id) })
+	}
+	first := group.primary == nil && group.phase == PhaseSteady
+	fresh := group.primary != endpoint
 	if fresh {
-		b.term++
+		group.term++
 	}
-	b.doubted = false
-	if b.primary = n; first || b.phase == PhaseSteady && !fresh {
+	group.primarySuspect = false
+	if group.primary = endpoint; first || group.phase == PhaseSteady && !fresh {
 		return
 	}
-	if b.phase == PhaseSwitchover && !fresh && b.limit > now {
+	if group.phase == PhaseSwitchover && !fresh && group.announcedUntil > now {
 		return // an announced change: the old one leads until another does
 	}
-	n.failures, n.heard = 0, now
-	m.seen(b, EvidencePrimaryObserved, now)
+	endpoint.connectFailures, endpoint.lastAnswerAt = 0, now
+	tracker.startRelease(group, EvidencePrimaryObserved, now)
 }
 
 // seen lets the bank's writes out.
-func (m *Tracker) seen(b *bank, why Evidence, now time.Duration) {
-	if b.in() && why == EvidencePrimaryObserved {
-		m.usual += time.Duration(smooth * float64(now-b.changed-m.usual))
+func (tracker *Tracker) startRelease(group *replicaGroup, why Evidence, now time.Duration) {
+	if group.queuesWrites() && why == EvidencePrimaryObserved {
+		tracker.usualFailoverDuration += time.Duration(failoverDurationSmoothing * float64(now-group.failoverSince-tracker.usualFailoverDuration))
 	}
-	b.limit = 0
-	b.window = max(1, windowFirst/float64(max(1, m.cfg.Instances)))
-	m.move(b, PhaseSuccessorSeen, why, name(b.primary), now)
-	b.since, b.settleAt = now, now+settleFor
-	m.let(b, now)
+	group.announcedUntil = 0
+	group.releaseLimit = max(1, initialReleaseLimit/float64(max(1, tracker.cfg.Instances)))
+	tracker.transition(group, PhaseSuccessorSeen, why, endpointID(group.primary), now)
+	group.phaseSince, group.releaseReviewAt = now, now+settleTime
+	tracker.releasePending(group, now)
 }
 
 // Doubt notes that the module has come to doubt a bank's primary.
-func (m *Tracker) SuspectPrimary(now time.Duration, id int64, node string) {
-	b := m.bank(id)
-	if b.primary != nil && b.primary.id != node {
+func (tracker *Tracker) SuspectPrimary(now time.Duration, groupID int64, endpointID string) {
+	group := tracker.groupFor(groupID)
+	if group.primary != nil && group.primary.id != endpointID {
 		return
 	}
-	if b.doubted = true; b.phase != PhaseSwitchover {
-		m.move(b, PhasePrimaryLost, EvidencePrimarySuspect, node, now)
+	if group.primarySuspect = true; group.phase != PhaseSwitchover {
+		tracker.transition(group, PhasePrimaryLost, EvidencePrimarySuspect, endpointID, now)
 	}
 }
 
 // Hint is what an earlier start knew: the term goes on from there, and the primary is asked first. It may come late.
-func (m *Tracker) RestoreTerm(id int64, term uint64, node string) {
-	b := m.bank(id)
-	if b.primary != nil && b.primary.id != node {
+func (tracker *Tracker) RestoreTerm(id int64, term uint64, node string) {
+	group := tracker.groupFor(id)
+	if group.primary != nil && group.primary.id != node {
 		term++ // it comes late: another one has followed meanwhile
 	}
-	b.term = max(b.term, term)
-	if n := m.nodes[node]; n != nil && n.bank == b && b.primary == nil {
-		n.posAt = 1 // checked before it is believed: it only goes first
+	group.term = max(group.term, term)
+	if endpoint := tracker.endpoints[node]; endpoint != nil && endpoint.group == group && group.primary == nil {
+		endpoint.positionAt = 1 // checked before it is believed: it only goes first
 	}
 }
 
 // ---- Attempts and probes
 
 // Sent notes an attempt at a member.
-func (m *Tracker) AttemptSent(now time.Duration, node, id string) {
-	if n := m.nodes[node]; n != nil && n.bank.primary == n {
-		n.waiting = append(n.waiting, attempt{id, now})
+func (tracker *Tracker) AttemptSent(now time.Duration, node, id string) {
+	if endpoint := tracker.endpoints[node]; endpoint != nil && endpoint.group.primary == endpoint {
+		endpoint.attemptsInFlight = append(endpoint.attemptsInFlight, attempt{id, now})
 	}
 }
 
@@ -454,82 +454,82 @@
 )
 
 // Ended notes the end of an attempt. pos is the position that it told, 0 = none; class and took are those of a request that was served.
-func (m *Tracker) AttemptEnded(now time.Duration, node, id string, end AttemptEnd, role Role, pos time.Duration, class string, took time.Duration) {
-	n := m.nodes[node]
-	if n == nil {
+func (tracker *Tracker) AttemptEnded(now time.Duration, node, id string, end AttemptEnd, role Role, pos time.Duration, class string, took time.Duration) {
+	endpoint := tracker.endpoints[node]
+	if endpoint == nil {
 		return
 	}
-	for i, a := range n.waiting { // they end about in the order of their sends
-		if a.id == id {
-			n.waiting = append(n.waiting[:i], n.waiting[i+1:]...)
+	for i, a := range endpoint.attemptsInFlight { // they end about in the order of their sends
+		if a.requestID == id {
+			endpoint.attemptsInFlight = append(endpoint.attemptsInFlight[:i], endpoint.attemptsInFlight[i+1:]...)
 			break
 		}
 	}
-	b := n.bank
-	m.place(n, pos, now)
-	if m.outs > 0 && b.out[id] {
-		delete(b.out, id)
-		m.outs--
+	group := endpoint.group
+	tracker.recordPosition(endpoint, pos, now)
+	if tracker.releasedInFlight > 0 && group.released[id] {
+		delete(group.released, id)
+		tracker.releasedInFlight--
 		switch end {
 		case EndAnswered:
-			b.window = min(windowMost, b.window+1)
+			group.releaseLimit = min(maxReleaseLimit, group.releaseLimit+1)
 		case EndRejected:
-			b.window = max(1, b.window/2)
+			group.releaseLimit = max(1, group.releaseLimit/2)
 		}
 	}
 	switch end {
 	case EndAnswered:
 		if took > 0 && class != "" {
-			m.learn(n, took)
-			w := m.work[class]
+			tracker.recordResponseTime(endpoint, took)
+			w := tracker.expectedWork[class]
 			if w == nil {
-				first := m.cfg.Classes[class].Work
+				first := tracker.cfg.Classes[class].Work
 				w = &first
-				m.work[class] = w
+				tracker.expectedWork[class] = w
 			}
-			*w += time.Duration(markSmooth * float64(took-*w))
+			*w += time.Duration(responseTimeSmoothing * float64(took-*w))
 		}
-		m.answered(n, now)
-		if role == RolePrimary && b.in() && n != b.primary {
-			m.ask(n, now) // the module believes a report sooner than an answer
+		tracker.endpointAnswered(endpoint, now)
+		if role == RolePrimary && group.queuesWrites() && endpoint != group.primary {
+			tracker.sendHealthCheck(endpoint, now) // the module believes a report sooner than an answer
 		}
 	case EndRejected:
-		m.answered(n, now)
+		tracker.endpointAnswered(endpoint, now)
 	case EndNotPrimary:
-		n.heard = now
-		if n == b.primary && !b.in() {
-			m.move(b, PhaseSwitchover, EvidenceNotPrimary, n.id, now)
+		endpoint.lastAnswerAt = now
+		if endpoint == group.primary && !group.queuesWrites() {
+			tracker.transition(group, PhaseSwitchover, EvidenceNotPrimary, endpoint.id, now)
 		}
 	case EndUnreachable:
-		m.unreached(n, now)
+		tracker.endpointUnreachable(endpoint, now)
 	}
-	m.let(b, now)
+	tracker.releasePending(group, now)
 }
 
 // Reported notes the end of a probe.
-func (m *Tracker) HealthCheckEnded(now time.Duration, node string, answered bool, role Role, pos time.Duration) {
-	n := m.nodes[node]
-	if n == nil {
+func (tracker *Tracker) HealthCheckEnded(now time.Duration, node string, answered bool, role Role, pos time.Duration) {
+	endpoint := tracker.endpoints[node]
+	if endpoint == nil {
 		return
 	}
-	n.asking = false
+	endpoint.healthCheckInFlight = false
 	if !answered {
-		if n == n.bank.primary {
-			n.failures++
-			if n.bank.phase == PhaseSuspected {
-				m.move(n.bank, PhasePrimaryLost, EvidenceHealthCheckFailed, n.id, now)
+		if endpoint == endpoint.group.primary {
+			endpoint.connectFailures++
+			if endpoint.group.phase == PhaseSuspected {
+				tracker.transition(endpoint.group, PhasePrimaryLost, EvidenceHealthCheckFailed, endpoint.id, now)
 			}
 		}
 		return
 	}
-	m.place(n, pos, now)
-	if n == n.bank.primary && role == RoleReplica {
-		if n.heard = now; !n.bank.in() || n.bank.phase == PhaseSuspected {
-			m.move(n.bank, PhaseSwitchover, EvidenceNotPrimary, n.id, now)
+	tracker.recordPosition(endpoint, pos, now)
+	if endpoint == endpoint.group.primary && role == RoleReplica {
+		if endpoint.lastAnswerAt = now; !endpoint.group.queuesWrites() || endpoint.group.phase == PhaseSuspected {
+			tracker.transition(endpoint.group, PhaseSwitchover, EvidenceNotPrimary, endpoint.id, now)
 		}
 		return
 	}
-	m.answered(n, now)
+	tracker.endpointAnswered(endpoint, now)
 }
 
 // Role is what an answer or a report says of its sender.
@@ -542,114 +542,114 @@
 	RoleReplica
 )
 
-func (m *Tracker) place(n *member, pos, now time.Duration) {
-	if pos > n.pos {
-		n.pos, n.posAt = pos, now
+func (tracker *Tracker) recordPosition(endpoint *trackedEndpoint, pos, now time.Duration) {
+	if pos > endpoint.position {
+		endpoint.position, endpoint.positionAt = pos, now
 	}
 }
 
 // learn keeps a member's own pattern.
-func (m *Tracker) learn(n *member, took time.Duration) {
+func (tracker *Tracker) recordResponseTime(endpoint *trackedEndpoint, took time.Duration) {
 	s := took.Seconds()
-	if n.seen++; n.seen == 1 {
-		n.mean, n.dev = s, s/2
+	if endpoint.responseTimeSamples++; endpoint.responseTimeSamples == 1 {
+		endpoint.responseTimeMean, endpoint.responseTimeDeviation = s, s/2
 		return
 	}
-	d := s - n.mean
-	n.mean += markSmooth * d
-	n.dev += markSmooth * (max(d, -d) - n.dev)
+	d := s - endpoint.responseTimeMean
+	endpoint.responseTimeMean += responseTimeSmoothing * d
+	endpoint.responseTimeDeviation += responseTimeSmoothing * (max(d, -d) - endpoint.responseTimeDeviation)
 }
 
 // patience is how long a member with attempts out may say nothing.
-func (n *member) patience() time.Duration {
-	s := patienceSlack * n.lenient * (n.mean + patienceDevs*n.dev)
-	return max(patienceLeast, time.Duration(s*float64(time.Second)))
+func (endpoint *trackedEndpoint) silenceTimeout() time.Duration {
+	s := silenceTimeoutFactor * endpoint.leniency * (endpoint.responseTimeMean + silenceTimeoutDeviations*endpoint.responseTimeDeviation)
+	return max(minSilenceTimeout, time.Duration(s*float64(time.Second)))
 }
 
 // answered lifts a suspicion of a primary that answers.
-func (m *Tracker) answered(n *member, now time.Duration) {
-	n.heard, n.failures = now, 0
-	b := n.bank
-	if n != b.primary || b.phase != PhaseSuspected && (b.phase != PhasePrimaryLost || b.doubted || n.out || n.barred) {
+func (tracker *Tracker) endpointAnswered(endpoint *trackedEndpoint, now time.Duration) {
+	endpoint.lastAnswerAt, endpoint.connectFailures = now, 0
+	group := endpoint.group
+	if endpoint != group.primary || group.phase != PhaseSuspected && (group.phase != PhasePrimaryLost || group.primarySuspect || endpoint.draining || endpoint.suspended) {
 		return
 	}
-	n.lenient = min(8, n.lenient*1.5) // the pattern was too tight
-	m.seen(b, EvidenceAnswered, now)
+	endpoint.leniency = min(8, endpoint.leniency*1.5) // the pattern was too tight
+	tracker.startRelease(group, EvidenceAnswered, now)
 }
 
-func (m *Tracker) unreached(n *member, now time.Duration) {
-	n.failures++
-	b := n.bank
-	if n != b.primary {
+func (tracker *Tracker) endpointUnreachable(endpoint *trackedEndpoint, now time.Duration) {
+	endpoint.connectFailures++
+	group := endpoint.group
+	if endpoint != group.primary {
 		return
 	}
 	switch {
-	case !b.in():
-		m.move(b, PhaseSuspected, EvidenceConnectionRefused, n.id, now)
-		m.ask(n, now)
-	case b.phase == PhaseSuspected && n.failures > 1:
-		m.move(b, PhasePrimaryLost, EvidenceConnectionRefused, n.id, now)
+	case !group.queuesWrites():
+		tracker.transition(group, PhaseSuspected, EvidenceConnectionRefused, endpoint.id, now)
+		tracker.sendHealthCheck(endpoint, now)
+	case group.phase == PhaseSuspected && endpoint.connectFailures > 1:
+		tracker.transition(group, PhasePrimaryLost, EvidenceConnectionRefused, endpoint.id, now)
 	}
 }
 
 // ---- Time
 
 // Tick looks at silence, deadlines and probes, and returns when it wants to be called next, 0 = when something happens.
-func (m *Tracker) Tick(now time.Duration) (next time.Duration) {
+func (tracker *Tracker) Tick(now time.Duration) (next time.Duration) {
 	due := func(at time.Duration) {
 		if next == 0 || at < next {
 			next = max(at, now+time.Millisecond)
 		}
 	}
-	for _, b := range m.order {
-		n := b.primary
-		if n != nil && !b.in() && len(n.waiting) > 0 {
-			if at := max(n.heard, n.waiting[0].at) + n.patience(); now >= at {
-				m.move(b, PhaseSuspected, EvidenceSilence, n.id, now)
-				m.ask(n, now)
+	for _, group := range tracker.orderedGroups {
+		endpoint := group.primary
+		if endpoint != nil && !group.queuesWrites() && len(endpoint.attemptsInFlight) > 0 {
+			if at := max(endpoint.lastAnswerAt, endpoint.attemptsInFlight[0].sentAt) + endpoint.silenceTimeout(); now >= at {
+				tracker.transition(group, PhaseSuspected, EvidenceSilence, endpoint.id, now)
+				tracker.sendHealthCheck(endpoint, now)
 			} else {
 				due(at)
 			}
 		}
 		switch {
-		case b.phase == PhaseSuspected && now-b.since >= suspectFor:
-			m.move(b, PhasePrimaryLost, EvidenceSilence, name(n), now)
-		case b.phase == PhaseSuspected:
-			due(b.since + suspectFor)
-		case b.phase == PhaseSwitchover && b.limit > 0 && now >= b.limit:
-			if b.limit = 0; n != nil && !n.out && !n.barred && n.failures == 0 {
-				m.seen(b, EvidenceAnnouncementExpired, now) // nothing came of it
+		case group.phase == PhaseSuspected && now-group.phaseSince >= suspicionTime:
+			tracker.transition(group, PhasePrimaryLost, EvidenceSilence, endpointID(endpoint), now)
+		case group.phase == PhaseSuspected:
+			due(group.phaseSince + suspicionTime)
+		case group.phase == PhaseSwitchover && group.announcedUntil > 0 && now >= group.announcedUntil:
+			if group.announcedUntil = 0; endpoint != nil && !endpoint.draining && !endpoint.suspended && endpoint.connectFailures == 0 {
+				tracker.startRelease(group, EvidenceAnnouncementExpired, now) // nothing came of it
 			} else {
-				m.move(b, PhasePrimaryLost, EvidenceAnnouncementExpired, name(n), now)
+				tracker.transition(group, PhasePrimaryLost, EvidenceAnnouncementExpired, endpointID(endpoint), now)
 			}
-		case b.phase == PhaseSwitchover && b.limit > 0:
-			due(b.limit)
-		case b.phase == PhaseSuccessorSeen:
-			if len(b.queue) == 0 && len(b.out) == 0 || now >= b.settleAt && len(b.queue) == 0 {
-				m.move(b, PhaseSettled, EvidenceQueueReleased, name(n), now)
-				due(now + settleFor)
+		case group.phase == PhaseSwitchover && group.announcedUntil > 0:
+			due(group.announcedUntil)
+		case group.phase == PhaseSuccessorSeen:
+			if len(group.pending) == 0 && len(group.released) == 0 || now >= group.releaseReviewAt && len(group.pending) == 0 {
+				tracker.transition(group, PhaseSettled, EvidenceQueueReleased, endpointID(endpoint), now)
+				due(now + settleTime)
 			} else {
-				due(min(b.settleAt, now+settleFor/4))
+				due(min(group.releaseReviewAt, now+settleTime/4))
 			}
-			if now >= b.settleAt {
-				m.outs -= len(b.out)
-				clear(b.out) // lost count of some: they must not stop the rest
-				b.settleAt = now + settleFor
-				m.let(b, now)
+			if now >= group.releaseReviewAt {
+				tracker.releasedInFlight -= len(group.released)
+				clear(group.released) // lost count of some: they must not stop the rest
+				group.releaseReviewAt = now + settleTime
+				tracker.releasePending(group, now)
 			}
-		case b.phase == PhaseSettled && now-b.since >= settleFor:
-			m.move(b, PhaseSteady, EvidenceQuiet, name(n), now)
-		case b.phase == PhaseSettled:
-			due(b.since + settleFor)
+		case group.phase == PhaseSettled && now-group.phaseSince >= settleTime:
+			tracker.transition(group, PhaseSteady, EvidenceQuiet, endpointID(endpoint), now)
+		case group.phase == PhaseSettled:
+			due(group.phaseSince + settleTime)
 		}
-		if b.in() {
-			m.look(b, now)
-			due(b.nextAsk)
+		if group.queuesWrites() {
+			tracker.runHealthCheckRound(group, now)
+			due(group.nextHealthCheckRound)
 		}
-		if m.expire(b, now); len(b.queue) > 0 {
-			due(b.queue[0].latest)
-			if m.cfg.MaxPendingTime > 0 {
-				due(b.oldest + m.cfg.MaxPendingTime)
+		if tracker.rejectExpired(group, now); len(group.pending) > 0 {
+			due(group.pending[0].latestRelease)
+			if tracker.cfg.MaxPendingTime > 0 {
+				due(group.oldestPending + tracker.cfg.MaxPendingTime)
 			}
 		}
 	}
@@ -659,51 +659,53 @@
 // look asks members who might be the successor: those with the most log first, and densely while something is held that pays
 // for it. Danger: at a rate of its own each of many routers with a write or two would keep the bank busy with reports. Each
 // draws its own moments.
-func (m *Tracker) look(b *bank, now time.Duration) {
-	if now < b.nextAsk {
+func (tracker *Tracker) runHealthCheckRound(group *replicaGroup, now time.Duration) {
+	if now < group.nextHealthCheckRound {
 		return
 	}
-	gap := b.gap
-	if b.paid() {
-		b.credit--
+	gap := group.healthCheckInterval
+	if group.canPayHealthCheckRound() {
+		group.healthCheckCredit--
 	} else {
-		gap = max(probeSlow, probeShare*time.Duration(m.cfg.Instances))
+		gap = max(unpaidHealthCheckInterval, unpaidHealthCheckIntervalPerRouter*time.Duration(tracker.cfg.Instances))
 	}
-	b.gap = min(probeMost, time.Duration(probeGrow*float64(b.gap)))
-	b.nextAsk = now + gap*3/4 + time.Duration(m.rng.Int64N(int64(gap/2)))
-	for _, n := range m.likely(b) {
-		m.ask(n, now)
+	group.healthCheckInterval = min(maxHealthCheckInterval, time.Duration(healthCheckIntervalGrowth*float64(group.healthCheckInterval)))
+	group.nextHealthCheckRound = now + gap*3/4 + time.Duration(tracker.rng.Int64N(int64(gap/2)))
+	for _, endpoint := range tracker.healthCheckCandidates(group) {
+		tracker.sendHealthCheck(endpoint, now)
 	}
 }
 
 // paid says whether what is held pays for another round of probes.
-func (b *bank) paid() bool { return len(b.queue) > 0 && b.credit >= 1 }
+func (group *replicaGroup) canPayHealthCheckRound() bool {
+	return len(group.pending) > 0 && group.healthCheckCredit >= 1
+}
 
 // likely are the members that may be asked, the likeliest successor first.
-func (m *Tracker) likely(b *bank) []*member {
-	var out []*member
-	for _, n := range b.members {
-		if !n.out && !n.barred {
-			out = append(out, n)
+func (tracker *Tracker) healthCheckCandidates(group *replicaGroup) []*trackedEndpoint {
+	var out []*trackedEndpoint
+	for _, endpoint := range group.endpoints {
+		if !endpoint.draining && !endpoint.suspended {
+			out = append(out, endpoint)
 		}
 	}
-	slices.SortStableFunc(out, func(x, y *member) int {
+	slices.SortStableFunc(out, func(x, y *trackedEndpoint) int {
 		// An old primary that is lost comes last, whatever its log.
-		if old := b.phase != PhaseSuspected; (x == b.primary) != (y == b.primary) {
-			if (x == b.primary) == old {
+		if old := group.phase != PhaseSuspected; (x == group.primary) != (y == group.primary) {
+			if (x == group.primary) == old {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(y.pos, x.pos), cmp.Compare(y.posAt, x.posAt))
+		return cmp.Or(cmp.Compare(y.position, x.position), cmp.Compare(y.positionAt, x.positionAt))
 	})
 	return out
 }
 
-func (m *Tracker) ask(n *member, now time.Duration) {
-	if n.out || n.barred || n.asking && now-n.askedAt < probeWait {
+func (tracker *Tracker) sendHealthCheck(endpoint *trackedEndpoint, now time.Duration) {
+	if endpoint.draining || endpoint.suspended || endpoint.healthCheckInFlight && now-endpoint.healthCheckSentAt < healthCheckTimeout {
 		return
 	}
-	n.asking, n.askedAt = true, now
-	m.do(Action{Kind: ActionHealthCheck, Endpoint: n.id})
+	endpoint.healthCheckInFlight, endpoint.healthCheckSentAt = true, now
+	tracker.emit(Action{Kind: ActionHealthCheck, Endpoint: endpoint.id})
 }
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -15,18 +15,18 @@
 	return Config{Instances: 1, Classes: map[string]Class{"job": {PriorityWeight: 1, Work: 10 * ms}, "small": {PriorityWeight: 0.1, Work: 10 * ms}}, MaxPending: 20, MaxPendingBytes: 2000, DeadlineMargin: 10 * ms}
 }
 
-func listed(m *Tracker, banks int) {
+func listed(tracker *Tracker, banks int) {
 	var in []Endpoint
 	for b := range banks {
 		for i := range 3 {
 			in = append(in, Endpoint{ID: fmt.Sprintf("n%d-%d", b, i), Group: int64(b)})
 		}
 	}
-	m.UpdateEndpoints(0, in, true)
+	tracker.UpdateEndpoints(0, in, true)
 	for b := range banks {
-		m.ObservePrimary(0, int64(b), fmt.Sprintf("n%d-0", b))
+		tracker.ObservePrimary(0, int64(b), fmt.Sprintf("n%d-0", b))
 	}
-	m.Actions()
+	tracker.Actions()
 }
 
 // world plays the core around a model and checks what it asks.
@@ -63,8 +63,8 @@
 				}
 				w.state[a.ID] = "over"
 			case ActionHealthCheck:
-				n := w.m.nodes[a.Endpoint]
-				if n == nil || n.out || n.barred {
+				endpoint := w.m.endpoints[a.Endpoint]
+				if endpoint == nil || endpoint.draining || endpoint.suspended {
 					w.t.Fatalf("%s is asked though it is out", a.Endpoint)
 				}
 			}
@@ -80,22 +80,22 @@
 		}
 	}
 	bytes, inBanks := 0, 0
-	for _, b := range w.m.order {
-		for _, h := range b.queue {
-			bytes += h.Size
+	for _, group := range w.m.orderedGroups {
+		for _, pending := range group.pending {
+			bytes += pending.Size
 		}
-		inBanks += len(b.queue)
-		if b.term < w.terms[b.id] {
-			w.t.Fatalf("the term of %d went back from %d to %d", b.id, w.terms[b.id], b.term)
+		inBanks += len(group.pending)
+		if group.term < w.terms[group.id] {
+			w.t.Fatalf("the term of %d went back from %d to %d", group.id, w.terms[group.id], group.term)
 		}
-		w.terms[b.id] = b.term
+		w.terms[group.id] = group.term
 	}
-	if held != len(w.m.held) || held != inBanks || held > w.m.cfg.MaxPending || bytes != w.m.bytes || bytes > w.m.cfg.MaxPendingBytes {
-		w.t.Fatalf("%d held, %d known, %d in banks, %d bytes", held, len(w.m.held), inBanks, bytes)
+	if held != len(w.m.pending) || held != inBanks || held > w.m.cfg.MaxPending || bytes != w.m.pendingBytes || bytes > w.m.cfg.MaxPendingBytes {
+		w.t.Fatalf("%d held, %d known, %d in banks, %d bytes", held, len(w.m.pending), inBanks, bytes)
 	}
 	names := 0
-	for _, k := range w.m.clients {
-		names += len(k.held)
+	for _, k := range w.m.clientQueues {
+		names += len(k.pending)
 	}
 	if names != held {
 		w.t.Fatalf("%d held, %d of clients", held, names)
@@ -131,7 +131,7 @@
 					if w.m.IsPending(q.ID) {
 						w.state[q.ID] = "held"
 					} else if w.state[q.ID] == "new" {
-						for _, a := range w.m.acts { // let out or given up at once
+						for _, a := range w.m.actions { // let out or given up at once
 							if a.ID == q.ID && a.Kind == ActionRelease {
 								w.state[q.ID] = "held"
 							}
@@ -184,8 +184,8 @@
 	})
 }
 
-func kinds(m *Tracker) (out []ActionKind) {
-	for _, a := range m.Actions() {
+func kinds(tracker *Tracker) (out []ActionKind) {
+	for _, a := range tracker.Actions() {
 		out = append(out, a.Kind)
 	}
 	return out
@@ -194,60 +194,67 @@
 // Each phase is reached by its evidence, and by no other's claim.
 func TestPhases(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(m *Tracker)
+		do   func(tracker *Tracker)
 		want Phase
 		why  Evidence
 	}{
-		"one refused connection": {func(m *Tracker) { m.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSuspected, EvidenceConnectionRefused},
-		"two": {func(m *Tracker) {
-			m.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0)
-			m.AttemptEnded(2, "n0-0", "b", EndUnreachable, 0, 0, "", 0)
+		"one refused connection": {func(tracker *Tracker) { tracker.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSuspected, EvidenceConnectionRefused},
+		"two": {func(tracker *Tracker) {
+			tracker.AttemptEnded(1, "n0-0", "a", EndUnreachable, 0, 0, "", 0)
+			tracker.AttemptEnded(2, "n0-0", "b", EndUnreachable, 0, 0, "", 0)
 		}, PhasePrimaryLost, EvidenceConnectionRefused},
-		"of a replica": {func(m *Tracker) { m.AttemptEnded(1, "n0-1", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSteady, EvidenceNone},
-		"silence": {func(m *Tracker) {
-			m.AttemptSent(0, "n0-0", "a")
-			m.Tick(patienceLeast)
+		"of a replica": {func(tracker *Tracker) { tracker.AttemptEnded(1, "n0-1", "a", EndUnreachable, 0, 0, "", 0) }, PhaseSteady, EvidenceNone},
+		"silence": {func(tracker *Tracker) {
+			tracker.AttemptSent(0, "n0-0", "a")
+			tracker.Tick(minSilenceTimeout)
 		}, PhaseSuspected, EvidenceSilence},
-		"none yet": {func(m *Tracker) {
-			m.AttemptSent(0, "n0-0", "a")
-			m.Tick(patienceLeast - 1)
+		"none yet": {func(tracker *Tracker) {
+			tracker.AttemptSent(0, "n0-0", "a")
+			tracker.Tick(minSilenceTimeout - 1)
 		}, PhaseSteady, EvidenceNone},
-		"long silence": {func(m *Tracker) {
-			m.AttemptSent(0, "n0-0", "a")
-			m.Tick(patienceLeast)
-			m.Tick(patienceLeast + suspectFor)
+		"long silence": {func(tracker *Tracker) {
+			tracker.AttemptSent(0, "n0-0", "a")
+			tracker.Tick(minSilenceTimeout)
+			tracker.Tick(minSilenceTimeout + suspicionTime)
 		}, PhasePrimaryLost, EvidenceSilence},
-		"it answers after all": {func(m *Tracker) {
-			m.AttemptSent(0, "n0-0", "a")
-			m.Tick(patienceLeast)
-			m.AttemptEnded(100*ms, "n0-0", "a", EndAnswered, RolePrimary, 0, "job", 100*ms)
+		"it answers after all": {func(tracker *Tracker) {
+			tracker.AttemptSent(0, "n0-0", "a")
+			tracker.Tick(minSilenceTimeout)
+			tracker.AttemptEnded(100*ms, "n0-0", "a", EndAnswered, RolePrimary, 0, "job", 100*ms)
 		}, PhaseSuccessorSeen, EvidenceAnswered},
-		"25006":                  {func(m *Tracker) { m.AttemptEnded(1, "n0-0", "a", EndNotPrimary, RoleReplica, 0, "job", 0) }, PhaseSwitchover, EvidenceNotPrimary},
-		"a report":               {func(m *Tracker) { m.HealthCheckEnded(1, "n0-0", true, RoleReplica, 0) }, PhaseSwitchover, EvidenceNotPrimary},
-		"a probe fails unasked":  {func(m *Tracker) { m.HealthCheckEnded(1, "n0-0", false, 0, 0) }, PhaseSteady, EvidenceNone},
-		"a drain":                {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false) }, PhaseSwitchover, EvidenceDraining},
-		"a replica's drain":      {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-1", Draining: true}}, false) }, PhaseSteady, EvidenceNone},
-		"not listed":             {func(m *Tracker) { m.UpdateEndpoints(1, []Endpoint{{ID: "n0-1"}, {ID: "n0-2"}}, true) }, PhaseSwitchover, EvidenceDraining},
-		"a suspend":              {func(m *Tracker) { m.Suspend(1, "n0-0", true) }, PhaseSwitchover, EvidenceSuspended},
-		"an announcement":        {func(m *Tracker) { m.Announce(1, 0, time.Second) }, PhaseSwitchover, EvidenceAnnounced},
-		"the module's doubt":     {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0") }, PhasePrimaryLost, EvidencePrimarySuspect},
-		"of one that was":        {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-2") }, PhaseSteady, EvidenceNone},
-		"nothing came of it":     {func(m *Tracker) { m.Announce(1, 0, time.Second); m.Tick(time.Second + 1) }, PhaseSuccessorSeen, EvidenceAnnouncementExpired},
-		"a successor":            {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.ObservePrimary(2, 0, "n0-1") }, PhaseSuccessorSeen, EvidencePrimaryObserved},
-		"announced, still leads": {func(m *Tracker) { m.Announce(1, 0, time.Second); m.ObservePrimary(2, 0, "n0-0") }, PhaseSwitchover, EvidenceAnnounced},
-		"doubted, answers alone": {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.HealthCheckEnded(2, "n0-0", true, RolePrimary, 1) }, PhasePrimaryLost, EvidencePrimarySuspect},
-		"settled":                {func(m *Tracker) { m.SuspectPrimary(1, 0, "n0-0"); m.ObservePrimary(2, 0, "n0-1"); m.Tick(3) }, PhaseSettled, EvidenceQueueReleased},
-		"steady again": {func(m *Tracker) {
-			m.SuspectPrimary(1, 0, "n0-0")
-			m.ObservePrimary(2, 0, "n0-1")
-			m.Tick(3)
-			m.Tick(3 + settleFor)
+		"25006":                  {func(tracker *Tracker) { tracker.AttemptEnded(1, "n0-0", "a", EndNotPrimary, RoleReplica, 0, "job", 0) }, PhaseSwitchover, EvidenceNotPrimary},
+		"a report":               {func(tracker *Tracker) { tracker.HealthCheckEnded(1, "n0-0", true, RoleReplica, 0) }, PhaseSwitchover, EvidenceNotPrimary},
+		"a probe fails unasked":  {func(tracker *Tracker) { tracker.HealthCheckEnded(1, "n0-0", false, 0, 0) }, PhaseSteady, EvidenceNone},
+		"a drain":                {func(tracker *Tracker) { tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false) }, PhaseSwitchover, EvidenceDraining},
+		"a replica's drain":      {func(tracker *Tracker) { tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-1", Draining: true}}, false) }, PhaseSteady, EvidenceNone},
+		"not listed":             {func(tracker *Tracker) { tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-1"}, {ID: "n0-2"}}, true) }, PhaseSwitchover, EvidenceDraining},
+		"a suspend":              {func(tracker *Tracker) { tracker.Suspend(1, "n0-0", true) }, PhaseSwitchover, EvidenceSuspended},
+		"an announcement":        {func(tracker *Tracker) { tracker.Announce(1, 0, time.Second) }, PhaseSwitchover, EvidenceAnnounced},
+		"the module's doubt":     {func(tracker *Tracker) { tracker.SuspectPrimary(1, 0, "n0-0") }, PhasePrimaryLost, EvidencePrimarySuspect},
+		"of one that was":        {func(tracker *Tracker) { tracker.SuspectPrimary(1, 0, "n0-2") }, PhaseSteady, EvidenceNone},
+		"nothing came of it":     {func(tracker *Tracker) { tracker.Announce(1, 0, time.Second); tracker.Tick(time.Second + 1) }, PhaseSuccessorSeen, EvidenceAnnouncementExpired},
+		"a successor":            {func(tracker *Tracker) { tracker.SuspectPrimary(1, 0, "n0-0"); tracker.ObservePrimary(2, 0, "n0-1") }, PhaseSuccessorSeen, EvidencePrimaryObserved},
+		"announced, still leads": {func(tracker *Tracker) { tracker.Announce(1, 0, time.Second); tracker.ObservePrimary(2, 0, "n0-0") }, PhaseSwitchover, EvidenceAnnounced},
+		"doubted, answers alone": {func(tracker *Tracker) {
+			tracker.SuspectPrimary(1, 0, "n0-0")
+			tracker.HealthCheckEnded(2, "n0-0", true, RolePrimary, 1)
+		}, PhasePrimaryLost, EvidencePrimarySuspect},
+		"settled": {func(tracker *Tracker) {
+			tracker.SuspectPrimary(1, 0, "n0-0")
+			tracker.ObservePrimary(2, 0, "n0-1")
+			tracker.Tick(3)
+		}, PhaseSettled, EvidenceQueueReleased},
+		"steady again": {func(tracker *Tracker) {
+			tracker.SuspectPrimary(1, 0, "n0-0")
+			tracker.ObservePrimary(2, 0, "n0-1")
+			tracker.Tick(3)
+			tracker.Tick(3 + settleTime)
 		}, PhaseSteady, EvidenceQuiet},
 	} {
-		m := New(config(), 1)
-		listed(m, 1)
-		c.do(m)
-		if phase, _, _, last := m.Group(0); phase != c.want || last.Evidence != c.why {
+		tracker := New(config(), 1)
+		listed(tracker, 1)
+		c.do(tracker)
+		if phase, _, _, last := tracker.Group(0); phase != c.want || last.Evidence != c.why {
 			t.Errorf("%s: %v by %v, %v by %v wanted", name, phase, last.Evidence, c.want, c.why)
 		}
 	}
@@ -257,22 +264,22 @@
 func TestReleaseIsASlowStart(t *testing.T) {
 	cfg := config()
 	cfg.MaxPending, cfg.MaxPendingBytes, cfg.Instances = 1000, 1<<20, 4
-	m := New(cfg, 1)
-	listed(m, 1)
-	m.SuspectPrimary(1, 0, "n0-0")
-	if !slices.Contains(kinds(m), ActionWithdraw) {
+	tracker := New(cfg, 1)
+	listed(tracker, 1)
+	tracker.SuspectPrimary(1, 0, "n0-0")
+	if !slices.Contains(kinds(tracker), ActionWithdraw) {
 		t.Fatal("the module keeps what it holds")
 	}
 	for i := range 100 {
-		m.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 9), Deadline: time.Second + time.Duration((i*37)%100)*ms})
+		tracker.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 9), Deadline: time.Second + time.Duration((i*37)%100)*ms})
 	}
-	if k := kinds(m); len(k) != 0 {
+	if k := kinds(tracker); len(k) != 0 {
 		t.Fatalf("%v", k)
 	}
-	m.ObservePrimary(3, 0, "n0-1")
+	tracker.ObservePrimary(3, 0, "n0-1")
 	var out []string
 	take := func() (n int) {
-		for _, a := range m.Actions() {
+		for _, a := range tracker.Actions() {
 			if a.Kind == ActionRelease {
 				out = append(out, a.ID)
 				n++
@@ -284,13 +291,13 @@
 		t.Fatalf("%d at first", n)
 	}
 	for i := 0; len(out) < 60; i++ {
-		m.AttemptEnded(4, "n0-1", out[i], EndAnswered, RolePrimary, 0, "job", 10*ms)
+		tracker.AttemptEnded(4, "n0-1", out[i], EndAnswered, RolePrimary, 0, "job", 10*ms)
 		if n := take(); n > 2 {
 			t.Fatalf("%d for one answer", n)
 		}
 	}
-	before := len(m.banks[0].out)
-	m.AttemptEnded(5, "n0-1", out[len(out)-1], EndRejected, RolePrimary, 0, "", 0)
+	before := len(tracker.groups[0].released)
+	tracker.AttemptEnded(5, "n0-1", out[len(out)-1], EndRejected, RolePrimary, 0, "", 0)
 	if n := take(); n != 0 || before < 10 {
 		t.Fatalf("%d go out behind a refusal, %d were", n, before)
 	}
@@ -307,22 +314,22 @@
 // Over the bound the least valuable of the client that has the most goes; what can't make it goes at once, each with a time
 // to come back that follows the change.
 func TestWhoGoesFirst(t *testing.T) {
-	m := New(config(), 1)
-	listed(m, 1)
-	m.SuspectPrimary(0, 0, "n0-0")
-	m.Actions()
-	m.Enqueue(1, Request{ID: "late", Class: "job", Client: "a", Deadline: 20 * ms})
-	if a := m.Actions(); len(a) != 1 || a[0].Kind != ActionReject || a[0].Reason != ReasonDeadline || a[0].RetryAfter < changeUsual || a[0].RetryAfter > changeUsual*5/4 {
+	tracker := New(config(), 1)
+	listed(tracker, 1)
+	tracker.SuspectPrimary(0, 0, "n0-0")
+	tracker.Actions()
+	tracker.Enqueue(1, Request{ID: "late", Class: "job", Client: "a", Deadline: 20 * ms})
+	if a := tracker.Actions(); len(a) != 1 || a[0].Kind != ActionReject || a[0].Reason != ReasonDeadline || a[0].RetryAfter < defaultFailoverDuration || a[0].RetryAfter > defaultFailoverDuration*5/4 {
 		t.Fatalf("%+v", a)
 	}
 	for i := range 19 {
-		m.Enqueue(2, Request{ID: fmt.Sprint("a", i), Class: "job", Client: "a", Deadline: time.Minute})
+		tracker.Enqueue(2, Request{ID: fmt.Sprint("a", i), Class: "job", Client: "a", Deadline: time.Minute})
 	}
-	m.Enqueue(2, Request{ID: "b0", Class: "small", Client: "b", Deadline: time.Minute})
-	m.Enqueue(3, Request{ID: "b1", Class: "small", Client: "b", Deadline: time.Minute})
-	m.Enqueue(4, Request{ID: "a-small", Class: "small", Client: "a", Deadline: time.Minute})
+	tracker.Enqueue(2, Request{ID: "b0", Class: "small", Client: "b", Deadline: time.Minute})
+	tracker.Enqueue(3, Request{ID: "b1", Class: "small", Client: "b", Deadline: time.Minute})
+	tracker.Enqueue(4, Request{ID: "a-small", Class: "small", Client: "a", Deadline: time.Minute})
 	var gone []string
-	for _, a := range m.Actions() {
+	for _, a := range tracker.Actions() {
 		if a.Kind != ActionReject || a.Reason != ReasonQueueFull {
 			t.Fatalf("%+v", a)
 		}
@@ -332,8 +339,8 @@
 		t.Fatalf("%v", gone)
 	}
 	// A longer change than usual is told of as such.
-	m.Enqueue(10*time.Second, Request{ID: "now", Class: "job", Deadline: 10*time.Second + ms})
-	for _, a := range m.Actions() {
+	tracker.Enqueue(10*time.Second, Request{ID: "now", Class: "job", Deadline: 10*time.Second + ms})
+	for _, a := range tracker.Actions() {
 		if a.ID == "now" && a.RetryAfter < 4*time.Second {
 			t.Fatalf("%+v", a)
 		}
@@ -344,22 +351,22 @@
 func TestProbes(t *testing.T) {
 	var firsts []time.Duration
 	for seed := range uint64(20) {
-		m := New(config(), seed)
-		listed(m, 1)
-		m.HealthCheckEnded(0, "n0-2", true, RoleReplica, 500)
-		m.HealthCheckEnded(0, "n0-1", true, RoleReplica, 400)
-		m.SuspectPrimary(time.Second, 0, "n0-0")
-		m.Enqueue(time.Second, Request{ID: "q", Class: "job", Deadline: time.Hour})
-		m.Actions()
+		tracker := New(config(), seed)
+		listed(tracker, 1)
+		tracker.HealthCheckEnded(0, "n0-2", true, RoleReplica, 500)
+		tracker.HealthCheckEnded(0, "n0-1", true, RoleReplica, 400)
+		tracker.SuspectPrimary(time.Second, 0, "n0-0")
+		tracker.Enqueue(time.Second, Request{ID: "q", Class: "job", Deadline: time.Hour})
+		tracker.Actions()
 		var asked []string
 		rounds := map[time.Duration]bool{}
 		for now := time.Second; now < 21*time.Second; now += ms {
-			m.Tick(now)
-			for _, a := range m.Actions() {
+			tracker.Tick(now)
+			for _, a := range tracker.Actions() {
 				if a.Kind == ActionHealthCheck {
 					asked = append(asked, a.Endpoint)
 					rounds[now] = true
-					m.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
+					tracker.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
 				}
 			}
 			if len(rounds) == 2 && len(firsts) <= int(seed) {
@@ -369,7 +376,7 @@
 		if asked[0] != "n0-2" || asked[1] != "n0-1" {
 			t.Fatalf("%v are asked first", asked[:2])
 		}
-		if n := len(asked); n > 3*probePaid+3*20*6 || n < 3*probePaid {
+		if n := len(asked); n > 3*healthCheckRoundsPerRequest+3*20*6 || n < 3*healthCheckRoundsPerRequest {
 			t.Fatalf("%d probes in 20 s", n)
 		}
 	}
@@ -388,19 +395,19 @@
 		cfg.Instances = routers
 		second := map[time.Duration]int{}
 		for seed := range uint64(routers) {
-			m := New(cfg, seed)
-			listed(m, 1)
-			m.SuspectPrimary(time.Second, 0, "n0-0")
+			tracker := New(cfg, seed)
+			listed(tracker, 1)
+			tracker.SuspectPrimary(time.Second, 0, "n0-0")
 			for now := time.Second; now < time.Second+length; now += ms {
 				if i := int((now - time.Second) / (250 * ms)); (now-time.Second)%(250*ms) == 0 && i < held {
-					m.Enqueue(now, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Hour})
+					tracker.Enqueue(now, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Hour})
 				}
-				m.Tick(now)
-				for _, a := range m.Actions() {
+				tracker.Tick(now)
+				for _, a := range tracker.Actions() {
 					if a.Kind == ActionHealthCheck {
 						all++
 						second[now.Truncate(100*ms)]++
-						m.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
+						tracker.HealthCheckEnded(now, a.Endpoint, a.Endpoint != "n0-0", RoleReplica, 0)
 					}
 				}
 			}
@@ -411,7 +418,7 @@
 		return all, worst
 	}
 	idle, _ := count(0)
-	if most := routers * members * int(1+length/(probeShare*routers*3/4)); idle > most {
+	if most := routers * members * int(1+length/(unpaidHealthCheckIntervalPerRouter*routers*3/4)); idle > most {
 		t.Errorf("%d probes with nothing held, more than %d", idle, most)
 	}
 	one, worst := count(1)
@@ -426,19 +433,19 @@
 
 // A hint is where terms go on from, and no belief.
 func TestHint(t *testing.T) {
-	m := New(config(), 1)
-	m.UpdateEndpoints(0, []Endpoint{{ID: "a", Group: 1}, {ID: "b", Group: 1}}, true)
-	m.RestoreTerm(1, 41, "b")
-	if _, term, primary, _ := m.Group(1); term != 41 || primary != "" {
+	tracker := New(config(), 1)
+	tracker.UpdateEndpoints(0, []Endpoint{{ID: "a", Group: 1}, {ID: "b", Group: 1}}, true)
+	tracker.RestoreTerm(1, 41, "b")
+	if _, term, primary, _ := tracker.Group(1); term != 41 || primary != "" {
 		t.Fatalf("%d %q", term, primary)
 	}
-	if got := m.likely(m.banks[1]); got[0].id != "b" {
+	if got := tracker.healthCheckCandidates(tracker.groups[1]); got[0].id != "b" {
 		t.Fatalf("%s goes first", got[0].id)
 	}
-	m.ObservePrimary(1, 1, "a")
-	m.RestoreTerm(1, 7, "b")
-	m.RestoreTerm(1, 42, "a")
-	if _, term, primary, _ := m.Group(1); term != 42 || primary != "a" {
+	tracker.ObservePrimary(1, 1, "a")
+	tracker.RestoreTerm(1, 7, "b")
+	tracker.RestoreTerm(1, 42, "a")
+	if _, term, primary, _ := tracker.Group(1); term != 42 || primary != "a" {
 		t.Fatalf("%d %q", term, primary)
 	}
 }
@@ -448,20 +455,20 @@
 	for b.Loop() {
 		cfg := config()
 		cfg.MaxPending, cfg.MaxPendingBytes = n, 1<<30
-		m := New(cfg, 1)
-		listed(m, 1)
-		m.SuspectPrimary(1, 0, "n0-0")
+		tracker := New(cfg, 1)
+		listed(tracker, 1)
+		tracker.SuspectPrimary(1, 0, "n0-0")
 		for i := range n {
-			m.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 100), Deadline: time.Second + time.Duration(i*7919%n)*ms})
+			tracker.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 100), Deadline: time.Second + time.Duration(i*7919%n)*ms})
 		}
-		m.Actions()
-		m.ObservePrimary(3, 0, "n0-1")
+		tracker.Actions()
+		tracker.ObservePrimary(3, 0, "n0-1")
 		out := 0
-		for m.HasActions() {
-			for _, a := range m.Actions() {
+		for tracker.HasActions() {
+			for _, a := range tracker.Actions() {
 				if a.Kind == ActionRelease {
 					out++
-					m.AttemptEnded(4, "n0-1", a.ID, EndAnswered, RolePrimary, 0, "job", ms)
+					tracker.AttemptEnded(4, "n0-1", a.ID, EndAnswered, RolePrimary, 0, "job", ms)
 				}
 			}
 		}
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -21,16 +21,16 @@
 }
 
 // Views returns all banks, by their numbers.
-func (m *Tracker) Views(now time.Duration) []GroupView {
-	oldest := map[*bank]time.Duration{}
-	for _, h := range m.held {
-		oldest[h.bank] = max(oldest[h.bank], now-h.at)
+func (tracker *Tracker) Views(now time.Duration) []GroupView {
+	oldest := map[*replicaGroup]time.Duration{}
+	for _, pending := range tracker.pending {
+		oldest[pending.group] = max(oldest[pending.group], now-pending.enqueuedAt)
 	}
 	var out []GroupView
-	for _, b := range m.order {
-		v := GroupView{Group: b.id, Phase: b.phase, Term: b.term, Primary: name(b.primary), Since: now - b.since, Pending: len(b.queue), OldestPending: oldest[b],
-			ReleasedInFlight: len(b.out), Released: b.released, Rejected: map[string]uint64{}, History: slices.Clone(b.history)}
-		for r, n := range b.givenUp {
+	for _, group := range tracker.orderedGroups {
+		v := GroupView{Group: group.id, Phase: group.phase, Term: group.term, Primary: endpointID(group.primary), Since: now - group.phaseSince, Pending: len(group.pending), OldestPending: oldest[group],
+			ReleasedInFlight: len(group.released), Released: group.releasedTotal, Rejected: map[string]uint64{}, History: slices.Clone(group.history)}
+		for r, n := range group.rejectedTotal {
 			v.Rejected[Reason(r).String()] = n
 		}
 		out = append(out, v)
@@ -39,13 +39,13 @@
 }
 
 // Bank returns the phase, term and primary of one.
-func (m *Tracker) Group(id int64) (p Phase, term uint64, primary string, last Transition) {
-	b := m.banks[id]
-	if b == nil {
+func (tracker *Tracker) Group(id int64) (p Phase, term uint64, primary string, last Transition) {
+	group := tracker.groups[id]
+	if group == nil {
 		return PhaseSteady, 0, "", Transition{}
 	}
-	if n := len(b.history); n > 0 {
-		last = b.history[n-1]
+	if n := len(group.history); n > 0 {
+		last = group.history[n-1]
 	}
-	return b.phase, b.term, name(b.primary), last
+	return group.phase, group.term, endpointID(group.primary), last
 }
