--- /dev/null
+++ b/internal/failover/release_test.go
@@ -0,0 +1,137 @@
+package failover
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// releasedIDs returns the requests that the pending actions release.
+func releasedIDs(tracker *Tracker) (ids []string) {
+	for _, action := range tracker.Actions() {
+		if action.Kind == ActionRelease {
+			ids = append(ids, action.ID)
+		}
+	}
+	return ids
+}
+
+// Queued requests are released earliest deadline first, few at once, more with each answer, and fewer when the
+// successor sheds load.
+func TestReleaseIsASlowStart(t *testing.T) {
+	cfg := testConfig()
+	cfg.MaxPending = 1000
+	cfg.MaxPendingBytes = 1 << 20
+	cfg.Instances = 4
+	tracker := newTestTracker(cfg, 1, 1)
+	tracker.SuspectPrimary(1, 0, "n0-0")
+	if !slices.Contains(actionKinds(tracker), ActionWithdraw) {
+		t.Fatal("the decision module keeps its requests")
+	}
+	deadlineOrder := func(i int) int { return i * 37 % 100 }
+	for i := range 100 {
+		deadline := time.Second + time.Duration(deadlineOrder(i))*ms
+		tracker.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Client: fmt.Sprint(i % 9), Deadline: deadline})
+	}
+	if kinds := actionKinds(tracker); len(kinds) != 0 {
+		t.Fatalf("actions %v while the requests are queued", kinds)
+	}
+	tracker.ObservePrimary(3, 0, "n0-1")
+	released := releasedIDs(tracker)
+	if want := int(initialReleaseLimit) / cfg.Instances; len(released) != want {
+		t.Fatalf("%d are released at first, want %d", len(released), want)
+	}
+	for i := 0; len(released) < 60; i++ {
+		tracker.AttemptEnded(4, "n0-1", released[i], EndAnswered, RolePrimary, 0, "job", 10*ms)
+		more := releasedIDs(tracker)
+		if len(more) > 2 {
+			t.Fatalf("%d are released for one answer", len(more))
+		}
+		released = append(released, more...)
+	}
+	before := len(tracker.groups[0].release.inFlight)
+	tracker.AttemptEnded(5, "n0-1", released[len(released)-1], EndRejected, RolePrimary, 0, "", 0)
+	if more := releasedIDs(tracker); len(more) != 0 || before < 10 {
+		t.Fatalf("%d are released after a rejection, %d were in flight", len(more), before)
+	}
+	for i := 1; i < len(released); i++ {
+		var previous, next int
+		if _, err := fmt.Sscan(released[i-1]+" "+released[i], &previous, &next); err != nil {
+			t.Fatal(err)
+		}
+		if deadlineOrder(previous) > deadlineOrder(next) {
+			t.Fatalf("%s is released before %s", released[i-1], released[i])
+		}
+	}
+}
+
+func TestReleaseWindowAdaptsToAnswers(t *testing.T) {
+	for name, test := range map[string]struct {
+		limit float64
+		end   AttemptEnd
+		want  float64
+	}{
+		"an answer":                   {2, EndAnswered, 3},
+		"an answer at the maximum":    {maxReleaseLimit, EndAnswered, maxReleaseLimit},
+		"a rejection":                 {8, EndRejected, 4},
+		"a rejection at the minimum":  {1, EndRejected, 1},
+		"an unreachable endpoint":     {8, EndUnreachable, 8},
+		"an endpoint that is replica": {8, EndNotPrimary, 8},
+		"an inconclusive end":         {8, EndInconclusive, 8},
+	} {
+		t.Run(name, func(t *testing.T) {
+			window := releaseWindow{limit: test.limit}
+			window.adapt(test.end)
+			if window.limit != test.want {
+				t.Errorf("limit %v, want %v", window.limit, test.want)
+			}
+		})
+	}
+}
+
+// Requests whose end is never reported don't stop the release of those behind them.
+func TestReleaseGoesOnWithoutAnswers(t *testing.T) {
+	cfg := testConfig()
+	cfg.Instances = initialReleaseLimit // one request at once
+	tracker := newTestTracker(cfg, 1, 1)
+	tracker.SuspectPrimary(1, 0, "n0-0")
+	for i := range 3 {
+		tracker.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Minute})
+	}
+	tracker.ObservePrimary(3, 0, "n0-1")
+	if released := releasedIDs(tracker); len(released) != 1 {
+		t.Fatalf("%v are released at first", released)
+	}
+	tracker.Tick(3 + settleTime - 1)
+	if released := releasedIDs(tracker); len(released) != 0 {
+		t.Fatalf("%v are released without an answer", released)
+	}
+	tracker.Tick(3 + settleTime)
+	if released := releasedIDs(tracker); len(released) != 1 {
+		t.Fatalf("%v are released when answers are late", released)
+	}
+}
+
+func TestRequestDoneMakesRoomForAnotherRelease(t *testing.T) {
+	cfg := testConfig()
+	cfg.Instances = initialReleaseLimit // one request at once
+	tracker := newTestTracker(cfg, 1, 1)
+	tracker.SuspectPrimary(1, 0, "n0-0")
+	for _, id := range []string{"a", "b", "c"} {
+		tracker.Enqueue(2, Request{ID: id, Class: "job", Deadline: time.Minute})
+	}
+	tracker.RequestDone(2, 0, "b") // its client has disconnected
+	tracker.ObservePrimary(3, 0, "n0-1")
+	if released := releasedIDs(tracker); !slices.Equal(released, []string{"a"}) {
+		t.Fatalf("%v are released at first", released)
+	}
+	tracker.RequestDone(4, 0, "a")
+	if released := releasedIDs(tracker); !slices.Equal(released, []string{"c"}) {
+		t.Fatalf("%v are released behind the first", released)
+	}
+	tracker.RequestDone(5, 0, "c")
+	if tracker.InProgress() {
+		t.Fatal("something is still in progress")
+	}
+}
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -5,47 +5,63 @@
 	"time"
 )
 
-// View is what those on call see of a bank.
+// GroupView is what operators see of a replica group.
 type GroupView struct {
 	Group            int64
 	Phase            Phase
 	Term             uint64
-	Primary          string
+	Primary          string        // "" = none is known
 	Since            time.Duration // how long the phase lasts
 	Pending          int
-	OldestPending    time.Duration // how long the oldest is held
+	OldestPending    time.Duration // how long the oldest queued request waits
 	ReleasedInFlight int           // released and not answered
 	Released         uint64
-	Rejected         map[string]uint64
+	Rejected         map[string]uint64 // by reason
 	History          []Transition
 }
 
-// Views returns all banks, by their numbers.
-func (tracker *Tracker) Views(now time.Duration) []GroupView {
-	oldest := map[*replicaGroup]time.Duration{}
-	for _, pending := range tracker.pending {
-		oldest[pending.group] = max(oldest[pending.group], now-pending.enqueuedAt)
+// Views returns all groups, by their numbers.
+func (t *Tracker) Views(now time.Duration) []GroupView {
+	longestWait := map[*replicaGroup]time.Duration{}
+	for _, request := range t.pending.byID {
+		longestWait[request.group] = max(longestWait[request.group], now-request.enqueuedAt)
 	}
-	var out []GroupView
-	for _, group := range tracker.orderedGroups {
-		v := GroupView{Group: group.id, Phase: group.phase, Term: group.term, Primary: endpointID(group.primary), Since: now - group.phaseSince, Pending: len(group.pending), OldestPending: oldest[group],
-			ReleasedInFlight: len(group.released), Released: group.releasedTotal, Rejected: map[string]uint64{}, History: slices.Clone(group.history)}
-		for r, n := range group.rejectedTotal {
-			v.Rejected[Reason(r).String()] = n
-		}
-		out = append(out, v)
+	var views []GroupView
+	for _, group := range t.orderedGroups {
+		view := group.view(now)
+		view.OldestPending = longestWait[group]
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
-// Bank returns the phase, term and primary of one.
-func (tracker *Tracker) Group(id int64) (p Phase, term uint64, primary string, last Transition) {
-	group := tracker.groups[id]
+func (g *replicaGroup) view(now time.Duration) GroupView {
+	rejected := map[string]uint64{}
+	for reason, total := range g.rejectedTotal {
+		rejected[Reason(reason).String()] = total
+	}
+	return GroupView{
+		Group:            g.id,
+		Phase:            g.phase,
+		Term:             g.term,
+		Primary:          g.primaryID(),
+		Since:            now - g.phaseSince,
+		Pending:          len(g.pending),
+		ReleasedInFlight: len(g.release.inFlight),
+		Released:         g.releasedTotal,
+		Rejected:         rejected,
+		History:          slices.Clone(g.history),
+	}
+}
+
+// Group returns the phase, term, primary and newest transition of a group.
+func (t *Tracker) Group(groupID int64) (phase Phase, term uint64, primary string, last Transition) {
+	group := t.groups[groupID]
 	if group == nil {
 		return PhaseSteady, 0, "", Transition{}
 	}
 	if n := len(group.history); n > 0 {
 		last = group.history[n-1]
 	}
-	return group.phase, group.term, endpointID(group.primary), last
+	return group.phase, group.term, group.primaryID(), last
 }
