--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// Where lists are pushed nobody calls Track: the watch goes on by itself through every failure, and hears what came meanwhile.
+// Where lists are pushed nobody calls Track: the watch goes on by itself through every failure, and hears what came
+// meanwhile.
 func TestFollowGoesOnByItself(t *testing.T) {
 	drain := config.Entry{ID: "s", Addr: "127.0.0.1:1", State: "draining"}
 	for name, fail := range map[string]func(a *testserver.Agent) (back func()){
--- /dev/null
+++ b/internal/discovery/http_response.go
@@ -0,0 +1,208 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+// bodyFraming says where the body of a response ends.
+type bodyFraming uint8
+
+const (
+	framedByClose  bodyFraming = iota // with the connection
+	framedByLength                    // after Content-Length bytes
+	framedByChunks                    // with an empty chunk
+)
+
+// The parts of the protocol that a response is made of.
+var (
+	lineEnd   = []byte("\r\n")
+	headerEnd = []byte("\r\n\r\n")
+)
+
+// httpResponse parses an HTTP/1.1 response from the parts in which it arrives.
+type httpResponse struct {
+	maxHeaderBytes int
+	maxBodyBytes   int
+
+	buffered         []byte // received and not parsed
+	status           int
+	closesConnection bool // the connection can't be used again
+	framing          bodyFraming
+	contentLength    int
+	headerRead       bool
+	body             []byte
+}
+
+var errMalformedResponse = errors.New("malformed HTTP response")
+
+// feed takes a part of the response and says whether the response is complete.
+func (r *httpResponse) feed(p []byte) (complete bool, err error) {
+	r.buffered = append(r.buffered, p...)
+	if !r.headerRead {
+		if err := r.readHeader(); err != nil || !r.headerRead {
+			return false, err
+		}
+	}
+	switch r.framing {
+	case framedByChunks:
+		return r.readChunks()
+	case framedByLength:
+		return r.readBody()
+	default:
+		return false, r.readUntilClose()
+	}
+}
+
+// completeAtClose says whether the end of the connection completes the response.
+func (r *httpResponse) completeAtClose() bool { return r.headerRead && r.framing == framedByClose }
+
+// readHeader parses the header if all of it has arrived.
+func (r *httpResponse) readHeader() error {
+	end := bytes.Index(r.buffered, headerEnd)
+	if end < 0 {
+		if len(r.buffered) > r.maxHeaderBytes {
+			return fmt.Errorf("%w: its header is too long", errMalformedResponse)
+		}
+		return nil
+	}
+	if err := r.parseHeader(string(r.buffered[:end])); err != nil {
+		return err
+	}
+	r.buffered = r.buffered[end+len(headerEnd):]
+	r.headerRead = true
+	return nil
+}
+
+func (r *httpResponse) parseHeader(text string) error {
+	lines := strings.Split(text, "\r\n")
+	if err := r.parseStatusLine(lines[0]); err != nil {
+		return err
+	}
+	for _, line := range lines[1:] {
+		name, value, ok := strings.Cut(line, ":")
+		if !ok {
+			return fmt.Errorf("%w: header line %.40q", errMalformedResponse, line)
+		}
+		if err := r.parseField(strings.ToLower(name), strings.TrimSpace(value)); err != nil {
+			return err
+		}
+	}
+	if r.status == http.StatusNoContent || r.status == http.StatusNotModified {
+		r.framing = framedByLength
+		r.contentLength = 0
+	}
+	if r.framing == framedByClose {
+		r.closesConnection = true
+	}
+	return nil
+}
+
+func (r *httpResponse) parseStatusLine(line string) error {
+	fields := strings.SplitN(line, " ", 3)
+	isHTTP := fields[0] == "HTTP/1.1" || fields[0] == "HTTP/1.0"
+	if len(fields) < 2 || !isHTTP {
+		return fmt.Errorf("%w: status line %.40q", errMalformedResponse, line)
+	}
+	status, err := strconv.Atoi(fields[1])
+	if err != nil || status < 100 || status > 599 {
+		return fmt.Errorf("%w: status %.40q", errMalformedResponse, fields[1])
+	}
+	r.status = status
+	r.closesConnection = fields[0] == "HTTP/1.0"
+	return nil
+}
+
+// parseField takes the header fields that frame the response. Chunks win over a length, and a first length over a
+// second one.
+func (r *httpResponse) parseField(name, value string) error {
+	switch name {
+	case "content-length":
+		length, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || int(length) > r.maxBodyBytes {
+			return fmt.Errorf("%w: length %.40q", errMalformedResponse, value)
+		}
+		if r.framing == framedByClose {
+			r.framing = framedByLength
+			r.contentLength = int(length)
+		}
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") {
+			return fmt.Errorf("%w: encoding %.40q", errMalformedResponse, value)
+		}
+		r.framing = framedByChunks
+	case "connection":
+		if strings.EqualFold(value, "close") {
+			r.closesConnection = true
+		}
+	}
+	return nil
+}
+
+// readUntilClose takes more of a body that ends with the connection.
+func (r *httpResponse) readUntilClose() error {
+	r.body = append(r.body, r.buffered...)
+	if len(r.body) > r.maxBodyBytes {
+		return fmt.Errorf("%w: its body is too long", errMalformedResponse)
+	}
+	r.buffered = r.buffered[:0]
+	return nil
+}
+
+// readBody takes a body of a known length once all of it has arrived.
+func (r *httpResponse) readBody() (complete bool, err error) {
+	if len(r.buffered) < r.contentLength {
+		return false, nil
+	}
+	if len(r.buffered) > r.contentLength {
+		return false, fmt.Errorf("%w: bytes behind its end", errMalformedResponse)
+	}
+	r.body = r.buffered
+	return true, nil
+}
+
+// readChunks takes the chunks that have arrived completely.
+func (r *httpResponse) readChunks() (complete bool, err error) {
+	for {
+		line, rest, ok := bytes.Cut(r.buffered, lineEnd)
+		if !ok {
+			if len(r.buffered) > r.maxHeaderBytes {
+				return false, fmt.Errorf("%w: chunk line", errMalformedResponse)
+			}
+			return false, nil
+		}
+		size, err := r.parseChunkSize(string(line))
+		if err != nil {
+			return false, err
+		}
+		if size == 0 {
+			return trailerEnded(rest), nil
+		}
+		if len(rest) < size+len(lineEnd) {
+			return false, nil
+		}
+		if !bytes.HasPrefix(rest[size:], lineEnd) {
+			return false, fmt.Errorf("%w: end of a chunk", errMalformedResponse)
+		}
+		r.body = append(r.body, rest[:size]...)
+		r.buffered = rest[size+len(lineEnd):]
+	}
+}
+
+func (r *httpResponse) parseChunkSize(line string) (int, error) {
+	text, _, _ := strings.Cut(line, ";") // an extension may follow
+	size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	if err != nil || len(r.body)+int(size) > r.maxBodyBytes {
+		return 0, fmt.Errorf("%w: chunk %.40q", errMalformedResponse, line)
+	}
+	return int(size), nil
+}
+
+// trailerEnded says whether what follows the last chunk, fields or none, has ended with an empty line.
+func trailerEnded(rest []byte) bool {
+	return bytes.HasPrefix(rest, lineEnd) || bytes.Contains(rest, headerEnd)
+}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -92,8 +92,8 @@
 	return s, watcher, l
 }
 
-// lim has calls that wait far longer than any machine stalls. Guards the tests: a call that ends as silent by such a stall is
-// followed by none before Track, and who waits for its list would wait for ever.
+// lim has calls that wait far longer than any machine stalls. Guards the tests: a call that ends as silent by such a
+// stall is followed by none before Track, and who waits for its list would wait for ever.
 func testLimits() limits.Limits {
 	l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second)
 	l.Backend.ConnectTimeout, l.Discovery.WatchWait, l.Discovery.WatchSlack, l.Discovery.CallTimeout = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
@@ -218,8 +218,8 @@
 	}
 }
 
-// An answer that is on its way in when its call's time is over is heard, and no call fails: what discovery writes counts as told.
-// The rest is held back until that time is over on the watcher's own clock.
+// An answer that is on its way in when its call's time is over is heard, and no call fails: what discovery writes
+// counts as told. The rest is held back until that time is over on the watcher's own clock.
 func TestAnAnswerThatIsComingIsNotGivenUp(t *testing.T) {
 	lim := testLimits()
 	lim.Backend.StallTimeout, lim.Discovery.CallTimeout = 20*time.Second, 2*time.Second // so that only the length of the answer ends it, and its gaps may be 0.5 s
@@ -250,7 +250,7 @@
 	t.Cleanup(letGo)
 	<-began
 	var due time.Duration
-	runInLoop(l, func() { due = watcher.startedAt + lim.Discovery.CallTimeout })
+	runInLoop(l, func() { due = watcher.call.startedAt + lim.Discovery.CallTimeout })
 	for over := false; !over; time.Sleep(time.Millisecond) {
 		runInLoop(l, func() { over = l.Now() > due+10*time.Millisecond })
 	}
@@ -276,13 +276,13 @@
 	})
 	<-asked
 	runInLoop(l, func() {
-		if watcher.conn == nil {
+		if watcher.connection == nil {
 			t.Error("no connection")
 			close(busy)
 			return
 		}
 		close(busy)
-		for watcher.conn.Quiet() || l.Now() <= watcher.startedAt+lim.Discovery.CallTimeout {
+		for watcher.connection.Quiet() || l.Now() <= watcher.call.startedAt+lim.Discovery.CallTimeout {
 			time.Sleep(time.Millisecond) // the loop is busy until the answer is there, and the call's time over
 		}
 	})
@@ -319,8 +319,9 @@
 	}
 }
 
-// What a watch that falls silent misses is asked for again, with the 2 s that a call may wait for its turn, within 6 s of its silence;
-// for a watch that waits longer, within 2 s of the end of its wait and the shortest grace that the settings have known.
+// What a watch that falls silent misses is asked for again, with the 2 s that a call may wait for its turn, within 6
+// s of its silence; for a watch that waits longer, within 2 s of the end of its wait and the shortest grace that the
+// settings have known.
 func TestASilentWatchIsOpenedAnewInTime(t *testing.T) {
 	for routers, told := range map[int]time.Duration{1: 6 * time.Second, 3: 6 * time.Second, 10: 6 * time.Second, 30: 7 * time.Second, 300: 7 * time.Second} {
 		l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(routers)
@@ -334,8 +335,8 @@
 	}
 }
 
-// A list that is empty, or older than the one that is known, is not believed, and said once; a discovery that goes on to
-// give an older one has started anew. Behind an older answer the whole list is asked for.
+// A list that is empty, or older than the one that is known, is not believed, and said once; a discovery that goes
+// on to give an older one has started anew. Behind an older answer the whole list is asked for.
 func TestUnfitListsAreNotBelieved(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad    string
@@ -381,7 +382,7 @@
 				}
 			}
 			done := make(chan int)
-			l.Post(func() { watcher.Stop(); done <- strings.Count(text.String(), "discovery failed") })
+			l.Post(func() { watcher.Stop(); done <- strings.Count(text.String(), "discovery call failed") })
 			if n := <-done; n != 1 {
 				t.Errorf("said %d times", n)
 			}
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A list of 1,024 db machines is read whole: on one line, indented, in small pieces, without a length, and as a change.
+// A list of 1,024 db machines is read whole: on one line, indented, in small pieces, without a length, and as a
+// change.
 func TestAThousandMachinesInOneList(t *testing.T) {
 	const n = 1024
 	type server struct {
