--- a/internal/simulation/multiprocess/sites_test.go
+++ b/internal/simulation/multiprocess/sites_test.go
@@ -15,7 +15,7 @@
 // acting turns on all that a router does about whole sites.
 const acting = "[sites]\nwatch = true\nact = true\n"
 
-var moved = regexp.MustCompile(`(?m)^ *([0-9.]+)  (r[0-9]+)\.([0-9]+) .* msg=site .*site=(\S+) from=(\w+) to=(\w+) kind="?([^"=]*?)"? evidence`)
+var moved = regexp.MustCompile(`(?m)^ *([0-9.]+)  (r[0-9]+)\.([0-9]+) .* msg="site state changed" .*site=(\S+) from=(\w+) to=(\w+) kind="?([^"=]*?)"? evidence`)
 
 // move is one change of what a router takes a site for.
 type move struct{ router, site, to, kind string }
@@ -110,7 +110,7 @@
 	return map[string]hard{
 		"its banks' writes are held": {held, 0.3, func(all []move, log string) []string {
 			faults := by("s", "r1", "r3")(all, log)
-			if !strings.Contains(log, "msg=changeover") {
+			if !strings.Contains(log, `msg="failover phase changed"`) {
 				faults = append(faults, "no bank is seen to change its primary")
 			}
 			return faults
@@ -162,13 +162,13 @@
 		}, ""},
 		"it falls into a deploy":       {deploy, 0.3, none("w", "n"), ""},
 		"it falls into a burst":        {burst, 0.3, by("s", "r1", "r3", "r4", "r6"), ""},
-		"all are slow together":        {use(small(3, 6, slow(2*sec, 4*sec, 0.3, "zone:n", "zone:s", "zone:w")), 3, 0.15, 9*sec), 0.3, none(""), ""},
+		"all are slow together":        {use(small(3, 6, slow(2*sec, 4*sec, 0.3, "zone:n", "zone:s", "zone:w")), 3, 0.15, 9*sec), 0.3, none(), ""},
 		"it answers probes only":       {use(small(3, 6, slow(2*sec, 5*sec, 0.01, "zone:s")), 3, 0.2, 10*sec), 0.3, none("n", "w"), ""},
 		"discovery is lost with it":    {use(small(3, 6, fault(2*sec, "kill", 4*sec, "zone:s"), fault(2*sec, "discovery", 5*sec)), 3, 0.25, 10*sec), 0.3, by("s", "r1", "r3"), ""},
 		"repeats fill those that stay": {repeats, 0.2, by("s", "r1", "r3"), ""},
 		"it flaps": {use(small(3, 6, fault(2*sec, "kill", 1500*time.Millisecond, "zone:s"), fault(5*sec, "kill", 1500*time.Millisecond, "zone:s"), fault(8*sec, "kill", 1500*time.Millisecond, "zone:s")), 3, 0.25, 13*sec), 0.3, func(all []move, log string) []string {
 			faults := by("s", "r1", "r3")(all, log)
-			if !strings.Contains(log, `msg="site pace" router=r1 site=s`) {
+			if !strings.Contains(log, `msg="site recovery ramp changed" router=r1 site=s`) {
 				faults = append(faults, "nobody paces its return")
 			}
 			return faults
