--- a/internal/store/wal_record.go
+++ b/internal/store/wal_record.go
@@ -62,7 +62,7 @@
 }
 
 // DamagedError says that the log has a record that is not what was written. What stands behind it was promised to the
-// other members, so the file is not used; the operator restores it, or removes the folder and lets the member catch up.
+// other members, so the file is not used.
 type DamagedError struct {
 	File   string
 	Offset int64 // of the record, in bytes
