--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -118,7 +118,7 @@
 // Shutdown is the time after SIGTERM.
 type Shutdown struct {
 	AcceptTime     time.Duration // connections are still accepted
-	GuaranteedTime time.Duration // the platform lets the program run at least this long; late requests are answered
+	GuaranteedTime time.Duration // the platform grants at least this long; late requests are answered by then
 	MaxTime        time.Duration // the program exits
 }
 
