--- a/balance/action.go
+++ b/balance/action.go
@@ -45,8 +45,8 @@
 	Reason    string // why the primary is suspect
 }
 
-// LogLine is a line for the engineers on call.
-type LogLine struct{ Text string }
+// LogMessage is a message for the engineers on call.
+type LogMessage struct{ Text string }
 
 func (Send) action()             {}
 func (Reject) action()           {}
@@ -56,4 +56,4 @@
 func (Timer) action()            {}
 func (PollEndpointList) action() {}
 func (PrimaryUpdate) action()    {}
-func (LogLine) action()          {}
+func (LogMessage) action()          {}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -127,7 +127,7 @@
 
 // log emits a line for the engineers on call.
 func (b *Balancer) log(format string, args ...any) {
-	b.emit(LogLine{Text: fmt.Sprintf(format, args...)})
+	b.emit(LogMessage{Text: fmt.Sprintf(format, args...)})
 }
 
 // wakeTimer keeps the timer that is set, and collects during a step when something is due next.
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -104,7 +104,7 @@
 func TestOwnPauseIsNoSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.expectSends(h.step(ms, h.request("any")), "bc")
-	for _, a := range actionsOf[LogLine](h.step(3 * time.Second)) {
+	for _, a := range actionsOf[LogMessage](h.step(3 * time.Second)) {
 		if strings.Contains(a.Text, "suspect") {
 			t.Fatal(a.Text)
 		}
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -67,7 +67,7 @@
 			r.sites.events = append(r.sites.events, sitefailover.PrimaryObserved{Group: a.Group, Endpoint: a.Endpoint})
 		}
 		r.record(audit.Primary{Group: a.Group, Node: a.Endpoint, Believed: a.Confirmed, Why: a.Reason})
-	case balance.LogLine:
+	case balance.LogMessage:
 		text := a.Text[:min(len(a.Text), r.lim.Router.LogTextBytes)]
 		r.log.Info(text)
 		r.record(audit.Note{Topic: "decision", Text: text})
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -299,7 +299,7 @@
 			w.Cmd, w.Active = "Track", &on
 		case balance.PrimaryUpdate:
 			continue // the simulator's wire has no word for it
-		case balance.LogLine:
+		case balance.LogMessage:
 			w.Cmd, w.Text = "WriteLog", a.Text
 		}
 		r.acts = append(r.acts, w)
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -142,7 +142,7 @@
 		balance.HealthCheck{Endpoint: "n"},
 		balance.Timer{After: 7},
 		balance.PollEndpointList{},
-		balance.LogLine{Text: "<x>"},
+		balance.LogMessage{Text: "<x>"},
 	})
 	r.Crash("router-2", "why")
 	got, err := r.Encode()
