--- a/balance/config.go
+++ b/balance/config.go
@@ -12,7 +12,7 @@
 const (
 	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
 	FreshnessCheckReject                       // it answers with a miss
-	FreshnessCheckWait                         // it waits a while, then answers with a miss
+	FreshnessCheckHold                         // it waits a while, then answers with a miss
 )
 
 // Tenant is a customer and its quota.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -54,7 +54,7 @@
 		"own_writes": balance.ConsistencySession, "latest": balance.ConsistencyLatest, "update": balance.ConsistencyWrite}
 	effects = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotentWithKey, "unsafe": balance.NonIdempotent}
 	scopes  = map[string]balance.IdempotencyScope{"": balance.ScopeAll, "cell": balance.ScopeGroup, "zone": balance.ScopeZone, "all": balance.ScopeAll}
-	checks  = map[string]balance.FreshnessCheck{"": 0, "silent": balance.FreshnessCheckNone, "reject": balance.FreshnessCheckReject, "hold": balance.FreshnessCheckWait}
+	checks  = map[string]balance.FreshnessCheck{"": 0, "silent": balance.FreshnessCheckNone, "reject": balance.FreshnessCheckReject, "hold": balance.FreshnessCheckHold}
 )
 
 // Balance turns the settings into those of the decision module. Simulator and real router share it.
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -34,7 +34,7 @@
 	e := decode(t, NewDecoder(), start)[0]
 	want := balance.Config{
 		Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
-		FreshnessCheck: balance.FreshnessCheckWait, ClientSessionTokens: true, HealthChecks: true,
+		FreshnessCheck: balance.FreshnessCheckHold, ClientSessionTokens: true, HealthChecks: true,
 		HealthCheckCost: 0.5, MaxAttempts: 3, SlowStartFrom: 0.5, OverloadMultiple: 2, Classes: []balance.Class{
 			{Name: "r", LatencyObjective: 5, ClientTimeout: 9, PriorityWeight: 2, LateWeightShare: 0.5, IdempotencyScope: balance.ScopeAll, Consistency: balance.ConsistencyBounded, MaxStaleness: 4},
 			{Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite},
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -174,7 +174,7 @@
 		return bad("classes", "at least one is needed")
 	case c.Sites != SitesOff && c.Sites != SitesWatch && c.Sites != SitesAct:
 		return bad("sites", c.Sites+" is neither watch nor act")
-	case c.Checks == balance.FreshnessCheckWait:
+	case c.Checks == balance.FreshnessCheckHold:
 		return bad("checks", "machines that wait are not emulated")
 	case c.Kind.Cores < 1 || c.Kind.Slots < 1 || c.Kind.Speed <= 0:
 		return bad("machine", "cores, slots and speed are needed")
