--- a/balance/action.go
+++ b/balance/action.go
@@ -56,4 +56,4 @@
 func (Timer) action()            {}
 func (PollEndpointList) action() {}
 func (PrimaryUpdate) action()    {}
-func (LogMessage) action()          {}
+func (LogMessage) action()       {}
