--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -102,7 +102,7 @@
 		"":       balance.FreshnessCheckNone,
 		"silent": balance.FreshnessCheckNone,
 		"reject": balance.FreshnessCheckReject,
-		"hold":   balance.FreshnessCheckWait,
+		"hold":   balance.FreshnessCheckHold,
 	}
 	// discoveryPolls says for each kind of discovery whether the router polls it.
 	discoveryPolls = map[string]bool{
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -117,7 +117,7 @@
 		r.discovery.Poll()
 	case balance.PrimaryUpdate:
 		r.performPrimaryUpdate(action)
-	case balance.LogLine:
+	case balance.LogMessage:
 		r.performLog(action)
 	}
 }
@@ -166,7 +166,7 @@
 	})
 }
 
-func (r *Router) performLog(entry balance.LogLine) {
+func (r *Router) performLog(entry balance.LogMessage) {
 	text := entry.Text[:min(len(entry.Text), r.limits.Router.LogTextBytes)]
 	r.log.Info("balancer decision", "detail", text)
 	r.audit.record(audit.Note{Topic: "decision", Text: text})
