--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -239,7 +239,7 @@
 	}{
 		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.PollDiscovery }, false},
 		{`"Guards": "reject"`, `"Guards": "silent"`, freshness, balance.FreshnessCheckNone},
-		{`"Guards": "reject"`, `"Guards": "hold"`, freshness, balance.FreshnessCheckWait},
+		{`"Guards": "reject"`, `"Guards": "hold"`, freshness, balance.FreshnessCheckHold},
 		{`"Guards": "reject"`, `"Guards": ""`, freshness, balance.FreshnessCheckNone},
 		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientSessionTokens }, false},
 		{`"Group": "cell"`, `"Group": ""`, scope, balance.ScopeAll},
