--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -24,20 +24,20 @@
 		}
 		return testserver.Act{}
 	})
-	c := testserver.Dial(t, start(t, db).addr)
-	c.Send(slices.Concat(prepare("a", sql("head", "job", 2500)), prepare("b", sql("late", "job", 300)), prepare("c", sql("next", "job", 2500)),
+	client := testserver.Dial(t, start(t, db).addr)
+	client.Send(slices.Concat(prepare("a", statementText("head", "job", 2500)), prepare("b", statementText("late", "job", 300)), prepare("c", statementText("next", "job", 2500)),
 		pgwire.Append(nil, 'S')))
-	c.Until('Z')
+	client.Until('Z')
 	sent := time.Now()
-	c.Send(slices.Concat(unit("a"), unit("b"), unit("c")))
+	client.Send(slices.Concat(runStatement("a"), runStatement("b"), runStatement("c")))
 	<-asked
 	for time.Since(sent) < 310*time.Millisecond { // until the time of the second is over
 		time.Sleep(time.Millisecond)
 	}
 	release()
 	for i, code := range []string{"", pgwire.TooManyConnections, ""} {
-		if a := c.Until('Z'); a.Code != code || a.Ended {
-			t.Fatalf("unit %d: %+v", i, a)
+		if answer := client.Until('Z'); answer.Code != code || answer.Ended {
+			t.Fatalf("unit %d: %+v", i, answer)
 		}
 	}
 	for id, want := range map[string]int{"head": 1, "late": 0, "next": 1} {
@@ -52,26 +52,26 @@
 func TestAUnitSentAcrossAWriteSeesIt(t *testing.T) {
 	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	second.Behind(time.Minute)
-	c := testserver.Dial(t, start(t, first, second).addr)
+	client := testserver.Dial(t, start(t, first, second).addr)
 	old := time.Now().Add(-2 * time.Minute).UnixMilli()
 	read := func(id string) []byte {
 		return prepare(id, fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */ SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''", id, old))
 	}
 	write := "/* id=write,c=job,d=2500,cluster=7 */ INSERT INTO facts (code, data) VALUES ('mine', $1) RETURNING data"
-	c.Send(slices.Concat(prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S')))
-	c.Until('Z')
+	client.Send(slices.Concat(prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S')))
+	client.Until('Z')
 	served := func(unit string) {
 		t.Helper()
-		if a := c.Until('Z'); a.Code != "" || a.Ended {
-			t.Fatalf("%s: %+v", unit, a)
+		if answer := client.Until('Z'); answer.Code != "" || answer.Ended {
+			t.Fatalf("%s: %+v", unit, answer)
 		}
 	}
-	c.Send(unit("before"))
+	client.Send(runStatement("before"))
 	served("before")
-	c.Send(slices.Concat(unit("write"), unit("ahead")))
+	client.Send(slices.Concat(runStatement("write"), runStatement("ahead")))
 	served("write")
 	served("ahead")
-	c.Send(unit("crossing"))
+	client.Send(runStatement("crossing"))
 	served("crossing")
 	for id, want := range map[string][2]int{"before": {0, 1}, "write": {1, 0}, "ahead": {1, 0}, "crossing": {1, 0}} {
 		if got := [2]int{first.Runs(id), second.Runs(id)}; got != want {
--- a/internal/frontend/extendedquery/plain.go
+++ b/internal/frontend/extendedquery/statement_check.go
@@ -7,28 +7,28 @@
 
 // The statements that are turned away.
 var (
-	errMany  = errors.New("one statement at a time")
-	errState = errors.New("transaction blocks, COPY and statements that leave state at a server are not supported")
-	errWrite = errors.New("a statement that writes needs a class that writes")
-	errOpen  = errors.New("a quote or comment is not closed")
+	errMultipleStatements   = errors.New("one statement at a time")
+	errUnsupportedStatement = errors.New("transaction blocks, COPY and statements that leave state at a server are not supported")
+	errWriteInReadClass     = errors.New("a statement that writes needs a class that writes")
+	errUnterminated         = errors.New("a quote or comment is not closed")
 )
 
 // Plain says whether sql is one statement that can run alone on any connection. writes tells whether its class
 // does; the router may repeat the others, so they must not.
-func Plain(sql string, writes bool) error {
+func CheckStatement(sql string, writes bool) error {
 	words, many, err := scan(sql)
 	switch {
 	case err != nil:
 		return err
 	case many:
-		return errMany
+		return errMultipleStatements
 	case len(words) == 0:
-		return errState
+		return errUnsupportedStatement
 	}
 	switch words[0] {
 	case "SELECT", "VALUES", "TABLE", "WITH", "INSERT", "UPDATE", "DELETE", "MERGE":
 	default:
-		return errState
+		return errUnsupportedStatement
 	}
 	for i, w := range words {
 		switch w {
@@ -42,7 +42,7 @@
 			continue
 		}
 		if !writes {
-			return errWrite
+			return errWriteInReadClass
 		}
 	}
 	return nil
@@ -63,8 +63,8 @@
 			i += n
 			continue
 		case strings.HasPrefix(rest, "/*"):
-			if n = comment(rest); n < 0 {
-				return nil, false, errOpen
+			if n = commentLength(rest); n < 0 {
+				return nil, false, errUnterminated
 			}
 			i += n
 			continue
@@ -76,20 +76,20 @@
 			i++
 			continue
 		case c == '\'':
-			escapes := i > 0 && (sql[i-1] == 'e' || sql[i-1] == 'E') && (i < 2 || !letter(sql[i-2]))
-			n = quoted(rest, '\'', escapes)
+			escapes := i > 0 && (sql[i-1] == 'e' || sql[i-1] == 'E') && (i < 2 || !isWordByte(sql[i-2]))
+			n = quotedLength(rest, '\'', escapes)
 		case c == '"':
-			n = quoted(rest, '"', false)
-		case c == '$' && (i == 0 || !letter(sql[i-1])):
-			n = dollar(rest)
-		case letter(c):
-			for n < len(rest) && (letter(rest[n]) || rest[n] == '$') {
+			n = quotedLength(rest, '"', false)
+		case c == '$' && (i == 0 || !isWordByte(sql[i-1])):
+			n = dollarQuotedLength(rest)
+		case isWordByte(c):
+			for n < len(rest) && (isWordByte(rest[n]) || rest[n] == '$') {
 				n++
 			}
 			words = append(words, strings.ToUpper(rest[:n]))
 		}
 		if n < 0 {
-			return nil, false, errOpen
+			return nil, false, errUnterminated
 		}
 		many = many || ended
 		i += n
@@ -97,12 +97,12 @@
 	return words, many, nil
 }
 
-func letter(c byte) bool {
+func isWordByte(c byte) bool {
 	return c == '_' || c >= 0x80 || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
 
 // comment returns the length of the comment that s starts with; comments nest.
-func comment(s string) int {
+func commentLength(s string) int {
 	depth := 0
 	for i := 0; i+1 < len(s); i++ {
 		switch s[i : i+2] {
@@ -120,7 +120,7 @@
 	return -1
 }
 
-func quoted(s string, q byte, escapes bool) int {
+func quotedLength(s string, q byte, escapes bool) int {
 	for i := 1; i < len(s); i++ {
 		switch {
 		case escapes && s[i] == '\\':
@@ -135,13 +135,13 @@
 }
 
 // dollar returns the length of a dollar-quoted string, or 1 where s starts a parameter such as $1.
-func dollar(s string) int {
+func dollarQuotedLength(s string) int {
 	end := strings.IndexByte(s[1:], '$')
 	if end < 0 || end > 0 && (s[1] >= '0' && s[1] <= '9') {
 		return 1
 	}
 	for _, c := range []byte(s[1 : 1+end]) {
-		if !letter(c) {
+		if !isWordByte(c) {
 			return 1
 		}
 	}
--- a/internal/frontend/extendedquery/job.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -11,35 +11,35 @@
 
 // Messages implements servers.Job: the statement is prepared anew on whichever db machine the attempt goes to, and
 // Sync stands behind it, so that nothing of it outlives the attempt.
-func (w *work) Messages(left time.Duration) []byte {
-	p := w.stmt.ParseMessage
-	p.Name, p.Query = "", w.stmt.head.WithDeadline(p.Query, left)
+func (w *unitOfWork) Messages(left time.Duration) []byte {
+	p := w.statement.ParseMessage
+	p.Name, p.Query = "", w.statement.comment.WithDeadline(p.Query, left)
 	out := pgwire.AppendParse(nil, p)
 	if w.portal == nil {
 		out = pgwire.AppendTarget(out, 'D', 'S', "")
 		return pgwire.Append(out, 'S')
 	}
-	out = pgwire.AppendBind(out, pgwire.BindMessage{Rest: w.portal.rest})
+	out = pgwire.AppendBind(out, pgwire.BindMessage{Rest: w.portal.bindRest})
 	if w.describe {
 		out = pgwire.AppendTarget(out, 'D', 'P', "")
 	}
 	if w.execute {
-		out = pgwire.AppendExecute(out, "", w.rows)
+		out = pgwire.AppendExecute(out, "", w.maxRows)
 	}
 	return pgwire.Append(out, 'S')
 }
 
 // Size is what it keeps, in bytes.
-func (w *work) Size() int {
-	n := len(w.stmt.Query)
+func (w *unitOfWork) Size() int {
+	n := len(w.statement.Query)
 	if w.portal != nil {
-		n += len(w.portal.rest)
+		n += len(w.portal.bindRest)
 	}
 	return n
 }
 
 // Whole implements servers.Job.
-func (w *work) Complete(a *backend.Response) bool {
+func (w *unitOfWork) Complete(a *backend.Response) bool {
 	rest, ok := strings.CutPrefix(string(a.Types), "1")
 	if !ok {
 		return false
@@ -64,7 +64,7 @@
 }
 
 // Begins implements servers.Job.
-func (w *work) StartsResponse(a *backend.Response) bool {
+func (w *unitOfWork) StartsResponse(a *backend.Response) bool {
 	want := "12"
 	if w.describe {
 		want = "12T"
@@ -73,18 +73,18 @@
 }
 
 // rows is a simple query that may give any number of rows, or none.
-type rows struct{ *frontend.Query }
+type simpleQueryJob struct{ *frontend.SimpleQuery }
 
 // Whole implements servers.Job.
-func (r rows) Complete(a *backend.Response) bool {
+func (r simpleQueryJob) Complete(a *backend.Response) bool {
 	rest, described := strings.CutPrefix(string(a.Types), "T")
 	if described {
 		rest = strings.TrimLeft(rest, "D")
 	}
-	return rest == "C" && r.Fits(a.Shape.Tag)
+	return rest == "C" && r.MatchesTag(a.Shape.Tag)
 }
 
 // Begins implements servers.Job.
-func (r rows) StartsResponse(a *backend.Response) bool {
+func (r simpleQueryJob) StartsResponse(a *backend.Response) bool {
 	return strings.TrimRight(string(a.Types), "D") == "T"
 }
--- a/internal/frontend/pipeline_bench_test.go
+++ b/internal/frontend/pipeline_bench_test.go
@@ -9,20 +9,20 @@
 )
 
 // BenchmarkOneRequest is a client that asks one thing at a time, over a socket and the front to a core that answers at once.
-func BenchmarkOneRequest(b *testing.B) { ahead(b, 1) }
+func BenchmarkOneRequest(b *testing.B) { benchmarkPipelined(b, 1) }
 
 // BenchmarkTenInOneWrite is one that sends ten requests in one write.
-func BenchmarkTenInOneWrite(b *testing.B) { ahead(b, 10) }
+func BenchmarkTenInOneWrite(b *testing.B) { benchmarkPipelined(b, 10) }
 
-func ahead(b *testing.B, n int) {
+func benchmarkPipelined(b *testing.B, count int) {
 	_, _, _, addr := start(b)
-	c := testserver.Dial(b, addr)
-	p := bytes.Repeat(pgwire.AppendQuery(nil, sql("refused")), n)
+	client := testserver.Dial(b, addr)
+	message := bytes.Repeat(pgwire.AppendQuery(nil, statement("refused")), count)
 	for b.Loop() {
-		c.Send(p)
-		for range n {
-			if a := c.Until('Z'); a.Types != "EZ" {
-				b.Fatalf("%+v", a)
+		client.Send(message)
+		for range count {
+			if answer := client.Until('Z'); answer.Types != "EZ" {
+				b.Fatalf("%+v", answer)
 			}
 		}
 	}
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -22,20 +22,20 @@
 // Classes of the test's core that it does not answer by itself: "free" reads wait for nothing, "sees" waits for writes, "own" for those of
 // its session, "waits" is a write.
 
-func ask(id, class string) []byte {
+func labelled(id, class string) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT 1", id, class))
 }
 
-func value(text string) *backend.Response {
-	p := pgwire.Append(nil, 'T', []byte{0, 0})
-	p = pgwire.Append(p, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, []byte(text))
-	return &backend.Response{Messages: pgwire.Append(p, 'C', []byte("SELECT 1\x00"))}
+func valueResponse(text string) *backend.Response {
+	message := pgwire.Append(nil, 'T', []byte{0, 0})
+	message = pgwire.Append(message, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, []byte(text))
+	return &backend.Response{Messages: pgwire.Append(message, 'C', []byte("SELECT 1\x00"))}
 }
 
 // labels are the ids of what the core was given so far, in order.
-func (k *core) labels() (ids []string) {
-	do(k.loop, func() {
-		for _, q := range k.asked {
+func (fake *fakeRouter) labels() (ids []string) {
+	runInLoop(fake.loop, func() {
+		for _, q := range fake.requests {
 			ids = append(ids, q.Label)
 		}
 	})
@@ -43,89 +43,89 @@
 }
 
 // client is the one of the request with that id.
-func (k *core) client(id string) (c router.Client) {
-	for i, q := range k.asked {
+func (fake *fakeRouter) client(id string) (c router.Client) {
+	for i, q := range fake.requests {
 		if q.Label == id {
-			c = k.clients[i]
+			c = fake.clients[i]
 		}
 	}
 	return c
 }
 
-func (k *core) serve(ids ...string) {
-	do(k.loop, func() {
+func (fake *fakeRouter) serve(ids ...string) {
+	runInLoop(fake.loop, func() {
 		for _, id := range ids {
-			k.client(id).Served(value(id))
+			fake.client(id).Served(valueResponse(id))
 		}
 	})
 }
 
 // taken waits until the core was given just these, in any order, and the connection reads no further.
-func taken(t *testing.T, k *core, want ...string) {
+func expectAccepted(t *testing.T, fake *fakeRouter, want ...string) {
 	t.Helper()
 	slices.Sort(want)
-	until(t, "taken: "+strings.Join(want, " "), func() bool { return len(k.labels()) >= len(want) })
-	if got := k.labels(); !slices.Equal(slices.Sorted(slices.Values(got)), want) {
+	waitUntil(t, "taken: "+strings.Join(want, " "), func() bool { return len(fake.labels()) >= len(want) })
+	if got := fake.labels(); !slices.Equal(slices.Sorted(slices.Values(got)), want) {
 		t.Fatalf("taken %v, not %v", got, want)
 	}
 }
 
 // told reads the values that come, by their ids, or the codes of errors.
-func told(t *testing.T, c *testserver.Client, want ...string) {
+func expectAnswers(t *testing.T, client *testserver.Client, want ...string) {
 	t.Helper()
 	for i, w := range want {
-		a := c.Until('Z')
-		if got := a.Code + strings.Map(func(r rune) rune {
+		answer := client.Until('Z')
+		if got := answer.Code + strings.Map(func(r rune) rune {
 			if r < ' ' {
 				return -1
 			}
 			return r
-		}, a.Value); got != w {
-			a.Value = a.Value[:min(len(a.Value), 20)]
-			t.Fatalf("answer %d of %d, wanted %.20s, is %+v", i, len(want), w, a)
+		}, answer.Value); got != w {
+			answer.Value = answer.Value[:min(len(answer.Value), 20)]
+			t.Fatalf("answer %d of %d, wanted %.20s, is %+v", i, len(want), w, answer)
 		}
 	}
 }
 
-func batch(parts ...[]byte) []byte { return slices.Concat(parts...) }
+func concat(parts ...[]byte) []byte { return slices.Concat(parts...) }
 
 // A request that waited behind another one came when its last byte did: its client's time runs from then, not from its turn.
 func TestTheTimeOfWhatWaitsRunsFromWhenItCame(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(append(pgwire.AppendQuery(nil, sql("waits")), pgwire.AppendQuery(nil, sql("served"))...))
-	until(t, "the head is taken", func() bool { return k.len() == 1 })
-	conn := only(t, f, l)
-	until(t, "the other one has come", func() (came bool) {
-		do(l, func() { came = len(conn.line) == 2 })
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(append(pgwire.AppendQuery(nil, statement("waits")), pgwire.AppendQuery(nil, statement("served"))...))
+	waitUntil(t, "the head is taken", func() bool { return fake.accepted() == 1 })
+	conn := onlyConnection(t, frontend, loop)
+	waitUntil(t, "the other one has come", func() (came bool) {
+		runInLoop(loop, func() { came = len(conn.slots) == 2 })
 		return came
 	})
-	came := l.Now()
-	until(t, "time has passed", func() bool { return l.Now() > came+50*time.Millisecond })
-	do(l, func() { k.clients[0].Served(&backend.Response{}) })
-	c.Until('Z')
-	if q := k.newest.Load(); q.Class != "served" || q.ReceivedAt > came {
+	came := loop.Now()
+	waitUntil(t, "time has passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	runInLoop(loop, func() { fake.clients[0].Served(&backend.Response{}) })
+	client.Until('Z')
+	if q := fake.newestRequest.Load(); q.Class != "served" || q.ReceivedAt > came {
 		t.Fatalf("%s counts from %v behind its coming", q.Class, q.ReceivedAt-came)
 	}
 }
 
 // The same of what lies in the reader, since the one before it waits.
 func TestTheTimeOfWhatIsNotCutYetRunsFromWhenItCame(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "waits"), ask("c", "free")))
-	taken(t, k, "a")
-	conn := only(t, f, l)
-	until(t, "all has come", func() (came bool) {
-		do(l, func() { came = len(conn.line) == 2 && conn.reader.Waiting() == len(ask("c", "free")) })
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "waits"), labelled("c", "free")))
+	expectAccepted(t, fake, "a")
+	conn := onlyConnection(t, frontend, loop)
+	waitUntil(t, "all has come", func() (came bool) {
+		runInLoop(loop, func() { came = len(conn.slots) == 2 && conn.reader.Waiting() == len(labelled("c", "free")) })
 		return came
 	})
-	came := l.Now()
-	until(t, "time has passed", func() bool { return l.Now() > came+50*time.Millisecond })
-	k.serve("a")
-	taken(t, k, "a", "b", "c")
-	do(l, func() {
-		for _, q := range k.asked {
+	came := loop.Now()
+	waitUntil(t, "time has passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	fake.serve("a")
+	expectAccepted(t, fake, "a", "b", "c")
+	runInLoop(loop, func() {
+		for _, q := range fake.requests {
 			if q.ReceivedAt > came {
 				t.Errorf("%s counts from %v behind its coming", q.Label, q.ReceivedAt-came)
 			}
@@ -135,23 +135,23 @@
 
 // Reads sent in one write are in hand together, though the first is held for ever; their answers leave in order, each its own.
 func TestReadsOfOneConnectionAreInHandTogether(t *testing.T) {
-	for _, n := range []int{10, 100} {
-		_, k, l, addr := start(t)
-		c := testserver.Dial(t, addr)
+	for _, count := range []int{10, 100} {
+		_, fake, loop, addr := start(t)
+		client := testserver.Dial(t, addr)
 		var all []byte
 		var ids []string
-		for i := range n {
+		for i := range count {
 			ids = append(ids, fmt.Sprintf("r%02d", i))
-			all = append(all, ask(ids[i], "free")...)
+			all = append(all, labelled(ids[i], "free")...)
 		}
-		c.Send(all)
-		most := min(n, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second).Frontend.ConcurrentRequests)
-		taken(t, k, ids[:most]...)
-		r := rand.New(rand.NewPCG(1, uint64(n)))
+		client.Send(all)
+		most := min(count, limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second).Frontend.ConcurrentRequests)
+		expectAccepted(t, fake, ids[:most]...)
+		r := rand.New(rand.NewPCG(1, uint64(count)))
 		go func() {
 			open := map[string]bool{}
-			for done := 0; done < n; {
-				for _, id := range k.labels() {
+			for done := 0; done < count; {
+				for _, id := range fake.labels() {
 					if _, known := open[id]; !known {
 						open[id] = true
 					}
@@ -167,14 +167,14 @@
 				for _, id := range now[:(len(now)+1)/2] {
 					open[id] = false
 					done++
-					k.serve(id)
+					fake.serve(id)
 				}
 			}
 		}()
-		told(t, c, ids...)
-		do(l, func() {
-			if len(k.asked) != n {
-				t.Errorf("%d taken of %d", len(k.asked), n)
+		expectAnswers(t, client, ids...)
+		runInLoop(loop, func() {
+			if len(fake.requests) != count {
+				t.Errorf("%d taken of %d", len(fake.requests), count)
 			}
 		})
 	}
@@ -183,54 +183,54 @@
 // What is done is what would be done one after the other: a write waits for all before it, and reads that have to see it wait for it.
 // Others go on beside it.
 func TestOrderOfEffects(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("w", "waits"), ask("d", "free"), ask("s", "sees"), ask("e", "free")))
-	conn := only(t, f, l)
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("w", "waits"), labelled("d", "free"), labelled("s", "sees"), labelled("e", "free")))
+	conn := onlyConnection(t, frontend, loop)
 	waits := func(what string) {
 		t.Helper()
-		until(t, what+" waits", func() (is bool) {
-			do(l, func() {
-				n := len(conn.line)
-				is = n > 0 && conn.line[n-1].state == waiting && conn.line[n-1].q.Label == what
+		waitUntil(t, what+" waits", func() (is bool) {
+			runInLoop(loop, func() {
+				count := len(conn.slots)
+				is = count > 0 && conn.slots[count-1].state == slotWaiting && conn.slots[count-1].request.Label == what
 			})
 			return is
 		})
 	}
 	waits("w")
-	taken(t, k, "a", "b")
-	k.serve("b")
+	expectAccepted(t, fake, "a", "b")
+	fake.serve("b")
 	waits("w")
-	taken(t, k, "a", "b")
-	k.serve("a")
+	expectAccepted(t, fake, "a", "b")
+	fake.serve("a")
 	waits("s")
-	taken(t, k, "a", "b", "w", "d")
-	k.serve("d")
+	expectAccepted(t, fake, "a", "b", "w", "d")
+	fake.serve("d")
 	waits("s")
-	taken(t, k, "a", "b", "w", "d")
-	k.serve("w")
-	taken(t, k, "a", "b", "w", "d", "s", "e")
-	k.serve("e", "s")
-	told(t, c, "a", "b", "w", "d", "s", "e")
+	expectAccepted(t, fake, "a", "b", "w", "d")
+	fake.serve("w")
+	expectAccepted(t, fake, "a", "b", "w", "d", "s", "e")
+	fake.serve("e", "s")
+	expectAnswers(t, client, "a", "b", "w", "d", "s", "e")
 }
 
 // A read of a session that was sent behind a write of it gets the write's position, which its client could not know; others don't.
 func TestAPipelinedReadSeesItsSessionsWrite(t *testing.T) {
-	_, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
+	_, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
 	of := func(id, class, session string) []byte {
 		return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1,after=5 */ SELECT data FROM facts WHERE code = '%s'", id, class, session))
 	}
-	c.Send(batch(of("w", "waits", "mine"), of("other", "own", "another"), of("own", "own", "mine"), of("more", "own", "another")))
-	taken(t, k, "w", "other")
-	do(l, func() {
-		w := k.client("w")
+	client.Send(concat(of("w", "waits", "mine"), of("other", "own", "another"), of("own", "own", "mine"), of("more", "own", "another")))
+	expectAccepted(t, fake, "w", "other")
+	runInLoop(loop, func() {
+		w := fake.client("w")
 		w.(router.Committer).Committed(7 * time.Second)
-		w.Served(value("w"))
+		w.Served(valueResponse("w"))
 	})
-	taken(t, k, "w", "other", "own", "more")
-	do(l, func() {
-		for _, q := range k.asked {
+	expectAccepted(t, fake, "w", "other", "own", "more")
+	runInLoop(loop, func() {
+		for _, q := range fake.requests {
 			want := 5 * time.Millisecond
 			if q.Label == "own" {
 				want = 7 * time.Second
@@ -240,8 +240,8 @@
 			}
 		}
 	})
-	k.serve("own", "other", "more")
-	told(t, c, "w", "other", "own", "more")
+	fake.serve("own", "other", "more")
+	expectAnswers(t, client, "w", "other", "own", "more")
 	// The answer to the write has left and nothing of the connection waits: a read that crosses it on the way has the position of before.
 	at := func(id string, ms int) []byte {
 		return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=own,d=900,cluster=1,after=%d */ SELECT data FROM facts WHERE code = 'mine'", id, ms))
@@ -257,83 +257,83 @@
 		{"knows", 7000, 7 * time.Second, "it says that it knows"},
 		{"free", 5, 5 * time.Millisecond, "its own word counts from then on"},
 	} {
-		c.Send(at(later.id, later.tells))
-		until(t, later.id, func() bool { return k.len() == 5+i })
-		do(l, func() {
-			if q := k.asked[4+i]; q.MinPosition != later.sees {
+		client.Send(at(later.id, later.tells))
+		waitUntil(t, later.id, func() bool { return fake.accepted() == 5+i })
+		runInLoop(loop, func() {
+			if q := fake.requests[4+i]; q.MinPosition != later.sees {
 				t.Errorf("%s has to see %v, not %v: %s", later.id, q.MinPosition, later.sees, later.afterwards)
 			}
 		})
-		k.serve(later.id)
-		told(t, c, later.id)
+		fake.serve(later.id)
+		expectAnswers(t, client, later.id)
 	}
 }
 
 // The writes of more sessions on one connection than are told apart are still seen, each group's by the reads of that group, and what is kept
 // is bounded.
 func TestWritesOfManySessionsAreSeen(t *testing.T) {
-	var m commits
-	const n = 40 * commitsMost
+	var m sessionCommits
+	const n = 40 * maxTrackedSessions
 	for i := range n {
-		m.note(fmt.Sprint("s", i), int64(i%4), time.Duration(i+1)*time.Second)
+		m.record(fmt.Sprint("s", i), int64(i%4), time.Duration(i+1)*time.Second)
 	}
 	for i := range n {
 		q := router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: 1}
-		if got, most := m.see(&q), time.Duration(n)*time.Second; got < time.Duration(i+1)*time.Second || got > most || got/time.Second%4 != time.Duration(i+1)%4 {
+		if got, most := m.positionFor(&q), time.Duration(n)*time.Second; got < time.Duration(i+1)*time.Second || got > most || got/time.Second%4 != time.Duration(i+1)%4 {
 			t.Fatalf("session %d has to see %v", i, got)
 		}
 	}
-	if q := (router.Request{Session: "s1", Group: 77, MinPosition: 5}); m.see(&q) != 5 {
+	if q := (router.Request{Session: "s1", Group: 77, MinPosition: 5}); m.positionFor(&q) != 5 {
 		t.Error("another group's writes are asked of it")
 	}
-	if len(m.own) > commitsMost || len(m.groups) != 4 {
-		t.Errorf("%d sessions and %d groups are kept", len(m.own), len(m.groups))
+	if len(m.sessions) > maxTrackedSessions || len(m.groups) != 4 {
+		t.Errorf("%d sessions and %d groups are kept", len(m.sessions), len(m.groups))
 	}
 	for i := range n { // all that are told apart show that they know of theirs; the others have not
-		m.see(&router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: time.Duration(n) * time.Second})
+		m.positionFor(&router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: time.Duration(n) * time.Second})
 	}
-	if q := (router.Request{Session: "s0", Group: 0, MinPosition: 1}); len(m.own) != 0 || m.see(&q) < time.Second {
-		t.Errorf("with %d sessions told apart another one has to see %v", len(m.own), m.see(&q))
+	if q := (router.Request{Session: "s0", Group: 0, MinPosition: 1}); len(m.sessions) != 0 || m.positionFor(&q) < time.Second {
+		t.Errorf("with %d sessions told apart another one has to see %v", len(m.sessions), m.positionFor(&q))
 	}
 }
 
 // One that is refused, unfit or failed, an empty query, and a SET, each in its place, spoil none behind them.
 func TestFaultsAmongPipelinedRequests(t *testing.T) {
-	f, k, l, addr := start(t)
-	do(l, f.Ready)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("x", "odd"), pgwire.AppendQuery(nil, ""), ask("b", "free"), pgwire.AppendQuery(nil, "SET a = 1"),
-		ask("c", "free"), ask("d", "free"), ask("e", "waits")))
-	taken(t, k, "a", "b", "c", "d")
-	do(l, func() { k.client("c").Rejected(time.Second); k.client("b").Failed("why") })
-	k.serve("d", "a")
+	frontend, fake, loop, addr := start(t)
+	runInLoop(loop, frontend.Ready)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("x", "odd"), pgwire.AppendQuery(nil, ""), labelled("b", "free"), pgwire.AppendQuery(nil, "SET a = 1"),
+		labelled("c", "free"), labelled("d", "free"), labelled("e", "waits")))
+	expectAccepted(t, fake, "a", "b", "c", "d")
+	runInLoop(loop, func() { fake.client("c").Rejected(time.Second); fake.client("b").Failed("why") })
+	fake.serve("d", "a")
 	for i, want := range []string{"TDCZ", "EZ42601", "IZ", "EZ08007", "EZ42601", "EZ53300", "TDCZ"} {
-		if a := c.Until('Z'); a.Types+a.Code != want {
-			t.Fatalf("answer %d: %+v", i, a)
+		if answer := client.Until('Z'); answer.Types+answer.Code != want {
+			t.Fatalf("answer %d: %+v", i, answer)
 		}
 	}
-	taken(t, k, "a", "b", "c", "d", "e")
-	k.serve("e")
-	told(t, c, "e")
+	expectAccepted(t, fake, "a", "b", "c", "d", "e")
+	fake.serve("e")
+	expectAnswers(t, client, "e")
 }
 
 // Requests that are answered at once, however many come in one write, are worked off one behind the other: what is on the stack does not grow
 // with them.
 func TestManyUnfitRequestsInOneWrite(t *testing.T) {
-	_, k, l, addr := start(t)
+	_, fake, loop, addr := start(t)
 	deepest := 0
-	do(l, func() {
-		k.odd = func() { deepest = max(deepest, runtime.Callers(0, make([]uintptr, 4096))) }
+	runInLoop(loop, func() {
+		fake.onUnknownClass = func() { deepest = max(deepest, runtime.Callers(0, make([]uintptr, 4096))) }
 	})
 	const n = 900
-	c := testserver.Dial(t, addr)
+	client := testserver.Dial(t, addr)
 	var want []string
 	for range n {
 		want = append(want, "42601")
 	}
-	c.Send(bytes.Repeat(ask("x", "odd"), n))
-	told(t, c, want...)
-	do(l, func() {
+	client.Send(bytes.Repeat(labelled("x", "odd"), n))
+	expectAnswers(t, client, want...)
+	runInLoop(loop, func() {
 		if deepest == 0 || deepest > 60 {
 			t.Errorf("%d calls deep", deepest)
 		}
@@ -343,19 +343,19 @@
 // What can't be read ends the connection in order: those before it are answered, then comes the error, and nothing behind it is taken.
 func TestGarbageBehindPipelinedRequests(t *testing.T) {
 	for name, bad := range map[string][]byte{"type": {'?', 0, 0, 0, 4}, "length": {'Q', 0x7f, 0, 0, 0}, "body": {'Q', 0, 0, 0, 5, 'x'}} {
-		_, k, l, addr := start(t)
-		c := testserver.Dial(t, addr)
-		c.Send(batch(ask("a", "free"), ask("b", "free"), bad, ask("c", "free")))
-		taken(t, k, "a", "b")
-		k.serve("b")
-		k.serve("a")
-		told(t, c, "a", "b")
-		if a := c.Until('Z'); !a.Ended || a.Types != "E" || a.Code != pgwire.ProtocolViolation {
-			t.Errorf("%s: %+v", name, a)
+		_, fake, loop, addr := start(t)
+		client := testserver.Dial(t, addr)
+		client.Send(concat(labelled("a", "free"), labelled("b", "free"), bad, labelled("c", "free")))
+		expectAccepted(t, fake, "a", "b")
+		fake.serve("b")
+		fake.serve("a")
+		expectAnswers(t, client, "a", "b")
+		if answer := client.Until('Z'); !answer.Ended || answer.Types != "E" || answer.Code != pgwire.ProtocolViolation {
+			t.Errorf("%s: %+v", name, answer)
 		}
-		do(l, func() {
-			if len(k.asked) != 2 {
-				t.Errorf("%s: %d taken", name, len(k.asked))
+		runInLoop(loop, func() {
+			if len(fake.requests) != 2 {
+				t.Errorf("%s: %d taken", name, len(fake.requests))
 			}
 		})
 	}
@@ -363,68 +363,71 @@
 
 // A client that says goodbye behind its requests still gets their answers, and an end.
 func TestTerminateBehindPipelinedRequests(t *testing.T) {
-	_, k, _, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "free"), pgwire.Append(nil, 'X'), ask("c", "free")))
-	taken(t, k, "a", "b")
-	k.serve("b", "a")
-	told(t, c, "a", "b")
-	if a := c.Until('Z'); !a.Ended || a.Cut {
-		t.Fatalf("%+v", a)
-	}
-	taken(t, k, "a", "b")
+	_, fake, _, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "free"), pgwire.Append(nil, 'X'), labelled("c", "free")))
+	expectAccepted(t, fake, "a", "b")
+	fake.serve("b", "a")
+	expectAnswers(t, client, "a", "b")
+	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+		t.Fatalf("%+v", answer)
+	}
+	expectAccepted(t, fake, "a", "b")
 }
 
 // A client that goes takes with it all that it has in hand, and what waits is not begun.
 func TestAClientThatPipelinesAndGoes(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("w", "waits"), ask("c", "free")))
-	conn := only(t, f, l)
-	until(t, "the write waits", func() (is bool) { do(l, func() { is = len(conn.line) == 3 }); return is })
-	k.serve("b")
-	c.Close()
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("w", "waits"), labelled("c", "free")))
+	conn := onlyConnection(t, frontend, loop)
+	waitUntil(t, "the write waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.slots) == 3 }); return is })
+	fake.serve("b")
+	client.Close()
 	select {
-	case id := <-k.left:
+	case id := <-fake.disconnects:
 		if id != "a" {
 			t.Fatalf("%s is given up", id)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("its request is kept")
 	}
-	do(l, func() { k.client("a").Served(value("a")) }) // too late
-	taken(t, k, "a", "b")
-	until(t, "nothing of it is counted", func() (none bool) { do(l, func() { none = f.buffered == 0 && f.ahead == 0 }); return none })
+	runInLoop(loop, func() { fake.client("a").Served(valueResponse("a")) }) // too late
+	expectAccepted(t, fake, "a", "b")
+	waitUntil(t, "nothing of it is counted", func() (none bool) {
+		runInLoop(loop, func() { none = frontend.bufferedBytes == 0 && frontend.pipelinedBytes == 0 })
+		return none
+	})
 }
 
 // With the process about to end, all that was sent ahead is answered, then the connection ends; nothing of it is lost.
 func TestDrainOfPipelinedRequests(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("w", "waits"), ask("b", "free")))
-	taken(t, k, "a")
-	do(l, func() { f.Drain(false); f.Finish() })
-	c.Send(ask("c", "free"))
-	k.serve("a")
-	taken(t, k, "a", "w", "b", "c")
-	k.serve("c", "b", "w")
-	told(t, c, "a", "w", "b", "c")
-	if a := c.Until('Z'); !a.Ended || a.Cut {
-		t.Fatalf("%+v", a)
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("w", "waits"), labelled("b", "free")))
+	expectAccepted(t, fake, "a")
+	runInLoop(loop, func() { frontend.Drain(false); frontend.Finish() })
+	client.Send(labelled("c", "free"))
+	fake.serve("a")
+	expectAccepted(t, fake, "a", "w", "b", "c")
+	fake.serve("c", "b", "w")
+	expectAnswers(t, client, "a", "w", "b", "c")
+	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+		t.Fatalf("%+v", answer)
 	}
 }
 
 // The same of a connection that has requests in hand and nothing else on its way: neither the drain nor its end cuts it off.
 func TestEndOfADrainWithRequestsInHand(t *testing.T) {
-	f, k, l, addr := start(t)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "free")))
-	taken(t, k, "a", "b")
-	do(l, func() { f.Drain(false); f.Finish() })
-	k.serve("b", "a")
-	told(t, c, "a", "b")
-	if a := c.Until('Z'); !a.Ended || a.Cut {
-		t.Fatalf("%+v", a)
+	frontend, fake, loop, addr := start(t)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "free")))
+	expectAccepted(t, fake, "a", "b")
+	runInLoop(loop, func() { frontend.Drain(false); frontend.Finish() })
+	fake.serve("b", "a")
+	expectAnswers(t, client, "a", "b")
+	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+		t.Fatalf("%+v", answer)
 	}
 }
 
@@ -432,20 +435,20 @@
 func TestPipelinedRequestsWaitForRoom(t *testing.T) {
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	lim.Frontend.BufferedBytes = 2*lim.Backend.StreamThresholdBytes + 4000 // for one beside the first
-	f, k, l, addr := startWith(t, lim)
-	c := testserver.Dial(t, addr)
-	c.Send(batch(ask("a", "free"), ask("b", "free"), ask("c", "free"), ask("d", "free")))
-	conn := only(t, f, l)
-	until(t, "the third waits", func() (is bool) { do(l, func() { is = len(conn.line) == 3 }); return is })
-	taken(t, k, "a", "b")
-	k.serve("a")
-	taken(t, k, "a", "b", "c")
-	k.serve("b", "c")
-	taken(t, k, "a", "b", "c", "d")
-	k.serve("d")
-	told(t, c, "a", "b", "c", "d")
-	until(t, "nothing is counted", func() (none bool) {
-		do(l, func() { none = f.buffered == 0 && f.ahead == 0 && conn.backlog == 0 })
+	frontend, fake, loop, addr := startWith(t, lim)
+	client := testserver.Dial(t, addr)
+	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("c", "free"), labelled("d", "free")))
+	conn := onlyConnection(t, frontend, loop)
+	waitUntil(t, "the third waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.slots) == 3 }); return is })
+	expectAccepted(t, fake, "a", "b")
+	fake.serve("a")
+	expectAccepted(t, fake, "a", "b", "c")
+	fake.serve("b", "c")
+	expectAccepted(t, fake, "a", "b", "c", "d")
+	fake.serve("d")
+	expectAnswers(t, client, "a", "b", "c", "d")
+	waitUntil(t, "nothing is counted", func() (none bool) {
+		runInLoop(loop, func() { none = frontend.bufferedBytes == 0 && frontend.pipelinedBytes == 0 && conn.backlogBytes == 0 })
 		return none
 	})
 }
@@ -454,30 +457,30 @@
 func TestAFloodSentAheadLeavesRoomForOthers(t *testing.T) {
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	lim.Frontend.BufferedBytes = 400_000
-	f, k, l, addr := startWith(t, lim)
+	frontend, fake, loop, addr := startWith(t, lim)
 	const floods = 20
-	ahead := bytes.Repeat(pgwire.AppendQuery(nil, sql("served")), lim.Frontend.PipelinedBytes/len(pgwire.AppendQuery(nil, sql("served"))))
+	ahead := bytes.Repeat(pgwire.AppendQuery(nil, statement("served")), lim.Frontend.PipelinedBytes/len(pgwire.AppendQuery(nil, statement("served"))))
 	var all []*testserver.Client
 	for range floods {
-		c := testserver.Dial(t, addr)
-		c.Send(pgwire.AppendQuery(nil, sql("waits")))
-		all = append(all, c)
+		client := testserver.Dial(t, addr)
+		client.Send(pgwire.AppendQuery(nil, statement("waits")))
+		all = append(all, client)
 	}
-	until(t, "all have a request in hand", func() bool { return k.len() == floods })
-	for _, c := range all {
-		c.Send(ahead)
+	waitUntil(t, "all have a request in hand", func() bool { return fake.accepted() == floods })
+	for _, client := range all {
+		client.Send(ahead)
 	}
-	until(t, "more has come than there is room for", func() (is bool) {
-		do(l, func() { is = f.ahead > lim.Frontend.BufferedBytes })
+	waitUntil(t, "more has come than there is room for", func() (is bool) {
+		runInLoop(loop, func() { is = frontend.pipelinedBytes > lim.Frontend.BufferedBytes })
 		return is
 	})
-	c := testserver.Dial(t, addr)
-	p := pgwire.AppendQuery(nil, sql("served")+strings.Repeat(" ", 60_000))
+	client := testserver.Dial(t, addr)
+	message := pgwire.AppendQuery(nil, statement("served")+strings.Repeat(" ", 60_000))
 	for range 3 {
-		c.Send(p[:30_000])
-		c.Send(p[30_000:])
-		if a := c.Until('Z'); a.Types != "TDCZ" {
-			t.Fatalf("%+v", a)
+		client.Send(message[:30_000])
+		client.Send(message[30_000:])
+		if answer := client.Until('Z'); answer.Types != "TDCZ" {
+			t.Fatalf("%+v", answer)
 		}
 	}
 }
@@ -485,37 +488,37 @@
 // The answers that wait for others are bounded: beyond that nothing more of the connection is begun.
 func TestAnswersThatWaitForOthersAreBounded(t *testing.T) {
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
-	f, k, l, addr := startWith(t, lim)
-	c := testserver.Dial(t, addr)
-	c.Send(ask("a", "free"))
-	taken(t, k, "a")
-	conn := only(t, f, l)
+	frontend, fake, loop, addr := startWith(t, lim)
+	client := testserver.Dial(t, addr)
+	client.Send(labelled("a", "free"))
+	expectAccepted(t, fake, "a")
+	conn := onlyConnection(t, frontend, loop)
 	long := strings.Repeat("x", 60_000)
-	n := 0
+	count := 0
 	for range 4 {
-		n++
-		id := fmt.Sprint("r", n)
-		c.Send(ask(id, "free"))
-		until(t, "it has come", func() (is bool) {
-			do(l, func() { is = len(k.asked) == n+1 || conn.reader.Waiting() > 0 })
+		count++
+		id := fmt.Sprint("r", count)
+		client.Send(labelled(id, "free"))
+		waitUntil(t, "it has come", func() (is bool) {
+			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.reader.Waiting() > 0 })
 			return is
 		})
-		do(l, func() {
-			if q := k.client(id); q != nil {
-				q.Served(value(long))
-			} else if conn.backlog <= lim.Frontend.HighWaterBytes {
-				t.Errorf("%s is not begun with %d bytes waiting", id, conn.backlog)
+		runInLoop(loop, func() {
+			if q := fake.client(id); q != nil {
+				q.Served(valueResponse(long))
+			} else if conn.backlogBytes <= lim.Frontend.HighWaterBytes {
+				t.Errorf("%s is not begun with %d bytes waiting", id, conn.backlogBytes)
 			} else {
-				n-- // nor are those behind it
+				count-- // nor are those behind it
 			}
 		})
 	}
-	if n != 3 {
-		t.Fatalf("%d begun", n)
+	if count != 3 {
+		t.Fatalf("%d begun", count)
 	}
-	k.serve("a")
-	told(t, c, "a", long, long, long)
-	taken(t, k, "a", "r1", "r2", "r3", "r4")
+	fake.serve("a")
+	expectAnswers(t, client, "a", long, long, long)
+	expectAccepted(t, fake, "a", "r1", "r2", "r3", "r4")
 }
 
 // A client that has many requests in hand and reads nothing until all are answered gets each answer whole, though together they are more than
@@ -523,96 +526,96 @@
 func TestASlowReaderOfManyAnswersGetsThemAll(t *testing.T) {
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 	for _, inOrder := range []bool{true, false} {
-		f, k, l, addr := startWith(t, lim)
-		c := testserver.Dial(t, addr)
+		frontend, fake, loop, addr := startWith(t, lim)
+		client := testserver.Dial(t, addr)
 		long := strings.Repeat("x", 60_000)
-		n := lim.Frontend.ConcurrentRequests
-		if n*len(long) < lim.Frontend.UnreadBytes+lim.Frontend.SendBufferBytes {
+		count := lim.Frontend.ConcurrentRequests
+		if count*len(long) < lim.Frontend.UnreadBytes+lim.Frontend.SendBufferBytes {
 			t.Fatal("they are not more than it may leave unread")
 		}
 		var all []byte
 		var ids, want []string
-		for i := range n {
+		for i := range count {
 			ids, want = append(ids, fmt.Sprintf("r%02d", i)), append(want, long)
-			all = append(all, ask(ids[i], "free")...)
+			all = append(all, labelled(ids[i], "free")...)
 		}
-		c.Send(all)
-		taken(t, k, ids...)
+		client.Send(all)
+		expectAccepted(t, fake, ids...)
 		if !inOrder {
 			slices.Reverse(ids)
 		}
 		for _, id := range ids {
-			do(l, func() { k.client(id).Served(value(long)) })
+			runInLoop(loop, func() { fake.client(id).Served(valueResponse(long)) })
 		}
-		conn := only(t, f, l)
-		do(l, func() {
-			if u := conn.sock.Unsent(); u > lim.Frontend.HighWaterBytes+2*len(long) {
+		conn := onlyConnection(t, frontend, loop)
+		runInLoop(loop, func() {
+			if u := conn.socket.Unsent(); u > lim.Frontend.HighWaterBytes+2*len(long) {
 				t.Errorf("%d bytes unsent", u)
 			}
 		})
-		told(t, c, want...)
-		c.Send(ask("more", "free"))
-		until(t, "it goes on", func() bool { return len(k.labels()) == n+1 })
-		until(t, "nothing is counted", func() (none bool) {
-			do(l, func() { none = conn.backlog == 0 && f.ahead == 0 })
+		expectAnswers(t, client, want...)
+		client.Send(labelled("more", "free"))
+		waitUntil(t, "it goes on", func() bool { return len(fake.labels()) == count+1 })
+		waitUntil(t, "nothing is counted", func() (none bool) {
+			runInLoop(loop, func() { none = conn.backlogBytes == 0 && frontend.pipelinedBytes == 0 })
 			return none
 		})
 	}
 }
 
 // halt is a source that only notes whether it is held.
-type halt struct{ held []bool }
+type pauseRecorder struct{ calls []bool }
 
-func (h *halt) SetPaused(on bool) { h.held = append(h.held, on) }
+func (pauses *pauseRecorder) SetPaused(on bool) { pauses.calls = append(pauses.calls, on) }
 
 // A long answer behind another one is held at its db machine until its turn, and passed on from there. One that breaks off before its
 // turn is an error in its place; one that does later ends the connection.
 func TestLongAnswerBehindAnother(t *testing.T) {
 	for _, when := range []string{"whole", "cut before its turn", "cut after it"} {
-		_, k, l, addr := start(t)
-		c := testserver.Dial(t, addr)
-		c.Send(batch(ask("a", "free"), ask("long", "free"), ask("c", "free")))
-		taken(t, k, "a", "long", "c")
-		k.serve("c")
-		h := &halt{}
-		p := value("long").Messages
-		do(l, func() {
-			r := k.client("long")
-			r.ResponseStarted(&backend.Response{Messages: p[:7]}, h)
-			r.ResponsePart(p[7:12])
-			if !slices.Equal(h.held, []bool{true}) {
-				t.Errorf("held: %v", h.held)
+		_, fake, loop, addr := start(t)
+		client := testserver.Dial(t, addr)
+		client.Send(concat(labelled("a", "free"), labelled("long", "free"), labelled("c", "free")))
+		expectAccepted(t, fake, "a", "long", "c")
+		fake.serve("c")
+		pauses := &pauseRecorder{}
+		message := valueResponse("long").Messages
+		runInLoop(loop, func() {
+			r := fake.client("long")
+			r.ResponseStarted(&backend.Response{Messages: message[:7]}, pauses)
+			r.ResponsePart(message[7:12])
+			if !slices.Equal(pauses.calls, []bool{true}) {
+				t.Errorf("held: %v", pauses.calls)
 			}
 			if when == "cut before its turn" {
 				r.ResponseTruncated()
 			}
 		})
-		k.serve("a")
-		do(l, func() {
-			r := k.client("long")
+		fake.serve("a")
+		runInLoop(loop, func() {
+			r := fake.client("long")
 			if when == "cut before its turn" {
 				return
 			}
-			if !slices.Equal(h.held, []bool{true, false}) {
-				t.Errorf("held: %v", h.held)
+			if !slices.Equal(pauses.calls, []bool{true, false}) {
+				t.Errorf("held: %v", pauses.calls)
 			}
 			if when == "cut after it" {
 				r.ResponseTruncated()
 				return
 			}
-			end := bytes.IndexByte(p, 'C')
-			r.ResponsePart(p[12:end])
-			r.Served(&backend.Response{Messages: p[end:]})
+			end := bytes.IndexByte(message, 'C')
+			r.ResponsePart(message[12:end])
+			r.Served(&backend.Response{Messages: message[end:]})
 		})
 		switch when {
 		case "whole":
-			told(t, c, "a", "long", "c")
+			expectAnswers(t, client, "a", "long", "c")
 		case "cut before its turn":
-			told(t, c, "a", pgwire.UnknownOutcome, "c")
+			expectAnswers(t, client, "a", pgwire.UnknownOutcome, "c")
 		default:
-			told(t, c, "a")
-			if a := c.Until('Z'); !a.Ended || strings.Contains(a.Types, "Z") {
-				t.Errorf("%+v", a)
+			expectAnswers(t, client, "a")
+			if answer := client.Until('Z'); !answer.Ended || strings.Contains(answer.Types, "Z") {
+				t.Errorf("%+v", answer)
 			}
 		}
 	}
@@ -622,54 +625,54 @@
 // came of it goes out in order all the same, and if it breaks off in that moment it is an error in its place.
 func TestLongAnswerBehindAnotherOfASlowReader(t *testing.T) {
 	for _, when := range []string{"whole", "cut", "begun then", "begun then and cut"} {
-		f, k, l, addr := start(t)
-		c := testserver.Dial(t, addr)
-		c.Send(batch(ask("a", "free"), ask("long", "free"), ask("c", "free")))
-		taken(t, k, "a", "long", "c")
-		k.serve("c")
-		h := &halt{}
-		p := value("long").Messages
-		conn := only(t, f, l)
+		frontend, fake, loop, addr := start(t)
+		client := testserver.Dial(t, addr)
+		client.Send(concat(labelled("a", "free"), labelled("long", "free"), labelled("c", "free")))
+		expectAccepted(t, fake, "a", "long", "c")
+		fake.serve("c")
+		pauses := &pauseRecorder{}
+		message := valueResponse("long").Messages
+		conn := onlyConnection(t, frontend, loop)
 		begin := func() {
-			r := k.client("long")
-			r.ResponseStarted(&backend.Response{Messages: p[:7]}, h)
-			r.ResponsePart(p[7:12])
+			r := fake.client("long")
+			r.ResponseStarted(&backend.Response{Messages: message[:7]}, pauses)
+			r.ResponsePart(message[7:12])
 		}
-		rows := bytes.Repeat(value(strings.Repeat("x", 60_000)).Messages, 15) // more than the client and the system take unread
-		do(l, func() {
+		rows := bytes.Repeat(valueResponse(strings.Repeat("x", 60_000)).Messages, 15) // more than the client and the system take unread
+		runInLoop(loop, func() {
 			if !strings.HasPrefix(when, "begun then") {
 				begin()
 			}
-			k.client("a").Served(&backend.Response{Messages: rows})
-			if len(conn.line) != 2 || !conn.choked {
-				t.Errorf("%d answers are owed, choked: %t", len(conn.line), conn.choked)
+			fake.client("a").Served(&backend.Response{Messages: rows})
+			if len(conn.slots) != 2 || !conn.backpressured {
+				t.Errorf("%d answers are owed, choked: %t", len(conn.slots), conn.backpressured)
 			}
 			if strings.HasPrefix(when, "begun then") {
 				begin()
 			}
-			r := k.client("long")
-			if !slices.Equal(h.held, []bool{true}) {
-				t.Errorf("%s, held: %v", when, h.held)
+			r := fake.client("long")
+			if !slices.Equal(pauses.calls, []bool{true}) {
+				t.Errorf("%s, held: %v", when, pauses.calls)
 			}
 			if strings.HasSuffix(when, "cut") {
 				r.ResponseTruncated()
 				return
 			}
-			r.ResponsePart(p[12:20]) // was under way
-			end := bytes.IndexByte(p, 'C')
-			r.ResponsePart(p[20:end])
-			r.Served(&backend.Response{Messages: p[end:]})
+			r.ResponsePart(message[12:20]) // was under way
+			end := bytes.IndexByte(message, 'C')
+			r.ResponsePart(message[20:end])
+			r.Served(&backend.Response{Messages: message[end:]})
 		})
-		if a := c.Until('Z'); a.Types != strings.Repeat("TDC", 15)+"Z" {
-			t.Fatalf("%s: %s", when, a.Types)
+		if answer := client.Until('Z'); answer.Types != strings.Repeat("TDC", 15)+"Z" {
+			t.Fatalf("%s: %s", when, answer.Types)
 		}
 		if strings.HasSuffix(when, "cut") {
-			told(t, c, pgwire.UnknownOutcome, "c")
+			expectAnswers(t, client, pgwire.UnknownOutcome, "c")
 		} else {
-			told(t, c, "long", "c")
+			expectAnswers(t, client, "long", "c")
 		}
-		until(t, "nothing is counted", func() (none bool) {
-			do(l, func() { none = conn.backlog == 0 && f.ahead == 0 && conn.kept == 0 })
+		waitUntil(t, "nothing is counted", func() (none bool) {
+			runInLoop(loop, func() { none = conn.backlogBytes == 0 && frontend.pipelinedBytes == 0 && conn.reservedBytes == 0 })
 			return none
 		})
 	}
@@ -687,10 +690,10 @@
 			return
 		}
 		r := rand.New(rand.NewPCG(seed, 1))
-		front, k, l, addr := start(t)
-		do(l, front.Ready)
-		before := l.Now() // many pieces share the moment of one before them
-		c := testserver.Dial(t, addr)
+		front, fake, loop, addr := start(t)
+		runInLoop(loop, front.Ready)
+		before := loop.Now() // many pieces share the moment of one before them
+		client := testserver.Dial(t, addr)
 		var all []byte
 		var want []string
 		asked := 0
@@ -699,11 +702,11 @@
 			class := map[byte]string{'f': "free", 'w': "waits", 's': "sees"}[kind]
 			switch {
 			case class != "":
-				all = append(all, ask(id, class)...)
+				all = append(all, labelled(id, class)...)
 				want = append(want, id)
 				asked++
 			case kind == 'o':
-				all = append(all, ask(id, "odd")...)
+				all = append(all, labelled(id, "odd")...)
 				want = append(want, "42601")
 			case kind == 'S':
 				all = append(all, pgwire.AppendQuery(nil, "SET a = 1")...)
@@ -715,11 +718,11 @@
 		}
 		go func() {
 			for len(all) > 0 {
-				n := 1 + r.IntN(min(len(all), 1+r.IntN(200)))
-				if c.Write(all[:n]) != nil {
+				count := 1 + r.IntN(min(len(all), 1+r.IntN(200)))
+				if client.Write(all[:count]) != nil {
 					return
 				}
-				all = all[n:]
+				all = all[count:]
 			}
 		}()
 		answered := make(chan error, 1)
@@ -727,7 +730,7 @@
 			order := rand.New(rand.NewPCG(seed, 2))
 			open, seen := []string(nil), 0
 			for done := 0; done < asked; {
-				ids := k.labels()
+				ids := fake.labels()
 				open = append(open, ids[seen:]...)
 				if seen = len(ids); seen > asked {
 					answered <- errors.New("one is taken twice")
@@ -738,19 +741,19 @@
 					continue
 				}
 				i := order.IntN(len(open))
-				k.serve(open[i])
+				fake.serve(open[i])
 				open = slices.Delete(open, i, i+1)
 				done++
 			}
 			answered <- nil
 		}()
-		told(t, c, want...)
+		expectAnswers(t, client, want...)
 		if err := <-answered; err != nil {
 			t.Fatal(err)
 		}
-		do(l, func() {
-			for _, q := range k.asked {
-				if q.ReceivedAt < before || q.ReceivedAt > l.Now() {
+		runInLoop(loop, func() {
+			for _, q := range fake.requests {
+				if q.ReceivedAt < before || q.ReceivedAt > loop.Now() {
 					t.Errorf("%s came at %v", q.Label, q.ReceivedAt)
 				}
 			}
@@ -760,7 +763,7 @@
 
 // A client that takes a long answer slowly, with others sent ahead, gets all of them whole and in order.
 func TestASlowReaderOfALongAnswerWithMoreAhead(t *testing.T) {
-	_, k, l, addr := start(t)
+	_, fake, loop, addr := start(t)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -768,35 +771,35 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(32 << 10)
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	c.Write(batch(pgwire.AppendStartup(nil, "user", "x"), ask("l", "long"), ask("a", "free")))
-	taken(t, k, "l", "a")
-	until(t, "its source is held", func() (held bool) { do(l, func() { held = k.source.held }); return held })
-	c.Write(batch(ask("b", "free"), ask("c", "free"))) // while the answer is not taken
-	k.serve("a")
+	c.Write(concat(pgwire.AppendStartup(nil, "user", "x"), labelled("l", "long"), labelled("a", "free")))
+	expectAccepted(t, fake, "l", "a")
+	waitUntil(t, "its source is held", func() (held bool) { runInLoop(loop, func() { held = fake.source.paused }); return held })
+	c.Write(concat(labelled("b", "free"), labelled("c", "free"))) // while the answer is not taken
+	fake.serve("a")
 	go func() {
-		for len(k.labels()) < 4 {
+		for len(fake.labels()) < 4 {
 			time.Sleep(time.Millisecond)
 		}
-		k.serve("c", "b")
+		fake.serve("c", "b")
 	}()
 	var got []byte
 	ready := []byte("Z\x00\x00\x00\x05I")
 	for buf := make([]byte, 64<<10); bytes.Count(got, ready) < 5; { // the welcome has one
-		n, err := c.Read(buf)
-		got = append(got, buf[:n]...)
+		count, err := c.Read(buf)
+		got = append(got, buf[:count]...)
 		if err != nil {
 			t.Fatalf("%v after %d bytes", err, len(got))
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		p := append(value(id).Messages, ready...)
-		at := bytes.Index(got, p)
-		if at < longest {
+		message := append(valueResponse(id).Messages, ready...)
+		at := bytes.Index(got, message)
+		if at < longRowBytes {
 			t.Fatalf("the answer to %s stands at %d", id, at)
 		}
-		got = append(make([]byte, longest), got[at+len(p):]...)
+		got = append(make([]byte, longRowBytes), got[at+len(message):]...)
 	}
-	if len(got) != longest {
-		t.Fatalf("%d bytes behind them", len(got)-longest)
+	if len(got) != longRowBytes {
+		t.Fatalf("%d bytes behind them", len(got)-longRowBytes)
 	}
 }
--- a/internal/frontend/commits.go
+++ b/internal/frontend/session_commits.go
@@ -11,10 +11,10 @@
 // commits are the positions of the writes that were made on one connection, as far as its client has not shown that it knows them. A
 // read carries the last position that its client had read when it sent it: what crossed the answer to a write on the way, or was sent
 // behind the write, can't carry that one. That an answer has left says nothing; a read of the session that carries the position does.
-type commits struct {
-	seed   maphash.Seed
-	own    []commit // by session, the oldest first
-	groups []commit // of sessions for which there is no room, by group: reads of all others of the group see them too
+type sessionCommits struct {
+	seed     maphash.Seed
+	sessions []commit // by session, the oldest first
+	groups   []commit // of sessions for which there is no room, by group: reads of all others of the group see them too
 }
 
 type commit struct {
@@ -24,10 +24,10 @@
 }
 
 // commitsMost bounds the sessions of one connection whose writes are told apart: 24 bytes each, as many as there are.
-const commitsMost = 64
+const maxTrackedSessions = 64
 
 // note enters a write that was made.
-func (m *commits) note(session string, group int64, position time.Duration) {
+func (m *sessionCommits) record(session string, group int64, position time.Duration) {
 	if session == "" {
 		return
 	}
@@ -35,44 +35,44 @@
 		m.seed = maphash.MakeSeed()
 	}
 	w := commit{maphash.String(m.seed, session), group, position}
-	if i := w.in(m.own); i >= 0 {
-		w.position = max(position, m.own[i].position)
-		m.own = slices.Delete(m.own, i, i+1)
-	} else if len(m.own) >= commitsMost {
-		old := m.own[0]
+	if i := w.indexIn(m.sessions); i >= 0 {
+		w.position = max(position, m.sessions[i].position)
+		m.sessions = slices.Delete(m.sessions, i, i+1)
+	} else if len(m.sessions) >= maxTrackedSessions {
+		old := m.sessions[0]
 		old.session = 0
-		m.own = slices.Delete(m.own, 0, 1)
-		if i := old.in(m.groups); i >= 0 {
+		m.sessions = slices.Delete(m.sessions, 0, 1)
+		if i := old.indexIn(m.groups); i >= 0 {
 			m.groups[i].position = max(m.groups[i].position, old.position)
 		} else {
 			m.groups = append(m.groups, old) // as many as there are groups that take writes
 		}
 	}
-	m.own = append(m.own, w)
+	m.sessions = append(m.sessions, w)
 }
 
 // see is the position that a read of a session has to see.
-func (m *commits) see(q *router.Request) time.Duration {
+func (m *sessionCommits) positionFor(q *router.Request) time.Duration {
 	after := q.MinPosition
-	if len(m.own)+len(m.groups) == 0 {
+	if len(m.sessions)+len(m.groups) == 0 {
 		return after
 	}
 	r := commit{maphash.String(m.seed, q.Session), q.Group, 0}
-	if i := r.in(m.own); i >= 0 {
-		if known := m.own[i].position; after < known {
+	if i := r.indexIn(m.sessions); i >= 0 {
+		if known := m.sessions[i].position; after < known {
 			after = known
 		} else {
-			m.own = slices.Delete(m.own, i, i+1)
+			m.sessions = slices.Delete(m.sessions, i, i+1)
 		}
 	}
 	r.session = 0
-	if i := r.in(m.groups); i >= 0 {
+	if i := r.indexIn(m.groups); i >= 0 {
 		after = max(after, m.groups[i].position)
 	}
 	return after
 }
 
 // in is where a commit of the same session and group stands, -1 = nowhere.
-func (w commit) in(of []commit) int {
+func (w commit) indexIn(of []commit) int {
 	return slices.IndexFunc(of, func(c commit) bool { return c.session == w.session && c.group == w.group })
 }
