--- /dev/null
+++ b/internal/frontend/connection.go
@@ -0,0 +1,147 @@
+package frontend
+
+import (
+	"time"
+
+	"limeladder/internal/limits"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/transport"
+)
+
+// Conn is one connection of a client.
+type Conn struct {
+	frontend *Front
+	handler  Speaker
+	socket   *transport.Conn
+
+	identity  clientIdentity
+	lifetime  lifetime
+	input     messageInput
+	pipeline  pipeline
+	exclusive exclusiveRequest
+	output    outputState
+	memory    byteAccount
+	commits   sessionCommits
+}
+
+// clientIdentity says whose the connection is. It is empty unless requests have to carry it.
+type clientIdentity struct {
+	user    string
+	address string
+}
+
+// lifetime is how far a connection has come between its start and its end.
+type lifetime struct {
+	started           bool // the startup message was accepted
+	commandSeen       bool // a message has come since then
+	lastInvalid       bool // the last message was invalid
+	closeWhenAnswered bool // nothing more is read, and the last response that is owed ends the connection
+	closed            bool
+
+	openedAt     time.Duration // when the connection was accepted
+	lastActiveAt time.Duration // when a message became complete or a response was written last
+}
+
+// Limits returns the limits of the program.
+func (c *Conn) Limits() limits.Limits { return c.frontend.limits }
+
+// MarkInvalid notes that the last message was invalid: the connection is among the first to be evicted.
+func (c *Conn) MarkInvalid() { c.lifetime.lastInvalid = true }
+
+// Disconnected implements the method of router.Client for the protocol handlers.
+func (c *Conn) Disconnected(look bool) bool { return c.lifetime.closed || c.socket.Left(look) }
+
+// Close closes the connection. Requests in flight are given up.
+func (c *Conn) Close() {
+	if c.lifetime.closed {
+		return
+	}
+	c.lifetime.closed = true
+	// A response of which the system has taken only a part must not be cut off.
+	c.socket.Finish(c.frontend.limits.Frontend.FlushTimeout)
+	c.releaseAll()
+}
+
+// CloseWhenAnswered closes the connection once the requests before it are answered.
+func (c *Conn) CloseWhenAnswered() {
+	c.lifetime.closeWhenAnswered = true
+	if !c.owesResponse() {
+		c.Close()
+	}
+}
+
+// Closed implements transport.Handler.
+func (c *Conn) Closed(error) {
+	if !c.lifetime.closed {
+		c.lifetime.closed = true
+		c.releaseAll()
+	}
+}
+
+// releaseAll gives back what the connection holds, and gives up its requests.
+func (c *Conn) releaseAll() {
+	delete(c.frontend.connections, c)
+	c.memory.releaseAll()
+	if c.output.flow != nil {
+		c.output.flow.SetPaused(false) // the rest of the response is still read from the endpoint, and dropped
+		c.output.flow = nil
+	}
+	if c.exclusive.inFlight() {
+		c.frontend.router.Disconnect(c.exclusive.id)
+		c.exclusive.id = ""
+	}
+	for _, s := range c.pipeline.removeAll() {
+		if s.flow != nil {
+			s.flow.SetPaused(false)
+		}
+		if s.requestID != "" {
+			c.frontend.router.Disconnect(s.requestID)
+		}
+	}
+}
+
+// closeWithError sends a fatal error and closes the connection.
+func (c *Conn) closeWithError(err *ProtocolError) {
+	c.frontend.logger.Debug("client rejected",
+		"sqlstate", err.SQLSTATE, "error", err.Reason, "command_seen", c.lifetime.commandSeen)
+	if c.output.flow == nil { // within a row the bytes of the error would be taken for those of the value
+		c.write(err.appendFatal())
+	}
+	c.Close()
+}
+
+// closeWithErrorInOrder sends a fatal error behind the responses that are owed, and closes the connection then.
+func (c *Conn) closeWithErrorInOrder(err *ProtocolError) {
+	if !c.owesResponse() {
+		c.closeWithError(err)
+		return
+	}
+	c.frontend.logger.Debug("client rejected",
+		"sqlstate", err.SQLSTATE, "error", err.Reason, "pending_responses", len(c.pipeline.slots))
+	c.Respond(err.appendFatal())
+	c.lifetime.closeWhenAnswered = true
+}
+
+// owesResponse reports whether a request of the client is not answered yet.
+func (c *Conn) owesResponse() bool { return c.exclusive.inFlight() || !c.pipeline.empty() }
+
+// RespondToEmptyQuery answers an empty query, by which the platform asks whether it may send clients.
+func (c *Conn) RespondToEmptyQuery() {
+	c.Respond(c.frontend.emptyQueryResponse())
+	c.closeIfDraining()
+}
+
+func (f *Front) emptyQueryResponse() []byte {
+	if f.ready && !f.drain.byOperator {
+		return pgwire.AppendReady(pgwire.Append(nil, 'I'))
+	}
+	reason := "starting up"
+	if f.ready {
+		reason = "drained"
+	}
+	return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error{
+		Code:    pgwire.CannotConnectNow,
+		Message: reason,
+		After:   notReadyRetryAfter,
+	}))
+}
--- a/internal/frontend/connection_end_test.go
+++ b/internal/frontend/connection_end_test.go
@@ -55,7 +55,7 @@
 	ahead := pgwire.AppendQuery(nil, statement("served"))
 	client.Send(bytes.Repeat(ahead, 2*frontend.limits.Frontend.PipelinedBytes/len(ahead)))
 	waitUntil(t, "it is read no further", func() (held bool) {
-		runInLoop(loop, func() { held = conn.unparsedBytes > frontend.limits.Frontend.PipelinedBytes })
+		runInLoop(loop, func() { held = conn.memory.unparsedBytes > frontend.limits.Frontend.PipelinedBytes })
 		return held
 	})
 	client.Close()
@@ -81,7 +81,7 @@
 	waitUntil(t, "it is taken", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	waitUntil(t, "the other one has come", func() (came bool) {
-		runInLoop(loop, func() { came = len(conn.slots) == 2 })
+		runInLoop(loop, func() { came = len(conn.pipeline.slots) == 2 })
 		return came
 	})
 	busy, free, answered := make(chan bool), make(chan bool), make(chan bool)
@@ -117,7 +117,7 @@
 	waitUntil(t, "a part has come", func() (came bool) {
 		runInLoop(loop, func() {
 			for c := range frontend.connections {
-				came = came || c.reader.Waiting() > 0
+				came = came || c.input.reader.Waiting() > 0
 			}
 		})
 		return came
--- /dev/null
+++ b/internal/frontend/errors.go
@@ -0,0 +1,73 @@
+package frontend
+
+import (
+	"errors"
+	"time"
+
+	"limeladder/internal/pgwire"
+)
+
+// ProtocolError is a fault of the client's that is answered with an ErrorResponse.
+type ProtocolError struct {
+	SQLSTATE string // the code of the ErrorResponse
+	Reason   string // its message
+}
+
+// Error returns the message of the ErrorResponse.
+func (e *ProtocolError) Error() string { return e.Reason }
+
+func (e *ProtocolError) appendFatal() []byte {
+	return pgwire.AppendError(nil, pgwire.Error{Fatal: true, Code: e.SQLSTATE, Message: e.Reason})
+}
+
+// protocolErrorOf returns the ProtocolError in err. Any other error is a violation of the protocol, with its text.
+func protocolErrorOf(err error) *ProtocolError {
+	var typed *ProtocolError
+	if errors.As(err, &typed) {
+		return typed
+	}
+	return &ProtocolError{pgwire.ProtocolViolation, err.Error()}
+}
+
+// The faults of clients that are told to them.
+var (
+	errResponsesUnread   = &ProtocolError{pgwire.ProtocolViolation, "answers are not read"}
+	errStartupTimeout    = &ProtocolError{pgwire.ProtocolViolation, "no startup message in time"}
+	errCommandTimeout    = &ProtocolError{pgwire.ProtocolViolation, "no command in time"}
+	errMessageTimeout    = &ProtocolError{pgwire.ProtocolViolation, "a message does not end"}
+	errUnitTimeout       = &ProtocolError{pgwire.ProtocolViolation, "a unit of work does not go on"}
+	errStartupMessage    = &ProtocolError{pgwire.ProtocolViolation, "unsupported startup message"}
+	errTooMuchUnread     = &ProtocolError{pgwire.TooLarge, "too much is left unread"}
+	errSimpleQueriesOnly = &ProtocolError{pgwire.NotSupported, "simple queries only"}
+)
+
+// errNoCapacity says that the memory for a statement is missing. It is no fault of the client, which may retry.
+var errNoCapacity = errors.New("no room to keep the statement")
+
+// Times after which a client may come again.
+const (
+	capacityRetryAfter = 100 * time.Millisecond // after errNoCapacity
+	notReadyRetryAfter = 100 * time.Millisecond // after an empty query that was answered with a no
+)
+
+// RejectionError returns the error of a request that has not run and may be retried after the given time.
+func RejectionError(retryAfter time.Duration) pgwire.Error {
+	return pgwire.Error{
+		Code:    pgwire.TooManyConnections,
+		Message: "refused: a repeat does no harm, come again",
+		After:   retryAfter,
+	}
+}
+
+// FailureError returns the error of a request that may have run.
+func FailureError(reason string) pgwire.Error {
+	return pgwire.Error{Code: pgwire.UnknownOutcome, Message: "failed: " + reason}
+}
+
+// InvalidRequestError returns the error of a request that was not accepted for the reason given by Conn.Submit.
+func InvalidRequestError(err error) pgwire.Error {
+	if errors.Is(err, errNoCapacity) {
+		return RejectionError(capacityRetryAfter)
+	}
+	return pgwire.Error{Code: pgwire.BadStatement, Message: err.Error()}
+}
--- /dev/null
+++ b/internal/frontend/extendedquery/response.go
@@ -0,0 +1,69 @@
+package extendedquery
+
+import (
+	"time"
+
+	"limeladder/internal/backend"
+	"limeladder/internal/frontend"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/router"
+)
+
+// Disconnected implements router.Client.
+func (s *session) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
+
+// Committed implements router.Committer.
+func (s *session) Committed(position time.Duration) { s.conn.Committed(position) }
+
+// ResponseStarted implements router.Client.
+func (s *session) ResponseStarted(response router.Response, flow router.Flow) {
+	s.appendResponse(response.(*backend.Response))
+	data := s.bufferedResponses
+	s.bufferedResponses = nil
+	s.conn.StartResponse(data, flow)
+}
+
+// ResponsePart implements router.Client.
+func (s *session) ResponsePart(data []byte) { s.conn.WriteResponsePart(data) }
+
+// ResponseTruncated implements router.Client.
+func (s *session) ResponseTruncated() { s.conn.TruncateResponse() }
+
+// Served implements router.Client.
+func (s *session) Served(response router.Response) {
+	served := response.(*backend.Response)
+	isExtended := s.running.statement != nil
+	s.appendResponse(served)
+	s.completeRunning(served.Code != "" && isExtended)
+}
+
+// Rejected implements router.Client.
+func (s *session) Rejected(after time.Duration) {
+	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.RejectionError(after))
+	s.completeRunning(true)
+}
+
+// Failed implements router.Client.
+func (s *session) Failed(why string) {
+	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.FailureError(why))
+	s.completeRunning(true)
+}
+
+// appendResponse adds an endpoint's response for the client. ParseComplete and BindComplete are left out: the client
+// got its own when it asked, and these answer the messages that the attempt has added.
+func (s *session) appendResponse(response *backend.Response) {
+	reader := pgwire.NewReader(len(response.Messages)+messageHeaderBytes, 0)
+	reader.Feed(response.Messages)
+	for {
+		message, ok, err := reader.Next()
+		if !ok || err != nil {
+			break
+		}
+		if message.Type != '1' && message.Type != '2' {
+			s.bufferedResponses = pgwire.Append(s.bufferedResponses, message.Type, message.Body)
+		}
+	}
+}
+
+// messageHeaderBytes is the length of a message's type and length field.
+const messageHeaderBytes = 5
--- a/internal/frontend/extendedquery/statement_check.go
+++ b/internal/frontend/extendedquery/statement_check.go
@@ -1,107 +1,144 @@
 package extendedquery
 
 import (
-	"errors"
 	"strings"
-)
 
-// The statements that are turned away.
-var (
-	errMultipleStatements   = errors.New("one statement at a time")
-	errUnsupportedStatement = errors.New("transaction blocks, COPY and statements that leave state at a server are not supported")
-	errWriteInReadClass     = errors.New("a statement that writes needs a class that writes")
-	errUnterminated         = errors.New("a quote or comment is not closed")
+	"limeladder/internal/frontend"
 )
 
-// Plain says whether sql is one statement that can run alone on any connection. writes tells whether its class
-// does; the router may repeat the others, so they must not.
-func CheckStatement(sql string, writes bool) error {
-	words, many, err := scan(sql)
+// checkStatement returns why sql can't be run, nil if it can: it has to be one statement that runs alone on any
+// connection. The router may retry a statement of a class that does not write, so such a statement must not write.
+func checkStatement(sql string, mayWrite bool) *frontend.ProtocolError {
+	words, multiple, err := scanWords(sql)
 	switch {
 	case err != nil:
 		return err
-	case many:
+	case multiple:
 		return errMultipleStatements
-	case len(words) == 0:
+	case len(words) == 0 || !isSupportedCommand(words[0]):
 		return errUnsupportedStatement
+	case !mayWrite && containsWrite(words):
+		return errWriteInReadClass
 	}
-	switch words[0] {
+	return nil
+}
+
+func isSupportedCommand(word string) bool {
+	switch word {
 	case "SELECT", "VALUES", "TABLE", "WITH", "INSERT", "UPDATE", "DELETE", "MERGE":
-	default:
-		return errUnsupportedStatement
+		return true
 	}
-	for i, w := range words {
-		switch w {
-		case "INSERT", "DELETE", "MERGE":
-		case "UPDATE": // SELECT ... FOR UPDATE locks, which a replica refuses too
+	return false
+}
+
+// containsWrite reports whether any word of a statement makes it one that writes. SELECT ... FOR UPDATE counts, since
+// it takes locks, which a replica refuses too. So does SELECT ... INTO, which creates a table.
+func containsWrite(words []string) bool {
+	for i, word := range words {
+		switch word {
+		case "INSERT", "UPDATE", "DELETE", "MERGE":
+			return true
 		case "INTO":
-			if i > 0 && (words[i-1] == "INSERT" || words[i-1] == "MERGE") {
-				continue
+			if i == 0 || words[i-1] != "INSERT" && words[i-1] != "MERGE" {
+				return true
 			}
-		default:
-			continue
-		}
-		if !writes {
-			return errWriteInReadClass
 		}
 	}
-	return nil
+	return false
 }
 
-// scan returns the bare words of sql in upper case, and whether something stands behind a semicolon.
-func scan(sql string) (words []string, many bool, err error) {
+// scanWords returns the words of sql that stand outside quotes and comments, in upper case, and whether anything
+// stands behind a semicolon.
+func scanWords(sql string) (words []string, multiple bool, err *frontend.ProtocolError) {
 	ended := false
-	for i := 0; i < len(sql); {
-		c := sql[i]
-		rest := sql[i:]
-		n := 1
+	for position := 0; position < len(sql); {
+		rest := sql[position:]
+		length := blankLength(rest)
 		switch {
-		case strings.HasPrefix(rest, "--"):
-			if n = strings.IndexByte(rest, '\n'); n < 0 {
-				n = len(rest)
-			}
-			i += n
-			continue
-		case strings.HasPrefix(rest, "/*"):
-			if n = commentLength(rest); n < 0 {
+		case length > 0:
+		case length < 0:
+			return nil, false, errUnterminated
+		case rest[0] == ';':
+			ended = true
+			length = 1
+		default:
+			length = tokenLength(sql, position)
+			if length < 0 {
 				return nil, false, errUnterminated
 			}
-			i += n
-			continue
-		case c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f':
-			i++
-			continue
-		case c == ';':
-			ended = true
-			i++
-			continue
-		case c == '\'':
-			escapes := i > 0 && (sql[i-1] == 'e' || sql[i-1] == 'E') && (i < 2 || !isWordByte(sql[i-2]))
-			n = quotedLength(rest, '\'', escapes)
-		case c == '"':
-			n = quotedLength(rest, '"', false)
-		case c == '$' && (i == 0 || !isWordByte(sql[i-1])):
-			n = dollarQuotedLength(rest)
-		case isWordByte(c):
-			for n < len(rest) && (isWordByte(rest[n]) || rest[n] == '$') {
-				n++
+			if isWordByte(rest[0]) {
+				words = append(words, strings.ToUpper(rest[:length]))
 			}
-			words = append(words, strings.ToUpper(rest[:n]))
+			multiple = multiple || ended
 		}
-		if n < 0 {
-			return nil, false, errUnterminated
+		position += length
+	}
+	return words, multiple, nil
+}
+
+// blankLength returns the length of the comment or white space that s starts with: 0 if there is none, -1 if a comment
+// is not closed.
+func blankLength(s string) int {
+	switch {
+	case strings.HasPrefix(s, "--"):
+		if end := strings.IndexByte(s, '\n'); end >= 0 {
+			return end
 		}
-		many = many || ended
-		i += n
+		return len(s)
+	case strings.HasPrefix(s, "/*"):
+		return commentLength(s)
+	case strings.IndexByte(" \t\n\r\f", s[0]) >= 0:
+		return 1
+	}
+	return 0
+}
+
+// tokenLength returns the length of the word, quoted text or other character at a position of sql, -1 if a quote is
+// not closed.
+func tokenLength(sql string, position int) int {
+	rest := sql[position:]
+	first := rest[0]
+	switch {
+	case first == '\'':
+		return quotedLength(rest, '\'', followsEscapePrefix(sql, position))
+	case first == '"':
+		return quotedLength(rest, '"', false)
+	case first == '$' && (position == 0 || !isWordByte(sql[position-1])):
+		return dollarQuotedLength(rest)
+	case isWordByte(first):
+		return wordLength(rest)
 	}
-	return words, many, nil
+	return 1
 }
 
+// followsEscapePrefix reports whether the E of an escape string, E'...', stands before a position.
+func followsEscapePrefix(sql string, position int) bool {
+	if position == 0 || sql[position-1] != 'e' && sql[position-1] != 'E' {
+		return false
+	}
+	return position < 2 || !isWordByte(sql[position-2])
+}
+
+func wordLength(s string) int {
+	length := 1
+	for length < len(s) && (isWordByte(s[length]) || s[length] == '$') {
+		length++
+	}
+	return length
+}
+
+// isWordByte reports whether a byte may be part of a word or number.
 func isWordByte(c byte) bool {
-	return c == '_' || c >= 0x80 || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	switch {
+	case c == '_', c >= 0x80:
+		return true
+	case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
+		return true
+	}
+	return false
 }
 
-// comment returns the length of the comment that s starts with; comments nest.
+// commentLength returns the length of the comment that s starts with, -1 if it is not closed. Comments nest.
 func commentLength(s string) int {
 	depth := 0
 	for i := 0; i+1 < len(s); i++ {
@@ -120,35 +157,42 @@
 	return -1
 }
 
-func quotedLength(s string, q byte, escapes bool) int {
+// quotedLength returns the length of the quoted text that s starts with, -1 if it is not closed.
+func quotedLength(s string, quote byte, escapes bool) int {
 	for i := 1; i < len(s); i++ {
 		switch {
 		case escapes && s[i] == '\\':
 			i++
-		case s[i] == q && i+1 < len(s) && s[i+1] == q:
+		case s[i] != quote:
+		case i+1 < len(s) && s[i+1] == quote: // a doubled quote stands for itself
 			i++
-		case s[i] == q:
+		default:
 			return i + 1
 		}
 	}
 	return -1
 }
 
-// dollar returns the length of a dollar-quoted string, or 1 where s starts a parameter such as $1.
+// dollarQuotedLength returns the length of the dollar-quoted text that s starts with, -1 if it is not closed, or 1
+// where s starts with a parameter such as $1.
 func dollarQuotedLength(s string) int {
 	end := strings.IndexByte(s[1:], '$')
-	if end < 0 || end > 0 && (s[1] >= '0' && s[1] <= '9') {
+	if end < 0 {
+		return 1
+	}
+	name := s[1 : 1+end]
+	if name != "" && name[0] >= '0' && name[0] <= '9' {
 		return 1
 	}
-	for _, c := range []byte(s[1 : 1+end]) {
-		if !isWordByte(c) {
+	for i := range len(name) {
+		if !isWordByte(name[i]) {
 			return 1
 		}
 	}
 	tag := s[:end+2]
-	close := strings.Index(s[len(tag):], tag)
-	if close < 0 {
+	closing := strings.Index(s[len(tag):], tag)
+	if closing < 0 {
 		return -1
 	}
-	return len(tag) + close + len(tag)
+	return len(tag) + closing + len(tag)
 }
--- a/internal/frontend/extendedquery/unit_of_work.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -1,90 +1,150 @@
 package extendedquery
 
 import (
-	"strings"
-	"time"
-
-	"limeladder/internal/backend"
 	"limeladder/internal/frontend"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/requestcomment"
+	"limeladder/internal/router"
 )
 
-// Messages implements servers.Job: the statement is prepared anew on whichever db machine the attempt goes to, and
-// Sync stands behind it, so that nothing of it outlives the attempt.
-func (w *unitOfWork) Messages(left time.Duration) []byte {
-	p := w.statement.ParseMessage
-	p.Name, p.Query = "", w.statement.comment.WithDeadline(p.Query, left)
-	out := pgwire.AppendParse(nil, p)
-	if w.portal == nil {
-		out = pgwire.AppendTarget(out, 'D', 'S', "")
-		return pgwire.Append(out, 'S')
-	}
-	out = pgwire.AppendBind(out, pgwire.BindMessage{Rest: w.portal.bindRest})
-	if w.describe {
-		out = pgwire.AppendTarget(out, 'D', 'P', "")
+func (s *session) handleDescribe(body []byte) error {
+	kind, name, err := pgwire.Target(body)
+	if err != nil {
+		return err
 	}
-	if w.execute {
-		out = pgwire.AppendExecute(out, "", w.maxRows)
+	described := &operation{describe: true, receivedAt: s.conn.ReceivedAt()}
+	if kind == 'S' {
+		described.statement = s.statements[name]
+		if described.statement == nil {
+			s.reject(statementUndefined(name))
+			return nil
+		}
+	} else {
+		described.portal = s.portals[name]
+		if described.portal == nil {
+			s.reject(portalUndefined(name))
+			return nil
+		}
+		described.statement = described.portal.statement
 	}
-	return pgwire.Append(out, 'S')
+	s.pending = described
+	return nil
 }
 
-// Size is what it keeps, in bytes.
-func (w *unitOfWork) Size() int {
-	n := len(w.statement.Query)
-	if w.portal != nil {
-		n += len(w.portal.bindRest)
+func (s *session) handleExecute(body []byte) error {
+	name, maxRows, err := pgwire.Execute(body)
+	if err != nil {
+		return err
 	}
-	return n
+	target := s.portals[name]
+	if target == nil {
+		s.reject(portalUndefined(name))
+		return nil
+	}
+	if target.executed {
+		s.pending = nil
+		s.reject(errPortalExecuted)
+		return nil
+	}
+	target.executed = true
+	if s.pending == nil {
+		s.pending = &operation{statement: target.statement, portal: target}
+	}
+	s.pending.execute = true
+	s.pending.maxRows = maxRows
+	s.pending.receivedAt = s.conn.ReceivedAt()
+	return nil
 }
 
-// Whole implements servers.Job.
-func (w *unitOfWork) Complete(a *backend.Response) bool {
-	rest, ok := strings.CutPrefix(string(a.Types), "1")
-	if !ok {
-		return false
+func (s *session) handleSimpleQuery(body []byte) error {
+	sql, err := pgwire.Query(body)
+	if err != nil {
+		return err
 	}
-	if w.portal == nil {
-		return rest == "tT" || rest == "tn"
+	query, empty := frontend.NewSimpleQuery(sql)
+	if empty {
+		s.dropAllPortals() // an empty query ends the unit of work, like any simple query
+		s.flush()
+		s.conn.RespondToEmptyQuery()
+		return nil
 	}
-	if rest, ok = strings.CutPrefix(rest, "2"); !ok {
-		return false
+	comment, err := query.ParseComment()
+	if err != nil {
+		s.reject(invalidComment(err))
+		s.sync()
+		return nil
 	}
-	if w.describe {
-		if rest == "" || rest[0] != 'T' && rest[0] != 'n' {
-			return false
-		}
-		rest = rest[1:]
+	if fault := checkStatement(sql, s.classes.IsWrite(comment.Class)); fault != nil {
+		s.reject(fault)
+		s.sync()
+		return nil
 	}
-	if !w.execute {
-		return rest == ""
-	}
-	rest = strings.TrimLeft(rest, "D")
-	return rest == "C" || rest == "s" || rest == "I"
+	s.running = &operation{syncReceived: true}
+	s.flush()
+	request := requestOf(comment)
+	request.ReceivedAt = s.conn.ReceivedAt()
+	request.Job = simpleQueryJob{query}
+	s.submit(request)
+	return nil
+}
+
+// submitPending submits the pending operation. What came before it is answered first.
+func (s *session) submitPending() {
+	s.flush()
+	s.running = s.pending
+	s.pending = nil
+	request := requestOf(s.running.statement.comment)
+	request.ReceivedAt = s.running.receivedAt
+	request.Job = s.running
+	s.submit(request)
 }
 
-// Begins implements servers.Job.
-func (w *unitOfWork) StartsResponse(a *backend.Response) bool {
-	want := "12"
-	if w.describe {
-		want = "12T"
+// requestOf returns what a request comment says of a request.
+func requestOf(comment requestcomment.Head) router.Request {
+	return router.Request{
+		Label:       comment.ID,
+		Class:       comment.Class,
+		Group:       comment.Group,
+		Session:     comment.Session,
+		Deadline:    comment.Deadline,
+		MinPosition: comment.After,
+		Retry:       comment.Retry,
 	}
-	return w.execute && strings.TrimRight(string(a.Types), "D") == want
 }
 
-// rows is a simple query that may give any number of rows, or none.
-type simpleQueryJob struct{ *frontend.SimpleQuery }
+// submit hands a request to the router, and answers one that is invalid.
+func (s *session) submit(request router.Request) {
+	if err := s.conn.Submit(request, s); err != nil {
+		s.conn.MarkInvalid()
+		s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.InvalidRequestError(err))
+		s.finishRunning(true)
+		s.deferredMessage = nil // it is passed over, like everything up to Sync
+	}
+}
 
-// Whole implements servers.Job.
-func (r simpleQueryJob) Complete(a *backend.Response) bool {
-	rest, described := strings.CutPrefix(string(a.Types), "T")
-	if described {
-		rest = strings.TrimLeft(rest, "D")
+// finishRunning ends the operation that ran, and the unit of work if Sync stood behind it.
+func (s *session) finishRunning(failed bool) {
+	finished := s.running
+	s.running = nil
+	if failed {
+		s.skipToSync = true
+	} else {
+		s.bufferedResponses = append(s.bufferedResponses, finished.closeResponses...)
+	}
+	if finished.syncReceived {
+		s.sync()
 	}
-	return rest == "C" && r.MatchesTag(a.Shape.Tag)
 }
 
-// Begins implements servers.Job.
-func (r simpleQueryJob) StartsResponse(a *backend.Response) bool {
-	return strings.TrimRight(string(a.Types), "D") == "T"
+// completeRunning goes on behind the response to the operation that ran.
+func (s *session) completeRunning(failed bool) {
+	s.finishRunning(failed)
+	message := s.deferredMessage
+	s.deferredMessage = nil
+	s.conn.CompleteRequest(func() error {
+		if message == nil {
+			return nil
+		}
+		return s.HandleMessage(*message)
+	})
 }
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -3,280 +3,332 @@
 import (
 	"time"
 
-	"limeladder/internal/pgwire"
 	"limeladder/internal/router"
 )
 
-// Requests that a client sends without waiting for answers are in hand together, and their answers leave in the order of the
-// requests. One that is slow holds up the answers behind it, which the protocol asks for, but not the work: each is decided within
-// its own client's time.
+// pipeline holds the responses that are owed on one connection, in the order of their requests.
 //
-// What is done is what would be done one after the other. A write begins once all before it on the connection is decided, and a
-// read that has to see what was written before it waits for those writes. Other reads wait for nothing.
+// Requests that a client sends without waiting for responses are in flight concurrently, and their responses leave in
+// the order of the requests. A slow one delays the responses behind it, as the protocol demands, but not the work:
+// each request is decided within its own client's deadline.
+//
+// The effect is that of requests run one after the other. A write begins once all requests before it on the
+// connection are answered, and a read that has to see what was written before it waits for those writes. Other reads
+// wait for nothing.
+type pipeline struct {
+	slots        []*slot
+	backlogBytes int // of responses that wait for others
+}
+
+func (p *pipeline) empty() bool { return len(p.slots) == 0 }
+
+// newest returns the last slot, nil if there is none.
+func (p *pipeline) newest() *slot {
+	if p.empty() {
+		return nil
+	}
+	return p.slots[len(p.slots)-1]
+}
+
+// newestWaits reports whether the last request waits for others. At most the last one does, since nothing is read
+// behind it.
+func (p *pipeline) newestWaits() bool {
+	return !p.empty() && p.newest().state == slotWaiting
+}
+
+func (p *pipeline) add(s *slot) { p.slots = append(p.slots, s) }
 
-// Turn is the place of one answer in a connection's line.
+func (p *pipeline) removeFirst() { p.slots = p.slots[1:] }
+
+func (p *pipeline) removeAll() []*slot {
+	removed := p.slots
+	p.slots = nil
+	return removed
+}
+
+// concurrentWith returns how many requests before s are not answered, and ok = false if s has to wait for one of them.
+func (p *pipeline) concurrentWith(s *slot) (unanswered int, ok bool) {
+	for _, earlier := range p.slots {
+		if earlier == s {
+			break
+		}
+		if earlier.state == slotAnswered {
+			continue
+		}
+		unanswered++
+		if s.mustWaitFor(earlier) {
+			return unanswered, false
+		}
+	}
+	return unanswered, true
+}
+
+// slot is the place of one response in a connection's pipeline.
 type slot struct {
-	conn           *Conn
-	request        router.Request
-	responder      responder
-	ordering       router.Ordering
-	state          slotState
-	textOnly       bool        // it answers no request
-	requestID      string      // the core's handle, "" = it is not in its hands
-	statementBytes int         // bytes of its statement
-	reservedBytes  int         // bytes set aside for its answer, as others stand before it
-	buffered       []byte      // what waits for those before it
-	bufferedBytes  int         // what of it is counted
-	flow           router.Flow // of an answer that is passed on as it comes
-	started        bool        // it has left in part
+	conn      *Conn
+	request   router.Request
+	responder responder
+	ordering  router.Ordering
+	state     slotState
+	textOnly  bool   // it answers no request
+	requestID string // the router's name for the request, "" = the router doesn't have it
+
+	statementBytes int    // of the request
+	reservedBytes  int    // for the response, as others stand before it
+	buffered       []byte // the response, or the part that has come, while others stand before it
+	bufferedBytes  int    // what is counted for it
+
+	flow    router.Flow // source of a streamed response
+	started bool        // a part of the response has been sent
 }
 
 type slotState int
 
 const (
-	slotWaiting slotState = iota // for others of its connection
+	slotWaiting slotState = iota // for other requests of its connection
 	slotInFlight
 	slotAnswered
 )
 
-// Reply is a request's client that can also be told that the request is unfit.
+// responder is the client of a request who can also be told that the request is invalid.
 type responder interface {
 	router.Client
-	Invalid(err error)
+	rejectInvalid(err error)
 }
 
-// turnBytes is what a turn costs beside its bytes.
+// slotOverheadBytes is what a slot with a buffered response costs beside its bytes.
 const slotOverheadBytes = 256
 
-// Join hands a request to the core as soon as those before it on the connection let it, and t its place for the answer.
-func (c *Conn) enqueue(t *slot, q router.Request, to responder) {
-	q.Tenant, q.Client = c.user, c.address
-	*t = slot{conn: c, request: q, responder: to, ordering: c.frontend.router.OrderingOf(q.Class)}
-	c.slots = append(c.slots, t)
-	if !c.Reserve(c.messageBytes) {
-		c.frontend.router.RecordRejection(q, capacityRetryAfter)
-		to.Invalid(errNoCapacity)
+// enqueue adds a request to the pipeline, with s as the place of its response, and hands it to the router as soon as
+// the requests before it let it.
+func (c *Conn) enqueue(s *slot, request router.Request, client responder) {
+	request.Tenant = c.identity.user
+	request.Client = c.identity.address
+	*s = slot{
+		conn:      c,
+		request:   request,
+		responder: client,
+		ordering:  c.frontend.router.OrderingOf(request.Class),
+	}
+	c.pipeline.add(s)
+	statementBytes := c.input.messageBytes
+	if !c.Reserve(statementBytes) {
+		c.frontend.router.RecordRejection(request, capacityRetryAfter)
+		client.rejectInvalid(errNoCapacity)
 		return
 	}
-	t.statementBytes = c.messageBytes
+	s.statementBytes = statementBytes
 	c.acceptNewest()
 }
 
-// advance begins the newest request if it may be: nothing is read behind one that waits.
+// acceptNewest hands the newest request to the router if it waits and no longer has to.
 func (c *Conn) acceptNewest() {
-	if count := len(c.slots); count > 0 && c.slots[count-1].state == slotWaiting && c.mayAccept(c.slots[count-1]) {
-		t := c.slots[count-1]
-		t.state = slotInFlight
-		if t.ordering.ReadsOwnWrites {
-			t.request.MinPosition = c.commits.positionFor(&t.request)
-		}
-		id, err := c.frontend.router.Accept(t.request, t.responder)
-		if err != nil {
-			t.responder.Invalid(err)
-			return
-		}
-		t.requestID = id
+	if !c.pipeline.newestWaits() {
+		return
 	}
+	s := c.pipeline.newest()
+	if !c.mayBegin(s) {
+		return
+	}
+	s.state = slotInFlight
+	if s.ordering.ReadsOwnWrites {
+		s.request.MinPosition = c.commits.positionFor(&s.request)
+	}
+	id, err := c.frontend.router.Accept(s.request, s.responder)
+	if err != nil {
+		s.responder.rejectInvalid(err)
+		return
+	}
+	s.requestID = id
 }
 
-// may says whether a request can be begun beside those before it, and sets aside the room for its answer.
-func (c *Conn) mayAccept(t *slot) bool {
-	before := 0
-	for _, u := range c.slots {
-		if u == t {
-			break
-		}
-		if u.state == slotAnswered {
-			continue
-		}
-		before++
-		sees := t.ordering.ReadsAllWrites || t.ordering.ReadsOwnWrites && u.request.Session == t.request.Session
-		if t.ordering.Writes || u.ordering.Writes && sees || t.request.Label != "" && t.request.Label == u.request.Label {
-			return false
-		}
+// mayBegin reports whether a request may be in flight beside those before it, and reserves memory for its response.
+func (c *Conn) mayBegin(s *slot) bool {
+	before, ok := c.pipeline.concurrentWith(s)
+	if !ok || before == 0 {
+		return ok
 	}
 	lim := &c.frontend.limits
-	if before == 0 {
-		return true
+	if before >= lim.Frontend.ConcurrentRequests {
+		return false
 	}
-	// Guards the places of other connections' requests, and the memory: with half of the room for statements and answers taken, requests
-	// sent ahead wait until they are the first.
-	if before >= lim.Frontend.ConcurrentRequests || c.frontend.usedBytes()+lim.Backend.StreamThresholdBytes > lim.Frontend.BufferedBytes/2 || !c.Reserve(lim.Backend.StreamThresholdBytes) {
+	// With half of the memory taken, a request that was sent ahead waits until it is the first, so that pipelined
+	// requests leave memory, and places for requests, to other connections.
+	limit := lim.Frontend.BufferedBytes
+	responseBytes := lim.Backend.StreamThresholdBytes
+	if c.frontend.memory.used(limit)+responseBytes > limit/2 || !c.Reserve(responseBytes) {
 		return false
 	}
-	t.reservedBytes = lim.Backend.StreamThresholdBytes
+	s.reservedBytes = responseBytes
 	return true
 }
 
-// first says that no answer stands before it.
-func (t *slot) isFirst() bool { return len(t.conn.slots) > 0 && t.conn.slots[0] == t }
+// mustWaitFor reports whether the request may not begin before an earlier one is answered.
+func (s *slot) mustWaitFor(earlier *slot) bool {
+	if s.ordering.Writes || earlier.ordering.Writes && s.mustSeeWritesOf(earlier) {
+		return true
+	}
+	// The router takes one request at a time under one label.
+	return s.request.Label != "" && s.request.Label == earlier.request.Label
+}
 
-// keep adds to what waits for the answers before it.
-func (t *slot) buffer(message []byte) {
-	count := len(message)
-	if len(t.buffered) == 0 {
-		count += slotOverheadBytes
+func (s *slot) mustSeeWritesOf(earlier *slot) bool {
+	if s.ordering.ReadsAllWrites {
+		return true
 	}
-	t.buffered = append(t.buffered, message...)
-	t.bufferedBytes += count
-	t.conn.backlogBytes += count
-	t.conn.reservedBytes += count
-	t.conn.frontend.bufferedBytes += count
+	return s.ordering.ReadsOwnWrites && s.request.Session == earlier.request.Session
 }
 
-// free gives back what is kept of it.
-func (t *slot) takeBuffered() (message []byte) {
-	message, t.buffered = t.buffered, nil
-	t.conn.backlogBytes -= t.bufferedBytes
-	t.conn.Release(t.bufferedBytes)
-	t.bufferedBytes = 0
-	return message
+// isFirst reports whether no response stands before this one.
+func (s *slot) isFirst() bool { return !s.conn.pipeline.empty() && s.conn.pipeline.slots[0] == s }
+
+// buffer adds to what waits for the responses before it.
+func (s *slot) buffer(data []byte) {
+	bytes := len(data)
+	if len(s.buffered) == 0 {
+		bytes += slotOverheadBytes
+	}
+	s.buffered = append(s.buffered, data...)
+	s.bufferedBytes += bytes
+	s.conn.pipeline.backlogBytes += bytes
+	s.conn.memory.add(bytes)
+}
+
+// takeBuffered returns what was buffered and gives its memory back.
+func (s *slot) takeBuffered() []byte {
+	data := s.buffered
+	s.buffered = nil
+	s.conn.pipeline.backlogBytes -= s.bufferedBytes
+	s.conn.Release(s.bufferedBytes)
+	s.bufferedBytes = 0
+	return data
 }
 
-// Gone implements router.Client.
-func (t *slot) Disconnected(look bool) bool { return t.conn.Disconnected(look) }
+// Disconnected implements router.Client.
+func (s *slot) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
 
 // Committed implements router.Committer.
-func (t *slot) Committed(position time.Duration) {
-	t.conn.commits.record(t.request.Session, t.request.Group, position)
+func (s *slot) Committed(position time.Duration) {
+	s.conn.commits.record(s.request.Session, s.request.Group, position)
 }
 
-// Answer gives the answer, or what is left of it.
-func (t *slot) complete(message []byte) {
-	c := t.conn
-	c.Release(t.statementBytes + t.reservedBytes)
-	t.statementBytes, t.reservedBytes, t.requestID, t.flow, t.state = 0, 0, "", nil, slotAnswered
-	if c.closed {
+// complete ends the response with data, which is the whole of it unless a part was sent before.
+func (s *slot) complete(data []byte) {
+	c := s.conn
+	c.Release(s.statementBytes + s.reservedBytes)
+	s.statementBytes = 0
+	s.reservedBytes = 0
+	s.requestID = ""
+	s.flow = nil
+	s.state = slotAnswered
+	if c.lifetime.closed {
 		return
 	}
-	switch {
-	case !t.isFirst(), !t.started && c.backpressure():
-		t.buffer(message)
-	default: // what was passed on as it came is not held up at its end
-		c.flow = nil
-		c.slots = c.slots[1:]
-		c.write(message)
+	if s.mustBuffer() {
+		s.buffer(data)
+	} else {
+		c.output.flow = nil
+		c.pipeline.removeFirst()
+		c.write(data)
 		c.writeAnswered()
 	}
 	c.resume()
 }
 
-// stuffed says that the client has so much to take that no more is written for now, nor read; Taken goes on.
-func (c *Conn) backpressure() bool {
-	if !c.backpressured && c.socket.Unsent() > c.frontend.limits.Frontend.HighWaterBytes {
-		c.backpressured = true
-		c.socket.Await(c.frontend.limits.Frontend.LowWaterBytes)
-	}
-	return c.backpressured
+// mustBuffer reports whether the response can't be sent now. One of which a part was sent is not held up at its end.
+func (s *slot) mustBuffer() bool {
+	return !s.isFirst() || !s.started && s.conn.applyBackpressure()
 }
 
-// Stream begins an answer that is passed on as it comes. Its source is held until its turn: behind others, and while the client has
-// much to take.
-func (t *slot) startResponse(message []byte, f router.Flow) {
-	t.flow = f
-	if t.isFirst() && !t.conn.backpressure() {
-		t.passOn(message)
+// startResponse begins a response that is streamed as it comes. Its source is paused while other responses stand
+// before it, and while the client has much to read.
+func (s *slot) startResponse(data []byte, flow router.Flow) {
+	s.flow = flow
+	if s.isFirst() && !s.conn.applyBackpressure() {
+		s.send(data)
 		return
 	}
-	f.SetPaused(true)
-	t.buffer(message)
+	flow.SetPaused(true)
+	s.buffer(data)
 }
 
-// begin passes on what has come of an answer whose turn it is.
-func (t *slot) passOn(message []byte) {
-	t.started = true
-	t.conn.StartResponse(message, t.flow)
+// send sends what has come of a streamed response once it is the first.
+func (s *slot) send(data []byte) {
+	s.started = true
+	s.conn.StartResponse(data, s.flow)
 }
 
-// Part passes on the next piece. What the source had under way when it was held is kept.
-func (t *slot) ResponsePart(message []byte) {
+// ResponsePart implements router.Client. What the source had under way when it was paused is buffered.
+func (s *slot) ResponsePart(data []byte) {
 	switch {
-	case t.conn.closed:
-	case t.started:
-		t.conn.WriteResponsePart(message)
+	case s.conn.lifetime.closed:
+	case s.started:
+		s.conn.WriteResponsePart(data)
 	default:
-		t.buffer(message)
+		s.buffer(data)
 	}
 }
 
-// Cut ends an answer that was begun and will not become whole. Only the connection's end can say so, unless nothing of it has
-// left yet: then the given error takes its place.
-func (t *slot) truncate(instead []byte) {
-	t.requestID = ""
-	if t.conn.closed || t.started {
-		t.conn.TruncateResponse()
+// truncate ends a streamed response that will not become complete. Only the end of the connection can say so, unless
+// nothing of the response was sent yet: then the given error takes its place.
+func (s *slot) truncate(replacement []byte) {
+	s.requestID = ""
+	if s.conn.lifetime.closed || s.started {
+		s.conn.TruncateResponse()
 		return
 	}
-	t.takeBuffered()
-	t.complete(instead)
+	s.takeBuffered()
+	s.complete(replacement)
 }
 
-// settle writes the answers whose turn has come. Guards those that many requests in hand have got at once against Unread: a client that
-// takes them slowly gets them all.
+// writeAnswered sends the responses that no other one stands before. It stops while the client has much to read, since
+// many responses that became ready at once would exceed UnreadBytes: a client that reads them slowly gets them all.
 func (c *Conn) writeAnswered() {
-	for len(c.slots) > 0 && !c.closed && !c.backpressure() {
-		t := c.slots[0]
-		message := t.takeBuffered()
-		if t.state == slotAnswered {
-			c.slots = c.slots[1:]
-			c.write(message)
-			continue
-		}
-		c.Release(t.reservedBytes)
-		t.reservedBytes = 0
-		if t.flow != nil && !t.started {
-			t.passOn(message)
-			if !c.closed && c.socket.Unsent() <= c.frontend.limits.Frontend.HighWaterBytes {
-				t.flow.SetPaused(false)
-			}
+	for c.mayWriteFirst() {
+		s := c.pipeline.slots[0]
+		data := s.takeBuffered()
+		if s.state != slotAnswered {
+			c.sendUnanswered(s, data)
+			return
 		}
+		c.pipeline.removeFirst()
+		c.write(data)
+	}
+}
+
+func (c *Conn) mayWriteFirst() bool {
+	return !c.pipeline.empty() && !c.lifetime.closed && !c.applyBackpressure()
+}
+
+// sendUnanswered sends what has come of the first response, if it is a streamed one that waited for others.
+func (c *Conn) sendUnanswered(s *slot, data []byte) {
+	c.Release(s.reservedBytes)
+	s.reservedBytes = 0
+	if s.flow == nil || s.started {
 		return
 	}
+	s.send(data)
+	if !c.lifetime.closed && c.socket.Unsent() <= c.frontend.limits.Frontend.HighWaterBytes {
+		s.flow.SetPaused(false)
+	}
 }
 
-// next goes on behind an answer.
+// resume goes on behind a response: with the requests that waited for it, and with what was sent ahead.
 func (c *Conn) resume() {
-	if c.closed {
+	if c.lifetime.closed {
 		return
 	}
-	c.lastActiveAt = c.frontend.eventLoop.Now()
-	if c.closeWhenAnswered && len(c.slots) == 0 {
+	c.lifetime.lastActiveAt = c.frontend.eventLoop.Now()
+	if c.lifetime.closeWhenAnswered && c.pipeline.empty() {
 		c.Close()
 		return
 	}
-	waits := len(c.slots) > 0 && c.slots[len(c.slots)-1].state == slotWaiting
-	if (waits || c.reader.Waiting() > 0) && c.socket.Left(true) {
-		return // nothing of what it sent ahead is begun: its end is on its way here
+	sentAhead := c.pipeline.newestWaits() || c.input.reader.Waiting() > 0
+	if sentAhead && c.socket.Left(true) {
+		return // the client has gone: nothing of what it sent ahead is begun
 	}
 	c.acceptNewest()
 	c.readMessages()
 	c.accountInput()
 	c.closeIfDraining()
 }
-
-// busy says that an answer is owed.
-func (c *Conn) owesResponse() bool { return c.request != "" || len(c.slots) > 0 }
-
-// blocked says that no further message is read for now.
-func (c *Conn) blocked() bool {
-	count := len(c.slots)
-	return c.request != "" || c.closeWhenAnswered || count > 0 && c.slots[count-1].state == slotWaiting || c.backlogBytes > c.frontend.limits.Frontend.HighWaterBytes
-}
-
-// Quit ends the connection once what it was sent before is answered.
-func (c *Conn) CloseWhenAnswered() {
-	if c.closeWhenAnswered = true; !c.owesResponse() {
-		c.Close()
-	}
-}
-
-// last writes a fatal error in its turn, behind the answers that are owed, and ends the connection.
-func (c *Conn) closeWithErrorInOrder(code, text string) {
-	if !c.owesResponse() {
-		c.closeWithError(code, text)
-		return
-	}
-	c.frontend.logger.Debug("client turned away", "code", code, "why", text, "owed", len(c.slots))
-	c.Respond(pgwire.AppendError(nil, pgwire.Error{Fatal: true, Code: code, Message: text}))
-	c.closeWhenAnswered = true
-}
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -97,7 +97,7 @@
 	waitUntil(t, "the head is taken", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	waitUntil(t, "the other one has come", func() (came bool) {
-		runInLoop(loop, func() { came = len(conn.slots) == 2 })
+		runInLoop(loop, func() { came = len(conn.pipeline.slots) == 2 })
 		return came
 	})
 	came := loop.Now()
@@ -117,7 +117,9 @@
 	expectAccepted(t, fake, "a")
 	conn := onlyConnection(t, frontend, loop)
 	waitUntil(t, "all has come", func() (came bool) {
-		runInLoop(loop, func() { came = len(conn.slots) == 2 && conn.reader.Waiting() == len(labelled("c", "free")) })
+		runInLoop(loop, func() {
+			came = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(labelled("c", "free"))
+		})
 		return came
 	})
 	came := loop.Now()
@@ -191,8 +193,8 @@
 		t.Helper()
 		waitUntil(t, what+" waits", func() (is bool) {
 			runInLoop(loop, func() {
-				count := len(conn.slots)
-				is = count > 0 && conn.slots[count-1].state == slotWaiting && conn.slots[count-1].request.Label == what
+				count := len(conn.pipeline.slots)
+				is = count > 0 && conn.pipeline.slots[count-1].state == slotWaiting && conn.pipeline.slots[count-1].request.Label == what
 			})
 			return is
 		})
@@ -381,7 +383,7 @@
 	client := testserver.Dial(t, addr)
 	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("w", "waits"), labelled("c", "free")))
 	conn := onlyConnection(t, frontend, loop)
-	waitUntil(t, "the write waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.slots) == 3 }); return is })
+	waitUntil(t, "the write waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.pipeline.slots) == 3 }); return is })
 	fake.serve("b")
 	client.Close()
 	select {
@@ -395,7 +397,7 @@
 	runInLoop(loop, func() { fake.client("a").Served(valueResponse("a")) }) // too late
 	expectAccepted(t, fake, "a", "b")
 	waitUntil(t, "nothing of it is counted", func() (none bool) {
-		runInLoop(loop, func() { none = frontend.bufferedBytes == 0 && frontend.pipelinedBytes == 0 })
+		runInLoop(loop, func() { none = frontend.memory.bufferedBytes == 0 && frontend.memory.pipelinedBytes == 0 })
 		return none
 	})
 }
@@ -439,7 +441,7 @@
 	client := testserver.Dial(t, addr)
 	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("c", "free"), labelled("d", "free")))
 	conn := onlyConnection(t, frontend, loop)
-	waitUntil(t, "the third waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.slots) == 3 }); return is })
+	waitUntil(t, "the third waits", func() (is bool) { runInLoop(loop, func() { is = len(conn.pipeline.slots) == 3 }); return is })
 	expectAccepted(t, fake, "a", "b")
 	fake.serve("a")
 	expectAccepted(t, fake, "a", "b", "c")
@@ -448,7 +450,9 @@
 	fake.serve("d")
 	expectAnswers(t, client, "a", "b", "c", "d")
 	waitUntil(t, "nothing is counted", func() (none bool) {
-		runInLoop(loop, func() { none = frontend.bufferedBytes == 0 && frontend.pipelinedBytes == 0 && conn.backlogBytes == 0 })
+		runInLoop(loop, func() {
+			none = frontend.memory.bufferedBytes == 0 && frontend.memory.pipelinedBytes == 0 && conn.pipeline.backlogBytes == 0
+		})
 		return none
 	})
 }
@@ -471,7 +475,7 @@
 		client.Send(ahead)
 	}
 	waitUntil(t, "more has come than there is room for", func() (is bool) {
-		runInLoop(loop, func() { is = frontend.pipelinedBytes > lim.Frontend.BufferedBytes })
+		runInLoop(loop, func() { is = frontend.memory.pipelinedBytes > lim.Frontend.BufferedBytes })
 		return is
 	})
 	client := testserver.Dial(t, addr)
@@ -500,14 +504,14 @@
 		id := fmt.Sprint("r", count)
 		client.Send(labelled(id, "free"))
 		waitUntil(t, "it has come", func() (is bool) {
-			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.reader.Waiting() > 0 })
+			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.input.reader.Waiting() > 0 })
 			return is
 		})
 		runInLoop(loop, func() {
 			if q := fake.client(id); q != nil {
 				q.Served(valueResponse(long))
-			} else if conn.backlogBytes <= lim.Frontend.HighWaterBytes {
-				t.Errorf("%s is not begun with %d bytes waiting", id, conn.backlogBytes)
+			} else if conn.pipeline.backlogBytes <= lim.Frontend.HighWaterBytes {
+				t.Errorf("%s is not begun with %d bytes waiting", id, conn.pipeline.backlogBytes)
 			} else {
 				count-- // nor are those behind it
 			}
@@ -557,7 +561,7 @@
 		client.Send(labelled("more", "free"))
 		waitUntil(t, "it goes on", func() bool { return len(fake.labels()) == count+1 })
 		waitUntil(t, "nothing is counted", func() (none bool) {
-			runInLoop(loop, func() { none = conn.backlogBytes == 0 && frontend.pipelinedBytes == 0 })
+			runInLoop(loop, func() { none = conn.pipeline.backlogBytes == 0 && frontend.memory.pipelinedBytes == 0 })
 			return none
 		})
 	}
@@ -644,8 +648,8 @@
 				begin()
 			}
 			fake.client("a").Served(&backend.Response{Messages: rows})
-			if len(conn.slots) != 2 || !conn.backpressured {
-				t.Errorf("%d answers are owed, choked: %t", len(conn.slots), conn.backpressured)
+			if len(conn.pipeline.slots) != 2 || !conn.output.backpressured {
+				t.Errorf("%d answers are owed, choked: %t", len(conn.pipeline.slots), conn.output.backpressured)
 			}
 			if strings.HasPrefix(when, "begun then") {
 				begin()
@@ -672,7 +676,9 @@
 			expectAnswers(t, client, "long", "c")
 		}
 		waitUntil(t, "nothing is counted", func() (none bool) {
-			runInLoop(loop, func() { none = conn.backlogBytes == 0 && frontend.pipelinedBytes == 0 && conn.reservedBytes == 0 })
+			runInLoop(loop, func() {
+				none = conn.pipeline.backlogBytes == 0 && frontend.memory.pipelinedBytes == 0 && conn.memory.reservedBytes == 0
+			})
 			return none
 		})
 	}
--- a/internal/frontend/session_commits.go
+++ b/internal/frontend/session_commits.go
@@ -8,71 +8,80 @@
 	"limeladder/internal/router"
 )
 
-// commits are the positions of the writes that were made on one connection, as far as its client has not shown that it knows them. A
-// read carries the last position that its client had read when it sent it: what crossed the answer to a write on the way, or was sent
-// behind the write, can't carry that one. That an answer has left says nothing; a read of the session that carries the position does.
+// sessionCommits are the positions of the writes that were made on one connection, as far as its client has not shown
+// that it knows them. A read carries the last position that its client had read when it sent the read: one that
+// crossed the response to a write, or was sent behind the write, can't carry that write's position. That a response
+// has left proves nothing; a read of the session that carries the position does.
 type sessionCommits struct {
 	seed     maphash.Seed
 	sessions []commit // by session, the oldest first
-	groups   []commit // of sessions for which there is no room, by group: reads of all others of the group see them too
+	groups   []commit // of sessions that no longer have an entry, by replica group: other reads of the group see them
 }
 
 type commit struct {
-	session  uint64 // a hash: to keep the name would keep the statement that it stands in
+	session  uint64 // a hash, since the name would keep the whole statement in memory
 	group    int64
 	position time.Duration
 }
 
-// commitsMost bounds the sessions of one connection whose writes are told apart: 24 bytes each, as many as there are.
+// maxTrackedSessions bounds the sessions of one connection whose writes are told apart, at 24 bytes each.
 const maxTrackedSessions = 64
 
-// note enters a write that was made.
-func (m *sessionCommits) record(session string, group int64, position time.Duration) {
+// record adds a write.
+func (s *sessionCommits) record(session string, group int64, position time.Duration) {
 	if session == "" {
 		return
 	}
-	if m.seed == (maphash.Seed{}) {
-		m.seed = maphash.MakeSeed()
+	if s.seed == (maphash.Seed{}) {
+		s.seed = maphash.MakeSeed()
 	}
-	w := commit{maphash.String(m.seed, session), group, position}
-	if i := w.indexIn(m.sessions); i >= 0 {
-		w.position = max(position, m.sessions[i].position)
-		m.sessions = slices.Delete(m.sessions, i, i+1)
-	} else if len(m.sessions) >= maxTrackedSessions {
-		old := m.sessions[0]
-		old.session = 0
-		m.sessions = slices.Delete(m.sessions, 0, 1)
-		if i := old.indexIn(m.groups); i >= 0 {
-			m.groups[i].position = max(m.groups[i].position, old.position)
-		} else {
-			m.groups = append(m.groups, old) // as many as there are groups that take writes
-		}
+	write := commit{maphash.String(s.seed, session), group, position}
+	if i := write.indexIn(s.sessions); i >= 0 {
+		write.position = max(position, s.sessions[i].position)
+		s.sessions = slices.Delete(s.sessions, i, i+1)
+	} else if len(s.sessions) >= maxTrackedSessions {
+		s.mergeOldest()
+	}
+	s.sessions = append(s.sessions, write)
+}
+
+// mergeOldest moves the oldest session's write to those of its replica group.
+func (s *sessionCommits) mergeOldest() {
+	oldest := s.sessions[0]
+	oldest.session = 0
+	s.sessions = slices.Delete(s.sessions, 0, 1)
+	i := oldest.indexIn(s.groups)
+	if i < 0 {
+		s.groups = append(s.groups, oldest) // bounded by the number of groups that take writes
+		return
 	}
-	m.sessions = append(m.sessions, w)
+	s.groups[i].position = max(s.groups[i].position, oldest.position)
 }
 
-// see is the position that a read of a session has to see.
-func (m *sessionCommits) positionFor(q *router.Request) time.Duration {
-	after := q.MinPosition
-	if len(m.sessions)+len(m.groups) == 0 {
-		return after
+// positionFor returns the position that a read has to see. It forgets a write that the read proves to be known.
+func (s *sessionCommits) positionFor(request *router.Request) time.Duration {
+	position := request.MinPosition
+	if len(s.sessions)+len(s.groups) == 0 {
+		return position
 	}
-	r := commit{maphash.String(m.seed, q.Session), q.Group, 0}
-	if i := r.indexIn(m.sessions); i >= 0 {
-		if known := m.sessions[i].position; after < known {
-			after = known
+	read := commit{session: maphash.String(s.seed, request.Session), group: request.Group}
+	if i := read.indexIn(s.sessions); i >= 0 {
+		if written := s.sessions[i].position; position < written {
+			position = written
 		} else {
-			m.sessions = slices.Delete(m.sessions, i, i+1)
+			s.sessions = slices.Delete(s.sessions, i, i+1)
 		}
 	}
-	r.session = 0
-	if i := r.indexIn(m.groups); i >= 0 {
-		after = max(after, m.groups[i].position)
+	read.session = 0
+	if i := read.indexIn(s.groups); i >= 0 {
+		position = max(position, s.groups[i].position)
 	}
-	return after
+	return position
 }
 
-// in is where a commit of the same session and group stands, -1 = nowhere.
-func (w commit) indexIn(of []commit) int {
-	return slices.IndexFunc(of, func(c commit) bool { return c.session == w.session && c.group == w.group })
+// indexIn returns the index of the commit of the same session and group, -1 if there is none.
+func (c commit) indexIn(commits []commit) int {
+	return slices.IndexFunc(commits, func(other commit) bool {
+		return other.session == c.session && other.group == c.group
+	})
 }
--- a/internal/frontend/simple_query.go
+++ b/internal/frontend/simple_query.go
@@ -8,81 +8,106 @@
 	"limeladder/internal/router"
 )
 
-// Platform returns the Speaker of the platform's protocol.
+// NewSimpleQueryHandler returns the handler of the platform's protocol: simple queries, one statement each.
 func Platform(c *Conn) Speaker { return &simpleQueryHandler{Conn: c} }
 
 type simpleQueryHandler struct {
 	*Conn
-	skipToSync bool // an extended message was turned away: all up to Sync is passed over
+	skipToSync bool // an extended-query message was rejected: everything up to Sync is passed over
 }
 
-// Idle implements Speaker.
-func (c *simpleQueryHandler) Idle() bool { return !c.skipToSync }
+// Idle implements ProtocolHandler.
+func (h *simpleQueryHandler) Idle() bool { return !h.skipToSync }
 
-// Message implements Speaker.
-func (c *simpleQueryHandler) HandleMessage(m pgwire.Message) error {
-	if c.skipToSync && m.Type != 'S' && m.Type != 'X' {
+// HandleMessage implements ProtocolHandler.
+func (h *simpleQueryHandler) HandleMessage(message pgwire.Message) error {
+	if h.skips(message.Type) {
 		return nil
 	}
-	switch m.Type {
+	switch message.Type {
 	case 'Q':
-		sql, err := pgwire.Query(m.Body)
+		sql, err := pgwire.Query(message.Body)
 		if err != nil {
 			return err
 		}
-		c.handleQuery(sql)
+		h.handleQuery(sql)
 	case 'X':
-		c.CloseWhenAnswered()
+		h.CloseWhenAnswered()
 	case 'S':
-		c.skipToSync = false
-		c.Respond(pgwire.AppendReady(nil))
+		h.skipToSync = false
+		h.Respond(pgwire.AppendReady(nil))
 	case 'P', 'B', 'D', 'E', 'C', 'H', 'F':
-		c.MarkInvalid()
-		c.skipToSync = m.Type != 'F'
-		message := pgwire.AppendError(nil, pgwire.Error{Code: pgwire.NotSupported, Message: "simple queries only"})
-		if m.Type == 'F' {
-			message = pgwire.AppendReady(message)
-		}
-		c.Respond(message)
+		h.rejectUnsupported(message.Type)
 	default:
 		return pgwire.ErrFormat
 	}
 	return nil
 }
 
-func (c *simpleQueryHandler) handleQuery(sql string) {
-	job, blank := NewSimpleQuery(sql)
-	if blank {
-		c.RespondToEmptyQuery()
+func (h *simpleQueryHandler) skips(messageType byte) bool {
+	return h.skipToSync && messageType != 'S' && messageType != 'X'
+}
+
+// rejectUnsupported answers an extended-query message or a function call. The latter is followed by no Sync.
+func (h *simpleQueryHandler) rejectUnsupported(messageType byte) {
+	h.MarkInvalid()
+	isFunctionCall := messageType == 'F'
+	h.skipToSync = !isFunctionCall
+	response := pgwire.AppendError(nil, pgwire.Error{
+		Code:    errSimpleQueriesOnly.SQLSTATE,
+		Message: errSimpleQueriesOnly.Reason,
+	})
+	if isFunctionCall {
+		response = pgwire.AppendReady(response)
+	}
+	h.Respond(response)
+}
+
+func (h *simpleQueryHandler) handleQuery(sql string) {
+	job, empty := NewSimpleQuery(sql)
+	if empty {
+		h.RespondToEmptyQuery()
 		return
 	}
-	h, err := job.ParseComment()
+	comment, err := job.ParseComment()
 	if err != nil {
-		c.MarkInvalid()
-		c.Respond(pgwire.AppendReady(pgwire.AppendError(nil, InvalidRequestError(err))))
+		h.MarkInvalid()
+		h.Respond(pgwire.AppendReady(pgwire.AppendError(nil, InvalidRequestError(err))))
 		return
 	}
-	r := &simpleQueryResponder{}
-	c.enqueue(&r.slot, router.Request{
-		Label: h.ID, Class: h.Class, Group: h.Group, Session: h.Session, Deadline: h.Deadline,
-		ReceivedAt: c.ReceivedAt(), MinPosition: h.After, Retry: h.Retry, Job: job,
-	}, r)
+	responder := &simpleQueryResponder{}
+	h.enqueue(&responder.slot, router.Request{
+		Label:       comment.ID,
+		Class:       comment.Class,
+		Group:       comment.Group,
+		Session:     comment.Session,
+		Deadline:    comment.Deadline,
+		ReceivedAt:  h.ReceivedAt(),
+		MinPosition: comment.After,
+		Retry:       comment.Retry,
+		Job:         job,
+	}, responder)
 }
 
-// reply words the answer to one request.
+// simpleQueryResponder words the response to one simple query.
 type simpleQueryResponder struct{ slot }
 
 // Served implements router.Client.
-func (r *simpleQueryResponder) Served(a router.Response) {
-	r.complete(pgwire.AppendReady(a.(*backend.Response).Messages))
+func (r *simpleQueryResponder) Served(response router.Response) {
+	r.complete(pgwire.AppendReady(response.(*backend.Response).Messages))
 }
 
-// Begun implements router.Client.
-func (r *simpleQueryResponder) ResponseStarted(a router.Response, f router.Flow) {
-	r.startResponse(a.(*backend.Response).Messages, f)
+// ResponseStarted implements router.Client.
+func (r *simpleQueryResponder) ResponseStarted(response router.Response, flow router.Flow) {
+	r.startResponse(response.(*backend.Response).Messages, flow)
 }
 
-// Refused implements router.Client.
+// ResponseTruncated implements router.Client.
+func (r *simpleQueryResponder) ResponseTruncated() {
+	r.truncate(pgwire.AppendReady(pgwire.AppendError(nil, FailureError("its answer broke off"))))
+}
+
+// Rejected implements router.Client.
 func (r *simpleQueryResponder) Rejected(after time.Duration) {
 	r.respondWithError(RejectionError(after))
 }
@@ -90,13 +115,7 @@
 // Failed implements router.Client.
 func (r *simpleQueryResponder) Failed(why string) { r.respondWithError(FailureError(why)) }
 
-// Cut implements router.Client.
-func (r *simpleQueryResponder) ResponseTruncated() {
-	r.slot.truncate(pgwire.AppendReady(pgwire.AppendError(nil, FailureError("its answer broke off"))))
-}
-
-// Unfit implements Reply.
-func (r *simpleQueryResponder) Invalid(err error) {
+func (r *simpleQueryResponder) rejectInvalid(err error) {
 	r.conn.MarkInvalid()
 	r.respondWithError(InvalidRequestError(err))
 }
