--- a/internal/frontend/accounting.go
+++ b/internal/frontend/accounting.go
@@ -72,7 +72,7 @@
 	pipelined := c.owesResponse() || c.output.backpressured
 	c.memory.setUnparsed(c.input.reader.Waiting(), pipelined)
 	c.trackPartialMessage(pipelined)
-	full := c.mustWaitForMemory(pipelined)
+	full := c.memoryExhausted(pipelined)
 	if full && c.input.partial() {
 		c.input.lastDataAt = c.frontend.eventLoop.Now() // it is not the client's fault that nothing more comes
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// mustWaitForMemory reports whether no more is read of the client because the memory is taken.
-func (c *Conn) mustWaitForMemory(pipelined bool) bool {
+// memoryExhausted reports whether no more is read of the client because the memory is taken.
+func (c *Conn) memoryExhausted(pipelined bool) bool {
 	if c.memory.unparsedBytes == 0 {
 		return false
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -15,8 +15,8 @@
 // begun reports whether clients are to go elsewhere.
 func (d *drainState) begun() bool { return d.byOperator || d.shuttingDown }
 
-// waitsForIdle reports whether a connection without a request is closed once it was idle for a while.
-func (d *drainState) waitsForIdle() bool { return d.byOperator || d.graceful }
+// closesQuietConnections reports whether a connection without a request is closed once it was idle for a while.
+func (d *drainState) closesQuietConnections() bool { return d.byOperator || d.graceful }
 
 // SetDrained begins or ends a drain by an operator: the platform is told to send no more clients, new connections are
 // served what they bring, and each connection is closed right behind a response, or when it has been idle for a
@@ -41,9 +41,9 @@
 	}
 }
 
-// CloseIdleConnections closes also the connections that have not sent a request; requests in flight still get their responses. A
-// connection that has only just come may bring its first command, and a message that has come in part may become
-// complete, within UnusedIdle: a close would cross it.
+// CloseIdleConnections closes also the connections that have not sent a request; requests in flight still get their
+// responses. A connection that has only just come may bring its first command, and a message that has come in part
+// may become complete, within UnusedIdle: a close would cross it.
 func (f *Front) Finish() {
 	f.drain.closesIdle = true
 	f.drain.closesIdleSince = f.eventLoop.Now()
@@ -67,7 +67,7 @@
 func (f *Front) closeDrained(now time.Duration) {
 	for c := range f.connections {
 		switch {
-		case f.drain.waitsForIdle() && c.idleWhileDrained(now):
+		case f.drain.closesQuietConnections() && c.idleWhileDrained(now):
 			c.Close()
 		case f.drain.shuttingDown && !f.drain.graceful:
 			c.closeIfDraining()
--- a/internal/frontend/extendedquery/message_order_test.go
+++ b/internal/frontend/extendedquery/message_order_test.go
@@ -10,9 +10,9 @@
 	"limeladder/internal/testserver"
 )
 
-// Any messages in any order, cut anywhere, leave the connection in step: what is asked behind them is answered, and
-// no job runs more often than it was executed.
-func TestRandomOrders(t *testing.T) {
+// Any messages in any order, split anywhere, leave the connection in step: what is asked behind them is answered, and
+// no write runs more often than it was executed.
+func TestMessagesInRandomOrder(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
 	rng := rand.New(rand.NewPCG(11, 12))
--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -11,27 +11,31 @@
 	"limeladder/internal/testserver"
 )
 
-// A unit of work that waited behind another one for all of its time is refused and not run: its time runs from when it came. The one
-// behind it is served.
-func TestAUnitThatExpiredBehindAnotherIsNotRun(t *testing.T) {
+// A unit of work that waited behind another one until its deadline is rejected and not run, since its deadline runs
+// from when it came. The one behind it is served.
+func TestExpiredUnitOfWorkIsNotRun(t *testing.T) {
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
-		if id == "head" && typ == 'E' {
+	db := testserver.NewDB(t, true, func(messageType byte, id string) testserver.Act {
+		if id == "head" && messageType == 'E' {
 			asked <- true
 			<-goOn
 		}
 		return testserver.Act{}
 	})
 	client := testserver.Dial(t, start(t, db).addr)
-	client.Send(slices.Concat(prepare("a", statementText("head", "job", 2500)), prepare("b", statementText("late", "job", 300)), prepare("c", statementText("next", "job", 2500)),
-		pgwire.Append(nil, 'S')))
+	client.Send(slices.Concat(
+		prepare("a", statementText("head", "job", 2500)),
+		prepare("b", statementText("late", "job", 300)),
+		prepare("c", statementText("next", "job", 2500)),
+		pgwire.Append(nil, 'S'),
+	))
 	client.Until('Z')
 	sent := time.Now()
 	client.Send(slices.Concat(runStatement("a"), runStatement("b"), runStatement("c")))
 	<-asked
-	for time.Since(sent) < 310*time.Millisecond { // until the time of the second is over
+	for time.Since(sent) < 310*time.Millisecond { // until the deadline of the second has passed
 		time.Sleep(time.Millisecond)
 	}
 	release()
@@ -47,18 +51,22 @@
 	}
 }
 
-// A read of a session that was sent before its client had read the answer to its write, in the same bytes or across the answer's way, carries
-// the position of before. It sees the write all the same.
-func TestAUnitSentAcrossAWriteSeesIt(t *testing.T) {
+// A read of a session that was sent before its client had read the response to its write carries the position from
+// before the write, be it in the same bytes as the write or across the response on its way. It sees the write all the
+// same.
+func TestReadSentAcrossAWriteSeesIt(t *testing.T) {
 	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	second.Behind(time.Minute)
 	client := testserver.Dial(t, start(t, first, second).addr)
 	old := time.Now().Add(-2 * time.Minute).UnixMilli()
 	read := func(id string) []byte {
-		return prepare(id, fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */ SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''", id, old))
+		comment := fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */", id, old)
+		return prepare(id, comment+" SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''")
 	}
 	write := "/* id=write,c=job,d=2500,cluster=7 */ INSERT INTO facts (code, data) VALUES ('mine', $1) RETURNING data"
-	client.Send(slices.Concat(prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S')))
+	client.Send(slices.Concat(
+		prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S'),
+	))
 	client.Until('Z')
 	served := func(unit string) {
 		t.Helper()
--- /dev/null
+++ b/internal/frontend/fakes_test.go
@@ -0,0 +1,313 @@
+package frontend
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"limeladder/internal/backend"
+	"limeladder/internal/eventloop"
+	"limeladder/internal/limits"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/router"
+	"limeladder/internal/testserver"
+	"limeladder/internal/transport"
+)
+
+// fakeRouter answers requests by their class, on the event loop. The classes "served", "refused", "failed", "long"
+// and "cut" are answered at once, "odd" is unknown, and the tests answer the others: "free" reads wait for nothing,
+// "sees" reads wait for all writes, "own" reads wait for those of their session, and "waits" writes.
+type fakeRouter struct {
+	loop          *eventloop.Loop
+	acceptedCount atomic.Int32
+
+	rejections  atomic.Int32
+	disconnects chan string
+
+	source *fakeSource
+
+	newestRequest  atomic.Pointer[router.Request]
+	requests       []router.Request // owned by the event loop
+	clients        []router.Client  // of the requests
+	onUnknownClass func()           // called for a request of an unknown class
+}
+
+// OrderingOf implements Router.
+func (fake *fakeRouter) OrderingOf(class string) router.Ordering {
+	return router.Ordering{
+		Writes:         class == "waits",
+		ReadsOwnWrites: class == "own",
+		ReadsAllWrites: class != "free" && class != "own",
+	}
+}
+
+// RecordRejection implements Router.
+func (fake *fakeRouter) RecordRejection(router.Request, time.Duration) { fake.rejections.Add(1) }
+
+// Accept implements Router.
+func (fake *fakeRouter) Accept(request router.Request, client router.Client) (string, error) {
+	if request.Class == "odd" {
+		if fake.onUnknownClass != nil {
+			fake.onUnknownClass()
+		}
+		return "", router.ErrUnknownClass
+	}
+	fake.newestRequest.Store(&request)
+	fake.requests = append(fake.requests, request)
+	fake.clients = append(fake.clients, client)
+	fake.acceptedCount.Add(1)
+	fake.loop.Post(func() {
+		switch request.Class {
+		case "served":
+			text := request.Job.(*SimpleQuery).Messages(request.Deadline)
+			message := pgwire.Append(nil, 'T', []byte{0, 0})
+			message = pgwire.Append(message, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
+			client.Served(&backend.Response{Messages: pgwire.Append(message, 'C', []byte("SELECT 1\x00"))})
+		case "refused":
+			client.Rejected(1500 * time.Millisecond)
+		case "failed":
+			client.Failed("it may have run")
+		case "long", "cut":
+			fake.source = &fakeSource{router: fake, client: client, remaining: longRowBytes, truncates: request.Class == "cut"}
+			client.ResponseStarted(&backend.Response{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, fake.source)
+			client.ResponsePart(binary.BigEndian.AppendUint32([]byte{'D'}, longRowBytes+4))
+			fake.source.send()
+		}
+	})
+	return request.Label, nil
+}
+
+// Disconnect implements Router.
+func (fake *fakeRouter) Disconnect(id string) { fake.disconnects <- id }
+
+func (fake *fakeRouter) accepted() int { return int(fake.acceptedCount.Load()) }
+
+// labels returns the labels of the requests that were accepted so far, in order.
+func (fake *fakeRouter) labels() (ids []string) {
+	runInLoop(fake.loop, func() {
+		for _, q := range fake.requests {
+			ids = append(ids, q.Label)
+		}
+	})
+	return ids
+}
+
+// client returns the client of the request with the label, nil if there is none.
+func (fake *fakeRouter) client(id string) (c router.Client) {
+	for i, q := range fake.requests {
+		if q.Label == id {
+			c = fake.clients[i]
+		}
+	}
+	return c
+}
+
+// serve answers requests, each with its label as the value.
+func (fake *fakeRouter) serve(ids ...string) {
+	runInLoop(fake.loop, func() {
+		for _, id := range ids {
+			fake.client(id).Served(valueResponse(id))
+		}
+	})
+}
+
+const longRowBytes = 6 << 20
+
+// fakeSource streams a long row as fast as it may.
+type fakeSource struct {
+	router         *fakeRouter
+	client         router.Client
+	remaining      int
+	paused         bool
+	truncates      bool // it breaks off half way
+	maxUnsentBytes int
+}
+
+// SetPaused implements router.Flow.
+func (s *fakeSource) SetPaused(on bool) {
+	s.paused = on
+	if !on {
+		s.router.loop.Post(s.send)
+	}
+}
+
+func (s *fakeSource) send() {
+	for !s.paused && s.remaining > 0 {
+		count := min(s.remaining, 10_000)
+		s.remaining -= count
+		s.client.ResponsePart(make([]byte, count))
+		if c, ok := s.client.(*simpleQueryResponder); ok {
+			s.maxUnsentBytes = max(s.maxUnsentBytes, c.conn.socket.Unsent())
+		}
+		if s.truncates && s.remaining < longRowBytes/2 {
+			s.remaining = 0
+			s.client.ResponseTruncated()
+			return
+		}
+	}
+	if s.remaining == 0 && !s.paused {
+		s.remaining = -1
+		s.client.Served(&backend.Response{Messages: pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))})
+	}
+}
+
+// pauseRecorder is a router.Flow that only notes when it is paused.
+type pauseRecorder struct{ calls []bool }
+
+// SetPaused implements router.Flow.
+func (pauses *pauseRecorder) SetPaused(on bool) { pauses.calls = append(pauses.calls, on) }
+
+func defaultLimits() limits.Limits {
+	return limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
+}
+
+// start serves connections with the default limits.
+func start(tb testing.TB) (frontend *Front, fake *fakeRouter, loop *eventloop.Loop, addr string) {
+	tb.Helper()
+	return startWith(tb, defaultLimits())
+}
+
+// startWith serves connections with the given limits.
+func startWith(
+	tb testing.TB, lim limits.Limits,
+) (frontend *Front, fake *fakeRouter, loop *eventloop.Loop, addr string) {
+	tb.Helper()
+	loop = eventloop.New()
+	engine, err := transport.New(loop, 256, 1<<20)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	fake = &fakeRouter{loop: loop, disconnects: make(chan string, 9)}
+	frontend = New(loop, lim, logger, fake, Platform)
+	listener, err := engine.Listen("127.0.0.1:0", lim.Frontend.Connections, logger, frontend.Accept)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	go loop.Run(func() {})
+	tb.Cleanup(func() {
+		listener.Close()
+		loop.Stop()
+		engine.Stop()
+	})
+	return frontend, fake, loop, listener.Addr().String()
+}
+
+// statement returns a statement of the class.
+func statement(class string) string {
+	return fmt.Sprintf("/* id=i-%s,c=%s,d=900,cluster=1 */ SELECT 1", class, class)
+}
+
+// labelled returns the query of a request with a label and a class.
+func labelled(id, class string) []byte {
+	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT 1", id, class))
+}
+
+// valueResponse returns the response of one row of one column.
+func valueResponse(text string) *backend.Response {
+	message := pgwire.Append(nil, 'T', []byte{0, 0})
+	message = pgwire.Append(message, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, []byte(text))
+	return &backend.Response{Messages: pgwire.Append(message, 'C', []byte("SELECT 1\x00"))}
+}
+
+func concat(parts ...[]byte) []byte { return slices.Concat(parts...) }
+
+// dialSlow connects a client that reads what it is sent only by and by, and sends data.
+func dialSlow(t *testing.T, addr string, data []byte) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.(*net.TCPConn).SetReadBuffer(32 << 10)
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	write(t, conn, data)
+	return conn
+}
+
+func write(t *testing.T, conn net.Conn, data []byte) {
+	t.Helper()
+	if _, err := conn.Write(data); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitUntil waits for what the test has set in motion.
+func waitUntil(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("never: " + what)
+		}
+	}
+}
+
+// runInLoop runs f on the event loop.
+func runInLoop(loop *eventloop.Loop, f func()) {
+	done := make(chan bool)
+	loop.Post(func() {
+		f()
+		close(done)
+	})
+	<-done
+}
+
+// onlyConnection waits for the one connection, and returns it.
+func onlyConnection(t *testing.T, frontend *Front, loop *eventloop.Loop) (c *Conn) {
+	t.Helper()
+	waitUntil(t, "one connection", func() bool {
+		runInLoop(loop, func() {
+			for conn := range frontend.connections {
+				c = conn
+			}
+		})
+		return c != nil
+	})
+	return c
+}
+
+// waitForSlots waits until so many responses are owed on the connection.
+func waitForSlots(t *testing.T, loop *eventloop.Loop, conn *Conn, count int) {
+	t.Helper()
+	waitUntil(t, fmt.Sprintf("%d responses are owed", count), func() (owed bool) {
+		runInLoop(loop, func() { owed = len(conn.pipeline.slots) == count })
+		return owed
+	})
+}
+
+// expectAccepted waits until just these requests were accepted, in any order.
+func expectAccepted(t *testing.T, fake *fakeRouter, want ...string) {
+	t.Helper()
+	slices.Sort(want)
+	waitUntil(t, "taken: "+strings.Join(want, " "), func() bool { return len(fake.labels()) >= len(want) })
+	if got := fake.labels(); !slices.Equal(slices.Sorted(slices.Values(got)), want) {
+		t.Fatalf("taken %v, not %v", got, want)
+	}
+}
+
+// expectAnswers reads the responses that come: their values, or the codes of errors.
+func expectAnswers(t *testing.T, client *testserver.Client, want ...string) {
+	t.Helper()
+	for i, w := range want {
+		answer := client.Until('Z')
+		got := answer.Code + strings.Map(dropControlCharacters, answer.Value)
+		if got != w {
+			answer.Value = answer.Value[:min(len(answer.Value), 20)]
+			t.Fatalf("answer %d of %d, wanted %.20s, is %+v", i, len(want), w, answer)
+		}
+	}
+}
+
+func dropControlCharacters(r rune) rune {
+	if r < ' ' {
+		return -1
+	}
+	return r
+}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -71,8 +71,8 @@
 	return f
 }
 
-// IdentifyClients makes requests carry the user name and the address of their client, for the audit record. It is called before
-// the first connection.
+// IdentifyClients makes requests carry the user name and the address of their client, for the audit record. It is
+// called before the first connection.
 func (f *Front) Name() { f.identifiesClients = true }
 
 // SetReady makes empty queries succeed from now on: the platform sends clients after that.
--- a/internal/frontend/message_reading.go
+++ b/internal/frontend/message_reading.go
@@ -76,7 +76,7 @@
 	if c.exclusive.inFlight() || c.lifetime.closeWhenAnswered {
 		return true
 	}
-	return c.pipeline.newestWaits() || c.pipeline.backlogBytes > c.frontend.limits.Frontend.HighWaterBytes
+	return c.pipeline.newestQueued() || c.pipeline.backlogBytes > c.frontend.limits.Frontend.HighWaterBytes
 }
 
 func (c *Conn) handleMessage(message pgwire.Message) error {
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -30,10 +30,10 @@
 	return p.slots[len(p.slots)-1]
 }
 
-// newestWaits reports whether the last request waits for others. At most the last one does, since nothing is read
+// newestQueued reports whether the last request waits for others. At most the last one does, since nothing is read
 // behind it.
-func (p *pipeline) newestWaits() bool {
-	return !p.empty() && p.newest().state == slotWaiting
+func (p *pipeline) newestQueued() bool {
+	return !p.empty() && p.newest().state == slotQueued
 }
 
 func (p *pipeline) add(s *slot) { p.slots = append(p.slots, s) }
@@ -56,7 +56,7 @@
 			continue
 		}
 		unanswered++
-		if s.mustWaitFor(earlier) {
+		if s.dependsOn(earlier) {
 			return unanswered, false
 		}
 	}
@@ -85,7 +85,7 @@
 type slotState int
 
 const (
-	slotWaiting slotState = iota // for other requests of its connection
+	slotQueued slotState = iota // for other requests of its connection
 	slotInFlight
 	slotAnswered
 )
@@ -123,7 +123,7 @@
 
 // acceptNewest hands the newest request to the router if it waits and no longer has to.
 func (c *Conn) acceptNewest() {
-	if !c.pipeline.newestWaits() {
+	if !c.pipeline.newestQueued() {
 		return
 	}
 	s := c.pipeline.newest()
@@ -163,8 +163,8 @@
 	return true
 }
 
-// mustWaitFor reports whether the request may not begin before an earlier one is answered.
-func (s *slot) mustWaitFor(earlier *slot) bool {
+// dependsOn reports whether the request may not begin before an earlier one is answered.
+func (s *slot) dependsOn(earlier *slot) bool {
 	if s.ordering.Writes || earlier.ordering.Writes && s.mustSeeWritesOf(earlier) {
 		return true
 	}
@@ -323,7 +323,7 @@
 		c.Close()
 		return
 	}
-	sentAhead := c.pipeline.newestWaits() || c.input.reader.Waiting() > 0
+	sentAhead := c.pipeline.newestQueued() || c.input.reader.Waiting() > 0
 	if sentAhead && c.socket.Left(true) {
 		return // the client has gone: nothing of what it sent ahead is begun
 	}
--- a/internal/frontend/pipeline_bench_test.go
+++ b/internal/frontend/pipeline_bench_test.go
@@ -8,13 +8,15 @@
 	"limeladder/internal/testserver"
 )
 
-// BenchmarkOneRequest is a client that asks one thing at a time, over a socket and the front to a core that answers at once.
+// BenchmarkOneRequest measures a client that asks one thing at a time, over a socket and the frontend to a router
+// that answers at once.
 func BenchmarkOneRequest(b *testing.B) { benchmarkPipelined(b, 1) }
 
-// BenchmarkTenInOneWrite is one that sends ten requests in one write.
+// BenchmarkTenInOneWrite measures one that sends ten requests in one write.
 func BenchmarkTenInOneWrite(b *testing.B) { benchmarkPipelined(b, 10) }
 
 func benchmarkPipelined(b *testing.B, count int) {
+	b.Helper()
 	_, _, _, addr := start(b)
 	client := testserver.Dial(b, addr)
 	message := bytes.Repeat(pgwire.AppendQuery(nil, statement("refused")), count)
