--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -11,33 +11,37 @@
 	"limeladder/internal/testserver"
 )
 
-// A unit of work that waited behind another one for all of its time is refused and not run: its time runs from when it came. The one
-// behind it is served.
-func TestAUnitThatExpiredBehindAnotherIsNotRun(t *testing.T) {
+// A unit of work that waited behind another one until its deadline is rejected and not run, since its deadline runs
+// from when it came. The one behind it is served.
+func TestExpiredUnitOfWorkIsNotRun(t *testing.T) {
 	asked, goOn := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(goOn) })
 	defer release()
-	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
-		if id == "head" && typ == 'E' {
+	db := testserver.NewDB(t, true, func(messageType byte, id string) testserver.Act {
+		if id == "head" && messageType == 'E' {
 			asked <- true
 			<-goOn
 		}
 		return testserver.Act{}
 	})
-	c := testserver.Dial(t, start(t, db).addr)
-	c.Send(slices.Concat(prepare("a", sql("head", "job", 2500)), prepare("b", sql("late", "job", 300)), prepare("c", sql("next", "job", 2500)),
-		pgwire.Append(nil, 'S')))
-	c.Until('Z')
+	client := testserver.Dial(t, start(t, db).addr)
+	client.Send(slices.Concat(
+		prepare("a", statementText("head", "job", 2500)),
+		prepare("b", statementText("late", "job", 300)),
+		prepare("c", statementText("next", "job", 2500)),
+		pgwire.Append(nil, 'S'),
+	))
+	client.Until('Z')
 	sent := time.Now()
-	c.Send(slices.Concat(unit("a"), unit("b"), unit("c")))
+	client.Send(slices.Concat(runStatement("a"), runStatement("b"), runStatement("c")))
 	<-asked
-	for time.Since(sent) < 310*time.Millisecond { // until the time of the second is over
+	for time.Since(sent) < 310*time.Millisecond { // until the deadline of the second has passed
 		time.Sleep(time.Millisecond)
 	}
 	release()
 	for i, code := range []string{"", pgwire.TooManyConnections, ""} {
-		if a := c.Until('Z'); a.Code != code || a.Ended {
-			t.Fatalf("unit %d: %+v", i, a)
+		if answer := client.Until('Z'); answer.Code != code || answer.Ended {
+			t.Fatalf("unit %d: %+v", i, answer)
 		}
 	}
 	for id, want := range map[string]int{"head": 1, "late": 0, "next": 1} {
@@ -47,31 +51,35 @@
 	}
 }
 
-// A read of a session that was sent before its client had read the answer to its write, in the same bytes or across the answer's way, carries
-// the position of before. It sees the write all the same.
-func TestAUnitSentAcrossAWriteSeesIt(t *testing.T) {
+// A read of a session that was sent before its client had read the response to its write carries the position from
+// before the write, be it in the same bytes as the write or across the response on its way. It sees the write all the
+// same.
+func TestReadSentAcrossAWriteSeesIt(t *testing.T) {
 	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	second.Behind(time.Minute)
-	c := testserver.Dial(t, start(t, first, second).addr)
+	client := testserver.Dial(t, start(t, first, second).addr)
 	old := time.Now().Add(-2 * time.Minute).UnixMilli()
 	read := func(id string) []byte {
-		return prepare(id, fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */ SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''", id, old))
+		comment := fmt.Sprintf("/* id=%s,c=own,d=2500,cluster=7,after=%d */", id, old)
+		return prepare(id, comment+" SELECT data FROM facts WHERE code = 'mine' AND $1 <> ''")
 	}
 	write := "/* id=write,c=job,d=2500,cluster=7 */ INSERT INTO facts (code, data) VALUES ('mine', $1) RETURNING data"
-	c.Send(slices.Concat(prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S')))
-	c.Until('Z')
+	client.Send(slices.Concat(
+		prepare("write", write), read("before"), read("ahead"), read("crossing"), pgwire.Append(nil, 'S'),
+	))
+	client.Until('Z')
 	served := func(unit string) {
 		t.Helper()
-		if a := c.Until('Z'); a.Code != "" || a.Ended {
-			t.Fatalf("%s: %+v", unit, a)
+		if answer := client.Until('Z'); answer.Code != "" || answer.Ended {
+			t.Fatalf("%s: %+v", unit, answer)
 		}
 	}
-	c.Send(unit("before"))
+	client.Send(runStatement("before"))
 	served("before")
-	c.Send(slices.Concat(unit("write"), unit("ahead")))
+	client.Send(slices.Concat(runStatement("write"), runStatement("ahead")))
 	served("write")
 	served("ahead")
-	c.Send(unit("crossing"))
+	client.Send(runStatement("crossing"))
 	served("crossing")
 	for id, want := range map[string][2]int{"before": {0, 1}, "write": {1, 0}, "ahead": {1, 0}, "crossing": {1, 0}} {
 		if got := [2]int{first.Runs(id), second.Runs(id)}; got != want {
--- /dev/null
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -0,0 +1,150 @@
+package extendedquery
+
+import (
+	"limeladder/internal/frontend"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/requestcomment"
+	"limeladder/internal/router"
+)
+
+func (s *session) handleDescribe(body []byte) error {
+	kind, name, err := pgwire.Target(body)
+	if err != nil {
+		return err
+	}
+	described := &operation{describe: true, receivedAt: s.conn.ReceivedAt()}
+	if kind == 'S' {
+		described.statement = s.statements[name]
+		if described.statement == nil {
+			s.reject(statementUndefined(name))
+			return nil
+		}
+	} else {
+		described.portal = s.portals[name]
+		if described.portal == nil {
+			s.reject(portalUndefined(name))
+			return nil
+		}
+		described.statement = described.portal.statement
+	}
+	s.pending = described
+	return nil
+}
+
+func (s *session) handleExecute(body []byte) error {
+	name, maxRows, err := pgwire.Execute(body)
+	if err != nil {
+		return err
+	}
+	target := s.portals[name]
+	if target == nil {
+		s.reject(portalUndefined(name))
+		return nil
+	}
+	if target.executed {
+		s.pending = nil
+		s.reject(errPortalExecuted)
+		return nil
+	}
+	target.executed = true
+	if s.pending == nil {
+		s.pending = &operation{statement: target.statement, portal: target}
+	}
+	s.pending.execute = true
+	s.pending.maxRows = maxRows
+	s.pending.receivedAt = s.conn.ReceivedAt()
+	return nil
+}
+
+func (s *session) handleSimpleQuery(body []byte) error {
+	sql, err := pgwire.Query(body)
+	if err != nil {
+		return err
+	}
+	query, empty := frontend.NewSimpleQuery(sql)
+	if empty {
+		s.dropAllPortals() // an empty query ends the unit of work, like any simple query
+		s.flush()
+		s.conn.RespondToEmptyQuery()
+		return nil
+	}
+	comment, err := query.ParseComment()
+	if err != nil {
+		s.reject(invalidComment(err))
+		s.sync()
+		return nil
+	}
+	if fault := checkStatement(sql, s.classes.IsWrite(comment.Class)); fault != nil {
+		s.reject(fault)
+		s.sync()
+		return nil
+	}
+	s.running = &operation{syncReceived: true}
+	s.flush()
+	request := requestOf(comment)
+	request.ReceivedAt = s.conn.ReceivedAt()
+	request.Job = simpleQueryJob{query}
+	s.submit(request)
+	return nil
+}
+
+// submitPending submits the pending operation. What came before it is answered first.
+func (s *session) submitPending() {
+	s.flush()
+	s.running = s.pending
+	s.pending = nil
+	request := requestOf(s.running.statement.comment)
+	request.ReceivedAt = s.running.receivedAt
+	request.Job = s.running
+	s.submit(request)
+}
+
+// requestOf returns what a request comment says of a request.
+func requestOf(comment requestcomment.Head) router.Request {
+	return router.Request{
+		Label:       comment.ID,
+		Class:       comment.Class,
+		Group:       comment.Group,
+		Session:     comment.Session,
+		Deadline:    comment.Deadline,
+		MinPosition: comment.After,
+		Retry:       comment.Retry,
+	}
+}
+
+// submit hands a request to the router, and answers one that is invalid.
+func (s *session) submit(request router.Request) {
+	if err := s.conn.Submit(request, s); err != nil {
+		s.conn.MarkInvalid()
+		s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.InvalidRequestError(err))
+		s.finishRunning(true)
+		s.deferredMessage = nil // it is passed over, like everything up to Sync
+	}
+}
+
+// finishRunning ends the operation that ran, and the unit of work if Sync stood behind it.
+func (s *session) finishRunning(failed bool) {
+	finished := s.running
+	s.running = nil
+	if failed {
+		s.skipToSync = true
+	} else {
+		s.bufferedResponses = append(s.bufferedResponses, finished.closeResponses...)
+	}
+	if finished.syncReceived {
+		s.sync()
+	}
+}
+
+// completeRunning goes on behind the response to the operation that ran.
+func (s *session) completeRunning(failed bool) {
+	s.finishRunning(failed)
+	message := s.deferredMessage
+	s.deferredMessage = nil
+	s.conn.CompleteRequest(func() error {
+		if message == nil {
+			return nil
+		}
+		return s.HandleMessage(*message)
+	})
+}
--- /dev/null
+++ b/internal/frontend/simple_query.go
@@ -0,0 +1,125 @@
+package frontend
+
+import (
+	"time"
+
+	"limeladder/internal/backend"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/router"
+)
+
+// NewSimpleQueryHandler returns the handler of the platform's protocol: simple queries, one statement each.
+func Platform(c *Conn) Speaker { return &simpleQueryHandler{Conn: c} }
+
+type simpleQueryHandler struct {
+	*Conn
+	skipToSync bool // an extended-query message was rejected: everything up to Sync is passed over
+}
+
+// Idle implements ProtocolHandler.
+func (h *simpleQueryHandler) Idle() bool { return !h.skipToSync }
+
+// HandleMessage implements ProtocolHandler.
+func (h *simpleQueryHandler) HandleMessage(message pgwire.Message) error {
+	if h.skips(message.Type) {
+		return nil
+	}
+	switch message.Type {
+	case 'Q':
+		sql, err := pgwire.Query(message.Body)
+		if err != nil {
+			return err
+		}
+		h.handleQuery(sql)
+	case 'X':
+		h.CloseWhenAnswered()
+	case 'S':
+		h.skipToSync = false
+		h.Respond(pgwire.AppendReady(nil))
+	case 'P', 'B', 'D', 'E', 'C', 'H', 'F':
+		h.rejectUnsupported(message.Type)
+	default:
+		return pgwire.ErrFormat
+	}
+	return nil
+}
+
+func (h *simpleQueryHandler) skips(messageType byte) bool {
+	return h.skipToSync && messageType != 'S' && messageType != 'X'
+}
+
+// rejectUnsupported answers an extended-query message or a function call. The latter is followed by no Sync.
+func (h *simpleQueryHandler) rejectUnsupported(messageType byte) {
+	h.MarkInvalid()
+	isFunctionCall := messageType == 'F'
+	h.skipToSync = !isFunctionCall
+	response := pgwire.AppendError(nil, pgwire.Error{
+		Code:    errSimpleQueriesOnly.SQLSTATE,
+		Message: errSimpleQueriesOnly.Reason,
+	})
+	if isFunctionCall {
+		response = pgwire.AppendReady(response)
+	}
+	h.Respond(response)
+}
+
+func (h *simpleQueryHandler) handleQuery(sql string) {
+	job, empty := NewSimpleQuery(sql)
+	if empty {
+		h.RespondToEmptyQuery()
+		return
+	}
+	comment, err := job.ParseComment()
+	if err != nil {
+		h.MarkInvalid()
+		h.Respond(pgwire.AppendReady(pgwire.AppendError(nil, InvalidRequestError(err))))
+		return
+	}
+	responder := &simpleQueryResponder{}
+	h.enqueue(&responder.slot, router.Request{
+		Label:       comment.ID,
+		Class:       comment.Class,
+		Group:       comment.Group,
+		Session:     comment.Session,
+		Deadline:    comment.Deadline,
+		ReceivedAt:  h.ReceivedAt(),
+		MinPosition: comment.After,
+		Retry:       comment.Retry,
+		Job:         job,
+	}, responder)
+}
+
+// simpleQueryResponder words the response to one simple query.
+type simpleQueryResponder struct{ slot }
+
+// Served implements router.Client.
+func (r *simpleQueryResponder) Served(response router.Response) {
+	r.complete(pgwire.AppendReady(response.(*backend.Response).Messages))
+}
+
+// ResponseStarted implements router.Client.
+func (r *simpleQueryResponder) ResponseStarted(response router.Response, flow router.Flow) {
+	r.startResponse(response.(*backend.Response).Messages, flow)
+}
+
+// ResponseTruncated implements router.Client.
+func (r *simpleQueryResponder) ResponseTruncated() {
+	r.truncate(pgwire.AppendReady(pgwire.AppendError(nil, FailureError("its answer broke off"))))
+}
+
+// Rejected implements router.Client.
+func (r *simpleQueryResponder) Rejected(after time.Duration) {
+	r.respondWithError(RejectionError(after))
+}
+
+// Failed implements router.Client.
+func (r *simpleQueryResponder) Failed(why string) { r.respondWithError(FailureError(why)) }
+
+func (r *simpleQueryResponder) rejectInvalid(err error) {
+	r.conn.MarkInvalid()
+	r.respondWithError(InvalidRequestError(err))
+}
+
+func (r *simpleQueryResponder) respondWithError(e pgwire.Error) {
+	r.complete(pgwire.AppendReady(pgwire.AppendError(nil, e)))
+}
