--- a/cmd/limeladder/admin.go
+++ b/cmd/limeladder/admin.go
@@ -27,11 +27,11 @@
 }
 
 // Takes implements adminapi.Router.
-func (d *daemon) Takes() bool { return d.listeners.platform().Takes() }
+func (d *daemon) AcceptsClients() bool { return d.listeners.platform().AcceptsClients() }
 
 // Suspend implements adminapi.Router. The operator is answered once the suspension is in the shared state, because it
 // must hold in the next process too.
-func (d *daemon) Suspend(id string, suspended bool, done func(known bool)) {
+func (d *daemon) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !d.knownEndpoints.contains(id) {
 		done(false)
 		return
@@ -52,7 +52,7 @@
 }
 
 // Drain implements adminapi.Router.
-func (d *daemon) Drain(drained bool, done func()) {
+func (d *daemon) SetDrained(drained bool, done func()) {
 	d.setDrained(drained, requestedByOperator)
 	d.hotRestart.shared.SetDrained(drained, func() { d.loop.PostUrgent(done) })
 }
--- a/cmd/limeladder/daemon_test.go
+++ b/cmd/limeladder/daemon_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	eventually(t, "ready", func() bool {
 		ready := false
-		runInLoop(d, func() { ready = d.listeners.platform().Takes() })
+		runInLoop(d, func() { ready = d.listeners.platform().AcceptsClients() })
 		return ready
 	})
 }
--- a/cmd/limeladder/failover.go
+++ b/cmd/limeladder/failover.go
@@ -141,7 +141,7 @@
 }
 
 // Cells implements adminapi.Router.
-func (d *daemon) Cells() (encoded []byte, off bool) {
+func (d *daemon) FailoverState() (encoded []byte, off bool) {
 	if !d.failoverQueueEnabled() {
 		return nil, true
 	}
@@ -174,7 +174,7 @@
 	}
 	for _, transition := range view.History {
 		status.History = append(status.History, transitionStatus{
-			AgoMs:     (now - transition.At).Milliseconds(),
+			AgoMs:     (now - transition.OccurredAt).Milliseconds(),
 			FromPhase: transition.From.String(),
 			ToPhase:   transition.To.String(),
 			Evidence:  transition.Evidence.String(),
@@ -186,7 +186,7 @@
 }
 
 // Changeover implements adminapi.Router.
-func (d *daemon) Changeover(group int64, within time.Duration) (known, off bool) {
+func (d *daemon) AnnounceFailover(group int64, within time.Duration) (known, off bool) {
 	if !d.failoverQueueEnabled() {
 		return false, true
 	}
--- a/cmd/limeladder/failover_scenario_test.go
+++ b/cmd/limeladder/failover_scenario_test.go
@@ -162,7 +162,7 @@
 // suspend makes an operator suspend a server.
 func (s *failoverScenario) suspend(server *testserver.DB) {
 	suspended := make(chan bool)
-	s.daemon.loop.PostUrgent(func() { s.daemon.Suspend(server.Addr, true, func(bool) { close(suspended) }) })
+	s.daemon.loop.PostUrgent(func() { s.daemon.SetSuspended(server.Addr, true, func(bool) { close(suspended) }) })
 	<-suspended
 }
 
@@ -170,7 +170,7 @@
 func (s *failoverScenario) announceFailover(group int) {
 	announced := make(chan bool)
 	s.daemon.loop.PostUrgent(func() {
-		s.daemon.Changeover(int64(firstGroup+group), 3*time.Second)
+		s.daemon.AnnounceFailover(int64(firstGroup+group), 3*time.Second)
 		close(announced)
 	})
 	<-announced
--- a/cmd/limeladder/hot_restart.go
+++ b/cmd/limeladder/hot_restart.go
@@ -115,7 +115,7 @@
 	d.applyMemoryLimits()
 	d.pool.SetLimits(d.limits)
 	for _, listener := range d.listeners.open {
-		listener.Limit(d.limits)
+		listener.SetLimits(d.limits)
 		listener.socket.Resize(d.acceptLimit())
 	}
 }
--- a/cmd/limeladder/listeners.go
+++ b/cmd/limeladder/listeners.go
@@ -21,7 +21,7 @@
 
 // clientListener is one address where clients connect, with the connections that it has accepted.
 type clientListener struct {
-	*frontend.Front
+	*frontend.Frontend
 	socket *transport.Listener
 }
 
@@ -44,7 +44,7 @@
 func (l *listeners) openConnections() int {
 	total := 0
 	for _, listener := range l.open {
-		total += listener.Open()
+		total += listener.ConnectionCount()
 	}
 	return total
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	d.serveClients(platformListenSetting, cfg.Inherited, socket, frontend.Platform)
+	d.serveClients(platformListenSetting, cfg.Inherited, socket, frontend.NewSimpleQueryHandler)
 	return d.startExtendedQueryListener()
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", extendedQueryListenSetting, err)
 	}
-	d.serveClients(extendedQueryListenSetting, 0, socket, extendedquery.New(d.core))
+	d.serveClients(extendedQueryListenSetting, 0, socket, extendedquery.NewHandler(d.core))
 	return nil
 }
 
@@ -108,15 +108,15 @@
 	setting string,
 	inheritedDescriptor int,
 	socket net.Listener,
-	newHandler func(*frontend.Conn) frontend.Speaker,
+	newHandler func(*frontend.Conn) frontend.ProtocolHandler,
 ) {
 	front := frontend.New(d.loop, d.limits, d.log, d.core, newHandler)
 	if d.recording != nil {
-		front.Name()
+		front.IdentifyClients()
 	}
-	front.Empty(d.listeners.drained)
+	front.SetDrained(d.listeners.drained)
 	if d.listeners.ready {
-		front.Ready()
+		front.SetReady()
 	}
 	listener := d.engine.Serve(socket, d.acceptLimit(), d.loop.Post, d.log, front.Accept)
 	d.log.Info("listening",
@@ -131,7 +131,7 @@
 	}
 	d.listeners.ready = true
 	for _, listener := range d.listeners.open {
-		listener.Ready()
+		listener.SetReady()
 		listener.socket.Resize(d.acceptLimit())
 	}
 }
@@ -146,7 +146,7 @@
 	d.recording.routerStateChanged(state, requestedBy)
 	d.listeners.drained = drained
 	for _, listener := range d.listeners.open {
-		listener.Empty(drained)
+		listener.SetDrained(drained)
 	}
 }
 
--- a/cmd/limeladder/shutdown.go
+++ b/cmd/limeladder/shutdown.go
@@ -18,7 +18,7 @@
 	d.log.Info("graceful shutdown started")
 	d.recording.routerStateChanged("ending", "signal")
 	for _, listener := range d.listeners.open {
-		listener.Drain(d.listeners.inheritedSocket)
+		listener.Shutdown(d.listeners.inheritedSocket)
 	}
 	deadline := d.loop.Now() + d.limits.Shutdown.GuaranteedTime
 	acceptTime := d.limits.Shutdown.AcceptTime
@@ -40,7 +40,7 @@
 func (d *daemon) finishConnections(deadline time.Duration) {
 	if !d.listeners.inheritedSocket {
 		for _, listener := range d.listeners.open {
-			listener.Finish()
+			listener.CloseIdleConnections()
 		}
 	}
 	d.shutdown.listenersClosed = true
--- a/cmd/limeladder/site_failover.go
+++ b/cmd/limeladder/site_failover.go
@@ -17,7 +17,7 @@
 	if !d.deploy.Sites.Watch {
 		return
 	}
-	monitor := sitefailover.DefaultConfig(
+	monitor := sitefailover.DefaultMonitorConfig(
 		cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.limits.Discovery.KnownEndpoints)
 	d.core.EnableSiteMonitor(monitor)
 	if !d.deploy.Sites.Act {
@@ -69,7 +69,7 @@
 }
 
 // Sites implements adminapi.Router.
-func (d *daemon) Sites(asTable bool) (text string, off bool) {
+func (d *daemon) SiteReport(asTable bool) (text string, off bool) {
 	if !d.deploy.Sites.Watch {
 		return "", true
 	}
@@ -115,7 +115,7 @@
 	status := siteStatus{
 		Site:      view.Site,
 		State:     view.State.String(),
-		Kind:      view.Kind.String(),
+		Kind:      view.Fault.String(),
 		SinceMs:   siteStateUnchanged,
 		Evidence:  view.Evidence,
 		Endpoints: view.Endpoints,
@@ -179,7 +179,7 @@
 }
 
 // Declare implements adminapi.Router.
-func (d *daemon) Declare(site string, length time.Duration) (ok bool, known []string, off bool) {
+func (d *daemon) DeclareSiteLost(site string, length time.Duration) (ok bool, known []string, off bool) {
 	if !d.deploy.Sites.Watch {
 		return false, nil, true
 	}
@@ -196,7 +196,7 @@
 }
 
 // Pace implements adminapi.Router.
-func (d *daemon) Pace(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
+func (d *daemon) LimitSiteRamp(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
 	ok, off = d.core.LimitSiteRamp(site, share, length)
 	if off {
 		return false, nil, true
--- a/internal/adminapi/handlers.go
+++ b/internal/adminapi/handlers.go
@@ -15,7 +15,7 @@
 const failoverOffText = "nothing is held through a change of primary here: [changeover] is off"
 
 func (c *connection) handleReadiness(request) {
-	if c.server.router.Takes() {
+	if c.server.router.AcceptsClients() {
 		c.answer(http.StatusOK, "ready")
 	} else {
 		c.answer(http.StatusServiceUnavailable, "takes no clients")
@@ -31,7 +31,7 @@
 }
 
 func (c *connection) setSuspended(endpoint string, suspended bool, call string) {
-	c.server.router.Suspend(endpoint, suspended, func(known bool) {
+	c.server.router.SetSuspended(endpoint, suspended, func(known bool) {
 		c.server.log.Info("operator call", "call", call, "endpoint", endpoint, "known", known)
 		if known {
 			c.answer(http.StatusOK, call+"ed")
@@ -46,7 +46,7 @@
 func (c *connection) handleActivate(request) { c.setDrained(false, "activate") }
 
 func (c *connection) setDrained(drained bool, call string) {
-	c.server.router.Drain(drained, func() {
+	c.server.router.SetDrained(drained, func() {
 		c.server.log.Info("operator call", "call", call)
 		c.answer(http.StatusOK, call+" begun")
 	})
@@ -54,7 +54,7 @@
 
 // handleGroups answers with the failover state of all replica groups.
 func (c *connection) handleGroups(request) {
-	body, off := c.server.router.Cells()
+	body, off := c.server.router.FailoverState()
 	if off {
 		c.answer(http.StatusNotFound, failoverOffText)
 		return
@@ -74,7 +74,7 @@
 		c.answer(http.StatusBadRequest, "limit: a time such as 5s, one minute at most")
 		return
 	}
-	known, off := c.server.router.Changeover(group, limit)
+	known, off := c.server.router.AnnounceFailover(group, limit)
 	c.server.log.Info("operator call", "call", "changeover", "group", group, "limit", limit, "known", known)
 	switch {
 	case off:
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -19,35 +19,35 @@
 	off     bool // neither failover nor sites are configured
 }
 
-func (r *fakeRouter) Takes() bool { return !r.drained }
+func (r *fakeRouter) AcceptsClients() bool { return !r.drained }
 
-func (r *fakeRouter) Suspend(endpoint string, _ bool, done func(bool)) { done(endpoint == "s-1") }
+func (r *fakeRouter) SetSuspended(endpoint string, _ bool, done func(bool)) { done(endpoint == "s-1") }
 
-func (r *fakeRouter) Drain(on bool, done func()) {
+func (r *fakeRouter) SetDrained(on bool, done func()) {
 	r.drained = on
 	done()
 }
 
-func (r *fakeRouter) Cells() ([]byte, bool) { return []byte("[]"), r.off }
+func (r *fakeRouter) FailoverState() ([]byte, bool) { return []byte("[]"), r.off }
 
-func (r *fakeRouter) Sites(table bool) (string, bool) {
+func (r *fakeRouter) SiteReport(table bool) (string, bool) {
 	if table {
 		return "site", r.off
 	}
 	return "{}", r.off
 }
 
-func (r *fakeRouter) Declare(site string, _ time.Duration) (ok bool, known []string, off bool) {
+func (r *fakeRouter) DeclareSiteLost(site string, _ time.Duration) (ok bool, known []string, off bool) {
 	return site == "n", []string{"n", "s"}, r.off
 }
 
-func (r *fakeRouter) Pace(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
+func (r *fakeRouter) LimitSiteRamp(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
 	limited := length > 0
 	ok = site == "n" && share <= 1 && (limited || share == 1)
 	return ok, []string{"n", "s"}, r.off
 }
 
-func (r *fakeRouter) Changeover(group int64, limit time.Duration) (known, off bool) {
+func (r *fakeRouter) AnnounceFailover(group int64, limit time.Duration) (known, off bool) {
 	return group == 7 && limit > 0, r.off
 }
 
--- a/internal/adminapi/site_handlers.go
+++ b/internal/adminapi/site_handlers.go
@@ -18,7 +18,7 @@
 // handleSites answers with the state of each site and the plan for its loss.
 func (c *connection) handleSites(req request) {
 	table := req.query.Get("as") == "table"
-	text, off := c.server.router.Sites(table)
+	text, off := c.server.router.SiteReport(table)
 	switch {
 	case off:
 		c.answer(http.StatusNotFound, sitesOffText)
@@ -44,7 +44,7 @@
 // declareSiteLost declares a site lost for so long; zero takes the declaration back.
 func (c *connection) declareSiteLost(site string, length time.Duration) {
 	lost := length > 0
-	ok, known, off := c.server.router.Declare(site, length)
+	ok, known, off := c.server.router.DeclareSiteLost(site, length)
 	c.server.log.Info("operator call", "call", "site", "site", site, "lost", lost, "limit", length, "known", ok)
 	switch {
 	case off:
@@ -78,7 +78,7 @@
 
 // limitSite limits the use of a site for so long; a zero length takes the limit back.
 func (c *connection) limitSite(site string, share float64, length time.Duration) {
-	ok, known, off := c.server.router.Pace(site, share, length)
+	ok, known, off := c.server.router.LimitSiteRamp(site, share, length)
 	c.server.log.Info("operator call", "call", "pace", "site", site, "share", share, "limit", length, "known", ok)
 	switch {
 	case off:
--- a/internal/failover/phase.go
+++ b/internal/failover/phase.go
@@ -61,12 +61,12 @@
 
 // Transition is a step in the history of a replica group.
 type Transition struct {
-	At       time.Duration
-	From     Phase
-	To       Phase
-	Evidence Evidence
-	Endpoint string // that the evidence is about, "" = none
-	Term     uint64
+	OccurredAt time.Duration
+	From       Phase
+	To         Phase
+	Evidence   Evidence
+	Endpoint   string // that the evidence is about, "" = none
+	Term       uint64
 }
 
 // maxTransitionHistory is the number of transitions that are kept of each group for operators.
@@ -84,7 +84,7 @@
 	group.phase = to
 	group.phaseSince = now
 	group.recordTransition(Transition{
-		At: now, From: from, To: to, Evidence: evidence, Endpoint: endpoint, Term: group.term,
+		OccurredAt: now, From: from, To: to, Evidence: evidence, Endpoint: endpoint, Term: group.term,
 	})
 	t.emit(Action{Kind: ActionPhaseChanged, Group: group.id})
 }
--- a/internal/failover/phase_test.go
+++ b/internal/failover/phase_test.go
@@ -184,7 +184,7 @@
 		t.Fatalf("%d transitions are kept", len(history))
 	}
 	newest, _, _, last := tracker.Group(0)
-	if history[len(history)-1] != last || last.To != newest || last.At != maxTransitionHistory*time.Second+1 {
+	if history[len(history)-1] != last || last.To != newest || last.OccurredAt != maxTransitionHistory*time.Second+1 {
 		t.Fatalf("%+v is the newest transition", last)
 	}
 }
--- a/internal/failover/view_test.go
+++ b/internal/failover/view_test.go
@@ -27,7 +27,7 @@
 		OldestPending: 3 * time.Second,
 		Rejected:      map[string]uint64{"too late": 1, "no room": 0, "too long": 0},
 		History: []Transition{{
-			At: time.Second, From: PhaseSteady, To: PhasePrimaryLost,
+			OccurredAt: time.Second, From: PhaseSteady, To: PhasePrimaryLost,
 			Evidence: EvidencePrimarySuspect, Endpoint: "n1-0", Term: 1,
 		}},
 	}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -10,8 +10,8 @@
 
 // Conn is one connection of a client.
 type Conn struct {
-	frontend *Front
-	handler  Speaker
+	frontend *Frontend
+	handler  ProtocolHandler
 	socket   *transport.Conn
 
 	identity  clientIdentity
@@ -131,7 +131,7 @@
 	c.closeIfDraining()
 }
 
-func (f *Front) emptyQueryResponse() []byte {
+func (f *Frontend) emptyQueryResponse() []byte {
 	if f.ready && !f.drain.byOperator {
 		return pgwire.AppendReady(pgwire.Append(nil, 'I'))
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -21,7 +21,7 @@
 // SetDrained begins or ends a drain by an operator: the platform is told to send no more clients, new connections are
 // served what they bring, and each connection is closed right behind a response, or when it has been idle for a
 // while. A close at any other moment may cross a request.
-func (f *Front) Empty(on bool) {
+func (f *Frontend) SetDrained(on bool) {
 	f.drain.byOperator = on
 	f.hastenSweep()
 }
@@ -29,7 +29,7 @@
 // Shutdown closes each connection as soon as it is between requests, because the process ends. New connections are
 // served what they bring. A graceful drain closes right behind responses, and idle connections only once they were
 // quiet for a while: a close at any other moment may cross a request.
-func (f *Front) Drain(graceful bool) {
+func (f *Frontend) Shutdown(graceful bool) {
 	f.drain.shuttingDown = true
 	f.drain.graceful = graceful
 	f.hastenSweep()
@@ -44,13 +44,13 @@
 // CloseIdleConnections closes also the connections that have not sent a request; requests in flight still get their
 // responses. A connection that has only just come may bring its first command, and a message that has come in part
 // may become complete, within UnusedIdle: a close would cross it.
-func (f *Front) Finish() {
+func (f *Frontend) CloseIdleConnections() {
 	f.drain.closesIdle = true
 	f.drain.closesIdleSince = f.eventLoop.Now()
 	f.closeIdle()
 }
 
-func (f *Front) closeIdle() {
+func (f *Frontend) closeIdle() {
 	now := f.eventLoop.Now()
 	expired := now-f.drain.closesIdleSince > f.limits.Frontend.UnusedIdle
 	for c := range f.connections {
@@ -64,7 +64,7 @@
 }
 
 // closeDrained closes the connections that a drain has found idle.
-func (f *Front) closeDrained(now time.Duration) {
+func (f *Frontend) closeDrained(now time.Duration) {
 	for c := range f.connections {
 		switch {
 		case f.drain.closesQuietConnections() && c.idleWhileDrained(now):
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -15,7 +15,7 @@
 func TestShutdownClosesIdleAndAnsweredConnections(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
-	loop.Post(func() { frontend.Drain(false) })
+	loop.Post(func() { frontend.Shutdown(false) })
 	if answer := idle.Until('Z'); !answer.Ended {
 		t.Fatalf("%+v", answer)
 	}
@@ -37,7 +37,7 @@
 // accepted.
 func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
-	runInLoop(loop, frontend.Ready)
+	runInLoop(loop, frontend.SetReady)
 	part, fresh, rests := testserver.Dial(t, addr), testserver.Dial(t, addr), testserver.Dial(t, addr)
 	rests.Send(pgwire.AppendQuery(nil, statement("served")))
 	rests.Until('Z')
@@ -57,8 +57,8 @@
 	})
 	fresh = testserver.Dial(t, addr)
 	runInLoop(loop, func() {
-		frontend.Drain(false)
-		frontend.Finish()
+		frontend.Shutdown(false)
+		frontend.CloseIdleConnections()
 	})
 	part.Send(message[20:])
 	fresh.Send(pgwire.AppendQuery(nil, statement("served")))
@@ -79,7 +79,7 @@
 		t.Error("a request behind the close is accepted")
 	}
 	waitUntil(t, "all are ended", func() (none bool) {
-		runInLoop(loop, func() { none = frontend.Open() == 0 })
+		runInLoop(loop, func() { none = frontend.ConnectionCount() == 0 })
 		return none
 	})
 }
@@ -89,7 +89,7 @@
 	lim := defaultLimits()
 	lim.Frontend.UnusedIdle = 100 * time.Millisecond
 	frontend, _, loop, addr := startWith(t, lim)
-	runInLoop(loop, frontend.Ready)
+	runInLoop(loop, frontend.SetReady)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -98,12 +98,12 @@
 	half := testserver.Dial(t, addr)
 	half.Send(pgwire.AppendQuery(nil, statement("served"))[:20])
 	waitUntil(t, "both are there", func() (ok bool) {
-		runInLoop(loop, func() { ok = frontend.Open() == 2 })
+		runInLoop(loop, func() { ok = frontend.ConnectionCount() == 2 })
 		return ok
 	})
 	runInLoop(loop, func() {
-		frontend.Drain(false)
-		frontend.Finish()
+		frontend.Shutdown(false)
+		frontend.CloseIdleConnections()
 	})
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := c.Read(make([]byte, 9)); !errors.Is(err, io.EOF) {
@@ -121,8 +121,8 @@
 	client.Send(concat(labelled("a", "free"), labelled("w", "waits"), labelled("b", "free")))
 	expectAccepted(t, fake, "a")
 	runInLoop(loop, func() {
-		frontend.Drain(false)
-		frontend.Finish()
+		frontend.Shutdown(false)
+		frontend.CloseIdleConnections()
 	})
 	client.Send(labelled("c", "free"))
 	fake.serve("a")
@@ -141,8 +141,8 @@
 	client.Send(concat(labelled("a", "free"), labelled("b", "free")))
 	expectAccepted(t, fake, "a", "b")
 	runInLoop(loop, func() {
-		frontend.Drain(false)
-		frontend.Finish()
+		frontend.Shutdown(false)
+		frontend.CloseIdleConnections()
 	})
 	fake.serve("b", "a")
 	expectAnswers(t, client, "a", "b")
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -7,7 +7,7 @@
 )
 
 // sweep closes connections that are overdue or drained, evicts idle ones, and sets the time of the next sweep.
-func (f *Front) sweep() {
+func (f *Frontend) sweep() {
 	now := f.eventLoop.Now()
 	unreadBytes := f.closeOverdue(now)
 	f.closeDrained(now)
@@ -21,7 +21,7 @@
 
 // closeOverdue closes the connections that have overstayed a timeout, and returns how many bytes of responses the
 // others have not read.
-func (f *Front) closeOverdue(now time.Duration) (unreadBytes int) {
+func (f *Frontend) closeOverdue(now time.Duration) (unreadBytes int) {
 	lim := &f.limits.Frontend
 	for c := range f.connections {
 		c.trackProgress(now)
@@ -45,7 +45,7 @@
 // twenty times a second for nothing, which is expensive on a small share of a core. Where no connection waits for
 // capacity and nothing drains, the first timeout that a sweep enforces lies seconds ahead: a quarter of the shortest
 // one is soon enough. Unread responses need the short interval, since all of them together are bounded at each sweep.
-func (f *Front) sweepInterval(unread bool) time.Duration {
+func (f *Frontend) sweepInterval(unread bool) time.Duration {
 	lim := &f.limits.Frontend
 	if unread || f.needsFrequentSweeps() {
 		return lim.SweepInterval
@@ -62,7 +62,7 @@
 
 // needsFrequentSweeps reports whether connections wait for memory, are drained, or are more than may stay idle. Bytes
 // that are kept for requests in flight are no shortage of memory.
-func (f *Front) needsFrequentSweeps() bool {
+func (f *Frontend) needsFrequentSweeps() bool {
 	lim := &f.limits.Frontend
 	if f.memory.used(lim.BufferedBytes) > lim.BufferedBytes || f.drain.begun() {
 		return true
@@ -71,7 +71,7 @@
 }
 
 // hastenSweep moves the next sweep to the short interval, because something has happened that needs it.
-func (f *Front) hastenSweep() {
+func (f *Frontend) hastenSweep() {
 	interval := f.limits.Frontend.SweepInterval
 	if f.nextSweep != nil && f.eventLoop.Now()+interval < f.nextSweep.Due() {
 		f.nextSweep.Stop()
@@ -81,7 +81,7 @@
 
 // evictIdle closes the connections that have asked for nothing for the longest time, so that clients which ask once
 // and stay, or say nothing, leave places for others. One that has a request, or has just come, is left alone.
-func (f *Front) evictIdle(now time.Duration) {
+func (f *Frontend) evictIdle(now time.Duration) {
 	lim := &f.limits.Frontend
 	f.evictDownTo(now, lim.SoftLimit, lim.SoftLimitIdle)
 	// Above the hard limit the idle time is short: more clients may come, ask once and stay than there are places for
@@ -90,7 +90,7 @@
 	f.evictDownTo(now, lim.HardLimit, lim.HardLimitIdle)
 }
 
-func (f *Front) evictDownTo(now time.Duration, limit int, idle time.Duration) {
+func (f *Frontend) evictDownTo(now time.Duration, limit int, idle time.Duration) {
 	excess := len(f.connections) - limit
 	if excess <= 0 {
 		return
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -58,7 +58,7 @@
 }
 
 // countSweeps counts the sweeps within a time.
-func countSweeps(loop *eventloop.Loop, frontend *Front, d time.Duration) int {
+func countSweeps(loop *eventloop.Loop, frontend *Frontend, d time.Duration) int {
 	at := func() int {
 		got := make(chan int)
 		loop.Post(func() { got <- frontend.sweepCount })
--- a/internal/frontend/exclusive_request.go
+++ b/internal/frontend/exclusive_request.go
@@ -20,7 +20,7 @@
 // request is invalid, and that nothing was accepted.
 func (c *Conn) Submit(request router.Request, client router.Client) (err error) {
 	request.Tenant = c.identity.user
-	request.Client = c.identity.address
+	request.ClientAddress = c.identity.address
 	if c.frontend.router.OrderingOf(request.Class).ReadsOwnWrites {
 		request.MinPosition = c.commits.positionFor(&request)
 	}
--- a/internal/frontend/extendedquery/session.go
+++ b/internal/frontend/extendedquery/session.go
@@ -18,8 +18,8 @@
 const maxBufferedBytes = 16 << 10
 
 // NewHandler returns the function that makes the protocol handler of a connection.
-func New(classes Classes) func(*frontend.Conn) frontend.Speaker {
-	return func(c *frontend.Conn) frontend.Speaker {
+func NewHandler(classes Classes) func(*frontend.Conn) frontend.ProtocolHandler {
+	return func(c *frontend.Conn) frontend.ProtocolHandler {
 		return &session{
 			conn:       c,
 			classes:    classes,
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -294,7 +294,7 @@
 	}
 	old := testserver.Dial(t, server.addr)
 	runInLoop(func() {
-		server.frontend.Empty(true)
+		server.frontend.SetDrained(true)
 		server.router.Suspend(suspended.Addr, true)
 	})
 	old.Send(pgwire.AppendQuery(nil, ""))
@@ -316,7 +316,7 @@
 		}
 	}
 	runInLoop(func() {
-		server.frontend.Empty(false)
+		server.frontend.SetDrained(false)
 		server.router.Suspend(suspended.Addr, false)
 	})
 	client := testserver.Dial(t, server.addr)
--- a/internal/frontend/extendedquery/test_router_test.go
+++ b/internal/frontend/extendedquery/test_router_test.go
@@ -31,7 +31,7 @@
 	eventLoop *eventloop.Loop
 	router    *router.Router
 	pool      *backend.Pool
-	frontend  *frontend.Front
+	frontend  *frontend.Frontend
 }
 
 func defaultLimits() limits.Limits {
@@ -82,8 +82,8 @@
 	}
 	server := &testRouter{eventLoop: loop, router: core, pool: backend.New(loop, engine, lim, logger)}
 	core.Connect(server.pool, noDiscovery{})
-	server.frontend = frontend.New(loop, lim, logger, core, New(core))
-	server.frontend.Ready()
+	server.frontend = frontend.New(loop, lim, logger, core, NewHandler(core))
+	server.frontend.SetReady()
 	listener, err := engine.Listen("127.0.0.1:0", lim.Frontend.Connections, logger, server.frontend.Accept)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/extendedquery/unit_of_work.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -102,13 +102,13 @@
 // requestOf returns what a request comment says of a request.
 func requestOf(comment requestcomment.Head) router.Request {
 	return router.Request{
-		Label:       comment.ID,
-		Class:       comment.Class,
-		Group:       comment.Group,
-		Session:     comment.Session,
-		Deadline:    comment.Deadline,
-		MinPosition: comment.After,
-		Retry:       comment.Retry,
+		ClientRequestID: comment.ID,
+		Class:           comment.Class,
+		Group:           comment.Group,
+		Session:         comment.Session,
+		Deadline:        comment.Deadline,
+		MinPosition:     comment.After,
+		Retry:           comment.Retry,
 	}
 }
 
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -81,7 +81,7 @@
 			fake.source.send()
 		}
 	})
-	return request.Label, nil
+	return request.ClientRequestID, nil
 }
 
 // Disconnect implements Router.
@@ -93,7 +93,7 @@
 func (fake *fakeRouter) labels() (ids []string) {
 	runInLoop(fake.loop, func() {
 		for _, q := range fake.requests {
-			ids = append(ids, q.Label)
+			ids = append(ids, q.ClientRequestID)
 		}
 	})
 	return ids
@@ -102,7 +102,7 @@
 // client returns the client of the request with the label, nil if there is none.
 func (fake *fakeRouter) client(id string) (c router.Client) {
 	for i, q := range fake.requests {
-		if q.Label == id {
+		if q.ClientRequestID == id {
 			c = fake.clients[i]
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // start serves connections with the default limits.
-func start(tb testing.TB) (frontend *Front, fake *fakeRouter, loop *eventloop.Loop, addr string) {
+func start(tb testing.TB) (frontend *Frontend, fake *fakeRouter, loop *eventloop.Loop, addr string) {
 	tb.Helper()
 	return startWith(tb, defaultLimits())
 }
@@ -177,7 +177,7 @@
 // startWith serves connections with the given limits.
 func startWith(
 	tb testing.TB, lim limits.Limits,
-) (frontend *Front, fake *fakeRouter, loop *eventloop.Loop, addr string) {
+) (frontend *Frontend, fake *fakeRouter, loop *eventloop.Loop, addr string) {
 	tb.Helper()
 	loop = eventloop.New()
 	engine, err := transport.New(loop, 256, 1<<20)
@@ -186,7 +186,7 @@
 	}
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	fake = &fakeRouter{loop: loop, disconnects: make(chan string, 9)}
-	frontend = New(loop, lim, logger, fake, Platform)
+	frontend = New(loop, lim, logger, fake, NewSimpleQueryHandler)
 	listener, err := engine.Listen("127.0.0.1:0", lim.Frontend.Connections, logger, frontend.Accept)
 	if err != nil {
 		tb.Fatal(err)
@@ -260,7 +260,7 @@
 }
 
 // onlyConnection waits for the one connection, and returns it.
-func onlyConnection(t *testing.T, frontend *Front, loop *eventloop.Loop) (c *Conn) {
+func onlyConnection(t *testing.T, frontend *Frontend, loop *eventloop.Loop) (c *Conn) {
 	t.Helper()
 	waitUntil(t, "one connection", func() bool {
 		runInLoop(loop, func() {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -24,7 +24,7 @@
 }
 
 // ProtocolHandler gives the messages of one connection their meaning.
-type Speaker interface {
+type ProtocolHandler interface {
 	// HandleMessage handles the next message. It is not called while a request given to Conn.Submit is in flight.
 	// An error ends the connection.
 	HandleMessage(message pgwire.Message) error
@@ -33,12 +33,12 @@
 }
 
 // Frontend is the set of client connections of one listener. Its methods are called on the event loop's goroutine.
-type Front struct {
+type Frontend struct {
 	eventLoop  *eventloop.Loop
 	limits     limits.Limits
 	logger     *slog.Logger
 	router     Router
-	newHandler func(*Conn) Speaker
+	newHandler func(*Conn) ProtocolHandler
 
 	connections       map[*Conn]struct{}
 	memory            memoryUse
@@ -57,9 +57,9 @@
 	lim limits.Limits,
 	logger *slog.Logger,
 	router Router,
-	newHandler func(*Conn) Speaker,
-) *Front {
-	f := &Front{
+	newHandler func(*Conn) ProtocolHandler,
+) *Frontend {
+	f := &Frontend{
 		eventLoop:   loop,
 		limits:      lim,
 		logger:      logger,
@@ -73,22 +73,22 @@
 
 // IdentifyClients makes requests carry the user name and the address of their client, for the audit record. It is
 // called before the first connection.
-func (f *Front) Name() { f.identifiesClients = true }
+func (f *Frontend) IdentifyClients() { f.identifiesClients = true }
 
 // SetReady makes empty queries succeed from now on: the platform sends clients after that.
-func (f *Front) Ready() { f.ready = true }
+func (f *Frontend) SetReady() { f.ready = true }
 
 // AcceptsClients reports whether the platform may send clients.
-func (f *Front) Takes() bool { return f.ready && !f.drain.begun() }
+func (f *Frontend) AcceptsClients() bool { return f.ready && !f.drain.begun() }
 
 // SetLimits sets new limits.
-func (f *Front) Limit(lim limits.Limits) { f.limits = lim }
+func (f *Frontend) SetLimits(lim limits.Limits) { f.limits = lim }
 
 // ConnectionCount returns the number of connections.
-func (f *Front) Open() int { return len(f.connections) }
+func (f *Frontend) ConnectionCount() int { return len(f.connections) }
 
 // Accept adds a new connection. The listener bounds how many there are.
-func (f *Front) Accept(socket *transport.Conn) transport.Handler {
+func (f *Frontend) Accept(socket *transport.Conn) transport.Handler {
 	lim := &f.limits.Frontend
 	now := f.eventLoop.Now()
 	c := &Conn{
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -20,7 +20,7 @@
 	if answer := client.Until('Z'); answer.Code != pgwire.CannotConnectNow || answer.Types != "EZ" {
 		t.Fatalf("%+v before it is ready", answer)
 	}
-	runInLoop(loop, frontend.Ready)
+	runInLoop(loop, frontend.SetReady)
 	var message []byte
 	for _, text := range []string{
 		"", statement("served"), statement("refused"), "SELECT 1", statement("odd"), statement("failed"),
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -103,7 +103,7 @@
 // the requests before it let it.
 func (c *Conn) enqueue(s *slot, request router.Request, client responder) {
 	request.Tenant = c.identity.user
-	request.Client = c.identity.address
+	request.ClientAddress = c.identity.address
 	*s = slot{
 		conn:      c,
 		request:   request,
@@ -169,7 +169,7 @@
 		return true
 	}
 	// The router takes one request at a time under one label.
-	return s.request.Label != "" && s.request.Label == earlier.request.Label
+	return s.request.ClientRequestID != "" && s.request.ClientRequestID == earlier.request.ClientRequestID
 }
 
 func (s *slot) mustSeeWritesOf(earlier *slot) bool {
--- a/internal/frontend/pipeline_fuzz_test.go
+++ b/internal/frontend/pipeline_fuzz_test.go
@@ -25,7 +25,7 @@
 			return
 		}
 		frontend, fake, loop, addr := start(t)
-		runInLoop(loop, frontend.Ready)
+		runInLoop(loop, frontend.SetReady)
 		before := loop.Now() // pieces may share the time of one before them
 		client := testserver.Dial(t, addr)
 		messages, want, requestCount := pipelinedMessages(kinds)
@@ -39,7 +39,7 @@
 		runInLoop(loop, func() {
 			for _, request := range fake.requests {
 				if request.ReceivedAt < before || request.ReceivedAt > loop.Now() {
-					t.Errorf("%s came at %v", request.Label, request.ReceivedAt)
+					t.Errorf("%s came at %v", request.ClientRequestID, request.ReceivedAt)
 				}
 			}
 		})
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -54,7 +54,7 @@
 	runInLoop(loop, func() {
 		for _, request := range fake.requests {
 			if request.ReceivedAt > came {
-				t.Errorf("%s counts from %v behind its arrival", request.Label, request.ReceivedAt-came)
+				t.Errorf("%s counts from %v behind its arrival", request.ClientRequestID, request.ReceivedAt-came)
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 		t.Helper()
 		waitUntil(t, what+" waits", func() (is bool) {
 			runInLoop(loop, func() {
-				is = conn.pipeline.newestQueued() && conn.pipeline.newest().request.Label == what
+				is = conn.pipeline.newestQueued() && conn.pipeline.newest().request.ClientRequestID == what
 			})
 			return is
 		})
@@ -144,7 +144,7 @@
 // none behind them.
 func TestErrorsAmongPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
-	runInLoop(loop, frontend.Ready)
+	runInLoop(loop, frontend.SetReady)
 	client := testserver.Dial(t, addr)
 	client.Send(concat(
 		labelled("a", "free"), labelled("x", "odd"), pgwire.AppendQuery(nil, ""), labelled("b", "free"),
@@ -302,7 +302,7 @@
 			slot{ordering: write, request: router.Request{Session: "other"}}, slot{ordering: readsOwn}, true,
 		},
 		"read with the label of another read": {
-			slot{request: router.Request{Label: "a"}}, slot{request: router.Request{Label: "a"}}, false,
+			slot{request: router.Request{ClientRequestID: "a"}}, slot{request: router.Request{ClientRequestID: "a"}}, false,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/session_commits_test.go
+++ b/internal/frontend/session_commits_test.go
@@ -32,11 +32,11 @@
 	runInLoop(loop, func() {
 		for _, request := range fake.requests {
 			want := 5 * time.Millisecond
-			if request.Label == "own" {
+			if request.ClientRequestID == "own" {
 				want = 7 * time.Second
 			}
 			if request.MinPosition != want {
-				t.Errorf("%s has to see %v, not %v", request.Label, request.MinPosition, want)
+				t.Errorf("%s has to see %v, not %v", request.ClientRequestID, request.MinPosition, want)
 			}
 		}
 	})
--- a/internal/frontend/simple_query.go
+++ b/internal/frontend/simple_query.go
@@ -9,7 +9,7 @@
 )
 
 // NewSimpleQueryHandler returns the handler of the platform's protocol: simple queries, one statement each.
-func Platform(c *Conn) Speaker { return &simpleQueryHandler{Conn: c} }
+func NewSimpleQueryHandler(c *Conn) ProtocolHandler { return &simpleQueryHandler{Conn: c} }
 
 type simpleQueryHandler struct {
 	*Conn
@@ -77,15 +77,15 @@
 	}
 	responder := &simpleQueryResponder{}
 	h.enqueue(&responder.slot, router.Request{
-		Label:       comment.ID,
-		Class:       comment.Class,
-		Group:       comment.Group,
-		Session:     comment.Session,
-		Deadline:    comment.Deadline,
-		ReceivedAt:  h.ReceivedAt(),
-		MinPosition: comment.After,
-		Retry:       comment.Retry,
-		Job:         job,
+		ClientRequestID: comment.ID,
+		Class:           comment.Class,
+		Group:           comment.Group,
+		Session:         comment.Session,
+		Deadline:        comment.Deadline,
+		ReceivedAt:      h.ReceivedAt(),
+		MinPosition:     comment.After,
+		Retry:           comment.Retry,
+		Job:             job,
 	}, responder)
 }
 
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -28,8 +28,8 @@
 	}
 	// No client of the class waits longer than this, whatever the request says.
 	received.Deadline = min(received.Deadline, r.classes[received.Class].ClientTimeout)
-	if received.Label != "" {
-		r.openLabels[received.Label] = true
+	if received.ClientRequestID != "" {
+		r.openLabels[received.ClientRequestID] = true
 	}
 	r.lastRequestNumber++
 	req := &request{
@@ -40,7 +40,7 @@
 		answerBy: r.answerBy(received.ReceivedAt, received.Deadline),
 	}
 	r.counts.Accepted++
-	r.log.Debug("request accepted", "request", req.Label, "class", req.Class, "deadline", req.Deadline,
+	r.log.Debug("request accepted", "request", req.ClientRequestID, "class", req.Class, "deadline", req.Deadline,
 		"queued", r.age(req))
 	r.admit(req)
 	return req.id, nil
@@ -53,7 +53,7 @@
 	if received.Deadline <= 0 {
 		return ErrNoTimeLeft
 	}
-	if r.openLabels[received.Label] {
+	if r.openLabels[received.ClientRequestID] {
 		// A client that uses the label of another one's request must not get, or spoil, its answer.
 		return ErrDuplicateRequest
 	}
@@ -125,5 +125,5 @@
 // finish notes that a request is owed nothing any more.
 func (r *Router) finish(req *request) {
 	req.finished = true
-	delete(r.openLabels, req.Label)
+	delete(r.openLabels, req.ClientRequestID)
 }
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 		now := loop.Now()
-		labelled := Request{Label: "b", Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 2}
+		labelled := Request{ClientRequestID: "b", Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 2}
 		accept(t, router, labelled, first)
 		// With the same label the second client would get what the first one has asked for.
 		labelled.Job = 4
--- a/internal/router/audit_record.go
+++ b/internal/router/audit_record.go
@@ -36,11 +36,11 @@
 		return
 	}
 	now := r.loop.Now()
-	answer.Request = req.Label
+	answer.Request = req.ClientRequestID
 	answer.Class = req.Class
 	answer.Group = req.Group
 	answer.Tenant = req.Tenant
-	answer.Client = req.Client
+	answer.Client = req.ClientAddress
 	answer.Node = req.attempts.endpoint
 	answer.Outcome = outcome
 	answer.Writes = r.IsWrite(req.Class)
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -49,17 +49,17 @@
 
 // Request is what a frontend has received. Times are on the loop's clock.
 type Request struct {
-	Label       string // the client's own id of the request, "" = it gave none
-	Class       string
-	Group       int64 // the replica group
-	Session     string
-	Deadline    time.Duration // the client gives up this long after it has sent the request
-	ReceivedAt  time.Duration // when the last byte of the request arrived
-	MinPosition time.Duration // the position that the response has to reflect, 0 = any
-	Retry       bool
-	Job         Job
-	Tenant      string // the user of the connection, for the audit record; "" = not known
-	Client      string // the address of the client
+	ClientRequestID string // the client's own id of the request, "" = it gave none
+	Class           string
+	Group           int64 // the replica group
+	Session         string
+	Deadline        time.Duration // the client gives up this long after it has sent the request
+	ReceivedAt      time.Duration // when the last byte of the request arrived
+	MinPosition     time.Duration // the position that the response has to reflect, 0 = any
+	Retry           bool
+	Job             Job
+	Tenant          string // the user of the connection, for the audit record; "" = not known
+	ClientAddress   string // the address of the client
 }
 
 // Ordering says which of the requests that were sent before it on the same connection a request has to follow.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -206,11 +206,11 @@
 		class = readClass
 	}
 	req := Request{
-		Class:      class,
-		Label:      fmt.Sprint("r", i),
-		Deadline:   time.Duration(20+i*37%3000) * time.Millisecond,
-		ReceivedAt: run.clock + delay,
-		Job:        i,
+		Class:           class,
+		ClientRequestID: fmt.Sprint("r", i),
+		Deadline:        time.Duration(20+i*37%3000) * time.Millisecond,
+		ReceivedAt:      run.clock + delay,
+		Job:             i,
 	}
 	client := &fakeClient{loop: run.loop}
 	run.requests = append(run.requests, virtualRequest{
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -42,7 +42,7 @@
 // whatever the balancer says: the request could run twice.
 func (r *Router) mayStartAttempt(req *request) bool {
 	if req.finished || req.attempts.isInFlight() {
-		r.log.Error("attempt not sent", "request", req.Label, "answered", req.finished,
+		r.log.Error("attempt not sent", "request", req.ClientRequestID, "answered", req.finished,
 			"in_flight", req.attempts.isInFlight())
 		return false
 	}
--- a/internal/router/failover_queue.go
+++ b/internal/router/failover_queue.go
@@ -142,8 +142,8 @@
 
 // clientKey names the client that the queue is fair to.
 func (req *request) clientKey() string {
-	if req.Client != "" {
-		return req.Client
+	if req.ClientAddress != "" {
+		return req.ClientAddress
 	}
 	return req.Session
 }
@@ -366,7 +366,8 @@
 		return
 	}
 	req.queued = false
-	q.log.Debug("queued request rejected", "request", req.Label, "class", req.Class, "reason", action.Reason.String())
+	q.log.Debug("queued request rejected",
+		"request", req.ClientRequestID, "class", req.Class, "reason", action.Reason.String())
 	q.host.reject(req, action.RetryAfter)
 }
 
--- a/internal/router/failover_queue_bench_test.go
+++ b/internal/router/failover_queue_bench_test.go
@@ -31,7 +31,7 @@
 			loop.Stop()
 			return
 		}
-		req := Request{Class: writeClass, Label: strconv.Itoa(sent), Deadline: time.Second, ReceivedAt: loop.Now()}
+		req := Request{Class: writeClass, ClientRequestID: strconv.Itoa(sent), Deadline: time.Second, ReceivedAt: loop.Now()}
 		// tb.Helper allocates, so the accept helper would add to what is measured.
 		if _, err := router.Accept(req, instantPeers{loop}); err != nil {
 			b.Fatal(err)
--- a/internal/router/failover_queue_test.go
+++ b/internal/router/failover_queue_test.go
@@ -52,11 +52,11 @@
 	tb.Helper()
 	for i := range count {
 		accept(tb, router, Request{
-			Class:      writeClass,
-			Label:      strconv.Itoa(i),
-			Client:     strconv.Itoa(i % 500),
-			Deadline:   3 * time.Second,
-			ReceivedAt: loop.Now(),
+			Class:           writeClass,
+			ClientRequestID: strconv.Itoa(i),
+			ClientAddress:   strconv.Itoa(i % 500),
+			Deadline:        3 * time.Second,
+			ReceivedAt:      loop.Now(),
 		}, instantPeers{loop})
 	}
 }
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -40,7 +40,7 @@
 	}
 	r.finish(req)
 	r.counts.Failed++
-	r.log.Debug("response truncated", "request", req.Label, "class", req.Class, "elapsed", r.age(req))
+	r.log.Debug("response truncated", "request", req.ClientRequestID, "class", req.Class, "elapsed", r.age(req))
 	r.auditAnswer(req, audit.Cut, audit.Answer{Why: reasonTruncated})
 	req.client.ResponseTruncated()
 	r.release(req)
@@ -57,7 +57,7 @@
 	}
 	r.finish(req)
 	r.counts.Rejected++
-	r.log.Debug("request rejected", "request", req.Label, "class", req.Class, "attempts", req.attempts.requested,
+	r.log.Debug("request rejected", "request", req.ClientRequestID, "class", req.Class, "attempts", req.attempts.requested,
 		"elapsed", r.age(req), "reason", reason)
 	if retryAfter <= 0 {
 		retryAfter = r.limits.Router.DefaultRetryAfter
@@ -74,7 +74,7 @@
 	}
 	r.finish(req)
 	r.counts.Failed++
-	r.log.Debug("request failed", "request", req.Label, "class", req.Class, "attempts", req.attempts.requested,
+	r.log.Debug("request failed", "request", req.ClientRequestID, "class", req.Class, "attempts", req.attempts.requested,
 		"elapsed", r.age(req), "reason", reason)
 	r.auditAnswer(req, audit.Failed, audit.Answer{Why: reason})
 	req.client.Failed(reason)
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -58,11 +58,11 @@
 	label := fmt.Sprint(class, len(run.requests)+1)
 	client := &fakeClient{loop: run.loop}
 	id := accept(t, run.router, Request{
-		Class:      class,
-		Label:      label,
-		Deadline:   time.Duration(20+run.rng.IntN(80)) * time.Millisecond,
-		ReceivedAt: run.loop.Now(),
-		Job:        label,
+		Class:           class,
+		ClientRequestID: label,
+		Deadline:        time.Duration(20+run.rng.IntN(80)) * time.Millisecond,
+		ReceivedAt:      run.loop.Now(),
+		Job:             label,
 	}, client)
 	run.requests = append(run.requests, randomRequest{id: id, client: client})
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -26,7 +26,7 @@
 func (r *Router) recordAttempt(req *request, number int, result Result) {
 	now := r.loop.Now()
 	attempts := &req.attempts
-	r.log.Debug("attempt ended", "request", req.Label, "class", req.Class, "attempt", number,
+	r.log.Debug("attempt ended", "request", req.ClientRequestID, "class", req.Class, "attempt", number,
 		"endpoint", attempts.endpoint, "status", int(result.Status), "role", int(result.Role),
 		"elapsed", now-attempts.sentAt)
 	if statusMayHaveRun(result.Status) {
--- a/internal/router/site_admission_test.go
+++ b/internal/router/site_admission_test.go
@@ -78,7 +78,7 @@
 	run := &lostSiteRun{}
 	run.router, run.peers, run.loop = newTestRouter(t)
 	router := run.router
-	router.EnableSiteMonitor(sitefailover.DefaultConfig("a", time.Second, 100))
+	router.EnableSiteMonitor(sitefailover.DefaultMonitorConfig("a", time.Second, 100))
 	router.siteMonitor.classCosts[readClass] = 99 // as a plan of long ago had it
 	if withAdmission {
 		ramp := sitefailover.RecoveryRampConfig{InitialShare: 0.2, Duration: time.Second}
--- a/internal/router/site_monitor.go
+++ b/internal/router/site_monitor.go
@@ -60,7 +60,7 @@
 }
 
 // EnableSiteMonitor turns the site monitor on. It is called before the first endpoint list.
-func (r *Router) EnableSiteMonitor(cfg sitefailover.Config) {
+func (r *Router) EnableSiteMonitor(cfg sitefailover.MonitorConfig) {
 	r.siteMonitor = &siteMonitor{
 		host:       r,
 		statistics: r.balancer,
@@ -68,7 +68,7 @@
 		log:        r.log,
 		audit:      r.audit,
 		classes:    r.classes,
-		monitor:    sitefailover.New(cfg),
+		monitor:    sitefailover.NewMonitor(cfg),
 		classCosts: map[string]float64{},
 	}
 	if r.healthChecksEnabled {
@@ -233,7 +233,7 @@
 		case sitefailover.StateChanged:
 			m.siteStateChanged(now, action)
 		case sitefailover.Wake:
-			next = earliest(next, action.At)
+			next = earliest(next, action.Deadline)
 		}
 	}
 	if m.observer != nil {
@@ -247,15 +247,15 @@
 
 // siteStateChanged logs and records that a site is taken for something else, and tells the observer.
 func (m *siteMonitor) siteStateChanged(now time.Duration, change sitefailover.StateChanged) {
-	m.log.Info("site state changed", "site", change.Site, "from", change.From.String(), "to", change.To.String(),
-		"kind", change.Kind.String(), "evidence", change.Evidence)
+	m.log.Info("site state changed", "site", change.Site, "from", change.OldState.String(), "to", change.NewState.String(),
+		"kind", change.Fault.String(), "evidence", change.Evidence)
 	m.audit.record(audit.Note{
 		Topic: "site",
-		Text:  change.Site + " is " + change.To.String() + ", " + change.Kind.String() + ": " + change.Evidence,
+		Text:  change.Site + " is " + change.NewState.String() + ", " + change.Fault.String() + ": " + change.Evidence,
 	})
 	m.rememberDemandBeforeLoss(now)
 	if m.observer != nil {
-		m.observer.siteStateChanged(now, change.Site, change.To)
+		m.observer.siteStateChanged(now, change.Site, change.NewState)
 	}
 }
 
--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -95,7 +95,7 @@
 			q.see = now
 		}
 		x := router.Request{
-			Label: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
+			ClientRequestID: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
 			Deadline: q.until - now - f.cfg.Client, ReceivedAt: now, Retry: q.tries > 1, Job: q,
 		}
 		if q.class.Consistency == balance.ConsistencySession {
--- a/internal/sitefailover/monitor_test.go
+++ b/internal/sitefailover/monitor_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-func testConfig(ownSite string) Config {
-	return Config{
+func testConfig(ownSite string) MonitorConfig {
+	return MonitorConfig{
 		OwnSite:        ownSite,
 		EvidenceWindow: 2 * time.Second,
 		SuspicionTime:  500 * ms,
@@ -38,7 +38,7 @@
 	t.Helper()
 	w := &world{
 		t:       t,
-		monitor: New(testConfig(ownSite)),
+		monitor: NewMonitor(testConfig(ownSite)),
 		now:     100 * time.Second,
 		site:    map[string]string{},
 		failing: map[string]Failure{},
@@ -66,8 +66,8 @@
 		case StateChanged:
 			w.changes = append(w.changes, action)
 		case Wake:
-			if action.At <= w.now {
-				w.t.Fatalf("it wants to be woken at %v, now is %v", action.At, w.now)
+			if action.Deadline <= w.now {
+				w.t.Fatalf("it wants to be woken at %v, now is %v", action.Deadline, w.now)
 			}
 		}
 	}
@@ -128,8 +128,8 @@
 func (w *world) expect(site string, state SiteState, fault FaultKind) {
 	w.t.Helper()
 	view := w.view(site)
-	if view.State != state || view.Kind != fault {
-		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Kind, state, fault, view.Evidence)
+	if view.State != state || view.Fault != fault {
+		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Fault, state, fault, view.Evidence)
 	}
 }
 
@@ -223,7 +223,7 @@
 			happen(w)
 			w.run(10 * time.Second)
 			for _, change := range w.changes {
-				if change.To == SiteLost {
+				if change.NewState == SiteLost {
 					t.Fatalf("%+v", change)
 				}
 			}
@@ -370,7 +370,7 @@
 		DeclareLost{Site: "s", Until: w.now + 5*time.Second},
 		DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
 	change := w.changes[len(w.changes)-1]
-	if change.To != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
+	if change.NewState != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
 		t.Fatalf("%+v", change)
 	}
 	w.run(4 * time.Second)
@@ -395,10 +395,10 @@
 		if !ok {
 			continue
 		}
-		if h.states[change.Site] != change.From || change.From == change.To {
+		if h.states[change.Site] != change.OldState || change.OldState == change.NewState {
 			h.t.Fatalf("%+v, it was %v", change, h.states[change.Site])
 		}
-		h.states[change.Site] = change.To
+		h.states[change.Site] = change.NewState
 	}
 	for site := range h.states {
 		if h.monitor.sites[site] == nil {
@@ -457,7 +457,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own site"))
 		cfg.MaxEndpoints = 9
-		history := &randomHistory{t: t, monitor: New(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
+		history := &randomHistory{t: t, monitor: NewMonitor(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			event := history.drawEvent()
 			history.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
@@ -517,7 +517,7 @@
 			replaceEndpoints(w, newFirst)
 			w.run(20 * time.Second)
 			for _, change := range w.changes {
-				if change.Site == "s" && change.From == SiteRecovering && change.To == SiteLost {
+				if change.Site == "s" && change.OldState == SiteRecovering && change.NewState == SiteLost {
 					t.Errorf("lost again: %s", change.Evidence)
 				}
 			}
