--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -41,7 +41,9 @@
 	return site == "n", []string{"n", "s"}, r.off
 }
 
-func (r *fakeRouter) LimitSiteRamp(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
+func (r *fakeRouter) LimitSiteRamp(
+	site string, share float64, length time.Duration,
+) (ok bool, known []string, off bool) {
 	limited := length > 0
 	ok = site == "n" && share <= 1 && (limited || share == 1)
 	return ok, []string{"n", "s"}, r.off
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -42,7 +42,7 @@
 type GroupLoss struct {
 	Group          int64  `json:"bank"`
 	LosesPrimary   bool   `json:"loses_primary"`
-	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft says that nothing of the group can be served without the site.
+	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft: nothing of the group can be served without the site.
 	Successor      string `json:"successor"` // Successor is the likely primary without the site, "" = there can be none.
 
 	PrimaryUtilization        float64 `json:"primary"`
