--- a/balance/class.go
+++ b/balance/class.go
@@ -54,6 +54,10 @@
 	smoothing = 0.1
 	// decay is the part by which a remembered extreme is forgotten at each sample: work and endpoints change.
 	decay = 0.002
+	// initialLatencyDivisor gives the latency that is assumed before any answer: this part of the objective.
+	initialLatencyDivisor = 5
+	// latencySmoothing is the weight of an answer in the mean latency of its class: a class sees many answers.
+	latencySmoothing = smoothing / 5
 	// fewAnswersFactor bounds by how much more an answer counts at one of many instances, which see few answers each.
 	fewAnswersFactor = 5
 )
@@ -72,7 +76,7 @@
 	if class.LatencyObjective <= 0 {
 		class.LatencyObjective = class.ClientTimeout
 	}
-	estimate := class.LatencyObjective.Seconds() / 5
+	estimate := class.LatencyObjective.Seconds() / initialLatencyDivisor
 	return &classState{Class: class, latency: estimate, serviceTime: estimate}
 }
 
@@ -92,7 +96,7 @@
 // observeLatency takes the latency of a served attempt into the mean. The more instances there are, the fewer answers
 // each of them sees, so each answer counts for more.
 func (c *classState) observeLatency(took time.Duration, instances float64) {
-	c.latency += smoothing / 5 * min(fewAnswersFactor, 1+instances/10) * (took.Seconds() - c.latency)
+	c.latency += latencySmoothing * min(fewAnswersFactor, 1+instances/10) * (took.Seconds() - c.latency)
 }
 
 // observeServiceTime follows the least latency, so that it can also rise again slowly.
--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -17,10 +17,10 @@
 	// its limit is under one attempt.
 	rejectionCut = 0.25
 	// crowdedRatio is the part of the latency objective that attempts may take in the mean before the endpoint is
-	// crowded,
+	// crowded.
 	crowdedRatio = 0.35
-	// crowdedFactor is the multiple of the endpoint's least ratio from which it is crowded, since one that is always
-	// slow is not,
+	// crowdedFactor is the multiple of its own least ratio that an endpoint must exceed as well, since one that is
+	// always slow is not crowded.
 	crowdedFactor = 1.5
 	// maxCrowdedRatio is the ratio from which an endpoint is crowded however slow it always is.
 	maxCrowdedRatio = 0.5
--- a/balance/liveness.go
+++ b/balance/liveness.go
@@ -6,6 +6,14 @@
 // if the endpoint has answered later ones.
 const lostConnectionFactor = 2
 
+const (
+	// silenceFactor is how many times its mean latency the slowest of many attempts may take: the spread of latency.
+	silenceFactor = 1.5
+	// fewAttemptsFactor is added for a single attempt, and its n-th part for each of n: the more are in flight, the
+	// sooner one of them should be answered.
+	fewAttemptsFactor = 5
+)
+
 // silenceTimeout is how long an endpoint with these attempts in flight may answer nothing before it is suspect. It
 // goes by the slowest class among them and by how slow the endpoint is: neither a long request nor a queue is
 // silence.
@@ -15,7 +23,7 @@
 		class := attempt.request.class
 		latency = max(latency, class.latency, attempt.endpoint.limit.latencyRatio*class.LatencyObjective.Seconds())
 	}
-	return max(pauseThreshold, secondsToDuration(latency*(1.5+5/float64(len(inFlight)))))
+	return max(pauseThreshold, secondsToDuration(latency*(silenceFactor+fewAttemptsFactor/float64(len(inFlight)))))
 }
 
 // checkProgress looks for endpoints that make no progress, and cancels attempts that can safely be repeated
--- a/balance/primary_cache.go
+++ b/balance/primary_cache.go
@@ -116,7 +116,7 @@
 }
 
 // markPrimarySuspect notes evidence against the cached primary: writes are no longer sent there as before, and the
-// group's endpoints are asked for their roles.
+// group's endpoints are checked for their roles.
 func (b *Balancer) markPrimarySuspect(group *replicaGroup, reason string) {
 	cache := &group.primary
 	if !cache.known() {
--- a/balance/replica_group.go
+++ b/balance/replica_group.go
@@ -57,7 +57,7 @@
 	return !g.primary.known() || g.primary.endpoint.health.suspect
 }
 
-// isKnownPrimary says that the endpoint is cached as the group's primary and not in doubt.
+// isKnownPrimary says that the endpoint is cached as the group's primary and not suspect.
 func (g *replicaGroup) isKnownPrimary(endpoint *endpoint) bool {
 	return g.primary.endpoint == endpoint && g.primary.known()
 }
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -11,7 +11,7 @@
 
 // slowStart eases an endpoint in that has just started. Its capacity rises over Config.SlowStartWindow. What all
 // instances together may send it within Config.OverloadWindow is a budget of N requests; beyond it twice the root of
-// N and two more are chance. Instances keep to the budget without a word between them: each uses its share, as credit
+// N and two more are chance. Instances keep to the budget without messages between them: each uses its share, as credit
 // (see workCredit).
 type slowStart struct {
 	startedAt     Time    // 0 = long ago
