--- /dev/null
+++ b/internal/frontend/extendedquery/session.go
@@ -0,0 +1,161 @@
+package extendedquery
+
+import (
+	"bytes"
+
+	"limeladder/internal/frontend"
+	"limeladder/internal/pgwire"
+)
+
+// Classes tells which request classes write.
+type Classes interface {
+	// IsWrite reports whether requests of the class may change data.
+	IsWrite(class string) bool
+}
+
+// maxBufferedBytes is how many bytes of responses may wait for Flush or Sync. It bounds the memory against a client
+// that asks on and on without either.
+const maxBufferedBytes = 16 << 10
+
+// NewHandler returns the function that makes the protocol handler of a connection.
+func New(classes Classes) func(*frontend.Conn) frontend.Speaker {
+	return func(c *frontend.Conn) frontend.Speaker {
+		return &session{
+			conn:       c,
+			classes:    classes,
+			statements: map[string]*preparedStatement{},
+			portals:    map[string]*portal{},
+		}
+	}
+}
+
+// session is the protocol handler of one connection.
+type session struct {
+	conn       *frontend.Conn
+	classes    Classes
+	statements map[string]*preparedStatement
+	portals    map[string]*portal
+
+	bufferedResponses []byte          // wait for Flush or Sync
+	skipToSync        bool            // an error ended the unit of work: everything up to Sync is passed over
+	pending           *operation      // asked for and not submitted yet, since more may belong to it
+	running           *operation      // submitted to the router
+	deferredMessage   *pgwire.Message // came behind the pending operation, which had to run first
+}
+
+// Idle implements frontend.ProtocolHandler.
+func (s *session) Idle() bool {
+	if s.skipToSync || s.pending != nil || s.running != nil {
+		return false
+	}
+	return len(s.bufferedResponses) == 0 && len(s.portals) == 0
+}
+
+// HandleMessage implements frontend.ProtocolHandler.
+func (s *session) HandleMessage(message pgwire.Message) error {
+	if message.Type == 'X' { // what is pending is no longer wanted, and nothing of it was sent
+		s.conn.Close()
+		return nil
+	}
+	if s.skipToSync && message.Type != 'S' {
+		return nil
+	}
+	if len(s.bufferedResponses) > maxBufferedBytes {
+		s.flush()
+	}
+	if s.pending != nil && !s.belongsToPending(message) {
+		s.endPending(message)
+		return nil
+	}
+	return s.dispatch(message)
+}
+
+func (s *session) dispatch(message pgwire.Message) error {
+	switch message.Type {
+	case 'Q':
+		return s.handleSimpleQuery(message.Body)
+	case 'P':
+		return s.handleParse(message.Body)
+	case 'B':
+		return s.handleBind(message.Body)
+	case 'D':
+		return s.handleDescribe(message.Body)
+	case 'E':
+		return s.handleExecute(message.Body)
+	case 'C':
+		return s.handleClose(message.Body)
+	case 'H':
+		s.flush()
+	case 'S':
+		s.sync()
+	case 'F':
+		s.reject(errFunctionCall)
+		s.sync()
+	case 'd', 'c', 'f': // PostgreSQL passes over what is left of a COPY that failed
+	default:
+		return pgwire.ErrFormat
+	}
+	return nil
+}
+
+// belongsToPending reports whether a message belongs to the pending operation: the execution of the portal that it
+// describes, or a Close.
+func (s *session) belongsToPending(message pgwire.Message) bool {
+	switch message.Type {
+	case 'C':
+		return len(s.pending.closeResponses) < maxBufferedBytes
+	case 'E':
+		name, _, err := pgwire.Execute(message.Body)
+		if err != nil || s.pending.execute {
+			return false
+		}
+		return s.pending.portal != nil && s.portals[name] == s.pending.portal
+	}
+	return false
+}
+
+// endPending submits the pending operation, behind which a message has come that does not belong to it. A write is
+// submitted only with Sync, so that it is run once at the most: nothing of its unit stands behind it, and a client
+// that is lost before Sync has run nothing.
+func (s *session) endPending(message pgwire.Message) {
+	isSync := message.Type == 'S'
+	if s.isWrite(s.pending) && !isSync {
+		s.pending = nil
+		s.reject(errWriteWithoutSync)
+		if message.Type == 'H' {
+			s.flush()
+		}
+		return
+	}
+	if isSync {
+		s.pending.syncReceived = true
+	} else {
+		s.deferredMessage = &pgwire.Message{Type: message.Type, Body: bytes.Clone(message.Body)}
+	}
+	s.submitPending()
+}
+
+func (s *session) isWrite(o *operation) bool {
+	return o.execute && s.classes.IsWrite(o.statement.comment.Class)
+}
+
+// reject answers a message with an error. Everything up to Sync is passed over.
+func (s *session) reject(err *frontend.ProtocolError) {
+	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, pgwire.Error{Code: err.SQLSTATE, Message: err.Reason})
+	s.skipToSync = true
+}
+
+func (s *session) flush() {
+	if len(s.bufferedResponses) > 0 {
+		s.conn.Respond(s.bufferedResponses)
+		s.bufferedResponses = nil
+	}
+}
+
+// sync ends the unit of work, and its portals with it.
+func (s *session) sync() {
+	s.skipToSync = false
+	s.dropAllPortals()
+	s.bufferedResponses = pgwire.AppendReady(s.bufferedResponses)
+	s.flush()
+}
