--- a/internal/backend/endings_test.go
+++ b/internal/backend/connection_test.go
@@ -14,7 +14,7 @@
 )
 
 // A client goes while the connection for its attempt comes up: nothing is written there.
-func TestNothingIsWrittenForAClientThatHasGone(t *testing.T) {
+func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
 	dialled, welcome := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(welcome) })
 	defer release() // its stand-in waits for it
@@ -25,13 +25,13 @@
 		}
 		return testserver.Act{}
 	})
-	l := lim()
+	l := testLimits()
 	l.Backend.ConnectTimeout, l.Backend.RedialAfter = 10*time.Second, 20*time.Second
-	r := start(t, l, db.Addr)
+	r := newTestPool(t, l, db.Addr)
 	var gone atomic.Bool
 	done, waits := make(chan router.Result, 9), make(chan bool, 1)
 	r.loop.Post(func() {
-		c := r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 20*time.Second, Abandoned: gone.Load}, func(x router.Result) { done <- x })
+		c := r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + 20*time.Second, Abandoned: gone.Load}, func(result router.Result) { done <- result })
 		waits <- c.NotWritten()
 	})
 	if !<-waits {
@@ -40,16 +40,16 @@
 	<-dialled
 	gone.Store(true)
 	release()
-	if x := r.end(done); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
-		t.Fatalf("%+v, %d runs", x, db.Runs("a"))
+	if result := r.await(done); result.Status != balance.StatusNotSent || db.Runs("a") != 0 {
+		t.Fatalf("%+v, %d runs", result, db.Runs("a"))
 	}
-	if x := r.try("b", 0); x.Status != balance.StatusDone { // its connection is there for the next
-		t.Fatalf("%+v", x)
+	if result := r.attempt("b", 0); result.Status != balance.StatusDone { // its connection is there for the next
+		t.Fatalf("%+v", result)
 	}
 }
 
 // endless is a db machine that answers with a long row and goes on with more of something for as long as it is read.
-func endless(t *testing.T, more []byte) (addr string) {
+func startEndlessServer(t *testing.T, more []byte) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 				if _, err := c.Read(buf); err != nil {
 					return
 				}
-				answer := long(1<<20, 0)
+				answer := longResponse(1<<20, 0)
 				c.Write(answer[:len(answer)-len(pgwire.AppendReady(pgwire.Append(nil, 'C', []byte("INSERT 0 1\x00"))))])
 				for err == nil {
 					_, err = c.Write(more)
@@ -84,34 +84,36 @@
 }
 
 // An answer of which a part is passed on, and which does not end, is ended: no time of the request's does that any more.
-func TestAnAnswerWithoutEndIsEnded(t *testing.T) {
+func TestEndlessResponseIsEnded(t *testing.T) {
 	for name, more := range map[string][]byte{
 		"rows":    pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, 1, 'x'}),
 		"notices": pgwire.Append(nil, 'N', make([]byte, 100)),
 		"values":  pgwire.Append(nil, 'S', []byte("wal_time\x001\x00")),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, lim(), endless(t, more))
+			r := newTestPool(t, testLimits(), startEndlessServer(t, more))
 			done, begun := make(chan router.Result, 9), make(chan bool, 9)
 			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + time.Second, OnResponseStarted: func(router.Response, router.Flow) { begun <- true },
-					OnResponsePart: func([]byte) {}}, func(x router.Result) { done <- x })
+				r.pool.Start(router.Attempt{
+					Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + time.Second, OnResponseStarted: func(router.Response, router.Flow) { begun <- true },
+					OnResponsePart: func([]byte) {},
+				}, func(result router.Result) { done <- result })
 			})
-			if x := r.end(done); x.Status != balance.StatusError || len(begun) != 1 {
-				t.Fatalf("%+v, begun %d times", x, len(begun))
+			if result := r.await(done); result.Status != balance.StatusError || len(begun) != 1 {
+				t.Fatalf("%+v, begun %d times", result, len(begun))
 			}
 		})
 	}
 }
 
 // A dial that is given up has a descriptor until the system ends it, and counts until then.
-func TestADialThatIsGivenUpCountsUntilItEnds(t *testing.T) {
+func TestAbandonedDialCountsUntilItEnds(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
-	r := start(t, lim(), db.Addr)
+	r := newTestPool(t, testLimits(), db.Addr)
 	first, then := make(chan int, 1), make(chan int, 1)
 	r.loop.Post(func() {
-		m := r.pool.machines["n"]
-		m.dial().end() // in the same turn: what the system says of the dial comes in a later one
+		e := r.pool.endpoints["n"]
+		e.dial().close() // in the same turn: what the system says of the dial comes in a later one
 		first <- r.pool.open
 	})
 	if n := <-first; n != 1 {
--- a/internal/backend/leave_test.go
+++ b/internal/backend/endpoint_test.go
@@ -13,7 +13,7 @@
 
 // What the list says of a machine binds what waits for a connection to it: nothing is written there any more, whichever way
 // the news comes, and the attempt ends as never sent.
-func TestNothingIsSentToAMachineThatLeavesMeanwhile(t *testing.T) {
+func TestNothingIsSentToAnEndpointThatDrainsMeanwhile(t *testing.T) {
 	ready := config.Entry{ID: "other", Addr: "127.0.0.1:1", State: "ready"}
 	for name, news := range map[string]func(addr, elsewhere string) config.List{
 		"drains": func(addr, _ string) config.List {
@@ -41,19 +41,19 @@
 				return testserver.Act{}
 			})
 			there := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{} })
-			l := lim()
+			l := testLimits()
 			l.Backend.ConnectTimeout, l.Backend.RedialAfter = 3*time.Second, 20*time.Second
-			r := start(t, l, db.Addr)
+			r := newTestPool(t, l, db.Addr)
 			done := make(chan router.Result, 9)
 			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 20*time.Second}, func(x router.Result) { done <- x })
-				r.pool.HealthCheck("n", func(x router.Result) { done <- x })
+				r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + 20*time.Second}, func(result router.Result) { done <- result })
+				r.pool.HealthCheck("n", func(result router.Result) { done <- result })
 			})
 			<-dialled
 			r.loop.Post(func() { r.pool.UpdateEndpoints(news(db.Addr, there.Addr)) })
 			for range 2 {
-				if x := r.end(done); x.Status != balance.StatusNotSent {
-					t.Fatalf("%+v", x)
+				if result := r.await(done); result.Status != balance.StatusNotSent {
+					t.Fatalf("%+v", result)
 				}
 			}
 			release()
@@ -61,8 +61,8 @@
 				open := make(chan int)
 				r.loop.Post(func() {
 					n := 0
-					if m := r.pool.machines["n"]; m != nil {
-						n = m.open
+					if e := r.pool.endpoints["n"]; e != nil {
+						n = e.open
 					}
 					open <- n
 				})
@@ -76,8 +76,8 @@
 				t.Fatal("it was sent")
 			}
 			if name == "moves" {
-				if x := r.try("b", 0); x.Status != balance.StatusDone || there.Runs("b") != 1 {
-					t.Fatalf("%+v, %d runs where it is now", x, there.Runs("b"))
+				if result := r.attempt("b", 0); result.Status != balance.StatusDone || there.Runs("b") != 1 {
+					t.Fatalf("%+v, %d runs where it is now", result, there.Runs("b"))
 				}
 			}
 		})
--- a/internal/backend/probe.go
+++ b/internal/backend/health_check.go
@@ -11,29 +11,31 @@
 )
 
 // probe asks for a load report.
-type probe struct{}
+type healthCheck struct{}
 
-func (probe) Messages(time.Duration) []byte { return pgwire.AppendQuery(nil, "SHOW stats") }
+func (healthCheck) Messages(time.Duration) []byte { return pgwire.AppendQuery(nil, "SHOW stats") }
 
-func (probe) Complete(a *Response) bool { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
+func (healthCheck) Complete(response *Response) bool {
+	return string(response.Types) == "TDC" && response.Shape.Columns == 1
+}
 
 // Begins implements Job: no report is long.
-func (probe) StartsResponse(*Response) bool { return false }
+func (healthCheck) StartsResponse(*Response) bool { return false }
 
 // report reads role, position and use from a report such as x0=1767225600.123,x1=0,util=0.61. Of one that can't be read to
 // its end nothing is believed.
-func report(a *Response) (role balance.Role, pos time.Duration, use float64) {
-	r := pgwire.NewReader(len(a.Messages)+5, 0)
-	r.Feed(a.Messages)
+func parseLoadReport(response *Response) (role balance.Role, pos time.Duration, use float64) {
+	r := pgwire.NewReader(len(response.Messages)+5, 0)
+	r.Feed(response.Messages)
 	for {
-		m, ok, err := r.Next()
+		message, ok, err := r.Next()
 		if !ok || err != nil {
 			return role, pos, use
 		}
-		if m.Type != 'D' {
+		if message.Type != 'D' {
 			continue
 		}
-		row, err := pgwire.Row(m.Body)
+		row, err := pgwire.Row(message.Body)
 		if err != nil {
 			return role, pos, use
 		}
--- a/internal/backend/servers_test.go
+++ b/internal/backend/pool_test.go
@@ -21,64 +21,66 @@
 	"limeladder/internal/transport"
 )
 
-type job string
+type testJob string
 
-func (j job) Messages(left time.Duration) []byte {
+func (j testJob) Messages(left time.Duration) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=job,d=%d,cluster=1 */ INSERT", string(j), left.Milliseconds()))
 }
-func (job) StartsResponse(a *Response) bool { return string(a.Types) == "T" }
-func (job) Complete(a *Response) bool       { return string(a.Types) == "TDC" && a.Shape.Columns == 1 }
+func (testJob) StartsResponse(response *Response) bool { return string(response.Types) == "T" }
+func (testJob) Complete(response *Response) bool {
+	return string(response.Types) == "TDC" && response.Shape.Columns == 1
+}
 
-type rig struct {
+type testPool struct {
 	t    *testing.T
 	loop *eventloop.Loop
 	pool *Pool
 }
 
-func start(t *testing.T, lim limits.Limits, addr string) *rig {
+func newTestPool(t *testing.T, lim limits.Limits, addr string) *testPool {
 	l := eventloop.New()
 	e, err := transport.New(l, 256, lim.Transport.InboxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t, l, New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	r := &testPool{t, l, New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	r.pool.UpdateEndpoints(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
 	go l.Run(func() {})
 	t.Cleanup(func() { l.Stop(); e.Stop() })
 	return r
 }
 
-func lim() limits.Limits {
+func testLimits() limits.Limits {
 	return limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 }
 
 // try makes one attempt and waits for its end.
-func (r *rig) try(id string, by time.Duration) router.Result {
+func (r *testPool) attempt(id string, by time.Duration) router.Result {
 	r.t.Helper()
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
 		now := r.loop.Now()
-		a := router.Attempt{Endpoint: "n", Job: job(id), Deadline: now + 10*time.Second}
+		requested := router.Attempt{Endpoint: "n", Job: testJob(id), Deadline: now + 10*time.Second}
 		if by != 0 {
-			a.NotAfter = now + by
+			requested.NotAfter = now + by
 		}
-		r.pool.Start(a, func(x router.Result) { done <- x })
+		r.pool.Start(requested, func(result router.Result) { done <- result })
 	})
-	return r.end(done)
+	return r.await(done)
 }
 
-func (r *rig) end(done chan router.Result) router.Result {
+func (r *testPool) await(done chan router.Result) router.Result {
 	r.t.Helper()
 	select {
-	case x := <-done:
-		return x
+	case result := <-done:
+		return result
 	case <-time.After(20 * time.Second):
 		r.t.Fatal("no end")
 		panic("")
 	}
 }
 
-func TestAConnectionIsKeptAndUsedInTimeOnly(t *testing.T) {
+func TestIdleConnectionIsReusedUntilItExpires(t *testing.T) {
 	for idle, want := range map[time.Duration]int32{time.Minute: 1, -1: 3} {
 		var dials atomic.Int32
 		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
@@ -87,14 +89,14 @@
 			}
 			return testserver.Act{}
 		})
-		l := lim()
+		l := testLimits()
 		l.Backend.IdleTimeout = idle
-		r := start(t, l, db.Addr)
+		r := newTestPool(t, l, db.Addr)
 		for i := range 3 {
 			time.Sleep(3 * l.Backend.ReuseDelay)
-			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || x.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
-				t.Fatalf("%+v", x)
+			result := r.attempt(fmt.Sprint(i), 0)
+			if result.Status != balance.StatusDone || result.Role != balance.RolePrimary || result.Position <= 0 || db.Runs(fmt.Sprint(i)) != 1 {
+				t.Fatalf("%+v", result)
 			}
 		}
 		if dials.Load() != want {
@@ -103,9 +105,11 @@
 	}
 }
 
-func TestOutcomes(t *testing.T) {
-	for code, want := range map[string]balance.Status{"53300": balance.StatusBusy, "25006": balance.StatusMiss, "72000": balance.StatusMiss,
-		"XX000": balance.StatusError, "08P01": balance.StatusError, "23505": balance.StatusDone} {
+func TestErrorCodesBecomeStatuses(t *testing.T) {
+	for code, want := range map[string]balance.Status{
+		"53300": balance.StatusBusy, "25006": balance.StatusMiss, "72000": balance.StatusMiss,
+		"XX000": balance.StatusError, "08P01": balance.StatusError, "23505": balance.StatusDone,
+	} {
 		for _, fatal := range []bool{false, true} {
 			db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 				if typ == 0 {
@@ -113,9 +117,9 @@
 				}
 				return testserver.Act{Code: code, Fatal: fatal}
 			})
-			r := start(t, lim(), db.Addr)
-			if x := r.try("a", 0); x.Status != want || db.Runs("a") != 0 || code == "23505" && x.Response.(*Response).Code != code {
-				t.Errorf("%s, fatal %v: %+v", code, fatal, x)
+			r := newTestPool(t, testLimits(), db.Addr)
+			if result := r.attempt("a", 0); result.Status != want || db.Runs("a") != 0 || code == "23505" && result.Response.(*Response).Code != code {
+				t.Errorf("%s, fatal %v: %+v", code, fatal, result)
 			}
 		}
 	}
@@ -123,7 +127,7 @@
 
 // Never ran needs proof: refused, or ended before the request was written. What breaks behind that may have run.
 // A db machine that has no place left says so at the welcome. Each attempt ends there, and nobody dials again for it.
-func TestAFullMachineIsNotDialledAgain(t *testing.T) {
+func TestFullEndpointIsNotDialedAgain(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -145,19 +149,19 @@
 			}()
 		}
 	}()
-	lim := lim()
-	r := start(t, lim, l.Addr().String())
+	lim := testLimits()
+	r := newTestPool(t, lim, l.Addr().String())
 	const attempts = 5
 	done := make(chan router.Result, attempts)
 	r.loop.Post(func() {
 		for i := range attempts {
-			r.pool.Start(router.Attempt{Endpoint: "n", Job: job(fmt.Sprint(i)), Deadline: r.loop.Now() + 10*time.Second},
-				func(x router.Result) { done <- x })
+			r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob(fmt.Sprint(i)), Deadline: r.loop.Now() + 10*time.Second},
+				func(result router.Result) { done <- result })
 		}
 	})
 	for range attempts {
-		if x := r.end(done); x.Status != balance.StatusBusy {
-			t.Errorf("%+v", x)
+		if result := r.await(done); result.Status != balance.StatusBusy {
+			t.Errorf("%+v", result)
 		}
 	}
 	time.Sleep(2 * lim.Backend.RedialAfter)
@@ -166,14 +170,14 @@
 	}
 }
 
-func TestBreaks(t *testing.T) {
+func TestBrokenConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
-	if x := start(t, lim(), ln.Addr().String()).try("a", 0); x.Status != balance.StatusConnectFailed {
-		t.Errorf("refused: %+v", x)
+	if result := newTestPool(t, testLimits(), ln.Addr().String()).attempt("a", 0); result.Status != balance.StatusConnectFailed {
+		t.Errorf("refused: %+v", result)
 	}
 	for name, c := range map[string]struct {
 		at   byte
@@ -194,15 +198,15 @@
 			}
 			return testserver.Act{}
 		})
-		x := start(t, lim(), db.Addr).try("a", 0)
-		if x.Status != c.want && !(name == "behind the welcome" && x.Status == balance.StatusConnectFailed) {
-			t.Errorf("%s: %+v", name, x)
+		result := newTestPool(t, testLimits(), db.Addr).attempt("a", 0)
+		if result.Status != c.want && !(name == "behind the welcome" && result.Status == balance.StatusConnectFailed) {
+			t.Errorf("%s: %+v", name, result)
 		}
 	}
 }
 
 // long is an answer with a value of n bytes; its declared length is off by some.
-func long(n, off int) []byte {
+func longResponse(n, off int) []byte {
 	p := pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"))
 	v := make([]byte, n)
 	for i := range v {
@@ -214,7 +218,7 @@
 
 // An answer of megabytes is passed on as it comes, to the byte, and stops while its taker holds it; one that is cut or
 // spoilt has failed, and the connection goes; one that is spoilt at its start, or too long, is not passed on at all.
-func TestLongAnswers(t *testing.T) {
+func TestLongResponsesAreStreamed(t *testing.T) {
 	const n = 3 << 20
 	for name, c := range map[string]struct {
 		answer []byte
@@ -222,12 +226,12 @@
 		want   balance.Status
 		begun  bool
 	}{
-		"whole":     {long(n, 0), 0, balance.StatusDone, true},
-		"cut":       {long(n, 0), n / 2, balance.StatusReset, true},
-		"spoilt":    {append(long(n, 0)[:n], 0xff), 0, balance.StatusError, true},
-		"too short": {long(n, 5), 0, balance.StatusError, false},
-		"too long":  {long(5<<20, 0), 0, balance.StatusError, false},
-		"kept":      {long(50_000, 0), 0, balance.StatusDone, false},
+		"whole":     {longResponse(n, 0), 0, balance.StatusDone, true},
+		"cut":       {longResponse(n, 0), n / 2, balance.StatusReset, true},
+		"spoilt":    {append(longResponse(n, 0)[:n], 0xff), 0, balance.StatusError, true},
+		"too short": {longResponse(n, 5), 0, balance.StatusError, false},
+		"too long":  {longResponse(5<<20, 0), 0, balance.StatusError, false},
+		"kept":      {longResponse(50_000, 0), 0, balance.StatusDone, false},
 	} {
 		db := testserver.NewDB(t, true, func(typ byte, id string) (a testserver.Act) {
 			if typ == 'Q' && id == "a" {
@@ -239,19 +243,19 @@
 			}
 			return a
 		})
-		l := lim()
+		l := testLimits()
 		l.Backend.StreamStallTimeout = 300 * time.Millisecond
-		r := start(t, l, db.Addr)
+		r := newTestPool(t, l, db.Addr)
 		var got []byte
 		begun, held := false, false
 		done := make(chan router.Result, 9)
 		r.loop.Post(func() {
 			var flow router.Flow
-			a := router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second, OnResponseStarted: func(a router.Response, f router.Flow) {
+			requested := router.Attempt{Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + 10*time.Second, OnResponseStarted: func(a router.Response, f router.Flow) {
 				begun, flow = true, f
 				got = append(got, a.(*Response).Messages...)
 			}}
-			a.OnResponsePart = func(p []byte) {
+			requested.OnResponsePart = func(p []byte) {
 				got = append(got, p...)
 				if !held && len(got) > 1<<20 {
 					held = true
@@ -264,77 +268,77 @@
 					})
 				}
 			}
-			r.pool.Start(a, func(x router.Result) { done <- x })
+			r.pool.Start(requested, func(result router.Result) { done <- result })
 		})
-		x := r.end(done)
-		if x.Status != c.want || begun != c.begun {
-			t.Errorf("%s: %v, begun %v", name, x.Status, begun)
+		result := r.await(done)
+		if result.Status != c.want || begun != c.begun {
+			t.Errorf("%s: %v, begun %v", name, result.Status, begun)
 		}
-		if x.Status == balance.StatusDone {
-			got = append(got, x.Response.(*Response).Messages...)
+		if result.Status == balance.StatusDone {
+			got = append(got, result.Response.(*Response).Messages...)
 			if want := c.answer[:len(c.answer)-6]; !bytes.Equal(got, want) {
 				t.Errorf("%s: %d bytes, not %d", name, len(got), len(want))
 			}
 		}
-		if x = r.try("b", 0); c.begun && c.want == balance.StatusDone && x.Status != balance.StatusDone {
-			t.Errorf("%s: then %+v", name, x.Status)
+		if result = r.attempt("b", 0); c.begun && c.want == balance.StatusDone && result.Status != balance.StatusDone {
+			t.Errorf("%s: then %+v", name, result.Status)
 		}
 	}
 }
 
 // When an answer began to come is told apart from its end.
-func TestSlowAnswer(t *testing.T) {
+func TestResponseStartIsReported(t *testing.T) {
 	db := testserver.NewDB(t, true, func(typ byte, _ string) (a testserver.Act) {
 		if typ == 'Q' {
 			a.Spoil = func(p []byte) []byte { return p[:20] }
-			a.Behind = long(4, 0)[20:]
+			a.Behind = longResponse(4, 0)[20:]
 			a.Pause = 100 * time.Millisecond
 		}
 		return a
 	})
-	r := start(t, lim(), db.Addr)
+	r := newTestPool(t, testLimits(), db.Addr)
 	var end time.Duration
 	done := make(chan router.Result, 9)
 	r.loop.Post(func() {
-		r.pool.Start(router.Attempt{Endpoint: "n", Job: job("a"), Deadline: r.loop.Now() + 10*time.Second}, func(x router.Result) {
+		r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + 10*time.Second}, func(result router.Result) {
 			end = r.loop.Now()
-			done <- x
+			done <- result
 		})
 	})
-	if x := r.end(done); x.Status != balance.StatusDone || end-x.ResponseStartedAt < 90*time.Millisecond {
-		t.Fatalf("%v: began %v before its end", x.Status, end-x.ResponseStartedAt)
+	if result := r.await(done); result.Status != balance.StatusDone || end-result.ResponseStartedAt < 90*time.Millisecond {
+		t.Fatalf("%v: began %v before its end", result.Status, end-result.ResponseStartedAt)
 	}
 }
 
 // A send that a slow connection has held up past the age its data may have is not made.
-func TestTooLateToSend(t *testing.T) {
+func TestLateAttemptIsNotSent(t *testing.T) {
 	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
 			return testserver.Act{Delay: 60 * time.Millisecond}
 		}
 		return testserver.Act{}
 	})
-	r := start(t, lim(), db.Addr)
-	if x := r.try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent || db.Runs("a") != 0 {
-		t.Fatalf("%+v", x)
+	r := newTestPool(t, testLimits(), db.Addr)
+	if result := r.attempt("a", 20*time.Millisecond); result.Status != balance.StatusNotSent || db.Runs("a") != 0 {
+		t.Fatalf("%+v", result)
 	}
 	// Nor is a connection waited for beyond that.
 	silent := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: true} })
-	l := lim()
+	l := testLimits()
 	l.Backend.ConnectTimeout = 20 * time.Second
-	if x := start(t, l, silent.Addr).try("a", 20*time.Millisecond); x.Status != balance.StatusNotSent {
-		t.Fatalf("%+v", x)
+	if result := newTestPool(t, l, silent.Addr).attempt("a", 20*time.Millisecond); result.Status != balance.StatusNotSent {
+		t.Fatalf("%+v", result)
 	}
-	if x := r.try("b", -time.Millisecond); x.Status != balance.StatusNotSent || db.Runs("b") != 0 {
-		t.Fatalf("%+v", x)
+	if result := r.attempt("b", -time.Millisecond); result.Status != balance.StatusNotSent || db.Runs("b") != 0 {
+		t.Fatalf("%+v", result)
 	}
-	if x := r.try("c", time.Minute); x.Status != balance.StatusDone {
-		t.Fatalf("%+v", x)
+	if result := r.attempt("c", time.Minute); result.Status != balance.StatusDone {
+		t.Fatalf("%+v", result)
 	}
 }
 
 // The answer to a cancelled attempt must not be taken for that of the next.
-func TestLateAnswerMeetsNobody(t *testing.T) {
+func TestLateResponseIsDiscarded(t *testing.T) {
 	asked := make(chan bool, 9)
 	db := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 		if typ == 'Q' && id == "slow" {
@@ -343,12 +347,12 @@
 		}
 		return testserver.Act{}
 	})
-	r := start(t, lim(), db.Addr)
-	r.try("first", 0)
+	r := newTestPool(t, testLimits(), db.Addr)
+	r.attempt("first", 0)
 	call, written := make(chan router.AttemptHandle, 1), make(chan bool, 1)
 	r.loop.Post(func() {
-		call <- r.pool.Start(router.Attempt{Endpoint: "n", Job: job("slow"), Deadline: r.loop.Now() + time.Minute}, func(x router.Result) {
-			t.Errorf("a cancelled attempt ended: %+v", x)
+		call <- r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob("slow"), Deadline: r.loop.Now() + time.Minute}, func(result router.Result) {
+			t.Errorf("a cancelled attempt ended: %+v", result)
 		})
 	})
 	c := <-call
@@ -358,8 +362,8 @@
 		t.Error("it was written")
 	}
 	for i := range 5 {
-		if x := r.try(fmt.Sprint(i), 0); x.Status != balance.StatusDone || db.Runs(fmt.Sprint(i)) != 1 {
-			t.Fatalf("%+v", x)
+		if result := r.attempt(fmt.Sprint(i), 0); result.Status != balance.StatusDone || db.Runs(fmt.Sprint(i)) != 1 {
+			t.Fatalf("%+v", result)
 		}
 	}
 	r.loop.Post(func() { written <- c.Cancel() })
@@ -368,33 +372,35 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	db := testserver.NewDB(t, false, nil)
-	r := start(t, lim(), db.Addr)
+	r := newTestPool(t, testLimits(), db.Addr)
 	done := make(chan router.Result, 9)
-	ask := func() { r.loop.Post(func() { r.pool.HealthCheck("n", func(x router.Result) { done <- x }) }) }
+	ask := func() { r.loop.Post(func() { r.pool.HealthCheck("n", func(result router.Result) { done <- result }) }) }
 	ask()
 	now := time.Duration(time.Now().UnixNano())
-	if x := r.end(done); x.Status != balance.StatusDone || x.Role != balance.RoleReplica || x.Position > now+time.Minute || x.Position < now-time.Minute {
-		t.Fatalf("%+v", x)
+	if result := r.await(done); result.Status != balance.StatusDone || result.Role != balance.RoleReplica || result.Position > now+time.Minute || result.Position < now-time.Minute {
+		t.Fatalf("%+v", result)
 	}
 	silent := testserver.NewDB(t, false, func(typ byte, _ string) testserver.Act { return testserver.Act{Silent: typ == 'Q'} })
-	r = start(t, lim(), silent.Addr)
+	r = newTestPool(t, testLimits(), silent.Addr)
 	ask()
-	if x := r.end(done); x.Status != balance.StatusTimedOut {
-		t.Fatalf("%+v", x)
+	if result := r.await(done); result.Status != balance.StatusTimedOut {
+		t.Fatalf("%+v", result)
 	}
-	for text, want := range map[string]time.Duration{"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
-		`{"x0": 1767225600.5, "x1": 1}`: 1767225600500 * time.Millisecond, "x0=nan,x1=1": 0, "x1=1,x0=-5": 0, "x0=1767225600,x1=7": 0} {
+	for text, want := range map[string]time.Duration{
+		"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
+		`{"x0": 1767225600.5, "x1": 1}`:   1767225600500 * time.Millisecond, "x0=nan,x1=1": 0, "x1=1,x0=-5": 0, "x0=1767225600,x1=7": 0,
+	} {
 		p := pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, byte(len(text))}, []byte(text))
-		if role, pos, _ := report(&Response{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
+		if role, pos, _ := parseLoadReport(&Response{Messages: p}); pos != want || (pos == 0) != (role == balance.RoleUnknown) {
 			t.Errorf("%s: %v %v", text, role, pos)
 		}
 	}
 }
 
 // A spoilt answer is an attempt that may have run. Its connection is closed and nothing that it claims is believed.
-func TestSpoiltAnswers(t *testing.T) {
+func TestInvalidResponsesAreRejected(t *testing.T) {
 	column := pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"))
 	value := pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x01v"))
 	tag := pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))
@@ -429,21 +435,21 @@
 			}
 			return a
 		})
-		l := lim()
+		l := testLimits()
 		l.Backend.StallTimeout = 30 * time.Millisecond
-		r := start(t, l, db.Addr)
-		if x := r.try("spoilt", 0); x != (router.Result{Status: balance.StatusError}) {
-			t.Errorf("%s: %+v", name, x)
+		r := newTestPool(t, l, db.Addr)
+		if result := r.attempt("spoilt", 0); result != (router.Result{Status: balance.StatusError}) {
+			t.Errorf("%s: %+v", name, result)
 		}
-		if x := r.try("next", 0); x.Status != balance.StatusDone || dials.Load() != 2 {
-			t.Errorf("behind %s: %+v, %d connections", name, x, dials.Load())
+		if result := r.attempt("next", 0); result.Status != balance.StatusDone || dials.Load() != 2 {
+			t.Errorf("behind %s: %+v, %d connections", name, result, dials.Load())
 		}
 	}
 }
 
 // A value of several hundred KB is an answer like any other; one beyond the limit is not read to its end.
-func TestLargeAnswers(t *testing.T) {
-	l := lim()
+func TestLargeResponses(t *testing.T) {
+	l := testLimits()
 	for size, want := range map[int]balance.Status{400_000: balance.StatusDone, l.Backend.ResponseBytes: balance.StatusError} {
 		value := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(size))
 		value = append(value, make([]byte, size)...)
@@ -456,31 +462,35 @@
 			}
 			return a
 		})
-		if x := start(t, l, db.Addr).try("a", 0); x.Status != want {
-			t.Errorf("%d bytes: %+v", size, x.Status)
+		if result := newTestPool(t, l, db.Addr).attempt("a", 0); result.Status != want {
+			t.Errorf("%d bytes: %+v", size, result.Status)
 		}
 	}
 }
 
 // What comes behind an answer, in whatever segment, must not be taken for the answer to the next request.
-func TestBehindAnAnswer(t *testing.T) {
-	copied := bytes.Join([][]byte{pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")),
-		pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x05stray")), pgwire.Append(nil, 'C', []byte("SELECT 1\x00")), pgwire.AppendReady(nil)}, nil)
-	for name, act := range map[string]testserver.Act{"later": {Behind: copied},
-		"at once": {Spoil: func(p []byte) []byte { return append(p, copied...) }}, "a part": {Behind: copied[:7]}} {
+func TestBytesBehindAResponseAreDiscarded(t *testing.T) {
+	copied := bytes.Join([][]byte{
+		pgwire.Append(nil, 'T', []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")),
+		pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x05stray")), pgwire.Append(nil, 'C', []byte("SELECT 1\x00")), pgwire.AppendReady(nil),
+	}, nil)
+	for name, act := range map[string]testserver.Act{
+		"later":   {Behind: copied},
+		"at once": {Spoil: func(p []byte) []byte { return append(p, copied...) }}, "a part": {Behind: copied[:7]},
+	} {
 		db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
 				return testserver.Act{}
 			}
 			return act
 		})
-		l := lim()
+		l := testLimits()
 		l.Backend.ReuseDelay = 100 * time.Millisecond
-		r := start(t, l, db.Addr)
+		r := newTestPool(t, l, db.Addr)
 		for i := range 4 {
-			x := r.try(fmt.Sprint(i), 0)
-			if x.Status != balance.StatusDone || x.Role != balance.RolePrimary || bytes.Contains(x.Response.(*Response).Messages, []byte("stray")) {
-				t.Fatalf("%s: %+v", name, x)
+			result := r.attempt(fmt.Sprint(i), 0)
+			if result.Status != balance.StatusDone || result.Role != balance.RolePrimary || bytes.Contains(result.Response.(*Response).Messages, []byte("stray")) {
+				t.Fatalf("%s: %+v", name, result)
 			}
 		}
 	}
