--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -1,8 +1,9 @@
 package backend
 
 import (
+	"bytes"
+	"fmt"
 	"net"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -15,116 +16,151 @@
 
 // A client goes while the connection for its attempt comes up: nothing is written there.
 func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
-	dialled, welcome := make(chan bool, 9), make(chan bool)
-	release := sync.OnceFunc(func() { close(welcome) })
-	defer release() // its stand-in waits for it
-	db := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
-		if typ == 0 {
-			dialled <- true
-			<-welcome
+	server, dialed, release := newSlowStartServer(t)
+	lim := testLimits()
+	lim.Backend.ConnectTimeout = 10 * time.Second
+	lim.Backend.RedialAfter = 20 * time.Second
+	p := newTestPool(t, lim, server.Addr)
+	var disconnected atomic.Bool
+	done := make(chan router.Result, 9)
+	notWritten := make(chan bool, 1)
+	p.loop.Post(func() {
+		requested := router.Attempt{
+			Endpoint:  "n",
+			Job:       testJob("a"),
+			Deadline:  p.loop.Now() + 20*time.Second,
+			Abandoned: disconnected.Load,
 		}
-		return testserver.Act{}
-	})
-	l := testLimits()
-	l.Backend.ConnectTimeout, l.Backend.RedialAfter = 10*time.Second, 20*time.Second
-	r := newTestPool(t, l, db.Addr)
-	var gone atomic.Bool
-	done, waits := make(chan router.Result, 9), make(chan bool, 1)
-	r.loop.Post(func() {
-		c := r.pool.Start(router.Attempt{Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + 20*time.Second, Abandoned: gone.Load}, func(result router.Result) { done <- result })
-		waits <- c.NotWritten()
+		handle := p.pool.Start(requested, func(result router.Result) { done <- result })
+		notWritten <- handle.NotWritten()
 	})
-	if !<-waits {
+	if !<-notWritten {
 		t.Error("it waits for a connection and says that it does not")
 	}
-	<-dialled
-	gone.Store(true)
+	<-dialed
+	disconnected.Store(true)
 	release()
-	if result := r.await(done); result.Status != balance.StatusNotSent || db.Runs("a") != 0 {
-		t.Fatalf("%+v, %d runs", result, db.Runs("a"))
+	if result := p.await(done); result.Status != balance.StatusNotSent || server.Runs("a") != 0 {
+		t.Fatalf("%+v, %d runs", result, server.Runs("a"))
 	}
-	if result := r.attempt("b", 0); result.Status != balance.StatusDone { // its connection is there for the next
+	if result := p.attempt("b", 0); result.Status != balance.StatusDone { // its connection is there for the next
 		t.Fatalf("%+v", result)
 	}
 }
 
-// endless is a db machine that answers with a long row and goes on with more of something for as long as it is read.
-func startEndlessServer(t *testing.T, more []byte) (addr string) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// That an attempt never ran needs proof: the connection was refused, or ended before the attempt was written. An
+// attempt whose connection breaks later may have run.
+func TestBrokenConnections(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			go func() {
-				buf := make([]byte, 4096)
-				if _, err := c.Read(buf); err != nil {
-					return
-				}
-				c.Write(pgwire.AppendWelcome(nil))
-				if _, err := c.Read(buf); err != nil {
-					return
-				}
-				answer := longResponse(1<<20, 0)
-				c.Write(answer[:len(answer)-len(pgwire.AppendReady(pgwire.Append(nil, 'C', []byte("INSERT 0 1\x00"))))])
-				for err == nil {
-					_, err = c.Write(more)
-				}
-			}()
-		}
-	}()
-	return ln.Addr().String()
-}
-
-// An answer of which a part is passed on, and which does not end, is ended: no time of the request's does that any more.
-func TestEndlessResponseIsEnded(t *testing.T) {
-	for name, more := range map[string][]byte{
-		"rows":    pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, 1, 'x'}),
-		"notices": pgwire.Append(nil, 'N', make([]byte, 100)),
-		"values":  pgwire.Append(nil, 'S', []byte("wal_time\x001\x00")),
+	listener.Close()
+	refusing := newTestPool(t, testLimits(), listener.Addr().String())
+	if result := refusing.attempt("a", 0); result.Status != balance.StatusConnectFailed {
+		t.Errorf("refused: %+v", result)
+	}
+	const startup = 0
+	for _, test := range []struct {
+		name string
+		at   byte
+		act  testserver.Act
+		want balance.Status
+		also balance.Status // a second status that may be, StatusDone = none
+	}{
+		{name: "at the startup", at: startup, act: testserver.Act{Break: true}, want: balance.StatusConnectFailed},
+		{name: "silent startup", at: startup, act: testserver.Act{Silent: true}, want: balance.StatusConnectFailed},
+		{name: "before the response", at: 'Q', act: testserver.Act{Break: true}, want: balance.StatusReset},
+		{name: "within the response", at: 'Q', act: testserver.Act{Cut: 30}, want: balance.StatusReset},
+		{name: "before ReadyForQuery", at: 'Q', act: testserver.Act{Cut: 75}, want: balance.StatusReset},
+		{name: "behind the response", at: 'Q', act: testserver.Act{Cut: 1000}, want: balance.StatusDone},
+		{
+			name: "behind the startup", at: startup, act: testserver.Act{Cut: 1000},
+			want: balance.StatusReset, also: balance.StatusConnectFailed,
+		},
 	} {
-		t.Run(name, func(t *testing.T) {
-			r := newTestPool(t, testLimits(), startEndlessServer(t, more))
-			done, begun := make(chan router.Result, 9), make(chan bool, 9)
-			r.loop.Post(func() {
-				r.pool.Start(router.Attempt{
-					Endpoint: "n", Job: testJob("a"), Deadline: r.loop.Now() + time.Second, OnResponseStarted: func(router.Response, router.Flow) { begun <- true },
-					OnResponsePart: func([]byte) {},
-				}, func(result router.Result) { done <- result })
-			})
-			if result := r.await(done); result.Status != balance.StatusError || len(begun) != 1 {
-				t.Fatalf("%+v, begun %d times", result, len(begun))
+		server := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
+			if typ == test.at {
+				return test.act
 			}
+			return testserver.Act{}
 		})
+		result := newTestPool(t, testLimits(), server.Addr).attempt("a", 0)
+		isOther := test.also != balance.StatusDone && result.Status == test.also
+		if result.Status != test.want && !isOther {
+			t.Errorf("%s: %+v", test.name, result)
+		}
 	}
 }
 
-// A dial that is given up has a descriptor until the system ends it, and counts until then.
-func TestAbandonedDialCountsUntilItEnds(t *testing.T) {
-	db := testserver.NewDB(t, true, nil)
-	r := newTestPool(t, testLimits(), db.Addr)
-	first, then := make(chan int, 1), make(chan int, 1)
-	r.loop.Post(func() {
-		e := r.pool.endpoints["n"]
-		e.dial().close() // in the same turn: what the system says of the dial comes in a later one
-		first <- r.pool.open
+// The response to a cancelled attempt must not be taken for that of the next.
+func TestLateResponseIsDiscarded(t *testing.T) {
+	received := make(chan bool, 9)
+	server := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
+		if typ == 'Q' && id == "slow" {
+			received <- true
+			return testserver.Act{Delay: 30 * time.Millisecond}
+		}
+		return testserver.Act{}
+	})
+	p := newTestPool(t, testLimits(), server.Addr)
+	p.attempt("first", 0)
+	handles := make(chan router.AttemptHandle, 1)
+	written := make(chan bool, 1)
+	p.loop.Post(func() {
+		requested := router.Attempt{Endpoint: "n", Job: testJob("slow"), Deadline: p.loop.Now() + time.Minute}
+		handles <- p.pool.Start(requested, func(result router.Result) {
+			t.Errorf("a cancelled attempt ended: %+v", result)
+		})
 	})
-	if n := <-first; n != 1 {
-		t.Fatalf("%d connections counted while the dial is out", n)
+	handle := <-handles
+	<-received
+	p.loop.Post(func() { written <- handle.Cancel() })
+	if !<-written {
+		t.Error("it was written")
+	}
+	for i := range 5 {
+		id := fmt.Sprint(i)
+		if result := p.attempt(id, 0); result.Status != balance.StatusDone || server.Runs(id) != 1 {
+			t.Fatalf("%+v", result)
+		}
 	}
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		r.loop.Post(func() { then <- r.pool.open })
-		if <-then == 0 {
-			return
-		} else if time.Now().After(end) {
-			t.Fatal("its place is not given back")
+	p.loop.Post(func() { written <- handle.Cancel() })
+	if <-written {
+		t.Error("cancelled twice")
+	}
+}
+
+// What comes behind a response, in whatever segment, must not be taken for the response to the next attempt.
+func TestBytesBehindAResponseAreDiscarded(t *testing.T) {
+	stray := bytes.Join([][]byte{
+		rowDescription(),
+		pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x05stray")),
+		pgwire.Append(nil, 'C', []byte("SELECT 1\x00")),
+		pgwire.AppendReady(nil),
+	}, nil)
+	for name, act := range map[string]testserver.Act{
+		"later":   {Behind: stray},
+		"at once": {Spoil: func(p []byte) []byte { return append(p, stray...) }},
+		"a part":  {Behind: stray[:7]},
+	} {
+		server := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
+			if typ == 0 {
+				return testserver.Act{}
+			}
+			return act
+		})
+		lim := testLimits()
+		lim.Backend.ReuseDelay = 100 * time.Millisecond
+		p := newTestPool(t, lim, server.Addr)
+		for i := range 4 {
+			result := p.attempt(fmt.Sprint(i), 0)
+			if result.Status != balance.StatusDone || result.Role != balance.RolePrimary {
+				t.Fatalf("%s: %+v", name, result)
+			}
+			if bytes.Contains(result.Response.(*Response).Messages, []byte("stray")) {
+				t.Fatalf("%s: %+v", name, result)
+			}
 		}
 	}
 }
--- /dev/null
+++ b/internal/backend/endpoint.go
@@ -0,0 +1,157 @@
+package backend
+
+import (
+	"slices"
+
+	"limeladder/balance"
+	"limeladder/internal/pgwire"
+	"limeladder/internal/router"
+)
+
+// The states of an endpoint in discovery's list that matter to its connections.
+const (
+	stateReady   = "ready"
+	stateRemoved = "gone"
+)
+
+// endpoint is one PostgreSQL server, the connections to it and the attempts that wait for one.
+type endpoint struct {
+	id        string
+	addr      string
+	pool      *Pool
+	state     string
+	suspended bool // by an operator
+
+	// generation counts how often the endpoint was drained. A connection that was dialed in an earlier generation is not
+	// used for another attempt.
+	generation int
+
+	open         int           // connections, those that are being dialed included
+	starting     int           // connections that have not finished their startup
+	reuseDelayed int           // connections that have just carried a response
+	idle         []*connection // the most recently used one last
+	waiting      []*attempt    // for a connection, the oldest first
+}
+
+// acceptsAttempts reports whether new attempts may be written to the endpoint.
+func (e *endpoint) acceptsAttempts() bool { return e.addr != "" && !e.suspended }
+
+// isUnused reports whether the endpoint is no longer listed and nothing refers to it any more.
+func (e *endpoint) isUnused() bool {
+	return e.state == stateRemoved && e.open == 0 && len(e.waiting) == 0
+}
+
+// keepsIdle reports whether one more idle connection is worth keeping.
+func (e *endpoint) keepsIdle() bool {
+	if e.pool.closed || e.suspended || e.state != stateReady {
+		return false
+	}
+	return len(e.idle) < e.pool.limits.Backend.IdlePerEndpoint
+}
+
+// expectedConnections is the number of connections that will soon be free for the attempts that wait.
+func (e *endpoint) expectedConnections() int { return e.starting + e.reuseDelayed }
+
+// dial opens a connection for whichever attempt waits first when it is ready.
+func (e *endpoint) dial() *connection {
+	p := e.pool
+	c := &connection{
+		endpoint:   e,
+		generation: e.generation,
+		reader:     pgwire.NewReader(p.limits.Backend.RowBytes, 0),
+	}
+	e.open++
+	e.starting++
+	p.open++
+	c.dialing = true
+	c.startupTimer = p.loop.AfterFunc(p.limits.Backend.ConnectTimeout, c.handleDisconnect)
+	p.engine.Dial(e.addr, p.limits.Backend.ConnectTimeout, c.handleDialed)
+	return c
+}
+
+// dialForWaiting opens a connection if some attempts wait and none is on its way to them.
+func (e *endpoint) dialForWaiting() {
+	if len(e.waiting) > e.expectedConnections() && e.pool.ensureCapacity(e) {
+		e.dial()
+	}
+}
+
+// sendOnIdle writes an attempt to the most recently used idle connection that is still usable, and reports whether
+// there was one.
+func (e *endpoint) sendOnIdle(a *attempt) bool {
+	for len(e.idle) > 0 {
+		c := e.idle[len(e.idle)-1]
+		if c.hasExpired(e.pool.loop.Now()) || !c.isQuiet() {
+			c.close()
+			continue
+		}
+		e.idle = e.idle[:len(e.idle)-1]
+		if c.send(a) {
+			return true
+		}
+	}
+	return false
+}
+
+// enqueue lets an attempt wait for a connection, for a limited time.
+func (e *endpoint) enqueue(a *attempt) {
+	p := e.pool
+	e.waiting = append(e.waiting, a)
+	timeout := p.limits.Backend.ConnectTimeout
+	status := balance.StatusConnectFailed
+	if remaining := a.notAfter - p.loop.Now(); a.notAfter > 0 && remaining < timeout {
+		timeout = remaining
+		status = balance.StatusNotSent // it may not be written any more then
+	}
+	a.connectTimer = p.loop.AfterFunc(timeout, func() {
+		e.removeWaiting(a)
+		a.finish(router.Result{Status: status})
+	})
+	// A SYN that is lost would be repeated by the system only after a second, so another connection is dialed before.
+	a.redialTimer = p.loop.AfterFunc(p.limits.Backend.RedialAfter, func() {
+		if p.ensureCapacity(e) {
+			e.dial()
+		}
+	})
+	e.dialForWaiting()
+}
+
+// takeWaiting removes the attempt that has waited for the longest time. There must be one.
+func (e *endpoint) takeWaiting() *attempt {
+	a := e.waiting[0]
+	e.waiting = e.waiting[1:]
+	return a
+}
+
+// removeWaiting removes an attempt that waits for a connection.
+func (e *endpoint) removeWaiting(a *attempt) {
+	if i := slices.Index(e.waiting, a); i >= 0 {
+		e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
+	}
+}
+
+// failWaiting ends the attempts that no connection is on its way to: nothing of them was written.
+func (e *endpoint) failWaiting(status balance.Status) {
+	for len(e.waiting) > e.expectedConnections() {
+		e.takeWaiting().finish(router.Result{Status: status})
+	}
+}
+
+// drain closes idle connections and ends the attempts that wait for one as not sent. An attempt that was decided
+// before the endpoint was known to drain must not reach it over a connection that comes up afterwards. Attempts that
+// are decided from now on, with the news in hand, are let through.
+func (e *endpoint) drain() {
+	e.generation++
+	e.closeIdle()
+	for _, a := range e.waiting {
+		a.postNotSent()
+	}
+	e.waiting = nil
+}
+
+// closeIdle closes the connections that carry no attempt.
+func (e *endpoint) closeIdle() {
+	for len(e.idle) > 0 {
+		e.idle[0].close()
+	}
+}
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -8,63 +8,125 @@
 
 	"limeladder/balance"
 	"limeladder/internal/pgwire"
+	"limeladder/internal/router"
 )
 
-// probe asks for a load report.
+// HealthCheck asks an endpoint for its load report and calls done once with what it says. It implements
+// router.Backends.
+func (p *Pool) HealthCheck(id string, done func(router.Result)) {
+	timeout := p.limits.Backend.HealthCheckTimeout
+	a := &attempt{pool: p, job: healthCheck{}, deadline: p.loop.Now() + timeout}
+	a.done = func(result router.Result) {
+		a.timeoutTimer.Stop()
+		if response, ok := result.Response.(*Response); ok && result.Status == balance.StatusDone {
+			report := parseLoadReport(response)
+			result.Role = report.role
+			result.Position = report.position
+			result.Utilization = report.utilization
+		}
+		done(result)
+	}
+	a.timeoutTimer = p.loop.AfterFunc(timeout, func() {
+		a.Cancel()
+		if e := p.endpoints[id]; e != nil {
+			e.closeIdle() // an endpoint that does not answer a health check answers on no connection
+		}
+		done(router.Result{Status: balance.StatusTimedOut})
+	})
+	p.startAttempt(id, a)
+}
+
+// healthCheck is the Job that asks for a load report.
 type healthCheck struct{}
 
+// Messages returns the query for the load report.
 func (healthCheck) Messages(time.Duration) []byte { return pgwire.AppendQuery(nil, "SHOW stats") }
 
+// Complete reports whether the response is one row of one column.
 func (healthCheck) Complete(response *Response) bool {
 	return string(response.Types) == "TDC" && response.Shape.Columns == 1
 }
 
-// Begins implements Job: no report is long.
+// StartsResponse returns false: no load report is long enough to be streamed.
 func (healthCheck) StartsResponse(*Response) bool { return false }
 
-// report reads role, position and use from a report such as x0=1767225600.123,x1=0,util=0.61. Of one that can't be read to
-// its end nothing is believed.
-func parseLoadReport(response *Response) (role balance.Role, pos time.Duration, use float64) {
-	r := pgwire.NewReader(len(response.Messages)+5, 0)
-	r.Feed(response.Messages)
+// loadReport is what an endpoint says of itself. Its zero value says nothing.
+type loadReport struct {
+	role        balance.Role
+	position    time.Duration // replication position
+	utilization float64
+}
+
+// The metrics of a load report, by their names on the wire.
+const (
+	metricPosition    = "x0" // in seconds since the Unix epoch
+	metricIsPrimary   = "x1" // 0 or 1
+	metricUtilization = "util"
+
+	maxMetric = 1e10 // larger metrics are invalid
+)
+
+// metricCleaner brings a metric in JSON's form into the plain one.
+var metricCleaner = strings.NewReplacer(`"`, "", ":", "=", " ", "")
+
+// parseLoadReport reads a load report such as x0=1767225600.123,x1=0,util=0.61. Of a report with an invalid metric
+// nothing is believed.
+func parseLoadReport(response *Response) loadReport {
+	var report loadReport
+	reader := pgwire.NewReader(len(response.Messages)+messageHeaderBytes, 0)
+	reader.Feed(response.Messages)
 	for {
-		message, ok, err := r.Next()
+		message, ok, err := reader.Next()
 		if !ok || err != nil {
-			return role, pos, use
+			return report
 		}
-		if message.Type != 'D' {
+		if message.Type != typeDataRow {
 			continue
 		}
 		row, err := pgwire.Row(message.Body)
 		if err != nil {
-			return role, pos, use
+			return report
 		}
 		for _, value := range row {
-			text := strings.Trim(string(value), "{} ")
-			for _, part := range strings.Split(text, ",") {
-				part = strings.NewReplacer(`"`, "", ":", "=", " ", "").Replace(part)
-				name, figure, _ := strings.Cut(part, "=")
-				v, err := strconv.ParseFloat(figure, 64)
-				if err != nil || math.IsNaN(v) || v < 0 || v > 1e10 {
-					return balance.RoleUnknown, 0, 0
-				}
-				switch name {
-				case "x0":
-					// The report is exact to the millisecond; a float64 of this size is off by far less.
-					pos = time.Duration(math.Floor(v*1e3+1e-3)) * time.Millisecond
-				case "util":
-					use = v
-				case "x1":
-					switch v {
-					case 0:
-						role = balance.RoleReplica
-					case 1:
-						role = balance.RolePrimary
-					default:
-						return balance.RoleUnknown, 0, 0
-					}
-				}
+			if !report.addMetrics(string(value)) {
+				return loadReport{}
 			}
 		}
 	}
 }
+
+// addMetrics reads the metrics of one value and reports whether all of them are valid.
+func (r *loadReport) addMetrics(text string) bool {
+	for _, metric := range strings.Split(strings.Trim(text, "{} "), ",") {
+		name, digits, _ := strings.Cut(metricCleaner.Replace(metric), "=")
+		value, err := strconv.ParseFloat(digits, 64)
+		if err != nil || !isValidMetric(value) || !r.setMetric(name, value) {
+			return false
+		}
+	}
+	return true
+}
+
+func isValidMetric(value float64) bool { return value >= 0 && value <= maxMetric } // false for NaN too
+
+// setMetric notes one metric and reports whether it is valid. Figures of other names are ignored.
+func (r *loadReport) setMetric(name string, value float64) bool {
+	switch name {
+	case metricPosition:
+		// The report is exact to the millisecond; a float64 of this size is off by far less.
+		millis := math.Floor(value*1e3 + 1e-3)
+		r.position = time.Duration(millis) * time.Millisecond
+	case metricUtilization:
+		r.utilization = value
+	case metricIsPrimary:
+		switch value {
+		case 0:
+			r.role = balance.RoleReplica
+		case 1:
+			r.role = balance.RolePrimary
+		default:
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/backend/stream.go
@@ -0,0 +1,77 @@
+package backend
+
+import (
+	"fmt"
+
+	"limeladder/internal/pgwire"
+)
+
+// startStreaming begins to forward a response that is too long to be buffered, once enough of its long row has come and
+// the lengths in it fit so far; until then a failed attempt can be retried. It reports whether a row is being streamed
+// now.
+func (c *connection) startStreaming() bool {
+	in := &c.incoming
+	limits := &c.endpoint.pool.limits.Backend
+	messageType, length, received, ok := c.reader.Begun()
+	if !ok {
+		return false
+	}
+	isRow := messageType == typeDataRow
+	if length > limits.ResponseBytes && (!isRow || !c.canStream()) {
+		c.handleViolation(errMessageTooLong)
+		return false
+	}
+	isLong := length > limits.StreamThresholdBytes && len(received) >= limits.StreamStartBytes
+	if !isRow || !isLong {
+		return false
+	}
+	if in.sqlState != "" || !c.canStream() {
+		return false
+	}
+	if err := pgwire.NewRowStream(length).Feed(received); err != nil {
+		c.handleViolation(fmt.Errorf("streamed row: %w", err))
+		return false
+	}
+	if !in.streaming {
+		in.streaming = true
+		c.attempt.onResponseStarted(in.response, c.attempt)
+		in.response.Messages = nil
+	}
+	in.streamedRow = pgwire.NewRowStream(length)
+	c.attempt.onResponsePart(c.reader.Cut(messageHeaderBytes))
+	return true
+}
+
+// canStream reports whether the attempt takes a response in parts and the messages so far may start it.
+func (c *connection) canStream() bool {
+	a := c.attempt
+	if a == nil || a.onResponseStarted == nil {
+		return false
+	}
+	return a.job.StartsResponse(c.incoming.response)
+}
+
+// streamRow forwards what has come of a long row, and reports whether that was the end of the row.
+func (c *connection) streamRow() bool {
+	in := &c.incoming
+	p := c.reader.Cut(min(in.streamedRow.Left, c.reader.Waiting()))
+	if len(p) == 0 {
+		return false
+	}
+	if err := in.streamedRow.Feed(p); err != nil {
+		c.handleViolation(fmt.Errorf("streamed row: %w", err))
+		return false
+	}
+	c.attempt.onResponsePart(p)
+	if in.streamedRow.Left > 0 {
+		return false
+	}
+	columns := in.streamedRow.Columns
+	in.streamedRow = nil
+	in.response.Types = append(in.response.Types, typeDataRow)
+	if !in.response.Shape.Row(columns) {
+		c.handleViolation(fmt.Errorf("streamed row: %w", errRowMismatch))
+		return false
+	}
+	return true
+}
