--- a/cmd/limeladder/audit_endpoint_list.go
+++ b/cmd/limeladder/audit_endpoint_list.go
@@ -14,22 +14,22 @@
 
 // endpointListChanged records a watch event, and the endpoints that it takes out or lets back in. An event without
 // endpoints is recorded only where it is a complete list.
-func (r *auditRecording) endpointListChanged(event config.List, kind balance.EndpointListKind) {
-	if r == nil || len(event.Servers) == 0 && kind != balance.ListFull {
+func (r *auditRecording) endpointListChanged(event config.EndpointList, kind balance.EndpointListKind) {
+	if r == nil || len(event.Endpoints) == 0 && kind != balance.ListFull {
 		return
 	}
 	complete := kind != balance.ListDelta
 	if complete {
-		r.recordEndpointsNotListed(event.Servers)
+		r.recordEndpointsNotListed(event.Endpoints)
 	}
-	for _, entry := range event.Servers {
+	for _, entry := range event.Endpoints {
 		r.recordListedState(entry)
 	}
 	r.recorder.Record(summarizeEndpointList(event, complete))
 }
 
 // recordEndpointsNotListed records the endpoints that were listed and are missing from a complete list.
-func (r *auditRecording) recordEndpointsNotListed(listed []config.Entry) {
+func (r *auditRecording) recordEndpointsNotListed(listed []config.EndpointEntry) {
 	isListed := map[string]bool{}
 	for _, entry := range listed {
 		isListed[entry.ID] = true
@@ -43,7 +43,7 @@
 }
 
 // recordListedState records the state of an endpoint if it has changed. An endpoint that is new and ready is no change.
-func (r *auditRecording) recordListedState(entry config.Entry) {
+func (r *auditRecording) recordListedState(entry config.EndpointEntry) {
 	previous, known := r.endpointStates[entry.ID]
 	newAndReady := !known && entry.State == endpointReady
 	if previous != entry.State && !newAndReady {
@@ -62,9 +62,9 @@
 }
 
 // summarizeEndpointList counts the endpoints of an event by their state.
-func summarizeEndpointList(event config.List, complete bool) audit.List {
+func summarizeEndpointList(event config.EndpointList, complete bool) audit.List {
 	summary := audit.List{Version: event.Version, Full: complete}
-	for _, entry := range event.Servers {
+	for _, entry := range event.Endpoints {
 		switch entry.State {
 		case endpointReady:
 			summary.Ready++
--- a/cmd/limeladder/audit_endpoint_list_test.go
+++ b/cmd/limeladder/audit_endpoint_list_test.go
@@ -21,32 +21,34 @@
 		recorder:       audit.NewRecorder(policy, queue, time.Now),
 		endpointStates: map[string]string{},
 	}
-	entry := func(id, state string) config.Entry { return config.Entry{ID: id, Cell: 7, State: state} }
+	entry := func(id, state string) config.EndpointEntry {
+		return config.EndpointEntry{ID: id, Cell: 7, State: state}
+	}
 	changed := func(id, state string) audit.Event {
 		return audit.Drain{Node: id, Group: 7, State: state, By: "list"}
 	}
 	for _, step := range []struct {
 		name  string
-		event config.List
+		event config.EndpointList
 		kind  balance.EndpointListKind
 		want  []audit.Event
 	}{
 		{
 			"new endpoints are no change where they are ready",
-			config.List{Version: 1, Servers: []config.Entry{entry("a", "ready"), entry("b", "draining")}},
+			config.EndpointList{Version: 1, Endpoints: []config.EndpointEntry{entry("a", "ready"), entry("b", "draining")}},
 			balance.ListFull,
 			[]audit.Event{changed("b", "draining"), audit.List{Version: 1, Full: true, Ready: 1, Draining: 1}},
 		},
 		{
 			"a change",
-			config.List{Version: 2, Servers: []config.Entry{entry("a", "gone"), entry("b", "ready")}},
+			config.EndpointList{Version: 2, Endpoints: []config.EndpointEntry{entry("a", "gone"), entry("b", "ready")}},
 			balance.ListDelta,
 			[]audit.Event{changed("a", "gone"), changed("b", "ready"), audit.List{Version: 2, Ready: 1, Going: 1}},
 		},
-		{"an event without endpoints is not recorded", config.List{Version: 3}, balance.ListDelta, nil},
+		{"an event without endpoints is not recorded", config.EndpointList{Version: 3}, balance.ListDelta, nil},
 		{
 			"a complete list leaves one out",
-			config.List{Version: 4},
+			config.EndpointList{Version: 4},
 			balance.ListFull,
 			[]audit.Event{
 				audit.Drain{Node: "b", State: "not listed", By: "list"},
--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -64,7 +64,7 @@
 	seed uint64,
 	log *slog.Logger,
 ) (*auditRecording, error) {
-	if !deploy.Syslog.On() {
+	if !deploy.Syslog.Enabled() {
 		return nil, nil
 	}
 	policy, err := deploy.Audit.Policy()
@@ -102,7 +102,7 @@
 		keyName = chainKey.Name
 	}
 	recording.recorder.Record(audit.Start{Router: routerName, Key: keyName})
-	log.Info("audit recording started", "start", startID, "collectors", fmt.Sprint(deploy.Syslog.Parsed),
+	log.Info("audit recording started", "start", startID, "collectors", fmt.Sprint(deploy.Syslog.ParsedCollectors),
 		"spool", deploy.Syslog.Spool.Folder, "key", keyName)
 	loop.Post(recording.reportLosses)
 	return recording, nil
@@ -110,10 +110,10 @@
 
 // currentChainKey returns the key that chains new records, or nil where records are not chained.
 func currentChainKey(settings config.Audit) *audit.Key {
-	if len(settings.Loaded) == 0 {
+	if len(settings.LoadedKeys) == 0 {
 		return nil
 	}
-	return &settings.Loaded[0]
+	return &settings.LoadedKeys[0]
 }
 
 func newAuditEncoder(
@@ -143,7 +143,7 @@
 	settings config.Syslog, bounds limits.Syslog, startID string, seed uint64, log *slog.Logger,
 ) (*syslog.Sender, error) {
 	return syslog.NewSender(syslog.Options{
-		Collectors: settings.Parsed,
+		Collectors: settings.ParsedCollectors,
 		TLS:        settings.TLS,
 		Seed:       seed,
 		Window:     max(bounds.WindowBytes, minWindowMessages*settings.Bytes),
@@ -168,7 +168,7 @@
 	return audit.ShipperOptions{
 		Gather: bounds.GatherInterval,
 		Heads:  uint64(cmp.Or(settings.Heads, bounds.ChainHeadMessages)),
-		Every:  cmp.Or(settings.Every, bounds.ChainHeadInterval),
+		Every:  cmp.Or(settings.HeadsTime, bounds.ChainHeadInterval),
 		Now:    time.Now,
 	}
 }
@@ -256,9 +256,9 @@
 		return
 	}
 	r.recorder.Rule(policy)
-	r.sender.Change(deploy.Syslog.Parsed, deploy.Syslog.TLS)
+	r.sender.Change(deploy.Syslog.ParsedCollectors, deploy.Syslog.TLS)
 	r.deploy = deploy
-	r.log.Info("audit recording reconfigured", "collectors", fmt.Sprint(deploy.Syslog.Parsed))
+	r.log.Info("audit recording reconfigured", "collectors", fmt.Sprint(deploy.Syslog.ParsedCollectors))
 	r.reloaded(reloadedDeploy, nil)
 }
 
@@ -268,7 +268,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !deploy.Syslog.On() {
+	if !deploy.Syslog.Enabled() {
 		return nil, errRecordingDisabled
 	}
 	chained := currentChainKey(deploy.Audit) != nil
--- a/cmd/limeladder/daemon_test.go
+++ b/cmd/limeladder/daemon_test.go
@@ -73,7 +73,7 @@
 // their list.
 func newReplicaGroup(
 	t *testing.T, act func(typ byte, id string) testserver.Act,
-) (servers []*testserver.DB, list []config.Entry, agent *testserver.Agent) {
+) (servers []*testserver.DB, list []config.EndpointEntry, agent *testserver.Agent) {
 	t.Helper()
 	for i, id := range []string{"p", "a", "b"} {
 		isPrimary := i == 0
@@ -90,12 +90,12 @@
 }
 
 // listEntry returns the entry of an endpoint that is ready.
-func listEntry(id, address, zone string, group int64, isPrimary bool) config.Entry {
+func listEntry(id, address, zone string, group int64, isPrimary bool) config.EndpointEntry {
 	mode := "read-only"
 	if isPrimary {
 		mode = "read-write"
 	}
-	return config.Entry{ID: id, Addr: address, Zone: zone, Cell: group, State: endpointReady, Mode: mode}
+	return config.EndpointEntry{ID: id, Addr: address, Zone: zone, Cell: group, State: endpointReady, Mode: mode}
 }
 
 // blockRequest returns the behavior of fake servers that tell of one request on a channel and answer it only after
@@ -157,7 +157,7 @@
 	}
 	defer records.Close()
 	deploy := parseDeploy(t, fmt.Sprintf("[syslog]\naddress = %q", records.LocalAddr().String()))
-	deploy.Extended.Listen = "127.0.0.1:0"
+	deploy.ExtendedQuery.Listen = "127.0.0.1:0"
 	deploy.Store.Name = "n1"
 	deploy.Store.Folder = t.TempDir()
 	deploy.Store.Peers = map[string]string{"n1": freeAddress(t)}
@@ -178,7 +178,7 @@
 		}
 	}
 	eventually(t, "the endpoint list is stored", func() bool {
-		var list config.List
+		var list config.EndpointList
 		return d.loadValue("list", &list) && list.Version == 3
 	})
 
--- a/cmd/limeladder/endpoint_list.go
+++ b/cmd/limeladder/endpoint_list.go
@@ -18,7 +18,7 @@
 
 // endpointList is the endpoint list as this process was notified of it last.
 type endpointList struct {
-	byID    map[string]config.Entry
+	byID    map[string]config.EndpointEntry
 	version int64
 
 	// received says that the list is from discovery, or the last one that the peers have stored.
@@ -26,15 +26,15 @@
 }
 
 func newEndpointList() endpointList {
-	return endpointList{byID: map[string]config.Entry{}}
+	return endpointList{byID: map[string]config.EndpointEntry{}}
 }
 
 // apply changes the list by what a watch event says.
-func (l *endpointList) apply(event config.List, kind balance.EndpointListKind) {
+func (l *endpointList) apply(event config.EndpointList, kind balance.EndpointListKind) {
 	if kind != balance.ListDelta {
 		clear(l.byID)
 	}
-	for _, entry := range event.Servers {
+	for _, entry := range event.Endpoints {
 		if entry.State == endpointRemoved {
 			delete(l.byID, entry.ID)
 		} else {
@@ -45,10 +45,10 @@
 }
 
 // complete returns the whole list, ordered by id.
-func (l *endpointList) complete() config.List {
-	list := config.List{Version: l.version, Full: true}
+func (l *endpointList) complete() config.EndpointList {
+	list := config.EndpointList{Version: l.version, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(l.byID)) {
-		list.Servers = append(list.Servers, l.byID[id])
+		list.Endpoints = append(list.Endpoints, l.byID[id])
 	}
 	return list
 }
@@ -83,14 +83,14 @@
 // startDiscovery applies the list of the configuration, which may be old, and starts to follow discovery. Clients may
 // come once discovery has answered or has had its time for that.
 func (d *daemon) startDiscovery(cfg *config.Config) {
-	configured := config.List{}
+	configured := config.EndpointList{}
 	if cfg.Known != nil {
 		configured = *cfg.Known
 	}
 	d.applyEndpointList(configured, balance.ListCached)
 	d.restoreFailoverTerms()
 	readyWithin := d.limits.Discovery.FirstListTimeout
-	if d.limits.Discovery.ResumeFromKnown && len(configured.Servers) > 0 {
+	if d.limits.Discovery.ResumeFromKnown && len(configured.Endpoints) > 0 {
 		d.watcher.ResumeFrom(configured.Version)
 		readyWithin = 0
 	}
@@ -101,14 +101,14 @@
 }
 
 // EndpointListReceived implements discovery.Listener.
-func (d *daemon) EndpointListReceived(event config.List) {
+func (d *daemon) EndpointListReceived(event config.EndpointList) {
 	kind := balance.ListDelta
 	if event.Full {
 		kind = balance.ListFull
 	}
 	d.endpoints.received = true
 	d.applyEndpointList(event, kind)
-	if event.Full || len(event.Servers) > 0 {
+	if event.Full || len(event.Endpoints) > 0 {
 		d.shareEndpointList()
 	}
 	d.becomeReady()
@@ -128,7 +128,7 @@
 	if d.endpoints.received {
 		return
 	}
-	var stored config.List
+	var stored config.EndpointList
 	if d.loadValue(endpointListKey, &stored) {
 		d.endpoints.received = true
 		d.applyEndpointList(stored, balance.ListCached)
@@ -136,11 +136,11 @@
 }
 
 // applyEndpointList hands a watch event, or a cached list, to everything that goes by it.
-func (d *daemon) applyEndpointList(event config.List, kind balance.EndpointListKind) {
+func (d *daemon) applyEndpointList(event config.EndpointList, kind balance.EndpointListKind) {
 	d.pool.UpdateEndpoints(event)
-	if len(event.Servers) > 0 {
+	if len(event.Endpoints) > 0 {
 		d.log.Info("endpoint list updated",
-			"version", event.Version, "full", event.Full, "endpoints", fmt.Sprint(event.Servers))
+			"version", event.Version, "full", event.Full, "endpoints", fmt.Sprint(event.Endpoints))
 	}
 	newIDs := d.unknownIDs(event)
 	d.endpoints.apply(event, kind)
@@ -153,9 +153,9 @@
 }
 
 // unknownIDs returns the ids of an event that were never listed before.
-func (d *daemon) unknownIDs(event config.List) []string {
+func (d *daemon) unknownIDs(event config.EndpointList) []string {
 	var ids []string
-	for _, entry := range event.Servers {
+	for _, entry := range event.Endpoints {
 		if !d.knownEndpoints.contains(entry.ID) {
 			ids = append(ids, entry.ID)
 		}
@@ -164,9 +164,9 @@
 }
 
 // balanceEndpointList returns an event as the decision module takes it, without the entries that it can't use.
-func balanceEndpointList(event config.List, kind balance.EndpointListKind) balance.EndpointList {
+func balanceEndpointList(event config.EndpointList, kind balance.EndpointListKind) balance.EndpointList {
 	converted := balance.EndpointList{Kind: kind}
-	for _, entry := range event.Servers {
+	for _, entry := range event.Endpoints {
 		if endpoint, err := entry.Balance(); err == nil {
 			converted.Entries = append(converted.Entries, endpoint)
 		}
--- a/cmd/limeladder/endpoint_list_test.go
+++ b/cmd/limeladder/endpoint_list_test.go
@@ -10,44 +10,44 @@
 )
 
 func TestEndpointListFollowsWatchEvents(t *testing.T) {
-	ready := func(id string) config.Entry { return config.Entry{ID: id, State: endpointReady} }
-	removed := func(id string) config.Entry { return config.Entry{ID: id, State: endpointRemoved} }
+	ready := func(id string) config.EndpointEntry { return config.EndpointEntry{ID: id, State: endpointReady} }
+	removed := func(id string) config.EndpointEntry { return config.EndpointEntry{ID: id, State: endpointRemoved} }
 	list := newEndpointList()
 	for _, step := range []struct {
 		name  string
-		event config.List
+		event config.EndpointList
 		kind  balance.EndpointListKind
-		want  []config.Entry // ordered by id
+		want  []config.EndpointEntry // ordered by id
 	}{
 		{
 			"a complete list",
-			config.List{Version: 1, Servers: []config.Entry{ready("b"), ready("a")}},
+			config.EndpointList{Version: 1, Endpoints: []config.EndpointEntry{ready("b"), ready("a")}},
 			balance.ListFull,
-			[]config.Entry{ready("a"), ready("b")},
+			[]config.EndpointEntry{ready("a"), ready("b")},
 		},
 		{
 			"a change",
-			config.List{Version: 2, Servers: []config.Entry{ready("c"), removed("a"), draining(ready("b"))}},
+			config.EndpointList{Version: 2, Endpoints: []config.EndpointEntry{ready("c"), removed("a"), draining(ready("b"))}},
 			balance.ListDelta,
-			[]config.Entry{draining(ready("b")), ready("c")},
+			[]config.EndpointEntry{draining(ready("b")), ready("c")},
 		},
 		{
 			"a change of nothing",
-			config.List{Version: 3},
+			config.EndpointList{Version: 3},
 			balance.ListDelta,
-			[]config.Entry{draining(ready("b")), ready("c")},
+			[]config.EndpointEntry{draining(ready("b")), ready("c")},
 		},
 		{
 			"another complete list replaces all",
-			config.List{Version: 4, Servers: []config.Entry{ready("d"), removed("c")}},
+			config.EndpointList{Version: 4, Endpoints: []config.EndpointEntry{ready("d"), removed("c")}},
 			balance.ListCached,
-			[]config.Entry{ready("d")},
+			[]config.EndpointEntry{ready("d")},
 		},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			list.apply(step.event, step.kind)
 			complete := list.complete()
-			if !complete.Full || complete.Version != step.event.Version || !slices.Equal(complete.Servers, step.want) {
+			if !complete.Full || complete.Version != step.event.Version || !slices.Equal(complete.Endpoints, step.want) {
 				t.Errorf("%+v, %+v wanted", complete, step.want)
 			}
 		})
--- a/cmd/limeladder/failover.go
+++ b/cmd/limeladder/failover.go
@@ -17,14 +17,14 @@
 const workShareOfObjective = 10
 
 // failoverQueueEnabled says whether deploy/limeladder.toml names classes whose requests are queued through failovers.
-func (d *daemon) failoverQueueEnabled() bool { return len(d.deploy.Changeover.Classes) > 0 }
+func (d *daemon) failoverQueueEnabled() bool { return len(d.deploy.Failover.Classes) > 0 }
 
 // startFailoverQueue makes the core queue requests through failovers, if deploy/limeladder.toml says so.
 func (d *daemon) startFailoverQueue(cfg *config.Config) error {
 	if !d.failoverQueueEnabled() {
 		return nil
 	}
-	settings := d.deploy.Changeover
+	settings := d.deploy.Failover
 	classes, err := failoverClasses(settings.Classes, cfg.Balance.Classes)
 	if err != nil {
 		return err
--- a/cmd/limeladder/failover_scenario_test.go
+++ b/cmd/limeladder/failover_scenario_test.go
@@ -129,13 +129,13 @@
 
 // endpointList returns the list as discovery has it. It names the first server of each group as its primary, whichever
 // one is.
-func (s *failoverScenario) endpointList() config.List {
+func (s *failoverScenario) endpointList() config.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := config.List{Version: s.version, Full: true}
+	list := config.EndpointList{Version: s.version, Full: true}
 	for group, servers := range s.groups {
 		for i, server := range servers {
-			entry := config.Entry{ID: server.Addr, Addr: server.Addr, Zone: "a", Cell: int64(firstGroup + group)}
+			entry := config.EndpointEntry{ID: server.Addr, Addr: server.Addr, Zone: "a", Cell: int64(firstGroup + group)}
 			if i == 0 {
 				entry.Mode = "read-write"
 			}
@@ -143,7 +143,7 @@
 			if state, ok := s.listedStates[server.Addr]; ok {
 				entry.State = state
 			}
-			list.Servers = append(list.Servers, entry)
+			list.Endpoints = append(list.Endpoints, entry)
 		}
 	}
 	return list
--- a/cmd/limeladder/hot_restart.go
+++ b/cmd/limeladder/hot_restart.go
@@ -82,8 +82,8 @@
 	if d.endpoints.received {
 		return
 	}
-	var list config.List
-	if json.Unmarshal(encoded, &list) != nil || len(list.Servers) == 0 {
+	var list config.EndpointList
+	if json.Unmarshal(encoded, &list) != nil || len(list.Endpoints) == 0 {
 		return
 	}
 	d.log.Info("endpoint list received from another process")
--- a/cmd/limeladder/hot_restart_test.go
+++ b/cmd/limeladder/hot_restart_test.go
@@ -139,7 +139,7 @@
 	defer listener.Close()
 	start := func() *daemon {
 		cfg := pushedConfig(t, agent, list...)
-		cfg.Inherited = duplicateDescriptor(t, listener)
+		cfg.InheritedFD = duplicateDescriptor(t, listener)
 		cfg.Listen = listener.Addr().String()
 		return runDaemon(t, cfg)
 	}
--- a/cmd/limeladder/limits.go
+++ b/cmd/limeladder/limits.go
@@ -25,7 +25,7 @@
 		// Clients heed no longer Retry-After than this one.
 		computed.Router.DefaultRetryAfter = min(computed.Router.DefaultRetryAfter, longest)
 	}
-	if deploy.Extended.Listen != "" {
+	if deploy.ExtendedQuery.Listen != "" {
 		computed.Frontend.Connections /= 2 // both listeners share the descriptors
 	}
 	return computed
--- a/cmd/limeladder/listeners.go
+++ b/cmd/limeladder/listeners.go
@@ -51,12 +51,12 @@
 
 // startListeners opens the platform's listener and, where deploy/limeladder.toml says so, the extended-query one.
 func (d *daemon) startListeners(cfg *config.Config) error {
-	d.listeners.inheritedSocket = cfg.Inherited > 0
-	socket, err := listenForPlatform(cfg.Inherited, cfg.Listen)
+	d.listeners.inheritedSocket = cfg.InheritedFD > 0
+	socket, err := listenForPlatform(cfg.InheritedFD, cfg.Listen)
 	if err != nil {
 		return err
 	}
-	d.serveClients(platformListenSetting, cfg.Inherited, socket, frontend.NewSimpleQueryHandler)
+	d.serveClients(platformListenSetting, cfg.InheritedFD, socket, frontend.NewSimpleQueryHandler)
 	return d.startExtendedQueryListener()
 }
 
@@ -79,7 +79,7 @@
 // startExtendedQueryListener opens the listener for the extended-query protocol, if deploy/limeladder.toml says so.
 // While another process of this router holds its address, it is retried until that process lets go.
 func (d *daemon) startExtendedQueryListener() error {
-	address := d.deploy.Extended.Listen
+	address := d.deploy.ExtendedQuery.Listen
 	if address == "" || d.shutdown.listenersClosed {
 		return nil
 	}
--- a/cmd/limeladder/pushed_discovery_test.go
+++ b/cmd/limeladder/pushed_discovery_test.go
@@ -17,20 +17,20 @@
 )
 
 // pushedConfig returns the configuration of a router whose lists are pushed to an agent.
-func pushedConfig(t *testing.T, agent *testserver.Agent, known ...config.Entry) *config.Config {
+func pushedConfig(t *testing.T, agent *testserver.Agent, known ...config.EndpointEntry) *config.Config {
 	t.Helper()
 	text := strings.Replace(configText(agent.Addr), `"Discovery":"ask"`,
 		fmt.Sprintf(`"Discovery":"push","Contract":{"DrainGraceNs":%d}`, drainGrace), 1)
 	text = strings.Replace(text, `"ConnectTimeoutNs":250000000`, `"ConnectTimeoutNs":1500000000`, 1)
 	cfg := parseConfig(t, text)
 	if len(known) > 0 {
-		cfg.Known = &config.List{Version: 1, Full: true, Servers: known}
+		cfg.Known = &config.EndpointList{Version: 1, Full: true, Endpoints: known}
 	}
 	return cfg
 }
 
 // draining returns the entry of an endpoint as one that drains.
-func draining(entry config.Entry) config.Entry {
+func draining(entry config.EndpointEntry) config.EndpointEntry {
 	entry.State = endpointDraining
 	return entry
 }
--- a/cmd/limeladder/site_failover.go
+++ b/cmd/limeladder/site_failover.go
@@ -14,13 +14,13 @@
 
 // startSiteMonitor makes the core watch whole sites, and act on what it sees, if deploy/limeladder.toml says so.
 func (d *daemon) startSiteMonitor(cfg *config.Config) {
-	if !d.deploy.Sites.Watch {
+	if !d.deploy.SiteFailover.Watch {
 		return
 	}
 	monitor := sitefailover.DefaultMonitorConfig(
 		cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.limits.Discovery.KnownEndpoints)
 	d.core.EnableSiteMonitor(monitor)
-	if !d.deploy.Sites.Act {
+	if !d.deploy.SiteFailover.Act {
 		return
 	}
 	admission := sitefailover.AdmissionConfig{RetrySpread: cfg.Balance.MaxRetryAfter}
@@ -70,7 +70,7 @@
 
 // Sites implements adminapi.Router.
 func (d *daemon) SiteReport(asTable bool) (text string, off bool) {
-	if !d.deploy.Sites.Watch {
+	if !d.deploy.SiteFailover.Watch {
 		return "", true
 	}
 	report := d.newSiteReport()
@@ -180,7 +180,7 @@
 
 // Declare implements adminapi.Router.
 func (d *daemon) DeclareSiteLost(site string, length time.Duration) (ok bool, known []string, off bool) {
-	if !d.deploy.Sites.Watch {
+	if !d.deploy.SiteFailover.Watch {
 		return false, nil, true
 	}
 	known = d.siteNames()
--- a/cmd/limeladder/site_failover_test.go
+++ b/cmd/limeladder/site_failover_test.go
@@ -23,7 +23,7 @@
 func newSiteRouter(t *testing.T) *siteRouter {
 	t.Helper()
 	router := &siteRouter{servers: map[string]*testserver.DB{}, adminAddress: freeAddress(t)}
-	var list []config.Entry
+	var list []config.EndpointEntry
 	for _, endpoint := range []struct {
 		id, site  string
 		group     int64
@@ -48,8 +48,8 @@
 	cfg.Operator = router.adminAddress
 	cfg.Balance.Zone = "n"
 	var deploy config.Deploy
-	deploy.Sites.Watch = true
-	deploy.Sites.Act = true
+	deploy.SiteFailover.Watch = true
+	deploy.SiteFailover.Act = true
 	router.daemon, _ = startDaemon(t, cfg, deploy)
 	waitUntilReady(t, router.daemon)
 	return router
--- a/cmd/limeladder/store.go
+++ b/cmd/limeladder/store.go
@@ -33,17 +33,17 @@
 		return nil, nil
 	}
 	opened, err := store.Open(store.Config{
-		Name:    settings.Name,
-		Folder:  settings.Folder,
-		Peers:   settings.Peers,
-		Entries: d.limits.Store.LogEntries,
-		Queue:   d.limits.Store.QueuedWrites,
-		Secret:  store.Files{CA: settings.CA, Cert: settings.Cert, Key: settings.Key},
+		Name:         settings.Name,
+		Folder:       settings.Folder,
+		Peers:        settings.Peers,
+		LogEntries:   d.limits.Store.LogEntries,
+		QueuedWrites: d.limits.Store.QueuedWrites,
+		TLS:          store.TLSFiles{CA: settings.CA, Cert: settings.Cert, Key: settings.Key},
 	}, d.log)
 	if err != nil {
 		return nil, err
 	}
-	if torn := opened.Torn(); torn > 0 {
+	if torn := opened.TornBytes(); torn > 0 {
 		d.loop.Post(func() { d.recording.note("store", fmt.Sprintf("%d bytes of torn data were dropped", torn)) })
 	}
 	d.loop.Post(func() { d.storeValue(configKeyPrefix+d.name, d.deploy) })
--- a/internal/backend/endpoint_test.go
+++ b/internal/backend/endpoint_test.go
@@ -18,24 +18,24 @@
 // What the endpoint list says of an endpoint binds the attempts that wait for a connection to it: nothing is written
 // there any more, in whichever form the news comes, and the attempts end as not sent.
 func TestNothingIsSentToAnEndpointThatDrainsMeanwhile(t *testing.T) {
-	other := config.Entry{ID: "other", Addr: "127.0.0.1:1", State: "ready"}
+	other := config.EndpointEntry{ID: "other", Addr: "127.0.0.1:1", State: "ready"}
 	for _, test := range []struct {
 		name  string
 		full  bool
-		entry func(addr, newAddr string) config.Entry
+		entry func(addr, newAddr string) config.EndpointEntry
 		moves bool
 	}{
-		{name: "drains", entry: func(addr, _ string) config.Entry {
-			return config.Entry{ID: "n", Addr: addr, State: "draining"}
+		{name: "drains", entry: func(addr, _ string) config.EndpointEntry {
+			return config.EndpointEntry{ID: "n", Addr: addr, State: "draining"}
 		}},
-		{name: "is removed", entry: func(addr, _ string) config.Entry {
-			return config.Entry{ID: "n", Addr: addr, State: "gone"}
+		{name: "is removed", entry: func(addr, _ string) config.EndpointEntry {
+			return config.EndpointEntry{ID: "n", Addr: addr, State: "gone"}
 		}},
-		{name: "is not in the full list", full: true, entry: func(string, string) config.Entry {
+		{name: "is not in the full list", full: true, entry: func(string, string) config.EndpointEntry {
 			return other
 		}},
-		{name: "moves", moves: true, entry: func(_, newAddr string) config.Entry {
-			return config.Entry{ID: "n", Addr: newAddr, State: "ready"}
+		{name: "moves", moves: true, entry: func(_, newAddr string) config.EndpointEntry {
+			return config.EndpointEntry{ID: "n", Addr: newAddr, State: "ready"}
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) { checkDrain(t, test.full, test.moves, test.entry) })
@@ -43,7 +43,7 @@
 }
 
 // checkDrain lets an attempt and a health check wait for a connection, and then changes the endpoint list.
-func checkDrain(t *testing.T, full, moves bool, newEntry func(addr, newAddr string) config.Entry) {
+func checkDrain(t *testing.T, full, moves bool, newEntry func(addr, newAddr string) config.EndpointEntry) {
 	t.Helper()
 	server, dialed, release := newSlowStartServer(t)
 	newServer := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{} })
@@ -57,7 +57,7 @@
 		p.pool.HealthCheck("n", func(result router.Result) { done <- result })
 	})
 	<-dialed
-	list := config.List{Full: full, Servers: []config.Entry{newEntry(server.Addr, newServer.Addr)}}
+	list := config.EndpointList{Full: full, Endpoints: []config.EndpointEntry{newEntry(server.Addr, newServer.Addr)}}
 	p.loop.Post(func() { p.pool.UpdateEndpoints(list) })
 	for range 2 {
 		if result := p.await(done); result.Status != balance.StatusNotSent {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -41,9 +41,9 @@
 
 // UpdateEndpoints follows the endpoint list. An endpoint that drains, has moved or is no longer listed loses its idle
 // connections, and the attempts that wait for a connection to it end as not sent.
-func (p *Pool) UpdateEndpoints(list config.List) {
+func (p *Pool) UpdateEndpoints(list config.EndpointList) {
 	listed := map[string]bool{}
-	for _, entry := range list.Servers {
+	for _, entry := range list.Endpoints {
 		listed[entry.ID] = true
 		p.updateEndpoint(entry)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (p *Pool) updateEndpoint(entry config.Entry) {
+func (p *Pool) updateEndpoint(entry config.EndpointEntry) {
 	e := p.endpoints[entry.ID]
 	if e == nil {
 		e = &endpoint{id: entry.ID, pool: p, suspended: p.suspended[entry.ID]}
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -107,7 +107,7 @@
 		in.response.Code = in.sqlState
 		result.Status = balance.StatusDone
 		result.Response = in.response
-		result.Code = in.sqlState
+		result.SQLState = in.sqlState
 	default:
 		result.Status = balance.StatusError
 	}
--- a/internal/backend/testpool_test.go
+++ b/internal/backend/testpool_test.go
@@ -49,7 +49,8 @@
 		t.Fatal(err)
 	}
 	pool := New(loop, engine, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	pool.UpdateEndpoints(config.List{Full: true, Servers: []config.Entry{{ID: "n", Addr: addr, State: "ready"}}})
+	entry := config.EndpointEntry{ID: "n", Addr: addr, State: "ready"}
+	pool.UpdateEndpoints(config.EndpointList{Full: true, Endpoints: []config.EndpointEntry{entry}})
 	go loop.Run(func() {})
 	t.Cleanup(func() {
 		loop.Stop()
--- a/internal/config/audit.go
+++ b/internal/config/audit.go
@@ -12,16 +12,16 @@
 
 // Audit says what is recorded.
 type Audit struct {
-	Kinds    []string      `toml:"kinds"`                   // of events; empty = all
-	Outcomes []string      `toml:"outcomes"`                // of requests; empty = all
-	Reads    *float64      `toml:"reads"`                   // the share of the served reads, 0 to 1; nil = all
-	Keys     string        `toml:"keys"`                    // the key file; empty = records do not chain
-	Heads    int           `toml:"heads"`                   // messages from one head of the chain to the next; 0 = 256
-	Every    time.Duration `toml:"heads_time" json:"Every"` // the longest time between two heads; 0 = 10 s
+	Kinds     []string      `toml:"kinds"`                   // of events; empty = all
+	Outcomes  []string      `toml:"outcomes"`                // of requests; empty = all
+	Reads     *float64      `toml:"reads"`                   // the share of the served reads, 0 to 1; nil = all
+	Keys      string        `toml:"keys"`                    // the key file; empty = records do not chain
+	Heads     int           `toml:"heads"`                   // messages from one head of the chain to the next; 0 = 256
+	HeadsTime time.Duration `toml:"heads_time" json:"Every"` // the longest time between two heads; 0 = 10 s
 
-	// Loaded and Rules are what the fields above amount to.
-	Loaded audit.Keys  `toml:"-" json:"Loaded"`
-	Rules  audit.Rules `toml:"-"`
+	// LoadedKeys and Rules are what the fields above amount to.
+	LoadedKeys audit.Keys  `toml:"-" json:"Loaded"`
+	Rules      audit.Rules `toml:"-"`
 }
 
 // check checks the fields and reads the key file.
@@ -42,7 +42,7 @@
 	}
 	return firstError(
 		checkRange("audit.heads", a.Heads, 0, maxHeads),
-		checkDuration("audit.heads_time", a.Every, maxHeadsTime, "1h"),
+		checkDuration("audit.heads_time", a.HeadsTime, maxHeadsTime, "1h"),
 	)
 }
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return &FieldError{Field: "audit.keys", Reason: err}
 	}
-	a.Loaded, err = audit.ParseKeys(text)
+	a.LoadedKeys, err = audit.ParseKeys(text)
 	if err != nil {
 		return &FieldError{Field: "audit.keys", Reason: fmt.Errorf("%s: %w", a.Keys, err)}
 	}
@@ -70,8 +70,8 @@
 // Policy returns a policy that follows the rules. Each has a state of its own.
 func (a *Audit) Policy() (*audit.Policy, error) {
 	var secret *[32]byte
-	if len(a.Loaded) > 0 {
-		secret = &a.Loaded[0].Secret
+	if len(a.LoadedKeys) > 0 {
+		secret = &a.LoadedKeys[0].Secret
 	}
 	return audit.NewPolicy(a.Rules, secret)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,19 +34,19 @@
 
 // Config is what a router is told when it starts.
 type Config struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // address of the admin API; empty if it is off
-	Seed      string `json:"seed"`
-	Limits    Limits `json:"limits"`
-	Known     *List  `json:"known"`
+	Name      string        `json:"name"`
+	Listen    string        `json:"listen"`
+	Discovery string        `json:"discovery"`
+	Operator  string        `json:"operator"` // address of the admin API; empty if it is off
+	Seed      string        `json:"seed"`
+	Limits    Limits        `json:"limits"`
+	Known     *EndpointList `json:"known"`
 
 	Settings Settings `json:"settings"`
 
-	SeedValue uint64         `json:"-"`
-	Inherited int            `json:"-"` // descriptor of the socket where clients connect; 0 if it has to be bound
-	Balance   balance.Config `json:"-"`
+	SeedValue   uint64         `json:"-"`
+	InheritedFD int            `json:"-"` // descriptor of the socket where clients connect; 0 if it has to be bound
+	Balance     balance.Config `json:"-"`
 }
 
 // Limits are what the platform grants.
@@ -138,7 +138,7 @@
 	if err != nil || descriptor < firstInheritedFD {
 		return fieldErrorf(edgeInheritedFD, "%q is no descriptor", text)
 	}
-	c.Inherited = descriptor
+	c.InheritedFD = descriptor
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	if c.Known == nil {
 		return nil
 	}
-	for i, entry := range c.Known.Servers {
+	for i, entry := range c.Known.Endpoints {
 		if _, err := entry.Balance(); err != nil {
 			return inObject(fmt.Sprintf("known.servers[%d]", i), err)
 		}
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -13,12 +13,12 @@
 //
 // The daemon keeps it in the store as JSON. A field that is renamed keeps its old name there by a json tag.
 type Deploy struct {
-	Extended   ExtendedQuery `toml:"extended" json:"Extended"`
-	Changeover Failover      `toml:"changeover" json:"Changeover"`
-	Sites      SiteFailover  `toml:"sites" json:"Sites"`
-	Syslog     Syslog        `toml:"syslog"`
-	Audit      Audit         `toml:"audit"`
-	Store      Store         `toml:"store"`
+	ExtendedQuery ExtendedQuery `toml:"extended" json:"Extended"`
+	Failover      Failover      `toml:"changeover" json:"Changeover"`
+	SiteFailover  SiteFailover  `toml:"sites" json:"Sites"`
+	Syslog        Syslog        `toml:"syslog"`
+	Audit         Audit         `toml:"audit"`
+	Store         Store         `toml:"store"`
 }
 
 // ExtendedQuery turns the extended-query frontend on.
@@ -76,9 +76,9 @@
 // check checks the fields and reads what they name.
 func (d *Deploy) check() error {
 	for _, check := range []func() error{
-		d.Sites.check,
-		d.Extended.check,
-		d.Changeover.check,
+		d.SiteFailover.check,
+		d.ExtendedQuery.check,
+		d.Failover.check,
 		d.Syslog.check,
 		d.Audit.check,
 		d.Store.check,
--- a/internal/config/deploy_test.go
+++ b/internal/config/deploy_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Extended.Listen != "" || d.Syslog.On() || len(d.Store.Peers) > 0 {
+	if d.ExtendedQuery.Listen != "" || d.Syslog.Enabled() || len(d.Store.Peers) > 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -6,8 +6,8 @@
 	"limeladder/balance"
 )
 
-// Entry is an endpoint as discovery describes it.
-type Entry struct {
+// EndpointEntry is an endpoint as discovery describes it.
+type EndpointEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -18,11 +18,11 @@
 	Mode      string  `json:"mode"`
 }
 
-// List is the endpoint list, or a change of it, as discovery sends it.
-type List struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
+// EndpointList is the endpoint list, or a change of it, as discovery sends it.
+type EndpointList struct {
+	Version   int64           `json:"version"`
+	Full      bool            `json:"full"`
+	Endpoints []EndpointEntry `json:"servers"`
 }
 
 // endpointStates translates the states of discovery.
@@ -33,7 +33,7 @@
 }
 
 // Balance returns the entry in the terms of the decision module.
-func (e Entry) Balance() (balance.EndpointEntry, error) {
+func (e EndpointEntry) Balance() (balance.EndpointEntry, error) {
 	entry := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
 	if e.StartedMs > 0 {
 		entry.StartedAt = time.Duration(e.StartedMs) * time.Millisecond
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -127,18 +127,18 @@
 		{"limits.sockets", c.Limits.Sockets, 1024},
 		{"known.version", c.Known.Version, int64(41)},
 		{"known.full", c.Known.Full, true},
-		{"known.servers", c.Known.Servers, goldenServers()},
+		{"known.servers", c.Known.Endpoints, goldenServers()},
 		{"settings.Extra.OriginTimeNs", *c.Settings.Extra.OriginTimeNs, int64(1_800_000_000_000_000_000)},
 		{"settings.Limits.ConnIdleNs", c.Settings.Limits.ConnIdleNs, int64(32)},
 		{"settings.Limits.ConnectTimeoutNs", c.Settings.Limits.ConnectTimeoutNs, int64(33)},
 		{"settings.Limits.MaxOpen", c.Settings.Limits.MaxOpen, 34},
 		{"settings", c.Balance, goldenBalance()},
-		{"inherited", c.Inherited, 0},
+		{"inherited", c.InheritedFD, 0},
 	})
 }
 
-func goldenServers() []config.Entry {
-	return []config.Entry{
+func goldenServers() []config.EndpointEntry {
+	return []config.EndpointEntry{
 		{
 			ID: "endpoint-1", Addr: "127.0.0.1:6001", Zone: "site-a", Cell: 3, State: "ready", Weight: 1.5,
 			StartedMs: 1_800_000_000_000, Mode: "read-write",
@@ -214,7 +214,7 @@
 			StartedAt: 1_800_000_000_002 * time.Millisecond,
 		},
 	}
-	for i, server := range parseGolden(t).Known.Servers {
+	for i, server := range parseGolden(t).Known.Endpoints {
 		t.Run(server.ID, func(t *testing.T) {
 			got, err := server.Balance()
 			if err != nil {
@@ -284,7 +284,7 @@
 		{"EDGE_NAME", c.Name, "router-2"},
 		{"EDGE_LISTEN", c.Listen, "127.0.0.1:6433"},
 		{"EDGE_OPERATOR", c.Operator, "127.0.0.1:8601"},
-		{"EDGE_INHERITED_FD", c.Inherited, 7},
+		{"EDGE_INHERITED_FD", c.InheritedFD, 7},
 		{"discovery of the file", c.Discovery, "127.0.0.1:8500"},
 		{"EDGE_DISCOVERY", behind.Discovery, "127.0.0.1:8501"},
 	})
@@ -392,14 +392,14 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(authority)
 	checkValues(t, []value{
-		{"extended.listen", d.Extended.Listen, "127.0.0.1:5432"},
-		{"changeover.classes", d.Changeover.Classes, []string{"job", "order"}},
-		{"changeover.count", d.Changeover.Count, 64},
-		{"changeover.bytes", d.Changeover.Bytes, 65536},
-		{"changeover.time", d.Changeover.Time, 1500 * time.Millisecond},
-		{"sites.watch", d.Sites.Watch, true},
-		{"sites.act", d.Sites.Act, true},
-		{"syslog.collectors", d.Syslog.Parsed, []syslog.Collector{
+		{"extended.listen", d.ExtendedQuery.Listen, "127.0.0.1:5432"},
+		{"changeover.classes", d.Failover.Classes, []string{"job", "order"}},
+		{"changeover.count", d.Failover.Count, 64},
+		{"changeover.bytes", d.Failover.Bytes, 65536},
+		{"changeover.time", d.Failover.Time, 1500 * time.Millisecond},
+		{"sites.watch", d.SiteFailover.Watch, true},
+		{"sites.act", d.SiteFailover.Act, true},
+		{"syslog.collectors", d.Syslog.ParsedCollectors, []syslog.Collector{
 			{Network: "tls", Address: "192.0.2.1:6514"},
 			{Network: "tcp", Address: "[2001:db8::1]:601"},
 			{Network: "udp", Address: "192.0.2.2:514"},
@@ -423,7 +423,7 @@
 		{"audit rules", d.Audit.Rules, audit.Rules{
 			Kinds: []string{"answer", "DRAIN", "list"}, Outcomes: []string{"refused", "Failed"}, Reads: 0.25,
 		}},
-		{"audit.keys", d.Audit.Loaded, audit.Keys{
+		{"audit.keys", d.Audit.LoadedKeys, audit.Keys{
 			{Name: "key-2", Secret: [32]byte([]byte(" !\"#$%&'()*+,-./0123456789:;<=>?"))},
 			{Name: "key-1", Secret: [32]byte{
 				0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15,
@@ -431,7 +431,7 @@
 			}},
 		}},
 		{"audit.heads", d.Audit.Heads, 32},
-		{"audit.heads_time", d.Audit.Every, 3 * time.Second},
+		{"audit.heads_time", d.Audit.HeadsTime, 3 * time.Second},
 		{"store.name", d.Store.Name, "site-a"},
 		{"store.folder", d.Store.Folder, "store"},
 		{"store.ca", d.Store.CA, "store-ca.pem"},
@@ -449,7 +449,7 @@
 		t.Fatal(err)
 	}
 	checkValues(t, []value{
-		{"syslog.address", d.Syslog.Parsed, []syslog.Collector{{Network: "udp", Address: "127.0.0.1:5514"}}},
+		{"syslog.address", d.Syslog.ParsedCollectors, []syslog.Collector{{Network: "udp", Address: "127.0.0.1:5514"}}},
 		{"the usual facility", d.Syslog.FacilityCode, uint8(3)},
 		{"the usual enterprise number", d.Syslog.Enterprise, int64(32473)},
 		{"the usual bytes", d.Syslog.Bytes, 2048},
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -16,17 +16,17 @@
 func TestGoldenStoredDeploy(t *testing.T) {
 	half := 0.5
 	var d config.Deploy
-	d.Extended.Listen = "127.0.0.1:5432"
-	d.Changeover.Classes = []string{"order"}
-	d.Changeover.Count = 1
-	d.Changeover.Bytes = 2
-	d.Changeover.Time = 3
-	d.Sites.Watch = true
-	d.Sites.Act = true
+	d.ExtendedQuery.Listen = "127.0.0.1:5432"
+	d.Failover.Classes = []string{"order"}
+	d.Failover.Count = 1
+	d.Failover.Bytes = 2
+	d.Failover.Time = 3
+	d.SiteFailover.Watch = true
+	d.SiteFailover.Act = true
 	d.Syslog = config.Syslog{
 		Address: "a", Collectors: []string{"b"}, Anywhere: true, Facility: "c", Enterprise: 4, Host: "d", Bytes: 5,
 		Repeat: 6, CA: "e", Cert: "f", Key: "g", Server: "h", FacilityCode: 7,
-		Parsed: []syslog.Collector{{Network: "udp", Address: "i"}},
+		ParsedCollectors: []syslog.Collector{{Network: "udp", Address: "i"}},
 	}
 	d.Syslog.Queue.Records = 8
 	d.Syslog.Queue.Bytes = 9
@@ -35,7 +35,7 @@
 	d.Syslog.Spool.Bytes = 11
 	d.Syslog.Spool.Replay = 12
 	d.Audit = config.Audit{
-		Kinds: []string{"k"}, Outcomes: []string{"l"}, Reads: &half, Keys: "m", Heads: 13, Every: time.Second,
+		Kinds: []string{"k"}, Outcomes: []string{"l"}, Reads: &half, Keys: "m", Heads: 13, HeadsTime: time.Second,
 		Rules: audit.Rules{Kinds: []string{"n"}, Outcomes: []string{"o"}, Reads: 0.25},
 	}
 	d.Store.Name = "p"
--- a/internal/config/syslog.go
+++ b/internal/config/syslog.go
@@ -42,9 +42,9 @@
 	Spool SyslogSpool `toml:"spool"`
 
 	// These are what the fields above amount to.
-	Parsed       []syslog.Collector `toml:"-" json:"Parsed"`
-	FacilityCode uint8              `toml:"-"`
-	TLS          *tls.Config        `toml:"-"`
+	ParsedCollectors []syslog.Collector `toml:"-" json:"Parsed"`
+	FacilityCode     uint8              `toml:"-"`
+	TLS              *tls.Config        `toml:"-"`
 }
 
 // SyslogQueue bounds the records that wait to be sent.
@@ -61,8 +61,8 @@
 	Replay int    `toml:"replay"` // messages a second from it; 0 = as fast as they are accepted
 }
 
-// On says whether there is a collector to send to.
-func (s *Syslog) On() bool { return len(s.Parsed) > 0 }
+// Enabled says whether there is a collector to send to.
+func (s *Syslog) Enabled() bool { return len(s.ParsedCollectors) > 0 }
 
 // check checks the fields, fills in defaults and reads the files for TLS.
 func (s *Syslog) check() error {
@@ -115,7 +115,7 @@
 	if !s.Anywhere && !collector.Loopback() {
 		return fieldErrorf(field, "%q is no loopback address", collector.Address)
 	}
-	s.Parsed = append(s.Parsed, collector)
+	s.ParsedCollectors = append(s.ParsedCollectors, collector)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 
 // uses says whether a collector is reached over a network.
 func (s *Syslog) uses(network string) bool {
-	for _, collector := range s.Parsed {
+	for _, collector := range s.ParsedCollectors {
 		if collector.Network == network {
 			return true
 		}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -55,7 +55,7 @@
 	// capacity of discovery is shared by all routers.
 	if !w.needsFullList {
 		next.kind = CallWatch
-		next.wait = bounds.WatchWait
+		next.wait = bounds.LongPollTimeout
 		path = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, w.version, next.wait.Milliseconds())
 	}
 	// A watch on a broken link is silent, as one of a list that doesn't change: only its deadline tells them apart.
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -34,11 +34,11 @@
 	w.useList(list)
 }
 
-func parseList(body []byte) (list config.List, err error) {
+func parseList(body []byte) (list config.EndpointList, err error) {
 	if err := json.Unmarshal(body, &list); err != nil {
 		return list, fmt.Errorf("body: %w", err)
 	}
-	for i, entry := range list.Servers {
+	for i, entry := range list.Endpoints {
 		if _, err := entry.Balance(); err != nil {
 			return list, fmt.Errorf("servers[%d].%w", i, err)
 		}
@@ -49,8 +49,8 @@
 // checkPlausible returns an error for a list that is readable but must not be used: the newest one stays valid. A
 // discovery that has lost its data, or that answers from a replica that lags, would otherwise take all routers'
 // endpoints away at once.
-func (w *Watcher) checkPlausible(list config.List) error {
-	if list.Full && len(list.Servers) == 0 {
+func (w *Watcher) checkPlausible(list config.EndpointList) error {
+	if list.Full && len(list.Endpoints) == 0 {
 		return errListEmpty
 	}
 	if list.Version >= w.version {
@@ -66,7 +66,7 @@
 }
 
 // useList passes a list on and makes the next call.
-func (w *Watcher) useList(list config.List) {
+func (w *Watcher) useList(list config.EndpointList) {
 	w.version = list.Version
 	w.needsFullList = false
 	w.olderAnswers = 0
@@ -79,7 +79,7 @@
 	if w.stopped || w.call.isOut() {
 		return // the listener has stopped the watch, or made a call
 	}
-	isEmptyChange := !list.Full && len(list.Servers) == 0
+	isEmptyChange := !list.Full && len(list.Endpoints) == 0
 	if isEmptyChange && w.answeredEarly() {
 		// A discovery that doesn't wait as it was asked to would keep one of the router's cores busy.
 		w.nextCall = w.loop.AfterFunc(w.limits.Discovery.WatchInterval, w.sendCall)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -70,12 +70,12 @@
 }
 
 type recordingListener struct {
-	lists chan config.List
+	lists chan config.EndpointList
 	fails chan bool
 }
 
-func (s recordingListener) EndpointListReceived(l config.List) { s.lists <- l }
-func (s recordingListener) PollFailed(silent bool)             { s.fails <- silent }
+func (s recordingListener) EndpointListReceived(l config.EndpointList) { s.lists <- l }
+func (s recordingListener) PollFailed(silent bool)                     { s.fails <- silent }
 
 func startWatch(t *testing.T, lim limits.Limits, h http.HandlerFunc) (recordingListener, *Watcher, *eventloop.Loop) {
 	srv := httptest.NewServer(h)
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := recordingListener{make(chan config.List, 99), make(chan bool, 99)}
+	s := recordingListener{make(chan config.EndpointList, 99), make(chan bool, 99)}
 	watcher := New(l, e, lim, slog.New(slog.NewTextHandler(io.Discard, nil)), srv.Listener.Addr().String(), s)
 	go l.Run(func() {})
 	l.Post(watcher.Poll)
@@ -96,12 +96,12 @@
 // stall is followed by none before Track, and who waits for its list would wait for ever.
 func testLimits() limits.Limits {
 	l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second)
-	l.Backend.ConnectTimeout, l.Discovery.WatchWait, l.Discovery.WatchSlack, l.Discovery.CallTimeout = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
+	l.Backend.ConnectTimeout, l.Discovery.LongPollTimeout, l.Discovery.WatchSlack, l.Discovery.CallTimeout = 10*time.Second, 30*time.Millisecond, 10*time.Second, 10*time.Second
 	return l
 }
 
 // heard is the next list. No call may fail before it.
-func nextList(t *testing.T, s recordingListener) config.List {
+func nextList(t *testing.T, s recordingListener) config.EndpointList {
 	t.Helper()
 	select {
 	case l := <-s.lists:
@@ -111,7 +111,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing is told")
 	}
-	return config.List{}
+	return config.EndpointList{}
 }
 
 func TestWatchGoesOn(t *testing.T) {
@@ -127,7 +127,7 @@
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready","cell":3}]}`, n-1, n == 1)
 	})
 	for i := range int64(6) {
-		if l := nextList(t, s); l.Version != i || l.Full != (i == 0) || len(l.Servers) != 1 || l.Servers[0].Cell != 3 {
+		if l := nextList(t, s); l.Version != i || l.Full != (i == 0) || len(l.Endpoints) != 1 || l.Endpoints[0].Cell != 3 {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -194,7 +194,7 @@
 			case name == "silent", strings.HasSuffix(name, "half of a list"), strings.HasSuffix(name, "trickles"):
 				lim.Discovery.WatchSlack, lim.Discovery.CallTimeout = 200*time.Millisecond, 200*time.Millisecond
 			case strings.HasSuffix(name, "late"):
-				lim.Discovery.WatchWait = 20 * time.Second
+				lim.Discovery.LongPollTimeout = 20 * time.Second
 			}
 			s, watcher, l := startWatch(t, lim, h)
 			if strings.HasSuffix(name, "late") {
@@ -223,7 +223,7 @@
 func TestAnAnswerThatIsComingIsNotGivenUp(t *testing.T) {
 	lim := testLimits()
 	lim.Backend.StallTimeout, lim.Discovery.CallTimeout = 20*time.Second, 2*time.Second // so that only the length of the answer ends it, and its gaps may be 0.5 s
-	var began, rest = make(chan bool), make(chan bool)
+	began, rest := make(chan bool), make(chan bool)
 	letGo := sync.OnceFunc(func() { close(rest) })
 	text := `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready"}]}`
 	s, watcher, l := startWatch(t, lim, func(w http.ResponseWriter, r *http.Request) {
@@ -313,7 +313,7 @@
 				io.WriteString(c, p[:min(piece, len(p))])
 			}
 		})
-		if l := nextList(t, s); l.Version != 7 || len(l.Servers) != 1 {
+		if l := nextList(t, s); l.Version != 7 || len(l.Endpoints) != 1 {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -326,10 +326,10 @@
 	for routers, told := range map[int]time.Duration{1: 6 * time.Second, 3: 6 * time.Second, 10: 6 * time.Second, 30: 7 * time.Second, 300: 7 * time.Second} {
 		l := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(routers)
 		const turn, grace = 2 * time.Second, 2 * time.Second // the decision module asks again within half of the grace
-		if again := l.Discovery.WatchWait + l.Discovery.WatchSlack + grace/2; again+turn > told+grace {
+		if again := l.Discovery.LongPollTimeout + l.Discovery.WatchSlack + grace/2; again+turn > told+grace {
 			t.Errorf("%d routers: asked again %v after the silence, told by %v", routers, again, told)
 		}
-		if found := l.Discovery.WatchWait + l.Discovery.WatchSlack; routers <= 10 && found+250*time.Millisecond*3/2+turn > told+500*time.Millisecond {
+		if found := l.Discovery.LongPollTimeout + l.Discovery.WatchSlack; routers <= 10 && found+250*time.Millisecond*3/2+turn > told+500*time.Millisecond {
 			t.Errorf("%d routers: found after %v", routers, found)
 		}
 	}
@@ -395,7 +395,7 @@
 
 // A watch moves at once, with the whole list first; what the old address says or does after that is not heard.
 func TestMove(t *testing.T) {
-	var asked, goOn = make(chan bool, 9), make(chan bool)
+	asked, goOn := make(chan bool, 9), make(chan bool)
 	s, watcher, l := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") != "" {
 			asked <- true
@@ -422,7 +422,7 @@
 	l.Post(func() { watcher.MoveTo(other.Listener.Addr().String()) })
 	for i := range 3 {
 		got := nextList(t, s)
-		if got.Servers[0].ID != "new" || got.Full != (i == 0) {
+		if got.Endpoints[0].ID != "new" || got.Full != (i == 0) {
 			t.Fatalf("%+v", got)
 		}
 		if i == 0 {
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -31,8 +31,10 @@
 	text := func(full, indented bool) string {
 		l := whole{Version: 7, Full: full}
 		for i := range n {
-			l.Servers = append(l.Servers, server{ID: fmt.Sprintf("s-%064d", i), Addr: fmt.Sprintf("10.%d.%d.%d:6432", i>>16, i>>8&255, i&255),
-				Zone: strings.Repeat("z", 30), Kind: strings.Repeat("k", 30), Cell: i % 40, State: "ready", Weight: 1, Started: 1796184586883, Mode: "read-only"})
+			l.Servers = append(l.Servers, server{
+				ID: fmt.Sprintf("s-%064d", i), Addr: fmt.Sprintf("10.%d.%d.%d:6432", i>>16, i>>8&255, i&255),
+				Zone: strings.Repeat("z", 30), Kind: strings.Repeat("k", 30), Cell: i % 40, State: "ready", Weight: 1, Started: 1796184586883, Mode: "read-only",
+			})
 		}
 		p, err := json.Marshal(l)
 		if indented {
@@ -68,8 +70,8 @@
 			})
 			select {
 			case l := <-s.lists:
-				if len(l.Servers) != n || l.Full != c.full || l.Servers[n-1].ID != fmt.Sprintf("s-%064d", n-1) || l.Servers[n-1].Cell != (n-1)%40 {
-					t.Fatalf("%d db machines, the last is %+v", len(l.Servers), l.Servers[len(l.Servers)-1])
+				if len(l.Endpoints) != n || l.Full != c.full || l.Endpoints[n-1].ID != fmt.Sprintf("s-%064d", n-1) || l.Endpoints[n-1].Cell != (n-1)%40 {
+					t.Fatalf("%d db machines, the last is %+v", len(l.Endpoints), l.Endpoints[len(l.Endpoints)-1])
 				}
 			case <-s.fails:
 				t.Fatal("the list is not taken")
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,7 +13,7 @@
 // Listener is told what discovery says.
 type Listener interface {
 	// EndpointListReceived passes a list on, in full or as a change of the one before.
-	EndpointListReceived(list config.List)
+	EndpointListReceived(list config.EndpointList)
 
 	// PollFailed says that a call has ended without a list. It is unheard if discovery has not rejected it: nothing
 	// was heard of it, or nothing that can be used.
--- a/internal/frontend/extendedquery/test_router_test.go
+++ b/internal/frontend/extendedquery/test_router_test.go
@@ -101,15 +101,15 @@
 
 // updateEndpoints tells the router of endpoints, named by their addresses. The first of a full list is the primary.
 func (server *testRouter) updateEndpoints(full bool, state string, endpoints ...*testserver.DB) {
-	list := config.List{Full: full}
+	list := config.EndpointList{Full: full}
 	decisions := balance.EndpointList{Kind: balance.ListDelta}
 	for i, endpoint := range endpoints {
-		listed := config.Entry{ID: endpoint.Addr, Addr: endpoint.Addr, Zone: "a", Cell: 7, State: state}
+		listed := config.EndpointEntry{ID: endpoint.Addr, Addr: endpoint.Addr, Zone: "a", Cell: 7, State: state}
 		if full && i == 0 {
 			listed.Mode = "read-write"
 		}
 		entry, _ := listed.Balance()
-		list.Servers = append(list.Servers, listed)
+		list.Endpoints = append(list.Endpoints, listed)
 		decisions.Entries = append(decisions.Entries, entry)
 	}
 	done := make(chan bool)
--- a/internal/limits/compute.go
+++ b/internal/limits/compute.go
@@ -145,8 +145,8 @@
 		ListBytes:      1 * mib,
 		HeaderBytes:    16 * kib,
 
-		WatchWait:   5 * time.Second,
-		CallTimeout: queueTimeout + connectTimeout,
+		LongPollTimeout: 5 * time.Second,
+		CallTimeout:     queueTimeout + connectTimeout,
 		// What a watch had to bring counts as notified by twice this time after its wait.
 		WatchSlack: time.Second,
 		// Discovery takes a call for the same watch if it comes within 200 ms.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -99,7 +99,7 @@
 	ListBytes      int // of the body of a response
 	HeaderBytes    int // of its header
 
-	WatchWait        time.Duration // what a watch asks discovery to wait
+	LongPollTimeout  time.Duration // what a watch asks discovery to wait
 	CallTimeout      time.Duration // until a call that does not wait has failed
 	WatchSlack       time.Duration // a watch has failed this long after its wait
 	WatchInterval    time.Duration // from a call that brought nothing, and did not wait, to the next
--- a/internal/limits/variants.go
+++ b/internal/limits/variants.go
@@ -15,7 +15,7 @@
 	if routers <= mayWatchOften {
 		// A watch that has fallen silent is found when its wait is over, and what it missed counts as notified 6 s after it
 		// fell silent. A few routers can ask this often, and still have the time for one more call that is late.
-		l.Discovery.WatchWait = 3 * time.Second
+		l.Discovery.LongPollTimeout = 3 * time.Second
 	}
 	return l
 }
@@ -29,7 +29,7 @@
 func (l Limits) ForPushedLists(drainGrace time.Duration) Limits {
 	const shortest, longest = 200 * time.Millisecond, 2 * time.Second
 	quarter := min(max(drainGrace, shortest), longest) / 4
-	l.Discovery.WatchWait = quarter
+	l.Discovery.LongPollTimeout = quarter
 	l.Discovery.WatchSlack = quarter
 	l.Discovery.CallTimeout = 2 * quarter
 	l.Discovery.MaxRetryInterval = quarter
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -47,7 +47,7 @@
 	Role              balance.Role
 	Position          time.Duration // the replication position that the endpoint reported, 0 = none
 	Response          Response
-	Code              string        // the SQLSTATE of an error that the response carries, "" = none
+	SQLState          string        // the SQLSTATE of an error that the response carries, "" = none
 	ResponseStartedAt time.Duration // when the response began to arrive, 0 = none did
 	Utilization       float64       // of a health check: the used part of the endpoint's capacity, 0 = not reported
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -40,7 +40,7 @@
 		// each answer, and does not count the answer to a request that it has forgotten.
 		r.failoverQueue.attemptEnded(req, &result, elapsed, now)
 		r.notifyCommitted(req, &result)
-		r.serve(req, result.Response, result.Code)
+		r.serve(req, result.Response, result.SQLState)
 	} else if attempts.responseStarted {
 		r.truncate(req)
 	}
@@ -66,7 +66,7 @@
 	if !ok || req.finished {
 		return
 	}
-	committed := result.Position > 0 && result.Code == ""
+	committed := result.Position > 0 && result.SQLState == ""
 	if committed && r.IsWrite(req.Class) {
 		committer.Committed(result.Position)
 	}
--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -48,10 +48,10 @@
 }
 
 // since is what has changed behind a version, all of it behind 0.
-func (d *directory) since(version int64) config.List {
-	l := config.List{Version: d.Version, Full: version == 0, Servers: []config.Entry{}}
+func (d *directory) since(version int64) config.EndpointList {
+	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.Entry{ID: x.Machine.ID, Zone: x.Machine.Zone, Cell: x.Machine.Bank.ID, State: x.State.String(), Weight: 1, StartedMs: x.UpAt.Milliseconds(), Mode: "read-only"}
+		e := config.EndpointEntry{ID: x.Machine.ID, Zone: x.Machine.Zone, Cell: x.Machine.Bank.ID, State: x.State.String(), Weight: 1, StartedMs: x.UpAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
@@ -60,7 +60,7 @@
 				e.Addr = s.addr
 			}
 		}
-		l.Servers = append(l.Servers, e)
+		l.Endpoints = append(l.Endpoints, e)
 	})
 	return l
 }
@@ -85,7 +85,7 @@
 	}
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for {
-		var l config.List
+		var l config.EndpointList
 		var news chan struct{}
 		var down time.Duration
 		d.h.with(func() {
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -256,7 +256,7 @@
 type Seat struct {
 	Name, Listen, Operator, Zone string
 	Discovery                    string
-	Known                        config.List
+	Known                        config.EndpointList
 	Seed                         uint64
 }
 
@@ -266,7 +266,7 @@
 }
 
 // List is what discovery says has changed behind a version, all of it behind 0. It is empty while discovery says nothing.
-func (h *Host) List(since int64) (l config.List) {
+func (h *Host) List(since int64) (l config.EndpointList) {
 	h.with(func() {
 		if h.list.down <= h.clock.Now() {
 			l = h.list.since(since)
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -134,7 +134,7 @@
 // Discovery gives whole lists, and what has changed to those who watch; while it is down it says nothing.
 func TestDiscovery(t *testing.T) {
 	h, _ := newHost(t, nil)
-	get := func(query string) (l config.List, code int) {
+	get := func(query string) (l config.EndpointList, code int) {
 		t.Helper()
 		a, err := http.Get("http://" + h.Discovery() + "/v1/endpoints" + query)
 		if err != nil {
@@ -147,14 +147,14 @@
 		return l, a.StatusCode
 	}
 	l, _ := get("")
-	if !l.Full || len(l.Servers) != 3 || l.Servers[0].Mode != "read-write" || l.Servers[1].Mode != "read-only" {
+	if !l.Full || len(l.Endpoints) != 3 || l.Endpoints[0].Mode != "read-write" || l.Endpoints[1].Mode != "read-only" {
 		t.Fatalf("%+v", l)
 	}
-	if same, _ := get("?index=1&wait=50"); same.Version != 1 || len(same.Servers) != 0 {
+	if same, _ := get("?index=1&wait=50"); same.Version != 1 || len(same.Endpoints) != 0 {
 		t.Fatalf("%+v", same)
 	}
 	go h.Befall(fleet.Fault{What: "drain", Who: []string{"db1c"}})
-	if l, _ = get("?index=1&wait=5000"); l.Full || len(l.Servers) != 1 || l.Servers[0].State != "draining" {
+	if l, _ = get("?index=1&wait=5000"); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != "draining" {
 		t.Fatalf("%+v", l)
 	}
 	for _, q := range []string{"?index=x&wait=1", "?index=1&wait=-1", "?index=1"} {
@@ -164,7 +164,7 @@
 	}
 	h.Befall(fleet.Fault{What: "discovery", For: 200 * time.Millisecond})
 	begin := time.Now()
-	if l, _ := get(""); time.Since(begin) < 180*time.Millisecond || len(l.Servers) != 3 {
+	if l, _ := get(""); time.Since(begin) < 180*time.Millisecond || len(l.Endpoints) != 3 {
 		t.Errorf("%+v after %v", l, time.Since(begin))
 	}
 	p, err := h.Settings("n", "127.0.0.1:0", "", 3)
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	c, err := config.Parse(p, func(string) string { return "" })
-	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.Known == nil || len(c.Known.Servers) != 3 {
+	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.Known == nil || len(c.Known.Endpoints) != 3 {
 		t.Fatalf("%v %+v", err, c)
 	}
 	if _, err := New(small(func(c *fleet.Config) { c.Faults = []fleet.Fault{{What: "cut"}} }), 1); err == nil || !strings.Contains(err.Error(), "cut needs more than one process") {
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -145,7 +145,7 @@
 	}
 	lim := limits.New(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
 	now := r.f.clock.Now()
-	end := w.began + ((now-w.began)/lim.Discovery.WatchWait+1)*lim.Discovery.WatchWait // a watch without news was followed by the next one
+	end := w.began + ((now-w.began)/lim.Discovery.LongPollTimeout+1)*lim.Discovery.LongPollTimeout // a watch without news was followed by the next one
 	if p := r.peer(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.out {
 		p.out, p.outAt = true, end+told
 	}
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -28,8 +28,8 @@
 	stop   chan struct{}
 
 	mu   sync.Mutex
-	has  config.List // pushed: what reached the agent
-	deaf bool        // pushed: discovery can't be heard
+	has  config.EndpointList // pushed: what reached the agent
+	deaf bool                // pushed: discovery can't be heard
 }
 
 const viewStep = 10 * time.Millisecond
@@ -63,12 +63,12 @@
 		case <-time.After(viewStep):
 		}
 		l := v.host.List(0)
-		deaf := len(l.Servers) == 0 || v.net.Troubled(v.router.Name, discovery.Name)
+		deaf := len(l.Endpoints) == 0 || v.net.Troubled(v.router.Name, discovery.Name)
 		v.mu.Lock()
 		if v.deaf = deaf; !deaf && l.Version > v.has.Version {
 			was := v.has.Version
 			v.has = l
-			for _, e := range v.host.List(was).Servers {
+			for _, e := range v.host.List(was).Endpoints {
 				v.tell(e, false)
 			}
 		}
@@ -83,19 +83,19 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, e := range v.has.Servers {
+	for _, e := range v.has.Endpoints {
 		if e.State != "ready" {
 			v.tell(e, false)
 		}
 	}
 }
 
-func (v *view) tell(e config.Entry, cut bool) {
+func (v *view) tell(e config.EndpointEntry, cut bool) {
 	v.log.Add(history.Told{Router: v.router.Name, Life: v.router.Life(), Member: e.ID, State: e.State, Cut: cut})
 }
 
 // list is what it says to a call, and whether it says anything.
-func (v *view) list(since int64) (l config.List, says bool) {
+func (v *view) list(since int64) (l config.EndpointList, says bool) {
 	if !v.pushed {
 		l = v.host.List(since)
 		return l, l.Version > 0
@@ -105,17 +105,17 @@
 	if v.deaf {
 		return l, false
 	}
-	l = config.List{Version: v.has.Version, Full: since == 0, Servers: []config.Entry{}}
+	l = config.EndpointList{Version: v.has.Version, Full: since == 0, Endpoints: []config.EndpointEntry{}}
 	if since < l.Version {
-		l.Full, l.Servers = true, append(l.Servers, v.has.Servers...) // a whole list is an answer too
+		l.Full, l.Endpoints = true, append(l.Endpoints, v.has.Endpoints...) // a whole list is an answer too
 	}
 	return l, true
 }
 
 // known is the list as a router that starts has it.
-func (v *view) known() config.List {
+func (v *view) known() config.EndpointList {
 	l := v.host.List(0)
-	if len(l.Servers) == 0 {
+	if len(l.Endpoints) == 0 {
 		v.mu.Lock()
 		l = v.has
 		v.mu.Unlock()
@@ -123,12 +123,12 @@
 	return v.mapped(l)
 }
 
-func (v *view) mapped(l config.List) config.List {
+func (v *view) mapped(l config.EndpointList) config.EndpointList {
 	out := l
-	out.Servers = make([]config.Entry, len(l.Servers))
-	for i, e := range l.Servers {
+	out.Endpoints = make([]config.EndpointEntry, len(l.Endpoints))
+	for i, e := range l.Endpoints {
 		e.Addr = v.addr(e.ID)
-		out.Servers[i] = e
+		out.Endpoints[i] = e
 	}
 	return out
 }
@@ -154,11 +154,11 @@
 		l, says := v.list(since)
 		if says && (!watch || l.Version > since || time.Now().After(end)) {
 			if watch && l.Version <= since {
-				l.Full, l.Servers = false, l.Servers[:0]
+				l.Full, l.Endpoints = false, l.Endpoints[:0]
 			}
 			if !v.pushed {
 				cut := v.net.Troubled(v.router.Name, discovery.Name)
-				for _, e := range l.Servers {
+				for _, e := range l.Endpoints {
 					v.tell(e, cut)
 				}
 			}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -170,7 +170,7 @@
 	address := listener.Addr().String()
 	listener.Close()
 	s, err := Open(Config{
-		Name: "site-a", Folder: folder, Peers: map[string]string{"site-a": address}, Entries: 4, Queue: 8,
+		Name: "site-a", Folder: folder, Peers: map[string]string{"site-a": address}, LogEntries: 4, QueuedWrites: 8,
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -260,8 +260,8 @@
 			t.Error(err)
 		}
 	}()
-	if s.Torn() != 0 {
-		t.Errorf("%d bytes of the log were dropped", s.Torn())
+	if s.TornBytes() != 0 {
+		t.Errorf("%d bytes of the log were dropped", s.TornBytes())
 	}
 	records, revision := s.Range("")
 	if want := goldenRecords(); revision != 8 || !reflect.DeepEqual(records, want) {
--- a/internal/store/member_tls.go
+++ b/internal/store/member_tls.go
@@ -16,15 +16,15 @@
 // reloadInterval is the shortest time between two checks whether the files have changed.
 const reloadInterval = time.Second
 
-// Files name what members authenticate each other with, all in PEM. Without any of them they talk in the clear.
-type Files struct {
+// TLSFiles name what members authenticate each other with, all in PEM. Without any of them they talk in the clear.
+type TLSFiles struct {
 	CA   string // the authorities that members trust; several while they are replaced
 	Cert string // the certificate of this member, with its name among the DNS names
 	Key  string
 }
 
 // configured says whether there are any.
-func (f Files) configured() bool { return f != Files{} }
+func (f TLSFiles) configured() bool { return f != TLSFiles{} }
 
 // settingFile is a file and the setting that names it.
 type settingFile struct {
@@ -32,7 +32,7 @@
 	path    string
 }
 
-func (f Files) settings() [3]settingFile {
+func (f TLSFiles) settings() [3]settingFile {
 	return [...]settingFile{{"store.ca", f.CA}, {"store.cert", f.Cert}, {"store.key", f.Key}}
 }
 
@@ -51,7 +51,7 @@
 // memberTLS authenticates members by their certificates. It reads the files again where they have changed; connections
 // that are established stay as they are. A nil *memberTLS leaves connections in the clear.
 type memberTLS struct {
-	files Files
+	files TLSFiles
 	self  string
 	peers map[string]string // addresses by name
 	log   *slog.Logger
@@ -63,7 +63,7 @@
 	lastError string // of reading the files again; logged once
 }
 
-func newMemberTLS(files Files, self string, peers map[string]string, log *slog.Logger) (*memberTLS, error) {
+func newMemberTLS(files TLSFiles, self string, peers map[string]string, log *slog.Logger) (*memberTLS, error) {
 	if !files.configured() {
 		return nil, nil
 	}
--- a/internal/store/member_tls_test.go
+++ b/internal/store/member_tls_test.go
@@ -17,7 +17,7 @@
 // issue writes the files of a member: a certificate for a DNS name, its key, and the authorities that are trusted.
 func issue(
 	t *testing.T, dir, member, dnsName string, issuer *collector.Authority, trusted ...*collector.Authority,
-) Files {
+) TLSFiles {
 	t.Helper()
 	_, cert, key, err := issuer.Issue(dnsName, time.Now().Add(time.Hour))
 	if err != nil {
@@ -27,7 +27,7 @@
 	for _, authority := range trusted {
 		authorities = append(authorities, authority.PEM...)
 	}
-	files := Files{
+	files := TLSFiles{
 		CA:   filepath.Join(dir, member+".ca"),
 		Cert: filepath.Join(dir, member+".cert"),
 		Key:  filepath.Join(dir, member+".key"),
@@ -192,19 +192,19 @@
 	missing := filepath.Join(dir, "none")
 	for _, test := range []struct {
 		name  string
-		files Files
+		files TLSFiles
 		want  string
 	}{
-		{"no authority", Files{Cert: good.Cert, Key: good.Key}, "store.ca: "},
-		{"certificate is missing", Files{CA: good.CA, Cert: missing, Key: good.Key}, "store.cert: "},
-		{"key is missing", Files{CA: good.CA, Cert: good.Cert, Key: missing}, "store.key: "},
-		{"authority is a key", Files{CA: good.Key, Cert: good.Cert, Key: good.Key}, "store.ca: no certificate"},
-		{"key of another certificate", Files{CA: good.CA, Cert: good.Cert, Key: otherMember.Key}, "store.cert: tls"},
+		{"no authority", TLSFiles{Cert: good.Cert, Key: good.Key}, "store.ca: "},
+		{"certificate is missing", TLSFiles{CA: good.CA, Cert: missing, Key: good.Key}, "store.cert: "},
+		{"key is missing", TLSFiles{CA: good.CA, Cert: good.Cert, Key: missing}, "store.key: "},
+		{"authority is a key", TLSFiles{CA: good.Key, Cert: good.Cert, Key: good.Key}, "store.ca: no certificate"},
+		{"key of another certificate", TLSFiles{CA: good.CA, Cert: good.Cert, Key: otherMember.Key}, "store.cert: tls"},
 		{"certificate of another member", otherMember, "store.cert: it is not for m0"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			config := Config{
-				Name: "m0", Folder: t.TempDir(), Peers: addresses, Entries: 8, Queue: 8, Secret: test.files,
+				Name: "m0", Folder: t.TempDir(), Peers: addresses, LogEntries: 8, QueuedWrites: 8, TLS: test.files,
 			}
 			_, err := Open(config, discardLog)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,12 +32,12 @@
 
 // Config says who this member is and where all of them are reached.
 type Config struct {
-	Name    string
-	Folder  string            // on a disk that lasts
-	Peers   map[string]string // addresses by name, this member's too
-	Entries int               // log entries kept before a snapshot takes their place
-	Queue   int               // writes that may wait
-	Secret  Files             // what members authenticate each other with
+	Name         string
+	Folder       string            // on a disk that lasts
+	Peers        map[string]string // addresses by name, this member's too
+	LogEntries   int               // log entries kept before a snapshot takes their place
+	QueuedWrites int               // writes that may wait
+	TLS          TLSFiles          // what members authenticate each other with
 }
 
 // Store is one member.
@@ -70,7 +70,7 @@
 		log:     log,
 		wal:     w,
 		machine: &stateMachine{state: fsm.New(fsm.DefaultLimits())},
-		queue:   make(chan fsm.Change, cfg.Queue),
+		queue:   make(chan fsm.Change, cfg.QueuedWrites),
 		quit:    make(chan struct{}),
 	}
 	if w.tornBytes > 0 {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	authentication, err := newMemberTLS(s.cfg.Secret, s.cfg.Name, s.cfg.Peers, s.log)
+	authentication, err := newMemberTLS(s.cfg.TLS, s.cfg.Name, s.cfg.Peers, s.log)
 	if err != nil {
 		return err
 	}
@@ -118,8 +118,8 @@
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(s.cfg.Name)
 	c.LogOutput = io.Discard
-	c.SnapshotThreshold = uint64(s.cfg.Entries)
-	c.TrailingLogs = uint64(s.cfg.Entries)
+	c.SnapshotThreshold = uint64(s.cfg.LogEntries)
+	c.TrailingLogs = uint64(s.cfg.LogEntries)
 	c.SnapshotInterval = snapshotInterval
 	return c
 }
@@ -136,8 +136,8 @@
 	return configuration
 }
 
-// Torn returns the number of bytes of an unfinished record that the start found at the end of the log and dropped.
-func (s *Store) Torn() int64 { return s.wal.tornBytes }
+// TornBytes returns the number of bytes of an unfinished record that the start found at the end of the log and dropped.
+func (s *Store) TornBytes() int64 { return s.wal.tornBytes }
 
 // Ready says whether this member has caught up with what the members have agreed on: what Get returns is no older than
 // the start.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -71,15 +71,16 @@
 		}
 	})
 	for name := range c.addresses {
-		c.start(t, name, Files{})
+		c.start(t, name, TLSFiles{})
 	}
 	return c
 }
 
-func (c *cluster) start(t *testing.T, name string, files Files) {
+func (c *cluster) start(t *testing.T, name string, files TLSFiles) {
 	t.Helper()
 	s, err := Open(Config{
-		Name: name, Folder: filepath.Join(c.folder, name), Peers: c.addresses, Entries: c.entries, Queue: 64, Secret: files,
+		Name: name, Folder: filepath.Join(c.folder, name), Peers: c.addresses,
+		LogEntries: c.entries, QueuedWrites: 64, TLS: files,
 	}, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +145,7 @@
 		mustPut(t, c.members["m1"], "count", fmt.Sprint(i))
 	}
 	eventuallyHas(t, "m2", c.members["m2"], "count", "29")
-	c.start(t, "m0", Files{})
+	c.start(t, "m0", TLSFiles{})
 	eventuallyHas(t, "m0", c.members["m0"], "count", "29")
 	// All members stop and start again: nothing is lost. None may stop again before all have caught up, because a member
 	// learns from a majority what it has.
@@ -152,7 +153,7 @@
 		c.stop(t, name)
 	}
 	for name := range c.addresses {
-		c.start(t, name, Files{})
+		c.start(t, name, TLSFiles{})
 	}
 	for name, s := range c.members {
 		eventuallyHas(t, name, s, "count", "29")
@@ -244,7 +245,7 @@
 		c.commit(t, "m2", fsm.Change{Ops: []fsm.Op{{Key: "n", Value: []byte{byte(i)}}}})
 	}
 	c.stop(t, "m0")
-	c.start(t, "m0", Files{})
+	c.start(t, "m0", TLSFiles{})
 	m0 := c.members["m0"]
 	eventuallyHas(t, "m0", m0, "n", "\x13")
 	eventually(t, "m0 has the history", func() bool { return len(m0.History("lock")) == 3 })
--- a/internal/testserver/agent.go
+++ b/internal/testserver/agent.go
@@ -20,7 +20,7 @@
 	mu      sync.Mutex
 	ln      net.Listener
 	server  *http.Server
-	entries []config.Entry
+	entries []config.EndpointEntry
 	changed map[string]int64 // the version that changed a machine last
 	version int64
 	news    chan struct{} // closed at the next change
@@ -32,7 +32,7 @@
 }
 
 // NewAgent starts an agent that has been sent these entries.
-func NewAgent(entries ...config.Entry) (*Agent, error) {
+func NewAgent(entries ...config.EndpointEntry) (*Agent, error) {
 	a := &Agent{Addr: "127.0.0.1:0", changed: map[string]int64{}, news: make(chan struct{}), has: map[string]map[string]time.Time{}}
 	a.Push(entries...)
 	return a, a.Start()
@@ -62,7 +62,7 @@
 }
 
 // Push sends it changes: from now on they count as told.
-func (a *Agent) Push(entries ...config.Entry) {
+func (a *Agent) Push(entries ...config.EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
@@ -151,10 +151,10 @@
 		w.WriteHeader(a.fault)
 		return
 	}
-	l := config.List{Version: a.version, Full: !watch, Servers: []config.Entry{}}
+	l := config.EndpointList{Version: a.version, Full: !watch, Endpoints: []config.EndpointEntry{}}
 	for _, e := range a.entries {
 		if !watch || a.changed[e.ID] > index {
-			l.Servers = append(l.Servers, e)
+			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
 	_ = json.NewEncoder(w).Encode(l) // the caller may have gone meanwhile
