--- a/internal/sitefailover/admission_test.go
+++ b/internal/sitefailover/admission_test.go
@@ -219,3 +219,24 @@
 		t.Error(first, second)
 	}
 }
+
+// Of many requests a controller rejects its share to the last one, also where that is more than half.
+func TestAdmissionKeepsToTheShare(t *testing.T) {
+	controller := NewAdmissionController(AdmissionConfig{RetrySpread: time.Second}, 3)
+	now := time.Second
+	update(controller, &now, true, remainingGroup(1, 2, 40, 20, 5), 10*time.Second)
+	share := sharesByClass(controller)["cheap"]
+	if share < 0.55 {
+		t.Fatalf("the share is %.2f, want more than half", share)
+	}
+	const requests = 1000
+	rejections := 0
+	for range requests {
+		if rejected, _ := controller.ShouldReject(DemandKey{Class: "cheap", Group: 1}); rejected {
+			rejections++
+		}
+	}
+	if math.Abs(float64(rejections)-requests*share) > 1 {
+		t.Errorf("%d of %d are rejected, want %.1f", rejections, requests, requests*share)
+	}
+}
--- a/internal/sitefailover/monitor_test.go
+++ b/internal/sitefailover/monitor_test.go
@@ -175,6 +175,26 @@
 	}
 }
 
+// failGroupThatFillsSite lets one group fail that has most of a site's endpoints.
+func failGroupThatFillsSite(w *world) {
+	for i := range 4 {
+		id := fmt.Sprint("s-more-", i, "-0")
+		w.ids = append(w.ids, id)
+		w.site[id] = "s"
+		w.list(id, "s", 0, EndpointReady)
+	}
+	w.run(3 * time.Second)
+	failOneGroup(w)
+}
+
+// failAllOfOneSiteAndHalfElsewhere lets a fault that all sites share hit one of them hardest.
+func failAllOfOneSiteAndHalfElsewhere(w *world) {
+	w.lose("s", FailureTimeout)
+	for _, id := range []string{"n0", "n1", "w2", "w3"} {
+		w.failing[id] = FailureTimeout
+	}
+}
+
 // failEverySecond lets every second endpoint fail, wherever it stands.
 func failEverySecond(w *world) {
 	for i, id := range w.ids {
@@ -211,7 +231,9 @@
 func TestWhatIsNoLoss(t *testing.T) {
 	for name, happen := range map[string]func(w *world){
 		"a fault of one group":                 failOneGroup,
+		"a fault of the group that fills it":   failGroupThatFillsSite,
 		"a slowdown that all sites share":      failEverySecond,
+		"a shared fault that hits it hardest":  failAllOfOneSiteAndHalfElsewhere,
 		"a deploy that takes out half a site":  deployMostOfSite,
 		"two of four endpoints":                failTwoOfFour,
 		"one reset of each connection":         resetEachOnce,
@@ -330,8 +352,14 @@
 	if waits[0] > 200*ms || waits[5] < 5*time.Second || waits[8] > waits[7]+200*ms {
 		t.Errorf("%v", waits)
 	}
+	if flaps := w.view("s").Flaps; flaps != 8 {
+		t.Errorf("%d flaps, want 8", flaps)
+	}
 	w.run(10 * time.Minute)
 	w.expect("s", SiteHealthy, FaultUnclear)
+	if flaps := w.view("s").Flaps; flaps != 7 {
+		t.Errorf("%d flaps once it is healthy, want 7: one is forgiven", flaps)
+	}
 }
 
 // Endpoints that come back under new identifiers are the site's recovery.
@@ -528,3 +556,32 @@
 		})
 	}
 }
+
+// A new endpoint takes the place of a single old one.
+func TestNewEndpointReplacesOnlyOne(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	w.lose("s", FailureRefused)
+	w.run(2 * time.Second)
+	w.list("new0", "s", 0, EndpointReady)
+	for group := range 2 {
+		w.list(fmt.Sprint("s", group), "s", group, EndpointRemoved)
+	}
+	if view := w.view("s"); view.Endpoints != 4 || view.Down != 3 {
+		t.Errorf("%d of %d endpoints are down, want 3 of 4: %+v", view.Down, view.Endpoints, view)
+	}
+}
+
+// Endpoints that a deploy has drained before it removed them are no sign that the list has dropped a lost site.
+func TestDrainedEndpointsAreNotDelisted(t *testing.T) {
+	w := newWorld(t, "n", 4, "n", "s", "w")
+	w.run(3 * time.Second)
+	for group := range 2 {
+		id := fmt.Sprint("s", group)
+		w.list(id, "s", group, EndpointDraining)
+		w.list(id, "s", group, EndpointRemoved)
+	}
+	w.lose("s", FailureTimeout)
+	w.run(2 * time.Second)
+	w.expect("s", SiteLost, FaultSiteLost)
+}
--- a/internal/sitefailover/recovery_ramp_test.go
+++ b/internal/sitefailover/recovery_ramp_test.go
@@ -86,3 +86,26 @@
 		t.Errorf("behind the limit: %v, due %v, %v", changes, due, ramp.Ramps())
 	}
 }
+
+// A step in which too much fails halves the share and pauses the ramp.
+func TestRelapseHalvesTheShare(t *testing.T) {
+	now := time.Second
+	ramp := newFlappedRamp(now, 1)
+	changes, due := ramp.Update(now)
+	if len(changes) != 1 {
+		t.Fatalf("the ramp begins with %v", changes)
+	}
+	before := changes[0].Share
+	stepInterval := due - now
+	for range relapseMinOutcomes {
+		ramp.RecordOutcome("s", true)
+	}
+	now = due
+	changes, due = ramp.Update(now)
+	if len(changes) != 1 || changes[0].Share != before/2 || changes[0].Reason != reasonRelapse {
+		t.Errorf("from %v to %v at a relapse", before, changes)
+	}
+	if due != now+relapsePauseSteps*stepInterval {
+		t.Errorf("the next step is due after %v, want %v", due-now, relapsePauseSteps*stepInterval)
+	}
+}
--- a/internal/sitefailover/utilization_test.go
+++ b/internal/sitefailover/utilization_test.go
@@ -31,6 +31,13 @@
 	if len(tracker.endpoints) > maxTrackedEndpoints {
 		t.Errorf("%d endpoints are tracked, want at most %d", len(tracker.endpoints), maxTrackedEndpoints)
 	}
+	var fresh UtilizationTracker
+	for range minReports - 1 {
+		fresh.Record("m", 0.3, 0.3)
+	}
+	if _, ok := fresh.FairCapacity(); ok {
+		t.Errorf("a capacity is told from %d reports", minReports-1)
+	}
 	var idle UtilizationTracker
 	for range 60 {
 		idle.Record("m", 0.001, 0.001)
