--- a/cmd/limeladder/sites.go
+++ b/cmd/limeladder/sites.go
@@ -18,7 +18,7 @@
 	if !d.dep.Sites.Watch {
 		return
 	}
-	d.core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Discovery.KnownEndpoints))
+	d.core.EnableSiteMonitor(sitefailover.DefaultMonitorConfig(cfg.Balance.Zone, cfg.Balance.SlowStartWindow, d.lim.Discovery.KnownEndpoints))
 	if d.dep.Sites.Act {
 		d.core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.Balance.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.Balance.SlowStartFrom, Duration: cfg.Balance.SlowStartWindow}, cfg.SeedValue)
 	}
@@ -60,7 +60,7 @@
 		if v.Since > 0 {
 			since = (now - v.Since).Milliseconds()
 		}
-		views = append(views, siteView{v.Site, v.State.String(), v.Kind.String(), since, v.Evidence, v.Endpoints, v.Down, v.Flaps})
+		views = append(views, siteView{v.Site, v.State.String(), v.Fault.String(), since, v.Evidence, v.Endpoints, v.Down, v.Flaps})
 	}
 	plans, refused, paced := d.core.SiteLossPlans(), []refusedView{}, []pacedView{}
 	for _, s := range d.core.SiteRejectedShares() {
--- a/internal/router/sites.go
+++ b/internal/router/sites.go
@@ -28,8 +28,8 @@
 }
 
 // WatchSites turns it on. It is called before the first list.
-func (r *Router) EnableSiteMonitor(cfg sitefailover.Config) {
-	r.sites = &watcherOfSites{model: sitefailover.New(cfg), costs: map[string]float64{}}
+func (r *Router) EnableSiteMonitor(cfg sitefailover.MonitorConfig) {
+	r.sites = &watcherOfSites{model: sitefailover.NewMonitor(cfg), costs: map[string]float64{}}
 	r.survey(0)
 }
 
@@ -270,8 +270,8 @@
 	for _, a := range w.model.Step(now, events) {
 		switch a := a.(type) {
 		case sitefailover.StateChanged:
-			r.log.Info("site", "site", a.Site, "from", a.From.String(), "to", a.To.String(), "kind", a.Kind.String(), "evidence", a.Evidence)
-			r.record(audit.Note{Topic: "site", Text: a.Site + " is " + a.To.String() + ", " + a.Kind.String() + ": " + a.Evidence})
+			r.log.Info("site", "site", a.Site, "from", a.OldState.String(), "to", a.NewState.String(), "kind", a.Fault.String(), "evidence", a.Evidence)
+			r.record(audit.Note{Topic: "site", Text: a.Site + " is " + a.NewState.String() + ", " + a.Fault.String() + ": " + a.Evidence})
 			switch troubled := w.model.AnyLost(); {
 			case troubled && w.before == nil:
 				w.before = w.meter.Rates(now)
@@ -280,10 +280,10 @@
 				w.before = nil
 			}
 			if w.ramp != nil {
-				w.ramp.SiteStateChanged(now, a.Site, a.To, w.model.Flaps(a.Site))
+				w.ramp.SiteStateChanged(now, a.Site, a.NewState, w.model.Flaps(a.Site))
 			}
 		case sitefailover.Wake:
-			at(a.At)
+			at(a.Deadline)
 		}
 	}
 	if w.door != nil {
--- a/internal/router/sites_test.go
+++ b/internal/router/sites_test.go
@@ -13,7 +13,7 @@
 func lossy(t *testing.T, act bool) (r *Router, p *peer, all []*owed) {
 	t.Helper()
 	r, p, l := start(t)
-	r.EnableSiteMonitor(sitefailover.DefaultConfig("a", time.Second, 100))
+	r.EnableSiteMonitor(sitefailover.DefaultMonitorConfig("a", time.Second, 100))
 	r.sites.costs["look"] = 99 // as a plan of long ago had it
 	if act {
 		r.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: time.Second}, sitefailover.RecoveryRampConfig{InitialShare: 0.2, Duration: time.Second}, 3)
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -82,7 +82,7 @@
 			DeadlineMargin: lim.Router.DeadlineMargin, MaxRetryAfter: cfg.MaxRetryAfter}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
-		core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
+		core.EnableSiteMonitor(sitefailover.DefaultMonitorConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
 		if f.cfg.Sites == SitesAct {
 			core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.SlowStartFrom, Duration: cfg.SlowStartWindow}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
 		}
--- a/internal/simulation/stats/foresight.go
+++ b/internal/simulation/stats/foresight.go
@@ -45,12 +45,12 @@
 	f := Foresight{Seed: seed, Fleet: fmt.Sprintf("%d routers, %d banks of %d, %d sites, %.0f%% used", c.Routers, c.Banks, c.Members, len(c.Zones), 100*c.Use)}
 	rate := 0.0
 	for _, l := range told { // routers see alike parts of the work
-		f.Planned += l.WeightKept / float64(len(told))
+		f.Planned += l.RemainingWeightShare / float64(len(told))
 		for _, r := range l.Rejections {
 			rate += r.Rate
 		}
 		for _, b := range l.Groups {
-			if b.NoneLeft {
+			if b.NoEndpointLeft {
 				f.None++
 			}
 		}
--- a/internal/sitefailover/monitor.go
+++ b/internal/sitefailover/monitor.go
@@ -7,7 +7,7 @@
 )
 
 // Config bounds a Monitor. Zero durations and a zero MaxEndpoints are not allowed.
-type Config struct {
+type MonitorConfig struct {
 	OwnSite        string        // OwnSite is the router's own site, "" = not known.
 	EvidenceWindow time.Duration // EvidenceWindow is how long an answer proves that an endpoint is up.
 	SuspicionTime  time.Duration // SuspicionTime is how long a suspicion has to last for the site to be lost.
@@ -25,8 +25,8 @@
 )
 
 // DefaultConfig is the configuration of a router in a site of its own whose endpoints take warmUp to get warm.
-func DefaultConfig(ownSite string, warmUp time.Duration, maxEndpoints int) Config {
-	return Config{
+func DefaultMonitorConfig(ownSite string, warmUp time.Duration, maxEndpoints int) MonitorConfig {
+	return MonitorConfig{
 		OwnSite:        ownSite,
 		EvidenceWindow: defaultEvidenceWindow,
 		SuspicionTime:  defaultSuspicionTime,
@@ -37,7 +37,7 @@
 
 // Monitor judges all sites by the events that it is given. It is not safe for concurrent use.
 type Monitor struct {
-	cfg       Config
+	cfg       MonitorConfig
 	now       time.Duration
 	endpoints map[string]*endpointEvidence
 	sites     map[string]*siteStatus
@@ -45,7 +45,7 @@
 }
 
 // New returns a Monitor that knows nothing yet.
-func New(cfg Config) *Monitor {
+func NewMonitor(cfg MonitorConfig) *Monitor {
 	return &Monitor{
 		cfg:       cfg,
 		endpoints: map[string]*endpointEvidence{},
@@ -64,7 +64,7 @@
 	m.forgetExpired()
 	actions := m.evaluateSites()
 	if at, ok := m.nextWake(); ok {
-		actions = append(actions, Wake{At: at})
+		actions = append(actions, Wake{Deadline: at})
 	}
 	return actions
 }
--- a/internal/sitefailover/monitor_invariants_test.go
+++ b/internal/sitefailover/monitor_invariants_test.go
@@ -22,10 +22,10 @@
 		if !ok {
 			continue
 		}
-		if h.states[change.Site] != change.From || change.From == change.To {
+		if h.states[change.Site] != change.OldState || change.OldState == change.NewState {
 			h.t.Fatalf("%+v, it was %v", change, h.states[change.Site])
 		}
-		h.states[change.Site] = change.To
+		h.states[change.Site] = change.NewState
 	}
 	for site := range h.states {
 		if h.monitor.sites[site] == nil {
@@ -84,7 +84,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own site"))
 		cfg.MaxEndpoints = 9
-		history := &randomHistory{t: t, monitor: New(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
+		history := &randomHistory{t: t, monitor: NewMonitor(cfg), now: 50 * time.Second, states: map[string]SiteState{}}
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			event := history.drawEvent()
 			history.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
--- a/internal/sitefailover/monitor_test.go
+++ b/internal/sitefailover/monitor_test.go
@@ -120,7 +120,7 @@
 			happen(w)
 			w.run(10 * time.Second)
 			for _, change := range w.changes {
-				if change.To == SiteLost {
+				if change.NewState == SiteLost {
 					t.Fatalf("%+v", change)
 				}
 			}
@@ -273,7 +273,7 @@
 		DeclareLost{Site: "s", Until: w.now + 5*time.Second},
 		DeclareLost{Site: "nowhere", Until: w.now + time.Hour})
 	change := w.changes[len(w.changes)-1]
-	if change.To != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
+	if change.NewState != SiteLost || !strings.HasPrefix(change.Evidence, "declared by an operator") {
 		t.Fatalf("%+v", change)
 	}
 	w.run(4 * time.Second)
@@ -325,7 +325,7 @@
 			replaceEndpoints(w, newFirst)
 			w.run(20 * time.Second)
 			for _, change := range w.changes {
-				if change.Site == "s" && change.From == SiteRecovering && change.To == SiteLost {
+				if change.Site == "s" && change.OldState == SiteRecovering && change.NewState == SiteLost {
 					t.Errorf("lost again: %s", change.Evidence)
 				}
 			}
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -30,20 +30,20 @@
 
 // SiteLossPlan is what the loss of a site would mean.
 type SiteLossPlan struct {
-	Site         string      `json:"site"`
-	Groups       []GroupLoss `json:"banks"` // Groups are those that have an available endpoint in the site.
-	LoadShifts   []LoadShift `json:"moves"`
-	Rejections   []Rejection `json:"refused"`
-	WeightKept   float64     `json:"worth_kept"`   // WeightKept is the served share of the weight without the site.
-	WeightServed float64     `json:"worth_served"` // WeightServed is the same with all sites.
+	Site                 string      `json:"site"`
+	Groups               []GroupLoss `json:"banks"` // Groups are those that have an available endpoint in the site.
+	LoadShifts           []LoadShift `json:"moves"`
+	Rejections           []Rejection `json:"refused"`
+	RemainingWeightShare float64     `json:"worth_kept"`   // WeightKept is the served share of the weight without the site.
+	CurrentWeightShare   float64     `json:"worth_served"` // WeightServed is the same with all sites.
 }
 
 // GroupLoss is what becomes of one replica group. Utilizations are shares of what the endpoints can do.
 type GroupLoss struct {
-	Group        int64  `json:"bank"`
-	LosesPrimary bool   `json:"loses_primary"`
-	NoneLeft     bool   `json:"none_left"` // NoneLeft says that nothing of the group can be served without the site.
-	Successor    string `json:"successor"` // Successor is the likely primary without the site, "" = there can be none.
+	Group          int64  `json:"bank"`
+	LosesPrimary   bool   `json:"loses_primary"`
+	NoEndpointLeft bool   `json:"none_left"` // NoneLeft says that nothing of the group can be served without the site.
+	Successor      string `json:"successor"` // Successor is the likely primary without the site, "" = there can be none.
 
 	PrimaryUtilization        float64 `json:"primary"`
 	ReplicaUtilization        float64 `json:"replicas"`
@@ -97,12 +97,12 @@
 // planLoss plans the loss of one site.
 func planLoss(site string, groups []*groupDemand) SiteLossPlan {
 	plan := SiteLossPlan{
-		Site:         site,
-		Groups:       []GroupLoss{},
-		LoadShifts:   []LoadShift{},
-		Rejections:   []Rejection{},
-		WeightKept:   1,
-		WeightServed: 1,
+		Site:                 site,
+		Groups:               []GroupLoss{},
+		LoadShifts:           []LoadShift{},
+		Rejections:           []Rejection{},
+		RemainingWeightShare: 1,
+		CurrentWeightShare:   1,
 	}
 	total := weights{}
 	for _, group := range groups {
@@ -115,8 +115,8 @@
 		plan.Rejections = append(plan.Rejections, group.rejections(after)...)
 	}
 	if total.demanded > 0 {
-		plan.WeightKept = total.remaining / total.demanded
-		plan.WeightServed = total.current / total.demanded
+		plan.RemainingWeightShare = total.remaining / total.demanded
+		plan.CurrentWeightShare = total.current / total.demanded
 	}
 	return plan
 }
@@ -145,7 +145,7 @@
 	return GroupLoss{
 		Group:                     g.id,
 		LosesPrimary:              g.current.primary != nil && g.current.primary.Site == site,
-		NoneLeft:                  after.primary == nil,
+		NoEndpointLeft:            after.primary == nil,
 		Successor:                 after.primaryID(),
 		PrimaryUtilization:        after.primaryUtilization,
 		ReplicaUtilization:        after.replicaUtilization,
--- a/internal/sitefailover/plan_table.go
+++ b/internal/sitefailover/plan_table.go
@@ -21,7 +21,7 @@
 
 // writeTo writes one plan. Errors are kept by the table until it is flushed.
 func (p *SiteLossPlan) writeTo(table *tabwriter.Writer) {
-	fmt.Fprintf(table, "loss of %s: worth kept %.1f%% (now %.1f%%)\n", p.Site, 100*p.WeightKept, 100*p.WeightServed)
+	fmt.Fprintf(table, "loss of %s: worth kept %.1f%% (now %.1f%%)\n", p.Site, 100*p.RemainingWeightShare, 100*p.CurrentWeightShare)
 	if len(p.Groups) > 0 {
 		fmt.Fprintln(table, "  bank\tprimary then\tuse\treplicas' use\tnow\tnow")
 	}
@@ -46,7 +46,7 @@
 // describePrimary says who is the group's primary without the site.
 func (g *GroupLoss) describePrimary() string {
 	switch {
-	case g.NoneLeft:
+	case g.NoEndpointLeft:
 		return "none: wholly inside"
 	case g.LosesPrimary:
 		return g.Successor + " (successor)"
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -79,10 +79,10 @@
 	if len(plan.Groups) != 2 {
 		t.Fatalf("%+v", plan.Groups)
 	}
-	if group := plan.Groups[0]; group.LosesPrimary || group.NoneLeft || group.Successor != "a" {
+	if group := plan.Groups[0]; group.LosesPrimary || group.NoEndpointLeft || group.Successor != "a" {
 		t.Fatalf("%+v", group)
 	}
-	if group := plan.Groups[1]; !group.NoneLeft || group.Successor != "" {
+	if group := plan.Groups[1]; !group.NoEndpointLeft || group.Successor != "" {
 		t.Fatalf("%+v", group)
 	}
 	expectNear(t, "the primary's utilization", plan.Groups[0].PrimaryUtilization, 0.95)
@@ -94,8 +94,8 @@
 	expectNear(t, "rejected history", plan.Rejections[0].Share, 0.98)
 	expectNear(t, "rejected views", plan.Rejections[1].Share, 1-0.83/4)
 	expectNear(t, "rejected writes of group 2", plan.Rejections[2].Share, 1)
-	expectNear(t, "weight without the site", plan.WeightKept, (20*6+40*3*0.83/4+10*0.02)/(20*6+40*3+10+6))
-	expectNear(t, "weight with all sites", plan.WeightServed, 1)
+	expectNear(t, "weight without the site", plan.RemainingWeightShare, (20*6+40*3*0.83/4+10*0.02)/(20*6+40*3+10+6))
+	expectNear(t, "weight with all sites", plan.CurrentWeightShare, 1)
 }
 
 // The loss of n takes the primary: a replica succeeds it, the other one has 2.85 for 5 of reads, the new primary 0.85
@@ -139,7 +139,7 @@
 			},
 			Demands: []Demand{{Class: "x", Group: 1, Rate: 1, Work: 0.1, PriorityWeight: 1}},
 		})
-		if len(plans) != 1 || plans[0].Site != "" || !plans[0].Groups[0].NoneLeft || plans[0].WeightKept != 0 {
+		if len(plans) != 1 || plans[0].Site != "" || !plans[0].Groups[0].NoEndpointLeft || plans[0].RemainingWeightShare != 0 {
 			t.Errorf("%+v", plans)
 		}
 	})
@@ -148,7 +148,7 @@
 			{ID: "a", Site: "n", Group: 1, Available: true, Capacity: 1},
 			{ID: "b", Site: "s", Group: 1, Capacity: 1},
 		}})
-		if len(plans) != 2 || plans[0].WeightKept != 1 || len(plans[1].Groups) != 0 {
+		if len(plans) != 2 || plans[0].RemainingWeightShare != 1 || len(plans[1].Groups) != 0 {
 			t.Errorf("%+v", plans)
 		}
 	})
@@ -269,8 +269,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawFleet(t)
 		for _, plan := range PlanLosses(input) {
-			if plan.WeightKept < -1e-9 || plan.WeightKept > plan.WeightServed+1e-9 || plan.WeightServed > 1+1e-9 {
-				t.Fatalf("%s keeps %v of %v", plan.Site, plan.WeightKept, plan.WeightServed)
+			if plan.RemainingWeightShare < -1e-9 || plan.RemainingWeightShare > plan.CurrentWeightShare+1e-9 || plan.CurrentWeightShare > 1+1e-9 {
+				t.Fatalf("%s keeps %v of %v", plan.Site, plan.RemainingWeightShare, plan.CurrentWeightShare)
 			}
 			for _, rejection := range plan.Rejections {
 				expectJustified(t, input, plan, rejection)
--- a/internal/sitefailover/site_state.go
+++ b/internal/sitefailover/site_state.go
@@ -125,7 +125,7 @@
 
 // nextState returns the state that follows from an assessment: the present one, or one that is a single transition
 // away.
-func (s *siteStatus) nextState(evidence assessment, cfg Config, now time.Duration) SiteState {
+func (s *siteStatus) nextState(evidence assessment, cfg MonitorConfig, now time.Duration) SiteState {
 	if evidence.declaredLost {
 		return SiteLost
 	}
@@ -160,7 +160,7 @@
 	return s.state
 }
 
-func (s *siteStatus) nextStateOfSuspected(evidence assessment, cfg Config, inState time.Duration) SiteState {
+func (s *siteStatus) nextStateOfSuspected(evidence assessment, cfg MonitorConfig, inState time.Duration) SiteState {
 	if evidence.failing {
 		if inState >= cfg.SuspicionTime {
 			return SiteLost
@@ -182,12 +182,12 @@
 }
 
 // settleTime is how long the site has to be mostly up to become settled, and to stay settled to become healthy.
-func (s *siteStatus) settleTime(cfg Config) time.Duration {
+func (s *siteStatus) settleTime(cfg MonitorConfig) time.Duration {
 	return cfg.SettleTime << min(s.flaps, maxFlapDoublings)
 }
 
 // lostTime is how long the site stays lost at least. It is zero unless the site has flapped.
-func (s *siteStatus) lostTime(cfg Config) time.Duration {
+func (s *siteStatus) lostTime(cfg MonitorConfig) time.Duration {
 	return cfg.SuspicionTime<<min(s.flaps, maxFlapDoublings) - cfg.SuspicionTime
 }
 
@@ -222,9 +222,9 @@
 	site.evidence = m.describe(site, evidence)
 	change = StateChanged{
 		Site:     site.name,
-		From:     site.state,
-		To:       next,
-		Kind:     site.fault,
+		OldState: site.state,
+		NewState: next,
+		Fault:    site.fault,
 		Evidence: site.evidence,
 	}
 	site.enter(next, m.now)
--- a/internal/sitefailover/view.go
+++ b/internal/sitefailover/view.go
@@ -10,7 +10,7 @@
 type SiteView struct {
 	Site      string
 	State     SiteState
-	Kind      FaultKind
+	Fault     FaultKind
 	Since     time.Duration // Since is when the site entered its state, on the caller's clock.
 	Evidence  string        // Evidence is that of the last change of state.
 	Endpoints int
@@ -25,7 +25,7 @@
 		views = append(views, SiteView{
 			Site:      site.name,
 			State:     site.state,
-			Kind:      site.fault,
+			Fault:     site.fault,
 			Since:     site.stateSince,
 			Evidence:  site.evidence,
 			Endpoints: len(site.endpoints),
--- a/internal/sitefailover/world_test.go
+++ b/internal/sitefailover/world_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-func testConfig(ownSite string) Config {
-	return Config{
+func testConfig(ownSite string) MonitorConfig {
+	return MonitorConfig{
 		OwnSite:        ownSite,
 		EvidenceWindow: 2 * time.Second,
 		SuspicionTime:  500 * ms,
@@ -34,7 +34,7 @@
 	t.Helper()
 	w := &world{
 		t:       t,
-		monitor: New(testConfig(ownSite)),
+		monitor: NewMonitor(testConfig(ownSite)),
 		now:     100 * time.Second,
 		site:    map[string]string{},
 		failing: map[string]Failure{},
@@ -62,8 +62,8 @@
 		case StateChanged:
 			w.changes = append(w.changes, action)
 		case Wake:
-			if action.At <= w.now {
-				w.t.Fatalf("it wants to be woken at %v, now is %v", action.At, w.now)
+			if action.Deadline <= w.now {
+				w.t.Fatalf("it wants to be woken at %v, now is %v", action.Deadline, w.now)
 			}
 		}
 	}
@@ -124,7 +124,7 @@
 func (w *world) expect(site string, state SiteState, fault FaultKind) {
 	w.t.Helper()
 	view := w.view(site)
-	if view.State != state || view.Kind != fault {
-		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Kind, state, fault, view.Evidence)
+	if view.State != state || view.Fault != fault {
+		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Fault, state, fault, view.Evidence)
 	}
 }
