--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -20,11 +20,11 @@
 	response   *httpResponse // nil = the call has ended
 	reusesConn bool          // it was sent on a connection that had carried another call
 
-	startedAt  time.Duration
-	wait       time.Duration    // how long discovery may wait with its answer
-	slack      time.Duration    // how long beyond that the answer may take to begin
-	lastDataAt time.Duration    // when the newest part of the answer came, 0 = none did
-	deadline   *eventloop.Timer // of the answer
+	startedAt       time.Duration
+	longPollTimeout time.Duration    // how long discovery may wait with its answer
+	slack           time.Duration    // how long beyond that the answer may take to begin
+	lastDataAt      time.Duration    // when the newest part of the answer came, 0 = none did
+	deadline        *eventloop.Timer // of the answer
 }
 
 func (c *call) isOut() bool { return c.response != nil }
@@ -45,7 +45,7 @@
 	w.call.deadline.Stop()
 	w.nextCall.Stop()
 	next := call{
-		kind:       CallList,
+		kind:       CallSnapshot,
 		slack:      bounds.CallTimeout,
 		response:   &httpResponse{maxHeaderBytes: bounds.HeaderBytes, maxBodyBytes: bounds.ListBytes},
 		reusesConn: w.connection != nil,
@@ -53,17 +53,17 @@
 	path := endpointsPath
 	// Zero is a version like any other. Taken for none, it would make each call ask for the full list, and the
 	// capacity of discovery is shared by all routers.
-	if !w.needsFullList {
+	if !w.snapshotDue {
 		next.kind = CallWatch
-		next.wait = bounds.WatchWait
-		path = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, w.version, next.wait.Milliseconds())
+		next.longPollTimeout = bounds.WatchWait
+		path = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, w.version, next.longPollTimeout.Milliseconds())
 	}
 	// A watch on a broken link is silent, as one of a list that doesn't change: only its deadline tells them apart.
-	if next.wait > 0 {
+	if next.longPollTimeout > 0 {
 		next.slack = bounds.WatchSlack
 	}
 	next.startedAt = w.loop.Now()
-	next.deadline = w.loop.AfterFunc(next.wait+next.slack, w.deadlinePassed)
+	next.deadline = w.loop.AfterFunc(next.longPollTimeout+next.slack, w.deadlinePassed)
 	next.request = fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, w.address)
 	w.call = next
 	if w.connection != nil {
@@ -93,12 +93,12 @@
 func (w *Watcher) deadlinePassed() {
 	maxGap := min(w.limits.Backend.StallTimeout, w.call.slack/4)
 	now := w.loop.Now()
-	end := w.call.startedAt + w.call.wait + 2*w.call.slack
+	end := w.call.startedAt + w.call.longPollTimeout + 2*w.call.slack
 	if now < end && w.answerIsArriving(maxGap, now) {
 		w.call.deadline = w.loop.AfterFunc(min(maxGap, end-now), w.deadlinePassed)
 		return
 	}
-	w.callUnheard(errNoAnswer)
+	w.callUnanswered(errNoAnswer)
 }
 
 // answerIsArriving says whether a part of the answer came within maxGap, or waits in the connection to be read.
@@ -131,7 +131,7 @@
 		err = conn.Write(request)
 	}
 	if err != nil {
-		w.callUnheard(err)
+		w.callUnanswered(err)
 		return
 	}
 	w.connection = conn
@@ -187,7 +187,7 @@
 	case w.call.foundIdleConnClosed():
 		w.dial()
 	case response.headerRead, w.outlastedRejection():
-		w.callUnheard(fmt.Errorf("watch ended: %w", err))
+		w.callUnanswered(fmt.Errorf("watch ended: %w", err))
 	default:
 		w.callRejected(fmt.Errorf("connection ended: %w", err))
 	}
@@ -196,5 +196,5 @@
 // outlastedRejection says whether a watch is out for longer than discovery takes to reject a call: if it ends then,
 // the link or discovery is lost.
 func (w *Watcher) outlastedRejection() bool {
-	return !w.needsFullList && w.loop.Now()-w.call.startedAt > w.limits.Discovery.CallTimeout
+	return !w.snapshotDue && w.loop.Now()-w.call.startedAt > w.limits.Discovery.CallTimeout
 }
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -23,18 +23,18 @@
 		w.callRejected(fmt.Errorf("status %d", response.status))
 		return
 	}
-	list, err := parseList(response.body)
+	list, err := parseEndpoints(response.body)
 	if err == nil {
 		err = w.checkPlausible(list)
 	}
 	if err != nil {
-		w.listInvalid(err)
+		w.callInvalid(err)
 		return
 	}
-	w.useList(list)
+	w.acceptEndpoints(list)
 }
 
-func parseList(body []byte) (list config.List, err error) {
+func parseEndpoints(body []byte) (list config.List, err error) {
 	if err := json.Unmarshal(body, &list); err != nil {
 		return list, fmt.Errorf("body: %w", err)
 	}
@@ -51,7 +51,7 @@
 // endpoints away at once.
 func (w *Watcher) checkPlausible(list config.List) error {
 	if list.Full && len(list.Servers) == 0 {
-		return errListEmpty
+		return errNoEndpoints
 	}
 	if list.Version >= w.version {
 		return nil
@@ -61,14 +61,14 @@
 	if w.olderAnswers > maxOlderAnswers && list.Full {
 		return nil
 	}
-	w.needsFullList = true
-	return errListOlder
+	w.snapshotDue = true
+	return errOutdated
 }
 
-// useList passes a list on and makes the next call.
-func (w *Watcher) useList(list config.List) {
+// acceptEndpoints passes a list on and makes the next call.
+func (w *Watcher) acceptEndpoints(list config.List) {
 	w.version = list.Version
-	w.needsFullList = false
+	w.snapshotDue = false
 	w.olderAnswers = 0
 	w.invalidAnswers = 0
 	w.lastLoggedError = ""
@@ -90,5 +90,5 @@
 
 // answeredEarly says whether discovery has answered the last watch long before its wait was over.
 func (w *Watcher) answeredEarly() bool {
-	return w.loop.Now()-w.call.startedAt < w.call.wait/2
+	return w.loop.Now()-w.call.startedAt < w.call.longPollTimeout/2
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -3,9 +3,9 @@
 import "errors"
 
 var (
-	errNoAnswer  = errors.New("no answer in time")
-	errListEmpty = errors.New("the whole list is empty")
-	errListOlder = errors.New("the list is older than the one that is known")
+	errNoAnswer    = errors.New("no answer in time")
+	errNoEndpoints = errors.New("the whole list is empty")
+	errOutdated    = errors.New("the list is older than the one that is known")
 )
 
 // CallKind is what a call asks discovery for.
@@ -13,8 +13,8 @@
 
 // The kinds of calls.
 const (
-	CallList  CallKind = iota // the full list, at once
-	CallWatch                 // what has changed since a version, when there is something
+	CallSnapshot CallKind = iota // the full list, at once
+	CallWatch                    // what has changed since a version, when there is something
 )
 
 // String returns the kind for logs.
@@ -22,7 +22,7 @@
 	if k == CallWatch {
 		return "watch"
 	}
-	return "list"
+	return "snapshot"
 }
 
 // CallFailure is how a call failed.
@@ -30,14 +30,14 @@
 
 // The failures.
 const (
-	CallRejected CallFailure = iota // discovery has rejected the call, or answered something else than HTTP
-	CallUnheard                     // the answer didn't come, or not all of it: discovery may be well and the link broken
-	CallInvalid                     // the answer came, and its list can't be used
+	CallRejected   CallFailure = iota // discovery has rejected the call, or answered something else than HTTP
+	CallUnanswered                    // the answer didn't come, or not all of it: the link may be broken
+	CallInvalid                       // the answer came, and its list can't be used
 )
 
 // String returns the failure for logs.
 func (f CallFailure) String() string {
-	return []string{"rejected", "unheard", "invalid"}[f]
+	return []string{"rejected", "unanswered", "invalid"}[f]
 }
 
 // CallError is the failure of a call of discovery.
@@ -61,18 +61,20 @@
 // callRejected ends a call that discovery has rejected.
 func (w *Watcher) callRejected(cause error) { w.callFailed(w.newCallError(CallRejected, cause), false) }
 
-// callUnheard ends a call of which nothing was heard. Discovery need not be overloaded, and it counts as delivered
+// callUnanswered ends a call without an answer. Discovery need not be overloaded, and it counts as delivered
 // what it has written.
-func (w *Watcher) callUnheard(cause error) { w.callFailed(w.newCallError(CallUnheard, cause), true) }
+func (w *Watcher) callUnanswered(cause error) {
+	w.callFailed(w.newCallError(CallUnanswered, cause), true)
+}
 
-// listInvalid ends a call whose list can't be used. Discovery counts it as delivered, so the call is repeated soon,
-// as an unheard one; but not by all routers for ever, where discovery goes on like that.
-func (w *Watcher) listInvalid(cause error) {
+// callInvalid ends a call whose list can't be used. Discovery counts it as delivered, so the call is repeated soon,
+// as an unanswered one; but not by all routers for ever, where discovery goes on like that.
+func (w *Watcher) callInvalid(cause error) {
 	w.invalidAnswers++
 	w.callFailed(w.newCallError(CallInvalid, cause), w.invalidAnswers <= maxOlderAnswers+1)
 }
 
-func (w *Watcher) callFailed(err *CallError, unheard bool) {
+func (w *Watcher) callFailed(err *CallError, unanswered bool) {
 	w.logOnce(err)
 	w.abandonCall()
 	if w.stopped {
@@ -81,7 +83,7 @@
 	if w.retry != nil {
 		w.nextCall = w.loop.AfterFunc(w.retry.nextDelay(), w.Poll)
 	}
-	w.listener.PollFailed(unheard)
+	w.listener.PollFailed(unanswered)
 }
 
 // logOnce logs an error that is not the one of the call before: a discovery that is away is called many times.
--- a/internal/discovery/http_response.go
+++ b/internal/discovery/http_response.go
@@ -20,7 +20,7 @@
 
 // The parts of the protocol that a response is made of.
 var (
-	lineEnd   = []byte("\r\n")
+	crlf      = []byte("\r\n")
 	headerEnd = []byte("\r\n\r\n")
 )
 
@@ -80,7 +80,7 @@
 
 func (r *httpResponse) parseHeader(text string) error {
 	lines := strings.Split(text, "\r\n")
-	if err := r.parseStatusLine(lines[0]); err != nil {
+	if err := r.parseStatus(lines[0]); err != nil {
 		return err
 	}
 	for _, line := range lines[1:] {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (r *httpResponse) parseStatusLine(line string) error {
+func (r *httpResponse) parseStatus(line string) error {
 	fields := strings.SplitN(line, " ", 3)
 	isHTTP := fields[0] == "HTTP/1.1" || fields[0] == "HTTP/1.0"
 	if len(fields) < 2 || !isHTTP {
@@ -168,7 +168,7 @@
 // readChunks takes the chunks that have arrived completely.
 func (r *httpResponse) readChunks() (complete bool, err error) {
 	for {
-		line, rest, ok := bytes.Cut(r.buffered, lineEnd)
+		line, rest, ok := bytes.Cut(r.buffered, crlf)
 		if !ok {
 			if len(r.buffered) > r.maxHeaderBytes {
 				return false, fmt.Errorf("%w: chunk line", errMalformedResponse)
@@ -182,14 +182,14 @@
 		if size == 0 {
 			return trailerEnded(rest), nil
 		}
-		if len(rest) < size+len(lineEnd) {
+		if len(rest) < size+len(crlf) {
 			return false, nil
 		}
-		if !bytes.HasPrefix(rest[size:], lineEnd) {
+		if !bytes.HasPrefix(rest[size:], crlf) {
 			return false, fmt.Errorf("%w: end of a chunk", errMalformedResponse)
 		}
 		r.body = append(r.body, rest[:size]...)
-		r.buffered = rest[size+len(lineEnd):]
+		r.buffered = rest[size+len(crlf):]
 	}
 }
 
@@ -204,5 +204,5 @@
 
 // trailerEnded says whether what follows the last chunk, fields or none, has ended with an empty line.
 func trailerEnded(rest []byte) bool {
-	return bytes.HasPrefix(rest, lineEnd) || bytes.Contains(rest, headerEnd)
+	return bytes.HasPrefix(rest, crlf) || bytes.Contains(rest, headerEnd)
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,9 +15,9 @@
 	// EndpointListReceived passes a list on, in full or as a change of the one before.
 	EndpointListReceived(list config.List)
 
-	// PollFailed says that a call has ended without a list. It is unheard if discovery has not rejected it: nothing
-	// was heard of it, or nothing that can be used.
-	PollFailed(unheard bool)
+	// PollFailed says that a call has ended without a list. It is unanswered if discovery has not rejected it:
+	// nothing was heard of it, or nothing that can be used.
+	PollFailed(unanswered bool)
 }
 
 // Watcher follows the endpoint list of one discovery service. It keeps one call out at a time.
@@ -30,8 +30,8 @@
 	listener Listener
 	stopped  bool
 
-	version       int64 // of the newest list
-	needsFullList bool  // the next call asks for the full list
+	version     int64 // of the newest list
+	snapshotDue bool  // the next call asks for the full list
 
 	call       call
 	connection *transport.Conn // nil = none is open
@@ -49,20 +49,20 @@
 	listener Listener,
 ) *Watcher {
 	return &Watcher{
-		loop:          loop,
-		engine:        engine,
-		limits:        lim,
-		log:           log,
-		address:       address,
-		listener:      listener,
-		needsFullList: true,
+		loop:        loop,
+		engine:      engine,
+		limits:      lim,
+		log:         log,
+		address:     address,
+		listener:    listener,
+		snapshotDue: true,
 	}
 }
 
 // ResumeFrom says that the list of that version is known: only what has changed since is asked for.
 func (w *Watcher) ResumeFrom(version int64) {
 	w.version = version
-	w.needsFullList = false
+	w.snapshotDue = false
 }
 
 // MoveTo goes on at another address, with the full list first. What the old address may still answer is ignored.
@@ -71,7 +71,7 @@
 		return
 	}
 	w.address = address
-	w.needsFullList = true
+	w.snapshotDue = true
 	w.version = 0
 	w.abandonCall()
 	w.Poll()
