--- /dev/null
+++ b/internal/pgwire/message_types.go
@@ -0,0 +1,52 @@
+package pgwire
+
+// Message is one message; Type is 0 for a startup message. Body is valid until the next Feed.
+type Message struct {
+	Type byte
+	Body []byte
+}
+
+// Types of the messages that a client sends.
+const (
+	typeQuery   = 'Q'
+	typeParse   = 'P'
+	typeBind    = 'B'
+	typeExecute = 'E'
+)
+
+// Types of the messages that a server sends.
+const (
+	typeAuthentication       = 'R'
+	typeParameterStatus      = 'S'
+	typeBackendKeyData       = 'K'
+	typeReadyForQuery        = 'Z'
+	typeErrorResponse        = 'E'
+	typeRowDescription       = 'T'
+	typeDataRow              = 'D'
+	typeCommandComplete      = 'C'
+	typeParameterDescription = 't'
+	typeParseComplete        = '1'
+	typeBindComplete         = '2'
+	typeCloseComplete        = '3'
+	typeNoData               = 'n'
+	typePortalSuspended      = 's'
+	typeEmptyQueryResponse   = 'I'
+)
+
+// Fields of an ErrorResponse.
+const (
+	fieldSeverity    = 'S'
+	fieldUnlocalized = 'V' // the severity again, never translated
+	fieldSQLState    = 'C'
+	fieldMessage     = 'M'
+	fieldDetail      = 'D'
+)
+
+// What Describe and Close name.
+const (
+	kindStatement = 'S'
+	kindPortal    = 'P'
+)
+
+// statusIdle is what ReadyForQuery says outside a transaction.
+const statusIdle = 'I'
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -15,7 +15,8 @@
 	p := AppendWelcome(nil)
 	p = AppendQuery(p, "SELECT 1")
 	p = AppendParse(p, ParseMessage{Name: "s", Query: "SELECT $1", Types: []uint32{25, 17}})
-	p = AppendBind(p, BindMessage{Portal: "p", Statement: "s", Rest: []byte("\x00\x00\x00\x01\x00\x00\x00\x01x\x00\x01\x00\x01")})
+	rest := []byte("\x00\x00\x00\x01\x00\x00\x00\x01x\x00\x01\x00\x01")
+	p = AppendBind(p, BindMessage{Portal: "p", Statement: "s", Rest: rest})
 	p = AppendTarget(p, 'D', 'S', "s")
 	p = AppendExecute(p, "p", 7)
 	p = AppendError(p, Error{Code: TooManyConnections, Message: "no", After: time.Second})
@@ -115,7 +116,8 @@
 
 // A length is refused as soon as it is there: nothing of that size is waited for.
 func TestSizesAreCheckedFirst(t *testing.T) {
-	for n, bad := range map[uint32]bool{0: true, 3: true, 4: false, 100: false, 101: true, 1 << 31: true, 1<<32 - 1: true} {
+	refused := map[uint32]bool{0: true, 3: true, 4: false, 100: false, 101: true, 1 << 31: true, 1<<32 - 1: true}
+	for n, bad := range refused {
 		r := NewReader(100, 0)
 		r.Feed(binary.BigEndian.AppendUint32([]byte{'Q'}, n))
 		if _, _, err := r.Next(); errors.Is(err, ErrSize) != bad {
@@ -134,7 +136,10 @@
 	r.Feed(AppendStartup(nil, "user", "portal", "database", "crm"))
 	m, ok, err := r.Next()
 	code, params, err2 := Startup(m.Body)
-	if !ok || err != nil || err2 != nil || code != ProtocolVersion || params["user"] != "portal" || params["database"] != "crm" {
+	if !ok || err != nil || err2 != nil || code != ProtocolVersion {
+		t.Fatalf("%v %v %v %d", ok, err, err2, code)
+	}
+	if params["user"] != "portal" || params["database"] != "crm" {
 		t.Fatalf("%v %v %v %v", ok, err, err2, params)
 	}
 	r.Started()
@@ -193,8 +198,69 @@
 			cut = s.Feed(p[:n])
 			p = p[n:]
 		}
-		if len(body) > 0 && (err == nil) != (cut == nil) || cut == nil && len(body) > 0 && (s.Left != 0 || s.Columns != whole.Columns) {
+		if len(body) == 0 {
+			return
+		}
+		if (err == nil) != (cut == nil) || cut == nil && (s.Left != 0 || s.Columns != whole.Columns) {
 			t.Fatalf("whole %v, in pieces %v: %+v", err, cut, s)
 		}
 	})
 }
+
+// A fault says which message does not have its form and where, while its text, which clients see, stays the same.
+func TestFormatErrorsNameMessageAndOffset(t *testing.T) {
+	decode := func(f func(body []byte) error, body string) error { return f([]byte(body)) }
+	query := func(body []byte) error { _, err := Query(body); return err }
+	bind := func(body []byte) error { _, err := Bind(body); return err }
+	target := func(body []byte) error { _, _, err := Target(body); return err }
+	for name, c := range map[string]struct {
+		err     error
+		message string
+		offset  int
+	}{
+		"query without its end":  {decode(query, "SELECT 1"), "Query", 0},
+		"query with more behind": {decode(query, "SELECT 1\x00x"), "Query", 9},
+		"bind with a long value": {decode(bind, "p\x00s\x00\x00\x00\x00\x01\x00\x00\x00\x09x"), "Bind", 12},
+		"describe of nothing":    {decode(target, "Xs\x00"), "Describe or Close", 0},
+	} {
+		var format *FormatError
+		if !errors.As(c.err, &format) || !errors.Is(c.err, ErrFormat) {
+			t.Errorf("%s: %v", name, c.err)
+			continue
+		}
+		if format.Message != c.message || format.Offset != c.offset || format.SQLState() != ProtocolViolation {
+			t.Errorf("%s: %+v", name, format)
+		}
+		if c.err.Error() != "malformed message" {
+			t.Errorf("%s: text %q", name, c.err)
+		}
+	}
+	r := NewReader(100, 0)
+	r.Feed([]byte("Q\x00\x00\x00\x65"))
+	_, _, err := r.Next()
+	var size *SizeError
+	if !errors.As(err, &size) || size.Length != 101 || size.Limit != 100 || size.SQLState() != ProtocolViolation {
+		t.Fatalf("%+v", err)
+	}
+	if err.Error() != "message length out of bounds: 101 bytes" {
+		t.Fatalf("text %q", err)
+	}
+}
+
+// A response of rows passes the request path without an allocation for each row.
+func TestRowsAreCheckedWithoutAllocation(t *testing.T) {
+	row := Message{Type: 'D', Body: []byte("\x00\x02\x00\x00\x00\x01v\xff\xff\xff\xff")}
+	wire := Append(nil, row.Type, row.Body)
+	r := NewReader(1<<16, 0)
+	shape := NewShape()
+	n := testing.AllocsPerRun(100, func() {
+		r.Feed(wire)
+		m, ok, err := r.Next()
+		if !ok || err != nil || shape.Add(m) != nil {
+			t.Error("the row was not taken")
+		}
+	})
+	if n != 0 {
+		t.Fatalf("%v allocations a row", n)
+	}
+}
--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -6,49 +6,34 @@
 	"time"
 )
 
-// SQLSTATE codes that the program writes or reads.
-const (
-	TooManyConnections = "53300"
-	CannotConnectNow   = "57P03"
-	ReadOnly           = "25006"
-	SnapshotTooOld     = "72000"
-	InternalError      = "XX000"
-	ProtocolViolation  = "08P01"
-	NotSupported       = "0A000"
-	UnknownOutcome     = "08007"
-	BadStatement       = "42601"
-	UndefinedStatement = "26000"
-	UndefinedPortal    = "34000"
-	TooLarge           = "54000"
-)
-
 // Append adds a message of the given type with the parts as its body.
 func Append(dst []byte, typ byte, parts ...[]byte) []byte {
-	n := 4
+	length := lengthBytes
 	for _, p := range parts {
-		n += len(p)
+		length += len(p)
 	}
 	if typ != 0 {
 		dst = append(dst, typ)
 	}
-	dst = binary.BigEndian.AppendUint32(dst, uint32(n))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(length))
 	for _, p := range parts {
 		dst = append(dst, p...)
 	}
 	return dst
 }
 
-// AppendStartup adds a startup message.
+// AppendStartup adds a startup message with these parameters, name and value in turn.
 func AppendStartup(dst []byte, pairs ...string) []byte {
 	body := binary.BigEndian.AppendUint32(nil, ProtocolVersion)
-	for _, s := range pairs {
-		body = append(append(body, s...), 0)
+	for _, text := range pairs {
+		body = append(body, text...)
+		body = append(body, 0)
 	}
 	return Append(dst, 0, append(body, 0))
 }
 
 // AppendQuery adds a simple query.
-func AppendQuery(dst []byte, sql string) []byte { return Append(dst, 'Q', cstring(sql)) }
+func AppendQuery(dst []byte, sql string) []byte { return Append(dst, typeQuery, cstring(sql)) }
 
 // AppendParse adds Parse.
 func AppendParse(dst []byte, m ParseMessage) []byte {
@@ -57,12 +42,12 @@
 	for _, t := range m.Types {
 		body = binary.BigEndian.AppendUint32(body, t)
 	}
-	return Append(dst, 'P', body)
+	return Append(dst, typeParse, body)
 }
 
 // AppendBind adds Bind.
 func AppendBind(dst []byte, m BindMessage) []byte {
-	return Append(dst, 'B', cstring(m.Portal), cstring(m.Statement), m.Rest)
+	return Append(dst, typeBind, cstring(m.Portal), cstring(m.Statement), m.Rest)
 }
 
 // AppendTarget adds Describe ('D') or Close ('C') of a statement ('S') or portal ('P').
@@ -72,21 +57,21 @@
 
 // AppendExecute adds Execute.
 func AppendExecute(dst []byte, portal string, rows uint32) []byte {
-	return Append(dst, 'E', cstring(portal), binary.BigEndian.AppendUint32(nil, rows))
+	return Append(dst, typeExecute, cstring(portal), binary.BigEndian.AppendUint32(nil, rows))
 }
 
 // AppendReady adds ReadyForQuery outside a transaction.
-func AppendReady(dst []byte) []byte { return Append(dst, 'Z', []byte{'I'}) }
+func AppendReady(dst []byte) []byte { return Append(dst, typeReadyForQuery, []byte{statusIdle}) }
 
 // AppendPair adds ParameterStatus.
 func AppendPair(dst []byte, name, value string) []byte {
-	return Append(dst, 'S', cstring(name), cstring(value))
+	return Append(dst, typeParameterStatus, cstring(name), cstring(value))
 }
 
-// AppendWelcome adds what a server says to a startup message it takes.
+// AppendWelcome adds what a server answers to a startup message that it accepts.
 func AppendWelcome(dst []byte) []byte {
-	dst = Append(dst, 'R', []byte{0, 0, 0, 0})
-	for _, p := range [][2]string{
+	dst = Append(dst, typeAuthentication, []byte{0, 0, 0, 0})
+	for _, parameter := range []struct{ name, value string }{
 		{"server_version", "16.0"},
 		{"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"},
@@ -94,9 +79,9 @@
 		{"integer_datetimes", "on"},
 		{"standard_conforming_strings", "on"},
 	} {
-		dst = AppendPair(dst, p[0], p[1])
+		dst = AppendPair(dst, parameter.name, parameter.value)
 	}
-	dst = Append(dst, 'K', make([]byte, 8)) // no cancel key: a cancel request is not served
+	dst = Append(dst, typeBackendKeyData, make([]byte, 8)) // no cancel key: a cancel request is not served
 	return AppendReady(dst)
 }
 
@@ -105,7 +90,7 @@
 	Fatal   bool
 	Code    string
 	Message string
-	After   time.Duration // come again after this: the field D, in milliseconds
+	After   time.Duration // a client may retry after this: the field D, in milliseconds
 }
 
 // AppendError adds an ErrorResponse.
@@ -115,15 +100,20 @@
 		severity = "FATAL"
 	}
 	var body []byte
-	add := func(k byte, v string) { body = append(append(append(body, k), v...), 0) }
-	add('S', severity)
-	add('V', severity)
-	add('C', e.Code)
-	add('M', e.Message)
+	add := func(field byte, value string) {
+		body = append(body, field)
+		body = append(body, value...)
+		body = append(body, 0)
+	}
+	add(fieldSeverity, severity)
+	add(fieldUnlocalized, severity)
+	add(fieldSQLState, e.Code)
+	add(fieldMessage, e.Message)
 	if e.After > 0 {
-		add('D', strconv.FormatInt(max(1, e.After.Milliseconds()), 10))
+		add(fieldDetail, strconv.FormatInt(max(1, e.After.Milliseconds()), 10))
 	}
-	return Append(dst, 'E', append(body, 0))
+	return Append(dst, typeErrorResponse, append(body, 0))
 }
 
+// cstring is a text as the protocol writes it, with a zero byte behind it.
 func cstring(s string) []byte { return append([]byte(s), 0) }
