--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const start = `{"cmd":"Start","Who":"router-0","Nonce64":1,"Params":{"Instances":1,"Discovery":"push","Lanes":[{"Name":"r","AimNs":50000000,"GiveUpNs":90000000,` +
+const start = `{"cmd":"Start","Who":"router-0","Nonce64":1,"Params":{"Instances":1,"Discovery":"push",` +
+	`"Lanes":[{"Name":"r","AimNs":50000000,"GiveUpNs":90000000,` +
 	`"Effect":"safe"}],"Extra":{"NeedsByClass":["loose"],"OriginTimeNs":1}}}`
 
 func TestRun(t *testing.T) {
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -10,8 +10,8 @@
 	"limeladder/balance"
 )
 
-const start = `{"cmd":"Start","Who":"router-0","Nonce64":18446744073709551615,"Params":{"Instances":2,"Locality":"z1",` +
-	`"Discovery":"ask","ResolutionNs":1000,"Novelty":{"x":1},"Lanes":[` +
+const start = `{"cmd":"Start","Who":"router-0","Nonce64":18446744073709551615,"Params":{"Instances":2,` +
+	`"Locality":"z1","Discovery":"ask","ResolutionNs":1000,"Novelty":{"x":1},"Lanes":[` +
 	`{"Name":"r","AimNs":5,"GiveUpNs":9,"Effect":"safe","Group":"all","Importance":2,"LateShare":0.5},` +
 	`{"Name":"w","AimNs":6,"GiveUpNs":8,"Effect":"keyed","Group":"cell","WindowNs":7}],` +
 	`"Extra":{"Guards":"hold","NeedsByClass":["recent","update"],"LagAllowedNs":[4,0],"OriginTimeNs":1000000000,` +
@@ -36,8 +36,14 @@
 		Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
 		FreshnessCheck: balance.FreshnessCheckWait, ClientSessionTokens: true, HealthChecks: true,
 		HealthCheckCost: 0.5, MaxAttempts: 3, SlowStartFrom: 0.5, OverloadMultiple: 2, Classes: []balance.Class{
-			{Name: "r", LatencyObjective: 5, ClientTimeout: 9, PriorityWeight: 2, LateWeightShare: 0.5, IdempotencyScope: balance.ScopeAll, Consistency: balance.ConsistencyBounded, MaxStaleness: 4},
-			{Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey, IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite},
+			{
+				Name: "r", LatencyObjective: 5, ClientTimeout: 9, PriorityWeight: 2, LateWeightShare: 0.5,
+				IdempotencyScope: balance.ScopeAll, Consistency: balance.ConsistencyBounded, MaxStaleness: 4,
+			},
+			{
+				Name: "w", LatencyObjective: 6, ClientTimeout: 8, Idempotency: balance.IdempotentWithKey,
+				IdempotencyScope: balance.ScopeGroup, IdempotencyWindow: 7, Consistency: balance.ConsistencyWrite,
+			},
 		},
 	}
 	if e.Start.Seed != 1<<64-1 || !reflect.DeepEqual(e.Start.Config, want) {
@@ -53,13 +59,21 @@
 		want balance.Event
 	}{
 		{
-			`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":"p","SinceWriteMs":1.5,"ExpiresInNs":7,"ClientKey":8,"PartitionNo":11,"TierClass":"r","EstimateNs":3,"AgainByClient":true}`,
-			balance.Request{ID: "t", Class: "r", Tenant: "p", Group: 11, SessionID: 8, TimeLeft: 7, SinceSessionWrite: 1500 * time.Microsecond, EstimatedWork: 3, Retry: true},
+			`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":"p","SinceWriteMs":1.5,` +
+				`"ExpiresInNs":7,"ClientKey":8,"PartitionNo":11,"TierClass":"r",` +
+				`"EstimateNs":3,"AgainByClient":true}`,
+			balance.Request{
+				ID: "t", Class: "r", Tenant: "p", Group: 11, SessionID: 8, TimeLeft: 7,
+				SinceSessionWrite: 1500 * time.Microsecond, EstimatedWork: 3, Retry: true,
+			},
 		},
 		{`{"cmd":"Request","Who":"router-0","Ticket":"t","Project":0,"TierClass":"w"}`, balance.Request{ID: "t", Class: "w"}},
 		{
 			`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Node":"n","Reason":"done","TookNs":5,"Finished":true,"Stand":4001}`,
-			balance.AttemptResult{ID: "t", Endpoint: "n", Status: balance.StatusDone, Elapsed: 5, Finished: true, Role: balance.RolePrimary, Position: 2 * time.Second},
+			balance.AttemptResult{
+				ID: "t", Endpoint: "n", Status: balance.StatusDone, Elapsed: 5, Finished: true, Role: balance.RolePrimary,
+				Position: 2 * time.Second,
+			},
 		},
 		{
 			`{"cmd":"Outcome","Who":"router-0","Ticket":"t","Leg":2,"Reason":"enoent","Stand":2}`,
@@ -69,7 +83,10 @@
 			`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"done","TookNs":5,"Telemetry":{"x0":1.5,"x1":0}}`,
 			balance.HealthCheckResult{Endpoint: "n", Elapsed: 5, Role: balance.RoleReplica, Position: 2500 * time.Millisecond},
 		},
-		{`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"etimedout"}`, balance.HealthCheckResult{Endpoint: "n", Status: balance.StatusTimedOut}},
+		{
+			`{"cmd":"Pong","Who":"router-0","Node":"n","Reason":"etimedout"}`,
+			balance.HealthCheckResult{Endpoint: "n", Status: balance.StatusTimedOut},
+		},
 		{`{"cmd":"Left","Who":"router-0","Ticket":"t"}`, balance.ClientDisconnected{ID: "t"}},
 		{`{"cmd":"FirstByte","Who":"router-0","Ticket":"t","Leg":1}`, balance.FirstByte{ID: "t", Attempt: 1}},
 		{`{"cmd":"Wake","Who":"router-0"}`, balance.Wake{}},
@@ -83,7 +100,8 @@
 
 func TestPoolNumbersAreReused(t *testing.T) {
 	pool := func(node string) string {
-		return `{"cmd":"Pool","Slot":1,"Members":[{"Node":"` + node + `","Lifecycle":1,"Leader":1,"Locality":"z","Group":4,"ReadyAtNs":6,"Weight":1.5}]}`
+		return `{"cmd":"Pool","Slot":1,"Members":[{"Node":"` + node + `","Lifecycle":1,"Leader":1,` +
+			`"Locality":"z","Group":4,"ReadyAtNs":6,"Weight":1.5}]}`
 	}
 	list := `{"cmd":"Members","Who":"router-0","Rev":2,"Slot":1,"Kind":1}`
 	es := decode(t, NewDecoder(), pool("a")+","+list+","+pool("b")+","+list)
--- /dev/null
+++ b/internal/simprotocol/wire_event.go
@@ -0,0 +1,94 @@
+package simprotocol
+
+import (
+	"encoding/json"
+
+	"limeladder/balance"
+	"limeladder/internal/config"
+)
+
+// Commands of the events.
+const (
+	commandPool      = "Pool"
+	commandStart     = "Start"
+	commandDown      = "Down"
+	commandMembers   = "Members"
+	commandRequest   = "Request"
+	commandOutcome   = "Outcome"
+	commandPong      = "Pong"
+	commandLeft      = "Left"
+	commandFirstByte = "FirstByte"
+	commandWake      = "Wake"
+	commandMail      = "Mail"
+)
+
+// The values of a health check's answer.
+const (
+	telemetryPosition = "x0" // in seconds
+	telemetryPrimary  = "x1" // 1 = it is the primary
+)
+
+// rawBatch is a line as it stands on the wire. The names of this type and of rawEvent appear in the texts of errors.
+type rawBatch struct {
+	TsNs     *int64          `json:"TsNs"`
+	Arrivals json.RawMessage `json:"arrivals"`
+}
+
+// rawEvent has the fields of all events, by their names on the wire.
+type rawEvent struct {
+	Cmd, Who                   string
+	Ticket, Node, Reason       string
+	Project                    tenant
+	TierClass, Data            string
+	Leg                        int
+	Slot, Kind, Author         int
+	Nonce64                    uint64
+	Label                      int64
+	TookNs, ExpiresInNs, Stand int64
+	EstimateNs, ClientKey      int64
+	Rev                        json.Number
+	PartitionNo, SinceWriteMs  float64
+	Finished, AgainByClient    bool
+	IsWrite                    bool
+	Telemetry                  map[string]float64
+	Params                     *config.Settings
+	Members                    []rawEntry
+}
+
+// rawEntry is an entry of an endpoint list.
+type rawEntry struct {
+	Node, Locality string
+	Group          int64
+	Lifecycle      int
+	Leader, Weight float64 // Weight is decoded for its type alone
+	ReadyAtNs      int64
+}
+
+// tenant is a tenant's name; the wire writes 0 where there is none.
+type tenant string
+
+// UnmarshalJSON implements json.Unmarshaler.
+func (t *tenant) UnmarshalJSON(b []byte) error {
+	if string(b) == "0" || string(b) == "null" {
+		return nil
+	}
+	var name string
+	if err := json.Unmarshal(b, &name); err != nil {
+		return err
+	}
+	*t = tenant(name)
+	return nil
+}
+
+// statuses are the words that the wire has for the end of an attempt.
+var statuses = map[string]balance.Status{
+	"done":         balance.StatusDone,
+	"err":          balance.StatusError,
+	"busy":         balance.StatusBusy,
+	"etimedout":    balance.StatusTimedOut,
+	"econnrefused": balance.StatusConnectFailed,
+	"econnreset":   balance.StatusReset,
+	"ecanceled":    balance.StatusCancelled,
+	"skipped":      balance.StatusNotSent,
+	"enoent":       balance.StatusMiss,
+}
