--- a/internal/failover/doc.go
+++ b/internal/failover/doc.go
@@ -47,10 +47,10 @@
 //
 // # Files
 //
-// tracker.go has the Tracker and its periodic Tick, phase.go the phases, evidence and transitions, group.go and
-// endpoint.go the state of a replica group and of its endpoints, attempt.go what the ends of attempts tell,
-// silence_detector.go when a primary's silence is evidence, health_check.go whom to ask and how often,
-// pending_queue.go the queue with its bounds and fairness between clients, expiry.go the latest useful release of a
-// request, release.go the release to the successor, retry_after.go when a rejected client may return, and view.go what
-// operators see.
+// tracker.go has the Tracker and its periodic Tick, config.go and action.go what goes in at the start and what comes
+// out, phase.go the phases, evidence and transitions, group.go and endpoint.go the state of a replica group and of
+// its endpoints, attempt.go what the ends of attempts tell, silence_detector.go when a primary's silence is
+// evidence, health_check.go whom to check and how often, pending_queue.go the queue with its bounds and fairness
+// between clients (on the heaps of heaps.go), expiry.go the latest useful release of a request, release.go the
+// release to the successor, retry_after.go when a rejected client may return, and view.go what operators see.
 package failover
