--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -30,7 +30,7 @@
 )
 
 // discovery stands in no site.
-var discovery = faultproxy.Point{Name: "discovery"}
+var discovery = faultproxy.Peer{Name: "discovery"}
 
 // Options say what is played, and with what.
 type Options struct {
@@ -60,11 +60,11 @@
 type Rig struct {
 	o       Options
 	log     *history.Log
-	net     *faultproxy.Net
+	net     *faultproxy.Network
 	host    *emulator.Host
 	routers []*process
 	views   []*view
-	points  map[string]faultproxy.Point
+	points  map[string]faultproxy.Peer
 	by      sync.Map // a machine's remote address: who dialled
 	begin   time.Time
 	steps   sync.WaitGroup
@@ -75,7 +75,7 @@
 type dialler struct {
 	router string
 	life   int
-	held   *faultproxy.Held
+	held   *faultproxy.TransitTime
 }
 
 // Run plays a scenario and checks it. An error means that it could not be played.
@@ -98,7 +98,7 @@
 	if o.Notice == 0 {
 		o.Notice = 2 * time.Second
 	}
-	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Point{}, stop: make(chan struct{})}
+	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Peer{}, stop: make(chan struct{})}
 	defer r.end()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 func (r *Rig) router(i int, name, site string) error {
 	cfg := &r.o.Config
 	p := &process{Name: name, Site: site, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, log: r.log}
-	me := faultproxy.Point{Name: name, Site: site}
+	me := faultproxy.Peer{Name: name, Site: site}
 	r.points[name] = me
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
@@ -138,10 +138,10 @@
 	}
 	ways := map[string]*faultproxy.Link{}
 	for id, m := range r.host.Members() {
-		at := faultproxy.Point{Name: id, Site: r.host.Zone(id)}
-		l, err := r.net.Link(me, at, func() string { return m }, faultproxy.Watch{
-			Dialled: func(local string, held *faultproxy.Held) { r.by.Store(local, dialler{name, p.Life(), held}) },
-			GivenUp: func(local string) { r.log.Add(history.GivenUp{Router: name, Member: id, Conn: local}) },
+		at := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
+		l, err := r.net.AddLink(me, at, func() string { return m }, faultproxy.Observer{
+			Connected: func(local string, held *faultproxy.TransitTime) { r.by.Store(local, dialler{name, p.Life(), held}) },
+			Abandoned: func(local string) { r.log.Add(history.GivenUp{Router: name, Member: id, Conn: local}) },
 		})
 		if err != nil {
 			return err
@@ -150,7 +150,7 @@
 	}
 	v := &view{host: r.host, net: r.net, log: r.log, router: p, pushed: cfg.Pushed, addr: func(id string) string {
 		if l := ways[id]; l != nil {
-			return l.Addr
+			return l.Address
 		}
 		return ""
 	}}
@@ -159,11 +159,11 @@
 	}
 	r.views = append(r.views, v)
 	// An agent is on the router's own machine; this way then stands for discovery's to the agent.
-	way, err := r.net.Link(me, discovery, func() string { return v.listen }, faultproxy.Watch{})
+	way, err := r.net.AddLink(me, discovery, func() string { return v.listen }, faultproxy.Observer{})
 	if err != nil {
 		return err
 	}
-	asks := way.Addr
+	asks := way.Address
 	if cfg.Pushed {
 		asks = v.listen
 	}
@@ -184,7 +184,7 @@
 		return text, err
 	}
 	r.routers = append(r.routers, p)
-	r.points["listen:"+name] = faultproxy.Point{Name: listen}
+	r.points["listen:"+name] = faultproxy.Peer{Name: listen}
 	return p.start()
 }
 
@@ -207,13 +207,13 @@
 func (r *Rig) doors() (own, others map[string][]clients.Door, err error) {
 	own, others = map[string][]clients.Door{}, map[string][]clients.Door{}
 	for _, site := range r.o.Config.Zones {
-		from := faultproxy.Point{Name: "clients:" + site, Site: site}
+		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
-			l, err := r.net.Link(from, faultproxy.Point{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, faultproxy.Watch{})
+			l, err := r.net.AddLink(from, faultproxy.Peer{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, faultproxy.Observer{})
 			if err != nil {
 				return nil, nil, err
 			}
-			d := clients.Door{Router: p.Name, Addr: l.Addr, Life: p.Life}
+			d := clients.Door{Router: p.Name, Addr: l.Address, Life: p.Life}
 			if p.Site == site {
 				own[site] = append(own[site], d)
 			} else {
@@ -309,13 +309,13 @@
 			}()
 		}
 	case "cut", "delay", "trickle":
-		w := faultproxy.Way{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
+		w := faultproxy.Impairment{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
 		for _, name := range f.Who {
 			from, to, both := ends(name)
 			r.trouble(from, to, both, text, f.For)
 			r.set(from, to, both, w)
 			r.later(now+f.For, func() {
-				r.set(from, to, both, faultproxy.Way{})
+				r.set(from, to, both, faultproxy.Impairment{})
 				r.log.Add(history.Step{Text: "end of " + text})
 			})
 		}
@@ -324,9 +324,9 @@
 			from, to, _ := ends(name)
 			r.trouble(from, to, true, text, r.longest())
 			if f.What == "reset" {
-				r.net.Reset(from, to)
+				r.net.ResetConnections(from, to)
 			} else {
-				r.net.Lose(from, to)
+				r.net.BlackholeConnections(from, to)
 			}
 		}
 	default:
@@ -342,10 +342,10 @@
 	return d
 }
 
-func (r *Rig) set(from, to string, both bool, w faultproxy.Way) {
-	r.net.Set(from, to, w)
+func (r *Rig) set(from, to string, both bool, w faultproxy.Impairment) {
+	r.net.SetImpairment(from, to, w)
 	if both {
-		r.net.Set(to, from, w)
+		r.net.SetImpairment(to, from, w)
 	}
 }
 
@@ -363,10 +363,10 @@
 // is asked may not come.
 func (r *Rig) trouble(from, to string, both bool, what string, length time.Duration) {
 	for _, p := range r.routers {
-		me := faultproxy.Point{Name: p.Name, Site: p.Site}
+		me := faultproxy.Peer{Name: p.Name, Site: p.Site}
 		for _, site := range r.o.Config.Zones {
-			c := faultproxy.Point{Name: "clients:" + site, Site: site}
-			if c.Is(from) && me.Is(to) || me.Is(from) && c.Is(to) || both && (c.Is(to) && me.Is(from) || me.Is(to) && c.Is(from)) {
+			c := faultproxy.Peer{Name: "clients:" + site, Site: site}
+			if c.Matches(from) && me.Matches(to) || me.Matches(from) && c.Matches(to) || both && (c.Matches(to) && me.Matches(from) || me.Matches(to) && c.Matches(from)) {
 				p.note("its way to "+c.Name+": "+what, length)
 				break
 			}
@@ -432,13 +432,13 @@
 	if d, ok := o.r.by.Load(remote); ok {
 		return d.(dialler)
 	}
-	return dialler{router: "?", held: &faultproxy.Held{}}
+	return dialler{router: "?", held: &faultproxy.TransitTime{}}
 }
 
 // Came implements standins.Observer.
 func (o observer) Came(v emulator.Visit) {
 	d := o.who(v.Remote)
-	o.r.log.Add(history.Came{ID: v.ID, Conn: v.Remote, Class: v.Class, Router: d.router, Life: d.life, Member: v.Member, Held: d.held.For(), Write: v.Write, Led: v.Led, See: v.See})
+	o.r.log.Add(history.Came{ID: v.ID, Conn: v.Remote, Class: v.Class, Router: d.router, Life: d.life, Member: v.Member, Held: d.held.Last(), Write: v.Write, Led: v.Led, See: v.See})
 }
 
 // Ended implements standins.Observer.
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -18,7 +18,7 @@
 // agent on the router's machine: it has what reached it, and says nothing while discovery is away.
 type view struct {
 	host   *emulator.Host
-	net    *faultproxy.Net
+	net    *faultproxy.Network
 	log    *history.Log
 	router *process
 	pushed bool
@@ -63,7 +63,7 @@
 		case <-time.After(viewStep):
 		}
 		l := v.host.List(0)
-		deaf := len(l.Servers) == 0 || v.net.Troubled(v.router.Name, discovery.Name)
+		deaf := len(l.Servers) == 0 || v.net.Impaired(v.router.Name, discovery.Name)
 		v.mu.Lock()
 		if v.deaf = deaf; !deaf && l.Version > v.has.Version {
 			was := v.has.Version
@@ -157,7 +157,7 @@
 				l.Full, l.Servers = false, l.Servers[:0]
 			}
 			if !v.pushed {
-				cut := v.net.Troubled(v.router.Name, discovery.Name)
+				cut := v.net.Impaired(v.router.Name, discovery.Name)
 				for _, e := range l.Servers {
 					v.tell(e, cut)
 				}
