--- a/internal/simulation/multiprocess/check/check.go
+++ b/internal/simulation/multiprocess/check/check.go
@@ -53,48 +53,48 @@
 func Answers(r Rules, all []history.Entry) (out []Broken) {
 	type open struct {
 		at time.Duration
-		a  history.Asked
+		a  history.RequestSent
 	}
 	asked, came := map[string]open{}, map[string]bool{}
 	type span struct{ from, to time.Duration }
 	troubled := map[life][]span{} // while something was done to it
 	for _, e := range all {
-		if p, ok := e.Fact.(history.Process); ok && !p.Ready {
-			k, to := life{p.Router, p.Life}, time.Duration(math.MaxInt64)
-			if p.For > 0 {
-				to = e.At + p.For + r.Late
+		if p, ok := e.Fact.(history.ProcessEvent); ok && !p.Ready {
+			k, to := life{p.Router, p.Incarnation}, time.Duration(math.MaxInt64)
+			if p.Duration > 0 {
+				to = e.Time + p.Duration + r.Late
 			}
-			troubled[k] = append(troubled[k], span{e.At, to})
+			troubled[k] = append(troubled[k], span{e.Time, to})
 		}
 	}
 	for _, e := range all {
 		switch f := e.Fact.(type) {
-		case history.Asked:
-			asked[f.ID] = open{e.At, f}
-		case history.Came:
+		case history.RequestSent:
+			asked[f.ID] = open{e.Time, f}
+		case history.StatementArrived:
 			came[f.ID] = true
-		case history.Answered:
+		case history.RequestEnded:
 			q, ok := asked[f.ID]
 			if !ok {
-				out = append(out, Broken{"answered", e.At, fmt.Sprintf("request %s is answered and was not asked, or is answered again", f.ID)})
+				out = append(out, Broken{"answered", e.Time, fmt.Sprintf("request %s is answered and was not asked, or is answered again", f.ID)})
 				continue
 			}
 			delete(asked, f.ID)
-			if f.Extra > 0 {
-				out = append(out, Broken{"answered", e.At, fmt.Sprintf("request %s gets %d messages behind its answer", f.ID, f.Extra)})
+			if f.ExtraMessages > 0 {
+				out = append(out, Broken{"answered", e.Time, fmt.Sprintf("request %s gets %d messages behind its answer", f.ID, f.ExtraMessages)})
 			}
 			excused := false
-			for _, x := range troubled[life{q.a.Router, q.a.Life}] {
-				excused = excused || x.from <= e.At && q.at <= x.to
+			for _, x := range troubled[life{q.a.Router, q.a.Incarnation}] {
+				excused = excused || x.from <= e.Time && q.at <= x.to
 			}
 			switch {
-			case f.How == history.Crossed && came[f.ID] && !excused:
-				out = append(out, Broken{"lost", e.At, fmt.Sprintf("request %s was sent on by %s.%d, which then closed without an answer", f.ID, q.a.Router, q.a.Life)})
-			case f.How == history.Crossed, excused:
-			case f.How == history.Broken || f.How == history.Silent:
-				out = append(out, Broken{"lost", e.At, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v", f.ID, q.a.Class, q.a.Router, q.a.Life, f.How, e.At-q.at)})
-			case e.At-q.at > q.a.Within+r.Late:
-				out = append(out, Broken{"late", e.At, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v of %v", f.ID, q.a.Class, q.a.Router, q.a.Life, f.How, e.At-q.at, q.a.Within)})
+			case f.Outcome == history.ClosedByPeer && came[f.ID] && !excused:
+				out = append(out, Broken{"lost", e.Time, fmt.Sprintf("request %s was sent on by %s.%d, which then closed without an answer", f.ID, q.a.Router, q.a.Incarnation)})
+			case f.Outcome == history.ClosedByPeer, excused:
+			case f.Outcome == history.Disconnected || f.Outcome == history.Unanswered:
+				out = append(out, Broken{"lost", e.Time, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v", f.ID, q.a.Class, q.a.Router, q.a.Incarnation, f.Outcome, e.Time-q.at)})
+			case e.Time-q.at > q.a.Timeout+r.Late:
+				out = append(out, Broken{"late", e.Time, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v of %v", f.ID, q.a.Class, q.a.Router, q.a.Incarnation, f.Outcome, e.Time-q.at, q.a.Timeout)})
 			}
 		}
 	}
@@ -109,18 +109,18 @@
 	writes, ran := map[string]bool{}, map[string]string{}
 	for _, e := range all {
 		switch f := e.Fact.(type) {
-		case history.Came:
-			if f.Write {
+		case history.StatementArrived:
+			if f.IsWrite {
 				writes[f.ID] = true
 			}
-		case history.Ran:
+		case history.StatementExecuted:
 			if !f.Served || !writes[f.ID] {
 				continue
 			}
 			if first := ran[f.ID]; first != "" {
-				out = append(out, Broken{"twice", e.At, fmt.Sprintf("write %s has run at %s and at %s", f.ID, first, f.Member)})
+				out = append(out, Broken{"twice", e.Time, fmt.Sprintf("write %s has run at %s and at %s", f.ID, first, f.Endpoint)})
 			}
-			ran[f.ID] = f.Member
+			ran[f.ID] = f.Endpoint
 		}
 	}
 	return out
@@ -132,22 +132,22 @@
 // Copies checks that no statement comes to a machine while an earlier copy is out at one, on a connection that its router
 // has not given up.
 func Copies(_ Rules, all []history.Entry) (out []Broken) {
-	at, given := map[string]history.Came{}, map[string]time.Duration{}
+	at, given := map[string]history.StatementArrived{}, map[string]time.Duration{}
 	for _, e := range all {
-		if f, ok := e.Fact.(history.GivenUp); ok {
-			given[f.Conn] = e.At
+		if f, ok := e.Fact.(history.ConnectionAbandoned); ok {
+			given[f.Connection] = e.Time
 		}
 	}
 	for _, e := range all {
 		switch f := e.Fact.(type) {
-		case history.Came:
+		case history.StatementArrived:
 			o, is := at[f.ID]
-			if up, gave := given[o.Conn]; is && (!gave || up > e.At+seen) {
-				out = append(out, Broken{"copies", e.At, fmt.Sprintf("%s comes to %s while it is out at %s", f.ID, f.Member, o.Member)})
+			if up, gave := given[o.Connection]; is && (!gave || up > e.Time+seen) {
+				out = append(out, Broken{"copies", e.Time, fmt.Sprintf("%s comes to %s while it is out at %s", f.ID, f.Endpoint, o.Endpoint)})
 			}
 			at[f.ID] = f
-		case history.Ran:
-			if at[f.ID].Member == f.Member {
+		case history.StatementExecuted:
+			if at[f.ID].Endpoint == f.Endpoint {
 				delete(at, f.ID)
 			}
 		}
@@ -165,23 +165,23 @@
 	leaves := map[seat]time.Duration{}
 	for _, e := range all {
 		switch f := e.Fact.(type) {
-		case history.Told:
-			k := seat{life{f.Router, f.Life}, f.Member}
+		case history.EndpointStateNotified:
+			k := seat{life{f.Router, f.Incarnation}, f.Endpoint}
 			if f.State == "ready" {
 				delete(leaves, k)
 				continue
 			}
-			at := e.At
-			if f.Cut {
+			at := e.Time
+			if f.LinkImpaired {
 				at += r.Unarrived
 			}
 			if was, is := leaves[k]; !is || at < was {
 				leaves[k] = at
 			}
-		case history.Came:
-			at, is := leaves[seat{life{f.Router, f.Life}, f.Member}]
-			if sent := e.At - f.Held; is && sent > at+r.Grace {
-				out = append(out, Broken{"drain", e.At, fmt.Sprintf("%s.%d sends %s to %s %v after it was told that it leaves", f.Router, f.Life, f.ID, f.Member, sent-at)})
+		case history.StatementArrived:
+			at, is := leaves[seat{life{f.Router, f.Incarnation}, f.Endpoint}]
+			if sent := e.Time - f.TransitTime; is && sent > at+r.Grace {
+				out = append(out, Broken{"drain", e.Time, fmt.Sprintf("%s.%d sends %s to %s %v after it was told that it leaves", f.Router, f.Incarnation, f.ID, f.Endpoint, sent-at)})
 			}
 		}
 	}
@@ -191,8 +191,8 @@
 // Cold checks that no cold machine is pushed over, by all routers together.
 func Cold(_ Rules, all []history.Entry) (out []Broken) {
 	for _, e := range all {
-		if f, ok := e.Fact.(history.Pushed); ok {
-			out = append(out, Broken{"cold", e.At, f.String()})
+		if f, ok := e.Fact.(history.EndpointOverloaded); ok {
+			out = append(out, Broken{"cold", e.Time, f.String()})
 		}
 	}
 	return out
@@ -205,21 +205,21 @@
 		life
 		member string
 	}
-	replica, came := map[seat]bool{}, map[string]history.Came{}
+	replica, came := map[seat]bool{}, map[string]history.StatementArrived{}
 	excused := map[string]bool{}
 	for _, e := range all {
 		switch f := e.Fact.(type) {
-		case history.Came:
-			came[f.ID+f.Member] = f
-			excused[f.ID+f.Member] = f.Led && !replica[seat{life{f.Router, f.Life}, f.Member}]
-		case history.Ran:
-			k := f.ID + f.Member
-			if c, ok := came[k]; ok && f.Served && !c.Write && c.See > f.Position && !excused[k] {
-				out = append(out, Broken{"stale", e.At, fmt.Sprintf("%s is answered by %s from %v before what it has to see", f.ID, f.Member, c.See-f.Position)})
+		case history.StatementArrived:
+			came[f.ID+f.Endpoint] = f
+			excused[f.ID+f.Endpoint] = f.WasPrimary && !replica[seat{life{f.Router, f.Incarnation}, f.Endpoint}]
+		case history.StatementExecuted:
+			k := f.ID + f.Endpoint
+			if c, ok := came[k]; ok && f.Served && !c.IsWrite && c.MinPosition > f.Position && !excused[k] {
+				out = append(out, Broken{"stale", e.Time, fmt.Sprintf("%s is answered by %s from %v before what it has to see", f.ID, f.Endpoint, c.MinPosition-f.Position)})
 			}
 			delete(came, k)
-			if !f.Gone {
-				replica[seat{life{f.Router, f.Life}, f.Member}] = !f.Primary
+			if !f.Disconnected {
+				replica[seat{life{f.Router, f.Incarnation}, f.Endpoint}] = !f.IsPrimary
 			}
 		}
 	}
--- a/internal/simulation/multiprocess/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -330,17 +330,17 @@
 	life := d.Life()
 	text := emulator.Statement(id, q.class.Name, left, int64(q.session%c.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
 	k.c.SetDeadline(time.Now().Add(left + time.Second))
-	c.log.Add(history.Asked{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Life: life, Within: left, Write: q.class.Consistency == balance.ConsistencyWrite})
+	c.log.Add(history.RequestSent{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Incarnation: life, Timeout: left, IsWrite: q.class.Consistency == balance.ConsistencyWrite})
 	_, err := k.c.Write(pgwire.AppendQuery(nil, text))
 	var a reply
 	if err == nil {
 		a, err = k.until()
 	}
-	out := history.Answered{ID: id, Code: a.code, Extra: k.r.Waiting()}
+	out := history.RequestEnded{ID: id, SQLState: a.code, ExtraMessages: k.r.Waiting()}
 	wait = c.o.Backoff
 	switch {
 	case err == nil && a.code == "":
-		how, out.How, out.Value = served, history.Served, a.value
+		how, out.Outcome, out.Value = served, history.Served, a.value
 		if _, pos, ok := strings.Cut(a.value, " "); ok && q.class.Consistency == balance.ConsistencyWrite {
 			if ns, e := strconv.ParseInt(pos, 10, 64); e == nil {
 				c.mu.Lock()
@@ -349,20 +349,20 @@
 			}
 		}
 	case a.code == pgwire.TooManyConnections || a.code == "57P03":
-		how, out.How = refused, history.Refused
+		how, out.Outcome = refused, history.Rejected
 		if q.honours {
 			wait = max(wait, a.after)
 		}
 	case a.code != "":
-		how, out.How = failed, history.Failed
+		how, out.Outcome = failed, history.Failed
 	default:
-		how, out.How = failed, history.Broken
+		how, out.Outcome = failed, history.Disconnected
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() {
-			out.How = history.Silent
+			out.Outcome = history.Unanswered
 		}
 		if a.none && errors.Is(err, errEnded) && !k.used.IsZero() {
-			how, out.How, wait = crossed, history.Crossed, 0
+			how, out.Outcome, wait = crossed, history.ClosedByPeer, 0
 		}
 	}
 	c.log.Add(out)
--- a/internal/simulation/multiprocess/process.go
+++ b/internal/simulation/multiprocess/process.go
@@ -32,7 +32,7 @@
 func (p *process) Life() int { return int(p.life.Load()) }
 
 func (p *process) note(what string, length time.Duration) {
-	p.log.Add(history.Process{Router: p.Name, Life: p.Life(), What: what, For: length})
+	p.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Life(), Event: what, Duration: length})
 }
 
 // start runs the program anew, with nothing of the start before but its name and addresses.
--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -141,7 +141,9 @@
 		at := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
 		l, err := r.net.AddLink(me, at, func() string { return m }, faultproxy.Observer{
 			Connected: func(local string, held *faultproxy.TransitTime) { r.by.Store(local, dialler{name, p.Life(), held}) },
-			Abandoned: func(local string) { r.log.Add(history.GivenUp{Router: name, Member: id, Conn: local}) },
+			Abandoned: func(local string) {
+				r.log.Add(history.ConnectionAbandoned{Router: name, Endpoint: id, Connection: local})
+			},
 		})
 		if err != nil {
 			return err
@@ -244,7 +246,7 @@
 		}
 	}
 	for _, p := range r.routers {
-		r.log.Add(history.Process{Router: p.Name, Life: p.Life(), Ready: true})
+		r.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Life(), Ready: true})
 	}
 	r.begin = time.Now()
 	for _, f := range cfg.Faults {
@@ -254,9 +256,9 @@
 	close(r.stop)
 	r.steps.Wait()
 	for _, id := range r.host.Pushed() {
-		r.log.Add(history.Pushed{Member: id})
+		r.log.Add(history.EndpointOverloaded{Endpoint: id})
 	}
-	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.All()}
+	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.Entries()}
 	res.Whole, res.Window, res.Class, res.Worst = fleet.Score(got.Seconds, got.Tally)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
 	res.Broken = check.Run(check.Rules{Grace: cfg.Grace + 50*time.Millisecond, Late: lateness, Unarrived: 6 * time.Second}, res.History, check.All...)
@@ -297,7 +299,7 @@
 // step carries out a fault.
 func (r *Rig) step(f fleet.Fault) {
 	text := strings.TrimSpace(f.What + " " + strings.Join(f.Who, " "))
-	r.log.Add(history.Step{Text: text})
+	r.log.Add(history.ScriptStep{Text: text})
 	now := time.Since(r.begin)
 	switch f.What {
 	case "crash", "term", "freeze":
@@ -316,7 +318,7 @@
 			r.set(from, to, both, w)
 			r.later(now+f.For, func() {
 				r.set(from, to, both, faultproxy.Impairment{})
-				r.log.Add(history.Step{Text: "end of " + text})
+				r.log.Add(history.ScriptStep{Text: "end of " + text})
 			})
 		}
 	case "reset", "lose":
@@ -406,7 +408,7 @@
 			return
 		}
 		if err := p.start(); err != nil {
-			r.log.Add(history.Step{Text: p.Name + " can't be started: " + err.Error()})
+			r.log.Add(history.ScriptStep{Text: p.Name + " can't be started: " + err.Error()})
 		}
 	})
 }
@@ -438,23 +440,23 @@
 // Came implements standins.Observer.
 func (o observer) Came(v emulator.Visit) {
 	d := o.who(v.Remote)
-	o.r.log.Add(history.Came{ID: v.ID, Conn: v.Remote, Class: v.Class, Router: d.router, Life: d.life, Member: v.Member, Held: d.held.Last(), Write: v.Write, Led: v.Led, See: v.See})
+	o.r.log.Add(history.StatementArrived{ID: v.ID, Connection: v.Remote, Class: v.Class, Router: d.router, Incarnation: d.life, Endpoint: v.Member, TransitTime: d.held.Last(), IsWrite: v.Write, WasPrimary: v.Led, MinPosition: v.See})
 }
 
 // Ended implements standins.Observer.
 func (o observer) Ended(v emulator.Visit, e emulator.Ending, gone bool) {
 	d := o.who(v.Remote)
-	o.r.log.Add(history.Ran{ID: v.ID, Router: d.router, Life: d.life, Member: v.Member, Served: !gone && e.Outcome == 0, Gone: gone, Primary: e.Primary, Position: e.Position})
+	o.r.log.Add(history.StatementExecuted{ID: v.ID, Router: d.router, Incarnation: d.life, Endpoint: v.Member, Served: !gone && e.Outcome == 0, Disconnected: gone, IsPrimary: e.Primary, Position: e.Position})
 }
 
 // write leaves one timeline of the history and of each process's own log.
 func (r *Rig) write(res *Result) error {
-	var lines []history.Line
+	var lines []history.TimelineEntry
 	for _, e := range res.History {
-		lines = append(lines, history.Line{At: e.At, From: "rig", Text: e.Fact.String()})
+		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
 	}
 	for _, b := range res.Broken {
-		lines = append(lines, history.Line{At: b.At, From: "RULE", Text: b.String()})
+		lines = append(lines, history.TimelineEntry{Time: b.At, Origin: "RULE", Text: b.String()})
 	}
 	logs, err := filepath.Glob(filepath.Join(r.o.Dir, "r*", "log.*"))
 	if err != nil {
@@ -469,7 +471,7 @@
 		from := filepath.Base(filepath.Dir(name)) + "." + strings.TrimPrefix(filepath.Base(name), "log.")
 		for s := bufio.NewScanner(f); s.Scan(); {
 			if at, ok := stamp(s.Text()); ok {
-				lines = append(lines, history.Line{At: at.Sub(r.log.Begin()), From: from, Text: s.Text()})
+				lines = append(lines, history.TimelineEntry{Time: at.Sub(r.log.Started()), Origin: from, Text: s.Text()})
 			}
 		}
 		_ = f.Close() // it was only read
@@ -479,7 +481,7 @@
 	if err != nil {
 		return err
 	}
-	err = history.Timeline(f, lines)
+	err = history.WriteTimeline(f, lines)
 	if e := f.Close(); err == nil {
 		err = e
 	}
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -86,7 +86,7 @@
 			}
 			steps := 0
 			for _, e := range res.History {
-				if _, is := e.Fact.(history.Step); is {
+				if _, is := e.Fact.(history.ScriptStep); is {
 					steps++
 				}
 			}
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -91,7 +91,7 @@
 }
 
 func (v *view) tell(e config.Entry, cut bool) {
-	v.log.Add(history.Told{Router: v.router.Name, Life: v.router.Life(), Member: e.ID, State: e.State, Cut: cut})
+	v.log.Add(history.EndpointStateNotified{Router: v.router.Name, Incarnation: v.router.Life(), Endpoint: e.ID, State: e.State, LinkImpaired: cut})
 }
 
 // list is what it says to a call, and whether it says anything.
