--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -30,7 +30,7 @@
 )
 
 // discovery stands in no site.
-var discovery = faultproxy.Point{Name: "discovery"}
+var discovery = faultproxy.Peer{Name: "discovery"}
 
 // Options say what is played, and with what.
 type Options struct {
@@ -60,11 +60,11 @@
 type Rig struct {
 	o       Options
 	log     *history.Log
-	net     *faultproxy.Net
+	net     *faultproxy.Network
 	host    *emulator.Host
 	routers []*process
 	views   []*view
-	points  map[string]faultproxy.Point
+	points  map[string]faultproxy.Peer
 	by      sync.Map // a machine's remote address: who dialled
 	begin   time.Time
 	steps   sync.WaitGroup
@@ -75,7 +75,7 @@
 type dialler struct {
 	router string
 	life   int
-	held   *faultproxy.Held
+	held   *faultproxy.TransitTime
 }
 
 // Run plays a scenario and checks it. An error means that it could not be played.
@@ -98,7 +98,7 @@
 	if o.Notice == 0 {
 		o.Notice = 2 * time.Second
 	}
-	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Point{}, stop: make(chan struct{})}
+	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Peer{}, stop: make(chan struct{})}
 	defer r.end()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 func (r *Rig) router(i int, name, site string) error {
 	cfg := &r.o.Config
 	p := &process{Name: name, Site: site, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, log: r.log}
-	me := faultproxy.Point{Name: name, Site: site}
+	me := faultproxy.Peer{Name: name, Site: site}
 	r.points[name] = me
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
@@ -138,10 +138,12 @@
 	}
 	ways := map[string]*faultproxy.Link{}
 	for id, m := range r.host.Members() {
-		at := faultproxy.Point{Name: id, Site: r.host.Zone(id)}
-		l, err := r.net.Link(me, at, func() string { return m }, faultproxy.Watch{
-			Dialled: func(local string, held *faultproxy.Held) { r.by.Store(local, dialler{name, p.Life(), held}) },
-			GivenUp: func(local string) { r.log.Add(history.GivenUp{Router: name, Member: id, Conn: local}) },
+		at := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
+		l, err := r.net.AddLink(me, at, func() string { return m }, faultproxy.Observer{
+			Connected: func(local string, held *faultproxy.TransitTime) { r.by.Store(local, dialler{name, p.Life(), held}) },
+			Abandoned: func(local string) {
+				r.log.Add(history.ConnectionAbandoned{Router: name, Endpoint: id, Connection: local})
+			},
 		})
 		if err != nil {
 			return err
@@ -150,7 +152,7 @@
 	}
 	v := &view{host: r.host, net: r.net, log: r.log, router: p, pushed: cfg.Pushed, addr: func(id string) string {
 		if l := ways[id]; l != nil {
-			return l.Addr
+			return l.Address
 		}
 		return ""
 	}}
@@ -159,11 +161,11 @@
 	}
 	r.views = append(r.views, v)
 	// An agent is on the router's own machine; this way then stands for discovery's to the agent.
-	way, err := r.net.Link(me, discovery, func() string { return v.listen }, faultproxy.Watch{})
+	way, err := r.net.AddLink(me, discovery, func() string { return v.listen }, faultproxy.Observer{})
 	if err != nil {
 		return err
 	}
-	asks := way.Addr
+	asks := way.Address
 	if cfg.Pushed {
 		asks = v.listen
 	}
@@ -184,7 +186,7 @@
 		return text, err
 	}
 	r.routers = append(r.routers, p)
-	r.points["listen:"+name] = faultproxy.Point{Name: listen}
+	r.points["listen:"+name] = faultproxy.Peer{Name: listen}
 	return p.start()
 }
 
@@ -207,13 +209,13 @@
 func (r *Rig) doors() (own, others map[string][]clients.Door, err error) {
 	own, others = map[string][]clients.Door{}, map[string][]clients.Door{}
 	for _, site := range r.o.Config.Zones {
-		from := faultproxy.Point{Name: "clients:" + site, Site: site}
+		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
-			l, err := r.net.Link(from, faultproxy.Point{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, faultproxy.Watch{})
+			l, err := r.net.AddLink(from, faultproxy.Peer{Name: p.Name, Site: p.Site}, func() string { return r.points["listen:"+p.Name].Name }, faultproxy.Observer{})
 			if err != nil {
 				return nil, nil, err
 			}
-			d := clients.Door{Router: p.Name, Addr: l.Addr, Life: p.Life}
+			d := clients.Door{Router: p.Name, Addr: l.Address, Life: p.Life}
 			if p.Site == site {
 				own[site] = append(own[site], d)
 			} else {
@@ -244,7 +246,7 @@
 		}
 	}
 	for _, p := range r.routers {
-		r.log.Add(history.Process{Router: p.Name, Life: p.Life(), Ready: true})
+		r.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Life(), Ready: true})
 	}
 	r.begin = time.Now()
 	for _, f := range cfg.Faults {
@@ -254,9 +256,9 @@
 	close(r.stop)
 	r.steps.Wait()
 	for _, id := range r.host.Pushed() {
-		r.log.Add(history.Pushed{Member: id})
+		r.log.Add(history.EndpointOverloaded{Endpoint: id})
 	}
-	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.All()}
+	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.Entries()}
 	res.Whole, res.Window, res.Class, res.Worst = fleet.Score(got.Seconds, got.Tally)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
 	res.Broken = check.Run(check.Rules{Grace: cfg.Grace + 50*time.Millisecond, Late: lateness, Unarrived: 6 * time.Second}, res.History, check.All...)
@@ -297,7 +299,7 @@
 // step carries out a fault.
 func (r *Rig) step(f fleet.Fault) {
 	text := strings.TrimSpace(f.What + " " + strings.Join(f.Who, " "))
-	r.log.Add(history.Step{Text: text})
+	r.log.Add(history.ScriptStep{Text: text})
 	now := time.Since(r.begin)
 	switch f.What {
 	case "crash", "term", "freeze":
@@ -309,14 +311,14 @@
 			}()
 		}
 	case "cut", "delay", "trickle":
-		w := faultproxy.Way{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
+		w := faultproxy.Impairment{Cut: f.What == "cut", Delay: f.Delay, Jitter: f.Jitter, Rate: f.Rate}
 		for _, name := range f.Who {
 			from, to, both := ends(name)
 			r.trouble(from, to, both, text, f.For)
 			r.set(from, to, both, w)
 			r.later(now+f.For, func() {
-				r.set(from, to, both, faultproxy.Way{})
-				r.log.Add(history.Step{Text: "end of " + text})
+				r.set(from, to, both, faultproxy.Impairment{})
+				r.log.Add(history.ScriptStep{Text: "end of " + text})
 			})
 		}
 	case "reset", "lose":
@@ -324,9 +326,9 @@
 			from, to, _ := ends(name)
 			r.trouble(from, to, true, text, r.longest())
 			if f.What == "reset" {
-				r.net.Reset(from, to)
+				r.net.ResetConnections(from, to)
 			} else {
-				r.net.Lose(from, to)
+				r.net.BlackholeConnections(from, to)
 			}
 		}
 	default:
@@ -342,10 +344,10 @@
 	return d
 }
 
-func (r *Rig) set(from, to string, both bool, w faultproxy.Way) {
-	r.net.Set(from, to, w)
+func (r *Rig) set(from, to string, both bool, w faultproxy.Impairment) {
+	r.net.SetImpairment(from, to, w)
 	if both {
-		r.net.Set(to, from, w)
+		r.net.SetImpairment(to, from, w)
 	}
 }
 
@@ -363,10 +365,10 @@
 // is asked may not come.
 func (r *Rig) trouble(from, to string, both bool, what string, length time.Duration) {
 	for _, p := range r.routers {
-		me := faultproxy.Point{Name: p.Name, Site: p.Site}
+		me := faultproxy.Peer{Name: p.Name, Site: p.Site}
 		for _, site := range r.o.Config.Zones {
-			c := faultproxy.Point{Name: "clients:" + site, Site: site}
-			if c.Is(from) && me.Is(to) || me.Is(from) && c.Is(to) || both && (c.Is(to) && me.Is(from) || me.Is(to) && c.Is(from)) {
+			c := faultproxy.Peer{Name: "clients:" + site, Site: site}
+			if c.Matches(from) && me.Matches(to) || me.Matches(from) && c.Matches(to) || both && (c.Matches(to) && me.Matches(from) || me.Matches(to) && c.Matches(from)) {
 				p.note("its way to "+c.Name+": "+what, length)
 				break
 			}
@@ -406,7 +408,7 @@
 			return
 		}
 		if err := p.start(); err != nil {
-			r.log.Add(history.Step{Text: p.Name + " can't be started: " + err.Error()})
+			r.log.Add(history.ScriptStep{Text: p.Name + " can't be started: " + err.Error()})
 		}
 	})
 }
@@ -432,29 +434,29 @@
 	if d, ok := o.r.by.Load(remote); ok {
 		return d.(dialler)
 	}
-	return dialler{router: "?", held: &faultproxy.Held{}}
+	return dialler{router: "?", held: &faultproxy.TransitTime{}}
 }
 
 // Came implements standins.Observer.
 func (o observer) Came(v emulator.Visit) {
 	d := o.who(v.Remote)
-	o.r.log.Add(history.Came{ID: v.ID, Conn: v.Remote, Class: v.Class, Router: d.router, Life: d.life, Member: v.Member, Held: d.held.For(), Write: v.Write, Led: v.Led, See: v.See})
+	o.r.log.Add(history.StatementArrived{ID: v.ID, Connection: v.Remote, Class: v.Class, Router: d.router, Incarnation: d.life, Endpoint: v.Member, TransitTime: d.held.Last(), IsWrite: v.Write, WasPrimary: v.Led, MinPosition: v.See})
 }
 
 // Ended implements standins.Observer.
 func (o observer) Ended(v emulator.Visit, e emulator.Ending, gone bool) {
 	d := o.who(v.Remote)
-	o.r.log.Add(history.Ran{ID: v.ID, Router: d.router, Life: d.life, Member: v.Member, Served: !gone && e.Outcome == 0, Gone: gone, Primary: e.Primary, Position: e.Position})
+	o.r.log.Add(history.StatementExecuted{ID: v.ID, Router: d.router, Incarnation: d.life, Endpoint: v.Member, Served: !gone && e.Outcome == 0, Disconnected: gone, IsPrimary: e.Primary, Position: e.Position})
 }
 
 // write leaves one timeline of the history and of each process's own log.
 func (r *Rig) write(res *Result) error {
-	var lines []history.Line
+	var lines []history.TimelineEntry
 	for _, e := range res.History {
-		lines = append(lines, history.Line{At: e.At, From: "rig", Text: e.Fact.String()})
+		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
 	}
 	for _, b := range res.Broken {
-		lines = append(lines, history.Line{At: b.At, From: "RULE", Text: b.String()})
+		lines = append(lines, history.TimelineEntry{Time: b.At, Origin: "RULE", Text: b.String()})
 	}
 	logs, err := filepath.Glob(filepath.Join(r.o.Dir, "r*", "log.*"))
 	if err != nil {
@@ -469,7 +471,7 @@
 		from := filepath.Base(filepath.Dir(name)) + "." + strings.TrimPrefix(filepath.Base(name), "log.")
 		for s := bufio.NewScanner(f); s.Scan(); {
 			if at, ok := stamp(s.Text()); ok {
-				lines = append(lines, history.Line{At: at.Sub(r.log.Begin()), From: from, Text: s.Text()})
+				lines = append(lines, history.TimelineEntry{Time: at.Sub(r.log.Started()), Origin: from, Text: s.Text()})
 			}
 		}
 		_ = f.Close() // it was only read
@@ -479,7 +481,7 @@
 	if err != nil {
 		return err
 	}
-	err = history.Timeline(f, lines)
+	err = history.WriteTimeline(f, lines)
 	if e := f.Close(); err == nil {
 		err = e
 	}
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -18,7 +18,7 @@
 // agent on the router's machine: it has what reached it, and says nothing while discovery is away.
 type view struct {
 	host   *emulator.Host
-	net    *faultproxy.Net
+	net    *faultproxy.Network
 	log    *history.Log
 	router *process
 	pushed bool
@@ -29,7 +29,7 @@
 
 	mu   sync.Mutex
 	has  config.EndpointList // pushed: what reached the agent
-	deaf bool                // pushed: discovery can't be heard
+	deaf bool        // pushed: discovery can't be heard
 }
 
 const viewStep = 10 * time.Millisecond
@@ -63,7 +63,7 @@
 		case <-time.After(viewStep):
 		}
 		l := v.host.List(0)
-		deaf := len(l.Endpoints) == 0 || v.net.Troubled(v.router.Name, discovery.Name)
+		deaf := len(l.Endpoints) == 0 || v.net.Impaired(v.router.Name, discovery.Name)
 		v.mu.Lock()
 		if v.deaf = deaf; !deaf && l.Version > v.has.Version {
 			was := v.has.Version
@@ -91,7 +91,7 @@
 }
 
 func (v *view) tell(e config.EndpointEntry, cut bool) {
-	v.log.Add(history.Told{Router: v.router.Name, Life: v.router.Life(), Member: e.ID, State: e.State, Cut: cut})
+	v.log.Add(history.EndpointStateNotified{Router: v.router.Name, Incarnation: v.router.Life(), Endpoint: e.ID, State: e.State, LinkImpaired: cut})
 }
 
 // list is what it says to a call, and whether it says anything.
@@ -157,7 +157,7 @@
 				l.Full, l.Endpoints = false, l.Endpoints[:0]
 			}
 			if !v.pushed {
-				cut := v.net.Troubled(v.router.Name, discovery.Name)
+				cut := v.net.Impaired(v.router.Name, discovery.Name)
 				for _, e := range l.Endpoints {
 					v.tell(e, cut)
 				}
