--- a/internal/simulation/multiprocess/check/check_test.go
+++ b/internal/simulation/multiprocess/check/check_test.go
@@ -27,7 +27,11 @@
 	drain = h.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: "draining"}
 )
 
-func elsewhere(c h.StatementArrived) h.StatementArrived { c.Endpoint, c.Connection = "db2", "c2"; return c }
+func elsewhere(c h.StatementArrived) h.StatementArrived {
+	c.Endpoint, c.Connection = "db2", "c2"
+	return c
+}
+
 func ranAt(member string) h.StatementExecuted {
 	r := ran
 	r.Endpoint = member
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -29,7 +29,7 @@
 
 	mu   sync.Mutex
 	has  config.EndpointList // pushed: what reached the agent
-	deaf bool        // pushed: discovery can't be heard
+	deaf bool                // pushed: discovery can't be heard
 }
 
 const viewStep = 10 * time.Millisecond
