--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -31,19 +31,19 @@
 	Led    bool // it was the primary then
 }
 
-// Whole is a statement that an endpoint has received to its last byte, whether it ran or not.
-type Whole struct {
+// Received is a statement that an endpoint has received to its last byte, whether it ran or not.
+type Received struct {
 	ID string
 	At time.Time
 }
 
 // Log is what an endpoint tells of itself.
 type Log struct {
-	Member string
-	Runs   []Run
-	Whole  []Whole
-	Stops  []time.Time // moments at which it ended with all its connections, and lost what it had not read
-	Yields []time.Time // moments from which it was no longer the primary
+	Member    string
+	Runs      []Run
+	Whole     []Received
+	Stops     []time.Time // moments at which it ended with all its connections, and lost what it had not read
+	Demotions []time.Time // moments from which it was no longer the primary
 }
 
 // Drain is a time in which an endpoint was to get no new writes.
--- a/internal/testserver/check/check_test.go
+++ b/internal/testserver/check/check_test.go
@@ -7,49 +7,86 @@
 	"time"
 )
 
-// Each breach is found, and what only looks like one is not.
-func TestBreaches(t *testing.T) {
-	t0 := time.Now()
-	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	run := func(member string, ms int) Log {
-		return Log{
-			Member: member,
-			Whole:  []Whole{{"j", at(ms)}},
-			Runs:   []Run{{ID: "j", Member: member, At: at(ms), Write: true, Led: true}},
+// begin is when the jobs of these tests are sent.
+var begin = time.Now()
+
+func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+
+// job is one that was served in time.
+var job = Job{ID: "j", Sent: at(0), Deadline: time.Second, Answers: 1, Answered: at(500)}
+
+// with is that job with a change.
+func with(change func(j *Job)) []Job {
+	j := job
+	change(&j)
+	return []Job{j}
+}
+
+// many are n jobs of which the first late ones were answered after so many milliseconds; ran is the log of them.
+func many(n, late, ms int) (jobs []Job) {
+	for i := range n {
+		j := job
+		j.ID = fmt.Sprint("j", i)
+		if i < late {
+			j.Answered = at(ms)
 		}
+		jobs = append(jobs, j)
 	}
-	job := Job{ID: "j", Sent: at(0), Deadline: time.Second, Answers: 1, Answered: at(500)}
-	with := func(f func(j *Job)) []Job {
-		j := job
-		f(&j)
-		return []Job{j}
+	return jobs
+}
+
+func ran(n int) []Log {
+	l := Log{Member: "a"}
+	for i := range n {
+		l.Runs = append(l.Runs, Run{ID: fmt.Sprint("j", i), Member: "a", At: at(10), Write: true, Led: true})
 	}
-	// many are n jobs of which the first late ones were answered after so many milliseconds; ran is the log of them.
-	many := func(n, late, ms int) (jobs []Job) {
-		for i := range n {
-			j := job
-			j.ID = fmt.Sprint("j", i)
-			if i < late {
-				j.Answered = at(ms)
-			}
-			jobs = append(jobs, j)
-		}
-		return jobs
+	return []Log{l}
+}
+
+// run is the log of an endpoint that received the job completely and ran it.
+func run(member string, ms int) Log {
+	return Log{
+		Member: member,
+		Whole:  []Received{{"j", at(ms)}},
+		Runs:   []Run{{ID: "j", Member: member, At: at(ms), Write: true, Led: true}},
 	}
-	ran := func(n int) []Log {
-		l := Log{Member: "a"}
-		for i := range n {
-			l.Runs = append(l.Runs, Run{ID: fmt.Sprint("j", i), Member: "a", At: at(10), Write: true, Led: true})
-		}
-		return []Log{l}
+}
+
+// stop is the log of an endpoint that stopped while the job was open.
+var stop = Log{Member: "b", Stops: []time.Time{at(100)}}
+
+type breachCase struct {
+	jobs   []Job
+	logs   []Log
+	drains []Drain
+	want   string // part of the only fault, "" = none
+}
+
+// checkBreaches checks that each breach is found, and that what only looks like one is not.
+func checkBreaches(t *testing.T, cases map[string]breachCase) {
+	t.Helper()
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			faults := Jobs(c.jobs, c.logs, c.drains)
+			if c.want == "" {
+				if len(faults) > 0 {
+					t.Fatalf("%q", faults)
+				}
+				return
+			}
+			if len(faults) == 0 || !strings.Contains(faults[0], c.want) {
+				t.Fatalf("%q, wanted %q", faults, c.want)
+			}
+			if len(c.jobs) < 2 && len(faults) > 1 {
+				t.Fatalf("%q, wanted one fault", faults)
+			}
+		})
 	}
-	stop := Log{Member: "b", Stops: []time.Time{at(100)}}
-	for name, c := range map[string]struct {
-		jobs   []Job
-		logs   []Log
-		drains []Drain
-		want   string // part of the only fault, "" = none
-	}{
+}
+
+// A job that is sent once runs once and has one answer, unless its client has left.
+func TestEachJobRunsOnce(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"served": {
 			jobs: []Job{job},
 			logs: []Log{run("a", 10)},
@@ -63,6 +100,32 @@
 			jobs: []Job{job},
 			want: "was served and never ran",
 		},
+		"unknown": {
+			logs: []Log{run("a", 10)},
+			want: "nobody asked",
+		},
+		"asked twice": {
+			jobs: []Job{job, job},
+			logs: []Log{run("a", 10)},
+			want: "the script is wrong",
+		},
+		"no answer": {
+			jobs: with(func(j *Job) { j.Answers = 0 }),
+			logs: []Log{run("a", 10)},
+			want: "has 0 answers",
+		},
+		"left": {
+			jobs: with(func(j *Job) {
+				j.Answers = 0
+				j.Left = true
+			}),
+		},
+	})
+}
+
+// A late answer is a breach where many are late, and always where it is so late that it counts as lost.
+func TestAnswersInTime(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"late": {
 			jobs: with(func(j *Job) { j.Answered = at(1101) }),
 			logs: []Log{run("a", 10)},
@@ -86,17 +149,12 @@
 			logs: ran(40),
 			want: "its client waits 1s",
 		},
-		"no answer": {
-			jobs: with(func(j *Job) { j.Answers = 0 }),
-			logs: []Log{run("a", 10)},
-			want: "has 0 answers",
-		},
-		"left": {
-			jobs: with(func(j *Job) {
-				j.Answers = 0
-				j.Left = true
-			}),
-		},
+	})
+}
+
+// An answer that is no success says what happened to the job.
+func TestOutcomes(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"refused": {
 			jobs: with(func(j *Job) {
 				j.Code = codeRejected
@@ -117,7 +175,7 @@
 		},
 		"failed, whole": {
 			jobs: with(func(j *Job) { j.Code = codeFailed }),
-			logs: []Log{{Member: "a", Whole: []Whole{{"j", at(10)}}}},
+			logs: []Log{{Member: "a", Whole: []Received{{"j", at(10)}}}},
 		},
 		"failed, never sent": {
 			jobs: with(func(j *Job) { j.Code = codeFailed }),
@@ -144,6 +202,16 @@
 			logs: []Log{stop},
 			want: "came whole to no machine",
 		},
+		"other code": {
+			jobs: with(func(j *Job) { j.Code = "XX000" }),
+			want: "ended in XX000",
+		},
+	})
+}
+
+// An answer may break off only where an endpoint stopped meanwhile, behind a run.
+func TestTruncatedAnswers(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"cut, one ended": {
 			jobs: with(func(j *Job) {
 				j.Cut = true
@@ -167,19 +235,12 @@
 			logs: []Log{stop},
 			want: "was cut off",
 		},
-		"other code": {
-			jobs: with(func(j *Job) { j.Code = "XX000" }),
-			want: "ended in XX000",
-		},
-		"unknown": {
-			logs: []Log{run("a", 10)},
-			want: "nobody asked",
-		},
-		"asked twice": {
-			jobs: []Job{job, job},
-			logs: []Log{run("a", 10)},
-			want: "the script is wrong",
-		},
+	})
+}
+
+// A draining endpoint gets no new write once its notice has had time to arrive.
+func TestDrains(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"drained": {
 			jobs: with(func(j *Job) {
 				j.Sent = at(2000)
@@ -205,6 +266,12 @@
 			logs:   []Log{run("a", 2101)},
 			drains: []Drain{{Member: "a", From: at(0), Until: at(2050)}},
 		},
+	})
+}
+
+// A read that only a primary may answer was answered by one, or by one that was until then.
+func TestFreshReads(t *testing.T) {
+	checkBreaches(t, map[string]breachCase{
 		"fresh": {
 			jobs: with(func(j *Job) {
 				j.Fresh = true
@@ -217,7 +284,7 @@
 				j.Fresh = true
 				j.Value = "b"
 			}),
-			logs: []Log{{Member: "b", Yields: []time.Time{at(10)}}},
+			logs: []Log{{Member: "b", Demotions: []time.Time{at(10)}}},
 		},
 		"stale, yielded before": {
 			jobs: with(func(j *Job) {
@@ -225,7 +292,7 @@
 				j.Value = "b"
 				j.Sent = at(11)
 			}),
-			logs: []Log{{Member: "b", Yields: []time.Time{at(10)}}},
+			logs: []Log{{Member: "b", Demotions: []time.Time{at(10)}}},
 			want: "did not lead",
 		},
 		"stale, yielded after": {
@@ -233,7 +300,7 @@
 				j.Fresh = true
 				j.Value = "b"
 			}),
-			logs: []Log{{Member: "b", Yields: []time.Time{at(501)}}},
+			logs: []Log{{Member: "b", Demotions: []time.Time{at(501)}}},
 			want: "did not lead",
 		},
 		"stale, another yielded": {
@@ -241,7 +308,7 @@
 				j.Fresh = true
 				j.Value = "b"
 			}),
-			logs: []Log{{Member: "a", Yields: []time.Time{at(10)}}},
+			logs: []Log{{Member: "a", Demotions: []time.Time{at(10)}}},
 			want: "did not lead",
 		},
 		"stale": {
@@ -252,19 +319,5 @@
 			logs: []Log{run("a", 10)}[:1],
 			want: "did not lead",
 		},
-	} {
-		faults := Jobs(c.jobs, c.logs, c.drains)
-		if c.want == "" {
-			if len(faults) > 0 {
-				t.Errorf("%s: %q", name, faults)
-			}
-			continue
-		}
-		if len(faults) == 0 || !strings.Contains(faults[0], c.want) {
-			t.Errorf("%s: %q, wanted %q", name, faults, c.want)
-		}
-		if len(c.jobs) < 2 && len(faults) > 1 {
-			t.Errorf("%s: %q, wanted one fault", name, faults)
-		}
-	}
+	})
 }
--- a/internal/testserver/check/checker.go
+++ b/internal/testserver/check/checker.go
@@ -8,27 +8,27 @@
 
 // checker holds what the endpoints told, and the breaches found so far. Each rule is a method.
 type checker struct {
-	drains   []Drain
-	writes   map[string][]Run       // of each job: its runs
-	led      map[endpointJob]bool   // whether an endpoint was the primary when it ran a job
-	received map[string]bool        // the jobs that an endpoint received completely
-	stops    []time.Time            // of all endpoints
-	yields   map[string][]time.Time // of each endpoint
-	seen     map[string]bool        // the jobs checked so far
-	faults   []string
-	late     []string // breaches that count only when they are many
+	drains    []Drain
+	writes    map[string][]Run       // of each job: its runs
+	led       map[endpointJob]bool   // whether an endpoint was the primary when it ran a job
+	received  map[string]bool        // the jobs that an endpoint received completely
+	stops     []time.Time            // of all endpoints
+	demotions map[string][]time.Time // of each endpoint
+	seen      map[string]bool        // the jobs checked so far
+	faults    []string
+	late      []string // breaches that count only when they are many
 }
 
 type endpointJob struct{ endpoint, job string }
 
 func newChecker(drains []Drain) *checker {
 	return &checker{
-		drains:   drains,
-		writes:   map[string][]Run{},
-		led:      map[endpointJob]bool{},
-		received: map[string]bool{},
-		yields:   map[string][]time.Time{},
-		seen:     map[string]bool{},
+		drains:    drains,
+		writes:    map[string][]Run{},
+		led:       map[endpointJob]bool{},
+		received:  map[string]bool{},
+		demotions: map[string][]time.Time{},
+		seen:      map[string]bool{},
 	}
 }
 
@@ -39,7 +39,7 @@
 // addLog takes what one endpoint tells, and checks that it ran no write while it was draining.
 func (c *checker) addLog(log Log) {
 	c.stops = append(c.stops, log.Stops...)
-	c.yields[log.Member] = append(c.yields[log.Member], log.Yields...)
+	c.demotions[log.Member] = append(c.demotions[log.Member], log.Demotions...)
 	for _, received := range log.Whole {
 		c.received[received.ID] = true
 	}
@@ -111,7 +111,7 @@
 	if job.Code != "" || job.Left {
 		return
 	}
-	if !c.led[endpointJob{job.Value, job.ID}] && !c.yieldedDuring(job) {
+	if !c.led[endpointJob{job.Value, job.ID}] && !c.demotedDuring(job) {
 		c.fault("%s was answered by %s, which did not lead", job.ID, job.Value)
 	}
 }
@@ -186,10 +186,10 @@
 	return slices.ContainsFunc(c.stops, job.openAt)
 }
 
-// yieldedDuring says whether the endpoint that answered ceased to be the primary while the read was open. The platform
+// demotedDuring says whether the endpoint that answered ceased to be the primary while the read was open. The platform
 // excuses what was sent to it before an answer told so.
-func (c *checker) yieldedDuring(job Job) bool {
-	return slices.ContainsFunc(c.yields[job.Value], job.openAt)
+func (c *checker) demotedDuring(job Job) bool {
+	return slices.ContainsFunc(c.demotions[job.Value], job.openAt)
 }
 
 // openAt says whether the job was sent before that moment and answered after it.
--- a/internal/testserver/collector/certs.go
+++ b/internal/testserver/collector/certs.go
@@ -13,52 +13,70 @@
 	"time"
 )
 
-// Authority vouches for certificates of a test or a rehearsal; it lives in memory alone.
+const (
+	// clockSkew is how far the clock of a peer may be behind.
+	clockSkew         = time.Hour
+	authorityLifetime = 24 * time.Hour
+)
+
+// Authority signs the certificates of a test; it lives in memory alone.
 type Authority struct {
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	Pool *x509.CertPool
-	PEM  []byte
-	next int64
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	Pool       *x509.CertPool
+	PEM        []byte
+	nextSerial int64
 }
 
-// NewAuthority makes one.
+// NewAuthority makes an authority with a key of its own.
 func NewAuthority() (*Authority, error) {
 	a := &Authority{Pool: x509.NewCertPool()}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in authority"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: "stand-in authority"},
+		NotBefore:             time.Now().Add(-clockSkew),
+		NotAfter:              time.Now().Add(authorityLifetime),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
 	}
-	if a.cert, err = x509.ParseCertificate(der); err != nil {
+	a.cert, err = x509.ParseCertificate(der)
+	if err != nil {
 		return nil, err
 	}
-	a.key, a.next = key, 2
+	a.key = key
+	a.nextSerial = 2
 	a.Pool.AddCert(a.cert)
 	a.PEM = pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 	return a, nil
 }
 
-// Issue makes a certificate for 127.0.0.1 and a name, as PEM and ready for use, good until then.
+// Issue makes a certificate for 127.0.0.1 and a name, valid until that time, as PEM and ready for use.
 func (a *Authority) Issue(name string, until time.Time) (cert tls.Certificate, certPEM, keyPEM []byte, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return cert, nil, nil, err
 	}
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: until,
-		DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(a.nextSerial),
+		Subject:      pkix.Name{CommonName: name},
+		NotBefore:    time.Now().Add(-clockSkew),
+		NotAfter:     until,
+		DNSNames:     []string{name},
+		IPAddresses:  []net.IP{net.IPv4(127, 0, 0, 1)},
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	a.next++
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
+	a.nextSerial++
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return cert, nil, nil, err
 	}
--- /dev/null
+++ b/internal/testserver/session.go
@@ -0,0 +1,270 @@
+package testserver
+
+import (
+	"encoding/binary"
+	"net"
+	"strconv"
+	"time"
+
+	"limeladder/internal/pgwire"
+	"limeladder/internal/requestcomment"
+)
+
+const (
+	maxMessage = 1 << 20
+	maxStartup = 1 << 16
+	// segmentPause is long enough for the peer to read the answer before what is sent behind it.
+	segmentPause = 2 * time.Millisecond
+
+	writeClass      = "job"
+	healthCheckText = "SHOW stats"
+)
+
+// Row descriptions of the two kinds of answers.
+var (
+	dataColumn  = []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
+	statsColumn = []byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
+)
+
+// session is one connection of an endpoint.
+type session struct {
+	db       *DB
+	conn     net.Conn
+	sql      string // of the last Query or Parse
+	response []byte // what is not yet sent
+	failed   bool   // an error was answered; messages are skipped up to the next Sync
+	truncate int    // bytes of the next response after which the connection ends, 0 = it is sent completely
+}
+
+// statement is a message with what is known of the statement it belongs to.
+type statement struct {
+	message    pgwire.Message
+	head       requestcomment.Head
+	commentErr error
+	act        Act
+	primary    bool
+}
+
+// runs says whether the message makes the statement run.
+func (s *statement) runs() bool { return s.message.Type == 'Q' || s.message.Type == 'E' }
+
+func (d *DB) serve(conn net.Conn) {
+	defer d.remove(conn)
+	s := &session{db: d, conn: conn}
+	reader := pgwire.NewReader(maxMessage, maxStartup)
+	buf := make([]byte, readBufferSize)
+	for {
+		n, err := conn.Read(buf)
+		if err != nil {
+			return
+		}
+		d.blockWhileHung()
+		reader.Feed(buf[:n])
+		if !s.handleAll(reader) {
+			return
+		}
+	}
+}
+
+// handleAll handles the messages that have come, and says whether the connection goes on.
+func (s *session) handleAll(reader *pgwire.Reader) bool {
+	for {
+		m, ok, err := reader.Next()
+		if err != nil {
+			return false
+		}
+		if !ok {
+			return true
+		}
+		if m.Type == 0 {
+			reader.Started()
+		}
+		if !s.handle(m) {
+			return false
+		}
+	}
+}
+
+// handle handles one message, and says whether the connection goes on.
+func (s *session) handle(m pgwire.Message) bool {
+	switch m.Type {
+	case 'Q':
+		s.sql, _ = pgwire.Query(m.Body)
+	case 'P':
+		parse, _ := pgwire.Parse(m.Body)
+		s.sql = parse.Query
+	case 'X':
+		return false
+	}
+	st := &statement{message: m}
+	st.head, st.commentErr = requestcomment.Parse(s.sql)
+	st.act = s.db.decide(m.Type, st.head.ID)
+	time.Sleep(st.act.Delay)
+	s.truncate = max(s.truncate, st.act.Cut)
+	if st.act.Break {
+		return false
+	}
+	if st.act.Silent {
+		select {}
+	}
+	var working bool
+	st.primary, working = s.db.state(s.conn)
+	if !working {
+		if st.runs() {
+			s.db.noteReceived(st.head.ID)
+		}
+		return true
+	}
+	return s.respond(st)
+}
+
+// respond answers a message, and says whether the connection goes on.
+func (s *session) respond(st *statement) bool {
+	switch {
+	case st.message.Type == 0:
+		s.response = pgwire.AppendWelcome(s.response)
+	case st.message.Type == 'S':
+		s.ready(st.primary)
+	case st.message.Type == 'Q' && s.sql == healthCheckText:
+		s.answerHealthCheck(st.primary)
+	default:
+		stopped, closed := s.answer(st)
+		if stopped {
+			return true
+		}
+		if closed {
+			return false
+		}
+		if st.message.Type == 'Q' {
+			s.ready(st.primary)
+		}
+	}
+	switch st.message.Type {
+	case 0, 'S', 'Q', 'H':
+		return s.flush(st.act)
+	default:
+		return true
+	}
+}
+
+// answer runs the statement where its message says so, and appends the answer. stopped says that the endpoint was
+// stopped before the run, so that nothing is answered; closed says that a fatal error has ended the connection.
+func (s *session) answer(st *statement) (stopped, closed bool) {
+	if s.failed {
+		return false, false
+	}
+	code, ok := s.execute(st)
+	if !ok {
+		return true, false
+	}
+	if code == "" {
+		s.appendResult(st.message)
+		return false, false
+	}
+	failure := pgwire.Error{Code: code, Message: "told to", Fatal: st.act.Fatal}
+	s.response = pgwire.AppendError(s.response, failure)
+	s.failed = true
+	if st.act.Fatal {
+		_, _ = s.conn.Write(s.response) // the connection ends here, whether or not its peer is still there
+		return false, true
+	}
+	return false, false
+}
+
+// execute runs the statement where its message says so, and returns the SQLSTATE of a failure. ok is false where the
+// endpoint was stopped before the run.
+func (s *session) execute(st *statement) (code string, ok bool) {
+	if !st.runs() || st.act.Code != "" {
+		return st.act.Code, true
+	}
+	s.db.noteReceived(st.head.ID)
+	write := st.head.Class == writeClass
+	switch {
+	case st.commentErr != nil:
+		return pgwire.ProtocolViolation, true
+	case write && !st.primary:
+		return pgwire.ReadOnly, true
+	default:
+		return "", s.db.run(s.conn, st.head.ID, write, st.primary)
+	}
+}
+
+// appendResult appends what answers a message that did not fail.
+func (s *session) appendResult(m pgwire.Message) {
+	switch m.Type {
+	case 'P':
+		s.response = pgwire.Append(s.response, '1')
+	case 'B':
+		s.response = pgwire.Append(s.response, '2')
+	case 'D':
+		if m.Body[0] == 'S' {
+			s.response = pgwire.Append(s.response, 't', []byte{0, 0})
+		}
+		s.response = pgwire.Append(s.response, 'T', dataColumn)
+	case 'Q':
+		s.response = pgwire.Append(s.response, 'T', dataColumn)
+		s.appendRow("SELECT 1", s.db.value())
+	case 'E':
+		s.appendRow("SELECT 1", s.db.value())
+	}
+}
+
+// answerHealthCheck answers the router's health check: position, role and load.
+func (s *session) answerHealthCheck(primary bool) {
+	position := float64(s.db.position(primary).UnixMilli()) / 1000
+	role := "0"
+	if primary {
+		role = "1"
+	}
+	s.response = pgwire.Append(s.response, 'T', statsColumn)
+	s.appendRow("SHOW", "x0="+strconv.FormatFloat(position, 'f', 3, 64)+",x1="+role+",util=0.5")
+	s.appendReady(primary)
+}
+
+func (s *session) appendRow(tag, value string) {
+	header := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
+	s.response = pgwire.Append(s.response, 'D', header, []byte(value))
+	s.response = pgwire.Append(s.response, 'C', append([]byte(tag), 0))
+}
+
+// ready ends the answer of a statement; a failure is over with it.
+func (s *session) ready(primary bool) {
+	s.appendReady(primary)
+	s.failed = false
+}
+
+// appendReady appends ReadyForQuery, with role and position in front of it.
+func (s *session) appendReady(primary bool) {
+	mode := "read-only"
+	if primary {
+		mode = "read-write"
+	}
+	position := strconv.FormatInt(s.db.position(primary).UnixMilli(), 10)
+	s.response = pgwire.AppendPair(s.response, "mode", mode)
+	s.response = pgwire.AppendPair(s.response, "wal_time", position)
+	s.response = pgwire.AppendReady(s.response)
+}
+
+// flush sends the response as act says, and says whether the connection goes on.
+func (s *session) flush(act Act) bool {
+	if s.truncate > 0 {
+		// The connection ends here, whether or not its peer is still there.
+		_, _ = s.conn.Write(s.response[:min(s.truncate, len(s.response))])
+		return false
+	}
+	if act.Spoil != nil {
+		s.response = act.Spoil(s.response)
+	}
+	if _, err := s.conn.Write(s.response); err != nil {
+		return false
+	}
+	if act.Leave {
+		return false
+	}
+	if act.Behind != nil {
+		time.Sleep(max(act.Pause, segmentPause))
+		_, _ = s.conn.Write(act.Behind) // its peer may end at the answer, which the next read shows
+	}
+	s.response = nil
+	return true
+}
