--- a/internal/testserver/server_test.go
+++ b/internal/testserver/server_test.go
@@ -8,8 +8,9 @@
 	"limeladder/internal/pgwire"
 )
 
-// What its peer writes to a db machine that has ended never runs and is noted as come: the peer had not seen the end.
-func TestWhatComesToAnEndedMachineIsNotedAndNeverRuns(t *testing.T) {
+// What its peer writes to an endpoint that has stopped never runs and is noted as received: the peer had not seen the
+// end.
+func TestMessagesToAStoppedEndpointAreNotedAndNeverRun(t *testing.T) {
 	d := NewDB(t, true, nil)
 	c := Dial(t, d.Addr)
 	c.Send(pgwire.AppendQuery(nil, "/* id=before,c=job,d=1000,cluster=7 */ SELECT 1"))
