--- a/internal/simulation/multiprocess/check/check.go
+++ b/internal/simulation/multiprocess/check/check.go
@@ -1,227 +1,87 @@
-// Package check judges a history against the rules. It is apart from what drives a rig and what records it: it sees nothing but
-// entries, and each check is a function of them. Later checks (of leases, of work that is taken over) are further functions.
+// Package check judges the history of a multi-process test against the router's rules.
+//
+// Each rule is a Check, a function of the recorded entries. The package owns the rules and nothing else: it never
+// drives a test, never knows of a process and keeps no state between two calls. Its functions run on the caller's
+// goroutine. A new rule is a further function in All.
 package check
 
 import (
 	"fmt"
-	"math"
 	"time"
 
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// Rules are the figures of the contract, and what the rig can't tell more finely than.
-type Rules struct {
-	Grace     time.Duration // sends to a machine must have ended so long after a router was told that it leaves
-	Late      time.Duration // an answer may come so much later than its time
-	Unarrived time.Duration // what could not arrive counts as told after this
+// The rules as a Violation names them.
+const (
+	ruleAnswered          = "answered" // a request gets one answer and nothing after it
+	ruleLost              = "lost"     // a request gets an answer at all
+	ruleLate              = "late"     // a request gets its answer within its timeout
+	ruleWriteExecutedOnce = "twice"
+	ruleOneCopyInFlight   = "copies"
+	ruleDraining          = "drain"
+	ruleWarmingUp         = "cold"
+	ruleStaleness         = "stale"
+)
+
+// Limits are the times of the contract that the rules allow, with what the test itself can't measure more exactly.
+type Limits struct {
+	DrainGrace          time.Duration // how long a router may send to an endpoint after it was notified that it drains
+	LateTolerance       time.Duration // how long after its timeout an answer may come
+	NotificationTimeout time.Duration // a notification that an impaired link may hold back counts as made after this
 }
 
-// Broken is a rule that was broken, by which entry.
-type Broken struct {
+// Violation is one breach of a rule.
+type Violation struct {
 	Rule string
-	At   time.Duration
+	Time time.Duration // of the entry that breaks the rule
 	Text string
 }
 
-func (b Broken) String() string {
-	return fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Text)
+// String returns the violation in one line.
+func (violation Violation) String() string {
+	return fmt.Sprintf("%s at %.3f s: %s", violation.Rule, violation.Time.Seconds(), violation.Text)
 }
 
-// Check is one rule.
-type Check func(r Rules, all []history.Entry) []Broken
+// Check returns the violations of one rule in a complete history.
+type Check func(limits Limits, entries []history.Entry) []Violation
 
 // All are the rules of the contract.
-var All = []Check{Answers, Twice, Copies, Drains, Cold, Stale}
-
-// Run applies checks, in their order.
-func Run(r Rules, all []history.Entry, checks ...Check) (out []Broken) {
-	for _, c := range checks {
-		out = append(out, c(r, all)...)
-	}
-	return out
-}
-
-// life is one start of a router.
-type life struct {
-	router string
-	number int
-}
-
-// Answers checks that each request that a router has taken is answered once and in time, unless that router was ended,
-// frozen or cut off from its client meanwhile.
-func Answers(r Rules, all []history.Entry) (out []Broken) {
-	type open struct {
-		at time.Duration
-		a  history.RequestSent
-	}
-	asked, came := map[string]open{}, map[string]bool{}
-	type span struct{ from, to time.Duration }
-	troubled := map[life][]span{} // while something was done to it
-	for _, e := range all {
-		if p, ok := e.Fact.(history.ProcessEvent); ok && !p.Ready {
-			k, to := life{p.Router, p.Incarnation}, time.Duration(math.MaxInt64)
-			if p.Duration > 0 {
-				to = e.Time + p.Duration + r.Late
-			}
-			troubled[k] = append(troubled[k], span{e.Time, to})
-		}
-	}
-	for _, e := range all {
-		switch f := e.Fact.(type) {
-		case history.RequestSent:
-			asked[f.ID] = open{e.Time, f}
-		case history.StatementArrived:
-			came[f.ID] = true
-		case history.RequestEnded:
-			q, ok := asked[f.ID]
-			if !ok {
-				out = append(out, Broken{"answered", e.Time, fmt.Sprintf("request %s is answered and was not asked, or is answered again", f.ID)})
-				continue
-			}
-			delete(asked, f.ID)
-			if f.ExtraMessages > 0 {
-				out = append(out, Broken{"answered", e.Time, fmt.Sprintf("request %s gets %d messages behind its answer", f.ID, f.ExtraMessages)})
-			}
-			excused := false
-			for _, x := range troubled[life{q.a.Router, q.a.Incarnation}] {
-				excused = excused || x.from <= e.Time && q.at <= x.to
-			}
-			switch {
-			case f.Outcome == history.ClosedByPeer && came[f.ID] && !excused:
-				out = append(out, Broken{"lost", e.Time, fmt.Sprintf("request %s was sent on by %s.%d, which then closed without an answer", f.ID, q.a.Router, q.a.Incarnation)})
-			case f.Outcome == history.ClosedByPeer, excused:
-			case f.Outcome == history.Disconnected || f.Outcome == history.Unanswered:
-				out = append(out, Broken{"lost", e.Time, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v", f.ID, q.a.Class, q.a.Router, q.a.Incarnation, f.Outcome, e.Time-q.at)})
-			case e.Time-q.at > q.a.Timeout+r.Late:
-				out = append(out, Broken{"late", e.Time, fmt.Sprintf("request %s (%s) at %s.%d is %v after %v of %v", f.ID, q.a.Class, q.a.Router, q.a.Incarnation, f.Outcome, e.Time-q.at, q.a.Timeout)})
-			}
-		}
-	}
-	for id, q := range asked {
-		out = append(out, Broken{"lost", q.at, fmt.Sprintf("request %s has no end", id)})
-	}
-	return out
+var All = []Check{
+	RequestEnds,
+	WritesExecutedOnce,
+	OneCopyInFlight,
+	DrainingEndpoints,
+	WarmingUpEndpoints,
+	Staleness,
 }
 
-// Twice checks that no write runs twice.
-func Twice(_ Rules, all []history.Entry) (out []Broken) {
-	writes, ran := map[string]bool{}, map[string]string{}
-	for _, e := range all {
-		switch f := e.Fact.(type) {
-		case history.StatementArrived:
-			if f.IsWrite {
-				writes[f.ID] = true
-			}
-		case history.StatementExecuted:
-			if !f.Served || !writes[f.ID] {
-				continue
-			}
-			if first := ran[f.ID]; first != "" {
-				out = append(out, Broken{"twice", e.Time, fmt.Sprintf("write %s has run at %s and at %s", f.ID, first, f.Endpoint)})
-			}
-			ran[f.ID] = f.Endpoint
-		}
+// Run applies checks in their order and returns all violations.
+func Run(limits Limits, entries []history.Entry, checks ...Check) []Violation {
+	var violations []Violation
+	for _, check := range checks {
+		violations = append(violations, check(limits, entries)...)
 	}
-	return out
+	return violations
 }
 
-// seen is how much later than it happened the rig may note that a router has given up a connection.
-const seen = 100 * time.Millisecond
-
-// Copies checks that no statement comes to a machine while an earlier copy is out at one, on a connection that its router
-// has not given up.
-func Copies(_ Rules, all []history.Entry) (out []Broken) {
-	at, given := map[string]history.StatementArrived{}, map[string]time.Duration{}
-	for _, e := range all {
-		if f, ok := e.Fact.(history.ConnectionAbandoned); ok {
-			given[f.Connection] = e.Time
-		}
-	}
-	for _, e := range all {
-		switch f := e.Fact.(type) {
-		case history.StatementArrived:
-			o, is := at[f.ID]
-			if up, gave := given[o.Connection]; is && (!gave || up > e.Time+seen) {
-				out = append(out, Broken{"copies", e.Time, fmt.Sprintf("%s comes to %s while it is out at %s", f.ID, f.Endpoint, o.Endpoint)})
-			}
-			at[f.ID] = f
-		case history.StatementExecuted:
-			if at[f.ID].Endpoint == f.Endpoint {
-				delete(at, f.ID)
-			}
-		}
-	}
-	return out
+// violationf returns a violation whose text is formatted.
+func violationf(rule string, at time.Duration, format string, args ...any) Violation {
+	return Violation{Rule: rule, Time: at, Text: fmt.Sprintf(format, args...)}
 }
 
-// Drains checks that nothing is sent to a machine later than the grace after the router was told that it drains or is
-// gone. A statement that the relay has held was sent when it entered it.
-func Drains(r Rules, all []history.Entry) (out []Broken) {
-	type seat struct {
-		life
-		member string
-	}
-	leaves := map[seat]time.Duration{}
-	for _, e := range all {
-		switch f := e.Fact.(type) {
-		case history.EndpointStateNotified:
-			k := seat{life{f.Router, f.Incarnation}, f.Endpoint}
-			if f.State == "ready" {
-				delete(leaves, k)
-				continue
-			}
-			at := e.Time
-			if f.LinkImpaired {
-				at += r.Unarrived
-			}
-			if was, is := leaves[k]; !is || at < was {
-				leaves[k] = at
-			}
-		case history.StatementArrived:
-			at, is := leaves[seat{life{f.Router, f.Incarnation}, f.Endpoint}]
-			if sent := e.Time - f.TransitTime; is && sent > at+r.Grace {
-				out = append(out, Broken{"drain", e.Time, fmt.Sprintf("%s.%d sends %s to %s %v after it was told that it leaves", f.Router, f.Incarnation, f.ID, f.Endpoint, sent-at)})
-			}
-		}
-	}
-	return out
+// routerIncarnation is one start of a router.
+type routerIncarnation struct {
+	router      string
+	incarnation int
 }
 
-// Cold checks that no cold machine is pushed over, by all routers together.
-func Cold(_ Rules, all []history.Entry) (out []Broken) {
-	for _, e := range all {
-		if f, ok := e.Fact.(history.EndpointOverloaded); ok {
-			out = append(out, Broken{"cold", e.Time, f.String()})
-		}
-	}
-	return out
+// routerEndpoint is an endpoint as one start of a router knows it.
+type routerEndpoint struct {
+	routerIncarnation
+	endpoint string
 }
 
-// Stale checks that no read is answered from before what it has to see. A machine that leads or led is excused until an
-// answer has told that router that it is a replica.
-func Stale(_ Rules, all []history.Entry) (out []Broken) {
-	type seat struct {
-		life
-		member string
-	}
-	replica, came := map[seat]bool{}, map[string]history.StatementArrived{}
-	excused := map[string]bool{}
-	for _, e := range all {
-		switch f := e.Fact.(type) {
-		case history.StatementArrived:
-			came[f.ID+f.Endpoint] = f
-			excused[f.ID+f.Endpoint] = f.WasPrimary && !replica[seat{life{f.Router, f.Incarnation}, f.Endpoint}]
-		case history.StatementExecuted:
-			k := f.ID + f.Endpoint
-			if c, ok := came[k]; ok && f.Served && !c.IsWrite && c.MinPosition > f.Position && !excused[k] {
-				out = append(out, Broken{"stale", e.Time, fmt.Sprintf("%s is answered by %s from %v before what it has to see", f.ID, f.Endpoint, c.MinPosition-f.Position)})
-			}
-			delete(came, k)
-			if !f.Disconnected {
-				replica[seat{life{f.Router, f.Incarnation}, f.Endpoint}] = !f.IsPrimary
-			}
-		}
-	}
-	return out
+func endpointOf(router string, incarnation int, endpoint string) routerEndpoint {
+	return routerEndpoint{routerIncarnation{router, incarnation}, endpoint}
 }
--- a/internal/simulation/multiprocess/check/check_test.go
+++ b/internal/simulation/multiprocess/check/check_test.go
@@ -4,96 +4,248 @@
 	"testing"
 	"time"
 
-	h "limeladder/internal/simulation/multiprocess/history"
+	"limeladder/internal/simulation/multiprocess/history"
 )
 
 const ms = time.Millisecond
 
-var rules = Rules{Grace: 500 * ms, Late: 50 * ms, Unarrived: 6 * time.Second}
+var testLimits = Limits{DrainGrace: 500 * ms, LateTolerance: 50 * ms, NotificationTimeout: 6 * time.Second}
 
-// at puts facts on the clock, some milliseconds each.
-func at(pairs ...any) (out []h.Entry) {
-	for i := 0; i < len(pairs); i += 2 {
-		out = append(out, h.Entry{Time: time.Duration(pairs[i].(int)) * ms, Fact: pairs[i+1].(h.Fact)})
+// The facts that most cases are made of: a request and its statement, from the first start of router r1 to endpoint
+// db1.
+var (
+	requestSent = history.RequestSent{
+		ID: "q", Class: "view", Site: "n", Router: "r1", Incarnation: 1, Timeout: 100 * ms,
+	}
+	readArrived = history.StatementArrived{
+		ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Connection: "c1",
+	}
+	writeArrived = history.StatementArrived{
+		ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Connection: "c1", IsWrite: true,
 	}
-	return out
+	executed = history.StatementExecuted{
+		ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Served: true,
+	}
+)
+
+// event is a fact and its time in milliseconds.
+type event struct {
+	milliseconds int
+	fact         history.Fact
 }
 
-var (
-	asked = h.RequestSent{ID: "q", Class: "view", Site: "n", Router: "r1", Incarnation: 1, Timeout: 100 * ms}
-	came  = h.StatementArrived{ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Connection: "c1"}
-	write = h.StatementArrived{ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Connection: "c1", IsWrite: true}
-	ran   = h.StatementExecuted{ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", Served: true}
-	drain = h.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: "draining"}
-)
+func answered(outcome history.Outcome) history.RequestEnded {
+	return history.RequestEnded{ID: "q", Outcome: outcome}
+}
+
+// killed says that a start of a router was killed.
+func killed(router string, incarnation int) history.ProcessEvent {
+	return history.ProcessEvent{Router: router, Incarnation: incarnation, Event: "is killed"}
+}
+
+// frozen says that the first start of r1 was frozen for 100 ms.
+func frozen() history.ProcessEvent {
+	return history.ProcessEvent{Router: "r1", Incarnation: 1, Event: "is stopped", Duration: 100 * ms}
+}
+
+// onSecondEndpoint returns the same statement at another endpoint, on another connection.
+func onSecondEndpoint(statement history.StatementArrived) history.StatementArrived {
+	statement.Endpoint = "db2"
+	statement.Connection = "c2"
+	return statement
+}
+
+func executedOnSecondEndpoint() history.StatementExecuted {
+	statement := executed
+	statement.Endpoint = "db2"
+	return statement
+}
+
+func readArrivedFrom(router string, incarnation int) history.StatementArrived {
+	return history.StatementArrived{ID: "q", Router: router, Incarnation: incarnation, Endpoint: "db1"}
+}
+
+func notified(state string) history.EndpointStateNotified {
+	return history.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: state}
+}
+
+func notifiedOverImpairedLink(state string) history.EndpointStateNotified {
+	fact := notified(state)
+	fact.LinkImpaired = true
+	return fact
+}
+
+func abandoned(connection string) history.ConnectionAbandoned {
+	return history.ConnectionAbandoned{Connection: connection}
+}
 
-func elsewhere(c h.StatementArrived) h.StatementArrived { c.Endpoint, c.Connection = "db2", "c2"; return c }
-func ranAt(member string) h.StatementExecuted {
-	r := ran
-	r.Endpoint = member
-	return r
-}
-
-// Each rule is seen to be broken by the least that breaks it, and not by what comes close to it.
-func TestRules(t *testing.T) {
-	for name, c := range map[string]struct {
-		rule string // "" = none is broken
-		all  []h.Entry
-	}{
-		"served":                      {"", at(0, asked, 99, h.RequestEnded{ID: "q"})},
-		"just in time":                {"", at(0, asked, 150, h.RequestEnded{ID: "q", Outcome: h.Rejected})},
-		"too late":                    {"late", at(0, asked, 151, h.RequestEnded{ID: "q", Outcome: h.Rejected})},
-		"never":                       {"lost", at(0, asked, 5000, h.RequestEnded{ID: "q", Outcome: h.Unanswered})},
-		"no end at all":               {"lost", at(0, asked)},
-		"broken off":                  {"lost", at(0, asked, 9, h.RequestEnded{ID: "q", Outcome: h.Disconnected})},
-		"twice":                       {"answered", at(0, asked, 9, h.RequestEnded{ID: "q"}, 10, h.RequestEnded{ID: "q"})},
-		"more behind":                 {"answered", at(0, asked, 9, h.RequestEnded{ID: "q", ExtraMessages: 5})},
-		"killed":                      {"", at(0, asked, 5, h.ProcessEvent{Router: "r1", Incarnation: 1, Event: "is killed"}, 9, h.RequestEnded{ID: "q", Outcome: h.Disconnected})},
-		"another was killed":          {"lost", at(0, asked, 5, h.ProcessEvent{Router: "r2", Incarnation: 1, Event: "is killed"}, 9, h.RequestEnded{ID: "q", Outcome: h.Disconnected})},
-		"killed before":               {"lost", at(0, h.ProcessEvent{Router: "r1", Incarnation: 0, Event: "is killed"}, 1, asked, 9, h.RequestEnded{ID: "q", Outcome: h.Disconnected})},
-		"frozen long before":          {"late", at(0, h.ProcessEvent{Router: "r1", Incarnation: 1, Event: "is stopped", Duration: 100 * ms}, 500, asked, 700, h.RequestEnded{ID: "q"})},
-		"frozen meanwhile":            {"", at(0, asked, 50, h.ProcessEvent{Router: "r1", Incarnation: 1, Event: "is stopped", Duration: 100 * ms}, 700, h.RequestEnded{ID: "q"})},
-		"being ready is no excuse":    {"late", at(0, h.ProcessEvent{Router: "r1", Incarnation: 1, Ready: true}, 1, asked, 700, h.RequestEnded{ID: "q"})},
-		"crossed":                     {"", at(0, asked, 9, h.RequestEnded{ID: "q", Outcome: h.ClosedByPeer})},
-		"crossed though it was taken": {"lost", at(0, asked, 5, came, 9, h.RequestEnded{ID: "q", Outcome: h.ClosedByPeer}, 10, ran)},
-
-		"a read runs twice":             {"", at(0, came, 1, ran, 2, came, 3, ran)},
-		"a write runs twice":            {"twice", at(0, write, 1, ran, 2, elsewhere(write), 3, ranAt("db2"))},
-		"a write that did not run":      {"", at(0, write, 1, h.StatementExecuted{ID: "q", Endpoint: "db1"}, 2, elsewhere(write), 3, ranAt("db2"))},
-		"a write that ran and was gone": {"twice", at(0, write, 1, h.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Disconnected: true}, 2, elsewhere(write), 3, ranAt("db2"))},
-
-		"two at once":             {"copies", at(0, came, 5, elsewhere(came), 9, ran, 10, ranAt("db2"))},
-		"one given up":            {"", at(0, came, 4, h.ConnectionAbandoned{Connection: "c1"}, 5, elsewhere(came), 9, ran)},
-		"another given up":        {"copies", at(0, came, 4, h.ConnectionAbandoned{Connection: "c9"}, 5, elsewhere(came), 9, ran)},
-		"given up much later":     {"copies", at(0, came, 5, elsewhere(came), 300, h.ConnectionAbandoned{Connection: "c1"})},
-		"noted a little too late": {"", at(0, came, 5, elsewhere(came), 20, h.ConnectionAbandoned{Connection: "c1"})},
-
-		"within the grace":      {"", at(0, drain, 500, came, 501, ran)},
-		"behind the grace":      {"drain", at(0, drain, 501, came, 502, ran)},
-		"held on its way":       {"", at(0, drain, 700, h.StatementArrived{ID: "q", Router: "r1", Incarnation: 1, Endpoint: "db1", TransitTime: 200 * ms}, 702, ran)},
-		"by one not told":       {"", at(0, drain, 900, h.StatementArrived{ID: "q", Router: "r2", Incarnation: 1, Endpoint: "db1"}, 902, ran)},
-		"by its next life":      {"", at(0, drain, 900, h.StatementArrived{ID: "q", Router: "r1", Incarnation: 2, Endpoint: "db1"}, 902, ran)},
-		"ready again":           {"", at(0, drain, 400, h.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: "ready"}, 900, came, 901, ran)},
-		"told again":            {"drain", at(0, drain, 400, drain, 501, came, 502, ran)},
-		"it could not arrive":   {"", at(0, h.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: "gone", LinkImpaired: true}, 6500, came, 6501, ran)},
-		"it had time to arrive": {"drain", at(0, h.EndpointStateNotified{Router: "r1", Incarnation: 1, Endpoint: "db1", State: "gone", LinkImpaired: true}, 6501, came, 6502, ran)},
-
-		"pushed over": {"cold", at(0, h.EndpointOverloaded{Endpoint: "db1"})},
-
-		"fresh enough":          {"", at(0, h.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100}, 1, h.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Position: 100})},
-		"too old":               {"stale", at(0, h.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100}, 1, h.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Position: 99})},
-		"sent back":             {"", at(0, h.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100}, 1, h.StatementExecuted{ID: "q", Endpoint: "db1", Position: 99})},
-		"one that led":          {"", at(0, h.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100, WasPrimary: true}, 1, h.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Position: 99})},
-		"one that led and said": {"stale", at(0, h.StatementArrived{ID: "p", Endpoint: "db1", WasPrimary: true}, 1, h.StatementExecuted{ID: "p", Endpoint: "db1"}, 2, h.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100, WasPrimary: true}, 3, h.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Position: 99})},
-	} {
-		t.Run(name, func(t *testing.T) {
-			got := Run(rules, c.all, All...)
+// readWithMinPosition has to see position 100.
+func readWithMinPosition(wasPrimary bool) history.StatementArrived {
+	return history.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100, WasPrimary: wasPrimary}
+}
+
+func executedAtPosition(position time.Duration, served bool) history.StatementExecuted {
+	return history.StatementExecuted{ID: "q", Endpoint: "db1", Served: served, Position: position}
+}
+
+// ruleCase is a history that breaks one rule, or comes close to it and breaks none.
+type ruleCase struct {
+	name     string
+	wantRule string // empty when no rule is broken
+	events   []event
+}
+
+// runRuleCases applies all rules to each history and expects exactly the violation of its case.
+func runRuleCases(t *testing.T, cases []ruleCase) {
+	t.Helper()
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			var entries []history.Entry
+			for _, event := range test.events {
+				at := time.Duration(event.milliseconds) * ms
+				entries = append(entries, history.Entry{Time: at, Fact: event.fact})
+			}
+			violations := Run(testLimits, entries, All...)
 			switch {
-			case c.rule == "" && len(got) > 0:
-				t.Fatalf("%v", got)
-			case c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule):
-				t.Fatalf("%v, not one of %s", got, c.rule)
+			case test.wantRule == "" && len(violations) > 0:
+				t.Fatalf("got %v, want no violation", violations)
+			case test.wantRule != "" && (len(violations) != 1 || violations[0].Rule != test.wantRule):
+				t.Fatalf("got %v, want one violation of %q", violations, test.wantRule)
 			}
 		})
 	}
 }
+
+func TestRequestEnds(t *testing.T) {
+	runRuleCases(t, []ruleCase{
+		{"served", "", []event{{0, requestSent}, {99, answered(history.Served)}}},
+		{"just in time", "", []event{{0, requestSent}, {150, answered(history.Rejected)}}},
+		{"too late", "late", []event{{0, requestSent}, {151, answered(history.Rejected)}}},
+		{"unanswered", "lost", []event{{0, requestSent}, {5000, answered(history.Unanswered)}}},
+		{"without an end", "lost", []event{{0, requestSent}}},
+		{"disconnected", "lost", []event{{0, requestSent}, {9, answered(history.Disconnected)}}},
+		{"answered twice", "answered", []event{
+			{0, requestSent}, {9, answered(history.Served)}, {10, answered(history.Served)},
+		}},
+		{"messages after the answer", "answered", []event{
+			{0, requestSent}, {9, history.RequestEnded{ID: "q", ExtraMessages: 5}},
+		}},
+		{"router killed", "", []event{
+			{0, requestSent}, {5, killed("r1", 1)}, {9, answered(history.Disconnected)},
+		}},
+		{"another router killed", "lost", []event{
+			{0, requestSent}, {5, killed("r2", 1)}, {9, answered(history.Disconnected)},
+		}},
+		{"earlier incarnation killed", "lost", []event{
+			{0, killed("r1", 0)}, {1, requestSent}, {9, answered(history.Disconnected)},
+		}},
+		{"router frozen long before", "late", []event{
+			{0, frozen()}, {500, requestSent}, {700, answered(history.Served)},
+		}},
+		{"router frozen meanwhile", "", []event{
+			{0, requestSent}, {50, frozen()}, {700, answered(history.Served)},
+		}},
+		{"a ready router is not excused", "late", []event{
+			{0, history.ProcessEvent{Router: "r1", Incarnation: 1, Ready: true}},
+			{1, requestSent},
+			{700, answered(history.Served)},
+		}},
+		{"connection closed before the request was read", "", []event{
+			{0, requestSent}, {9, answered(history.ClosedByPeer)},
+		}},
+		{"connection closed after the request was forwarded", "lost", []event{
+			{0, requestSent}, {5, readArrived}, {9, answered(history.ClosedByPeer)}, {10, executed},
+		}},
+	})
+}
+
+func TestWritesExecutedOnce(t *testing.T) {
+	notServed := history.StatementExecuted{ID: "q", Endpoint: "db1"}
+	disconnected := history.StatementExecuted{ID: "q", Endpoint: "db1", Served: true, Disconnected: true}
+	runRuleCases(t, []ruleCase{
+		{"a read executed twice", "", []event{{0, readArrived}, {1, executed}, {2, readArrived}, {3, executed}}},
+		{"a write executed twice", "twice", []event{
+			{0, writeArrived}, {1, executed}, {2, onSecondEndpoint(writeArrived)}, {3, executedOnSecondEndpoint()},
+		}},
+		{"a write not executed at first", "", []event{
+			{0, writeArrived}, {1, notServed}, {2, onSecondEndpoint(writeArrived)}, {3, executedOnSecondEndpoint()},
+		}},
+		{"a write executed after its connection ended", "twice", []event{
+			{0, writeArrived}, {1, disconnected}, {2, onSecondEndpoint(writeArrived)}, {3, executedOnSecondEndpoint()},
+		}},
+	})
+}
+
+func TestOneCopyInFlight(t *testing.T) {
+	secondArrived := onSecondEndpoint(readArrived)
+	runRuleCases(t, []ruleCase{
+		{"two copies at once", "copies", []event{
+			{0, readArrived}, {5, secondArrived}, {9, executed}, {10, executedOnSecondEndpoint()},
+		}},
+		{"first connection abandoned", "", []event{
+			{0, readArrived}, {4, abandoned("c1")}, {5, secondArrived}, {9, executed},
+		}},
+		{"another connection abandoned", "copies", []event{
+			{0, readArrived}, {4, abandoned("c9")}, {5, secondArrived}, {9, executed},
+		}},
+		{"first connection abandoned much later", "copies", []event{
+			{0, readArrived}, {5, secondArrived}, {300, abandoned("c1")},
+		}},
+		{"abandonment recorded a little too late", "", []event{
+			{0, readArrived}, {5, secondArrived}, {20, abandoned("c1")},
+		}},
+	})
+}
+
+func TestDrainingEndpoints(t *testing.T) {
+	heldByProxy := readArrivedFrom("r1", 1)
+	heldByProxy.TransitTime = 200 * ms
+	runRuleCases(t, []ruleCase{
+		{"within the grace time", "", []event{{0, notified("draining")}, {500, readArrived}, {501, executed}}},
+		{"after the grace time", "drain", []event{{0, notified("draining")}, {501, readArrived}, {502, executed}}},
+		{"sent in time and held by the proxy", "", []event{
+			{0, notified("draining")}, {700, heldByProxy}, {702, executed},
+		}},
+		{"sent by a router that was not notified", "", []event{
+			{0, notified("draining")}, {900, readArrivedFrom("r2", 1)}, {902, executed},
+		}},
+		{"sent by the next incarnation", "", []event{
+			{0, notified("draining")}, {900, readArrivedFrom("r1", 2)}, {902, executed},
+		}},
+		{"ready again", "", []event{
+			{0, notified("draining")}, {400, notified("ready")}, {900, readArrived}, {901, executed},
+		}},
+		{"notified again", "drain", []event{
+			{0, notified("draining")}, {400, notified("draining")}, {501, readArrived}, {502, executed},
+		}},
+		{"notification could not arrive", "", []event{
+			{0, notifiedOverImpairedLink("gone")}, {6500, readArrived}, {6501, executed},
+		}},
+		{"notification had time to arrive", "drain", []event{
+			{0, notifiedOverImpairedLink("gone")}, {6501, readArrived}, {6502, executed},
+		}},
+	})
+}
+
+func TestWarmingUpEndpoints(t *testing.T) {
+	runRuleCases(t, []ruleCase{
+		{"overloaded while warming up", "cold", []event{{0, history.EndpointOverloaded{Endpoint: "db1"}}}},
+	})
+}
+
+func TestStaleness(t *testing.T) {
+	runRuleCases(t, []ruleCase{
+		{"fresh enough", "", []event{{0, readWithMinPosition(false)}, {1, executedAtPosition(100, true)}}},
+		{"too old", "stale", []event{{0, readWithMinPosition(false)}, {1, executedAtPosition(99, true)}}},
+		{"too old and rejected", "", []event{{0, readWithMinPosition(false)}, {1, executedAtPosition(99, false)}}},
+		{"answered by a former primary", "", []event{
+			{0, readWithMinPosition(true)}, {1, executedAtPosition(99, true)},
+		}},
+		{"answered by a former primary that is known as a replica", "stale", []event{
+			{0, history.StatementArrived{ID: "p", Endpoint: "db1", WasPrimary: true}},
+			{1, history.StatementExecuted{ID: "p", Endpoint: "db1"}},
+			{2, readWithMinPosition(true)},
+			{3, executedAtPosition(99, true)},
+		}},
+	})
+}
--- /dev/null
+++ b/internal/simulation/multiprocess/check/staleness.go
@@ -0,0 +1,60 @@
+package check
+
+import (
+	"limeladder/internal/simulation/multiprocess/history"
+)
+
+// Staleness checks that no read is answered from a replication position before the one that it has to see. An endpoint
+// that is or was the primary is excused until an answer has shown its router that it is a replica.
+func Staleness(_ Limits, entries []history.Entry) []Violation {
+	checker := stalenessChecker{
+		isReplica: map[routerEndpoint]bool{},
+		inFlight:  map[copyKey]inFlightRead{},
+	}
+	for _, entry := range entries {
+		switch fact := entry.Fact.(type) {
+		case history.StatementArrived:
+			checker.statementArrived(fact)
+		case history.StatementExecuted:
+			checker.statementExecuted(fact, entry)
+		}
+	}
+	return checker.violations
+}
+
+// copyKey names the copy of a statement at one endpoint.
+type copyKey struct{ statement, endpoint string }
+
+// inFlightRead is a statement that an endpoint has not ended, and whether the endpoint may be taken for the primary.
+type inFlightRead struct {
+	history.StatementArrived
+	excused bool
+}
+
+// stalenessChecker follows what each router has been shown of the endpoints' roles.
+type stalenessChecker struct {
+	isReplica  map[routerEndpoint]bool
+	inFlight   map[copyKey]inFlightRead
+	violations []Violation
+}
+
+func (checker *stalenessChecker) statementArrived(fact history.StatementArrived) {
+	knownReplica := checker.isReplica[endpointOf(fact.Router, fact.Incarnation, fact.Endpoint)]
+	checker.inFlight[copyKey{fact.ID, fact.Endpoint}] = inFlightRead{fact, fact.WasPrimary && !knownReplica}
+}
+
+func (checker *stalenessChecker) statementExecuted(fact history.StatementExecuted, entry history.Entry) {
+	key := copyKey{fact.ID, fact.Endpoint}
+	statement, arrived := checker.inFlight[key]
+	delete(checker.inFlight, key)
+	isServedRead := arrived && fact.Served && !statement.IsWrite
+	isTooOld := statement.MinPosition > fact.Position
+	if isServedRead && isTooOld && !statement.excused {
+		checker.violations = append(checker.violations, violationf(ruleStaleness, entry.Time,
+			"%s is answered by %s from %v before what it has to see",
+			fact.ID, fact.Endpoint, statement.MinPosition-fact.Position))
+	}
+	if !fact.Disconnected {
+		checker.isReplica[endpointOf(fact.Router, fact.Incarnation, fact.Endpoint)] = !fact.IsPrimary
+	}
+}
--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -51,7 +51,7 @@
 	Worst                       string
 	Tally                       map[string]*fleet.Tally
 	Seconds                     []fleet.Second
-	Broken                      []check.Broken
+	Broken                      []check.Violation
 	History                     []history.Entry
 	Timeline                    string // its file
 }
@@ -261,7 +261,7 @@
 	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.Entries()}
 	res.Whole, res.Window, res.Class, res.Worst = fleet.Score(got.Seconds, got.Tally)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
-	res.Broken = check.Run(check.Rules{Grace: cfg.Grace + 50*time.Millisecond, Late: lateness, Unarrived: 6 * time.Second}, res.History, check.All...)
+	res.Broken = check.Run(check.Limits{DrainGrace: cfg.Grace + 50*time.Millisecond, LateTolerance: lateness, NotificationTimeout: 6 * time.Second}, res.History, check.All...)
 	if len(res.Broken) > 0 {
 		res.Worth = 0
 	}
@@ -456,7 +456,7 @@
 		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
 	}
 	for _, b := range res.Broken {
-		lines = append(lines, history.TimelineEntry{Time: b.At, Origin: "RULE", Text: b.String()})
+		lines = append(lines, history.TimelineEntry{Time: b.Time, Origin: "RULE", Text: b.String()})
 	}
 	logs, err := filepath.Glob(filepath.Join(r.o.Dir, "r*", "log.*"))
 	if err != nil {
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -159,7 +159,7 @@
 	c := small(2, 4, fault(sec, "drain", 0, "db1b", "db2c"))
 	c.Length = 5 * sec
 	res := played(t, c, func(p []byte) []byte { return address.ReplaceAll(p, []byte(`"discovery": "127.0.0.1:1"`)) })
-	if !slices.ContainsFunc(res.Broken, func(b check.Broken) bool { return b.Rule == "drain" }) || res.Worth != 0 {
+	if !slices.ContainsFunc(res.Broken, func(b check.Violation) bool { return b.Rule == "drain" }) || res.Worth != 0 {
 		t.Fatalf("worth %.2f, %v", res.Worth, res.Broken)
 	}
 }
@@ -236,7 +236,7 @@
 			return slices.ContainsFunc(o.Config.Faults, func(f fleet.Fault) bool { return f.At == at })
 		}
 		if has(sec) && has(4*sec) {
-			return &Result{Broken: []check.Broken{{Rule: "drain"}}}, nil
+			return &Result{Broken: []check.Violation{{Rule: "drain"}}}, nil
 		}
 		return &Result{}, nil
 	}
