--- a/internal/simulation/multiprocess/check/check_test.go
+++ b/internal/simulation/multiprocess/check/check_test.go
@@ -127,8 +127,8 @@
 		{"answered twice", "answered", []event{
 			{0, requestSent}, {9, answered(history.Served)}, {10, answered(history.Served)},
 		}},
-		{"messages after the answer", "answered", []event{
-			{0, requestSent}, {9, history.RequestEnded{ID: "q", ExtraMessages: 5}},
+		{"bytes after the answer", "answered", []event{
+			{0, requestSent}, {9, history.RequestEnded{ID: "q", ExtraBytes: 5}},
 		}},
 		{"router killed", "", []event{
 			{0, requestSent}, {5, killed("r1", 1)}, {9, answered(history.Disconnected)},
--- a/internal/simulation/multiprocess/check/request_ends.go
+++ b/internal/simulation/multiprocess/check/request_ends.go
@@ -31,7 +31,7 @@
 }
 
 // outage is a time in which a start of a router can't be expected to answer.
-type outage struct{ from, to time.Duration }
+type outage struct{ start, end time.Duration }
 
 // collectOutages returns the outages of each start of a router.
 func collectOutages(limits Limits, entries []history.Entry) map[routerIncarnation][]outage {
@@ -81,8 +81,8 @@
 		return
 	}
 	delete(checker.open, ended.ID)
-	if ended.ExtraMessages > 0 {
-		checker.report(ruleAnswered, at, "request %s gets %d messages behind its answer", ended.ID, ended.ExtraMessages)
+	if ended.ExtraBytes > 0 {
+		checker.report(ruleAnswered, at, "request %s gets %d messages behind its answer", ended.ID, ended.ExtraBytes)
 	}
 	if !checker.isExcused(request, at) {
 		checker.checkOutcome(request, ended.Outcome, at)
@@ -92,7 +92,7 @@
 // isExcused reports whether an outage of the request's router overlaps the request.
 func (checker *requestChecker) isExcused(request openRequest, endedAt time.Duration) bool {
 	for _, outage := range checker.outages[request.routerIncarnation()] {
-		if outage.from <= endedAt && request.sentAt <= outage.to {
+		if outage.start <= endedAt && request.sentAt <= outage.end {
 			return true
 		}
 	}
--- a/internal/simulation/multiprocess/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -336,7 +336,7 @@
 	if err == nil {
 		a, err = k.until()
 	}
-	out := history.RequestEnded{ID: id, SQLState: a.code, ExtraMessages: k.r.Waiting()}
+	out := history.RequestEnded{ID: id, SQLState: a.code, ExtraBytes: k.r.Waiting()}
 	wait = c.o.Backoff
 	switch {
 	case err == nil && a.code == "":
--- a/internal/simulation/multiprocess/history/fact.go
+++ b/internal/simulation/multiprocess/history/fact.go
@@ -53,11 +53,11 @@
 
 // RequestEnded is the fact that the client knows the outcome of its request.
 type RequestEnded struct {
-	ID            string
-	Outcome       Outcome
-	SQLState      string // of an error
-	Value         string // of a result: the endpoint that executed it first
-	ExtraMessages int    // messages that followed a complete answer
+	ID         string
+	Outcome    Outcome
+	SQLState   string // of an error
+	Value      string // of a result: the endpoint that executed it first
+	ExtraBytes int    // that followed a complete answer
 }
 
 // StatementArrived is the fact that a complete statement has arrived at an endpoint.
