--- a/internal/simulation/multiprocess/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -1,471 +1,131 @@
-// Package clients asks the routers of a rig for work in an open loop, as clients behind the plain front of their site do: the front
-// lets a router in once it answers an empty query, and notices after a while that one has died.
 package clients
 
 import (
-	"errors"
-	"fmt"
 	"math/rand/v2"
-	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"limeladder/balance"
-	"limeladder/internal/pgwire"
-	"limeladder/internal/simulation/emulator"
 	"limeladder/internal/simulation/fleet"
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// Door is a way to one router from one site.
-type Door struct {
-	Router string
-	Addr   string
-	Life   func() int // which start of it runs now
-}
-
-// Options say what is asked for.
-type Options struct {
-	Sites    map[string][]Door // by site; a site's clients use its own routers, those of other sites where it has none that is up
-	Others   map[string][]Door
-	Rate     float64 // requests a second, all sites together
-	Shape    []fleet.Step
-	Classes  []fleet.Class
-	Banks    int
-	Sessions int
-	Retries  int
-	Honour   float64
-	Backoff  time.Duration
-	Notice   time.Duration // until a front has noticed that a router has died
-	Seed     uint64
-}
-
-// Result is what came of it.
-type Result struct {
-	Seconds []fleet.Second
-	Tally   map[string]*fleet.Tally
-}
-
-// Clients asks until it is stopped.
-type Clients struct {
-	o      Options
-	log    *history.Log
-	mu     sync.Mutex
-	rng    *rand.Rand
-	fronts map[string]*front
-	wrote  []time.Duration // by session
-	last   int
-	res    Result
-	open   sync.WaitGroup
-	stop   chan struct{}
-	begin  time.Time
-}
+const (
+	// drawStream is the second word of the seed, which keeps the clients' draws apart from those of other parts.
+	drawStream = 23
 
-// front is what stands before the routers of a site.
-type front struct {
-	doors []*door
-}
+	// minRate bounds the pause between two arrivals where a load shape falls to nothing, in requests per second.
+	minRate = 0.1
+)
 
-type door struct {
-	Door
-	up   bool
-	idle []*conn
-}
+// Options say what the clients send, and to which routers.
+type Options struct {
+	LocalTargets  map[string][]Target // by site: its own routers, which its clients use while one of them is healthy
+	RemoteTargets map[string][]Target // by site: the routers of other sites, used when no local one is healthy
 
-// New returns Clients that ask nothing before Run. The fronts begin to look for routers at once.
-func New(o Options, log *history.Log) *Clients {
-	c := &Clients{
-		o: o, log: log, rng: rand.New(rand.NewPCG(o.Seed, 23)), fronts: map[string]*front{}, wrote: make([]time.Duration, max(1, o.Sessions)),
-		res: Result{Tally: map[string]*fleet.Tally{}}, stop: make(chan struct{}),
-	}
-	for _, k := range o.Classes {
-		c.res.Tally[k.Name] = &fleet.Tally{}
-	}
-	for site, doors := range o.Sites {
-		f := &front{}
-		for _, d := range append(append([]Door{}, doors...), o.Others[site]...) {
-			f.doors = append(f.doors, &door{Door: d})
-		}
-		c.fronts[site] = f
-		for _, d := range f.doors {
-			go c.look(d)
-		}
-	}
-	return c
-}
+	Rate            float64      // requests per second, all sites together
+	RateShape       []fleet.Step // what Rate is multiplied by over time
+	Classes         []fleet.Class
+	ReplicaGroups   int
+	Sessions        int
+	Retries         int
+	RetryAfterShare float64 // the share of requests whose client waits for as long as a rejection asks for
+	Backoff         time.Duration
 
-// look lets a router in once it answers an empty query, and takes it out a while after it no longer does.
-func (c *Clients) look(d *door) {
-	const every = 50 * time.Millisecond
-	var failing time.Time
-	for {
-		k, err := dial(d.Addr, 500*time.Millisecond)
-		if err == nil {
-			k.c.SetDeadline(time.Now().Add(500 * time.Millisecond))
-			_, err = k.c.Write(pgwire.AppendQuery(nil, ""))
-			var a reply
-			if err == nil {
-				if a, err = k.until(); err == nil && (a.code != "" || !a.empty) {
-					err = errors.New("not ready")
-				}
-			}
-			k.c.Close()
-		}
-		c.mu.Lock()
-		switch {
-		case err == nil:
-			d.up, failing = true, time.Time{}
-		case failing.IsZero():
-			failing = time.Now()
-		case time.Since(failing) > c.o.Notice:
-			d.up = false
-		}
-		c.mu.Unlock()
-		select {
-		case <-c.stop:
-			return
-		case <-time.After(every):
-		}
-	}
+	FailureDetectionDelay time.Duration // until a load balancer stops using a router that has died
+	Seed                  uint64
 }
 
-// Up is how many routers the fronts of their own sites let in.
-func (c *Clients) Up() (n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for site, f := range c.fronts {
-		for i, d := range f.doors {
-			if i < len(c.o.Sites[site]) && d.up {
-				n++
-			}
-		}
-	}
-	return n
+// Result holds the statistics of a run.
+type Result struct {
+	Seconds []fleet.Second          // by the second in which a request was due
+	Tally   map[string]*fleet.Tally // by class
 }
 
-// Run asks for so long, waits for all answers and returns what came of it.
-func (c *Clients) Run(length time.Duration) Result {
-	c.begin = time.Now()
-	c.res.Seconds = make([]fleet.Second, int((length+time.Second-1)/time.Second))
-	sites := make([]string, 0, len(c.fronts))
-	for site := range c.fronts {
+// Clients are the clients of all sites. Create them with New.
+type Clients struct {
+	options Options
+	log     *history.Log
+	stopped chan struct{} // closed when the run has ended
+	started time.Time     // of the run
+
+	requests sync.WaitGroup
+
+	mutex           sync.Mutex // guards the fields below, and the state of the targets
+	rng             *rand.Rand
+	loadBalancers   map[string]*loadBalancer // by site
+	sessionPosition []time.Duration          // by session: the replication position of its newest write
+	lastNumber      int                      // of a request
+	result          Result
+}
+
+// New returns clients that send nothing before Run. Their load balancers check the routers' health from now on.
+func New(options Options, log *history.Log) *Clients {
+	clients := &Clients{
+		options:         options,
+		log:             log,
+		stopped:         make(chan struct{}),
+		rng:             rand.New(rand.NewPCG(options.Seed, drawStream)),
+		loadBalancers:   map[string]*loadBalancer{},
+		sessionPosition: make([]time.Duration, max(1, options.Sessions)),
+		result:          Result{Tally: map[string]*fleet.Tally{}},
+	}
+	for _, class := range options.Classes {
+		clients.result.Tally[class.Name] = &fleet.Tally{}
+	}
+	for site, localTargets := range options.LocalTargets {
+		balancer := newLoadBalancer(localTargets, options.RemoteTargets[site])
+		clients.loadBalancers[site] = balancer
+		for _, target := range balancer.all() {
+			go clients.checkHealth(target)
+		}
+	}
+	return clients
+}
+
+// HealthyLocalTargets returns how many routers are in use by the load balancers of their own sites.
+func (clients *Clients) HealthyLocalTargets() int {
+	clients.mutex.Lock()
+	defer clients.mutex.Unlock()
+	count := 0
+	for _, balancer := range clients.loadBalancers {
+		count += len(healthyTargets(balancer.local))
+	}
+	return count
+}
+
+// Run sends requests for a time, waits until all of them have ended and returns their statistics. It may be called
+// once.
+func (clients *Clients) Run(length time.Duration) Result {
+	clients.started = time.Now()
+	clients.result.Seconds = make([]fleet.Second, int((length+time.Second-1)/time.Second))
+	sites := make([]string, 0, len(clients.loadBalancers))
+	for site := range clients.loadBalancers {
 		sites = append(sites, site)
 	}
-	due := c.begin
+	due := clients.started
 	for {
-		rate := c.o.Rate * fleet.Part(c.o.Shape, time.Since(c.begin))
-		c.mu.Lock()
-		due = due.Add(time.Duration(c.rng.ExpFloat64() / max(rate, 0.1) * 1e9))
-		q := c.draw(sites)
-		c.mu.Unlock()
-		if due.Sub(c.begin) >= length {
+		rate := clients.options.Rate * fleet.Part(clients.options.RateShape, time.Since(clients.started))
+		pause, next := clients.drawArrival(rate, sites)
+		due = due.Add(pause)
+		if due.Sub(clients.started) >= length {
 			break
 		}
 		time.Sleep(time.Until(due))
-		q.due = due
-		c.came(q)
-		c.open.Add(1)
-		go c.ask(q)
-	}
-	c.open.Wait()
-	close(c.stop)
-	return c.res
-}
-
-type request struct {
-	class   *fleet.Class
-	site    string
-	session int
-	need    time.Duration
-	honours bool
-	due     time.Time
-	number  int
-	tries   int
-	again   int // sends behind a close that crossed it
-}
-
-func (c *Clients) draw(sites []string) *request {
-	sum := 0.0
-	for _, k := range c.o.Classes {
-		sum += k.Share
-	}
-	x := c.rng.Float64() * sum
-	k := &c.o.Classes[len(c.o.Classes)-1]
-	for i := range c.o.Classes {
-		if x < c.o.Classes[i].Share {
-			k = &c.o.Classes[i]
-			break
-		}
-		x -= c.o.Classes[i].Share
-	}
-	c.last++
-	return &request{
-		class: k, site: sites[c.rng.IntN(len(sites))], session: c.rng.IntN(len(c.wrote)), need: max(time.Microsecond, k.Work.Draw(c.rng)),
-		honours: c.rng.Float64() < c.o.Honour, number: c.last,
-	}
-}
-
-func (c *Clients) second(q *request) *fleet.Second {
-	return &c.res.Seconds[min(len(c.res.Seconds)-1, int(q.due.Sub(c.begin)/time.Second))]
-}
-
-func (c *Clients) came(q *request) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s, t := c.second(q), c.res.Tally[q.class.Name]
-	s.Came++
-	t.Came++
-	s.Could += q.class.PriorityWeight
-	t.Could += q.class.PriorityWeight
-}
-
-// endings as fleet.Endings names them.
-const (
-	served = iota
-	refused
-	failed
-	expired
-	crossed // the request goes once more on another connection
-)
-
-func (c *Clients) ended(q *request, how int) {
-	took := time.Since(q.due)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s, t := c.second(q), c.res.Tally[q.class.Name]
-	if how == served {
-		worth := q.class.PriorityWeight
-		if took > q.class.LatencyObjective {
-			worth *= q.class.LateWeightShare
-			s.Late++
-			t.Late++
-		}
-		if took > q.class.ClientTimeout {
-			worth, how = 0, expired
-		}
-		s.Worth += worth
-		t.Worth += worth
-	}
-	s.Ends[how]++
-	t.Ends[how]++
-}
-
-// ask wants one request over all its tries.
-func (c *Clients) ask(q *request) {
-	defer c.open.Done()
-	for {
-		left := q.class.ClientTimeout - time.Since(q.due)
-		if left < time.Millisecond { // d is told in whole milliseconds
-			c.ended(q, expired)
-			return
-		}
-		q.tries++
-		how, wait := c.try(q, left)
-		if how == served {
-			c.ended(q, served)
-			return
-		}
-		if how == crossed {
-			q.tries--
-			q.again++
-			continue
-		}
-		if how == failed && q.class.Idempotency != balance.Idempotent || q.tries > c.o.Retries || time.Since(q.due)+wait >= q.class.ClientTimeout {
-			c.ended(q, how)
-			return
-		}
-		time.Sleep(wait)
-	}
-}
-
-// pick is a router that the site's front lets clients to: one of its own, else of another site.
-func (c *Clients) pick(site string) *door {
-	f := c.fronts[site]
-	own := len(c.o.Sites[site])
-	var at []*door
-	for i, d := range f.doors {
-		if d.up && i < own {
-			at = append(at, d)
-		}
-	}
-	if len(at) == 0 {
-		for _, d := range f.doors[own:] {
-			if d.up {
-				at = append(at, d)
-			}
-		}
-	}
-	if len(at) == 0 {
-		return nil
-	}
-	return at[c.rng.IntN(len(at))]
-}
-
-// try sends a request once.
-func (c *Clients) try(q *request, left time.Duration) (how int, wait time.Duration) {
-	c.mu.Lock()
-	d := c.pick(q.site)
-	var k *conn
-	if d != nil && len(d.idle) > 0 {
-		k = d.idle[len(d.idle)-1]
-		d.idle = d.idle[:len(d.idle)-1]
-	}
-	after := time.Duration(0)
-	if q.class.Consistency == balance.ConsistencySession {
-		after = c.wrote[q.session]
-	}
-	c.mu.Unlock()
-	if d == nil {
-		return refused, c.o.Backoff
-	}
-	if k == nil {
-		var err error
-		if k, err = dial(d.Addr, min(left, time.Second)); err != nil {
-			return refused, c.o.Backoff // nothing of it was sent
-		}
-	}
-	id := fmt.Sprintf("q%d.%d.%d", q.number, q.tries, q.again)
-	life := d.Life()
-	text := emulator.Statement(id, q.class.Name, left, int64(q.session%c.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
-	k.c.SetDeadline(time.Now().Add(left + time.Second))
-	c.log.Add(history.RequestSent{ID: id, Class: q.class.Name, Site: q.site, Router: d.Router, Incarnation: life, Timeout: left, IsWrite: q.class.Consistency == balance.ConsistencyWrite})
-	_, err := k.c.Write(pgwire.AppendQuery(nil, text))
-	var a reply
-	if err == nil {
-		a, err = k.until()
-	}
-	out := history.RequestEnded{ID: id, SQLState: a.code, ExtraBytes: k.r.Waiting()}
-	wait = c.o.Backoff
-	switch {
-	case err == nil && a.code == "":
-		how, out.Outcome, out.Value = served, history.Served, a.value
-		if _, pos, ok := strings.Cut(a.value, " "); ok && q.class.Consistency == balance.ConsistencyWrite {
-			if ns, e := strconv.ParseInt(pos, 10, 64); e == nil {
-				c.mu.Lock()
-				c.wrote[q.session] = max(c.wrote[q.session], time.Duration(ns))
-				c.mu.Unlock()
-			}
-		}
-	case a.code == pgwire.TooManyConnections || a.code == "57P03":
-		how, out.Outcome = refused, history.Rejected
-		if q.honours {
-			wait = max(wait, a.after)
-		}
-	case a.code != "":
-		how, out.Outcome = failed, history.Failed
-	default:
-		how, out.Outcome = failed, history.Disconnected
-		var netErr net.Error
-		if errors.As(err, &netErr) && netErr.Timeout() {
-			out.Outcome = history.Unanswered
-		}
-		if a.none && errors.Is(err, errEnded) && !k.used.IsZero() {
-			how, out.Outcome, wait = crossed, history.ClosedByPeer, 0
-		}
-	}
-	c.log.Add(out)
-	if err != nil {
-		k.c.Close()
-		if how == crossed { // what else is idle was closed with it
-			c.mu.Lock()
-			for _, o := range d.idle {
-				o.c.Close()
-			}
-			d.idle = nil
-			c.mu.Unlock()
-		}
-		return how, wait
-	}
-	k.used = time.Now()
-	c.mu.Lock()
-	d.idle = append(d.idle, k)
-	c.mu.Unlock()
-	return how, wait
-}
-
-// conn is one connection to a router.
-type conn struct {
-	c    net.Conn
-	r    *pgwire.Reader
-	buf  []byte
-	used time.Time // when it had its last answer, zero = none
-}
-
-// reply is what came up to ReadyForQuery.
-type reply struct {
-	code, value string
-	after       time.Duration
-	empty       bool // it answers an empty query
-	none        bool // nothing of it came
-}
-
-var errEnded = errors.New("the connection has ended")
-
-func dial(addr string, within time.Duration) (*conn, error) {
-	c, err := net.DialTimeout("tcp", addr, within)
-	if err != nil {
-		return nil, err
-	}
-	k := &conn{c: c, r: pgwire.NewReader(8<<20, 0), buf: make([]byte, 4096)}
-	c.SetDeadline(time.Now().Add(within))
-	if _, err = c.Write(pgwire.AppendStartup(nil, "user", "portal", "database", "crm")); err == nil {
-		var a reply
-		if a, err = k.until(); err == nil && a.code != "" {
-			err = errors.New("turned away: " + a.code)
-		}
-	}
-	if err != nil {
-		c.Close()
-		return nil, err
-	}
-	return k, nil
-}
-
-// until reads up to ReadyForQuery, or a fatal error and the connection's end.
-func (k *conn) until() (a reply, err error) {
-	a.none = true
-	for {
-		m, ok, err := k.r.Next()
-		if err != nil {
-			return a, err
-		}
-		if !ok {
-			n, err := k.c.Read(k.buf)
-			if err != nil {
-				var netErr net.Error
-				if timeout := errors.As(err, &netErr) && netErr.Timeout(); !timeout {
-					err = errEnded
-				}
-				return a, err
-			}
-			k.r.Feed(k.buf[:n])
-			continue
-		}
-		a.none = false
-		switch m.Type {
-		case 'E':
-			f, err := pgwire.Fields(m.Body)
-			if err != nil {
-				return a, err
-			}
-			a.code = f['C']
-			if ms, err := strconv.Atoi(f['D']); err == nil {
-				a.after = time.Duration(ms) * time.Millisecond
-			}
-		case 'D':
-			v, err := pgwire.Row(m.Body)
-			if err != nil {
-				return a, err
-			}
-			if len(v) > 0 {
-				a.value = string(v[0])
-			}
-		case 'I':
-			a.empty = true
-		case 'Z':
-			return a, nil
-		}
-	}
+		next.due = due
+		clients.recordArrival(next)
+		clients.requests.Add(1)
+		go clients.runRequest(next)
+	}
+	clients.requests.Wait()
+	close(clients.stopped)
+	return clients.result
+}
+
+// drawArrival draws the pause before the next request, and the request.
+func (clients *Clients) drawArrival(rate float64, sites []string) (time.Duration, *request) {
+	clients.mutex.Lock()
+	defer clients.mutex.Unlock()
+	pauseSeconds := clients.rng.ExpFloat64() / max(rate, minRate)
+	pause := time.Duration(pauseSeconds * 1e9)
+	return pause, clients.drawRequest(sites)
 }
--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -206,8 +206,8 @@
 }
 
 // doors are the ways of each site's clients to the routers of it, and to the others.
-func (r *Rig) doors() (own, others map[string][]clients.Door, err error) {
-	own, others = map[string][]clients.Door{}, map[string][]clients.Door{}
+func (r *Rig) doors() (own, others map[string][]clients.Target, err error) {
+	own, others = map[string][]clients.Target{}, map[string][]clients.Target{}
 	for _, site := range r.o.Config.Zones {
 		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
@@ -215,7 +215,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			d := clients.Door{Router: p.Name, Addr: l.Address, Life: p.Life}
+			d := clients.Target{Router: p.Name, Address: l.Address, Incarnation: p.Life}
 			if p.Site == site {
 				own[site] = append(own[site], d)
 			} else {
@@ -223,7 +223,7 @@
 			}
 		}
 		if own[site] == nil {
-			own[site] = []clients.Door{}
+			own[site] = []clients.Target{}
 		}
 	}
 	return own, others, nil
@@ -237,12 +237,12 @@
 		return nil, err
 	}
 	c := clients.New(clients.Options{
-		Sites: own, Others: others, Rate: cfg.Rate(), Shape: cfg.Shape, Classes: cfg.Classes, Banks: cfg.Banks, Sessions: cfg.Sessions,
-		Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Notice: r.o.Notice, Seed: r.o.Seed,
+		LocalTargets: own, RemoteTargets: others, Rate: cfg.Rate(), RateShape: cfg.Shape, Classes: cfg.Classes, ReplicaGroups: cfg.Banks, Sessions: cfg.Sessions,
+		Retries: cfg.Retries, RetryAfterShare: cfg.Honour, Backoff: cfg.Backoff, FailureDetectionDelay: r.o.Notice, Seed: r.o.Seed,
 	}, r.log)
-	for end := time.Now().Add(30 * time.Second); c.Up() < cfg.Routers; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); c.HealthyLocalTargets() < cfg.Routers; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return nil, fmt.Errorf("%d of %d routers are ready after 30 s; their logs end with %s", c.Up(), cfg.Routers, r.lastWords())
+			return nil, fmt.Errorf("%d of %d routers are ready after 30 s; their logs end with %s", c.HealthyLocalTargets(), cfg.Routers, r.lastWords())
 		}
 	}
 	for _, p := range r.routers {
