--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -51,7 +51,7 @@
 	Worst                       string
 	Tally                       map[string]*fleet.Tally
 	Seconds                     []fleet.Second
-	Broken                      []check.Broken
+	Broken                      []check.Violation
 	History                     []history.Entry
 	Timeline                    string // its file
 }
@@ -206,8 +206,8 @@
 }
 
 // doors are the ways of each site's clients to the routers of it, and to the others.
-func (r *Rig) doors() (own, others map[string][]clients.Door, err error) {
-	own, others = map[string][]clients.Door{}, map[string][]clients.Door{}
+func (r *Rig) doors() (own, others map[string][]clients.Target, err error) {
+	own, others = map[string][]clients.Target{}, map[string][]clients.Target{}
 	for _, site := range r.o.Config.Zones {
 		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
@@ -215,7 +215,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			d := clients.Door{Router: p.Name, Addr: l.Address, Life: p.Life}
+			d := clients.Target{Router: p.Name, Address: l.Address, Incarnation: p.Life}
 			if p.Site == site {
 				own[site] = append(own[site], d)
 			} else {
@@ -223,7 +223,7 @@
 			}
 		}
 		if own[site] == nil {
-			own[site] = []clients.Door{}
+			own[site] = []clients.Target{}
 		}
 	}
 	return own, others, nil
@@ -237,12 +237,12 @@
 		return nil, err
 	}
 	c := clients.New(clients.Options{
-		Sites: own, Others: others, Rate: cfg.Rate(), Shape: cfg.Shape, Classes: cfg.Classes, Banks: cfg.Banks, Sessions: cfg.Sessions,
-		Retries: cfg.Retries, Honour: cfg.Honour, Backoff: cfg.Backoff, Notice: r.o.Notice, Seed: r.o.Seed,
+		LocalTargets: own, RemoteTargets: others, Rate: cfg.Rate(), RateShape: cfg.Shape, Classes: cfg.Classes, ReplicaGroups: cfg.Banks, Sessions: cfg.Sessions,
+		Retries: cfg.Retries, RetryAfterShare: cfg.Honour, Backoff: cfg.Backoff, FailureDetectionDelay: r.o.Notice, Seed: r.o.Seed,
 	}, r.log)
-	for end := time.Now().Add(30 * time.Second); c.Up() < cfg.Routers; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); c.HealthyLocalTargets() < cfg.Routers; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return nil, fmt.Errorf("%d of %d routers are ready after 30 s; their logs end with %s", c.Up(), cfg.Routers, r.lastWords())
+			return nil, fmt.Errorf("%d of %d routers are ready after 30 s; their logs end with %s", c.HealthyLocalTargets(), cfg.Routers, r.lastWords())
 		}
 	}
 	for _, p := range r.routers {
@@ -261,7 +261,7 @@
 	res := &Result{Tally: got.Tally, Seconds: got.Seconds, History: r.log.Entries()}
 	res.Whole, res.Window, res.Class, res.Worst = fleet.Score(got.Seconds, got.Tally)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
-	res.Broken = check.Run(check.Rules{Grace: cfg.Grace + 50*time.Millisecond, Late: lateness, Unarrived: 6 * time.Second}, res.History, check.All...)
+	res.Broken = check.Run(check.Limits{DrainGrace: cfg.Grace + 50*time.Millisecond, LateTolerance: lateness, NotificationTimeout: 6 * time.Second}, res.History, check.All...)
 	if len(res.Broken) > 0 {
 		res.Worth = 0
 	}
@@ -456,7 +456,7 @@
 		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
 	}
 	for _, b := range res.Broken {
-		lines = append(lines, history.TimelineEntry{Time: b.At, Origin: "RULE", Text: b.String()})
+		lines = append(lines, history.TimelineEntry{Time: b.Time, Origin: "RULE", Text: b.String()})
 	}
 	logs, err := filepath.Glob(filepath.Join(r.o.Dir, "r*", "log.*"))
 	if err != nil {
