--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -73,7 +73,7 @@
 	f.clock.Run(start + cfg.Length)
 	f.obs.closed = true
 	f.clock.Run(start + cfg.Length + 2*f.longest) // what is owed is answered
-	f.count.Calls, f.count.Events = f.directory.calls, f.clock.Done()
+	f.count.Calls, f.count.Events = f.directory.calls, f.clock.Executed()
 	return f.result(), nil
 }
 
