--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -110,20 +110,23 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	byArm, names, short, broken, n := map[string][]experiment.Line{}, []string{}, 0, 0, 0
-	err = experiment.Run(s, arms, c.Seed, c.Seeds, workers, revision(), func(l experiment.Line) error {
+	byArm, names, short, broken, n := map[string][]experiment.RunResult{}, []string{}, 0, 0, 0
+	plan := experiment.Plan{
+		Scenario: s, Arms: arms, FirstSeed: c.Seed, Seeds: c.Seeds, Workers: workers, Revision: revision(),
+	}
+	err = experiment.Run(plan, func(l experiment.RunResult) error {
 		n++
 		if byArm[l.Arm] == nil {
 			names = append(names, l.Arm)
 		}
-		short += len(l.Short)
-		broken += len(l.Rules)
-		fmt.Fprintf(out, "seed %-4d %-20s worth %.3f of %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f)  p99 %.0f ms  refused %.3f\n", l.Seed, l.Arm, l.Figures["worth"], l.Figures["top"],
-			l.Figures["whole"], l.Figures["window"], l.Figures["class"], l.Figures["p99_ms"], l.Figures["refused"])
-		for _, w := range l.Words {
+		short += len(l.UnmetExpectations)
+		broken += len(l.RuleViolations)
+		fmt.Fprintf(out, "seed %-4d %-20s worth %.3f of %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f)  p99 %.0f ms  refused %.3f\n", l.Seed, l.Arm, l.Statistics["worth"], l.Statistics["top"],
+			l.Statistics["whole"], l.Statistics["window"], l.Statistics["class"], l.Statistics["p99_ms"], l.Statistics["refused"])
+		for _, w := range l.ViolationDetails {
 			fmt.Fprintln(out, "  rule broken:", w)
 		}
-		for _, w := range l.Short {
+		for _, w := range l.UnmetExpectations {
 			fmt.Fprintln(out, "  not as expected:", w)
 		}
 		if l.Seed == c.Seed && c.Report != "" {
@@ -136,7 +139,7 @@
 			if err != nil {
 				return err
 			}
-			if err := report.Write(f, report.Run{Scenario: s, Arm: l.Arm, Revision: l.Revision, Result: l.Result, Short: l.Short}); err != nil {
+			if err := report.Write(f, report.Run{Scenario: s, Arm: l.Arm, Revision: l.Revision, Result: l.Result, Short: l.UnmetExpectations}); err != nil {
 				_ = f.Close() // the report has failed already
 				return err
 			}
@@ -164,18 +167,18 @@
 }
 
 // effects prints what one set of results has over another.
-func effects(out io.Writer, a, b []experiment.Line) {
+func effects(out io.Writer, a, b []experiment.RunResult) {
 	last := ""
-	for _, e := range experiment.Effects(a, b, scenario.Figures) {
+	for _, e := range experiment.Compare(a, b, scenario.Figures) {
 		if e.Scenario != last {
 			last = e.Scenario
 			fmt.Fprintf(out, "\n%s: %s against %s, %d pairs of seeds, 95 percent\n", e.Scenario, e.ArmB, e.ArmA, e.Pairs)
 		}
 		word := "within chance"
-		if e.Beyond {
+		if e.Significant {
 			word = "beyond chance"
 		}
-		fmt.Fprintf(out, "  %-12s %10.4g -> %10.4g  %+.4g (%+.4g to %+.4g)  %s\n", e.Figure, e.A, e.B, e.Diff, e.Low, e.High, word)
+		fmt.Fprintf(out, "  %-12s %10.4g -> %10.4g  %+.4g (%+.4g to %+.4g)  %s\n", e.Statistic, e.MeanA, e.MeanB, e.MeanDifference, e.Low, e.High, word)
 	}
 }
 
@@ -186,13 +189,13 @@
 
 // Run compares.
 func (c *compareCommand) Run(out io.Writer) error {
-	var sets [2][]experiment.Line
+	var sets [2][]experiment.RunResult
 	for i, name := range []string{c.A, c.B} {
 		f, err := os.Open(name)
 		if err != nil {
 			return err
 		}
-		sets[i], err = experiment.Read(name, f)
+		sets[i], err = experiment.ReadResults(name, f)
 		_ = f.Close() // it was only read
 		if err != nil {
 			return err
@@ -202,7 +205,7 @@
 			sets[i][j].Arm = sets[i][j].Revision
 		}
 	}
-	if len(experiment.Effects(sets[0], sets[1], scenario.Figures)) == 0 {
+	if len(experiment.Compare(sets[0], sets[1], scenario.Figures)) == 0 {
 		return fmt.Errorf("%s and %s have no scenario, arm and seed in common", c.A, c.B)
 	}
 	effects(out, sets[0], sets[1])
@@ -220,11 +223,11 @@
 	off, sum := 0, 0.0
 	fmt.Fprintln(out, "| seed | fleet | planned | possible | kept | planned refused | not served | banks with none left |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds); seed++ {
-		f, err := stats.Foresee(seed)
+		f, err := stats.ForecastSiteLoss(seed)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", f.Seed, f.Fleet, f.Planned, f.Possible, f.Kept, f.Refused, f.Unserved, f.None)
+		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", f.Seed, f.Fleet, f.Planned, f.Possible, f.Achieved, f.PlannedRejections, f.Unserved, f.GroupsWithNoneLeft)
 		sum += math.Abs(f.Planned - f.Possible)
 		if math.Abs(f.Planned-f.Possible) > c.Most {
 			off++
@@ -243,9 +246,9 @@
 func (c *checkCommand) Run(out io.Writer) error {
 	off := 0
 	fmt.Fprintln(out, "| figure | wanted | emulated | unit | off |\n| --- | --- | --- | --- | --- |")
-	for _, f := range stats.All(c.Seed) {
-		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", f.Name, f.Want, f.Got, f.Unit, 100*f.Off())
-		if !(f.Off() <= c.Most && f.Off() >= -c.Most) {
+	for _, f := range stats.MeasureAll(c.Seed) {
+		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", f.Name, f.Expected, f.Measured, f.Unit, 100*f.RelativeError())
+		if !(f.RelativeError() <= c.Most && f.RelativeError() >= -c.Most) {
 			off++
 		}
 	}
--- /dev/null
+++ b/internal/simulation/experiment/experiment_test.go
@@ -0,0 +1,126 @@
+package experiment
+
+import (
+	"bytes"
+	"encoding/json"
+	"math"
+	"strings"
+	"testing"
+
+	"limeladder/internal/simulation/scenario"
+)
+
+// rollingRestart restarts one endpoint after the other. They come back cold, so it matters what routers know of slow
+// start.
+const rollingRestart = `
+traffic(use=0.4, length_s=30)
+for i, m in enumerate(["db1c", "db2c", "db3c", "db4c", "db1b", "db2b"]):
+    at(3 + 4 * i, drain(m, length_s=2))
+`
+
+// playArms plays rollingRestart with each arm, given as TOML, and returns the results by the arm's text.
+func playArms(t *testing.T, seeds int, texts ...string) map[string][]RunResult {
+	t.Helper()
+	played, err := scenario.Load("deploy.star", []byte(rollingRestart))
+	if err != nil {
+		t.Fatal(err)
+	}
+	plan := Plan{Scenario: played, FirstSeed: 1, Seeds: seeds, Workers: 4, Revision: "r1"}
+	for _, text := range texts {
+		arm, err := ReadArm(text, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		plan.Arms = append(plan.Arms, arm)
+	}
+	results := map[string][]RunResult{}
+	lastSeed := uint64(0)
+	err = Run(plan, func(result RunResult) error {
+		if result.Seed < lastSeed {
+			t.Errorf("seed %d was reported after seed %d", result.Seed, lastSeed)
+		}
+		lastSeed = result.Seed
+		results[result.Arm] = append(results[result.Arm], result)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return results
+}
+
+// Ten seeds tell an arm that does harm from the unchanged one, and don't take one that only draws other numbers for
+// harmful.
+func TestTenSeedsTellAHarmfulArm(t *testing.T) {
+	results := playArms(t, 10, "", "harm_cold_budget = true", "salt = 1")
+	for arm, harmful := range map[string]bool{"harm_cold_budget = true": true, "salt = 1": false} {
+		t.Run(arm, func(t *testing.T) {
+			effects := Compare(results[""], results[arm], []string{"whole", "worth"})
+			t.Logf("%+v", effects)
+			whole, worth := effects[0], effects[1]
+			if whole.Pairs != 10 {
+				t.Errorf("%d pairs, want 10", whole.Pairs)
+			}
+			if harmful != (worth.Significant && worth.MeanDifference < 0) {
+				t.Errorf("worth %.4f (%.4f to %.4f)", worth.MeanDifference, worth.Low, worth.High)
+			}
+			if !harmful && whole.MeanDifference == 0 {
+				t.Error("an arm with another salt has drawn the same numbers")
+			}
+		})
+	}
+}
+
+// Results that were written are read again, and what is no result is named with its line.
+func TestReadResults(t *testing.T) {
+	results := playArms(t, 2, "", "salt = 1")
+	var file bytes.Buffer
+	for _, result := range results[""] {
+		if err := json.NewEncoder(&file).Encode(result); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got, err := ReadResults("a", strings.NewReader(file.String()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != 2 || got[1].Seed != 2 || got[0].Statistics["worth"] != results[""][0].Statistics["worth"] {
+		t.Fatalf("read %+v", got)
+	}
+	for text, want := range map[string]string{
+		"":                  "a: no results",
+		"{}\n":              "a:1: no result",
+		file.String() + "x": "a:3: ",
+	} {
+		if _, err := ReadResults("a", strings.NewReader(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%q: error %v, want %s", text, err, want)
+		}
+	}
+	effects := Compare(results[""], results["salt = 1"][1:], []string{"p99_ms"})
+	if len(effects) != 1 || effects[0].Pairs != 1 || effects[0].Significant {
+		t.Errorf("a single pair has the effects %+v", effects)
+	}
+}
+
+func TestConfidenceInterval(t *testing.T) {
+	// The mean of these is 3, their deviation sqrt(2.5), and Student's t for four degrees of freedom 2.776445.
+	mean, low, high := confidenceInterval([]float64{1, 2, 3, 4, 5})
+	half := 2.776445 * math.Sqrt(2.5/5)
+	if mean != 3 || math.Abs(low-(3-half)) > 1e-4 || math.Abs(high-(3+half)) > 1e-4 {
+		t.Fatal(mean, low, high)
+	}
+}
+
+func TestReadArmNamesWhatIsWrong(t *testing.T) {
+	for text, want := range map[string]string{
+		"hodl = []":   "x.toml: nothing is called hodl",
+		"tries = -1":  "x.toml: out of bounds",
+		"tries = ":    "x.toml: ",
+		"salt = 8192": "x.toml: out of bounds",
+	} {
+		_, err := ReadArm("x.toml", text)
+		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line that starts with %s", text, err, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/experiment/run.go
@@ -0,0 +1,135 @@
+package experiment
+
+import (
+	"sync"
+
+	"limeladder/internal/simulation/fleet"
+	"limeladder/internal/simulation/scenario"
+)
+
+// defaultArm is the name of the arm that leaves a scenario unchanged, where no arms are given.
+const defaultArm = "as it stands"
+
+// Plan says which runs an experiment consists of: each arm with each seed.
+type Plan struct {
+	Scenario  *scenario.Scenario
+	Arms      []Arm // none means the scenario as it is
+	FirstSeed uint64
+	Seeds     int
+	Workers   int    // runs that are played at the same time; less than one means one
+	Revision  string // of the build, for the results
+}
+
+// Run plays the plan and calls report for each result, ordered by seed, with the arms of a seed together in their
+// order, whichever run was done first. It ends with the first error of a run or of report.
+func Run(plan Plan, report func(RunResult) error) error {
+	if len(plan.Arms) == 0 {
+		plan.Arms = []Arm{{Name: defaultArm}}
+	}
+	runner := newRunner(plan)
+	var workers sync.WaitGroup
+	for range max(1, plan.Workers) {
+		workers.Go(runner.work)
+	}
+	err := runner.reportInOrder(report)
+	runner.stop()
+	workers.Wait()
+	return err
+}
+
+// runner hands the runs of a plan out to workers.
+type runner struct {
+	plan Plan
+	jobs []*job
+
+	mutex   sync.Mutex
+	next    int // the job that the next free worker takes
+	stopped bool
+}
+
+// job is one run. The worker that plays it writes result and err and then closes done.
+type job struct {
+	arm    Arm
+	seed   uint64
+	result RunResult
+	err    error
+	done   chan struct{}
+}
+
+func newRunner(plan Plan) *runner {
+	r := &runner{plan: plan}
+	for i := range plan.Seeds {
+		for _, arm := range plan.Arms {
+			r.jobs = append(r.jobs, &job{arm: arm, seed: plan.FirstSeed + uint64(i), done: make(chan struct{})})
+		}
+	}
+	return r
+}
+
+// work plays jobs until none is left.
+func (r *runner) work() {
+	for {
+		job, ok := r.take()
+		if !ok {
+			return
+		}
+		job.play(&r.plan)
+		close(job.done)
+	}
+}
+
+// take returns a job that no worker has taken yet; ok is false if none is left or the experiment was stopped.
+func (r *runner) take() (taken *job, ok bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.stopped || r.next >= len(r.jobs) {
+		return nil, false
+	}
+	taken = r.jobs[r.next]
+	r.next++
+	return taken, true
+}
+
+// stop lets workers end after the jobs that they are playing.
+func (r *runner) stop() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.stopped = true
+}
+
+// reportInOrder waits for each job in turn and reports its result.
+func (r *runner) reportInOrder(report func(RunResult) error) error {
+	for _, job := range r.jobs {
+		<-job.done
+		if job.err != nil {
+			return job.err
+		}
+		if err := report(job.result); err != nil {
+			return err
+		}
+		job.result.Result = nil // it is large, and the job lives until the last one is done
+	}
+	return nil
+}
+
+func (j *job) play(plan *Plan) {
+	measured, err := fleet.Run(j.arm.apply(plan.Scenario.Config), j.seed)
+	if err != nil {
+		j.err = err
+		return
+	}
+	j.result = RunResult{
+		Scenario:          plan.Scenario.Name,
+		Arm:               j.arm.Name,
+		Seed:              j.seed,
+		Revision:          plan.Revision,
+		Statistics:        map[string]float64{},
+		RuleViolations:    measured.Rules,
+		ViolationDetails:  measured.Words,
+		UnmetExpectations: plan.Scenario.Met(measured),
+		Result:            measured,
+	}
+	for _, name := range scenario.Figures {
+		j.result.Statistics[name], _ = scenario.Figure(measured, name) // every name in Figures is known
+	}
+}
--- a/internal/simulation/stats/figures.go
+++ b/internal/simulation/stats/figures.go
@@ -13,35 +13,35 @@
 )
 
 // Figure is one that is held against another.
-type Figure struct {
-	Name      string
-	Want, Got float64
-	Unit      string
+type Check struct {
+	Name               string
+	Expected, Measured float64
+	Unit               string
 }
 
 // Off is the part by which it is off.
-func (f Figure) Off() float64 { return (f.Got - f.Want) / f.Want }
+func (f Check) RelativeError() float64 { return (f.Measured - f.Expected) / f.Expected }
 
 // begin is a moment of virtual time: 0 means none.
-const begin = 1000 * time.Second
+const startTime = 1000 * time.Second
 
 // All measures all of them.
-func All(seed uint64) (all []Figure) {
-	all = append(all, waits(seed)...)
-	all = append(all, warmUp(seed)...)
-	all = append(all, falls(seed)...)
-	all = append(all, crowding()...)
-	all = append(all, lags(seed)...)
-	all = append(all, changes(seed)...)
-	return append(all, notices(seed)...)
+func MeasureAll(seed uint64) (all []Check) {
+	all = append(all, queueWaits(seed)...)
+	all = append(all, warmUps(seed)...)
+	all = append(all, overloadFailures(seed)...)
+	all = append(all, concurrentWork()...)
+	all = append(all, replicationLags(seed)...)
+	all = append(all, primaryChanges(seed)...)
+	return append(all, discoveryDelays(seed)...)
 }
 
-func kind() model.Kind {
+func endpointKind() model.Kind {
 	return model.Kind{Cores: 3, Speed: 1, Slots: 3, Room: 1 << 20, ColdFrom: 0.16, ColdFor: 18 * time.Second, FallMultiple: 2.5}
 }
 
 func world(seed uint64, k model.Kind, f model.Follow, members int) (*event.Clock, *model.World, *model.Bank) {
-	c := event.New(begin)
+	c := event.New(startTime)
 	w := model.New(c, seed)
 	b := w.AddBank(1, f)
 	for i := range members {
@@ -63,20 +63,20 @@
 }
 
 // waits are the times that statements wait in a machine of three cores with as many slots: Erlang's formula.
-func waits(seed uint64) (all []Figure) {
+func queueWaits(seed uint64) (all []Check) {
 	const cores, mean = 3, 50 * time.Millisecond
 	for _, rho := range []float64{0.5, 0.7, 0.85} {
-		c, w, _ := world(seed, kind(), model.Follow{}, 1)
+		c, w, _ := world(seed, endpointKind(), model.Follow{}, 1)
 		m, rng := w.Machines[0], rand.New(rand.NewPCG(seed, uint64(rho*100)))
 		sum, n := 0.0, 0
-		stream(c, rng, rho*cores/mean.Seconds(), begin+4000*time.Second, func() {
+		stream(c, rng, rho*cores/mean.Seconds(), startTime+4000*time.Second, func() {
 			need, at := time.Duration(rng.ExpFloat64()*float64(mean)), c.Now()
 			m.Submit(&model.Work{Need: need, Done: func(model.Outcome, time.Duration, bool) {
 				sum += (c.Now() - at - need).Seconds()
 				n++
 			}})
 		})
-		c.Run(begin + 4100*time.Second)
+		c.Run(startTime + 4100*time.Second)
 		a := rho * cores
 		term, below := 1.0, 0.0
 		for k := range cores {
@@ -84,20 +84,20 @@
 			term *= a / float64(k+1)
 		}
 		wait := term / (1 - rho) / (below + term/(1-rho)) * mean.Seconds() / cores / (1 - rho)
-		all = append(all, Figure{fmt.Sprintf("wait of M/M/3 at %.0f%% use", 100*rho), 1000 * wait, 1000 * sum / float64(n), "ms"})
+		all = append(all, Check{fmt.Sprintf("wait of M/M/3 at %.0f%% use", 100*rho), 1000 * wait, 1000 * sum / float64(n), "ms"})
 	}
 	return all
 }
 
 // warmUp is the work that a machine does in a second at some moments of its warm-up, when there is more than enough.
-func warmUp(seed uint64) (all []Figure) {
+func warmUps(seed uint64) (all []Check) {
 	for _, byWork := range []bool{false, true} {
-		k := kind()
+		k := endpointKind()
 		k.WarmByWork = byWork
 		c, w, _ := world(seed, k, model.Follow{}, 1)
 		m := w.Machines[0]
 		m.Kill("test", time.Second)
-		c.Run(begin + 1100*time.Millisecond)
+		c.Run(startTime + 1100*time.Millisecond)
 		var feed func(model.Outcome, time.Duration, bool)
 		feed = func(model.Outcome, time.Duration, bool) {
 			m.Submit(&model.Work{Need: 5 * time.Millisecond, Done: feed})
@@ -108,13 +108,13 @@
 		before, warm := m.Did(), 0.0
 		for i := 1; i <= 40; i++ {
 			at := c.Now() - m.UpAt()
-			c.Run(begin + time.Second + time.Duration(i)*time.Second)
+			c.Run(startTime + time.Second + time.Duration(i)*time.Second)
 			did := m.Did() - before
 			part := did / 3 / (c.Now() - m.UpAt() - at).Seconds()
 			before += did
 			if name := "warm-up by time"; !byWork && i%6 == 0 && i <= 18 {
 				want := k.ColdFrom + (1-k.ColdFrom)*(float64(i)-0.5)/18
-				all = append(all, Figure{fmt.Sprintf("%s, part of capacity in second %d", name, i), want, part, ""})
+				all = append(all, Check{fmt.Sprintf("%s, part of capacity in second %d", name, i), want, part, ""})
 			}
 			if byWork && warm == 0 && part > 0.995 {
 				warm = float64(i)
@@ -122,23 +122,23 @@
 		}
 		if byWork {
 			// It grows by itself: d/dt of the part is (1-from)/18 times the part, so it is warm after ln(1/from)*18/(1-from).
-			all = append(all, Figure{"warm-up by work, warm after", 18 / (1 - 0.16) * 1.8326, warm, "s"})
+			all = append(all, Check{"warm-up by work, warm after", 18 / (1 - 0.16) * 1.8326, warm, "s"})
 		}
 	}
 	return all
 }
 
 // falls are the load that a cold machine bears, and how long it bears more.
-func falls(seed uint64) (all []Figure) {
+func overloadFailures(seed uint64) (all []Check) {
 	fell := func(multiple float64, cold bool) (after float64) {
-		k := kind()
+		k := endpointKind()
 		k.FallFor, k.ColdFor = 2*time.Second, time.Hour
 		c, w, _ := world(seed, k, model.Follow{}, 1)
 		m := w.Machines[0]
 		if cold {
 			m.Kill("test", time.Second)
 		}
-		c.Run(begin + 2*time.Second)
+		c.Run(startTime + 2*time.Second)
 		at, need := c.Now(), 2*time.Millisecond
 		gap := time.Duration(need.Seconds() / (multiple * m.Capacity()) * 1e9)
 		var next func()
@@ -163,17 +163,17 @@
 				break
 			}
 		}
-		all = append(all, Figure{"a " + name + " one falls over beyond this multiple of its capacity", 2.5, least, ""},
-			Figure{"a " + name + " one at 2.6 times its capacity falls after", 2, fell(2.6, cold), "s"},
-			Figure{"a " + name + " one at five times its capacity falls after", 2, fell(5, cold), "s"})
+		all = append(all, Check{"a " + name + " one falls over beyond this multiple of its capacity", 2.5, least, ""},
+			Check{"a " + name + " one at 2.6 times its capacity falls after", 2, fell(2.6, cold), "s"},
+			Check{"a " + name + " one at five times its capacity falls after", 2, fell(5, cold), "s"})
 	}
 	return all
 }
 
 // crowding is the work of a second with many statements at once.
-func crowding() (all []Figure) {
+func concurrentWork() (all []Check) {
 	for _, n := range []int{3, 15, 24} {
-		k := kind()
+		k := endpointKind()
 		k.Slots, k.Thrash, k.ThrashAt = 24, 0.12, 5
 		c, w, _ := world(1, k, model.Follow{}, 1)
 		m := w.Machines[0]
@@ -184,21 +184,21 @@
 		for range n {
 			feed(0, 0, false)
 		}
-		c.Run(begin + 20*time.Second)
-		all = append(all, Figure{fmt.Sprintf("work a second of three cores with %d statements", n), 3 / (1 + 0.12*max(0, float64(n)/3-5)), m.Did() / 20, ""})
+		c.Run(startTime + 20*time.Second)
+		all = append(all, Check{fmt.Sprintf("work a second of three cores with %d statements", n), 3 / (1 + 0.12*max(0, float64(n)/3-5)), m.Did() / 20, ""})
 	}
 	return all
 }
 
 // lags are how far behind a replica is while its one thread applies at some use, and behind a long read.
-func lags(seed uint64) (all []Figure) {
+func replicationLags(seed uint64) (all []Check) {
 	const ship, apply = 8 * time.Millisecond, 12 * time.Millisecond
-	k := kind()
+	k := endpointKind()
 	k.Slots = 24
 	for _, use := range []float64{0.31, 0.57} {
 		c, w, _ := world(seed, k, model.Follow{Ship: ship, Apply: apply}, 2)
 		rng := rand.New(rand.NewPCG(seed, uint64(1000*use)))
-		stream(c, rng, use/apply.Seconds(), begin+1000*time.Second, func() {
+		stream(c, rng, use/apply.Seconds(), startTime+1000*time.Second, func() {
 			w.Machines[0].Submit(&model.Work{Need: time.Microsecond, Write: true, Done: func(model.Outcome, time.Duration, bool) {}})
 		})
 		// What a commit takes until it is applied is a stay in M/M/1; behind the newest position lies what an arrival meets, and
@@ -207,37 +207,37 @@
 		r := w.Machines[1]
 		var look func()
 		look = func() {
-			if c.Now() < begin+1000*time.Second {
+			if c.Now() < startTime+1000*time.Second {
 				sum, n = sum+(c.Now()-r.Position()).Seconds(), n+1
 				c.After(time.Millisecond, look)
 			}
 		}
 		c.After(10*time.Second, look)
-		c.Run(begin + 1000*time.Second)
+		c.Run(startTime + 1000*time.Second)
 		// The position stands at the commit that is being applied: its age is how long it waited and how long it is applied so far.
 		// With use u and service s the age of the oldest not applied is 0 with chance 1-u, and s/(1-u) in the mean otherwise.
 		want := ship.Seconds() + use*apply.Seconds()/(1-use)
-		all = append(all, Figure{fmt.Sprintf("lag at %.0f%% use of the applying thread", 100*use), 1000 * want, 1000 * sum / float64(n), "ms"})
+		all = append(all, Check{fmt.Sprintf("lag at %.0f%% use of the applying thread", 100*use), 1000 * want, 1000 * sum / float64(n), "ms"})
 	}
 	c, w, _ := world(seed, k, model.Follow{Ship: ship, Apply: apply}, 2)
 	rng := rand.New(rand.NewPCG(seed, 3))
-	stream(c, rng, 0.4/apply.Seconds(), begin+60*time.Second, func() {
+	stream(c, rng, 0.4/apply.Seconds(), startTime+60*time.Second, func() {
 		w.Machines[0].Submit(&model.Work{Need: time.Microsecond, Write: true, Done: func(model.Outcome, time.Duration, bool) {}})
 	})
-	c.Run(begin + 10*time.Second)
+	c.Run(startTime + 10*time.Second)
 	r := w.Machines[1]
 	r.Submit(&model.Work{Need: 2 * time.Second, Long: true, Done: func(model.Outcome, time.Duration, bool) {}})
-	c.Run(begin + 12*time.Second - time.Millisecond)
-	all = append(all, Figure{"lag behind a long read of 2 s", 2000, float64((c.Now() - r.Position()).Milliseconds()), "ms"})
+	c.Run(startTime + 12*time.Second - time.Millisecond)
+	all = append(all, Check{"lag behind a long read of 2 s", 2000, float64((c.Now() - r.Position()).Milliseconds()), "ms"})
 	// It has 2 s of log to make up, 0.8 s of work, while more comes.
-	for c.Now()-r.Position() > 30*time.Millisecond && c.Now() < begin+20*time.Second {
+	for c.Now()-r.Position() > 30*time.Millisecond && c.Now() < startTime+20*time.Second {
 		c.Run(c.Now() + time.Millisecond)
 	}
-	return append(all, Figure{"and it has caught up after", 2 * 0.4 / 0.6, (c.Now() - begin - 12*time.Second).Seconds(), "s"})
+	return append(all, Check{"and it has caught up after", 2 * 0.4 / 0.6, (c.Now() - startTime - 12*time.Second).Seconds(), "s"})
 }
 
 // changes are how long a bank has no primary, in the mean of many.
-func changes(seed uint64) (all []Figure) {
+func primaryChanges(seed uint64) (all []Check) {
 	f := model.Follow{
 		Detect: [2]time.Duration{time.Second, 3 * time.Second}, Stand: [2]time.Duration{0, 500 * time.Millisecond},
 		HandOver: [2]time.Duration{470 * time.Millisecond, 940 * time.Millisecond},
@@ -249,7 +249,7 @@
 	}{{"dies", 2.25}, {"hangs", 2.25}, {"drains", 0.705}} {
 		how, sum := x.how, 0.0
 		for i := range uint64(rounds) {
-			c, w, b := world(seed*rounds+i, kind(), f, 3)
+			c, w, b := world(seed*rounds+i, endpointKind(), f, 3)
 			old := w.Machines[0]
 			switch how {
 			case "dies":
@@ -262,15 +262,15 @@
 			for b.Primary == old {
 				c.Run(c.Now() + time.Millisecond)
 			}
-			sum += (c.Now() - begin).Seconds()
+			sum += (c.Now() - startTime).Seconds()
 		}
-		all = append(all, Figure{"a primary " + how + ", successor after", x.want, sum / rounds, "s"})
+		all = append(all, Check{"a primary " + how + ", successor after", x.want, sum / rounds, "s"})
 	}
 	return all
 }
 
 // notices are how long it takes until discovery tells of a drain and of a silent death, in the mean of many.
-func notices(seed uint64) []Figure {
+func discoveryDelays(seed uint64) []Check {
 	cfg := fleet.Default()
 	cfg.Banks, cfg.Routers = 1, 1
 	const rounds = 200
@@ -278,9 +278,9 @@
 	for i := range uint64(rounds) {
 		d, s, err := fleet.Noticed(cfg, seed*rounds+i)
 		if err != nil {
-			return []Figure{{err.Error(), 1, 0, ""}}
+			return []Check{{err.Error(), 1, 0, ""}}
 		}
 		drain, silent = drain+d.Seconds(), silent+s.Seconds()
 	}
-	return []Figure{{"discovery tells of a drain after", (0.87 + 4.3) / 2, drain / rounds, "s"}, {"and of a silent death after", (6.6 + 12) / 2, silent / rounds, "s"}}
+	return []Check{{"discovery tells of a drain after", (0.87 + 4.3) / 2, drain / rounds, "s"}, {"and of a silent death after", (6.6 + 12) / 2, silent / rounds, "s"}}
 }
