--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -244,9 +244,13 @@
 
 // Run checks.
 func (c *checkCommand) Run(out io.Writer) error {
+	checks, err := stats.MeasureAll(c.Seed)
+	if err != nil {
+		return err
+	}
 	off := 0
 	fmt.Fprintln(out, "| figure | wanted | emulated | unit | off |\n| --- | --- | --- | --- | --- |")
-	for _, f := range stats.MeasureAll(c.Seed) {
+	for _, f := range checks {
 		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", f.Name, f.Expected, f.Measured, f.Unit, 100*f.RelativeError())
 		if !(f.RelativeError() <= c.Most && f.RelativeError() >= -c.Most) {
 			off++
--- /dev/null
+++ b/internal/simulation/stats/check.go
@@ -0,0 +1,106 @@
+package stats
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+)
+
+// Check is a measured value beside the one that is expected.
+type Check struct {
+	Name     string
+	Expected float64
+	Measured float64
+	Unit     string // empty for a ratio
+}
+
+// RelativeError is how far the measured value is from the expected one, as a share of the expected one.
+func (c Check) RelativeError() float64 { return (c.Measured - c.Expected) / c.Expected }
+
+// MeasureAll measures everything that is expected of the emulated endpoints.
+func MeasureAll(seed uint64) ([]Check, error) {
+	var checks []Check
+	checks = append(checks, queueDelays(seed)...)
+	checks = append(checks, warmUps(seed)...)
+	checks = append(checks, overloadFailures(seed)...)
+	checks = append(checks, concurrentWork()...)
+	checks = append(checks, replicationLags(seed)...)
+	checks = append(checks, primaryChanges(seed)...)
+	delays, err := discoveryDelays(seed)
+	if err != nil {
+		return nil, err
+	}
+	return append(checks, delays...), nil
+}
+
+// startTime is the virtual time at which each world starts. It isn't zero, because zero means "none" in the model.
+const startTime = 1000 * time.Second
+
+// What the measured endpoints are set to, where a measurement doesn't say otherwise.
+const (
+	endpointCores    = 3
+	slowStartShare   = 0.16 // of its capacity that an endpoint has right after its start
+	warmUpTime       = 18 * time.Second
+	overloadMultiple = 2.5
+)
+
+// endpointKind is the kind of the measured endpoints: as many slots as cores, and a queue that is never full.
+func endpointKind() model.Kind {
+	return model.Kind{
+		Cores:        endpointCores,
+		Speed:        1,
+		Slots:        endpointCores,
+		Room:         1 << 20,
+		ColdFrom:     slowStartShare,
+		ColdFor:      warmUpTime,
+		FallMultiple: overloadMultiple,
+	}
+}
+
+// newWorld returns a world with one replica group, and the clock that it runs on. The first endpoint is the primary.
+func newWorld(
+	seed uint64, kind model.Kind, replication model.Follow, endpoints int,
+) (*event.Clock, *model.World, *model.Bank) {
+	clock := event.New(startTime)
+	world := model.New(clock, seed)
+	group := world.AddBank(1, replication)
+	for i := range endpoints {
+		world.Add(fmt.Sprint("m", i), "a", kind, group)
+	}
+	return clock, world, group
+}
+
+// newEndpoint returns a single endpoint, and the clock that it runs on.
+func newEndpoint(seed uint64, kind model.Kind) (*event.Clock, *model.Machine) {
+	clock, world, _ := newWorld(seed, kind, model.Follow{}, 1)
+	return clock, world.Machines[0]
+}
+
+// schedulePoisson calls arrive at the arrivals of a Poisson process, at rate per second, until the given time.
+func schedulePoisson(clock *event.Clock, rng *rand.Rand, rate float64, until time.Duration, arrive func()) {
+	var next func()
+	next = func() {
+		if clock.Now() < until {
+			arrive()
+			clock.After(time.Duration(rng.ExpFloat64()/rate*1e9), next)
+		}
+	}
+	clock.After(time.Duration(rng.ExpFloat64()/rate*1e9), next)
+}
+
+// keepBusy gives the endpoint so many statements of 5 ms at once, and a new one for each that ends.
+func keepBusy(endpoint *model.Machine, statements int) {
+	var submit func(model.Outcome, time.Duration, bool)
+	submit = func(model.Outcome, time.Duration, bool) {
+		endpoint.Submit(&model.Work{Need: 5 * time.Millisecond, Done: submit})
+	}
+	for range statements {
+		submit(model.Served, 0, false)
+	}
+}
+
+// ignoreOutcome is for statements whose end doesn't matter.
+func ignoreOutcome(model.Outcome, time.Duration, bool) {}
--- /dev/null
+++ b/internal/simulation/stats/replication.go
@@ -0,0 +1,106 @@
+package stats
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+)
+
+// How the log of the measured replica groups reaches their replicas: a fixed transfer, and an exponential time to
+// apply an entry with this mean.
+const (
+	shipTime  = 8 * time.Millisecond
+	applyTime = 12 * time.Millisecond
+)
+
+// replicationLags measures how far a replica is behind its primary, under load and behind a long read.
+func replicationLags(seed uint64) []Check {
+	checks := []Check{lagUnderLoad(seed, 0.31), lagUnderLoad(seed, 0.57)}
+	return append(checks, lagBehindLongRead(seed)...)
+}
+
+// newReplication returns a primary and its replica, and the clock that they run on.
+func newReplication(seed uint64) (clock *event.Clock, primary, replica *model.Machine) {
+	kind := endpointKind()
+	kind.Slots = 24
+	clock, world, _ := newWorld(seed, kind, model.Follow{Ship: shipTime, Apply: applyTime}, 2)
+	return clock, world.Machines[0], world.Machines[1]
+}
+
+// scheduleWrites commits short writes on the primary so that the replica's applying thread has the given utilization.
+func scheduleWrites(
+	clock *event.Clock, rng *rand.Rand, primary *model.Machine, utilization float64, until time.Duration,
+) {
+	schedulePoisson(clock, rng, utilization/applyTime.Seconds(), until, func() {
+		primary.Submit(&model.Work{Need: time.Microsecond, Write: true, Done: ignoreOutcome})
+	})
+}
+
+// lagUnderLoad measures the mean lag while the thread that applies the log has a utilization.
+func lagUnderLoad(seed uint64, utilization float64) Check {
+	clock, primary, replica := newReplication(seed)
+	rng := rand.New(rand.NewPCG(seed, uint64(1000*utilization)))
+	end := startTime + 1000*time.Second
+	scheduleWrites(clock, rng, primary, utilization, end)
+	sum := 0.0
+	samples := 0
+	var sample func()
+	sample = func() {
+		if clock.Now() < end {
+			sum += (clock.Now() - replica.Position()).Seconds()
+			samples++
+			clock.After(time.Millisecond, sample)
+		}
+	}
+	clock.After(10*time.Second, sample)
+	clock.Run(end)
+	// The position stands at the commit that is being applied, so its age is how long that commit has waited and has
+	// been applied so far. Applying is a queue M/M/1: with utilization u and mean service s, nothing is left to apply
+	// with probability 1-u, and otherwise the age of the oldest commit has the mean s/(1-u).
+	expected := shipTime.Seconds() + utilization*applyTime.Seconds()/(1-utilization)
+	return Check{
+		Name:     fmt.Sprintf("lag at %.0f%% use of the applying thread", 100*utilization),
+		Expected: 1000 * expected,
+		Measured: 1000 * sum / float64(samples),
+		Unit:     "ms",
+	}
+}
+
+// lagBehindLongRead measures the lag that a long read on the replica causes, and how long the replica takes to catch
+// up.
+func lagBehindLongRead(seed uint64) []Check {
+	const (
+		utilization = 0.4
+		readBegin   = startTime + 10*time.Second
+		readTime    = 2 * time.Second
+		readEnd     = readBegin + readTime
+	)
+	clock, primary, replica := newReplication(seed)
+	rng := rand.New(rand.NewPCG(seed, 3))
+	scheduleWrites(clock, rng, primary, utilization, startTime+60*time.Second)
+	clock.Run(readBegin)
+	replica.Submit(&model.Work{Need: readTime, Long: true, Done: ignoreOutcome})
+	clock.Run(readEnd - time.Millisecond)
+	lag := clock.Now() - replica.Position()
+	for clock.Now()-replica.Position() > 30*time.Millisecond && clock.Now() < startTime+20*time.Second {
+		clock.Run(clock.Now() + time.Millisecond)
+	}
+	return []Check{
+		{
+			Name:     "lag behind a long read of 2 s",
+			Expected: 2000,
+			Measured: float64(lag.Milliseconds()),
+			Unit:     "ms",
+		},
+		{
+			Name: "and it has caught up after",
+			// It has 2 s of log to make up, which is 0.8 s of work, while more arrives.
+			Expected: 2 * 0.4 / 0.6,
+			Measured: (clock.Now() - readEnd).Seconds(),
+			Unit:     "s",
+		},
+	}
+}
--- /dev/null
+++ b/internal/simulation/stats/warm_up.go
@@ -0,0 +1,74 @@
+package stats
+
+import (
+	"fmt"
+	"time"
+
+	"limeladder/internal/simulation/event"
+	"limeladder/internal/simulation/model"
+)
+
+// warmUps measures the slow start of an endpoint that warms up by time, and of one that warms up by the work it does.
+func warmUps(seed uint64) []Check {
+	return append(warmUpByTime(seed), warmUpByWork(seed))
+}
+
+func warmUpByTime(seed uint64) []Check {
+	var checks []Check
+	shares := capacityShares(seed, false)
+	for _, second := range []int{6, 12, 18} {
+		checks = append(checks, Check{
+			Name:     fmt.Sprintf("warm-up by time, part of capacity in second %d", second),
+			Expected: slowStartShare + (1-slowStartShare)*(float64(second)-0.5)/warmUpTime.Seconds(),
+			Measured: shares[second-1],
+		})
+	}
+	return checks
+}
+
+func warmUpByWork(seed uint64) Check {
+	warmAfter := 0.0
+	for i, share := range capacityShares(seed, true) {
+		if share > 0.995 {
+			warmAfter = float64(i + 1)
+			break
+		}
+	}
+	return Check{
+		Name: "warm-up by work, warm after",
+		// The share s of the capacity grows by itself: ds/dt = s*(1-cold)/18, so it is 1 after ln(1/cold)*18/(1-cold).
+		Expected: 18 / (1 - slowStartShare) * 1.8326,
+		Measured: warmAfter,
+		Unit:     "s",
+	}
+}
+
+// capacityShares is the share of its full capacity that an endpoint with more than enough work has in each of the
+// first forty seconds after a start with cold caches.
+func capacityShares(seed uint64, byWork bool) []float64 {
+	kind := endpointKind()
+	kind.WarmByWork = byWork
+	clock, endpoint := newEndpoint(seed, kind)
+	endpoint.Kill("test", time.Second)
+	clock.Run(startTime + 1100*time.Millisecond)
+	keepBusy(endpoint, 9)
+	shares := make([]float64, 40)
+	done := endpoint.Did()
+	for i := range shares {
+		until := startTime + time.Second + time.Duration(i+1)*time.Second
+		work, elapsed := workUntil(clock, endpoint, done, until)
+		shares[i] = work / endpointCores / elapsed.Seconds()
+		done += work
+	}
+	return shares
+}
+
+// workUntil runs the clock up to a time, and gives the work that the endpoint did meanwhile and how long that was.
+// done is the work that it had done before.
+func workUntil(
+	clock *event.Clock, endpoint *model.Machine, done float64, until time.Duration,
+) (work float64, elapsed time.Duration) {
+	began := clock.Now() - endpoint.UpAt()
+	clock.Run(until)
+	return endpoint.Did() - done, clock.Now() - endpoint.UpAt() - began
+}
