--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -397,7 +397,7 @@
 	}
 	if c.WorkUs >= 0 {
 		for i := range o.Classes {
-			o.Classes[i].Work.Mean, o.Classes[i].Work.CV, o.Classes[i].Work.Exp = time.Duration(c.WorkUs)*time.Microsecond, 0, false
+			o.Classes[i].Work.Mean, o.Classes[i].Work.Variation, o.Classes[i].Work.Exponential = time.Duration(c.WorkUs)*time.Microsecond, 0, false
 		}
 	}
 	if c.From != "" {
--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -29,7 +29,7 @@
 		return fmt.Errorf("standins: %w", err)
 	}
 	d := &directory{h: h, addr: ln.Addr().String(), news: make(chan struct{})}
-	d.Registry = model.NewRegistry(h.world, model.Notices{Change: h.cfg.Notice, Silent: h.cfg.Silent, Role: h.cfg.RoleLag},
+	d.Registry = model.NewRegistry(h.world, model.NoticeDelays{Change: h.cfg.Notice, Silent: h.cfg.Silent, Role: h.cfg.RoleLag},
 		func(r [2]time.Duration) time.Duration {
 			return r[0] + time.Duration(h.rng.Float64()*float64(r[1]-r[0]))
 		},
@@ -51,12 +51,12 @@
 func (d *directory) since(version int64) config.List {
 	l := config.List{Version: d.Version, Full: version == 0, Servers: []config.Entry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.Entry{ID: x.Machine.ID, Zone: x.Machine.Zone, Cell: x.Machine.Bank.ID, State: x.State.String(), Weight: 1, StartedMs: x.UpAt.Milliseconds(), Mode: "read-only"}
+		e := config.Entry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Cell: x.Endpoint.Group.ID, State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
 		for _, s := range d.h.servers {
-			if s.m == x.Machine {
+			if s.m == x.Endpoint {
 				e.Addr = s.addr
 			}
 		}
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -81,9 +81,9 @@
 	h.clock = event.New(time.Duration(begin.UnixNano()))
 	h.world = model.New(h.clock, seed)
 	for b := range cfg.Banks {
-		bank := h.world.AddBank(int64(b+1), cfg.Follow)
+		bank := h.world.AddReplicaGroup(int64(b+1), cfg.Follow)
 		for i := range cfg.Members + cfg.Spares {
-			m := h.world.Add(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, bank)
+			m := h.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, bank)
 			if i >= cfg.Members {
 				m.Reserve()
 			}
@@ -125,7 +125,7 @@
 
 // Zone is where a machine stands, "" = there is none of that id.
 func (h *Host) Zone(id string) (zone string) {
-	h.Machines(func(m *model.Machine) {
+	h.Machines(func(m *model.Endpoint) {
 		if m.ID == id {
 			zone = m.Zone
 		}
@@ -134,9 +134,9 @@
 }
 
 // Machines calls f with each machine of the world, as it is now.
-func (h *Host) Machines(f func(m *model.Machine)) {
+func (h *Host) Machines(f func(m *model.Endpoint)) {
 	h.with(func() {
-		for _, m := range h.world.Machines {
+		for _, m := range h.world.Endpoints {
 			f(m)
 		}
 	})
@@ -230,12 +230,12 @@
 		h.list.down = h.clock.Now() + x.For
 		return
 	}
-	fleet.Befall(h.world, x, h.cfg.Kind.Errors)
+	fleet.Befall(h.world, x, h.cfg.Kind.ErrorShare)
 }
 
 // changed follows a machine's state: one that is down has no listener and no connections.
-func (h *Host) changed(m *model.Machine) {
-	if m.State() == model.Down && m.Cold() && strings.HasPrefix(m.Cause(), "pushed over") && !slices.Contains(h.pushed, m.ID) {
+func (h *Host) changed(m *model.Endpoint) {
+	if m.State() == model.Down && m.WarmingUp() && strings.HasPrefix(m.Cause(), "pushed over") && !slices.Contains(h.pushed, m.ID) {
 		h.pushed = append(h.pushed, m.ID)
 	}
 	for _, s := range h.servers {
@@ -316,8 +316,8 @@
 			},
 			"Prices": object{"Probe": c.ProbePrice},
 			"Contract": object{
-				"AskWithinNs": 5_000_000_000, "DrainGraceNs": int64(c.Grace), "ColdNs": int64(c.Kind.ColdFor), "FallNs": int64(c.Kind.FallFor), "ColdFrom": c.Kind.ColdFrom,
-				"FallMultiple": c.Kind.FallMultiple,
+				"AskWithinNs": 5_000_000_000, "DrainGraceNs": int64(c.Grace), "ColdNs": int64(c.Kind.SlowStartWindow), "FallNs": int64(c.Kind.OverloadWindow), "ColdFrom": c.Kind.SlowStartShare,
+				"FallMultiple": c.Kind.OverloadMultiple,
 			},
 		},
 	}, "", " ")
@@ -326,7 +326,7 @@
 // server is a machine's listener.
 type server struct {
 	h     *Host
-	m     *model.Machine
+	m     *model.Endpoint
 	addr  string
 	ln    net.Listener
 	conns map[*session]bool
@@ -375,7 +375,7 @@
 func (h *Host) Sample() (s fleet.Sample) {
 	h.with(func() {
 		s.At = h.clock.Now() - time.Duration(h.begin.UnixNano())
-		for _, m := range h.world.Machines {
+		for _, m := range h.world.Endpoints {
 			s.Machines = append(s.Machines, fleet.Look(m, h.clock.Now()))
 		}
 	})
@@ -385,10 +385,10 @@
 // Changes is how often primaries have changed, Did how many statements the machines have served.
 func (h *Host) Changes() (changes int, did uint64) {
 	h.with(func() {
-		for _, b := range h.world.Banks {
-			changes += b.Changes()
+		for _, b := range h.world.Groups {
+			changes += b.PrimaryChanges()
 		}
-		for _, m := range h.world.Machines {
+		for _, m := range h.world.Endpoints {
 			did += m.Served()
 		}
 	})
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -17,9 +17,9 @@
 
 func small(change func(*fleet.Config)) fleet.Config {
 	c := fleet.Default()
-	c.Banks, c.Kind.Errors, c.Kind.Handshake = 1, 0, 0
+	c.Banks, c.Kind.ErrorShare, c.Kind.HandshakeWork = 1, 0, 0
 	c.Notice, c.Silent = [2]time.Duration{20 * time.Millisecond, 30 * time.Millisecond}, [2]time.Duration{40 * time.Millisecond, 50 * time.Millisecond}
-	c.Follow.Detect, c.Follow.Stand = [2]time.Duration{200 * time.Millisecond, 300 * time.Millisecond}, [2]time.Duration{}
+	c.Follow.DetectionDelay, c.Follow.ElectionDelay = [2]time.Duration{200 * time.Millisecond, 300 * time.Millisecond}, [2]time.Duration{}
 	if change != nil {
 		change(&c)
 	}
@@ -89,7 +89,7 @@
 // A machine that is killed takes nobody, and comes back at its address; a primary's successor stands; one that hangs says
 // nothing until it goes on; a place too many is turned away.
 func TestFaults(t *testing.T) {
-	h, at := newHost(t, func(c *fleet.Config) { c.Kind.Conns = 2 })
+	h, at := newHost(t, func(c *fleet.Config) { c.Kind.MaxConnections = 2 })
 	a := testserver.Dial(t, at["db1a"])
 	testserver.Dial(t, at["db1a"])
 	c, err := net.Dial("tcp", at["db1a"])
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -26,10 +26,10 @@
 	c     net.Conn
 	epoch int // of its place at the machine, -1 = it has none
 	out   []byte
-	work  *model.Work   // the statement that is out
-	in    chan []byte   // what has come
-	gone  chan struct{} // closed once the other side has closed or broken the connection
-	left  chan struct{} // closed once this side has
+	work  *model.Statement // the statement that is out
+	in    chan []byte      // what has come
+	gone  chan struct{}    // closed once the other side has closed or broken the connection
+	left  chan struct{}    // closed once this side has
 }
 
 // read takes what comes also while a statement runs, so that a connection that is given up is noticed then.
@@ -195,13 +195,13 @@
 // report answers a probe.
 func (x *session) report() bool {
 	type end struct {
-		r  model.Report
+		r  model.LoadReport
 		ok bool
 	}
 	ch := make(chan end, 1)
 	x.s.h.with(func() {
 		x.s.h.count.Probes++
-		x.s.m.Ask(func(r model.Report, ok bool) { ch <- end{r, ok} })
+		x.s.m.RequestReport(func(r model.LoadReport, ok bool) { ch <- end{r, ok} })
 	})
 	e, ok := wait(x, ch)
 	if !ok || !e.ok {
@@ -211,7 +211,7 @@
 	if e.r.Primary {
 		lead = "1"
 	}
-	text := "x0=" + strconv.FormatFloat(float64(e.r.Position.Milliseconds())/1000, 'f', 3, 64) + ",x1=" + lead + ",util=" + strconv.FormatFloat(e.r.Use, 'f', 3, 64)
+	text := "x0=" + strconv.FormatFloat(float64(e.r.Position.Milliseconds())/1000, 'f', 3, 64) + ",x1=" + lead + ",util=" + strconv.FormatFloat(e.r.Utilization, 'f', 3, 64)
 	x.out = pgwire.Append(x.out, 'T', []byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"))
 	x.row("SHOW", text)
 	x.ready()
@@ -269,18 +269,18 @@
 				k = &h.cfg.Classes[i]
 			}
 		}
-		w := &model.Work{Need: max(time.Microsecond, h.need(sql, k)), Until: h.clock.Now() + head.Deadline}
+		w := &model.Statement{Work: max(time.Microsecond, h.need(sql, k)), Deadline: h.clock.Now() + head.Deadline}
 		if k != nil {
-			w.Write, w.Long = fleet.Update(k), k.Long
+			w.Write, w.BlocksApply = fleet.Update(k), k.Long
 		}
 		see := head.After
 		if k != nil && k.Consistency == balance.ConsistencyBounded {
 			see = h.clock.Now() - k.MaxStaleness
 		}
 		if h.cfg.Checks != balance.FreshnessCheckNone {
-			w.See = see
+			w.MinPosition = see
 		}
-		v.Write, v.See, v.Led = w.Write, see, m.Led()
+		v.Write, v.See, v.Led = w.Write, see, m.WasPrimary()
 		w.Done = func(o model.Outcome, pos time.Duration, primary bool) {
 			x.work = nil
 			ch <- Ending{o, pos, primary}
@@ -307,13 +307,13 @@
 		}
 		x.row("SELECT 1", m.ID+" "+strconv.FormatInt(int64(e.Position), 10))
 		return true
-	case model.Full:
+	case model.QueueFull:
 		x.fail(pgwire.TooManyConnections, "no slot and no room")
 	case model.ReadOnly:
 		x.fail(pgwire.ReadOnly, "read-only")
-	case model.Behind:
+	case model.TooStale:
 		x.fail(pgwire.SnapshotTooOld, "not applied yet")
-	case model.Broke:
+	case model.Disconnected:
 		x.c.Close()
 	default:
 		x.fail("57014", "did not run to its end")
@@ -335,7 +335,7 @@
 func (x *session) ready() {
 	mode, pos := "read-only", time.Duration(0)
 	x.s.h.with(func() {
-		if x.s.m.Primary() {
+		if x.s.m.IsPrimary() {
 			mode = "read-write"
 		}
 		pos = x.s.m.Position()
--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -232,7 +232,7 @@
 }
 
 // ran notes that a machine has run a copy, which had to see a position.
-func (f *Fleet) ran(q *request, m *model.Machine, pos, see time.Duration) {
+func (f *Fleet) ran(q *request, m *model.Endpoint, pos, see time.Duration) {
 	q.runs++
 	f.obs.ran(q, m, pos, see)
 }
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -14,7 +14,7 @@
 type Class struct {
 	balance.Class
 	Share float64
-	Work  model.Dist
+	Work  model.WorkDistribution
 	Long  bool // a replica applies nothing while it runs
 }
 
@@ -25,8 +25,8 @@
 	Banks   int
 	Members int // of each bank
 	Spares  int // machines of each bank beside them that are not there until the fault add
-	Kind    model.Kind
-	Follow  model.Follow
+	Kind    model.EndpointSpec
+	Follow  model.Replication
 	Classes []Class
 
 	Use    float64 // part of all machines' capacity that is asked for in the mean
@@ -117,35 +117,35 @@
 	ms := time.Millisecond
 	return Config{
 		Routers: 3, Zones: []string{"a", "b", "c"}, Banks: 4, Members: 3, Length: 40 * time.Second, Use: 0.4,
-		Kind: model.Kind{
-			Cores: 3, Speed: 1, Slots: 24, Room: 60, Thrash: 0.12, ThrashAt: 5, ColdFrom: 0.16, ColdFor: 18 * time.Second,
-			FallMultiple: 2.5, FallFor: 2 * time.Second, FallBack: 6 * time.Second, Conns: 480, FullTax: 0.06, Handshake: 4 * ms,
-			ProbeWork: 300 * time.Microsecond, Refresh: 120 * ms, Noise: 0.08, Errors: 0.0005, DropsLate: true,
+		Kind: model.EndpointSpec{
+			Cores: 3, Speed: 1, Slots: 24, QueueCapacity: 60, ContentionLoss: 0.12, ContentionThreshold: 5, SlowStartShare: 0.16, SlowStartWindow: 18 * time.Second,
+			OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second, RestartDelay: 6 * time.Second, MaxConnections: 480, ConnectionCost: 0.06, HandshakeWork: 4 * ms,
+			HealthCheckWork: 300 * time.Microsecond, ReportInterval: 120 * ms, ReportNoise: 0.08, ErrorShare: 0.0005, DropsExpired: true,
 		},
-		Follow: model.Follow{
-			Ship: 8 * ms, Apply: 12 * ms, Detect: [2]time.Duration{time.Second, 3 * time.Second},
-			Stand: [2]time.Duration{0, 500 * ms}, HandOver: [2]time.Duration{470 * ms, 940 * ms}, Resync: 500 * ms,
+		Follow: model.Replication{
+			ShipDelay: 8 * ms, ApplyTime: 12 * ms, DetectionDelay: [2]time.Duration{time.Second, 3 * time.Second},
+			ElectionDelay: [2]time.Duration{0, 500 * ms}, SwitchoverDelay: [2]time.Duration{470 * ms, 940 * ms}, ResyncDelay: 500 * ms,
 		},
 		Classes: []Class{
 			{
 				Class: balance.Class{Name: "queue-view", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2, LateWeightShare: 0.2, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms},
-				Share: 0.42, Work: model.Dist{Mean: 65 * ms, CV: 1.1},
+				Share: 0.42, Work: model.WorkDistribution{Mean: 65 * ms, Variation: 1.1},
 			},
 			{
 				Class: balance.Class{Name: "own-jobs", LatencyObjective: 400 * ms, ClientTimeout: 1500 * ms, PriorityWeight: 2, LateWeightShare: 0.3, Consistency: balance.ConsistencySession},
-				Share: 0.3, Work: model.Dist{Mean: 50 * ms, Exp: true},
+				Share: 0.3, Work: model.WorkDistribution{Mean: 50 * ms, Exponential: true},
 			},
 			{
 				Class: balance.Class{Name: "audit-report", LatencyObjective: 5 * time.Second, ClientTimeout: 10 * time.Second, PriorityWeight: 6, LateWeightShare: 0.2, Consistency: balance.ConsistencyAny},
-				Share: 0.02, Work: model.Dist{Mean: 1100 * ms, CV: 1}, Long: true,
+				Share: 0.02, Work: model.WorkDistribution{Mean: 1100 * ms, Variation: 1}, Long: true,
 			},
 			{
 				Class: balance.Class{Name: "key-check", LatencyObjective: 300 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 3, LateWeightShare: 0.3, Consistency: balance.ConsistencyLatest},
-				Share: 0.18, Work: model.Dist{Mean: 30 * ms, Exp: true},
+				Share: 0.18, Work: model.WorkDistribution{Mean: 30 * ms, Exponential: true},
 			},
 			{
 				Class: balance.Class{Name: "submit-job", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second, PriorityWeight: 3, LateWeightShare: 0.5, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent},
-				Share: 0.08, Work: model.Dist{Mean: 100 * ms, Exp: true},
+				Share: 0.08, Work: model.WorkDistribution{Mean: 100 * ms, Exponential: true},
 			},
 		},
 		Same: 200 * time.Microsecond, Cross: ms, Client: 700 * time.Microsecond, Jitter: 0.2,
@@ -206,7 +206,7 @@
 	b := balance.Config{
 		Instances: c.Routers, Zone: zone, PollDiscovery: !c.Pushed, PollWithin: 5 * time.Second, DrainGrace: c.Grace, TimerResolution: 5 * time.Millisecond, FreshnessCheck: c.Checks, ClientSessionTokens: true,
 		HealthChecks: true, HealthCheckCost: c.ProbePrice, LateRejectCost: c.HeldBack, Cancellation: c.Cancel, RetryAfter: true, MaxRetryAfter: c.Comeback, MaxAttempts: c.MostTries,
-		SlowStartFrom: c.Kind.ColdFrom, SlowStartWindow: c.Kind.ColdFor, OverloadMultiple: c.Kind.FallMultiple, OverloadWindow: c.Kind.FallFor,
+		SlowStartFrom: c.Kind.SlowStartShare, SlowStartWindow: c.Kind.SlowStartWindow, OverloadMultiple: c.Kind.OverloadMultiple, OverloadWindow: c.Kind.OverloadWindow,
 	}
 	if c.HarmColdBudget {
 		b.SlowStartFrom, b.SlowStartWindow = 1, 0
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -20,7 +20,7 @@
 
 func newDirectory(f *Fleet) *directory {
 	d := &directory{f: f}
-	d.Registry = model.NewRegistry(f.world, model.Notices{Change: f.cfg.Notice, Silent: f.cfg.Silent, Role: f.cfg.RoleLag}, f.span, func(i int) {
+	d.Registry = model.NewRegistry(f.world, model.NoticeDelays{Change: f.cfg.Notice, Silent: f.cfg.Silent, Role: f.cfg.RoleLag}, f.span, func(i int) {
 		e := entry(d.Entries[i])
 		for _, r := range f.routers {
 			switch {
@@ -36,8 +36,8 @@
 
 // entry is a listing as routers read it.
 func entry(l model.Listing) balance.EndpointEntry {
-	states := map[model.ListedAs]balance.EndpointState{model.ListedGone: balance.EndpointRemoved, model.ListedReady: balance.EndpointReady, model.ListedDraining: balance.EndpointDraining}
-	return balance.EndpointEntry{Endpoint: l.Machine.ID, Zone: l.Machine.Zone, Group: l.Machine.Bank.ID, State: states[l.State], Primary: l.Primary, StartedAt: l.UpAt}
+	states := map[model.ListingState]balance.EndpointState{model.ListedRemoved: balance.EndpointRemoved, model.ListedReady: balance.EndpointReady, model.ListedDraining: balance.EndpointDraining}
+	return balance.EndpointEntry{Endpoint: l.Endpoint.ID, Zone: l.Endpoint.Zone, Group: l.Endpoint.Group.ID, State: states[l.State], Primary: l.Primary, StartedAt: l.StartedAt}
 }
 
 func (d *directory) list(kind balance.EndpointListKind) balance.EndpointList {
@@ -207,7 +207,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	a, b := f.world.Machines[1], f.world.Machines[2]
+	a, b := f.world.Endpoints[1], f.world.Endpoints[2]
 	f.clock.Run(start + time.Second)
 	a.Drain()
 	b.Kill("test", 0)
@@ -216,7 +216,7 @@
 		if drain == 0 && f.directory.Entries[1].State == model.ListedDraining {
 			drain = f.clock.Now() - at
 		}
-		if silent == 0 && f.directory.Entries[2].State == model.ListedGone {
+		if silent == 0 && f.directory.Entries[2].State == model.ListedRemoved {
 			silent = f.clock.Now() - at
 		}
 	}
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -25,7 +25,7 @@
 	world     *model.World
 	directory *directory
 	routers   []*instance
-	machine   map[string]*model.Machine
+	machine   map[string]*model.Endpoint
 	cuts      map[string]bool
 	rng       *rand.Rand // of clients
 	net       *rand.Rand // of ways and waits
@@ -109,14 +109,14 @@
 		return nil, err
 	}
 	f := &Fleet{
-		cfg: cfg, seed: seed, clock: event.New(start), machine: map[string]*model.Machine{}, cuts: map[string]bool{},
+		cfg: cfg, seed: seed, clock: event.New(start), machine: map[string]*model.Endpoint{}, cuts: map[string]bool{},
 		rng: rand.New(rand.NewPCG(seed, 2)), net: rand.New(rand.NewPCG(seed, 3)), burst: 1,
 	}
 	f.world = model.New(f.clock, seed)
 	for b := range cfg.Banks {
-		bank := f.world.AddBank(int64(b+1), cfg.Follow)
+		bank := f.world.AddReplicaGroup(int64(b+1), cfg.Follow)
 		for i := range cfg.Members + cfg.Spares {
-			m := f.world.Add(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, bank)
+			m := f.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, bank)
 			f.machine[m.ID] = m
 			if i >= cfg.Members {
 				m.Reserve()
@@ -155,7 +155,7 @@
 }
 
 // cut says whether messages between a router and a machine get lost.
-func (f *Fleet) cut(r *instance, m *model.Machine) bool {
+func (f *Fleet) cut(r *instance, m *model.Endpoint) bool {
 	return len(f.cuts) > 0 && (f.cuts[r.zone+">"+m.Zone] || f.cuts[r.zone+">"+m.ID])
 }
 
@@ -219,21 +219,21 @@
 		return
 	}
 	fired := make([]bool, len(on))
-	f.world.Watch(func(m *model.Machine) {
+	f.world.Watch(func(m *model.Endpoint) {
 		for i, x := range on {
 			if fired[i] {
 				continue
 			}
-			bank, is := fmt.Sprint(m.Bank.ID), false
+			bank, is := fmt.Sprint(m.Group.ID), false
 			switch kind, of, _ := strings.Cut(x.On, ":"); kind {
 			case "lost":
-				is = of == bank && !m.Bank.Leads()
+				is = of == bank && !m.Group.AcceptsWrites()
 			case "led":
-				is = of == bank && m.Bank.Leads() && m.Bank.Changes() > 0
+				is = of == bank && m.Group.AcceptsWrites() && m.Group.PrimaryChanges() > 0
 			case "down":
 				is = of == m.ID && m.State() != model.Up
 			case "up":
-				is = of == m.ID && m.State() == model.Up && m.UpAt() > 0
+				is = of == m.ID && m.State() == model.Up && m.StartedAt() > 0
 			}
 			if is {
 				fired[i] = true
@@ -280,7 +280,7 @@
 		}
 		return
 	}
-	Befall(f.world, x, f.cfg.Kind.Errors)
+	Befall(f.world, x, f.cfg.Kind.ErrorShare)
 }
 
 // Befall does to machines what a fault says; errors is the share of them that they have otherwise.
@@ -299,16 +299,16 @@
 		case "remove":
 			m.Remove()
 		case "add":
-			m.Appear()
+			m.Join()
 		case "slow":
-			m.Slow(x.Part)
+			m.SetSpeedFactor(x.Part)
 			if x.For > 0 {
-				w.Clock.After(x.For, func() { m.Slow(1) })
+				w.Clock.After(x.For, func() { m.SetSpeedFactor(1) })
 			}
 		case "sick":
-			m.Sicken(x.Part)
+			m.SetErrorShare(x.Part)
 			if x.For > 0 {
-				w.Clock.After(x.For, func() { m.Sicken(errors) })
+				w.Clock.After(x.For, func() { m.SetErrorShare(errors) })
 			}
 		}
 	}
@@ -321,13 +321,13 @@
 }
 
 // named are machines by name, by bank ("bank:2", "primary:2", "replicas:2") or by zone ("zone:a").
-func named(w *model.World, names []string) (out []*model.Machine) {
+func named(w *model.World, names []string) (out []*model.Endpoint) {
 	for _, name := range names {
 		kind, of, ok := strings.Cut(name, ":")
-		for _, m := range w.Machines {
-			bank := fmt.Sprint(m.Bank.ID)
+		for _, m := range w.Endpoints {
+			bank := fmt.Sprint(m.Group.ID)
 			if !ok && m.ID == name || ok && (kind == "zone" && m.Zone == of || kind == "bank" && bank == of ||
-				kind == "primary" && bank == of && m.Primary() || kind == "replicas" && bank == of && !m.Primary()) {
+				kind == "primary" && bank == of && m.IsPrimary() || kind == "replicas" && bank == of && !m.IsPrimary()) {
 				if !slices.Contains(out, m) {
 					out = append(out, m)
 				}
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -112,7 +112,7 @@
 	}
 	// By hand, on a fleet that has come to rest.
 	f := resting(t)
-	m, rt := f.world.Machines[1], f.routers[0]
+	m, rt := f.world.Endpoints[1], f.routers[0]
 	write := &request{f: f, id: 1, class: &f.cfg.Classes[4], session: &f.sessions[0], out: 1, runs: 1}
 	read := &request{f: f, id: 2, class: &f.cfg.Classes[1], session: &f.sessions[0], see: f.clock.Now(), born: start, at: rt, life: rt.life}
 	p := rt.peer(m.ID)
@@ -139,7 +139,7 @@
 	f.clock.Run(f.clock.Now() + 1500*time.Millisecond)
 	for m.State() == model.Up && f.clock.Now() < start+30*time.Second {
 		for range 40 {
-			m.Submit(&model.Work{Need: 50 * time.Millisecond, Done: func(model.Outcome, time.Duration, bool) {}})
+			m.Submit(&model.Statement{Work: 50 * time.Millisecond, Done: func(model.Outcome, time.Duration, bool) {}})
 		}
 		f.clock.Run(f.clock.Now() + 50*time.Millisecond)
 	}
--- a/internal/simulation/fleet/observe.go
+++ b/internal/simulation/fleet/observe.go
@@ -100,14 +100,14 @@
 	for _, k := range f.cfg.Classes {
 		f.obs.classes[k.Name] = &Tally{}
 	}
-	down := map[*model.Machine]bool{}
-	f.world.Watch(func(m *model.Machine) {
+	down := map[*model.Endpoint]bool{}
+	f.world.Watch(func(m *model.Endpoint) {
 		if is := m.State() == model.Down; is != down[m] {
 			down[m] = is
 			if is && strings.HasPrefix(m.Cause(), "pushed over") {
 				f.obs.pushed++
 				f.obs.marks = append(f.obs.marks, Mark{At: f.clock.Now() - start, Text: m.ID + " " + m.Cause()})
-				if m.Cold() {
+				if m.WarmingUp() {
 					f.obs.fault("cold", "%s was %s", m.ID, m.Cause())
 				}
 			}
@@ -128,15 +128,15 @@
 	now := o.f.clock.Now()
 	o.top.step(o.f.world, now)
 	s := Sample{At: now - start, InHand: o.f.inHand}
-	for _, m := range o.f.world.Machines {
+	for _, m := range o.f.world.Endpoints {
 		s.Machines = append(s.Machines, Look(m, now))
 	}
 	o.series = append(o.series, s)
 }
 
 // Look is the state of a machine.
-func Look(m *model.Machine, now time.Duration) MachineSample {
-	x := MachineSample{Running: m.Running(), Waiting: m.Waiting(), Conns: m.Conns(), Capacity: m.Capacity(), Primary: m.Primary(), Down: m.State() != model.Up}
+func Look(m *model.Endpoint, now time.Duration) MachineSample {
+	x := MachineSample{Running: m.Running(), Waiting: m.Queued(), Conns: m.Connections(), Capacity: m.Capacity(), Primary: m.IsPrimary(), Down: m.State() != model.Up}
 	if !x.Primary && !x.Down {
 		x.Lag = now - m.Position()
 	}
@@ -198,7 +198,7 @@
 }
 
 // ran checks what a machine has run.
-func (o *observer) ran(q *request, m *model.Machine, pos, see time.Duration) {
+func (o *observer) ran(q *request, m *model.Endpoint, pos, see time.Duration) {
 	if q.runs > 1 && q.class.Idempotency == balance.NonIdempotent {
 		o.fault("twice", "request %d ran %d times", q.id, q.runs)
 	}
@@ -287,11 +287,11 @@
 			res.Curve = append(res.Curve, Quantile{part, o.lat[min(n-1, int(part*float64(n)))]})
 		}
 	}
-	for _, m := range f.world.Machines {
+	for _, m := range f.world.Endpoints {
 		res.Names = append(res.Names, m.ID)
 	}
-	for _, b := range f.world.Banks {
-		res.Changes += b.Changes()
+	for _, b := range f.world.Groups {
+		res.Changes += b.PrimaryChanges()
 	}
 	return res
 }
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -35,7 +35,7 @@
 
 // peer is what a router has of one machine.
 type peer struct {
-	m       *model.Machine
+	m       *model.Endpoint
 	idle    []conn
 	barred  bool
 	out     bool          // the list says that it drains or is gone,
@@ -106,7 +106,7 @@
 	r.life++
 	r.timer.Stop()
 	r.timer, r.due = nil, 0
-	for _, m := range r.f.world.Machines {
+	for _, m := range r.f.world.Endpoints {
 		if p := r.peers[m.ID]; p != nil {
 			for _, c := range p.idle {
 				m.Disconnect(c.epoch)
@@ -149,7 +149,7 @@
 }
 
 // way is how long a message is on its way to or from a machine.
-func (r *instance) way(m *model.Machine) time.Duration {
+func (r *instance) way(m *model.Endpoint) time.Duration {
 	if m.Zone == r.zone {
 		return r.f.jitter(r.f.cfg.Same)
 	}
@@ -186,7 +186,7 @@
 	by      time.Duration
 	written bool
 	over    bool
-	work    *model.Work
+	work    *model.Statement
 	conn    conn
 	timer   *event.Event
 }
@@ -284,12 +284,12 @@
 		see = now - q.class.MaxStaleness // from when it is sent: each attempt has one of its own
 	}
 	must := see
-	if m.Led() && !c.p.replica {
+	if m.WasPrimary() && !c.p.replica {
 		must = 0 // the contract lets it pass: no answer has told this router that it leads no more
 	}
-	c.work = &model.Work{Need: q.need, Write: q.class.Consistency == balance.ConsistencyWrite, Long: q.class.Long, Until: q.until}
+	c.work = &model.Statement{Work: q.need, Write: q.class.Consistency == balance.ConsistencyWrite, BlocksApply: q.class.Long, Deadline: q.until}
 	if r.f.cfg.Checks != balance.FreshnessCheckNone {
-		c.work.See = see
+		c.work.MinPosition = see
 	}
 	c.work.Done = func(o model.Outcome, pos time.Duration, primary bool) {
 		c.q.out--
@@ -312,7 +312,7 @@
 			return
 		}
 		if c.conn.epoch != m.Epoch() {
-			c.work.Done(model.Broke, 0, false)
+			c.work.Done(model.Disconnected, 0, false)
 			return
 		}
 		m.Submit(c.work)
@@ -331,16 +331,16 @@
 	switch o {
 	case model.Served:
 		res.Status = balance.StatusDone
-	case model.Full:
+	case model.QueueFull:
 		res.Status = balance.StatusBusy
-	case model.ReadOnly, model.Behind:
+	case model.ReadOnly, model.TooStale:
 		res.Status = balance.StatusMiss
-	case model.Broke:
+	case model.Disconnected:
 		res = router.Result{Status: balance.StatusReset}
 	default:
 		res.Status = balance.StatusError
 	}
-	if o != model.Broke {
+	if o != model.Disconnected {
 		c.p.replica = !primary
 		c.p.idle = append(c.p.idle, conn{c.conn.epoch, c.r.f.clock.Now()})
 	}
@@ -403,7 +403,7 @@
 		if r.f.cut(r, m) {
 			return
 		}
-		m.Ask(func(rep model.Report, ok bool) {
+		m.RequestReport(func(rep model.LoadReport, ok bool) {
 			r.f.clock.After(r.way(m), func() {
 				if r.f.cut(r, m) {
 					return
@@ -411,7 +411,7 @@
 				limit.Stop()
 				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Utilization: rep.Use}
+					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Utilization: rep.Utilization}
 					if rep.Primary {
 						res.Role = balance.RolePrimary
 					}
--- a/internal/simulation/fleet/top.go
+++ b/internal/simulation/fleet/top.go
@@ -46,15 +46,15 @@
 	if t.at == 0 {
 		span = 0
 	}
-	for _, b := range w.Banks {
+	for _, b := range w.Groups {
 		t.waiting[b.ID] = t.serve(b, now, span)
 	}
 	t.at = now
 }
 
-func (t *top) serve(b *model.Bank, now, span time.Duration) (left []cohort) {
-	room := make([]float64, len(b.Members))
-	for i, m := range b.Members {
+func (t *top) serve(b *model.ReplicaGroup, now, span time.Duration) (left []cohort) {
+	room := make([]float64, len(b.Endpoints))
+	for i, m := range b.Endpoints {
 		room[i] = m.Capacity() * span.Seconds()
 	}
 	all := t.waiting[b.ID]
@@ -83,14 +83,14 @@
 	}
 	for _, c := range all {
 		strong := c.class.Consistency == balance.ConsistencyWrite || c.class.Consistency == balance.ConsistencyLatest
-		for i, m := range b.Members {
-			if strong || m.Primary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+span {
+		for i, m := range b.Endpoints {
+			if strong || m.IsPrimary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+span {
 				continue
 			}
 			take(&c, i)
 		}
-		for i, m := range b.Members {
-			if m.Primary() && (b.Leads() || !strong) {
+		for i, m := range b.Endpoints {
+			if m.IsPrimary() && (b.AcceptsWrites() || !strong) {
 				take(&c, i)
 			}
 		}
--- a/internal/simulation/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -15,7 +15,7 @@
 func options(addr string) Options {
 	c := fleet.Default()
 	for i := range c.Classes {
-		c.Classes[i].Work = model.Dist{Mean: 200 * time.Microsecond}
+		c.Classes[i].Work = model.WorkDistribution{Mean: 200 * time.Microsecond}
 	}
 	return Options{Addr: addr, Rate: 300, Length: 2 * time.Second, Conns: 100, Classes: c.Classes, Banks: 1, Sessions: 10, Retries: 2, Honour: 1, Backoff: 20 * time.Millisecond, Seed: 1}
 }
@@ -85,7 +85,7 @@
 func hostFor(t *testing.T, change ...func(*fleet.Config)) (*emulator.Host, string) {
 	t.Helper()
 	c := fleet.Default()
-	c.Banks, c.Members, c.Kind.Errors = 1, 1, 0
+	c.Banks, c.Members, c.Kind.ErrorShare = 1, 1, 0
 	for _, f := range change {
 		f(&c)
 	}
@@ -151,7 +151,7 @@
 
 // A server that turns all away is asked again as clients do, and what can't be asked is named.
 func TestRefusedAndBad(t *testing.T) {
-	_, addr := hostFor(t, func(c *fleet.Config) { c.Kind.Slots, c.Kind.Room = 1, 1 })
+	_, addr := hostFor(t, func(c *fleet.Config) { c.Kind.Slots, c.Kind.QueueCapacity = 1, 1 })
 	o := options(addr)
 	o.Length, o.Rate = time.Second, 400
 	for i := range o.Classes {
--- /dev/null
+++ b/internal/simulation/model/endpoint_test.go
@@ -0,0 +1,316 @@
+package model
+
+import (
+	"testing"
+	"time"
+
+	"limeladder/internal/simulation/event"
+)
+
+const startTime = 1000 * time.Second
+
+// newReplicaGroup returns a group, its clock and its world, and the primary.
+func newReplicaGroup(spec EndpointSpec, endpoints int) (*event.Clock, *World, *Endpoint) {
+	clock := event.New(startTime)
+	world := New(clock, 1)
+	group := world.AddReplicaGroup(1, Replication{
+		ShipDelay:      8 * time.Millisecond,
+		ApplyTime:      time.Millisecond,
+		DetectionDelay: [2]time.Duration{time.Second, time.Second},
+		ResyncDelay:    100 * time.Millisecond,
+	})
+	for i := range endpoints {
+		world.AddEndpoint(string(rune('a'+i)), "z", spec, group)
+	}
+	return clock, world, world.Endpoints[0]
+}
+
+func endpointSpec() EndpointSpec {
+	return EndpointSpec{
+		Cores: 1, Speed: 1, Slots: 1, QueueCapacity: 2, SlowStartShare: 0.16, SlowStartWindow: 18 * time.Second,
+	}
+}
+
+// outcomes holds how statements ended, by their names. Each has to end once.
+type outcomes map[string][]Outcome
+
+func (ended outcomes) statement(name string, work time.Duration) *Statement {
+	return &Statement{Work: work, Done: func(outcome Outcome, _ time.Duration, _ bool) {
+		ended[name] = append(ended[name], outcome)
+	}}
+}
+
+func (ended outcomes) check(t *testing.T, want map[string]Outcome) {
+	t.Helper()
+	for name, outcome := range want {
+		if len(ended[name]) != 1 || ended[name][0] != outcome {
+			t.Errorf("%s ended %v, not once as %v", name, ended[name], outcome)
+		}
+	}
+	for name := range ended {
+		if _, ok := want[name]; !ok {
+			t.Errorf("%s ended: %v", name, ended[name])
+		}
+	}
+}
+
+// A queued statement is cancelled on any endpoint, a running one where the endpoint cancels those too. A cancel after
+// the end of a statement does nothing.
+func TestCancelQueuedAndRunning(t *testing.T) {
+	for _, cancelsRunning := range []bool{false, true} {
+		spec := endpointSpec()
+		spec.CancelsRunning = cancelsRunning
+		clock, _, endpoint := newReplicaGroup(spec, 1)
+		ended := outcomes{}
+		running := ended.statement("runs", 100*time.Millisecond)
+		queued := ended.statement("waits", time.Second)
+		next := ended.statement("next", 100*time.Millisecond)
+		endpoint.Submit(running)
+		endpoint.Submit(queued)
+		endpoint.Submit(next)
+		clock.Run(startTime + 50*time.Millisecond)
+		endpoint.Cancel(queued)
+		endpoint.Cancel(running)
+		clock.Run(startTime + 160*time.Millisecond)
+		if cancelsRunning {
+			ended.check(t, map[string]Outcome{"runs": Cancelled, "waits": Cancelled, "next": Served})
+		} else {
+			ended.check(t, map[string]Outcome{"runs": Served, "waits": Cancelled})
+		}
+		clock.Run(startTime + time.Second)
+		endpoint.Cancel(running) // its answer was on the way
+		endpoint.Cancel(next)
+		endpoint.Cancel(&Statement{})
+		ended.check(t, map[string]Outcome{"runs": outcomeOfRunning(cancelsRunning), "waits": Cancelled, "next": Served})
+	}
+}
+
+func outcomeOfRunning(all bool) Outcome {
+	if all {
+		return Cancelled
+	}
+	return Served
+}
+
+// An endpoint that goes down disconnects all of its statements, once, and rejects those that come then. It restarts
+// cold and with a new epoch of connections.
+func TestKillAndRestart(t *testing.T) {
+	clock, _, endpoint := newReplicaGroup(endpointSpec(), 1)
+	ended := outcomes{}
+	endpoint.Connect(func(ok, _ bool, epoch int) {
+		if !ok || epoch != 0 {
+			t.Error(ok, epoch)
+		}
+	})
+	endpoint.Submit(ended.statement("runs", time.Second))
+	endpoint.Submit(ended.statement("waits", time.Second))
+	clock.Run(startTime + 10*time.Millisecond)
+	endpoint.Kill("test", time.Second)
+	endpoint.Kill("test", time.Millisecond)
+	endpoint.Submit(ended.statement("later", time.Second))
+	endpoint.Connect(func(ok, full bool, _ int) {
+		if ok || full {
+			t.Error("it takes a connection")
+		}
+	})
+	ended.check(t, map[string]Outcome{"runs": Disconnected, "waits": Disconnected, "later": Disconnected})
+	if endpoint.Connections() != 0 || endpoint.Epoch() != 1 || endpoint.Capacity() != 0 || endpoint.Cause() != "test" {
+		t.Errorf("%+v", endpoint)
+	}
+	clock.Run(startTime + 1100*time.Millisecond)
+	if endpoint.State() != Up || !endpoint.WarmingUp() {
+		t.Errorf("after the restart the state is %v, warming up: %v", endpoint.State(), endpoint.WarmingUp())
+	}
+	if factor := endpoint.SlowStartFactor(); factor < 0.16 || factor > 0.17 {
+		t.Errorf("after the restart the slow-start factor is %.2f, want 0.16 to 0.17", factor)
+	}
+	endpoint.Disconnect(0) // of the epoch before
+	if endpoint.Connections() != 0 {
+		t.Error("a connection of another epoch is counted")
+	}
+	clock.Run(startTime + 30*time.Second)
+	if endpoint.WarmingUp() {
+		t.Error("it does not warm up")
+	}
+	endpoint.Remove()
+	clock.Run(startTime + 100*time.Second)
+	if endpoint.State() != Down || !endpoint.Removed() {
+		t.Error("it has come back")
+	}
+}
+
+// An endpoint that fails under overload and has no restart delay stays down, whatever it is offered.
+func TestOverloadedEndpointStaysDown(t *testing.T) {
+	spec := endpointSpec()
+	spec.OverloadMultiple = 2.5
+	spec.OverloadWindow = 200 * time.Millisecond
+	spec.QueueCapacity = 1 << 20
+	clock, world, primary := newReplicaGroup(spec, 3)
+	var feed func()
+	feed = func() {
+		primary.Submit(&Statement{Work: 50 * time.Millisecond, Done: func(Outcome, time.Duration, bool) {}})
+		clock.After(10*time.Millisecond, feed)
+	}
+	feed()
+	clock.Run(startTime + 60*time.Second)
+	if primary.State() != Down || world.Groups[0].PrimaryChanges() != 1 || primary.IsPrimary() {
+		t.Errorf("%v, %d changes", primary.State(), world.Groups[0].PrimaryChanges())
+	}
+}
+
+// An endpoint that hangs answers nothing, in the handshake neither. When it resumes it runs what came meanwhile, and
+// rejects a write if it isn't the primary any more.
+func TestHangAnswersNothing(t *testing.T) {
+	clock, world, primary := newReplicaGroup(endpointSpec(), 2)
+	ended := outcomes{}
+	primary.Hang(5 * time.Second)
+	primary.Hang(time.Millisecond)
+	primary.Submit(ended.statement("read", 10*time.Millisecond))
+	write := ended.statement("write", 10*time.Millisecond)
+	write.Write = true
+	primary.Submit(write)
+	primary.Connect(func(bool, bool, int) { t.Error("it answers a connection") })
+	primary.RequestReport(func(LoadReport, bool) { t.Error("it answers a health check") })
+	clock.Run(startTime + 4*time.Second)
+	ended.check(t, map[string]Outcome{})
+	if world.Groups[0].Primary == primary || !world.Groups[0].AcceptsWrites() {
+		t.Fatal("no successor")
+	}
+	clock.Run(startTime + 6*time.Second)
+	ended.check(t, map[string]Outcome{"read": Served, "write": ReadOnly})
+	// A primary whose hang wasn't noticed stays the primary.
+	successor := world.Groups[0].Primary
+	successor.Hang(500 * time.Millisecond)
+	clock.Run(startTime + 20*time.Second)
+	if world.Groups[0].Primary != successor || !world.Groups[0].AcceptsWrites() || world.Groups[0].PrimaryChanges() != 1 {
+		t.Errorf("%d changes", world.Groups[0].PrimaryChanges())
+	}
+}
+
+// A connection too many is rejected, and so is a statement too many. A statement whose deadline has passed isn't run.
+func TestRejectsBeyondCapacity(t *testing.T) {
+	spec := endpointSpec()
+	spec.MaxConnections = 1
+	spec.HandshakeWork = 5 * time.Millisecond
+	spec.DropsExpired = true
+	clock, _, endpoint := newReplicaGroup(spec, 1)
+	ended := outcomes{}
+	var got []bool
+	for range 2 {
+		endpoint.Connect(func(ok, full bool, _ int) { got = append(got, ok, full) })
+	}
+	late := ended.statement("late", time.Millisecond)
+	late.Deadline = startTime + 50*time.Millisecond
+	endpoint.Submit(ended.statement("runs", 100*time.Millisecond))
+	endpoint.Submit(late)
+	endpoint.Submit(ended.statement("waits", time.Millisecond))
+	endpoint.Submit(ended.statement("much", time.Millisecond))
+	clock.Run(startTime + time.Second)
+	ended.check(t, map[string]Outcome{"runs": Served, "late": Expired, "waits": Served, "much": QueueFull})
+	if len(got) != 4 || got[0] || !got[1] || !got[2] || got[3] {
+		t.Errorf("%v", got)
+	}
+	endpoint.Disconnect(endpoint.Epoch())
+	if endpoint.Connections() != 0 {
+		t.Error(endpoint.Connections())
+	}
+}
+
+// A replica rejects a read that has to see more than it has applied. After a restart it is behind until it has caught
+// up.
+func TestReplicaCatchesUp(t *testing.T) {
+	clock, world, primary := newReplicaGroup(endpointSpec(), 2)
+	replica := world.Endpoints[1]
+	ended := outcomes{}
+	write := ended.statement("write", time.Millisecond)
+	write.Write = true
+	primary.Submit(write)
+	clock.Run(startTime + 2*time.Millisecond)
+	read := ended.statement("early", time.Millisecond)
+	read.MinPosition = clock.Now()
+	replica.Submit(read)
+	clock.Run(startTime + 100*time.Millisecond)
+	read = ended.statement("there", time.Millisecond)
+	read.MinPosition = startTime + 2*time.Millisecond
+	replica.Submit(read)
+	clock.Run(startTime + 200*time.Millisecond)
+	ended.check(t, map[string]Outcome{"write": Served, "early": TooStale, "there": Served})
+	replica.Kill("test", 5*time.Second)
+	clock.Run(startTime + 5210*time.Millisecond)
+	if lag := clock.Now() - replica.Position(); lag < 4*time.Second {
+		t.Errorf("it is %v behind when it comes back", lag)
+	}
+	clock.Run(startTime + 6*time.Second)
+	if lag := clock.Now() - replica.Position(); lag > 20*time.Millisecond {
+		t.Errorf("it is %v behind still", lag)
+	}
+	primary.Drain()
+	clock.Run(startTime + 7*time.Second)
+	if !replica.IsPrimary() || primary.IsPrimary() {
+		t.Error("a primary that drains does not hand over")
+	}
+}
+
+// A load report is given again until it is older than the report interval.
+func TestLoadReportIsCached(t *testing.T) {
+	spec := endpointSpec()
+	spec.ReportInterval = 100 * time.Millisecond
+	spec.HealthCheckWork = time.Millisecond
+	clock, world, _ := newReplicaGroup(spec, 2)
+	replica := world.Endpoints[1]
+	var got []LoadReport
+	ask := func() { replica.RequestReport(func(report LoadReport, _ bool) { got = append(got, report) }) }
+	ask()
+	clock.Run(startTime + 90*time.Millisecond)
+	ask()
+	clock.Run(startTime + 150*time.Millisecond)
+	ask()
+	clock.Run(startTime + 160*time.Millisecond)
+	if len(got) != 3 {
+		t.Fatalf("%d reports, want 3", len(got))
+	}
+	if got[0].Position != got[1].Position || got[2].Position != startTime+142*time.Millisecond || got[0].Primary {
+		t.Fatalf("%+v", got)
+	}
+}
+
+// A spare is neither listed nor elected, and doesn't start by itself. Once it has joined it is listed as new, follows
+// the primary and can be elected.
+func TestSpareJoins(t *testing.T) {
+	clock := event.New(1000 * time.Second)
+	world := New(clock, 1)
+	group := world.AddReplicaGroup(1, Replication{
+		ShipDelay:      time.Millisecond,
+		ApplyTime:      time.Millisecond,
+		DetectionDelay: [2]time.Duration{time.Second, time.Second},
+		ResyncDelay:    time.Millisecond,
+	})
+	spec := EndpointSpec{Cores: 1, Speed: 1, Slots: 4, QueueCapacity: 4, SlowStartShare: 0.5, SlowStartWindow: time.Second}
+	first := world.AddEndpoint("first", "a", spec, group)
+	spare := world.AddEndpoint("spare", "b", spec, group)
+	spare.Reserve()
+	registry := NewRegistry(world, NoticeDelays{}, func([2]time.Duration) time.Duration { return 0 }, func(int) {})
+	listed := func() (out string) {
+		registry.Since(0, func(listing Listing) { out += listing.Endpoint.ID + " " + listing.State.String() + ";" })
+		return out
+	}
+	spare.Start()
+	clock.Run(1001 * time.Second)
+	if got := listed(); got != "first ready;" || spare.State() != Down {
+		t.Fatalf("%q, %v", got, spare.State())
+	}
+	for range 300 { // enough for the log to be trimmed
+		group.appendCommit(clock.Now())
+	}
+	spare.Join()
+	spare.Join()
+	clock.Run(1003 * time.Second)
+	if got := listed(); got != "first ready;spare ready;" || spare.State() != Up || spare.Position() < 1001*time.Second {
+		t.Fatalf("%q, %v, at %v", got, spare.State(), spare.Position())
+	}
+	first.Kill("killed", 0)
+	clock.Run(1010 * time.Second)
+	if !spare.IsPrimary() {
+		t.Error("it does not follow")
+	}
+}
--- a/internal/simulation/model/registry.go
+++ b/internal/simulation/model/registry.go
@@ -2,128 +2,156 @@
 
 import "time"
 
-// Registry is what a list of machines says of a world: late, and no more than discovery can know. It owns the entries and their
-// versions, not how they are told.
+// Registry is the endpoint list of a world as discovery has it: late, and with no more in it than discovery can know.
+// It owns the entries and their versions, not the way in which they reach a router.
 type Registry struct {
-	Version int64 // of the newest change; the first list is 1
+	Version int64 // of the newest change; the first list has version 1
 	Entries []Listing
 
-	world *World
-	cfg   Notices
-	draw  func([2]time.Duration) time.Duration
-	told  func(i int)
-	led   map[*Bank]*Machine
+	world     *World
+	delays    NoticeDelays
+	draw      func([2]time.Duration) time.Duration
+	onChange  func(i int)
+	primaries map[*ReplicaGroup]*Endpoint // those that were noticed last
 }
 
-// Notices is how late a registry says what happens, each drawn between a pair.
-type Notices struct {
-	Change [2]time.Duration // that a machine drains, has gone or is back
-	Silent [2]time.Duration // that one has gone without a word
-	Role   [2]time.Duration // who leads a bank now, both 0 = it goes on to say who led at the start
+// NoticeDelays says how late a registry notices what happens. Each delay is drawn between the two bounds of a pair.
+type NoticeDelays struct {
+	Change [2]time.Duration // that an endpoint drains, was removed or is back
+	Silent [2]time.Duration // that an endpoint died or hangs
+	Role   [2]time.Duration // which endpoint is the primary now; both 0 = the list keeps naming the first primary
 }
 
-// Listing is one machine in the list.
+// Listing is the entry of one endpoint.
 type Listing struct {
-	Machine *Machine
-	State   ListedAs
-	Primary bool
-	UpAt    time.Duration // its last start, 0 = before the world began
-	Changed int64         // the version that said something new of it last
+	Endpoint  *Endpoint
+	State     ListingState
+	Primary   bool
+	StartedAt time.Duration // of its last start; 0 = before the world began
+	Changed   int64         // the version of its newest change; 0 = it was never listed
 }
 
-// ListedAs is the state in which a machine is listed.
-type ListedAs int
+// ListingState is the state in which an endpoint is listed.
+type ListingState int
 
-// The states, with the words for them.
+// The states of a listing.
 const (
-	ListedGone ListedAs = iota
+	ListedRemoved ListingState = iota
 	ListedReady
 	ListedDraining
 )
 
-func (s ListedAs) String() string { return [...]string{"gone", "ready", "draining"}[s] }
+// String returns the word for the state.
+func (s ListingState) String() string { return [...]string{"gone", "ready", "draining"}[s] }
 
-// NewRegistry lists all machines of a world as they are, and follows it. draw takes a time out of a pair; told is called behind
-// each change of an entry.
-func NewRegistry(w *World, cfg Notices, draw func([2]time.Duration) time.Duration, told func(i int)) *Registry {
-	r := &Registry{Version: 1, world: w, cfg: cfg, draw: draw, told: told, led: map[*Bank]*Machine{}}
-	for _, m := range w.Machines {
-		e := Listing{Machine: m, State: ListedReady, Primary: m.Primary(), Changed: 1}
-		if m.Gone() {
-			e.State, e.Changed = ListedGone, 0 // never told, until it appears
+// NewRegistry lists all endpoints of a world as they are, and follows their changes. draw draws a time between two
+// bounds; onChange is called with the index of an entry after each change of it.
+func NewRegistry(
+	world *World, delays NoticeDelays, draw func([2]time.Duration) time.Duration, onChange func(i int),
+) *Registry {
+	r := &Registry{
+		Version:   1,
+		world:     world,
+		delays:    delays,
+		draw:      draw,
+		onChange:  onChange,
+		primaries: map[*ReplicaGroup]*Endpoint{},
+	}
+	for _, endpoint := range world.Endpoints {
+		listing := Listing{Endpoint: endpoint, State: ListedReady, Primary: endpoint.IsPrimary(), Changed: 1}
+		if endpoint.Removed() { // a spare is never listed until it joins
+			listing.State = ListedRemoved
+			listing.Changed = 0
 		}
-		r.Entries = append(r.Entries, e)
+		r.Entries = append(r.Entries, listing)
 	}
-	for _, b := range w.Banks {
-		r.led[b] = b.Primary
+	for _, group := range world.Groups {
+		r.primaries[group] = group.Primary
 	}
-	w.Watch(r.hears)
+	world.Watch(r.endpointChanged)
 	return r
 }
 
-// roles says whether it goes on to say who leads.
-func (r *Registry) roles() bool { return r.cfg.Role[1] > 0 }
+// Since calls visit for each entry that has changed after a version. After version 0 these are all that were ever
+// listed.
+func (r *Registry) Since(version int64, visit func(listing Listing)) {
+	for _, listing := range r.Entries {
+		if listing.Changed > version {
+			visit(listing)
+		}
+	}
+}
+
+// listsRoles reports whether the list follows changes of primary.
+func (r *Registry) listsRoles() bool { return r.delays.Role[1] > 0 }
 
-// hears notes a change, and says it after a while.
-func (r *Registry) hears(m *Machine) {
-	span := r.cfg.Change
-	if m.State() == Hung || m.State() == Down && !m.Draining() && !m.Gone() {
-		span = r.cfg.Silent
+// endpointChanged schedules the notice of a change in the world.
+func (r *Registry) endpointChanged(endpoint *Endpoint) {
+	delay := r.delays.Change
+	if failedSilently(endpoint) {
+		delay = r.delays.Silent
 	}
-	r.world.Clock.After(r.draw(span), func() {
-		r.change(m, func(e *Listing) {
-			switch {
-			case m.Gone() || m.State() != Up:
-				e.State = ListedGone
-			case m.Draining():
-				e.State = ListedDraining
-			default:
-				e.State = ListedReady
-			}
-			if m.UpAt() > 0 {
-				e.UpAt = m.UpAt()
-			}
-			if e.State != ListedReady && !r.roles() {
-				e.Primary = false
-			}
-		})
+	r.world.Clock.After(r.draw(delay), func() {
+		r.update(endpoint, func(listing *Listing) { r.describe(endpoint, listing) })
 	})
-	b := m.Bank
-	if !r.roles() || !b.Leads() || r.led[b] == b.Primary {
+	if r.listsRoles() {
+		r.noticePrimary(endpoint.Group)
+	}
+}
+
+// failedSilently reports whether the endpoint hangs, or died without having announced it.
+func failedSilently(endpoint *Endpoint) bool {
+	died := endpoint.State() == Down && !endpoint.Draining() && !endpoint.Removed()
+	return endpoint.State() == Hung || died
+}
+
+// describe sets the entry of an endpoint to the endpoint's present state.
+func (r *Registry) describe(endpoint *Endpoint, listing *Listing) {
+	switch {
+	case endpoint.Removed() || endpoint.State() != Up:
+		listing.State = ListedRemoved
+	case endpoint.Draining():
+		listing.State = ListedDraining
+	default:
+		listing.State = ListedReady
+	}
+	if endpoint.StartedAt() > 0 {
+		listing.StartedAt = endpoint.StartedAt()
+	}
+	if listing.State != ListedReady && !r.listsRoles() {
+		listing.Primary = false
+	}
+}
+
+// noticePrimary schedules the notice that a group has another primary. What is listed then is the primary of now,
+// whichever endpoint is the primary by then.
+func (r *Registry) noticePrimary(group *ReplicaGroup) {
+	if !group.AcceptsWrites() || r.primaries[group] == group.Primary {
 		return
 	}
-	// What is said late is who led when it happened, whoever does by then.
-	leads := b.Primary
-	r.led[b] = leads
-	r.world.Clock.After(r.draw(r.cfg.Role), func() {
-		for _, o := range b.Members {
-			r.change(o, func(e *Listing) { e.Primary = o == leads })
+	primary := group.Primary
+	r.primaries[group] = primary
+	r.world.Clock.After(r.draw(r.delays.Role), func() {
+		for _, endpoint := range group.Endpoints {
+			r.update(endpoint, func(listing *Listing) { listing.Primary = endpoint == primary })
 		}
 	})
 }
 
-// change sets something of an entry, and counts it where that is news.
-func (r *Registry) change(m *Machine, set func(e *Listing)) {
-	for i := range r.Entries {
-		was := r.Entries[i]
-		if was.Machine != m {
+// update changes the entry of an endpoint, and gives it a new version if that made a difference.
+func (r *Registry) update(endpoint *Endpoint, change func(listing *Listing)) {
+	for i, old := range r.Entries {
+		if old.Endpoint != endpoint {
 			continue
 		}
-		e := was
-		if set(&e); e != was {
-			r.Version++
-			e.Changed = r.Version
-			r.Entries[i] = e
-			r.told(i)
-		}
-	}
-}
-
-// Since calls f for each entry that has changed behind a version; all have behind 0.
-func (r *Registry) Since(version int64, f func(e Listing)) {
-	for _, e := range r.Entries {
-		if e.Changed > version {
-			f(e)
+		listing := old
+		change(&listing)
+		if listing == old {
+			continue
 		}
+		r.Version++
+		listing.Changed = r.Version
+		r.Entries[i] = listing
+		r.onChange(i)
 	}
 }
--- a/internal/simulation/model/registry_test.go
+++ b/internal/simulation/model/registry_test.go
@@ -1,88 +1,101 @@
 package model
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-// A machine's position, once told, holds from then on, whatever befalls it: a primary that dies comes back with all that it had.
-func TestPositionNeverGoesBack(t *testing.T) {
+// The position of an endpoint never decreases, whatever happens to it: a primary that dies restarts with all that it
+// had committed.
+func TestPositionNeverDecreases(t *testing.T) {
 	for seed := range uint64(20) {
-		c, w, _ := machine(kind(), 3)
+		clock, world, _ := newReplicaGroup(endpointSpec(), 3)
 		rng := rand.New(rand.NewPCG(seed, 1))
-		told := map[*Machine]time.Duration{}
+		reported := map[*Endpoint]time.Duration{}
 		for step := range 2000 {
-			c.Run(begin + time.Duration(step)*10*time.Millisecond)
-			p := w.Banks[0].Primary
-			p.Submit(&Work{Need: time.Millisecond, Write: true, Done: func(Outcome, time.Duration, bool) {}})
-			for _, m := range w.Machines {
-				if m.State() != Up {
+			clock.Run(startTime + time.Duration(step)*10*time.Millisecond)
+			primary := world.Groups[0].Primary
+			primary.Submit(&Statement{Work: time.Millisecond, Write: true, Done: func(Outcome, time.Duration, bool) {}})
+			for _, endpoint := range world.Endpoints {
+				if endpoint.State() != Up {
 					continue
 				}
-				if pos := m.Position(); pos < told[m] {
-					t.Fatalf("seed %d: %s goes back from %v to %v at %v", seed, m.ID, told[m], pos, c.Now())
+				if position := endpoint.Position(); position < reported[endpoint] {
+					t.Fatalf("seed %d: %s goes back from %v to %v at %v", seed, endpoint.ID, reported[endpoint], position, clock.Now())
 				} else {
-					told[m] = pos
+					reported[endpoint] = position
 				}
 			}
-			if m := w.Machines[rng.IntN(3)]; rng.IntN(150) == 0 {
+			if endpoint := world.Endpoints[rng.IntN(3)]; rng.IntN(150) == 0 {
 				switch rng.IntN(3) {
 				case 0:
-					m.Kill("test", time.Duration(rng.Int64N(int64(4*time.Second))+1))
+					endpoint.Kill("test", time.Duration(rng.Int64N(int64(4*time.Second))+1))
 				case 1:
-					m.Hang(time.Duration(rng.Int64N(int64(4*time.Second)) + 1))
+					endpoint.Hang(time.Duration(rng.Int64N(int64(4*time.Second)) + 1))
 				default:
-					m.Drain()
-					c.After(2*time.Second, func() { m.Kill("restarted", time.Second) })
+					endpoint.Drain()
+					clock.After(2*time.Second, func() { endpoint.Kill("restarted", time.Second) })
 				}
 			}
 		}
 	}
 }
 
-// A list whose roles come late says who led when it happened, no sooner than its time; one whose roles are those of the start
-// goes on to say so.
-func TestRolesComeLate(t *testing.T) {
-	for _, late := range []bool{true, false} {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
-			c, w, old := machine(kind(), 3)
-			n := Notices{Change: [2]time.Duration{time.Second, time.Second}, Silent: [2]time.Duration{20 * time.Second, 20 * time.Second}}
-			if late {
-				n.Role = [2]time.Duration{3 * time.Second, 3 * time.Second}
-			}
-			changes := 0
-			r := NewRegistry(w, n, func(p [2]time.Duration) time.Duration { return p[0] }, func(int) { changes++ })
-			primaries := func() (out []*Machine) {
-				for _, e := range r.Entries {
-					if e.Primary {
-						out = append(out, e.Machine)
-					}
-				}
-				return out
-			}
-			old.Kill("test", 0)
-			for !w.Banks[0].Leads() {
-				c.Run(c.Now() + 10*time.Millisecond)
-			}
-			next := w.Banks[0].Primary
-			c.Run(c.Now() + 2900*time.Millisecond)
-			if p := primaries(); len(p) != 1 || p[0] != old || r.Version != 1 || changes != 0 {
-				t.Fatalf("before its time: %d primaries, version %d", len(p), r.Version)
-			}
-			c.Run(c.Now() + 200*time.Millisecond)
-			want := old
-			if late {
-				want = next
-			}
-			if p := primaries(); len(p) != 1 || p[0] != want || int64(changes) != r.Version-1 {
-				t.Fatalf("%d primaries, %d changes, version %d", len(p), changes, r.Version)
-			}
-			since := 0
-			if r.Since(1, func(Listing) { since++ }); late != (since == 2) {
-				t.Errorf("%d entries have changed", since)
-			}
-		})
+// A list that follows roles names the primary of the moment of a change, and not before the delay has passed. One
+// that doesn't follow roles keeps naming the first primary.
+func TestListedRolesAreDelayed(t *testing.T) {
+	t.Run("the list follows roles", func(t *testing.T) { checkListedRoles(t, true) })
+	t.Run("the list names the first primary", func(t *testing.T) { checkListedRoles(t, false) })
+}
+
+// checkListedRoles kills a primary and checks which one is listed before and after the delay.
+func checkListedRoles(t *testing.T, followsRoles bool) {
+	t.Helper()
+	clock, world, old := newReplicaGroup(endpointSpec(), 3)
+	delays := NoticeDelays{
+		Change: [2]time.Duration{time.Second, time.Second},
+		Silent: [2]time.Duration{20 * time.Second, 20 * time.Second},
+	}
+	if followsRoles {
+		delays.Role = [2]time.Duration{3 * time.Second, 3 * time.Second}
+	}
+	changes := 0
+	drawLower := func(bounds [2]time.Duration) time.Duration { return bounds[0] }
+	registry := NewRegistry(world, delays, drawLower, func(int) { changes++ })
+	old.Kill("test", 0)
+	for !world.Groups[0].AcceptsWrites() {
+		clock.Run(clock.Now() + 10*time.Millisecond)
+	}
+	successor := world.Groups[0].Primary
+	clock.Run(clock.Now() + 2900*time.Millisecond)
+	listed := listedPrimaries(registry)
+	if len(listed) != 1 || listed[0] != old || registry.Version != 1 || changes != 0 {
+		t.Fatalf("before its time: %d primaries, version %d, %d changes", len(listed), registry.Version, changes)
+	}
+	clock.Run(clock.Now() + 200*time.Millisecond)
+	want := old
+	if followsRoles {
+		want = successor
+	}
+	listed = listedPrimaries(registry)
+	if len(listed) != 1 || listed[0] != want || int64(changes) != registry.Version-1 {
+		t.Fatalf("%d primaries, %d changes, version %d", len(listed), changes, registry.Version)
+	}
+	changedEntries := 0
+	registry.Since(1, func(Listing) { changedEntries++ })
+	if followsRoles != (changedEntries == 2) {
+		t.Errorf("%d entries have changed", changedEntries)
+	}
+}
+
+// listedPrimaries returns the endpoints that are listed as primaries.
+func listedPrimaries(registry *Registry) []*Endpoint {
+	var primaries []*Endpoint
+	for _, entry := range registry.Entries {
+		if entry.Primary {
+			primaries = append(primaries, entry.Endpoint)
+		}
 	}
+	return primaries
 }
--- a/internal/simulation/multiprocess/random.go
+++ b/internal/simulation/multiprocess/random.go
@@ -21,14 +21,14 @@
 	c.Pushed, c.Grace, c.Comeback = true, 500*ms, time.Second
 	c.Notice, c.Silent, c.RoleLag = [2]time.Duration{500 * ms, 1500 * ms}, [2]time.Duration{3 * time.Second, 5 * time.Second}, [2]time.Duration{1200 * ms, 4100 * ms}
 	c.Length, c.Use, c.Sessions, c.Leave = 16*time.Second, 0.25, 100, 0
-	c.Kind.ColdFor, c.Kind.FallMultiple, c.Kind.FallFor = 8*time.Second, 4, 1500*ms
+	c.Kind.SlowStartWindow, c.Kind.OverloadMultiple, c.Kind.OverloadWindow = 8*time.Second, 4, 1500*ms
 	c.Classes = []fleet.Class{
 		{Class: balance.Class{Name: "view", LatencyObjective: 600 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 3, Consistency: balance.ConsistencyBounded, MaxStaleness: 500 * ms}, Share: 0.48},
 		{Class: balance.Class{Name: "history", LatencyObjective: 400 * ms, ClientTimeout: time.Second, PriorityWeight: 1, Consistency: balance.ConsistencyAny}, Share: 0.28},
 		{Class: balance.Class{Name: "entry", LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, PriorityWeight: 6, LateWeightShare: 0.7, Consistency: balance.ConsistencyWrite, Idempotency: balance.NonIdempotent}, Share: 0.24},
 	}
 	for i := range c.Classes {
-		c.Classes[i].Work.Mean, c.Classes[i].Work.Exp = 60*ms, true
+		c.Classes[i].Work.Mean, c.Classes[i].Work.Exponential = 60*ms, true
 	}
 	return c
 }
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -284,19 +284,19 @@
 func (r *reader) machine(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	k := &r.s.Config.Kind
 	return starlark.None, set(args, kw, map[string]field{
-		"cores": whole(&k.Cores, 1, 1024), "speed": float(&k.Speed, 0.001, 1000), "slots": whole(&k.Slots, 1, 1<<16), "room": whole(&k.Room, 0, 1<<20),
-		"thrash": float(&k.Thrash, 0, 10), "thrash_at": float(&k.ThrashAt, 0, 1000), "cold_from": float(&k.ColdFrom, 0.01, 1), "cold_s": span(&k.ColdFor, time.Second),
-		"warm_by_work": truth(&k.WarmByWork), "fall_multiple": float(&k.FallMultiple, 0.1, 1000), "fall_s": span(&k.FallFor, time.Second), "fall_back_s": span(&k.FallBack, time.Second),
-		"connections": whole(&k.Conns, 0, 1<<20), "full_tax": float(&k.FullTax, 0, 0.95), "handshake_ms": span(&k.Handshake, time.Millisecond), "probe_ms": span(&k.ProbeWork, time.Millisecond),
-		"refresh_ms": span(&k.Refresh, time.Millisecond), "noise": float(&k.Noise, 0, 10), "errors": float(&k.Errors, 0, 1), "cancel_stops": truth(&k.CancelAll), "drops_late": truth(&k.DropsLate),
+		"cores": whole(&k.Cores, 1, 1024), "speed": float(&k.Speed, 0.001, 1000), "slots": whole(&k.Slots, 1, 1<<16), "room": whole(&k.QueueCapacity, 0, 1<<20),
+		"thrash": float(&k.ContentionLoss, 0, 10), "thrash_at": float(&k.ContentionThreshold, 0, 1000), "cold_from": float(&k.SlowStartShare, 0.01, 1), "cold_s": span(&k.SlowStartWindow, time.Second),
+		"warm_by_work": truth(&k.SlowStartByWork), "fall_multiple": float(&k.OverloadMultiple, 0.1, 1000), "fall_s": span(&k.OverloadWindow, time.Second), "fall_back_s": span(&k.RestartDelay, time.Second),
+		"connections": whole(&k.MaxConnections, 0, 1<<20), "full_tax": float(&k.ConnectionCost, 0, 0.95), "handshake_ms": span(&k.HandshakeWork, time.Millisecond), "probe_ms": span(&k.HealthCheckWork, time.Millisecond),
+		"refresh_ms": span(&k.ReportInterval, time.Millisecond), "noise": float(&k.ReportNoise, 0, 10), "errors": float(&k.ErrorShare, 0, 1), "cancel_stops": truth(&k.CancelsRunning), "drops_late": truth(&k.DropsExpired),
 	})
 }
 
 func (r *reader) follow(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	f := &r.s.Config.Follow
 	return starlark.None, set(args, kw, map[string]field{
-		"ship_ms": span(&f.Ship, time.Millisecond), "apply_ms": span(&f.Apply, time.Millisecond), "detect_s": spans(&f.Detect, time.Second),
-		"stand_s": spans(&f.Stand, time.Second), "hand_over_s": spans(&f.HandOver, time.Second), "resync_s": span(&f.Resync, time.Second),
+		"ship_ms": span(&f.ShipDelay, time.Millisecond), "apply_ms": span(&f.ApplyTime, time.Millisecond), "detect_s": spans(&f.DetectionDelay, time.Second),
+		"stand_s": spans(&f.ElectionDelay, time.Second), "hand_over_s": spans(&f.SwitchoverDelay, time.Second), "resync_s": span(&f.ResyncDelay, time.Second),
 	})
 }
 
@@ -340,10 +340,10 @@
 
 func (r *reader) class(_ *starlark.Thread, args starlark.Tuple, kw map[string]starlark.Value) (starlark.Value, error) {
 	k, need, safe := fleet.Class{}, "any", true
-	k.Work.Exp = true
+	k.Work.Exponential = true
 	k.PriorityWeight, k.LateWeightShare = 1, 0.2
 	err := set(args, kw, map[string]field{
-		"name": text(&k.Name), "share": float(&k.Share, 0, 1000), "work_ms": span(&k.Work.Mean, time.Millisecond), "cv": float(&k.Work.CV, 0, 20),
+		"name": text(&k.Name), "share": float(&k.Share, 0, 1000), "work_ms": span(&k.Work.Mean, time.Millisecond), "cv": float(&k.Work.Variation, 0, 20),
 		"aim_ms": span(&k.LatencyObjective, time.Millisecond), "deadline_ms": span(&k.ClientTimeout, time.Millisecond), "worth": float(&k.PriorityWeight, 0, 1e6), "late": float(&k.LateWeightShare, 0, 1),
 		"need": text(&need), "bound_ms": span(&k.MaxStaleness, time.Millisecond), "safe": truth(&safe), "long": truth(&k.Long),
 	})
@@ -354,7 +354,7 @@
 	if err == nil && (k.Name == "" || k.ClientTimeout == 0 || k.Work.Mean == 0) {
 		err = errors.New("name, work_ms and deadline_ms are needed")
 	}
-	k.Work.Exp = k.Work.CV == 0
+	k.Work.Exponential = k.Work.Variation == 0
 	if !safe || k.Consistency == balance.ConsistencyWrite {
 		k.Idempotency = balance.NonIdempotent
 	}
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if s.Name != "x" || s.About != "text" || c.Routers != 5 || c.Zones[1] != "s" || c.Kind.Cores != 4 || c.Kind.ColdFor != 7500*time.Millisecond || !c.Kind.CancelAll ||
-		c.Follow.Ship != 3200*time.Microsecond || c.Follow.Detect[1] != 2*time.Second || c.Follow.Stand != [2]time.Duration{time.Second, time.Second} ||
-		len(c.Classes) != 2 || c.Classes[0].Work.Exp || !c.Classes[1].Work.Exp || c.Classes[1].Idempotency == 0 || len(c.Faults) != 3 ||
+	if s.Name != "x" || s.About != "text" || c.Routers != 5 || c.Zones[1] != "s" || c.Kind.Cores != 4 || c.Kind.SlowStartWindow != 7500*time.Millisecond || !c.Kind.CancelsRunning ||
+		c.Follow.ShipDelay != 3200*time.Microsecond || c.Follow.DetectionDelay[1] != 2*time.Second || c.Follow.ElectionDelay != [2]time.Duration{time.Second, time.Second} ||
+		len(c.Classes) != 2 || c.Classes[0].Work.Exponential || !c.Classes[1].Work.Exponential || c.Classes[1].Idempotency == 0 || len(c.Faults) != 3 ||
 		c.Faults[2].On != "led:2" || c.Faults[2].At != 250*time.Millisecond || c.Faults[1].Who[0] != "primary:2" || c.Hold[0] != "w" || len(s.Expect) != 2 || s.Expect[1].Where != "dir/x.star:17" {
 		t.Fatalf("%+v", s)
 	}
--- a/internal/simulation/stats/check.go
+++ b/internal/simulation/stats/check.go
@@ -47,36 +47,36 @@
 	overloadMultiple = 2.5
 )
 
-// endpointKind is the kind of the measured endpoints: as many slots as cores, and a queue that is never full.
-func endpointKind() model.Kind {
-	return model.Kind{
-		Cores:        endpointCores,
-		Speed:        1,
-		Slots:        endpointCores,
-		Room:         1 << 20,
-		ColdFrom:     slowStartShare,
-		ColdFor:      warmUpTime,
-		FallMultiple: overloadMultiple,
+// endpointSpec describes the measured endpoints: as many slots as cores, and a queue that is never full.
+func endpointSpec() model.EndpointSpec {
+	return model.EndpointSpec{
+		Cores:            endpointCores,
+		Speed:            1,
+		Slots:            endpointCores,
+		QueueCapacity:    1 << 20,
+		SlowStartShare:   slowStartShare,
+		SlowStartWindow:  warmUpTime,
+		OverloadMultiple: overloadMultiple,
 	}
 }
 
 // newWorld returns a world with one replica group, and the clock that it runs on. The first endpoint is the primary.
 func newWorld(
-	seed uint64, kind model.Kind, replication model.Follow, endpoints int,
-) (*event.Clock, *model.World, *model.Bank) {
+	seed uint64, spec model.EndpointSpec, replication model.Replication, endpoints int,
+) (*event.Clock, *model.World, *model.ReplicaGroup) {
 	clock := event.New(startTime)
 	world := model.New(clock, seed)
-	group := world.AddBank(1, replication)
+	group := world.AddReplicaGroup(1, replication)
 	for i := range endpoints {
-		world.Add(fmt.Sprint("m", i), "a", kind, group)
+		world.AddEndpoint(fmt.Sprint("m", i), "a", spec, group)
 	}
 	return clock, world, group
 }
 
 // newEndpoint returns a single endpoint, and the clock that it runs on.
-func newEndpoint(seed uint64, kind model.Kind) (*event.Clock, *model.Machine) {
-	clock, world, _ := newWorld(seed, kind, model.Follow{}, 1)
-	return clock, world.Machines[0]
+func newEndpoint(seed uint64, spec model.EndpointSpec) (*event.Clock, *model.Endpoint) {
+	clock, world, _ := newWorld(seed, spec, model.Replication{}, 1)
+	return clock, world.Endpoints[0]
 }
 
 // schedulePoisson calls arrive at the arrivals of a Poisson process, at rate per second, until the given time.
@@ -92,10 +92,10 @@
 }
 
 // keepBusy gives the endpoint so many statements of 5 ms at once, and a new one for each that ends.
-func keepBusy(endpoint *model.Machine, statements int) {
+func keepBusy(endpoint *model.Endpoint, statements int) {
 	var submit func(model.Outcome, time.Duration, bool)
 	submit = func(model.Outcome, time.Duration, bool) {
-		endpoint.Submit(&model.Work{Need: 5 * time.Millisecond, Done: submit})
+		endpoint.Submit(&model.Statement{Work: 5 * time.Millisecond, Done: submit})
 	}
 	for range statements {
 		submit(model.Served, 0, false)
--- a/internal/simulation/stats/overload.go
+++ b/internal/simulation/stats/overload.go
@@ -53,10 +53,10 @@
 // failsAfter offers an endpoint a multiple of its capacity and gives the seconds after which it fails; 0 means that
 // it bore the load.
 func failsAfter(seed uint64, multiple float64, cold bool) float64 {
-	kind := endpointKind()
-	kind.FallFor = overloadTime
-	kind.ColdFor = time.Hour // the capacity stays as it is
-	clock, endpoint := newEndpoint(seed, kind)
+	spec := endpointSpec()
+	spec.OverloadWindow = overloadTime
+	spec.SlowStartWindow = time.Hour // the capacity stays as it is
+	clock, endpoint := newEndpoint(seed, spec)
 	if cold {
 		endpoint.Kill("test", time.Second)
 	}
@@ -71,7 +71,7 @@
 			seconds = (clock.Now() - began).Seconds()
 			return
 		}
-		endpoint.Submit(&model.Work{Need: work, Done: ignoreOutcome})
+		endpoint.Submit(&model.Statement{Work: work, Done: ignoreOutcome})
 		clock.After(interval, next)
 	}
 	next()
--- a/internal/simulation/stats/primary_change.go
+++ b/internal/simulation/stats/primary_change.go
@@ -11,20 +11,20 @@
 
 // primaryChanges measures how long a replica group is without a primary, in the mean of many changes.
 func primaryChanges(seed uint64) []Check {
-	replication := model.Follow{
-		Detect:   [2]time.Duration{time.Second, 3 * time.Second},
-		Stand:    [2]time.Duration{0, 500 * time.Millisecond},
-		HandOver: [2]time.Duration{470 * time.Millisecond, 940 * time.Millisecond},
+	replication := model.Replication{
+		DetectionDelay:  [2]time.Duration{time.Second, 3 * time.Second},
+		ElectionDelay:   [2]time.Duration{0, 500 * time.Millisecond},
+		SwitchoverDelay: [2]time.Duration{470 * time.Millisecond, 940 * time.Millisecond},
 	}
 	var checks []Check
 	for _, change := range []struct {
 		name     string
 		expected float64
-		begin    func(primary *model.Machine)
+		begin    func(primary *model.Endpoint)
 	}{
-		{"dies", 2.25, func(primary *model.Machine) { primary.Kill("test", 0) }},
-		{"hangs", 2.25, func(primary *model.Machine) { primary.Hang(0) }},
-		{"drains", 0.705, func(primary *model.Machine) { primary.Drain() }},
+		{"dies", 2.25, func(primary *model.Endpoint) { primary.Kill("test", 0) }},
+		{"hangs", 2.25, func(primary *model.Endpoint) { primary.Hang(0) }},
+		{"drains", 0.705, func(primary *model.Endpoint) { primary.Drain() }},
 	} {
 		sum := 0.0
 		for i := range uint64(changeRounds) {
@@ -41,9 +41,9 @@
 }
 
 // timeToSuccessor begins a change of primary and gives the time until the replica group has another one.
-func timeToSuccessor(seed uint64, replication model.Follow, begin func(primary *model.Machine)) time.Duration {
-	clock, world, group := newWorld(seed, endpointKind(), replication, 3)
-	primary := world.Machines[0]
+func timeToSuccessor(seed uint64, replication model.Replication, begin func(primary *model.Endpoint)) time.Duration {
+	clock, world, group := newWorld(seed, endpointSpec(), replication, 3)
+	primary := world.Endpoints[0]
 	begin(primary)
 	for group.Primary == primary {
 		clock.Run(clock.Now() + time.Millisecond)
--- a/internal/simulation/stats/queueing.go
+++ b/internal/simulation/stats/queueing.go
@@ -20,7 +20,7 @@
 
 func queueDelay(seed uint64, utilization float64) Check {
 	const meanWork = 50 * time.Millisecond
-	clock, endpoint := newEndpoint(seed, endpointKind())
+	clock, endpoint := newEndpoint(seed, endpointSpec())
 	rng := rand.New(rand.NewPCG(seed, uint64(utilization*100)))
 	waited := 0.0
 	served := 0
@@ -28,7 +28,7 @@
 	schedulePoisson(clock, rng, rate, startTime+4000*time.Second, func() {
 		work := time.Duration(rng.ExpFloat64() * float64(meanWork))
 		arrival := clock.Now()
-		endpoint.Submit(&model.Work{Need: work, Done: func(model.Outcome, time.Duration, bool) {
+		endpoint.Submit(&model.Statement{Work: work, Done: func(model.Outcome, time.Duration, bool) {
 			waited += (clock.Now() - arrival - work).Seconds()
 			served++
 		}})
@@ -64,18 +64,18 @@
 	)
 	var checks []Check
 	for _, statements := range []int{3, 15, 24} {
-		kind := endpointKind()
-		kind.Slots = 24
-		kind.Thrash = lossPerStatement
-		kind.ThrashAt = lossThreshold
-		clock, endpoint := newEndpoint(1, kind)
+		spec := endpointSpec()
+		spec.Slots = 24
+		spec.ContentionLoss = lossPerStatement
+		spec.ContentionThreshold = lossThreshold
+		clock, endpoint := newEndpoint(1, spec)
 		keepBusy(endpoint, statements)
 		clock.Run(startTime + seconds*time.Second)
 		excess := max(0, float64(statements)/endpointCores-lossThreshold)
 		checks = append(checks, Check{
 			Name:     fmt.Sprintf("work a second of three cores with %d statements", statements),
 			Expected: endpointCores / (1 + lossPerStatement*excess),
-			Measured: endpoint.Did() / seconds,
+			Measured: endpoint.WorkDone() / seconds,
 		})
 	}
 	return checks
--- a/internal/simulation/stats/replication.go
+++ b/internal/simulation/stats/replication.go
@@ -23,19 +23,19 @@
 }
 
 // newReplication returns a primary and its replica, and the clock that they run on.
-func newReplication(seed uint64) (clock *event.Clock, primary, replica *model.Machine) {
-	kind := endpointKind()
-	kind.Slots = 24
-	clock, world, _ := newWorld(seed, kind, model.Follow{Ship: shipTime, Apply: applyTime}, 2)
-	return clock, world.Machines[0], world.Machines[1]
+func newReplication(seed uint64) (clock *event.Clock, primary, replica *model.Endpoint) {
+	spec := endpointSpec()
+	spec.Slots = 24
+	clock, world, _ := newWorld(seed, spec, model.Replication{ShipDelay: shipTime, ApplyTime: applyTime}, 2)
+	return clock, world.Endpoints[0], world.Endpoints[1]
 }
 
 // scheduleWrites commits short writes on the primary so that the replica's applying thread has the given utilization.
 func scheduleWrites(
-	clock *event.Clock, rng *rand.Rand, primary *model.Machine, utilization float64, until time.Duration,
+	clock *event.Clock, rng *rand.Rand, primary *model.Endpoint, utilization float64, until time.Duration,
 ) {
 	schedulePoisson(clock, rng, utilization/applyTime.Seconds(), until, func() {
-		primary.Submit(&model.Work{Need: time.Microsecond, Write: true, Done: ignoreOutcome})
+		primary.Submit(&model.Statement{Work: time.Microsecond, Write: true, Done: ignoreOutcome})
 	})
 }
 
@@ -82,7 +82,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	scheduleWrites(clock, rng, primary, utilization, startTime+60*time.Second)
 	clock.Run(readBegin)
-	replica.Submit(&model.Work{Need: readTime, Long: true, Done: ignoreOutcome})
+	replica.Submit(&model.Statement{Work: readTime, BlocksApply: true, Done: ignoreOutcome})
 	clock.Run(readEnd - time.Millisecond)
 	lag := clock.Now() - replica.Position()
 	for clock.Now()-replica.Position() > 30*time.Millisecond && clock.Now() < startTime+20*time.Second {
--- a/internal/simulation/stats/warm_up.go
+++ b/internal/simulation/stats/warm_up.go
@@ -46,14 +46,14 @@
 // capacityShares is the share of its full capacity that an endpoint with more than enough work has in each of the
 // first forty seconds after a start with cold caches.
 func capacityShares(seed uint64, byWork bool) []float64 {
-	kind := endpointKind()
-	kind.WarmByWork = byWork
-	clock, endpoint := newEndpoint(seed, kind)
+	spec := endpointSpec()
+	spec.SlowStartByWork = byWork
+	clock, endpoint := newEndpoint(seed, spec)
 	endpoint.Kill("test", time.Second)
 	clock.Run(startTime + 1100*time.Millisecond)
 	keepBusy(endpoint, 9)
 	shares := make([]float64, 40)
-	done := endpoint.Did()
+	done := endpoint.WorkDone()
 	for i := range shares {
 		until := startTime + time.Second + time.Duration(i+1)*time.Second
 		work, elapsed := workUntil(clock, endpoint, done, until)
@@ -66,9 +66,9 @@
 // workUntil runs the clock up to a time, and gives the work that the endpoint did meanwhile and how long that was.
 // done is the work that it had done before.
 func workUntil(
-	clock *event.Clock, endpoint *model.Machine, done float64, until time.Duration,
+	clock *event.Clock, endpoint *model.Endpoint, done float64, until time.Duration,
 ) (work float64, elapsed time.Duration) {
-	began := clock.Now() - endpoint.UpAt()
+	began := clock.Now() - endpoint.StartedAt()
 	clock.Run(until)
-	return endpoint.Did() - done, clock.Now() - endpoint.UpAt() - began
+	return endpoint.WorkDone() - done, clock.Now() - endpoint.StartedAt() - began
 }
