--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -169,7 +169,7 @@
 // effects prints what one set of results has over another.
 func effects(out io.Writer, a, b []experiment.RunResult) {
 	last := ""
-	for _, e := range experiment.Compare(a, b, scenario.Figures) {
+	for _, e := range experiment.Compare(a, b, scenario.StatisticNames) {
 		if e.Scenario != last {
 			last = e.Scenario
 			fmt.Fprintf(out, "\n%s: %s against %s, %d pairs of seeds, 95 percent\n", e.Scenario, e.ArmB, e.ArmA, e.Pairs)
@@ -205,7 +205,7 @@
 			sets[i][j].Arm = sets[i][j].Revision
 		}
 	}
-	if len(experiment.Compare(sets[0], sets[1], scenario.Figures)) == 0 {
+	if len(experiment.Compare(sets[0], sets[1], scenario.StatisticNames)) == 0 {
 		return fmt.Errorf("%s and %s have no scenario, arm and seed in common", c.A, c.B)
 	}
 	effects(out, sets[0], sets[1])
--- a/cmd/limeladder-sim/rig.go
+++ b/cmd/limeladder-sim/rig.go
@@ -59,7 +59,7 @@
 			return err
 		}
 		fmt.Fprintf(out, "seed %-4d worth %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f %s), %d rules broken\n", seed, res.Worth, res.Whole, res.Window, res.Class, res.Worst, len(res.Broken))
-		short := s.Met(asFleet(seed, res))
+		short := s.UnmetExpectations(asFleet(seed, res))
 		for _, line := range short {
 			fmt.Fprintln(out, "  not as expected:", line)
 		}
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -126,10 +126,10 @@
 		Statistics:        map[string]float64{},
 		RuleViolations:    measured.Rules,
 		ViolationDetails:  measured.Words,
-		UnmetExpectations: plan.Scenario.Met(measured),
+		UnmetExpectations: plan.Scenario.UnmetExpectations(measured),
 		Result:            measured,
 	}
-	for _, name := range scenario.Figures {
-		j.result.Statistics[name], _ = scenario.Figure(measured, name) // every name in Figures is known
+	for _, name := range scenario.StatisticNames {
+		j.result.Statistics[name], _ = scenario.Statistic(measured, name) // every name in Figures is known
 	}
 }
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -217,8 +217,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c := s.Config; s.About == "" || len(s.Expect) == 0 || len(c.Faults) == 0 || c.Routers > mostRouters || c.Banks*c.Members > mostMachines {
-			t.Errorf("%s: %+v", file, s.Expect)
+		if c := s.Config; s.About == "" || len(s.Expectations) == 0 || len(c.Faults) == 0 || c.Routers > mostRouters || c.Banks*c.Members > mostMachines {
+			t.Errorf("%s: %+v", file, s.Expectations)
 		}
 	}
 }
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -79,11 +79,11 @@
 func Write(w io.Writer, run Run) error {
 	r := run.Result
 	p := page{Title: run.Scenario.Name, About: run.Scenario.About, Arm: run.Arm, Revision: run.Revision, Seed: r.Seed, Short: run.Short}
-	for _, name := range scenario.Figures {
+	for _, name := range scenario.StatisticNames {
 		if slices.Contains(r.Unseen, name) {
 			continue
 		}
-		v, _ := scenario.Figure(r, name)
+		v, _ := scenario.Statistic(r, name)
 		p.Summary = append(p.Summary, row{strings.ReplaceAll(name, "_", " "), fmt.Sprintf("%.4g", v)})
 	}
 	p.Rules = r.Words
--- /dev/null
+++ b/internal/simulation/scenario/call.go
@@ -0,0 +1,102 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"go.starlark.net/starlark"
+
+	"limeladder/internal/simulation/fleet"
+)
+
+// reader collects what the calls of a script say.
+type reader struct {
+	scenario   *Scenario
+	ownClasses bool // the script has named a class, so that the default classes don't hold
+}
+
+// call is a call of a script.
+type call struct {
+	thread *starlark.Thread
+	args   starlark.Tuple
+	named  map[string]starlark.Value
+}
+
+// function is what a call of one name does.
+type function func(c call) (starlark.Value, error)
+
+// predeclared returns the functions that a script can call.
+func (r *reader) predeclared() starlark.StringDict {
+	functions := starlark.StringDict{}
+	for name, statement := range map[string]func(call) error{
+		"about":         r.about,
+		"fleet":         r.fleet,
+		"machine":       r.endpoint,
+		"follow":        r.replication,
+		"network":       r.network,
+		"clients":       r.clients,
+		"traffic":       r.traffic,
+		"jump":          r.loadChange,
+		"request_class": r.requestClass,
+		"only":          r.onlyClasses,
+		"hold":          r.holdClasses,
+		"at":            r.faultsAt,
+		"when":          r.faultsWhen,
+		"expect":        r.expect,
+	} {
+		functions[name] = builtin(name, func(c call) (starlark.Value, error) { return starlark.None, statement(c) })
+	}
+	for _, kind := range slices.Concat(fleet.Faults, fleet.RigFaults) {
+		functions[kind] = builtin(kind, func(c call) (starlark.Value, error) { return r.newFault(kind, c) })
+	}
+	return functions
+}
+
+// builtin makes a Starlark function, whose errors start with its name.
+func builtin(name string, f function) *starlark.Builtin {
+	return starlark.NewBuiltin(name, func(
+		thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, pairs []starlark.Tuple,
+	) (starlark.Value, error) {
+		named := map[string]starlark.Value{}
+		for _, pair := range pairs {
+			named[string(pair[0].(starlark.String))] = pair[1]
+		}
+		value, err := f(call{thread: thread, args: args, named: named})
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", name, err)
+		}
+		return value, nil
+	})
+}
+
+// set sets the fields from the call's named arguments. The call must have no others.
+func (c call) set(fields map[string]field) error {
+	if len(c.args) > 0 {
+		return errors.New("takes names only, as in name=value")
+	}
+	return c.setNamed(fields)
+}
+
+// setNamed does the same for a call that has positional arguments too.
+func (c call) setNamed(fields map[string]field) error {
+	for _, name := range slices.Sorted(maps.Keys(c.named)) {
+		setField := fields[name]
+		if setField == nil {
+			return fmt.Errorf("nothing is called %s", name)
+		}
+		if err := setField(c.named[name]); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	return nil
+}
+
+// only returns the one positional argument of a call that has no others; usage is the error if that isn't so.
+func (c call) only(usage string) (starlark.Value, error) {
+	if len(c.args) != 1 || len(c.named) > 0 {
+		return nil, errors.New(usage)
+	}
+	return c.args[0], nil
+}
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -11,8 +11,8 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// What stands in a script is what is played.
-func TestReads(t *testing.T) {
+// The configuration is what the script says, and it is played.
+func TestLoadReadsEveryCall(t *testing.T) {
 	s, err := Load("dir/x.star", []byte(`
 about("text")
 fleet(routers=5, banks=2, members=2, zones=["n", "s"])
@@ -35,25 +35,60 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Config
-	if s.Name != "x" || s.About != "text" || c.Routers != 5 || c.Zones[1] != "s" || c.Kind.Cores != 4 || c.Kind.SlowStartWindow != 7500*time.Millisecond || !c.Kind.CancelsRunning ||
-		c.Follow.ShipDelay != 3200*time.Microsecond || c.Follow.DetectionDelay[1] != 2*time.Second || c.Follow.ElectionDelay != [2]time.Duration{time.Second, time.Second} ||
-		len(c.Classes) != 2 || c.Classes[0].Work.Exponential || !c.Classes[1].Work.Exponential || c.Classes[1].Idempotency == 0 || len(c.Faults) != 3 ||
-		c.Faults[2].On != "led:2" || c.Faults[2].At != 250*time.Millisecond || c.Faults[1].Who[0] != "primary:2" || c.Hold[0] != "w" || len(s.Expect) != 2 || s.Expect[1].Where != "dir/x.star:17" {
+	config := s.Config
+	endpoint := config.Kind
+	replication := config.Follow
+	for what, ok := range map[string]bool{
+		"name":                     s.Name == "x",
+		"about":                    s.About == "text",
+		"routers":                  config.Routers == 5,
+		"zones":                    config.Zones[1] == "s",
+		"cores":                    endpoint.Cores == 4,
+		"cold_s":                   endpoint.SlowStartWindow == 7500*time.Millisecond,
+		"cancel_stops":             endpoint.CancelsRunning,
+		"ship_ms":                  replication.ShipDelay == 3200*time.Microsecond,
+		"detect_s":                 replication.DetectionDelay[1] == 2*time.Second,
+		"stand_s":                  replication.ElectionDelay == [2]time.Duration{time.Second, time.Second},
+		"classes":                  len(config.Classes) == 2,
+		"class with cv":            !config.Classes[0].Work.Exponential,
+		"class without cv":         config.Classes[1].Work.Exponential,
+		"class of updates":         config.Classes[1].Idempotency != 0,
+		"hold":                     config.Hold[0] == "w",
+		"faults":                   len(config.Faults) == 3,
+		"condition of a fault":     config.Faults[2].On == "led:2",
+		"after_s":                  config.Faults[2].At == 250*time.Millisecond,
+		"target of a fault":        config.Faults[1].Who[0] == "primary:2",
+		"expectations":             len(s.Expectations) == 2,
+		"place of the expectation": s.Expectations[1].Position == "dir/x.star:17",
+	} {
+		if !ok {
+			t.Errorf("%s is not as the script says", what)
+		}
+	}
+	if t.Failed() {
 		t.Fatalf("%+v", s)
 	}
-	r, err := fleet.Run(c, 1)
-	if err != nil || len(r.Marks) != 4 || r.Marks[3].Text != "slow db1b" {
-		t.Fatal(err, r.Marks)
+	result, err := fleet.Run(config, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(result.Marks) != 4 || result.Marks[3].Text != "slow db1b" {
+		t.Fatal(result.Marks)
+	}
+	s.Expectations = append(s.Expectations,
+		Expectation{Statistic: "worth", Min: 2, Max: math.NaN(), Position: "a:1"},
+		Expectation{Statistic: "changes", Min: math.NaN(), Max: 1, Position: "a:2"})
+	unmet := s.UnmetExpectations(result)
+	if len(unmet) != 2 {
+		t.Fatalf("unmet expectations %q, want two", unmet)
 	}
-	s.Expect = append(s.Expect, Expectation{"worth", 2, math.NaN(), "a:1"}, Expectation{"changes", math.NaN(), 1, "a:2"})
-	if short := s.Met(r); len(short) != 2 || !strings.HasPrefix(short[0], "a:1: seed 1: worth is ") || !strings.Contains(short[1], "expected at most 1") {
-		t.Fatal(short)
+	if !strings.HasPrefix(unmet[0], "a:1: seed 1: worth is ") || !strings.Contains(unmet[1], "expected at most 1") {
+		t.Fatalf("unmet expectations %q", unmet)
 	}
 }
 
-// A script that can't be played is one line with file, line and what is wrong.
-func TestBad(t *testing.T) {
+// The error of a script that can't be played is one line with the file, the line and what is wrong.
+func TestLoadNamesWhatIsWrong(t *testing.T) {
 	for src, want := range map[string]string{
 		"fleet(":                             "x.star:1:7: got end of file",
 		"\nfleet(router=3)":                  "x.star:2: fleet: nothing is called router",
@@ -94,13 +129,13 @@
 			t.Errorf("%q: %v", src, err)
 		}
 	}
-	if _, err := Load("x.star", make([]byte, mostBytes+1)); err == nil {
+	if _, err := Load("x.star", make([]byte, maxBytes+1)); err == nil {
 		t.Error("a script of any length is read")
 	}
 }
 
-// Those that are shipped are played, and what they expect comes true.
-func TestShipped(t *testing.T) {
+// The scenarios that are shipped can be played, and meet their expectations.
+func TestShippedScenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../../scenarios/*.star")
 	if len(files) < 12 {
 		t.Fatalf("%d scenarios", len(files))
@@ -116,15 +151,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if s.About == "" || len(s.Expect) == 0 {
+			if s.About == "" || len(s.Expectations) == 0 {
 				t.Error("it says neither what it is about nor what it expects")
 			}
 			r, err := fleet.Run(s.Config, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, short := range s.Met(r) {
-				t.Error(short)
+			for _, unmet := range s.UnmetExpectations(r) {
+				t.Error(unmet)
 			}
 			if again, err := Load(file, src); err != nil || len(again.Config.Faults) != len(s.Config.Faults) {
 				t.Error(err)
