--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -139,7 +139,7 @@
 			if err != nil {
 				return err
 			}
-			if err := report.Write(f, report.Run{Scenario: s, Arm: l.Arm, Revision: l.Revision, Result: l.Result, Short: l.UnmetExpectations}); err != nil {
+			if err := report.Write(f, report.Run{Scenario: s, Arm: l.Arm, Revision: l.Revision, Result: l.Result, UnmetExpectations: l.UnmetExpectations}); err != nil {
 				_ = f.Close() // the report has failed already
 				return err
 			}
