--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,34 +1,39 @@
-// Package eventloop runs the one goroutine that owns all state of the program. Sockets hand it what has come.
+// Package eventloop runs the one goroutine that owns the state of requests and connections. Other goroutines hand it
+// functions; it owns the clock and all timers. It never blocks, and knows nothing of what the functions do.
 package eventloop
 
 import (
-	"container/heap"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Loop calls functions one after the other, in the order of Post, and timers when they are due.
+// maxIdle is how long Run waits where nothing is due.
+const maxIdle = time.Hour
+
+// Loop calls functions one after the other, in the order of Post, and timers when they are due. Run, or RunOnce, is the
+// goroutine of the loop; Post, PostUrgent, Now and Stop may be called from any goroutine.
 type Loop struct {
-	start  time.Time            // its monotonic part is the program's one clock
-	clock  func() time.Duration // in its place, nil = none
-	wake   chan struct{}
-	timers timers // owned by the goroutine of Run
+	startTime time.Time            // its monotonic part is the program's one clock
+	clock     func() time.Duration // used in its place, nil = none
+	wake      chan struct{}
+	timers    timerHeap // belongs to the goroutine of the loop
 
-	mu      sync.Mutex
+	mutex   sync.Mutex // guards what follows
 	queue   []func()
 	urgent  []func()
-	stopped bool
+	stopped bool // written by the loop itself
 
-	pressing atomic.Bool // urgent holds something
+	hasUrgent atomic.Bool // urgent is not empty
 }
 
 // New reads the system's clock once; Now goes on from there without steps.
 func New() *Loop {
-	return &Loop{start: time.Now(), wake: make(chan struct{}, 1)}
+	return &Loop{startTime: time.Now(), wake: make(chan struct{}, 1)}
 }
 
-// On returns a Loop that goes by another clock. Nothing runs it but Turn: it is for models in virtual time.
+// NewWithClock returns a Loop that goes by another clock. Nothing runs it but RunOnce: it is for simulations in virtual
+// time.
 func NewWithClock(clock func() time.Duration) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
@@ -38,41 +43,43 @@
 	if l.clock != nil {
 		return l.clock()
 	}
-	return time.Duration(l.start.UnixNano()) + time.Since(l.start)
+	return time.Duration(l.startTime.UnixNano()) + time.Since(l.startTime)
 }
 
 // Post hands a function to the loop; any goroutine may call it.
 func (l *Loop) Post(f func()) {
-	l.mu.Lock()
+	l.mutex.Lock()
 	l.queue = append(l.queue, f)
-	l.mu.Unlock()
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
+	l.mutex.Unlock()
+	l.signal()
 }
 
-// Urgent hands the loop a function that does not wait for what Post has queued; any goroutine may call it. Guards those
-// who run the router against its load: with a full queue an ordinary turn may be seconds away.
+// PostUrgent hands the loop a function that does not wait for what Post has queued; any goroutine may call it. With a
+// full queue an ordinary turn may be seconds away, and operators must not wait for the load that they want to end.
 func (l *Loop) PostUrgent(f func()) {
-	l.mu.Lock()
+	l.mutex.Lock()
 	l.urgent = append(l.urgent, f)
-	l.pressing.Store(true)
-	l.mu.Unlock()
+	l.hasUrgent.Store(true)
+	l.mutex.Unlock()
+	l.signal()
+}
+
+// signal wakes Run.
+func (l *Loop) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// press does what is urgent; it is called between any two other functions.
-func (l *Loop) press() {
-	for l.pressing.Load() {
-		l.mu.Lock()
+// runUrgent calls the urgent functions; it is called between any two other functions.
+func (l *Loop) runUrgent() {
+	for l.hasUrgent.Load() {
+		l.mutex.Lock()
 		batch := l.urgent
 		l.urgent = nil
-		l.pressing.Store(false)
-		l.mu.Unlock()
+		l.hasUrgent.Store(false)
+		l.mutex.Unlock()
 		for _, f := range batch {
 			f()
 		}
@@ -84,95 +91,72 @@
 	l.Post(func() { l.stopped = true })
 }
 
-// Timer is a call to come. Its methods belong to the loop's goroutine.
-type Timer struct {
-	at    time.Duration
-	seq   uint64
-	f     func()
-	index int
-	loop  *Loop
-}
-
-// After calls f in the loop once d has passed. Only the loop's goroutine may call it.
-func (l *Loop) AfterFunc(d time.Duration, f func()) *Timer {
-	l.timers.seq++
-	t := &Timer{at: l.Now() + d, seq: l.timers.seq, f: f, loop: l}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// At is when it is due, or was.
-func (t *Timer) Due() time.Duration { return t.at }
-
-// Stop forgets the call; it may be called on nil and again.
-func (t *Timer) Stop() {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&t.loop.timers, t.index)
-	}
-}
-
-// Turn does what has come and what is due, and calls after behind it, until nothing is left to do now. It returns when the
-// next timer is due, 0 = there is none.
-func (l *Loop) RunOnce(after func()) (next time.Duration) {
+// RunOnce calls the functions that were posted and the timers that are due, and afterStep behind them, until nothing is
+// left to do now. It returns when the next timer is due, 0 = there is none.
+func (l *Loop) RunOnce(afterStep func()) (next time.Duration) {
 	var spare []func()
 	for {
-		spare = l.round(spare)
-		after()
-		l.mu.Lock()
-		more := len(l.queue)+len(l.urgent) > 0
-		l.mu.Unlock()
-		switch {
-		case more:
-		case len(l.timers.heap) == 0:
+		spare = l.runQueued(spare)
+		afterStep()
+		more, _ := l.state()
+		if more {
+			continue
+		}
+		due, ok := l.timers.next()
+		if !ok {
 			return 0
-		case l.timers.heap[0].at > l.Now():
-			return l.timers.heap[0].at
+		}
+		if due > l.Now() {
+			return due
 		}
 	}
 }
 
-// round does what has come, then what is due. It returns room for the next one.
-func (l *Loop) round(spare []func()) []func() {
-	l.mu.Lock()
+// runQueued calls the functions that were posted, then the timers that are due. It returns a slice to be used for the
+// next queue.
+func (l *Loop) runQueued(spare []func()) []func() {
+	l.mutex.Lock()
 	batch := l.queue
 	l.queue = spare[:0]
-	l.mu.Unlock()
+	l.mutex.Unlock()
 	for i, f := range batch {
 		batch[i] = nil
-		l.press()
+		l.runUrgent()
 		f()
 	}
-	for now := l.Now(); len(l.timers.heap) > 0 && l.timers.heap[0].at <= now; {
-		t := heap.Pop(&l.timers).(*Timer)
-		l.press()
-		t.f()
+	now := l.Now()
+	for l.timers.isDue(now) {
+		t := l.timers.take()
+		l.runUrgent()
+		t.callback()
 	}
-	l.press()
+	l.runUrgent()
 	return batch
 }
 
-// Run works until Stop. It calls after each time all that had come is done.
-func (l *Loop) Run(after func()) {
+// state reports whether functions wait to be called, and whether the loop was stopped.
+func (l *Loop) state() (more, stopped bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return len(l.queue)+len(l.urgent) > 0, l.stopped
+}
+
+// Run works until Stop. It calls afterStep each time all that had come is done.
+func (l *Loop) Run(afterStep func()) {
 	var spare []func()
-	idle := time.NewTimer(time.Hour)
+	idle := time.NewTimer(maxIdle)
 	defer idle.Stop()
 	for {
-		spare = l.round(spare)
-		after()
-		l.mu.Lock()
-		more, stopped := len(l.queue)+len(l.urgent) > 0, l.stopped
-		l.mu.Unlock()
+		spare = l.runQueued(spare)
+		afterStep()
+		more, stopped := l.state()
 		if stopped {
 			return
 		}
 		if more {
 			continue
 		}
-		wait := time.Hour
-		if len(l.timers.heap) > 0 {
-			wait = max(0, l.timers.heap[0].at-l.Now())
-		}
-		idle.Reset(wait)
+		idle.Reset(l.untilNextTimer())
 		select {
 		case <-l.wake:
 		case <-idle.C:
@@ -180,33 +164,11 @@
 	}
 }
 
-type timers struct {
-	heap []*Timer
-	seq  uint64
-}
-
-func (t *timers) Len() int { return len(t.heap) }
-func (t *timers) Less(i, j int) bool {
-	a, b := t.heap[i], t.heap[j]
-	return a.at < b.at || a.at == b.at && a.seq < b.seq
-}
-
-func (t *timers) Swap(i, j int) {
-	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.heap[i].index, t.heap[j].index = i, j
-}
-
-func (t *timers) Push(x any) {
-	e := x.(*Timer)
-	e.index = len(t.heap)
-	t.heap = append(t.heap, e)
-}
-
-func (t *timers) Pop() any {
-	n := len(t.heap) - 1
-	e := t.heap[n]
-	t.heap[n] = nil
-	t.heap = t.heap[:n]
-	e.index = -1
-	return e
+// untilNextTimer is how long Run may wait.
+func (l *Loop) untilNextTimer() time.Duration {
+	due, ok := l.timers.next()
+	if !ok {
+		return maxIdle
+	}
+	return max(0, due-l.Now())
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -11,7 +11,10 @@
 	l := New()
 	var got []int
 	stopped := l.AfterFunc(time.Millisecond, func() { got = append(got, 99) })
-	l.AfterFunc(20*time.Millisecond, func() { got = append(got, 5); l.Stop() })
+	l.AfterFunc(20*time.Millisecond, func() {
+		got = append(got, 5)
+		l.Stop()
+	})
 	l.AfterFunc(10*time.Millisecond, func() { got = append(got, 4) })
 	for i := range 3 {
 		l.Post(func() { got = append(got, i+1) })
@@ -38,7 +41,10 @@
 			}
 		})
 	}
-	go func() { wg.Wait(); l.Stop() }()
+	go func() {
+		wg.Wait()
+		l.Stop()
+	}()
 	l.Run(func() {})
 	if n != 8000 {
 		t.Fatalf("%d calls", n)
@@ -48,7 +54,8 @@
 // What is urgent waits for one function at most, not for all that is queued.
 func TestUrgentComesFirst(t *testing.T) {
 	l := New()
-	n, at := 0, -1
+	n := 0
+	at := -1
 	for i := range 100 {
 		l.Post(func() {
 			n++
@@ -64,19 +71,24 @@
 	}
 }
 
-// By another clock nothing moves but what Turn is called for, and what a function hands in for now is done in the same turn.
-func TestTurn(t *testing.T) {
+// By another clock nothing moves unless RunOnce is called, and what a function posts is called in the same turn.
+func TestRunOnce(t *testing.T) {
 	now := time.Second
 	l := NewWithClock(func() time.Duration { return now })
 	var got []int
 	l.AfterFunc(10*time.Millisecond, func() { got = append(got, 3) })
-	l.AfterFunc(0, func() { got = append(got, 1); l.Post(func() { got = append(got, 2) }) })
+	l.AfterFunc(0, func() {
+		got = append(got, 1)
+		l.Post(func() { got = append(got, 2) })
+	})
 	steps := 0
-	if next := l.RunOnce(func() { steps++ }); next != now+10*time.Millisecond || !slices.Equal(got, []int{1, 2}) || steps != 2 {
+	next := l.RunOnce(func() { steps++ })
+	if next != now+10*time.Millisecond || !slices.Equal(got, []int{1, 2}) || steps != 2 {
 		t.Fatalf("%v, next %v, %d steps", got, next, steps)
 	}
 	now += 10 * time.Millisecond
-	if next := l.RunOnce(func() { steps++ }); next != 0 || !slices.Equal(got, []int{1, 2, 3}) {
+	next = l.RunOnce(func() { steps++ })
+	if next != 0 || !slices.Equal(got, []int{1, 2, 3}) {
 		t.Fatalf("%v, next %v", got, next)
 	}
 }
--- /dev/null
+++ b/internal/transport/conn_test.go
@@ -0,0 +1,202 @@
+package transport
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/lesismal/nbio"
+
+	"limeladder/internal/eventloop"
+)
+
+func TestEchoOfMoreThanSocketsBuffer(t *testing.T) {
+	l, e := newTestEngine(t)
+	ln := listen(t, e, 64, func(c *Conn) Handler { return echoHandler{c} })
+	text := bytes.Repeat([]byte("limeladder"), 50_000)
+	for range 20 { // a dial that comes up at once must stay up, beyond its own time limit too
+		s := &collector{want: len(text), done: make(chan string, 9)}
+		dialCollector(l, e, ln.Addr().String(), 50*time.Millisecond, text, s)
+		expectEvent(t, s.done, "got")
+		if !bytes.Equal(s.got, text) {
+			t.Fatal("other bytes came back")
+		}
+		select {
+		case what := <-s.done:
+			t.Fatalf("%s by itself", what)
+		case <-time.After(70 * time.Millisecond):
+		}
+	}
+}
+
+func TestRefusedDialIsReportedOnce(t *testing.T) {
+	l, e := newTestEngine(t)
+	ln := listen(t, e, 64, func(c *Conn) Handler { return echoHandler{c} })
+	ln.Close()
+	s := &collector{done: make(chan string, 9)}
+	dialCollector(l, e, ln.Addr().String(), time.Second, []byte("x"), s)
+	expectEvent(t, s.done, "failed")
+}
+
+// Stop ends although a connection comes up in the middle of it.
+func TestStopDoesNotHang(t *testing.T) {
+	l := eventloop.New()
+	e, err := New(l, 1024, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Run(func() {})
+	defer l.Stop()
+	ln := listen(t, e, 64, func(c *Conn) Handler {
+		return echoHandler{c}
+	})
+	e.poller.OnClose(func(*nbio.Conn, error) { select {} }) // nbio never learns that one has closed
+	s := &collector{want: 1, done: make(chan string, 9)}
+	dialCollector(l, e, ln.Addr().String(), time.Second, []byte("x"), s)
+	expectEvent(t, s.done, "got")
+	stopped := make(chan string, 1)
+	go func() {
+		e.Stop()
+		stopped <- "stopped"
+	}()
+	expectEvent(t, stopped, "stopped")
+}
+
+// What is beyond the limit waits for a slot: it is not closed.
+func TestConnectionsBeyondTheLimitWait(t *testing.T) {
+	l, e := newTestEngine(t)
+	ln := listen(t, e, 1, func(c *Conn) Handler { return echoHandler{c} })
+	done := make(chan string, 9)
+	first := make(chan *Conn, 1)
+	open := func(h *collector, c chan *Conn) {
+		l.Post(func() {
+			e.Dial(ln.Addr().String(), time.Second, func(conn *Conn, err error) Handler {
+				if err != nil {
+					t.Error(err)
+					return nil
+				}
+				if err := conn.Write([]byte("x")); err != nil {
+					t.Error(err)
+				}
+				c <- conn
+				return h
+			})
+		})
+	}
+	open(&collector{want: 1, done: done}, first)
+	expectEvent(t, done, "got")
+	other := make(chan string, 9)
+	open(&collector{want: 1, done: other}, make(chan *Conn, 1))
+	select {
+	case got := <-other:
+		t.Fatal(got, "without a slot")
+	case <-time.After(50 * time.Millisecond):
+	}
+	conn := <-first
+	l.Post(conn.Close)
+	expectEvent(t, other, "got")
+}
+
+// A peer that sends faster than the loop reads has to wait: little of it is kept, and all of it comes, in order, though
+// the peer ends the connection behind it. So does one whose connection is paused.
+func TestFastSenderIsSlowedDown(t *testing.T) {
+	const inbox, total = 64 << 10, 6 << 20
+	l := eventloop.New()
+	e, err := New(l, 1024, inbox)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Run(func() {})
+	defer l.Stop()
+	defer e.Stop()
+	sent := make([]byte, total)
+	for i := range sent {
+		sent[i] = byte(i % 251)
+	}
+	for _, pause := range []bool{false, true} {
+		s := &collector{want: 1 << 40, done: make(chan string, 9)}
+		var conn *Conn
+		ln := listen(t, e, 64, func(c *Conn) Handler {
+			conn = c
+			s.done <- "accepted"
+			return s
+		})
+		c, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		expectEvent(t, s.done, "accepted") // the loop has the connection before it is kept busy
+		resume := stopLoopOrConn(l, conn, pause)
+		wrote := make(chan error)
+		go func() {
+			_, err := c.Write(sent)
+			c.Close()
+			wrote <- err
+		}()
+		waitUntil(t, "the inbox is full", func() bool {
+			conn.mutex.Lock()
+			n, full := len(conn.inbox), conn.inboxFull
+			conn.mutex.Unlock()
+			if n > inbox+readBufferBytes {
+				t.Fatalf("%d bytes kept", n)
+			}
+			return full
+		})
+		resume()
+		if err := <-wrote; err != nil {
+			t.Fatal(err)
+		}
+		expectEvent(t, s.done, "closed")
+		if !bytes.Equal(s.got, sent) {
+			t.Fatalf("%d bytes came, or other ones", len(s.got))
+		}
+	}
+}
+
+// stopLoopOrConn pauses a connection, or keeps the loop busy, until resume is called.
+func stopLoopOrConn(l *eventloop.Loop, conn *Conn, pause bool) (resume func()) {
+	if pause {
+		runInLoop(l, func() { conn.SetPaused(true) })
+		return func() { l.Post(func() { conn.SetPaused(false) }) }
+	}
+	busy, free := make(chan bool), make(chan bool)
+	l.Post(func() {
+		conn.SetPaused(false)
+		close(busy)
+		<-free
+	})
+	<-busy
+	return func() { close(free) }
+}
+
+// A connection that is to be closed is not cut while its peer goes on taking, however long that takes.
+func TestFinishWaitsForASlowReader(t *testing.T) {
+	l, e := newTestEngine(t)
+	const total = 7 << 20
+	ln := listen(t, e, 64, func(c *Conn) Handler {
+		if err := errors.Join(c.socket.SetWriteBuffer(64<<10), c.Write(make([]byte, total))); err != nil {
+			t.Error(err)
+		}
+		c.Finish(time.Second)
+		return echoHandler{c}
+	})
+	c, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.(*net.TCPConn).SetReadBuffer(64 << 10)
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	got, buf := 0, make([]byte, 128<<10)
+	for err == nil {
+		var n int
+		n, err = c.Read(buf)
+		got += n
+		time.Sleep(15 * time.Millisecond)
+	}
+	if got != total {
+		t.Fatalf("%d bytes, %v", got, err)
+	}
+	l.Post(func() {})
+}
