--- a/cmd/limeladder/failover.go
+++ b/cmd/limeladder/failover.go
@@ -17,14 +17,14 @@
 const workShareOfObjective = 10
 
 // failoverQueueEnabled says whether deploy/limeladder.toml names classes whose requests are queued through failovers.
-func (d *daemon) failoverQueueEnabled() bool { return len(d.deploy.Changeover.Classes) > 0 }
+func (d *daemon) failoverQueueEnabled() bool { return len(d.deploy.Failover.Classes) > 0 }
 
 // startFailoverQueue makes the core queue requests through failovers, if deploy/limeladder.toml says so.
 func (d *daemon) startFailoverQueue(cfg *config.Config) error {
 	if !d.failoverQueueEnabled() {
 		return nil
 	}
-	settings := d.deploy.Changeover
+	settings := d.deploy.Failover
 	classes, err := failoverClasses(settings.Classes, cfg.Balance.Classes)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 }
 
 // Cells implements adminapi.Router.
-func (d *daemon) Cells() (encoded []byte, off bool) {
+func (d *daemon) FailoverState() (encoded []byte, off bool) {
 	if !d.failoverQueueEnabled() {
 		return nil, true
 	}
@@ -174,7 +174,7 @@
 	}
 	for _, transition := range view.History {
 		status.History = append(status.History, transitionStatus{
-			AgoMs:     (now - transition.At).Milliseconds(),
+			AgoMs:     (now - transition.OccurredAt).Milliseconds(),
 			FromPhase: transition.From.String(),
 			ToPhase:   transition.To.String(),
 			Evidence:  transition.Evidence.String(),
@@ -186,7 +186,7 @@
 }
 
 // Changeover implements adminapi.Router.
-func (d *daemon) Changeover(group int64, within time.Duration) (known, off bool) {
+func (d *daemon) AnnounceFailover(group int64, within time.Duration) (known, off bool) {
 	if !d.failoverQueueEnabled() {
 		return false, true
 	}
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -5,47 +5,63 @@
 	"time"
 )
 
-// View is what those on call see of a bank.
+// GroupView is what operators see of a replica group.
 type GroupView struct {
 	Group            int64
 	Phase            Phase
 	Term             uint64
-	Primary          string
+	Primary          string        // "" = none is known
 	Since            time.Duration // how long the phase lasts
 	Pending          int
-	OldestPending    time.Duration // how long the oldest is held
+	OldestPending    time.Duration // how long the oldest queued request waits
 	ReleasedInFlight int           // released and not answered
 	Released         uint64
-	Rejected         map[string]uint64
+	Rejected         map[string]uint64 // by reason
 	History          []Transition
 }
 
-// Views returns all banks, by their numbers.
-func (m *Tracker) Views(now time.Duration) []GroupView {
-	oldest := map[*bank]time.Duration{}
-	for _, h := range m.held {
-		oldest[h.bank] = max(oldest[h.bank], now-h.at)
+// Views returns all groups, by their numbers.
+func (t *Tracker) Views(now time.Duration) []GroupView {
+	longestWait := map[*replicaGroup]time.Duration{}
+	for _, request := range t.pending.byID {
+		longestWait[request.group] = max(longestWait[request.group], now-request.enqueuedAt)
 	}
-	var out []GroupView
-	for _, b := range m.order {
-		v := GroupView{Group: b.id, Phase: b.phase, Term: b.term, Primary: name(b.primary), Since: now - b.since, Pending: len(b.queue), OldestPending: oldest[b],
-			ReleasedInFlight: len(b.out), Released: b.released, Rejected: map[string]uint64{}, History: slices.Clone(b.history)}
-		for r, n := range b.givenUp {
-			v.Rejected[Reason(r).String()] = n
-		}
-		out = append(out, v)
+	var views []GroupView
+	for _, group := range t.orderedGroups {
+		view := group.view(now)
+		view.OldestPending = longestWait[group]
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
-// Bank returns the phase, term and primary of one.
-func (m *Tracker) Group(id int64) (p Phase, term uint64, primary string, last Transition) {
-	b := m.banks[id]
-	if b == nil {
+func (g *replicaGroup) view(now time.Duration) GroupView {
+	rejected := map[string]uint64{}
+	for reason, total := range g.rejectedTotal {
+		rejected[Reason(reason).String()] = total
+	}
+	return GroupView{
+		Group:            g.id,
+		Phase:            g.phase,
+		Term:             g.term,
+		Primary:          g.primaryID(),
+		Since:            now - g.phaseSince,
+		Pending:          len(g.pending),
+		ReleasedInFlight: len(g.release.inFlight),
+		Released:         g.releasedTotal,
+		Rejected:         rejected,
+		History:          slices.Clone(g.history),
+	}
+}
+
+// Group returns the phase, term, primary and newest transition of a group.
+func (t *Tracker) Group(groupID int64) (phase Phase, term uint64, primary string, last Transition) {
+	group := t.groups[groupID]
+	if group == nil {
 		return PhaseSteady, 0, "", Transition{}
 	}
-	if n := len(b.history); n > 0 {
-		last = b.history[n-1]
+	if n := len(group.history); n > 0 {
+		last = group.history[n-1]
 	}
-	return b.phase, b.term, name(b.primary), last
+	return group.phase, group.term, group.primaryID(), last
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -99,7 +99,7 @@
 	ListBytes      int // of the body of a response
 	HeaderBytes    int // of its header
 
-	WatchWait        time.Duration // what a watch asks discovery to wait
+	LongPollTimeout  time.Duration // what a watch asks discovery to wait
 	CallTimeout      time.Duration // until a call that does not wait has failed
 	WatchSlack       time.Duration // a watch has failed this long after its wait
 	WatchInterval    time.Duration // from a call that brought nothing, and did not wait, to the next
@@ -118,7 +118,7 @@
 // Shutdown is the time after SIGTERM.
 type Shutdown struct {
 	AcceptTime     time.Duration // connections are still accepted
-	GuaranteedTime time.Duration // the platform lets the program run at least this long: late requests are answered by then
+	GuaranteedTime time.Duration // the platform grants at least this long; late requests are answered by then
 	MaxTime        time.Duration // the program exits
 }
 
--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -39,17 +39,19 @@
 		})
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
 	h.list = d
-	go d.server.Serve(ln)
+	go func() { _ = d.server.Serve(ln) }() // it ends when the directory is closed
 	return nil
 }
 
-func (d *directory) close() { d.server.Close() }
+func (d *directory) close() {
+	_ = d.server.Close() // its only error is that of a listener that is closed
+}
 
 // since is what has changed behind a version, all of it behind 0.
-func (d *directory) since(version int64) config.List {
-	l := config.List{Version: d.Version, Full: version == 0, Servers: []config.Entry{}}
+func (d *directory) since(version int64) config.EndpointList {
+	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.Entry{ID: x.Machine.ID, Zone: x.Machine.Zone, Cell: x.Machine.Bank.ID, State: x.State.String(), Weight: 1, StartedMs: x.UpAt.Milliseconds(), Mode: "read-only"}
+		e := config.EndpointEntry{ID: x.Machine.ID, Zone: x.Machine.Zone, Cell: x.Machine.Bank.ID, State: x.State.String(), Weight: 1, StartedMs: x.UpAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
@@ -58,7 +60,7 @@
 				e.Addr = s.addr
 			}
 		}
-		l.Servers = append(l.Servers, e)
+		l.Endpoints = append(l.Endpoints, e)
 	})
 	return l
 }
@@ -83,7 +85,7 @@
 	}
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for {
-		var l config.List
+		var l config.EndpointList
 		var news chan struct{}
 		var down time.Duration
 		d.h.with(func() {
@@ -115,7 +117,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(p)
+		_, _ = w.Write(p) // the caller may have gone meanwhile
 		return
 	}
 }
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -37,6 +37,7 @@
 
 // Observer is told what reaches the machines. Its methods are called from many goroutines and must not call the Host.
 type Observer interface {
+	// Came is called when a statement has come to a machine.
 	Came(v Visit)
 	// Ended comes once for each Came: answered, or given up with its connection (gone).
 	Ended(v Visit, e Ending, gone bool)
@@ -255,7 +256,7 @@
 type Seat struct {
 	Name, Listen, Operator, Zone string
 	Discovery                    string
-	Known                        config.List
+	Known                        config.EndpointList
 	Seed                         uint64
 }
 
@@ -265,7 +266,7 @@
 }
 
 // List is what discovery says has changed behind a version, all of it behind 0. It is empty while discovery says nothing.
-func (h *Host) List(since int64) (l config.List) {
+func (h *Host) List(since int64) (l config.EndpointList) {
 	h.with(func() {
 		if h.list.down <= h.clock.Now() {
 			l = h.list.since(since)
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -40,8 +40,7 @@
 	barred  bool
 	out     bool          // the list says that it drains or is gone,
 	outAt   time.Duration // and was here then
-	probing bool
-	replica bool // its newest answer to this router came from a replica
+	replica bool          // its newest answer to this router came from a replica
 }
 
 type conn struct {
@@ -84,7 +83,7 @@
 		}, f.seed*7919+uint64(r.number)+f.cfg.Salt<<50, nil)
 	}
 	if f.cfg.Sites != SitesOff {
-		core.EnableSiteMonitor(sitefailover.DefaultConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
+		core.EnableSiteMonitor(sitefailover.DefaultMonitorConfig(cfg.Zone, cfg.SlowStartWindow, f.cfg.Banks*f.cfg.Members))
 		if f.cfg.Sites == SitesAct {
 			core.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: cfg.MaxRetryAfter}, sitefailover.RecoveryRampConfig{InitialShare: cfg.SlowStartFrom, Duration: cfg.SlowStartWindow}, f.seed*104729+uint64(r.number)+f.cfg.Salt<<50)
 		}
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -35,7 +35,9 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	os.RemoveAll(dir)
+	if err := os.RemoveAll(dir); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+	}
 	os.Exit(code)
 }
 
@@ -106,7 +108,7 @@
 	t.Helper()
 	p, _ := os.ReadFile(file)
 	for _, line := range strings.Split(string(p), "\n") {
-		if strings.Contains(line, "step:") || strings.Contains(line, "RULE") || strings.Contains(line, "msg=site") || strings.Contains(line, `msg="site`) {
+		if strings.Contains(line, "step:") || strings.Contains(line, "RULE") || strings.Contains(line, `msg="site`) {
 			t.Log(line)
 		}
 	}
@@ -128,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := regexp.MustCompile(`(?m)^ *([0-9.]+)  (r[0-9])\.1 .* msg=site .*site=(\w+) from=(\w+) to=(\w+)`)
+	line := regexp.MustCompile(`(?m)^ *([0-9.]+)  (r[0-9])\.1 .* msg="site state changed" .*site=(\w+) from=(\w+) to=(\w+)`)
 	lost, back := map[string]string{}, map[string]bool{}
 	for _, m := range line.FindAllStringSubmatch(string(p), -1) {
 		at, router, site, to := m[1], m[2], m[3], m[5]
@@ -242,8 +244,9 @@
 	if err != nil || len(got.Faults) != 2 || got.Faults[0].At != sec || got.Faults[1].At != 4*sec || len(c.Faults) != 6 {
 		t.Fatalf("%v %v", got.Faults, err)
 	}
-	if runs = 0; true {
-		Shrink(Options{Config: c}, 2, play)
+	runs = 0
+	if _, err := Shrink(Options{Config: c}, 2, play); err != nil {
+		t.Fatal(err)
 	}
 	if runs != 2 {
 		t.Errorf("%d runs", runs)
