--- a/cmd/limeladder/audit_endpoint_list.go
+++ b/cmd/limeladder/audit_endpoint_list.go
@@ -37,7 +37,7 @@
 	for id := range r.endpointStates {
 		if !isListed[id] {
 			delete(r.endpointStates, id)
-			r.recorder.Record(audit.Drain{Node: id, State: endpointNotListed, By: requestedByDiscovery})
+			r.recorder.Record(audit.Drain{Endpoint: id, State: endpointNotListed, Source: requestedByDiscovery})
 		}
 	}
 }
@@ -48,10 +48,10 @@
 	newAndReady := !known && entry.State == endpointReady
 	if previous != entry.State && !newAndReady {
 		r.recorder.Record(audit.Drain{
-			Node:  entry.ID,
-			Group: entry.Cell,
-			State: entry.State,
-			By:    requestedByDiscovery,
+			Endpoint: entry.ID,
+			Group:    entry.Cell,
+			State:    entry.State,
+			Source:   requestedByDiscovery,
 		})
 	}
 	if entry.State == endpointRemoved {
--- a/cmd/limeladder/audit_endpoint_list_test.go
+++ b/cmd/limeladder/audit_endpoint_list_test.go
@@ -25,7 +25,7 @@
 		return config.EndpointEntry{ID: id, Cell: 7, State: state}
 	}
 	changed := func(id, state string) audit.Event {
-		return audit.Drain{Node: id, Group: 7, State: state, By: "list"}
+		return audit.Drain{Endpoint: id, Group: 7, State: state, Source: "list"}
 	}
 	for _, step := range []struct {
 		name  string
@@ -51,7 +51,7 @@
 			config.EndpointList{Version: 4},
 			balance.ListFull,
 			[]audit.Event{
-				audit.Drain{Node: "b", State: "not listed", By: "list"},
+				audit.Drain{Endpoint: "b", State: "not listed", Source: "list"},
 				audit.List{Version: 4, Full: true},
 			},
 		},
--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -73,7 +73,7 @@
 	}
 	startedAt := time.Now()
 	// The seed is the same in two processes of one router, so the id of the start is random on its own.
-	startID := audit.Stem(startedAt, rand.Uint32())
+	startID := audit.NewStartID(startedAt, rand.Uint32())
 	chainKey := currentChainKey(deploy.Audit)
 	encoder, err := newAuditEncoder(deploy.Syslog, chainKey, startID, startedAt)
 	if err != nil {
@@ -126,16 +126,16 @@
 			App:      softwareName,
 			Proc:     strconv.Itoa(os.Getpid()),
 		},
-		Enterprise: uint32(settings.Enterprise),
-		Most:       settings.Bytes,
-		Software:   softwareName,
-		Version:    buildVersion(),
-		Start:      startID,
-		Began:      startedAt,
-		Refused:    pgwire.TooManyConnections,
-		Failed:     pgwire.UnknownOutcome,
-		Key:        chainKey,
-		Quality:    clockQuality,
+		Enterprise:       uint32(settings.Enterprise),
+		MaxMessageBytes:  settings.Bytes,
+		Software:         softwareName,
+		Version:          buildVersion(),
+		Start:            startID,
+		StartedAt:        startedAt,
+		RejectedSQLSTATE: pgwire.TooManyConnections,
+		FailedSQLSTATE:   pgwire.UnknownOutcome,
+		Key:              chainKey,
+		Quality:          clockQuality,
 	})
 }
 
@@ -166,10 +166,10 @@
 
 func shipperOptions(settings config.Audit, bounds limits.Audit) audit.ShipperOptions {
 	return audit.ShipperOptions{
-		Gather: bounds.GatherInterval,
-		Heads:  uint64(cmp.Or(settings.Heads, bounds.ChainHeadMessages)),
-		Every:  cmp.Or(settings.HeadsTime, bounds.ChainHeadInterval),
-		Now:    time.Now,
+		Interval:        bounds.GatherInterval,
+		MessagesPerHead: uint64(cmp.Or(settings.Heads, bounds.ChainHeadMessages)),
+		HeadInterval:    cmp.Or(settings.HeadsTime, bounds.ChainHeadInterval),
+		Now:             time.Now,
 	}
 }
 
@@ -216,14 +216,14 @@
 // routerStateChanged records that the router drains, takes clients again or ends.
 func (r *auditRecording) routerStateChanged(state, requestedBy string) {
 	if r != nil {
-		r.recorder.Record(audit.Router{State: state, By: requestedBy})
+		r.recorder.Record(audit.Router{State: state, Source: requestedBy})
 	}
 }
 
 // endpointStateChanged records that an endpoint was suspended or resumed.
 func (r *auditRecording) endpointStateChanged(id, state, requestedBy string) {
 	if r != nil {
-		r.recorder.Record(audit.Drain{Node: id, State: state, By: requestedBy})
+		r.recorder.Record(audit.Drain{Endpoint: id, State: state, Source: requestedBy})
 	}
 }
 
@@ -234,7 +234,7 @@
 	}
 	event := audit.Reload{What: what}
 	if reason != nil {
-		event.Err = reason.Error()
+		event.Error = reason.Error()
 	}
 	r.recorder.Record(event)
 }
@@ -255,7 +255,7 @@
 		r.loop.AfterFunc(r.limits.Audit.LossReportInterval, func() { r.applyDeploy(deploy) })
 		return
 	}
-	r.recorder.Rule(policy)
+	r.recorder.SetPolicy(policy)
 	r.sender.Change(deploy.Syslog.ParsedCollectors, deploy.Syslog.TLS)
 	r.deploy = deploy
 	r.log.Info("audit recording reconfigured", "collectors", fmt.Sprint(deploy.Syslog.ParsedCollectors))
--- a/cmd/limeladder/audit_recording_bench_test.go
+++ b/cmd/limeladder/audit_recording_bench_test.go
@@ -63,7 +63,9 @@
 		b.Fatal(err)
 	}
 	queue := audit.NewQueue(options.queueRecords, options.queueBytes)
-	shipping := audit.ShipperOptions{Gather: options.gather, Heads: 256, Every: time.Minute, Now: time.Now}
+	shipping := audit.ShipperOptions{
+		Interval: options.gather, MessagesPerHead: 256, HeadInterval: time.Minute, Now: time.Now,
+	}
 	return &recordPath{
 		queue:    queue,
 		recorder: audit.NewRecorder(policy, queue, time.Now),
@@ -99,15 +101,15 @@
 				queueBytes:   6 << 20,
 				gather:       time.Millisecond,
 				encoder: audit.EncoderOptions{
-					Head:       syslog.Head{Host: "host", App: "limeladder", Proc: "1"},
-					Enterprise: 32473,
-					Most:       2048,
-					Software:   "limeladder",
-					Version:    "1",
-					Start:      "019ae12345600000001",
-					Began:      time.Now(),
-					Key:        &audit.Key{Name: "k", Secret: [32]byte{1}},
-					Quality:    clockQuality,
+					Head:            syslog.Head{Host: "host", App: "limeladder", Proc: "1"},
+					Enterprise:      32473,
+					MaxMessageBytes: 2048,
+					Software:        "limeladder",
+					Version:         "1",
+					Start:           "019ae12345600000001",
+					StartedAt:       time.Now(),
+					Key:             &audit.Key{Name: "k", Secret: [32]byte{1}},
+					Quality:         clockQuality,
 				},
 			})
 			b.ResetTimer()
@@ -134,9 +136,9 @@
 			Class:    "look",
 			Tenant:   "member-1",
 			Client:   "127.0.0.1:54321",
-			Node:     "db-17",
+			Endpoint: "db-17",
 			Group:    7,
-			Attempts: []audit.Attempt{{Node: "db-17", Took: 1e6}},
+			Attempts: []audit.Attempt{{Endpoint: "db-17", Took: 1e6}},
 			Total:    1e6,
 			Worked:   1e6,
 		})
@@ -265,7 +267,7 @@
 		queueRecords: 1 << 20,
 		queueBytes:   queueBytes,
 		gather:       10 * time.Millisecond,
-		encoder:      audit.EncoderOptions{Head: syslog.Head{Host: "host"}, Enterprise: 1, Most: 2048, Start: "s"},
+		encoder:      audit.EncoderOptions{Head: syslog.Head{Host: "host"}, Enterprise: 1, MaxMessageBytes: 2048, Start: "s"},
 	})
 	maxHeap := uint64(0)
 	recorded := 0
@@ -274,7 +276,7 @@
 			for range 1000 {
 				recorded++
 				path.recorder.Record(&audit.Answer{
-					Request: "request-1234", Class: "look", Node: "db-17", Attempts: make([]audit.Attempt, 1),
+					Request: "request-1234", Class: "look", Endpoint: "db-17", Attempts: make([]audit.Attempt, 1),
 				})
 			}
 			path.recorder.Tick()
@@ -283,7 +285,7 @@
 		}
 	}
 	b.ReportMetric(float64(maxHeap)/float64(queueBytes+windowBytes), "held/configured")
-	b.ReportMetric(float64(recorded)/float64(max(1, c.Got())), "recorded/taken")
+	b.ReportMetric(float64(recorded)/float64(max(1, c.Received())), "recorded/taken")
 	path.close(0)
 }
 
--- a/cmd/limeladder/audit_verify.go
+++ b/cmd/limeladder/audit_verify.go
@@ -102,8 +102,8 @@
 func writeStart(out io.Writer, start *verify.Start) {
 	fmt.Fprintf(out, "start %s: %d messages, numbers %d to %d, %d heads",
 		start.ID, start.Messages, start.First, start.Last, start.Heads)
-	if start.Told > 0 {
-		fmt.Fprintf(out, ", %d records dropped as the router tells", start.Told)
+	if start.ReportedDropped > 0 {
+		fmt.Fprintf(out, ", %d records dropped as the router tells", start.ReportedDropped)
 	}
 	if start.Repeated > 0 {
 		fmt.Fprintf(out, ", %d came again", start.Repeated)
--- a/cmd/limeladder/connections_test.go
+++ b/cmd/limeladder/connections_test.go
@@ -84,7 +84,7 @@
 		t.Run(fmt.Sprintf("after %d bytes", cut), func(t *testing.T) {
 			servers, list, agent := newReplicaGroup(t, func(typ byte, id string) testserver.Act {
 				if typ == 'Q' && id == "w" {
-					return testserver.Act{Cut: cut}
+					return testserver.Act{TruncateAt: cut}
 				}
 				return testserver.Act{}
 			})
--- a/cmd/limeladder/failover_bench_test.go
+++ b/cmd/limeladder/failover_bench_test.go
@@ -102,10 +102,10 @@
 		router.writeFile("config.json", config)
 		router.writeFile("deploy.toml", "[changeover]\nclasses = [\"job\"]\n")
 		router.start()
-		router.primary.Lead(false)
+		router.primary.SetPrimary(false)
 		router.primary.Stop()
 		begin := time.Now()
-		promotion := time.AfterFunc(time.Second, func() { router.replica.Lead(true) })
+		promotion := time.AfterFunc(time.Second, func() { router.replica.SetPrimary(true) })
 		var writers writeClients
 		for i := range clients {
 			writers.Go(func() { writers.send(router, fmt.Sprint("held-", i)) })
--- a/cmd/limeladder/failover_queue_test.go
+++ b/cmd/limeladder/failover_queue_test.go
@@ -58,7 +58,7 @@
 	var writers writeClients
 	writers.start(router, "warm", 3)
 	writers.Wait()
-	router.primary.Lead(false)
+	router.primary.SetPrimary(false)
 	router.primary.Stop()
 	writers.start(router, "old", 20)
 	router.waitFor("20 are queued", func() bool { return router.hasPending(20) })
@@ -70,7 +70,7 @@
 	time.Sleep(300 * time.Millisecond) // the old process accepts no more connections
 	writers.start(router, "new", 20)
 	router.waitFor("the new process has queued 20 too", func() bool { return router.hasPending(20) })
-	router.replica.Lead(true)
+	router.replica.SetPrimary(true)
 	writers.Wait()
 	if err := oldProcess.Wait(); err != nil {
 		t.Fatal(err)
@@ -143,8 +143,8 @@
 	router.sendRequests("one", "job", 1, 2500*time.Millisecond)
 	failOverTo := func(id string, old, successor *testserver.DB, wantTerm uint64) {
 		t.Helper()
-		old.Lead(false)
-		successor.Lead(true)
+		old.SetPrimary(false)
+		successor.SetPrimary(true)
 		router.requireServed(id)
 		router.waitFor("the next term", func() bool {
 			status, ok := router.onlyGroupStatus()
@@ -157,8 +157,8 @@
 		return logHasValue(router.dir+"/store/log", `{"term":3,"primary":"s1"}`)
 	})
 	router.stop()
-	router.primary.Lead(false)
-	router.replica.Lead(true)
+	router.primary.SetPrimary(false)
+	router.replica.SetPrimary(true)
 	router.start() // the endpoint list still calls s1 the primary
 	router.requireServed("later")
 	router.waitFor("a later term", func() bool {
--- a/cmd/limeladder/failover_scenario_test.go
+++ b/cmd/limeladder/failover_scenario_test.go
@@ -178,7 +178,7 @@
 
 // promote makes a server the primary.
 func (s *failoverScenario) promote(server *testserver.DB) {
-	server.Lead(true)
+	server.SetPrimary(true)
 	s.mu.Lock()
 	s.promotions = append(s.promotions, promotion{server.Addr, time.Now()})
 	s.mu.Unlock()
@@ -208,24 +208,24 @@
 	old := s.groups[group][from]
 	switch loss {
 	case primaryDies:
-		old.Lead(false)
+		old.SetPrimary(false)
 		old.Stop()
 	case primaryHangs:
 		old.Hang(true)
-		old.Lead(false)
+		old.SetPrimary(false)
 	case primaryDrains:
 		s.drain(old)
 		time.Sleep(leaderless / 3)
-		old.Lead(false)
+		old.SetPrimary(false)
 	case primarySaysNo:
-		old.Lead(false)
+		old.SetPrimary(false)
 	case failoverAnnounced:
 		s.announceFailover(group)
 		time.Sleep(leaderless / 3)
-		old.Lead(false)
+		old.SetPrimary(false)
 	case primaryIsSuspended:
 		s.suspend(old)
-		old.Lead(false)
+		old.SetPrimary(false)
 		s.mu.Lock()
 		s.drains = append(s.drains, check.Drain{Member: old.Addr, From: time.Now()})
 		s.mu.Unlock()
@@ -256,12 +256,12 @@
 		client.Send(messages)
 		if disconnectAfter > 0 {
 			time.Sleep(disconnectAfter)
-			request.Left = true
+			request.Disconnected = true
 			client.Close()
 		} else {
 			answer := client.Until('Z')
 			recordAnswer(&request, answer)
-			request.Cut = answer.Cut
+			request.Truncated = answer.Truncated
 			if len(answer.Value) > 0 && len(answer.Value) < s.responseBytes {
 				s.test.Errorf("%s: %d bytes", id, len(answer.Value))
 			}
--- a/cmd/limeladder/failover_test.go
+++ b/cmd/limeladder/failover_test.go
@@ -72,7 +72,7 @@
 			groups:           2,
 			allowsRejections: true,
 			act: func(scenario *failoverScenario, _ *rand.Rand) {
-				scenario.groups[1][0].Lead(false)
+				scenario.groups[1][0].SetPrimary(false)
 				scenario.groups[1][0].Stop()
 				scenario.failOver(0, 0, 2, primaryDies, 400*time.Millisecond)
 			},
@@ -81,7 +81,7 @@
 			name: "the old primary returns and believes it is primary",
 			act: func(scenario *failoverScenario, _ *rand.Rand) {
 				scenario.failOver(0, 0, 1, primaryDies, 300*time.Millisecond)
-				scenario.groups[0][0].Behind(time.Minute) // its data stands still
+				scenario.groups[0][0].SetLag(time.Minute) // its data stands still
 				scenario.restart(scenario.groups[0][0])
 			},
 		},
@@ -197,7 +197,7 @@
 				old := scenario.groups[0][0]
 				old.Hang(true)
 				time.Sleep(300 * time.Millisecond)
-				old.Lead(false)
+				old.SetPrimary(false)
 				old.Hang(false)
 				time.Sleep(10 * time.Millisecond)
 				scenario.promote(scenario.groups[0][1])
@@ -222,7 +222,7 @@
 		{
 			name: "the successor lags the most",
 			act: func(scenario *failoverScenario, _ *rand.Rand) {
-				scenario.groups[0][2].Behind(10 * time.Second)
+				scenario.groups[0][2].SetLag(10 * time.Second)
 				scenario.failOver(0, 0, 2, primaryDies, 300*time.Millisecond)
 			},
 		},
@@ -262,10 +262,10 @@
 	scenario.responseBytes = c.responseBytes
 	for _, server := range scenario.groups[0] {
 		if c.withPrimaryReads {
-			server.Behind(10 * time.Second)
+			server.SetLag(10 * time.Second)
 		}
 		if c.responseBytes > 0 {
-			server.Answers(c.responseBytes)
+			server.SetResponseSize(c.responseBytes)
 		}
 	}
 	go func() {
--- a/cmd/limeladder/hot_restart_test.go
+++ b/cmd/limeladder/hot_restart_test.go
@@ -115,9 +115,9 @@
 	for _, group := range readers {
 		group.Wait()
 	}
-	requireNothingSentAfterDrain(t, servers[1], agent.Has("a", endpointDraining))
+	requireNothingSentAfterDrain(t, servers[1], agent.SentAt("a", endpointDraining))
 	sentByNewProcess := 0
-	for _, request := range servers[2].Log().Whole {
+	for _, request := range servers[2].Log().Received {
 		if strings.HasPrefix(request.ID, "new") {
 			sentByNewProcess++
 		}
--- a/cmd/limeladder/pushed_discovery_test.go
+++ b/cmd/limeladder/pushed_discovery_test.go
@@ -39,7 +39,7 @@
 // notified that it drains.
 func requireNothingSentAfterDrain(t *testing.T, server *testserver.DB, notifiedAt time.Time) {
 	t.Helper()
-	for _, request := range server.Log().Whole {
+	for _, request := range server.Log().Received {
 		if late := request.At.Sub(notifiedAt); late > drainGrace+drainSlack {
 			t.Errorf("%s is sent %v after the notification of the drain", request.ID, late)
 			return
@@ -68,8 +68,8 @@
 	readers.Wait()
 	before := 0
 	after := 0
-	notifiedAt := agent.Has("a", endpointDraining)
-	for _, request := range servers[1].Log().Whole {
+	notifiedAt := agent.SentAt("a", endpointDraining)
+	for _, request := range servers[1].Log().Received {
 		switch {
 		case request.At.Before(notifiedAt):
 			before++
@@ -112,6 +112,6 @@
 		group.Wait()
 	}
 	for i, id := range []string{"a", "b"} {
-		requireNothingSentAfterDrain(t, servers[1+i], agent.Has(id, endpointDraining))
+		requireNothingSentAfterDrain(t, servers[1+i], agent.SentAt(id, endpointDraining))
 	}
 }
--- a/cmd/limeladder/shutdown_test.go
+++ b/cmd/limeladder/shutdown_test.go
@@ -90,7 +90,7 @@
 // requireClosed fails the test unless the router closes a connection between responses.
 func requireClosed(t *testing.T, client *testserver.Client) {
 	t.Helper()
-	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
 		t.Fatalf("not closed: %+v", answer)
 	}
 }
--- a/internal/audit/carry_test.go
+++ b/internal/audit/carry_test.go
@@ -61,14 +61,14 @@
 		events[i] = random(rng)
 		record := audit.Record{Seq: uint64(i) + 1, Time: time.Unix(1.8e9, int64(i)), Event: events[i]}
 		sent[i] = bytes.Clone(enc.Encode(record))
-		for network == "udp" && i-c.Got() > 500 { // nothing slows a datagram's sender down
+		for network == "udp" && i-c.Received() > 500 { // nothing slows a datagram's sender down
 			time.Sleep(time.Millisecond)
 		}
 		for s.Put(sent[i:i+1]) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	for end := time.Now().Add(30 * time.Second); c.Got() < n && time.Now().Before(end); {
+	for end := time.Now().Add(30 * time.Second); c.Received() < n && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	got := c.Messages()
--- a/internal/audit/encode_event.go
+++ b/internal/audit/encode_event.go
@@ -43,7 +43,7 @@
 	case Dropped:
 		return syslog.Err
 	case Reload:
-		if v.Err != "" {
+		if v.Error != "" {
 			return syslog.Warning
 		}
 	}
@@ -62,8 +62,8 @@
 		return writeDrain(builder, v)
 	case Router:
 		builder.String(rankOutcome, "state", v.State)
-		builder.String(rankTimes, "by", v.By)
-		return "the router is " + v.State + ", says " + v.By
+		builder.String(rankTimes, "by", v.Source)
+		return "the router is " + v.State + ", says " + v.Source
 	case Primary:
 		return writePrimary(builder, v)
 	case List:
@@ -86,11 +86,11 @@
 }
 
 func writeDrain(builder *syslog.Builder, drain Drain) string {
-	builder.String(rankRequest, "node", drain.Node)
+	builder.String(rankRequest, "node", drain.Endpoint)
 	builder.Int(rankRequest, "group", drain.Group)
 	builder.String(rankOutcome, "state", drain.State)
-	builder.String(rankTimes, "by", drain.By)
-	return "db machine " + drain.Node + " is " + drain.State + ", says " + drain.By
+	builder.String(rankTimes, "by", drain.Source)
+	return "db machine " + drain.Endpoint + " is " + drain.State + ", says " + drain.Source
 }
 
 func writePrimary(builder *syslog.Builder, primary Primary) string {
@@ -99,12 +99,12 @@
 		state = "doubted"
 	}
 	builder.Int(rankOutcome, "group", primary.Group)
-	builder.String(rankOutcome, "node", primary.Node)
+	builder.String(rankOutcome, "node", primary.Endpoint)
 	builder.String(rankOutcome, "state", state)
-	if primary.Why != "" {
-		builder.String(rankWhy, "why", primary.Why)
+	if primary.Reason != "" {
+		builder.String(rankWhy, "why", primary.Reason)
 	}
-	return "primary " + primary.Node + " of group " + strconv.FormatInt(primary.Group, 10) + " is " + state
+	return "primary " + primary.Endpoint + " of group " + strconv.FormatInt(primary.Group, 10) + " is " + state
 }
 
 func writeList(builder *syslog.Builder, list List) {
@@ -117,9 +117,9 @@
 
 func writeReload(builder *syslog.Builder, reload Reload) {
 	builder.String(rankRequest, "what", reload.What)
-	builder.String(rankOutcome, "taken", formatFlag(reload.Err == ""))
-	if reload.Err != "" {
-		builder.String(rankWhy, "why", reload.Err)
+	builder.String(rankOutcome, "taken", formatFlag(reload.Error == ""))
+	if reload.Error != "" {
+		builder.String(rankWhy, "why", reload.Error)
 	}
 }
 
@@ -151,9 +151,9 @@
 		builder.String(rankOutcome, "sqlstate", sqlstate)
 	}
 	builder.String(rankOutcome, "writes", formatFlag(answer.Writes))
-	builder.String(rankOutcome, "may-have-run", formatFlag(answer.MayRun))
-	if answer.Node != "" {
-		builder.String(rankPlace, "node", answer.Node)
+	builder.String(rankOutcome, "may-have-run", formatFlag(answer.MayHaveExecuted))
+	if answer.Endpoint != "" {
+		builder.String(rankPlace, "node", answer.Endpoint)
 	}
 	builder.Micros(rankPlace, "total-us", answer.Total)
 	builder.Micros(rankTimes, "queued-us", answer.Queued)
@@ -162,8 +162,8 @@
 	if answer.Retry > 0 {
 		builder.Int(rankPlace, "retry-ms", answer.Retry.Milliseconds())
 	}
-	if answer.Why != "" {
-		builder.String(rankWhy, "why", answer.Why)
+	if answer.Reason != "" {
+		builder.String(rankWhy, "why", answer.Reason)
 	}
 	writeAttempts(builder, answer.Attempts)
 	e.writeRequest(answer)
@@ -174,9 +174,9 @@
 func (e *Encoder) sqlstateOf(answer *Answer) string {
 	switch {
 	case answer.Outcome == Refused:
-		return e.options.Refused
+		return e.options.RejectedSQLSTATE
 	case answer.Outcome == Failed:
-		return e.options.Failed
+		return e.options.FailedSQLSTATE
 	case answer.Outcome == Served && answer.Code == "":
 		return sqlstateServed
 	}
@@ -205,13 +205,13 @@
 		builder.Raw(rankAttempts, "try", func(p []byte) []byte {
 			p = strconv.AppendInt(p, attempt.Took.Microseconds(), 10)
 			p = append(p, ',')
-			if attempt.End == Out {
+			if attempt.End == InFlight {
 				p = append(p, "out"...)
 			} else if int(attempt.End) < len(names) {
 				p = append(p, names[attempt.End]...)
 			}
 			p = append(p, ',')
-			return syslog.AppendValue(p, attempt.Node)
+			return syslog.AppendValue(p, attempt.Endpoint)
 		})
 	}
 }
@@ -242,8 +242,8 @@
 	if answer.Retry > 0 {
 		text += ", may come again in " + strconv.FormatInt(answer.Retry.Milliseconds(), 10) + " ms"
 	}
-	if answer.Why != "" {
-		text += ": " + answer.Why
+	if answer.Reason != "" {
+		text += ": " + answer.Reason
 	}
 	return text
 }
--- a/internal/audit/encoder.go
+++ b/internal/audit/encoder.go
@@ -12,17 +12,17 @@
 
 // EncoderOptions say how records become messages.
 type EncoderOptions struct {
-	Head       syslog.Head
-	Enterprise uint32 // the operator's private enterprise number, in the names of the elements
-	Most       int    // the size limit of a message in bytes
-	Software   string // for origin
-	Version    string
-	Start      string // the id of this start of the program
-	Began      time.Time
-	Refused    string // the SQLSTATE that a client sees where its request was rejected
-	Failed     string // the SQLSTATE that a client sees where its request failed
-	Key        *Key   // nil = no chain
-	Quality    func() Quality
+	Head             syslog.Head
+	Enterprise       uint32 // the operator's private enterprise number, in the names of the elements
+	MaxMessageBytes  int    // the size limit of a message in bytes
+	Software         string // for origin
+	Version          string
+	Start            string // the id of this start of the program
+	StartedAt        time.Time
+	RejectedSQLSTATE string // the SQLSTATE that a client sees where its request was rejected
+	FailedSQLSTATE   string // the SQLSTATE that a client sees where its request failed
+	Key              *Key   // nil = no chain
+	Quality          func() Quality
 }
 
 // Quality says what is known of the clock, for timeQuality (RFC 5424, section 7.1).
@@ -161,14 +161,14 @@
 	builder := e.builder
 	builder.Element("meta", false)
 	builder.Uint(rankMeta, "sequenceId", e.sequenceID)
-	builder.Int(rankMeta, "sysUpTime", max(0, int64(at.Sub(e.options.Began)/upTimeUnit)))
+	builder.Int(rankMeta, "sysUpTime", max(0, int64(at.Sub(e.options.StartedAt)/upTimeUnit)))
 	if e.qualityElement != nil {
 		builder.Fixed(rankQuality, e.qualityElement)
 	}
 	builder.Fixed(rankOrigin, e.originElement)
 	builder.Text(text)
 	e.messagesSinceHead++
-	return builder.End(e.options.Most)
+	return builder.End(e.options.MaxMessageBytes)
 }
 
 // refreshQuality reads the quality of the clock again where the last reading is too old.
@@ -185,7 +185,7 @@
 	e.qualityElement = syslog.Prepared("timeQuality", pairs...)
 }
 
-// Stem returns the id of a start: the moment in hexadecimal, and a random part.
-func Stem(at time.Time, random uint32) string {
+// NewStartID returns the id of a start: the moment in hexadecimal, and a random part.
+func NewStartID(at time.Time, random uint32) string {
 	return strings.ToLower(fmt.Sprintf("%011x%08x", at.UnixMilli(), random))
 }
--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -19,9 +19,9 @@
 	tb.Helper()
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
-		Enterprise: 4294967295, Most: most, Software: "limeladder", Version: "(devel)",
-		Start: audit.Stem(time.Unix(1.8e9, 0), 1), Began: time.Unix(1.8e9, 0),
-		Refused: "53300", Failed: "08007", Key: k,
+		Enterprise: 4294967295, MaxMessageBytes: most, Software: "limeladder", Version: "(devel)",
+		Start: audit.NewStartID(time.Unix(1.8e9, 0), 1), StartedAt: time.Unix(1.8e9, 0),
+		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: k,
 		Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} },
 	})
 	if err != nil {
@@ -50,31 +50,31 @@
 	s := func() string { return hostile(rng) }
 	switch rng.IntN(10) {
 	case 0:
-		return audit.Drain{Node: s(), Group: rng.Int64() - 1<<62, State: "draining", By: s()}
+		return audit.Drain{Endpoint: s(), Group: rng.Int64() - 1<<62, State: "draining", Source: s()}
 	case 1:
-		return audit.Primary{Group: 7, Node: s(), Believed: rng.IntN(2) == 0, Why: s()}
+		return audit.Primary{Group: 7, Endpoint: s(), Believed: rng.IntN(2) == 0, Reason: s()}
 	case 2:
 		return audit.Note{Topic: s(), Text: s()}
 	case 3:
 		return []audit.Event{
 			audit.List{Version: rng.Int64()},
 			audit.Router{State: s()},
-			audit.Reload{What: s(), Err: s()},
+			audit.Reload{What: s(), Error: s()},
 			audit.Start{Router: s(), Key: s()},
 			audit.End{Taken: rng.Uint64()},
 			audit.Dropped{Count: rng.Uint64(), First: rng.Uint64(), Last: rng.Uint64()},
 		}[rng.IntN(6)]
 	}
 	a := &audit.Answer{
-		Request: s(), Class: s(), Tenant: s(), Client: s(), Node: s(),
-		Group: rng.Int64(), Outcome: audit.Outcome(rng.IntN(5)), Why: s(),
-		Writes: rng.IntN(2) == 0, MayRun: rng.IntN(2) == 0,
+		Request: s(), Class: s(), Tenant: s(), Client: s(), Endpoint: s(),
+		Group: rng.Int64(), Outcome: audit.Outcome(rng.IntN(5)), Reason: s(),
+		Writes: rng.IntN(2) == 0, MayHaveExecuted: rng.IntN(2) == 0,
 		Queued: time.Duration(rng.Int64N(1e9)), Total: time.Duration(rng.Int64N(1e10)),
 		Retry: time.Duration(rng.Int64N(1e9)),
 	}
 	for range rng.IntN(5) {
 		a.Attempts = append(a.Attempts, audit.Attempt{
-			Node: s(), End: balance.Status(rng.IntN(10) - 1), Took: time.Duration(rng.Int64N(1e9)),
+			Endpoint: s(), End: balance.Status(rng.IntN(10) - 1), Took: time.Duration(rng.Int64N(1e9)),
 		})
 	}
 	return a
@@ -130,18 +130,18 @@
 		fits("request", "id", v.Request)
 		fits("request", "class", v.Class)
 		fits("answer", "outcome", audit.Outcomes()[v.Outcome])
-		if v.Node != "" {
-			fits("answer", "node", v.Node)
+		if v.Endpoint != "" {
+			fits("answer", "node", v.Endpoint)
 		}
-		if v.Why != "" {
-			fits("answer", "why", v.Why)
+		if v.Reason != "" {
+			fits("answer", "why", v.Reason)
 		}
 		if element := m.Find("answer@4294967295"); !isCut && element != nil {
 			checkAttempts(tb, v, element)
 		}
 	case audit.Drain:
-		fits("event", "node", v.Node)
-		fits("event", "by", v.By)
+		fits("event", "node", v.Endpoint)
+		fits("event", "by", v.Source)
 	case audit.Note:
 		fits("event", "topic", v.Topic)
 		if !isCut {
@@ -150,7 +150,7 @@
 			}
 		}
 	case audit.Primary:
-		fits("event", "node", v.Node)
+		fits("event", "node", v.Endpoint)
 	}
 }
 
@@ -163,8 +163,8 @@
 			continue
 		}
 		part := strings.SplitN(string(p.Value), ",", 3)
-		if node, err := parser.Plain([]byte(part[2])); err != nil || node != answer.Attempts[i].Node {
-			tb.Fatalf("try %d: %q, given was %q", i, node, answer.Attempts[i].Node)
+		if node, err := parser.Plain([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
+			tb.Fatalf("try %d: %q, given was %q", i, node, answer.Attempts[i].Endpoint)
 		}
 		i++
 	}
@@ -200,8 +200,8 @@
 	f.Fuzz(func(t *testing.T, id, class, node, why string, most int, seq uint64) {
 		most = syslog.Smallest + (most&0x7fffffff)%4096
 		enc := encoder(t, most, &key)
-		e := &audit.Answer{Request: id, Class: class, Node: node, Why: why, Outcome: audit.Failed}
-		e.Attempts = []audit.Attempt{{Node: node}, {Node: why, End: audit.Out}}
+		e := &audit.Answer{Request: id, Class: class, Endpoint: node, Reason: why, Outcome: audit.Failed}
+		e.Attempts = []audit.Attempt{{Endpoint: node}, {Endpoint: why, End: audit.InFlight}}
 		check(t, e, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: e}), most)
 		n := audit.Note{Topic: id, Text: why}
 		check(t, n, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: n}), most)
@@ -216,9 +216,9 @@
 // What goes first is MSG, then parameters by rank; what explains a record stays to the last.
 func TestOrderOfCuts(t *testing.T) {
 	e := &audit.Answer{
-		Request: "request-1", Class: "job", Tenant: "tenant-1", Client: "127.0.0.1:9", Group: 7, Node: "node-1",
+		Request: "request-1", Class: "job", Tenant: "tenant-1", Client: "127.0.0.1:9", Group: 7, Endpoint: "node-1",
 		Outcome: audit.Failed,
-		Why:     "a long reason " + strings.Repeat("w", 60), Attempts: []audit.Attempt{{Node: "node-1"}},
+		Reason:  "a long reason " + strings.Repeat("w", 60), Attempts: []audit.Attempt{{Endpoint: "node-1"}},
 	}
 	order := []string{
 		" a long reason", "swVersion=", "isSynced=", "why=", "try=", "tenant=", "node=", "sequenceId=", "class=",
@@ -274,7 +274,7 @@
 	b.ReportAllocs()
 	var recs []audit.Record
 	for i := range b.N {
-		a := &audit.Answer{Request: "request-1234", Class: "look", Node: "node-1", Attempts: make([]audit.Attempt, 1)}
+		a := &audit.Answer{Request: "request-1234", Class: "look", Endpoint: "node-1", Attempts: make([]audit.Attempt, 1)}
 		r.Record(a)
 		if i%4096 == 0 {
 			b.StopTimer()
@@ -289,8 +289,8 @@
 		b.Run(name, func(b *testing.B) {
 			enc := encoder(b, 2048, k)
 			e := &audit.Answer{
-				Request: "request-1234", Class: "look", Tenant: "member-1", Client: "127.0.0.1:54321", Node: "node-1",
-				Attempts: []audit.Attempt{{Node: "node-1", Took: 1e6}},
+				Request: "request-1234", Class: "look", Tenant: "member-1", Client: "127.0.0.1:54321", Endpoint: "node-1",
+				Attempts: []audit.Attempt{{Endpoint: "node-1", Took: 1e6}},
 			}
 			b.ReportAllocs()
 			n := 0
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -65,29 +65,29 @@
 // Outcomes returns the names of the outcomes, in order.
 func Outcomes() []string { return []string{"served", "refused", "failed", "cut", "left"} }
 
-// Out is the end of an attempt that is still in flight when its request is answered.
-const Out balance.Status = -1
+// InFlight is the end of an attempt that is still in flight when its request is answered.
+const InFlight balance.Status = -1
 
 // Attempt is one attempt at one endpoint.
 type Attempt struct {
-	Node string
-	End  balance.Status
-	Took time.Duration
+	Endpoint string
+	End      balance.Status
+	Took     time.Duration
 }
 
 // Answer records the final answer of one request.
 type Answer struct {
-	Request string // the client's id for it
-	Class   string
-	Tenant  string // the user of the connection
-	Client  string // where it came from
-	Group   int64
-	Node    string // the endpoint of the last attempt
-	Outcome Outcome
-	Code    string // the SQLSTATE of an endpoint's error that was forwarded, empty = none
-	Writes  bool   // its class may change data
-	MayRun  bool   // a write may have been executed
-	Why     string // the reason of a failure
+	Request         string // the client's id for it
+	Class           string
+	Tenant          string // the user of the connection
+	Client          string // where it came from
+	Group           int64
+	Endpoint        string // the endpoint of the last attempt
+	Outcome         Outcome
+	Code            string // the SQLSTATE of an endpoint's error that was forwarded, empty = none
+	Writes          bool   // its class may change data
+	MayHaveExecuted bool   // a write may have been executed
+	Reason          string // the reason of a failure
 
 	Attempts []Attempt
 	Queued   time.Duration // until the first attempt, or until the answer where there was none
@@ -98,24 +98,24 @@
 
 // Drain records that an endpoint gets no new requests, or may get them again.
 type Drain struct {
-	Node  string
-	Group int64
-	State string // as the endpoint list calls it, or suspended, resumed
-	By    string // list, operator, other process
+	Endpoint string
+	Group    int64
+	State    string // as the endpoint list calls it, or suspended, resumed
+	Source   string // list, operator, other process
 }
 
 // Router records a change of the router's own state.
 type Router struct {
-	State string // draining, drained, activated
-	By    string
+	State  string // draining, drained, activated
+	Source string
 }
 
 // Primary records which endpoint this router takes for a group's primary.
 type Primary struct {
 	Group    int64
-	Node     string
+	Endpoint string
 	Believed bool // false = the primary is suspect
-	Why      string
+	Reason   string
 }
 
 // List records a new endpoint list of discovery.
@@ -129,8 +129,8 @@
 
 // Reload records that configuration was read again.
 type Reload struct {
-	What string
-	Err  string // empty = it was applied
+	What  string
+	Error string // empty = it was applied
 }
 
 // Start is the first record of each start.
@@ -200,14 +200,14 @@
 )
 
 func (a *Answer) size() int {
-	n := recordOverhead + len(a.Request) + len(a.Class) + len(a.Tenant) + len(a.Client) + len(a.Why)
+	n := recordOverhead + len(a.Request) + len(a.Class) + len(a.Tenant) + len(a.Client) + len(a.Reason)
 	return n + attemptSize*cap(a.Attempts)
 }
-func (d Drain) size() int   { return recordOverhead + len(d.Node) }
+func (d Drain) size() int   { return recordOverhead + len(d.Endpoint) }
 func (r Router) size() int  { return recordOverhead }
-func (p Primary) size() int { return recordOverhead + len(p.Why) }
+func (p Primary) size() int { return recordOverhead + len(p.Reason) }
 func (l List) size() int    { return recordOverhead }
-func (r Reload) size() int  { return recordOverhead + len(r.What) + len(r.Err) }
+func (r Reload) size() int  { return recordOverhead + len(r.What) + len(r.Error) }
 func (s Start) size() int   { return recordOverhead }
 func (e End) size() int     { return recordOverhead }
 func (d Dropped) size() int { return recordOverhead }
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -69,9 +69,9 @@
 		{
 			&audit.Answer{
 				Request: "request-1", Class: "view", Tenant: "tenant-1", Client: "192.0.2.1:4000", Group: 3,
-				Node: "endpoint-1", Outcome: audit.Served, Queued: 5 * time.Microsecond,
+				Endpoint: "endpoint-1", Outcome: audit.Served, Queued: 5 * time.Microsecond,
 				Worked: 70 * time.Microsecond, Total: 75 * time.Microsecond,
-				Attempts: []audit.Attempt{{Node: "endpoint-1", End: balance.StatusDone, Took: 70 * time.Microsecond}},
+				Attempts: []audit.Attempt{{Endpoint: "endpoint-1", End: balance.StatusDone, Took: 70 * time.Microsecond}},
 			},
 			6, "ANSWER",
 			"answer/outcome=served answer/sqlstate=00000 answer/writes=0 answer/may-have-run=0 " +
@@ -81,7 +81,7 @@
 		},
 		{
 			&audit.Answer{
-				Request: "request-2", Class: "job", Outcome: audit.Refused, Writes: true, Why: "no \"room\"]\\",
+				Request: "request-2", Class: "job", Outcome: audit.Refused, Writes: true, Reason: "no \"room\"]\\",
 				Queued: 2 * time.Millisecond, Total: 2 * time.Millisecond, Retry: 1500 * time.Millisecond,
 			},
 			4, "ANSWER",
@@ -92,7 +92,7 @@
 		},
 		{
 			&audit.Answer{
-				Request: "request-3", Class: "job", Group: -1, Outcome: audit.Failed, Writes: true, MayRun: true,
+				Request: "request-3", Class: "job", Group: -1, Outcome: audit.Failed, Writes: true, MayHaveExecuted: true,
 				Total: time.Second, Attempts: goldenAttempts(),
 			},
 			3, "ANSWER",
@@ -124,11 +124,11 @@
 	ends := []balance.Status{
 		balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusTimedOut,
 		balance.StatusConnectFailed, balance.StatusReset, balance.StatusCancelled, balance.StatusNotSent,
-		balance.StatusMiss, audit.Out,
+		balance.StatusMiss, audit.InFlight,
 	}
 	for i, end := range ends {
 		node := "endpoint-" + string(rune('0'+i))
-		attempts = append(attempts, audit.Attempt{Node: node, End: end, Took: time.Duration(i) * time.Microsecond})
+		attempts = append(attempts, audit.Attempt{Endpoint: node, End: end, Took: time.Duration(i) * time.Microsecond})
 	}
 	return attempts
 }
@@ -141,23 +141,23 @@
 			"event/router=router-1 event/key=key-2", "recording begins",
 		},
 		{
-			audit.Drain{Node: "endpoint-1", Group: 3, State: "draining", By: "list"},
+			audit.Drain{Endpoint: "endpoint-1", Group: 3, State: "draining", Source: "list"},
 			5, "DRAIN",
 			"event/node=endpoint-1 event/group=3 event/state=draining event/by=list",
 			"db machine endpoint-1 is draining, says list",
 		},
 		{
-			audit.Router{State: "drained", By: "operator"},
+			audit.Router{State: "drained", Source: "operator"},
 			5, "ROUTER",
 			"event/state=drained event/by=operator", "the router is drained, says operator",
 		},
 		{
-			audit.Primary{Group: 3, Node: "endpoint-1", Believed: true},
+			audit.Primary{Group: 3, Endpoint: "endpoint-1", Believed: true},
 			5, "PRIMARY",
 			"event/group=3 event/node=endpoint-1 event/state=believed", "primary endpoint-1 of group 3 is believed",
 		},
 		{
-			audit.Primary{Group: 4, Node: "endpoint-2", Why: "miss"},
+			audit.Primary{Group: 4, Endpoint: "endpoint-2", Reason: "miss"},
 			5, "PRIMARY",
 			"event/group=4 event/node=endpoint-2 event/state=doubted event/why=miss",
 			"primary endpoint-2 of group 4 is doubted",
@@ -169,7 +169,7 @@
 		},
 		{audit.Reload{What: "configuration"}, 5, "RELOAD", "event/what=configuration event/taken=1", ""},
 		{
-			audit.Reload{What: "keys", Err: "not there"},
+			audit.Reload{What: "keys", Error: "not there"},
 			4, "RELOAD",
 			"event/what=keys event/taken=0 event/why=not there", "",
 		},
@@ -204,8 +204,9 @@
 	keys := goldenKeys(t)
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
-		Enterprise: 32473, Most: 2048, Software: "limeladder", Version: "1.0",
-		Start: audit.Stem(goldenStart, 0xabcdef), Began: goldenStart, Refused: "53300", Failed: "08007", Key: &keys[1],
+		Enterprise: 32473, MaxMessageBytes: 2048, Software: "limeladder", Version: "1.0",
+		Start: audit.NewStartID(goldenStart, 0xabcdef), StartedAt: goldenStart,
+		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[1],
 		Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: 3 * time.Millisecond} },
 	})
 	if err != nil {
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -52,8 +52,8 @@
 	r.ended = true
 }
 
-// Rule replaces the policy.
-func (r *Recorder) Rule(policy *Policy) { r.policy = policy }
+// SetPolicy replaces the policy.
+func (r *Recorder) SetPolicy(policy *Policy) { r.policy = policy }
 
 // Numbers returns how many numbers were given.
 func (r *Recorder) Numbers() uint64 { return r.lastNumber }
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -14,12 +14,12 @@
 
 // ShipperOptions bound a Shipper.
 type ShipperOptions struct {
-	// Gather is how often the queue is emptied. The event loop would lose time if each record woke a goroutine.
-	Gather time.Duration
-	// Heads is the number of messages after which the head of the chain is due.
-	Heads uint64
-	// Every is the time after which the head of the chain is due where there are messages since the last one.
-	Every time.Duration
+	// Interval is how often the queue is emptied. The event loop would lose time if each record woke a goroutine.
+	Interval time.Duration
+	// MessagesPerHead is the number of messages after which the head of the chain is due.
+	MessagesPerHead uint64
+	// HeadInterval is the time after which the head of the chain is due where there are messages since the last one.
+	HeadInterval time.Duration
 	// Now is the wall clock.
 	Now func() time.Time
 }
@@ -86,7 +86,7 @@
 // run is the goroutine of the Shipper.
 func (s *Shipper) run() {
 	defer close(s.stopped)
-	tick := time.NewTicker(s.options.Gather)
+	tick := time.NewTicker(s.options.Interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -106,7 +106,7 @@
 func (s *Shipper) finish(until time.Time) {
 	s.drainQueue()
 	for s.backlog() > 0 && !time.Now().After(until) {
-		time.Sleep(s.options.Gather)
+		time.Sleep(s.options.Interval)
 		s.drainQueue()
 	}
 	if s.encoder.Due() > 0 {
@@ -114,7 +114,7 @@
 	}
 	for len(s.pending) > 0 && !time.Now().After(until) {
 		s.handOver()
-		time.Sleep(s.options.Gather)
+		time.Sleep(s.options.Interval)
 	}
 	s.unsent = s.backlog()
 }
@@ -151,7 +151,7 @@
 			continue
 		}
 		s.encodeBatch()
-		if s.encoder.Due() >= s.options.Heads {
+		if s.encoder.Due() >= s.options.MessagesPerHead {
 			s.appendHead(nil)
 		}
 	}
@@ -159,7 +159,7 @@
 
 // isHeadOverdue reports whether messages have waited too long for a head that proves them.
 func (s *Shipper) isHeadOverdue() bool {
-	return s.encoder.Due() > 0 && s.options.Now().Sub(s.lastHeadAt) >= s.options.Every
+	return s.encoder.Due() > 0 && s.options.Now().Sub(s.lastHeadAt) >= s.options.HeadInterval
 }
 
 // encodeBatch encodes the records of the batch, which is not empty, into one buffer that all their messages share.
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -36,8 +36,8 @@
 	began := time.Date(2027, 1, 15, 8, 0, 0, 0, time.UTC)
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
-		Enterprise: 32473, Most: 1024, Software: "limeladder", Version: "1.0", Start: id, Began: began,
-		Refused: "53300", Failed: "08007", Key: key,
+		Enterprise: 32473, MaxMessageBytes: 1024, Software: "limeladder", Version: "1.0", Start: id, StartedAt: began,
+		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: key,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -56,10 +56,10 @@
 		file.WriteByte('\n')
 	}
 	record(1, audit.Start{Router: "router-1", Key: key.Name})
-	record(2, &audit.Answer{Request: "request-1", Class: "view", Node: "endpoint-1"})
+	record(2, &audit.Answer{Request: "request-1", Class: "view", Endpoint: "endpoint-1"})
 	head(next)
 	record(5, audit.Dropped{Count: 2, First: 3, Last: 4, ByLevel: [4]uint64{2}})
-	record(6, audit.Router{State: "drained", By: "operator"})
+	record(6, audit.Router{State: "drained", Source: "operator"})
 	record(7, audit.End{Taken: 3, Served: 3})
 	head(nil)
 	return file.Bytes()
@@ -91,7 +91,7 @@
 		t.Fatalf("the report is %+v", report)
 	}
 	for i, id := range []string{"start-1", "start-2"} {
-		want := verify.Start{ID: id, Messages: 7, First: 1, Last: 7, Missing: 2, Told: 2, Heads: 2, Ended: true}
+		want := verify.Start{ID: id, Messages: 7, First: 1, Last: 7, Missing: 2, ReportedDropped: 2, Heads: 2, Ended: true}
 		if *report.Starts[i] != want {
 			t.Errorf("start %d is %+v, want %+v", i, *report.Starts[i], want)
 		}
--- a/internal/audit/verify/report.go
+++ b/internal/audit/verify/report.go
@@ -25,16 +25,16 @@
 
 // Start is what was found of one start.
 type Start struct {
-	ID       string
-	Messages int
-	First    uint64 // the lowest number
-	Last     uint64 // the highest number
-	Repeated int    // messages that came again, byte for byte
-	Missing  uint64 // numbers that are not there
-	Told     uint64 // numbers that the router recorded as dropped
-	Heads    uint64
-	Unproved int  // messages behind the last head
-	Ended    bool // its last record and a head behind it are there
+	ID              string
+	Messages        int
+	First           uint64 // the lowest number
+	Last            uint64 // the highest number
+	Repeated        int    // messages that came again, byte for byte
+	Missing         uint64 // numbers that are not there
+	ReportedDropped uint64 // numbers that the router recorded as dropped
+	Heads           uint64
+	Unproved        int  // messages behind the last head
+	Ended           bool // its last record and a head behind it are there
 }
 
 // Report is what a file, or several in order, show.
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -258,12 +258,12 @@
 		if !m.hasValidLosses() {
 			fault("a record of losses that does not fit")
 		}
-		state.Told += m.count
+		state.ReportedDropped += m.count
 	}
 	if m.kind == kindEnd {
 		state.hasEnded = true
-		if state.Missing != state.Told && !state.hasFault && !v.options.Partial {
-			fault("%d numbers are missing, and the router tells of %d", state.Missing, state.Told)
+		if state.Missing != state.ReportedDropped && !state.hasFault && !v.options.Partial {
+			fault("%d numbers are missing, and the router tells of %d", state.Missing, state.ReportedDropped)
 		}
 	}
 }
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -17,9 +17,9 @@
 func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
 	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, Most: 1024,
-		Software: "limeladder", Version: "1", Start: start, Began: time.Unix(1.8e9, 0),
-		Refused: "53300", Failed: "08007", Key: &keys[0],
+		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, MaxMessageBytes: 1024,
+		Software: "limeladder", Version: "1", Start: start, StartedAt: time.Unix(1.8e9, 0),
+		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[0],
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -39,8 +39,8 @@
 	add(audit.Start{Router: "n1", Key: keys[0].Name})
 	for i := range n {
 		add(&audit.Answer{
-			Request: fmt.Sprint("r", i), Class: "job", Node: "db-1", Outcome: audit.Outcome(i % 5),
-			Attempts: []audit.Attempt{{Node: "db-1"}},
+			Request: fmt.Sprint("r", i), Class: "job", Endpoint: "db-1", Outcome: audit.Outcome(i % 5),
+			Attempts: []audit.Attempt{{Endpoint: "db-1"}},
 		})
 		if i%4 == 3 {
 			head(nil)
@@ -93,7 +93,7 @@
 	other := corpus(t, "s2", 9, two)
 	for name, p := range map[string][]byte{"counts": counted(msgs), "lines": lines(msgs)} {
 		r := look(t, options(), p)
-		if !r.Complete() || r.Messages != len(msgs) || r.Starts[0].Told != 2 || r.Starts[0].Missing != 2 {
+		if !r.Complete() || r.Messages != len(msgs) || r.Starts[0].ReportedDropped != 2 || r.Starts[0].Missing != 2 {
 			t.Errorf("%s: %+v %+v", name, r, r.Starts[0])
 		}
 	}
@@ -196,7 +196,7 @@
 func TestLossesHaveToFit(t *testing.T) {
 	for told, whole := range map[uint64]bool{3: true, 2: false, 1: false} {
 		e, _ := audit.NewEncoder(audit.EncoderOptions{
-			Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one,
+			Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
 		})
 		var msgs [][]byte
 		for _, r := range []audit.Record{
@@ -262,7 +262,7 @@
 	}
 	const n = 1_000_000
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Host: "h"}, Enterprise: 1, Most: 1024, Start: "s", Key: &one,
+		Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -71,11 +71,11 @@
 		{name: "at the startup", at: startup, act: testserver.Act{Break: true}, want: balance.StatusConnectFailed},
 		{name: "silent startup", at: startup, act: testserver.Act{Silent: true}, want: balance.StatusConnectFailed},
 		{name: "before the response", at: 'Q', act: testserver.Act{Break: true}, want: balance.StatusReset},
-		{name: "within the response", at: 'Q', act: testserver.Act{Cut: 30}, want: balance.StatusReset},
-		{name: "before ReadyForQuery", at: 'Q', act: testserver.Act{Cut: 75}, want: balance.StatusReset},
-		{name: "behind the response", at: 'Q', act: testserver.Act{Cut: 1000}, want: balance.StatusDone},
+		{name: "within the response", at: 'Q', act: testserver.Act{TruncateAt: 30}, want: balance.StatusReset},
+		{name: "before ReadyForQuery", at: 'Q', act: testserver.Act{TruncateAt: 75}, want: balance.StatusReset},
+		{name: "behind the response", at: 'Q', act: testserver.Act{TruncateAt: 1000}, want: balance.StatusDone},
 		{
-			name: "behind the startup", at: startup, act: testserver.Act{Cut: 1000},
+			name: "behind the startup", at: startup, act: testserver.Act{TruncateAt: 1000},
 			want: balance.StatusReset, also: balance.StatusConnectFailed,
 		},
 	} {
@@ -140,9 +140,9 @@
 		pgwire.AppendReady(nil),
 	}, nil)
 	for name, act := range map[string]testserver.Act{
-		"later":   {Behind: stray},
-		"at once": {Spoil: func(p []byte) []byte { return append(p, stray...) }},
-		"a part":  {Behind: stray[:7]},
+		"later":   {Trailing: stray},
+		"at once": {Corrupt: func(p []byte) []byte { return append(p, stray...) }},
+		"a part":  {Trailing: stray[:7]},
 	} {
 		server := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 			if typ == 0 {
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -44,8 +44,8 @@
 func TestResponseStartIsReported(t *testing.T) {
 	server := testserver.NewDB(t, true, func(typ byte, _ string) (act testserver.Act) {
 		if typ == 'Q' {
-			act.Spoil = func(p []byte) []byte { return p[:20] }
-			act.Behind = longResponse(4, 0)[20:]
+			act.Corrupt = func(p []byte) []byte { return p[:20] }
+			act.Trailing = longResponse(4, 0)[20:]
 			act.Pause = 100 * time.Millisecond
 		}
 		return act
@@ -109,7 +109,7 @@
 			dials.Add(1)
 		}
 		if id == "invalid" {
-			act.Spoil = func([]byte) []byte { return response }
+			act.Corrupt = func([]byte) []byte { return response }
 		}
 		return act
 	})
@@ -135,7 +135,7 @@
 		value = append(value, make([]byte, size)...)
 		server := testserver.NewDB(t, true, func(typ byte, _ string) (act testserver.Act) {
 			if typ == 'Q' {
-				act.Spoil = func(p []byte) []byte {
+				act.Corrupt = func(p []byte) []byte {
 					end := bytes.IndexByte(p, 'D')
 					return append(pgwire.Append(p[:end:end], 'D', value), p[bytes.IndexByte(p, 'C'):]...)
 				}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -12,7 +12,7 @@
 func (c *connection) startStreaming() bool {
 	in := &c.incoming
 	limits := &c.endpoint.pool.limits.Backend
-	messageType, length, received, ok := c.reader.Begun()
+	messageType, length, received, ok := c.reader.Incomplete()
 	if !ok {
 		return false
 	}
@@ -38,7 +38,7 @@
 		in.response.Messages = nil
 	}
 	in.streamedRow = pgwire.NewRowStream(length)
-	c.attempt.onResponsePart(c.reader.Cut(messageHeaderBytes))
+	c.attempt.onResponsePart(c.reader.NextBytes(messageHeaderBytes))
 	return true
 }
 
@@ -54,7 +54,7 @@
 // streamRow forwards what has come of a long row, and reports whether that was the end of the row.
 func (c *connection) streamRow() bool {
 	in := &c.incoming
-	p := c.reader.Cut(min(in.streamedRow.Left, c.reader.Waiting()))
+	p := c.reader.NextBytes(min(in.streamedRow.Left, c.reader.Waiting()))
 	if len(p) == 0 {
 		return false
 	}
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -65,10 +65,10 @@
 		{"buffered", longResponse(50_000, 0), 0, balance.StatusDone, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			response := testserver.Act{Spoil: func([]byte) []byte { return test.response }}
+			response := testserver.Act{Corrupt: func([]byte) []byte { return test.response }}
 			if test.cut > 0 {
-				response.Spoil = func([]byte) []byte { return test.response[:test.cut] }
-				response.Leave = true
+				response.Corrupt = func([]byte) []byte { return test.response[:test.cut] }
+				response.CloseAfter = true
 			}
 			server := testserver.NewDB(t, true, func(typ byte, id string) testserver.Act {
 				if typ == 'Q' && id == "a" {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -135,7 +135,7 @@
 		return
 	}
 	w.connection = conn
-	conn.Exact() // an answer without a length ends with its connection, and a reset must not be taken for that end
+	conn.DetectResets() // an answer without a length ends with its connection, and a reset must not be taken for that end
 }
 
 // connectionHandler passes on what happens on a connection while that is the Watcher's newest one.
--- a/internal/discovery/retry_test.go
+++ b/internal/discovery/retry_test.go
@@ -59,8 +59,8 @@
 			return func() { agent.Silent(false) }
 		},
 		"busy": func(_ *testing.T, agent *testserver.Agent) func() {
-			agent.Fault(503)
-			return func() { agent.Fault(0) }
+			agent.FailWith(503)
+			return func() { agent.FailWith(0) }
 		},
 		"stopped": func(t *testing.T, agent *testserver.Agent) func() {
 			t.Helper()
@@ -147,7 +147,7 @@
 // An agent whose watches do not wait is not called without pause.
 func TestAgentThatDoesNotWaitIsNotCalledWithoutPause(t *testing.T) {
 	watch, agent := followAgent(t, 500*time.Millisecond)
-	agent.Hasty(true)
+	agent.AnswerAtOnce(true)
 	callsBefore, start := agent.Calls(), time.Now()
 	time.Sleep(300 * time.Millisecond)
 	calls := agent.Calls() - callsBefore
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -49,7 +49,7 @@
 func (c *Conn) MarkInvalid() { c.lifetime.lastInvalid = true }
 
 // Disconnected implements the method of router.Client for the protocol handlers.
-func (c *Conn) Disconnected(look bool) bool { return c.lifetime.closed || c.socket.Left(look) }
+func (c *Conn) Disconnected(look bool) bool { return c.lifetime.closed || c.socket.PeerClosed(look) }
 
 // Close closes the connection. Requests in flight are given up.
 func (c *Conn) Close() {
@@ -140,8 +140,8 @@
 		reason = "drained"
 	}
 	return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error{
-		Code:    pgwire.CannotConnectNow,
-		Message: reason,
-		After:   notReadyRetryAfter,
+		Code:       pgwire.CannotConnectNow,
+		Message:    reason,
+		RetryAfter: notReadyRetryAfter,
 	}))
 }
--- a/internal/frontend/connection_end_test.go
+++ b/internal/frontend/connection_end_test.go
@@ -72,7 +72,7 @@
 	})
 	<-busy
 	client.Close()
-	waitUntil(t, "it has gone", func() bool { return conn.socket.Left(true) })
+	waitUntil(t, "it has gone", func() bool { return conn.socket.PeerClosed(true) })
 	close(free)
 	<-answered
 	if fake.accepted() != 1 {
@@ -135,7 +135,7 @@
 	expectAccepted(t, fake, "a", "b")
 	fake.serve("b", "a")
 	expectAnswers(t, client, "a", "b")
-	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
 		t.Fatalf("%+v", answer)
 	}
 	expectAccepted(t, fake, "a", "b")
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -66,13 +66,13 @@
 		if answer := client.Until('Z'); answer.Types != "TDCZ" {
 			t.Errorf("%s: %+v", name, answer)
 		}
-		if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+		if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
 			t.Errorf("%s: %+v", name, answer)
 		}
 	}
 	accepted := fake.accepted()
 	_ = rests.Write(pgwire.AppendQuery(nil, statement("served"))) // it crosses the close, and may fail
-	if answer := rests.Until('Z'); !answer.Ended || answer.Cut {
+	if answer := rests.Until('Z'); !answer.Ended || answer.Truncated {
 		t.Errorf("rests: %+v", answer)
 	}
 	if fake.accepted() != accepted {
@@ -129,7 +129,7 @@
 	expectAccepted(t, fake, "a", "w", "b", "c")
 	fake.serve("c", "b", "w")
 	expectAnswers(t, client, "a", "w", "b", "c")
-	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
 		t.Fatalf("%+v", answer)
 	}
 }
@@ -146,7 +146,7 @@
 	})
 	fake.serve("b", "a")
 	expectAnswers(t, client, "a", "b")
-	if answer := client.Until('Z'); !answer.Ended || answer.Cut {
+	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
 		t.Fatalf("%+v", answer)
 	}
 }
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -53,9 +53,9 @@
 // RejectionError returns the error of a request that has not run and may be retried after the given time.
 func RejectionError(retryAfter time.Duration) pgwire.Error {
 	return pgwire.Error{
-		Code:    pgwire.TooManyConnections,
-		Message: "refused: a repeat does no harm, come again",
-		After:   retryAfter,
+		Code:       pgwire.TooManyConnections,
+		Message:    "refused: a repeat does no harm, come again",
+		RetryAfter: retryAfter,
 	}
 }
 
--- a/internal/frontend/exclusive_request.go
+++ b/internal/frontend/exclusive_request.go
@@ -54,7 +54,7 @@
 	c.Release(c.exclusive.statementBytes)
 	c.exclusive.statementBytes = 0
 	c.exclusive.session = ""
-	if c.input.reader.Waiting() > 0 && c.socket.Left(true) {
+	if c.input.reader.Waiting() > 0 && c.socket.PeerClosed(true) {
 		c.lifetime.lastActiveAt = c.frontend.eventLoop.Now()
 		return // the client has gone: nothing of what it sent ahead is begun
 	}
--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -56,7 +56,7 @@
 // same.
 func TestReadSentAcrossAWriteSeesIt(t *testing.T) {
 	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
-	second.Behind(time.Minute)
+	second.SetLag(time.Minute)
 	client := testserver.Dial(t, start(t, first, second).addr)
 	old := time.Now().Add(-2 * time.Minute).UnixMilli()
 	read := func(id string) []byte {
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -83,7 +83,7 @@
 			return testserver.Act{}
 		}
 		broken = true
-		return testserver.Act{Break: cut == 0, Cut: cut}
+		return testserver.Act{Break: cut == 0, TruncateAt: cut}
 	})
 	server := start(t, db)
 	client := testserver.Dial(t, server.addr)
@@ -187,8 +187,8 @@
 	if answer := client.Until('Z'); answer.Value != primary.Addr {
 		t.Fatalf("%+v", answer)
 	}
-	primary.Lead(false)
-	two.Lead(true)
+	primary.SetPrimary(false)
+	two.SetPrimary(true)
 	server.updateEndpoints(false, "draining", primary)
 	client.Send(runStatement("j"))
 	if answer := client.Until('Z'); answer.Value != two.Addr || primary.Runs("j1") != 1 || two.Runs("j1") != 1 {
@@ -258,7 +258,7 @@
 		calls++
 		spoilsRead := id == "r" && calls < 8
 		if messageType == 'S' && (id == "j" || spoilsRead) {
-			act.Spoil = func(messages []byte) []byte {
+			act.Corrupt = func(messages []byte) []byte {
 				i := strings.IndexByte(string(messages), 'D')
 				messages[i+4] ^= 1 // so that the length of the row does not fit
 				return messages
@@ -338,7 +338,7 @@
 	value := strings.Repeat("v", 2<<20)
 	db := testserver.NewDB(t, true, func(messageType byte, id string) (act testserver.Act) {
 		if (messageType == 'S' || messageType == 'Q') && id != "" {
-			act.Spoil = func(messages []byte) []byte {
+			act.Corrupt = func(messages []byte) []byte {
 				rowEnd := strings.IndexByte(string(messages), 'C') // CommandComplete stands behind the row
 				rowStart := strings.LastIndex(string(messages[:rowEnd]), "D\x00\x00\x00")
 				row := pgwire.Append(nil, 'D', []byte{0, 1, 0, 32, 0, 0}, []byte(value))
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -144,7 +144,7 @@
 		s.remaining -= count
 		s.client.ResponsePart(make([]byte, count))
 		if c, ok := s.client.(*simpleQueryResponder); ok {
-			s.maxUnsentBytes = max(s.maxUnsentBytes, c.conn.socket.Unsent())
+			s.maxUnsentBytes = max(s.maxUnsentBytes, c.conn.socket.BytesUnsent())
 		}
 		if s.truncates && s.remaining < longRowBytes/2 {
 			s.remaining = 0
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -100,8 +100,8 @@
 		memory:   byteAccount{total: &f.memory},
 	}
 	c.handler = f.newHandler(c)
-	socket.Buffer(lim.SendBufferBytes)
-	socket.Prompt() // a client that has gone wants nothing of what it sent ahead
+	socket.SetWriteBuffer(lim.SendBufferBytes)
+	socket.ReportCloseAtOnce() // a client that has gone wants nothing of what it sent ahead
 	f.connections[c] = struct{}{}
 	if f.needsFrequentSweeps() {
 		f.hastenSweep()
--- a/internal/frontend/message_reading.go
+++ b/internal/frontend/message_reading.go
@@ -38,7 +38,7 @@
 // ReceivedAt returns when the last byte of the newest message came to this machine. The client's deadline runs from
 // its send, whatever its message has waited behind.
 func (c *Conn) ReceivedAt() time.Duration {
-	return c.socket.CameAt(c.input.fedBytes - int64(c.input.reader.Waiting()))
+	return c.socket.ArrivedAt(c.input.fedBytes - int64(c.input.reader.Waiting()))
 }
 
 // readMessages handles the messages that have come, until a request has to wait.
@@ -65,7 +65,7 @@
 
 // mayReadMessage reports whether the next message may be handled. Nothing is begun for a client that has gone.
 func (c *Conn) mayReadMessage() bool {
-	if c.lifetime.closed || c.mustNotRead() || c.socket.Left(false) {
+	if c.lifetime.closed || c.mustNotRead() || c.socket.PeerClosed(false) {
 		return false
 	}
 	return !c.applyBackpressure()
@@ -109,7 +109,7 @@
 	if c.frontend.identifiesClients {
 		user := params["user"]
 		c.identity.user = strings.Clone(user[:min(len(user), maxUserNameBytes)])
-		c.identity.address = c.socket.Remote()
+		c.identity.address = c.socket.RemoteAddr()
 	}
 	c.lifetime.started = true
 	c.input.reader.Started()
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -308,7 +308,7 @@
 		return
 	}
 	s.send(data)
-	if !c.lifetime.closed && c.socket.Unsent() <= c.frontend.limits.Frontend.HighWaterBytes {
+	if !c.lifetime.closed && c.socket.BytesUnsent() <= c.frontend.limits.Frontend.HighWaterBytes {
 		s.flow.SetPaused(false)
 	}
 }
@@ -324,7 +324,7 @@
 		return
 	}
 	sentAhead := c.pipeline.newestQueued() || c.input.reader.Waiting() > 0
-	if sentAhead && c.socket.Left(true) {
+	if sentAhead && c.socket.PeerClosed(true) {
 		return // the client has gone: nothing of what it sent ahead is begun
 	}
 	c.acceptNewest()
--- a/internal/frontend/response_stream.go
+++ b/internal/frontend/response_stream.go
@@ -36,11 +36,11 @@
 	if c.lifetime.closed {
 		return
 	}
-	if c.socket.Write(data) != nil || c.socket.Unsent() > c.frontend.limits.Frontend.UnreadBytes {
+	if c.socket.Write(data) != nil || c.socket.BytesUnsent() > c.frontend.limits.Frontend.UnreadBytes {
 		c.Close()
 		return
 	}
-	if c.socket.Unsent() > 0 {
+	if c.socket.BytesUnsent() > 0 {
 		c.frontend.hastenSweep()
 	}
 }
@@ -61,13 +61,13 @@
 		c.Close()
 		return
 	}
-	if c.socket.Unsent() > 0 {
+	if c.socket.BytesUnsent() > 0 {
 		c.frontend.hastenSweep() // what is not taken counts against the bound of all clients
 	}
 	lim := &c.frontend.limits.Frontend
-	if c.output.flow != nil && c.socket.Unsent() > lim.HighWaterBytes {
+	if c.output.flow != nil && c.socket.BytesUnsent() > lim.HighWaterBytes {
 		c.output.flow.SetPaused(true)
-		c.socket.Await(lim.LowWaterBytes)
+		c.socket.NotifyWhenUnsentBelow(lim.LowWaterBytes)
 	}
 }
 
@@ -83,21 +83,21 @@
 // goes on once the client has read.
 func (c *Conn) applyBackpressure() bool {
 	lim := &c.frontend.limits.Frontend
-	if !c.output.backpressured && c.socket.Unsent() > lim.HighWaterBytes {
+	if !c.output.backpressured && c.socket.BytesUnsent() > lim.HighWaterBytes {
 		c.output.backpressured = true
-		c.socket.Await(lim.LowWaterBytes)
+		c.socket.NotifyWhenUnsentBelow(lim.LowWaterBytes)
 	}
 	return c.output.backpressured
 }
 
-// Taken implements transport.Taker: the client has read most of what it was sent.
-func (c *Conn) Taken() {
+// WriteDrained implements transport.WriteObserver: the client has read most of what it was sent.
+func (c *Conn) WriteDrained() {
 	if c.output.backpressured {
 		c.output.backpressured = false
 		c.writeAnswered()
 		c.resume()
 	}
-	if c.output.flow != nil && c.socket.Unsent() <= c.frontend.limits.Frontend.HighWaterBytes {
+	if c.output.flow != nil && c.socket.BytesUnsent() <= c.frontend.limits.Frontend.HighWaterBytes {
 		c.output.flow.SetPaused(false)
 	}
 }
--- a/internal/frontend/response_stream_test.go
+++ b/internal/frontend/response_stream_test.go
@@ -96,7 +96,7 @@
 		}
 		conn := onlyConnection(t, frontend, loop)
 		runInLoop(loop, func() {
-			if unsent := conn.socket.Unsent(); unsent > lim.Frontend.HighWaterBytes+2*len(long) {
+			if unsent := conn.socket.BytesUnsent(); unsent > lim.Frontend.HighWaterBytes+2*len(long) {
 				t.Errorf("%d bytes unsent", unsent)
 			}
 		})
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -5,10 +5,10 @@
 // trackProgress notes whether the client goes on reading what it was sent. A client may take seconds over a long
 // response, as long as it reads some of it.
 func (c *Conn) trackProgress(now time.Duration) {
-	c.output.unsentBytes = c.socket.Unsent()
-	if c.output.unsentBytes == 0 || c.socket.Progress() > c.output.progressBytes {
+	c.output.unsentBytes = c.socket.BytesUnsent()
+	if c.output.unsentBytes == 0 || c.socket.BytesSent() > c.output.progressBytes {
 		c.output.lastProgressAt = now
-		c.output.progressBytes = c.socket.Progress()
+		c.output.progressBytes = c.socket.BytesSent()
 	}
 }
 
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -19,7 +19,7 @@
 	p = AppendBind(p, BindMessage{Portal: "p", Statement: "s", Rest: rest})
 	p = AppendTarget(p, 'D', 'S', "s")
 	p = AppendExecute(p, "p", 7)
-	p = AppendError(p, Error{Code: TooManyConnections, Message: "no", After: time.Second})
+	p = AppendError(p, Error{Code: TooManyConnections, Message: "no", RetryAfter: time.Second})
 	p = Append(p, 'D', []byte("\x00\x02\x00\x00\x00\x01v\xff\xff\xff\xff"))
 	return AppendReady(p)
 }
@@ -143,7 +143,7 @@
 		t.Fatalf("%v %v %v %v", ok, err, err2, params)
 	}
 	r.Started()
-	r.Feed(AppendError(nil, Error{Fatal: true, Code: "57P03", Message: "m", After: 1500 * time.Millisecond}))
+	r.Feed(AppendError(nil, Error{Fatal: true, Code: "57P03", Message: "m", RetryAfter: 1500 * time.Millisecond}))
 	m, _, _ = r.Next()
 	f, err := Fields(m.Body)
 	if err != nil || f['C'] != "57P03" || f['D'] != "1500" || f['S'] != "FATAL" {
--- a/internal/pgwire/reader.go
+++ b/internal/pgwire/reader.go
@@ -95,9 +95,9 @@
 	return m, true, nil
 }
 
-// Begun returns what is known of a message that has begun to come and is not complete: its type, the length of its
+// Incomplete returns what is known of a message that has begun to come and is not complete: its type, the length of its
 // body, and the bytes of the body that are there. ok is false when there is none, or less than its length has come.
-func (r *Reader) Begun() (typ byte, length int, have []byte, ok bool) {
+func (r *Reader) Incomplete() (typ byte, length int, have []byte, ok bool) {
 	p := r.buf[r.start:]
 	if r.startupLimit > 0 || len(p) < headerBytes || r.incomplete == 0 {
 		return 0, 0, nil, false
@@ -105,9 +105,9 @@
 	return p[0], r.incomplete - headerBytes, p[headerBytes:], true
 }
 
-// Cut takes the next n bytes as they are, whatever they belong to; it is for a message that is forwarded as it comes.
-// They are valid until the next Feed.
-func (r *Reader) Cut(n int) []byte {
+// NextBytes takes the next n bytes as they are, whatever they belong to; it is for a message that is forwarded as it
+// comes. They are valid until the next Feed.
+func (r *Reader) NextBytes(n int) []byte {
 	end := r.start + n
 	p := r.buf[r.start:end:end]
 	r.start = end
--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -87,10 +87,10 @@
 
 // Error is what an ErrorResponse says.
 type Error struct {
-	Fatal   bool
-	Code    string
-	Message string
-	After   time.Duration // a client may retry after this: the field D, in milliseconds
+	Fatal      bool
+	Code       string
+	Message    string
+	RetryAfter time.Duration // a client may retry after this: the field D, in milliseconds
 }
 
 // AppendError adds an ErrorResponse.
@@ -109,8 +109,8 @@
 	add(fieldUnlocalized, severity)
 	add(fieldSQLState, e.Code)
 	add(fieldMessage, e.Message)
-	if e.After > 0 {
-		add(fieldDetail, strconv.FormatInt(max(1, e.After.Milliseconds()), 10))
+	if e.RetryAfter > 0 {
+		add(fieldDetail, strconv.FormatInt(max(1, e.RetryAfter.Milliseconds()), 10))
 	}
 	return Append(dst, typeErrorResponse, append(body, 0))
 }
--- a/internal/router/audit_record.go
+++ b/internal/router/audit_record.go
@@ -24,9 +24,9 @@
 	duration := r.loop.Now() - req.attempts.sentAt
 	req.history.duration += duration
 	req.history.ended = append(req.history.ended, audit.Attempt{
-		Node: req.attempts.endpoint,
-		End:  status,
-		Took: duration,
+		Endpoint: req.attempts.endpoint,
+		End:      status,
+		Took:     duration,
 	})
 }
 
@@ -41,7 +41,7 @@
 	answer.Group = req.Group
 	answer.Tenant = req.Tenant
 	answer.Client = req.ClientAddress
-	answer.Node = req.attempts.endpoint
+	answer.Endpoint = req.attempts.endpoint
 	answer.Outcome = outcome
 	answer.Writes = r.IsWrite(req.Class)
 	answer.Attempts = req.history.ended
@@ -54,13 +54,13 @@
 	if req.attempts.isInFlight() {
 		duration := now - req.attempts.sentAt
 		answer.Attempts = append(answer.Attempts, audit.Attempt{
-			Node: req.attempts.endpoint,
-			End:  audit.Out,
-			Took: duration,
+			Endpoint: req.attempts.endpoint,
+			End:      audit.InFlight,
+			Took:     duration,
 		})
 		answer.Worked += duration
 	}
-	answer.MayRun = answer.Writes && req.mayHaveRun(outcome)
+	answer.MayHaveExecuted = answer.Writes && req.mayHaveRun(outcome)
 	r.audit.record(&answer)
 }
 
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -41,7 +41,7 @@
 	r.finish(req)
 	r.counts.Failed++
 	r.log.Debug("response truncated", "request", req.ClientRequestID, "class", req.Class, "elapsed", r.age(req))
-	r.auditAnswer(req, audit.Cut, audit.Answer{Why: reasonTruncated})
+	r.auditAnswer(req, audit.Cut, audit.Answer{Reason: reasonTruncated})
 	req.client.ResponseTruncated()
 	r.release(req)
 }
@@ -62,7 +62,7 @@
 	if retryAfter <= 0 {
 		retryAfter = r.limits.Router.DefaultRetryAfter
 	}
-	r.auditAnswer(req, audit.Refused, audit.Answer{Retry: retryAfter, Why: reason})
+	r.auditAnswer(req, audit.Refused, audit.Answer{Retry: retryAfter, Reason: reason})
 	req.client.Rejected(retryAfter)
 	r.release(req)
 }
@@ -76,7 +76,7 @@
 	r.counts.Failed++
 	r.log.Debug("request failed", "request", req.ClientRequestID, "class", req.Class, "attempts", req.attempts.requested,
 		"elapsed", r.age(req), "reason", reason)
-	r.auditAnswer(req, audit.Failed, audit.Answer{Why: reason})
+	r.auditAnswer(req, audit.Failed, audit.Answer{Reason: reason})
 	req.client.Failed(reason)
 	r.release(req)
 }
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -135,11 +135,11 @@
 	write := isWriteLabel(answer.Request)
 	contradictions := map[string]bool{
 		"an effect without an attempt": len(answer.Attempts) == 0 &&
-			(answer.Outcome == audit.Served || answer.MayRun),
+			(answer.Outcome == audit.Served || answer.MayHaveExecuted),
 		"the wrong kind of class": answer.Writes != write,
 		"a rejection without a time to retry, or of what may have run": answer.Outcome == audit.Refused &&
-			(answer.Retry <= 0 || answer.MayRun),
-		"a failed write that has not run": answer.Outcome == audit.Failed && write && !answer.MayRun,
+			(answer.Retry <= 0 || answer.MayHaveExecuted),
+		"a failed write that has not run": answer.Outcome == audit.Failed && write && !answer.MayHaveExecuted,
 		"queued longer than in flight":    answer.Total < answer.Queued,
 	}
 	for contradiction, found := range contradictions {
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -160,9 +160,9 @@
 	r.siteMonitor.primaryUpdated(update)
 	r.audit.record(audit.Primary{
 		Group:    update.Group,
-		Node:     update.Endpoint,
+		Endpoint: update.Endpoint,
 		Believed: update.Confirmed,
-		Why:      update.Reason,
+		Reason:   update.Reason,
 	})
 }
 
--- a/internal/router/site_admission_test.go
+++ b/internal/router/site_admission_test.go
@@ -24,7 +24,7 @@
 	}
 	recorded := uint64(0)
 	for _, answer := range run.peers.answers() {
-		if answer.Outcome != audit.Refused || answer.Why == "" {
+		if answer.Outcome != audit.Refused || answer.Reason == "" {
 			continue
 		}
 		recorded++
--- a/internal/simulation/multiprocess/clients/clients_test.go
+++ b/internal/simulation/multiprocess/clients/clients_test.go
@@ -109,7 +109,7 @@
 }
 
 func errorResponse(sqlState string, retryAfter time.Duration) []byte {
-	return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error{Code: sqlState, Message: "m", After: retryAfter}))
+	return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error{Code: sqlState, Message: "m", RetryAfter: retryAfter}))
 }
 
 func (router *fakeRouter) target(name string) Target {
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -215,7 +215,7 @@
 				if abrupt {
 					w.opt.Repeat = 256 << 10
 				}
-				c := w.collector(collector.Options{Network: network, After: 397, Abrupt: abrupt})
+				c := w.collector(collector.Options{Network: network, CloseAfter: 397, Abrupt: abrupt})
 				w.start(c)
 				if abrupt { // what it has not read when it resets has to lie within what is repeated
 					for w.next < 1500 {
@@ -293,13 +293,13 @@
 	a.Stop()
 	w.put(100, true)
 	w.got(false, a, b)
-	if a.Got() != 100 || b.Got() != 100 {
-		t.Fatalf("%d and %d", a.Got(), b.Got())
+	if a.Received() != 100 || b.Received() != 100 {
+		t.Fatalf("%d and %d", a.Received(), b.Received())
 	}
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(20 * time.Second); a.Got() == 100; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); a.Received() == 100; time.Sleep(10 * time.Millisecond) {
 		w.put(1, true)
 		if time.Now().After(end) {
 			t.Fatal("the first is not used again")
@@ -311,7 +311,7 @@
 	p, _ := ParseCollector(c.URL())
 	w.put(100, true)
 	w.s.Change([]Collector{p}, nil)
-	for end := time.Now().Add(20 * time.Second); c.Got() == 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); c.Received() == 0; time.Sleep(10 * time.Millisecond) {
 		w.put(1, true)
 		if time.Now().After(end) {
 			t.Fatal("the new one is not used")
@@ -411,8 +411,8 @@
 		w.start(c)
 		w.put(10, true)
 		time.Sleep(50 * time.Millisecond)
-		if c.Got() != 0 {
-			t.Errorf("%s: %d messages", name, c.Got())
+		if c.Received() != 0 {
+			t.Errorf("%s: %d messages", name, c.Received())
 		}
 	}
 	c := w.collector(collector.Options{Network: "tls", TLS: &tls.Config{Certificates: []tls.Certificate{w.cert}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: w.ca.Pool}})
--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -9,26 +9,26 @@
 
 // Job is a write as its client saw it.
 type Job struct {
-	ID       string
-	Sent     time.Time
-	Deadline time.Duration // after Sent its client gives up
-	Answers  int           // how many came
-	Answered time.Time
-	Code     string // of the answer, "" = served
-	After    string // field D of a rejection, milliseconds
-	Left     bool   // the client disconnected before any answer
-	Fresh    bool   // it is no write, but a read that only a primary may answer
-	Value    string // of the answer: which endpoint gave it
-	Cut      bool   // its answer had begun and broke off
+	ID           string
+	Sent         time.Time
+	Deadline     time.Duration // after Sent its client gives up
+	Answers      int           // how many came
+	Answered     time.Time
+	Code         string // of the answer, "" = served
+	After        string // field D of a rejection, milliseconds
+	Disconnected bool   // the client disconnected before any answer
+	Fresh        bool   // it is no write, but a read that only a primary may answer
+	Value        string // of the answer: which endpoint gave it
+	Truncated    bool   // its answer had begun and broke off
 }
 
 // Run is a statement that an endpoint has run.
 type Run struct {
-	ID     string
-	Member string
-	At     time.Time
-	Write  bool
-	Led    bool // it was the primary then
+	ID         string
+	Member     string
+	At         time.Time
+	Write      bool
+	WasPrimary bool // it was the primary then
 }
 
 // Received is a statement that an endpoint has received to its last byte, whether it ran or not.
@@ -41,7 +41,7 @@
 type Log struct {
 	Member    string
 	Runs      []Run
-	Whole     []Received
+	Received  []Received
 	Stops     []time.Time // moments at which it ended with all its connections, and lost what it had not read
 	Demotions []time.Time // moments from which it was no longer the primary
 }
@@ -93,7 +93,7 @@
 func Count(jobs []Job) (served, rejected, failed, disconnected int) {
 	for _, job := range jobs {
 		switch {
-		case job.Left:
+		case job.Disconnected:
 			disconnected++
 		case job.Code == "":
 			served++
--- a/internal/testserver/check/check_test.go
+++ b/internal/testserver/check/check_test.go
@@ -38,7 +38,7 @@
 func ran(n int) []Log {
 	l := Log{Member: "a"}
 	for i := range n {
-		l.Runs = append(l.Runs, Run{ID: fmt.Sprint("j", i), Member: "a", At: at(10), Write: true, Led: true})
+		l.Runs = append(l.Runs, Run{ID: fmt.Sprint("j", i), Member: "a", At: at(10), Write: true, WasPrimary: true})
 	}
 	return []Log{l}
 }
@@ -46,9 +46,9 @@
 // run is the log of an endpoint that received the job completely and ran it.
 func run(member string, ms int) Log {
 	return Log{
-		Member: member,
-		Whole:  []Received{{"j", at(ms)}},
-		Runs:   []Run{{ID: "j", Member: member, At: at(ms), Write: true, Led: true}},
+		Member:   member,
+		Received: []Received{{"j", at(ms)}},
+		Runs:     []Run{{ID: "j", Member: member, At: at(ms), Write: true, WasPrimary: true}},
 	}
 }
 
@@ -117,7 +117,7 @@
 		"left": {
 			jobs: with(func(j *Job) {
 				j.Answers = 0
-				j.Left = true
+				j.Disconnected = true
 			}),
 		},
 	})
@@ -175,7 +175,7 @@
 		},
 		"failed, whole": {
 			jobs: with(func(j *Job) { j.Code = codeFailed }),
-			logs: []Log{{Member: "a", Whole: []Received{{"j", at(10)}}}},
+			logs: []Log{{Member: "a", Received: []Received{{"j", at(10)}}}},
 		},
 		"failed, never sent": {
 			jobs: with(func(j *Job) { j.Code = codeFailed }),
@@ -214,14 +214,14 @@
 	checkBreaches(t, map[string]breachCase{
 		"cut, one ended": {
 			jobs: with(func(j *Job) {
-				j.Cut = true
+				j.Truncated = true
 				j.Answers = 0
 			}),
 			logs: []Log{run("a", 10), stop},
 		},
 		"cut, none ended": {
 			jobs: with(func(j *Job) {
-				j.Cut = true
+				j.Truncated = true
 				j.Answers = 0
 			}),
 			logs: []Log{run("a", 10)},
@@ -229,7 +229,7 @@
 		},
 		"cut, never ran": {
 			jobs: with(func(j *Job) {
-				j.Cut = true
+				j.Truncated = true
 				j.Answers = 0
 			}),
 			logs: []Log{stop},
--- a/internal/testserver/check/checker.go
+++ b/internal/testserver/check/checker.go
@@ -40,11 +40,11 @@
 func (c *checker) addLog(log Log) {
 	c.stops = append(c.stops, log.Stops...)
 	c.demotions[log.Member] = append(c.demotions[log.Member], log.Demotions...)
-	for _, received := range log.Whole {
+	for _, received := range log.Received {
 		c.received[received.ID] = true
 	}
 	for _, run := range log.Runs {
-		if run.Led {
+		if run.WasPrimary {
 			c.led[endpointJob{run.Member, run.ID}] = true
 		}
 		if run.Write {
@@ -84,8 +84,8 @@
 		c.fault("%s ran %d times: %+v", job.ID, runs, c.writes[job.ID])
 	}
 	switch {
-	case job.Left: // nobody was there to see an answer
-	case job.Cut:
+	case job.Disconnected: // nobody was there to see an answer
+	case job.Truncated:
 		c.checkTruncated(job, runs)
 	case job.Answers != 1:
 		c.fault("%s has %d answers", job.ID, job.Answers)
@@ -108,7 +108,7 @@
 
 // checkFreshRead: a read that only a primary may answer was answered by one.
 func (c *checker) checkFreshRead(job Job) {
-	if job.Code != "" || job.Left {
+	if job.Code != "" || job.Disconnected {
 		return
 	}
 	if !c.led[endpointJob{job.Value, job.ID}] && !c.demotedDuring(job) {
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -57,12 +57,12 @@
 
 // Answer is what came up to a message.
 type Answer struct {
-	Types  string // of all messages but ParameterStatus
-	Code   string // of the last error
-	Detail string // its field D
-	Value  string // of the last row
-	Ended  bool   // the connection ended instead,
-	Cut    bool   // and part of an answer had come
+	Types     string // of all messages but ParameterStatus
+	Code      string // of the last error
+	Detail    string // its field D
+	Value     string // of the last row
+	Ended     bool   // the connection ended instead,
+	Truncated bool   // and part of an answer had come
 }
 
 // Until reads up to a message of the given type, or to the end of the connection.
@@ -89,7 +89,7 @@
 		}
 		if err != nil {
 			answer.Ended = true
-			answer.Cut = answer.Types != "" || c.reader.Waiting() > 0
+			answer.Truncated = answer.Types != "" || c.reader.Waiting() > 0
 			return answer
 		}
 		c.reader.Feed(buf[:n])
--- a/internal/testserver/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -23,15 +23,15 @@
 
 // Options say how a collector behaves.
 type Options struct {
-	Network string // udp, tcp or tls
-	Address string // "" = a loopback port that the kernel picks
-	TLS     *tls.Config
-	Most    int           // bytes of the longest message, 0 = 1 MiB
-	Keep    func([]byte)  // called with each message, one at a time; nil = they are kept for Messages
-	Pause   time.Duration // it waits so long behind each message
-	After   int           // it closes a connection behind so many messages of it, 0 = never
-	Abrupt  bool          // with After and Stop: without having read what has come
-	Silent  bool          // it accepts, and never reads; with TLS the handshake never ends
+	Network    string // udp, tcp or tls
+	Address    string // "" = a loopback port that the kernel picks
+	TLS        *tls.Config
+	MaxMessage int           // bytes of the longest message, 0 = 1 MiB
+	Keep       func([]byte)  // called with each message, one at a time; nil = they are kept for Messages
+	Pause      time.Duration // it waits so long behind each message
+	CloseAfter int           // it closes a connection behind so many messages of it, 0 = never
+	Abrupt     bool          // with After and Stop: without having read what has come
+	Silent     bool          // it accepts, and never reads; with TLS the handshake never ends
 }
 
 // settle is how long no datagram comes before a collector that stops closes its socket.
@@ -72,8 +72,8 @@
 	if opt.Address == "" {
 		opt.Address = "127.0.0.1:0"
 	}
-	if opt.Most == 0 {
-		opt.Most = defaultMaxMessage
+	if opt.MaxMessage == 0 {
+		opt.MaxMessage = defaultMaxMessage
 	}
 	c := &Collector{opt: opt, open: map[net.Conn]bool{}}
 	return c, c.Start()
@@ -209,8 +209,8 @@
 	return append([][]byte(nil), c.msgs...)
 }
 
-// Got is how many messages have come.
-func (c *Collector) Got() int { return int(c.got.Load()) }
+// Received is how many messages have come.
+func (c *Collector) Received() int { return int(c.got.Load()) }
 
 // Connections is how many connections have come.
 func (c *Collector) Connections() int { return int(c.conns.Load()) }
@@ -360,7 +360,7 @@
 		c.blockUntilStopped()
 		return
 	}
-	frames := parser.NewFrames(conn, c.opt.Most)
+	frames := parser.NewFrames(conn, c.opt.MaxMessage)
 	for n := 1; ; n++ {
 		c.blockWhilePaused()
 		message, err := frames.Next()
@@ -369,7 +369,7 @@
 			return
 		}
 		c.keep(message)
-		if n != c.opt.After {
+		if n != c.opt.CloseAfter {
 			continue
 		}
 		c.closeConn(conn)
--- a/internal/testserver/discovery_agent.go
+++ b/internal/testserver/discovery_agent.go
@@ -109,11 +109,11 @@
 // Silent lets it take calls without an answer, or answer again.
 func (a *Agent) Silent(on bool) { a.configure(func() { a.silent = on }) }
 
-// Fault lets it answer each call with a status, 0 = as it should.
-func (a *Agent) Fault(status int) { a.configure(func() { a.failStatus = status }) }
+// FailWith lets it answer each call with a status, 0 = as it should.
+func (a *Agent) FailWith(status int) { a.configure(func() { a.failStatus = status }) }
 
-// Hasty lets it answer watches at once, whatever it has.
-func (a *Agent) Hasty(on bool) { a.configure(func() { a.hasty = on }) }
+// AnswerAtOnce lets it answer watches at once, whatever it has.
+func (a *Agent) AnswerAtOnce(on bool) { a.configure(func() { a.hasty = on }) }
 
 // configure changes how it answers; calls that are in flight meet the change too.
 func (a *Agent) configure(change func()) {
@@ -130,8 +130,8 @@
 	return a.calls
 }
 
-// Has is when it was sent that an endpoint is in a state; zero = it was not.
-func (a *Agent) Has(id, state string) time.Time {
+// SentAt is when it was sent that an endpoint is in a state; zero = it was not.
+func (a *Agent) SentAt(id, state string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.stateSentAt[id][state]
--- a/internal/testserver/server.go
+++ b/internal/testserver/server.go
@@ -13,16 +13,16 @@
 
 // Act is what an endpoint does when a message has come.
 type Act struct {
-	Break  bool   // it ends the connection
-	Silent bool   // it says nothing more on it
-	Code   string // it answers with this error
-	Cut    int    // of the answer that is next it sends this many bytes and ends the connection
-	Fatal  bool   // the error is fatal: the connection ends behind it
-	Delay  time.Duration
-	Spoil  func(answer []byte) []byte // changes the answer before it is sent
-	Behind []byte                     // it sends this behind the answer, in a segment of its own
-	Pause  time.Duration              // before that, in place of a short one
-	Leave  bool                       // it ends the connection behind the answer
+	Break      bool   // it ends the connection
+	Silent     bool   // it says nothing more on it
+	Code       string // it answers with this error
+	TruncateAt int    // of the answer that is next it sends this many bytes and ends the connection
+	Fatal      bool   // the error is fatal: the connection ends behind it
+	Delay      time.Duration
+	Corrupt    func(answer []byte) []byte // changes the answer before it is sent
+	Trailing   []byte                     // it sends this behind the answer, in a segment of its own
+	Pause      time.Duration              // before that, in place of a short one
+	CloseAfter bool                       // it ends the connection behind the answer
 }
 
 // DB is an endpoint: a database server that answers and counts.
@@ -148,15 +148,15 @@
 	}
 }
 
-// Behind sets how old its data is, where it is no primary.
-func (d *DB) Behind(by time.Duration) {
+// SetLag sets how old its data is, where it is no primary.
+func (d *DB) SetLag(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = by
 }
 
-// Answers sets how many bytes each of its answers has.
-func (d *DB) Answers(size int) {
+// SetResponseSize sets how many bytes each of its answers has.
+func (d *DB) SetResponseSize(size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responseSize = size
@@ -169,14 +169,14 @@
 	return check.Log{
 		Member:    d.Addr,
 		Runs:      slices.Clone(d.log.Runs),
-		Whole:     slices.Clone(d.log.Whole),
+		Received:  slices.Clone(d.log.Received),
 		Stops:     slices.Clone(d.log.Stops),
 		Demotions: slices.Clone(d.log.Demotions),
 	}
 }
 
-// Lead sets whether it is the primary.
-func (d *DB) Lead(primary bool) {
+// SetPrimary sets whether it is the primary.
+func (d *DB) SetPrimary(primary bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.primary && !primary {
@@ -229,7 +229,7 @@
 func (d *DB) noteReceived(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.log.Whole = append(d.log.Whole, check.Received{ID: id, At: time.Now()})
+	d.log.Received = append(d.log.Received, check.Received{ID: id, At: time.Now()})
 }
 
 // run counts a run, unless the endpoint was stopped meanwhile: then it returns false and nothing ran.
@@ -240,7 +240,7 @@
 		return false
 	}
 	d.runs[id]++
-	d.log.Runs = append(d.log.Runs, check.Run{ID: id, Member: d.Addr, At: time.Now(), Write: write, Led: primary})
+	d.log.Runs = append(d.log.Runs, check.Run{ID: id, Member: d.Addr, At: time.Now(), Write: write, WasPrimary: primary})
 	return true
 }
 
--- a/internal/testserver/server_test.go
+++ b/internal/testserver/server_test.go
@@ -19,15 +19,15 @@
 	}
 	d.Stop()
 	c.Send(pgwire.AppendQuery(nil, "/* id=behind,c=job,d=1000,cluster=7 */ SELECT 1"))
-	for end := time.Now().Add(10 * time.Second); len(d.Log().Whole) < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); len(d.Log().Received) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("noted: %+v", d.Log().Whole)
+			t.Fatalf("noted: %+v", d.Log().Received)
 		}
 	}
-	if w := d.Log().Whole[1]; w.ID != "behind" || d.Runs("behind") != 0 {
+	if w := d.Log().Received[1]; w.ID != "behind" || d.Runs("behind") != 0 {
 		t.Fatalf("%+v, ran %d times", w, d.Runs("behind"))
 	}
-	if a := c.Until('Z'); !a.Ended || a.Cut {
+	if a := c.Until('Z'); !a.Ended || a.Truncated {
 		t.Fatalf("%+v", a)
 	}
 	if k, err := net.Dial("tcp", d.Addr); err == nil {
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -100,7 +100,7 @@
 	st.head, st.commentErr = requestcomment.Parse(s.sql)
 	st.act = s.db.decide(m.Type, st.head.ID)
 	time.Sleep(st.act.Delay)
-	s.truncate = max(s.truncate, st.act.Cut)
+	s.truncate = max(s.truncate, st.act.TruncateAt)
 	if st.act.Break {
 		return false
 	}
@@ -252,18 +252,18 @@
 		_, _ = s.conn.Write(s.response[:min(s.truncate, len(s.response))])
 		return false
 	}
-	if act.Spoil != nil {
-		s.response = act.Spoil(s.response)
+	if act.Corrupt != nil {
+		s.response = act.Corrupt(s.response)
 	}
 	if _, err := s.conn.Write(s.response); err != nil {
 		return false
 	}
-	if act.Leave {
+	if act.CloseAfter {
 		return false
 	}
-	if act.Behind != nil {
+	if act.Trailing != nil {
 		time.Sleep(max(act.Pause, segmentPause))
-		_, _ = s.conn.Write(act.Behind) // its peer may end at the answer, which the next read shows
+		_, _ = s.conn.Write(act.Trailing) // its peer may end at the answer, which the next read shows
 	}
 	s.response = nil
 	return true
--- a/internal/transport/arrivals.go
+++ b/internal/transport/arrivals.go
@@ -80,10 +80,10 @@
 	return l.marks[0].arrivedAt, true
 }
 
-// CameAt is when the byte at a place of the stream arrived at this machine, on the loop's clock, though it may have
+// ArrivedAt is when the byte at a place of the stream arrived at this machine, on the loop's clock, though it may have
 // been looked at much later; the first byte's place is 1. Places are asked for in order. It is known of connections
 // that were accepted.
-func (c *Conn) CameAt(place int64) time.Duration {
+func (c *Conn) ArrivedAt(place int64) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if arrivedAt, ok := c.arrivals.lookup(place); ok {
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -78,7 +78,7 @@
 	runInLoop(l, func() { conn.SetPaused(false) })
 	expectEvent(t, s.done, "got")
 	runInLoop(l, func() {
-		if first, last := conn.CameAt(1), conn.CameAt(3); first > last || last > noted {
+		if first, last := conn.ArrivedAt(1), conn.ArrivedAt(3); first > last || last > noted {
 			t.Errorf("came at %v and %v, noted at %v", first, last, noted)
 		}
 	})
@@ -118,7 +118,7 @@
 	expectEvent(t, s.done, "got")
 	runInLoop(l, func() {
 		// The system counts in its own ticks, of 10 ms at the most.
-		if at := second.CameAt(3); at < sent-10*time.Millisecond || at > sent+waited/2 {
+		if at := second.ArrivedAt(3); at < sent-10*time.Millisecond || at > sent+waited/2 {
 			t.Errorf("sent at %v, reported %v later", sent, at-sent)
 		}
 	})
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -19,10 +19,10 @@
 	Closed(err error)
 }
 
-// Taker is a Handler that is told when its peer has taken most of what was written.
-type Taker interface {
-	// Taken says that no more bytes are left to take than Await has named.
-	Taken()
+// WriteObserver is a Handler that is told when its peer has taken most of what was written.
+type WriteObserver interface {
+	// WriteDrained says that no more bytes are left to take than Await has named.
+	WriteDrained()
 }
 
 // Conn is one connection. Its exported methods belong to the loop's goroutine.
@@ -71,12 +71,12 @@
 	timer        *eventloop.Timer
 }
 
-// Remote is the address of the peer.
-func (c *Conn) Remote() string { return c.socket.RemoteAddr().String() }
+// RemoteAddr is the address of the peer.
+func (c *Conn) RemoteAddr() string { return c.socket.RemoteAddr().String() }
 
-// Left reports whether the peer has ended the connection, though the handler may not have been told yet. With look it
-// asks the system too, which knows before the poller's goroutine has had its turn.
-func (c *Conn) Left(look bool) bool { return c.ended.Load() || look && c.peerHasEnded() }
+// PeerClosed reports whether the peer has ended the connection, though the handler may not have been told yet. With
+// look it asks the system too, which knows before the poller's goroutine has had its turn.
+func (c *Conn) PeerClosed(look bool) bool { return c.ended.Load() || look && c.peerHasEnded() }
 
 // Close ends the connection; the handler is told nothing more.
 func (c *Conn) Close() {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -47,7 +47,7 @@
 	e := &Engine{
 		loop:         loop,
 		inboxBytes:   inboxBytes,
-		maxLingering: Lingering(maxFiles),
+		maxLingering: MaxLingering(maxFiles),
 		loopBuffer:   make([]byte, readBufferBytes),
 		// Edge-triggered, with reads of our own: nbio cannot leave a connection unread, and its level-triggered poller
 		// would spin on one that is.
--- a/internal/transport/finish.go
+++ b/internal/transport/finish.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Linger is how long a connection that is finished waits for its peer to end its side. A peer that is there needs a
-// round trip and a turn of its own; one that is not there must not hold a descriptor for longer.
-const Linger = time.Second
+// LingerTimeout is how long a connection that is finished waits for its peer to end its side. A peer that is there
+// needs a round trip and a turn of its own; one that is not there must not hold a descriptor for longer.
+const LingerTimeout = time.Second
 
-// Lingering is how many connections may wait for their peer to end its side, of so many descriptors.
-func Lingering(maxFiles int) int { return max(1, maxFiles/32) }
+// MaxLingering is how many connections may wait for their peer to end its side, of so many descriptors.
+func MaxLingering(maxFiles int) int { return max(1, maxFiles/32) }
 
 // Finishing is the number of connections that are being finished: their last bytes are not taken yet, or their peer has
 // yet to end its side.
@@ -44,7 +44,7 @@
 	if c.Flushed() {
 		c.shutdownWrite()
 	} else {
-		c.Await(0)
+		c.NotifyWhenUnsentBelow(0)
 	}
 	c.resumeToFinish()
 }
@@ -81,7 +81,7 @@
 		c.releaseSlot() // connections that linger have a limit of their own
 	}
 	c.finish.timer.Stop()
-	c.finish.timer = c.engine.loop.AfterFunc(Linger, c.closeSocket)
+	c.finish.timer = c.engine.loop.AfterFunc(LingerTimeout, c.closeSocket)
 	c.engine.addLingering(c)
 }
 
--- a/internal/transport/finish_test.go
+++ b/internal/transport/finish_test.go
@@ -69,7 +69,7 @@
 // Peers that never end their side hold no slot of the listener, and no more descriptors than are meant for them.
 func TestLingeringIsBounded(t *testing.T) {
 	l, e := newTestEngine(t)
-	most := Lingering(1024)
+	most := MaxLingering(1024)
 	for range most + 20 {
 		conn, _ := newPair(t, e, &collector{want: 1, done: make(chan string, 9)})
 		runInLoop(l, func() {
@@ -102,7 +102,7 @@
 		select {
 		case conn := <-accepted:
 			runInLoop(l, func() { conn.Finish(time.Second) })
-		case <-time.After(Linger / 2):
+		case <-time.After(LingerTimeout / 2):
 			t.Fatal("no slot")
 		}
 	}
@@ -115,7 +115,7 @@
 	s := &collector{want: 1, done: make(chan string, 9)}
 	conn, c := newPair(t, e, s)
 	runInLoop(l, func() {
-		conn.Prompt()
+		conn.ReportCloseAtOnce()
 		conn.SetPaused(true)
 	})
 	send(t, c, "asked ahead")
@@ -134,7 +134,7 @@
 		_, e := newTestEngine(t)
 		s := endRecorder{make(chan string, 9), make(chan error, 9)}
 		conn, c := newPair(t, e, s)
-		conn.Exact()
+		conn.DetectResets()
 		// The poller is kept at another connection until all has come here, and then finds it at once.
 		other, o := newPair(t, e, endRecorder{make(chan string, 9), make(chan error, 9)})
 		other.readMutex.Lock()
@@ -172,7 +172,7 @@
 	expectEvent(t, s.done, "closed")
 	runInLoop(l, func() {
 		used := conn.withDescriptor(func(int) { t.Error("used") })
-		ended := conn.peerHasEnded() && conn.Left(false)
+		ended := conn.peerHasEnded() && conn.PeerClosed(false)
 		if used || !ended || conn.Quiet() {
 			t.Error("a connection that has ended is taken for one that has not")
 		}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -108,13 +108,13 @@
 // deferClose keeps the end of a connection that is paused until it goes on.
 func (c *Conn) deferClose(err error) { c.pendingClose = cmp.Or(err, net.ErrClosed) }
 
-// Prompt lets the end of the connection be reported at once, also while it is paused: what came before it and was not
-// looked at is dropped. It is for peers whose end says that they want nothing more.
-func (c *Conn) Prompt() { c.promptClose = true }
+// ReportCloseAtOnce lets the end of the connection be reported at once, also while it is paused: what came before it
+// and was not looked at is dropped. It is for peers whose end says that they want nothing more.
+func (c *Conn) ReportCloseAtOnce() { c.promptClose = true }
 
-// Exact lets the handler tell a reset from an end also where data came right before it, at the price of one more read
-// behind all that comes.
-func (c *Conn) Exact() { c.readsToEnd.Store(true) }
+// DetectResets lets the handler tell a reset from an end also where data came right before it, at the price of one
+// more read behind all that comes.
+func (c *Conn) DetectResets() { c.readsToEnd.Store(true) }
 
 // Quiet reports whether nothing has come that the handler was not told, not even the end of the connection. It looks at
 // the socket itself, because the poller may be behind.
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -17,23 +17,23 @@
 	return nil
 }
 
-// Buffer bounds, in bytes, what the system keeps of what was written and not taken. Behind megabytes of it a slow peer
-// would seem to take nothing for seconds.
-func (c *Conn) Buffer(n int) {
+// SetWriteBuffer bounds, in bytes, what the system keeps of what was written and not taken. Behind megabytes of it a
+// slow peer would seem to take nothing for seconds.
+func (c *Conn) SetWriteBuffer(n int) {
 	_ = c.socket.SetWriteBuffer(n) // it fails on a connection that is closed, which keeps nothing
 }
 
 // Flushed reports whether the system has taken all that was written. Once the connection is closed it does not change.
 func (c *Conn) Flushed() bool { return c.bytesSent.Load() == c.bytesQueued.Load() }
 
-// Progress is the number of bytes that the system has taken so far.
-func (c *Conn) Progress() int64 { return c.bytesSent.Load() }
+// BytesSent is the number of bytes that the system has taken so far.
+func (c *Conn) BytesSent() int64 { return c.bytesSent.Load() }
 
-// Unsent is the number of bytes handed to Write that the system has not taken yet.
-func (c *Conn) Unsent() int { return int(c.bytesQueued.Load() - c.bytesSent.Load()) }
+// BytesUnsent is the number of bytes handed to Write that the system has not taken yet.
+func (c *Conn) BytesUnsent() int { return int(c.bytesQueued.Load() - c.bytesSent.Load()) }
 
-// Await asks for one call of Taken, once no more than low bytes are left to take.
-func (c *Conn) Await(low int) {
+// NotifyWhenUnsentBelow asks for one call of Taken, once no more than low bytes are left to take.
+func (c *Conn) NotifyWhenUnsentBelow(low int) {
 	c.lowWaterMark.Store(int64(low) + 1)
 	c.handleSent(0)
 }
@@ -53,8 +53,8 @@
 // handleLowWater tells the handler, in the loop, that little is left to take, or shuts the sending side of a connection
 // that is being finished.
 func (c *Conn) handleLowWater() {
-	if taker, ok := c.handler.(Taker); ok && !c.closed {
-		taker.Taken()
+	if taker, ok := c.handler.(WriteObserver); ok && !c.closed {
+		taker.WriteDrained()
 	} else if c.finish.active && c.Flushed() {
 		c.shutdownWrite()
 	}
