--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -110,7 +110,9 @@
 	add(fieldSQLState, e.Code)
 	add(fieldMessage, e.Message)
 	if e.RetryAfter > 0 {
-		add(fieldDetail, strconv.FormatInt(max(1, e.RetryAfter.Milliseconds()), 10))
+		body = append(body, fieldDetail)
+		body = strconv.AppendInt(body, max(1, e.RetryAfter.Milliseconds()), 10)
+		body = append(body, 0)
 	}
 	return Append(dst, typeErrorResponse, append(body, 0))
 }
