--- /dev/null
+++ b/internal/spool/cursor.go
@@ -0,0 +1,67 @@
+package spool
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+)
+
+// The cursor file holds the number of the oldest segment, the offset up to which it was delivered, and the CRC-32C of
+// both.
+const (
+	cursorOffsetAt   = 8
+	cursorChecksumAt = 16
+	cursorSize       = 20
+)
+
+// cursor is a place in the spool: everything before it is delivered.
+type cursor struct {
+	segment uint64 // the number
+	offset  int64
+}
+
+// Keep notes on disk what is delivered, so that the next start does not send it again.
+func (s *Spool) Keep() error {
+	if len(s.segments) == 0 {
+		return nil
+	}
+	p := binary.BigEndian.AppendUint64(nil, s.segments[0].number)
+	p = binary.BigEndian.AppendUint64(p, uint64(s.deliveredOffset))
+	p = binary.BigEndian.AppendUint32(p, crc32.Checksum(p, s.checksums))
+	path := filepath.Join(s.dir, cursorFile)
+	if err := os.WriteFile(path+".new", p, fileMode); err != nil {
+		return fmt.Errorf("%w: %w", ErrBroken, err)
+	}
+	return os.Rename(path+".new", path)
+}
+
+// readCursor returns the cursor that the last process left; ok is false where there is none, or a damaged one.
+func (s *Spool) readCursor() (at cursor, ok bool) {
+	p, err := os.ReadFile(filepath.Join(s.dir, cursorFile))
+	if err != nil || len(p) != cursorSize {
+		return cursor{}, false
+	}
+	if crc32.Checksum(p[:cursorChecksumAt], s.checksums) != binary.BigEndian.Uint32(p[cursorChecksumAt:]) {
+		return cursor{}, false
+	}
+	at.segment = binary.BigEndian.Uint64(p)
+	at.offset = int64(binary.BigEndian.Uint64(p[cursorOffsetAt:]))
+	return at, true
+}
+
+// applyCursor passes over what the last process noted as delivered.
+func (s *Spool) applyCursor() {
+	at, ok := s.readCursor()
+	if !ok {
+		return
+	}
+	for len(s.segments) > 0 && s.segments[0].number < at.segment {
+		s.removeOldest()
+	}
+	if len(s.segments) > 0 && s.segments[0].number == at.segment {
+		s.deliveredOffset = min(at.offset, s.segments[0].size)
+		s.readOffset = s.deliveredOffset
+	}
+}
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Whatever is appended, read, delivered, put back, closed and opened again by whatever turns: all comes out once, in order,
-// but for what was not delivered, which comes again.
+// Whatever is appended, read, delivered, put back, closed and opened again in whatever order: all comes out once, in
+// order, but for what was not delivered, which comes again.
 func TestAnyOrder(t *testing.T) {
 	root := t.TempDir()
 	round := 0
@@ -92,72 +92,102 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, delivered, read := 0, 0, 0
+		run := &anyOrderRun{t: t, dir: dir, spool: s}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 5).Draw(t, "op") {
-			case 0, 1:
-				n := rapid.IntRange(1, 20).Draw(t, "n")
-				k, err := s.Append(some(next, next+n))
-				if err != nil || k != n {
-					t.Fatal(k, err)
-				}
-				next += n
-			case 2, 3:
-				msgs, err := s.Next(nil, rapid.IntRange(1, 12).Draw(t, "count"), rapid.IntRange(1, 200).Draw(t, "bytes"))
-				if err != nil {
-					t.Fatal(err)
-				}
-				for _, m := range msgs {
-					if string(m) != string(message(read)) {
-						t.Fatalf("%q, %q wanted", m, message(read))
-					}
-					read++
-				}
-				if rapid.Bool().Draw(t, "deliver") {
-					s.Delivered(s.Reading())
-					delivered = read
-				}
-			case 4:
-				s.Again()
-				read = delivered
-			case 5:
-				if s.Empty() {
-					continue
-				}
-				if err := s.Close(); err != nil {
-					t.Fatal(err)
-				}
-				left, err := Adopt(dir, options())
-				if err != nil || len(left) != 1 {
-					t.Fatal(len(left), err)
-				}
-				s, read = left[0], delivered
-			}
-		}
-		s.Again()
-		for read = delivered; !s.Empty(); {
-			msgs, err := s.Next(nil, 9, 99)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, m := range msgs {
-				if string(m) != string(message(read)) {
-					t.Fatalf("%q, %q wanted", m, message(read))
-				}
-				read++
-			}
-			s.Delivered(s.Reading())
-		}
-		if read != next {
-			t.Fatalf("%d of %d came out", read, next)
-		}
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
+			run.step(rapid.IntRange(0, 5).Draw(t, "op"))
 		}
+		run.finish()
 	})
 }
 
-// A file that ends anywhere gives all whole records before its end: SIGKILL in the middle of a write loses what it cuts.
+// anyOrderRun is a spool under random steps, with the numbers of the messages that it should give.
+type anyOrderRun struct {
+	t         *rapid.T
+	dir       string
+	spool     *Spool
+	next      int // the next message to append
+	read      int // the next message to read
+	delivered int // all messages before it are delivered
+}
+
+func (r *anyOrderRun) step(operation int) {
+	switch operation {
+	case 0, 1:
+		r.append()
+	case 2, 3:
+		r.readSome()
+	case 4:
+		r.spool.Again()
+		r.read = r.delivered
+	case 5:
+		r.reopen()
+	}
+}
+
+func (r *anyOrderRun) append() {
+	count := rapid.IntRange(1, 20).Draw(r.t, "n")
+	appended, err := r.spool.Append(some(r.next, r.next+count))
+	if err != nil || appended != count {
+		r.t.Fatal(appended, err)
+	}
+	r.next += count
+}
+
+func (r *anyOrderRun) readSome() {
+	r.expectNext(rapid.IntRange(1, 12).Draw(r.t, "count"), rapid.IntRange(1, 200).Draw(r.t, "bytes"))
+	if rapid.Bool().Draw(r.t, "deliver") {
+		r.spool.Delivered(r.spool.Reading())
+		r.delivered = r.read
+	}
+}
+
+// expectNext reads at most so many messages and bytes, and compares them with what should come.
+func (r *anyOrderRun) expectNext(count, maxBytes int) {
+	messages, err := r.spool.Next(nil, count, maxBytes)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	for _, got := range messages {
+		if string(got) != string(message(r.read)) {
+			r.t.Fatalf("%q, %q wanted", got, message(r.read))
+		}
+		r.read++
+	}
+}
+
+func (r *anyOrderRun) reopen() {
+	if r.spool.Empty() {
+		return
+	}
+	if err := r.spool.Close(); err != nil {
+		r.t.Fatal(err)
+	}
+	left, err := Adopt(r.dir, options())
+	if err != nil || len(left) != 1 {
+		r.t.Fatal(len(left), err)
+	}
+	r.spool = left[0]
+	r.read = r.delivered
+}
+
+// finish reads what is left, and checks that every message came out.
+func (r *anyOrderRun) finish() {
+	r.spool.Again()
+	r.read = r.delivered
+	for !r.spool.Empty() {
+		r.expectNext(9, 99)
+		r.spool.Delivered(r.spool.Reading())
+	}
+	if r.read != r.next {
+		r.t.Fatalf("%d of %d came out", r.read, r.next)
+	}
+	if err := r.spool.Close(); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// A file that ends anywhere gives all whole records before its end: SIGKILL in the middle of a write
+// loses what it cuts.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	opt := options()
@@ -165,18 +195,18 @@
 	s := create(t, dir, opt)
 	want := some(0, 20)
 	appendAll(t, s, want)
-	must(t, s.out.Close())
-	whole, err := os.ReadFile(s.path(middle))
+	must(t, s.newest.Close())
+	whole, err := os.ReadFile(s.path(firstSegment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	must(t, s.lock.Close())
 	for cut := range len(whole) {
-		must(t, os.WriteFile(s.path(middle), whole[:cut], 0o600))
+		must(t, os.WriteFile(s.path(firstSegment), whole[:cut], 0o600))
 		left, err := Adopt(dir, opt)
 		n := 0
-		for at := 0; n < len(want) && at+header+len(want[n]) <= cut; n++ {
-			at += header + len(want[n])
+		for at := 0; n < len(want) && at+headerSize+len(want[n]) <= cut; n++ {
+			at += headerSize + len(want[n])
 		}
 		if cut == 0 {
 			if len(left) != 0 {
@@ -200,25 +230,25 @@
 	s := create(t, dir, Options{Segment: 1 << 20, Most: 1 << 20, Message: 100})
 	want := some(0, 12)
 	appendAll(t, s, want)
-	must(t, s.out.Close())
-	whole, _ := os.ReadFile(s.path(middle))
+	must(t, s.newest.Close())
+	whole, _ := os.ReadFile(s.path(firstSegment))
 	must(t, s.lock.Close())
 	for bit := range len(whole) * 8 {
 		p := bytes.Clone(whole)
 		p[bit/8] ^= 1 << (bit % 8)
 		must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
-		must(t, os.WriteFile(s.path(middle), p, 0o600))
+		must(t, os.WriteFile(s.path(firstSegment), p, 0o600))
 		left, err := Adopt(dir, options())
 		if err != nil || len(left) != 1 {
 			t.Fatal(err)
 		}
 		got := drain(t, left[0])
 		hit, at := 0, 0
-		for ; at+header+len(want[hit]) <= bit/8; hit++ {
-			at += header + len(want[hit])
+		for ; at+headerSize+len(want[hit]) <= bit/8; hit++ {
+			at += headerSize + len(want[hit])
 		}
 		same(t, got, append(append([][]byte(nil), want[:hit]...), want[hit+1:]...))
-		if left[0].Skipped() != int64(header+len(want[hit])) {
+		if left[0].Skipped() != int64(headerSize+len(want[hit])) {
 			t.Fatalf("bit %d: %d bytes passed over", bit, left[0].Skipped())
 		}
 		must(t, left[0].Remove())
@@ -233,7 +263,7 @@
 	if left, err := Adopt(dir, options()); err != nil || len(left) != 0 {
 		t.Fatalf("%d adopted, %v", len(left), err)
 	}
-	if _, err := open(s.dir, options()); !errors.Is(err, errHeld) {
+	if _, err := open(s.dir, options()); !errors.Is(err, errLocked) {
 		t.Fatalf("%v", err)
 	}
 	must(t, s.Close())
@@ -318,7 +348,7 @@
 		}
 		in += n
 		var disk int64
-		for _, g := range s.segs {
+		for _, g := range s.segments {
 			disk += g.size
 		}
 		if disk > opt.Most {
