--- a/balance/config.go
+++ b/balance/config.go
@@ -30,8 +30,8 @@
 	OverQuotaWeight float64       // weight of a request beyond the tenant's quota, as a part of the usual
 	TimerResolution time.Duration // the shortest time between two steps
 	PollDiscovery   bool          // the endpoint list must be polled
-	DrainGrace      time.Duration // sends to an endpoint end this long after it was told to drain; 0 = not told
-	PollWithin      time.Duration // an instance that has not polled for this long counts as told; 0 = no such limit
+	DrainGrace      time.Duration // sends to an endpoint end this long after it was told to drain; 0 = unknown
+	PollWithin      time.Duration // an instance that has not polled for this long counts as notified; 0 = no such limit
 
 	FreshnessCheck      FreshnessCheck
 	ClientSessionTokens bool // session reads carry the age of the last write; otherwise the instance remembers writes
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -61,7 +61,7 @@
 				for round := range 6 { // and each failure makes them wait for longer, but not for ever
 					failed := now
 					now = nextPoll(b, now, 10*ms, EndpointList{Kind: ListFailed})
-					// What changed counts as told 6 s after discovery had it, however the poll ended: the next one,
+					// What changed counts as notified 6 s after discovery had it, however the poll ended: the next one,
 					// and the 2 s that it may be queued, come within that.
 					delay := now - failed
 					if delay+2*time.Second > 5600*ms || delay < c.leastDelay || delay > c.mostDelay {
@@ -192,7 +192,7 @@
 }
 
 // A poll that was rejected only after it had been queued has spent that time: the next poll, and the 2 s that it may
-// be queued, still come within the 6 s at which a change counts as told that came right behind the poll before. After
+// be queued, still come within the 6 s at which a change counts as notified that came right behind the poll before. After
 // one that is rejected at once the next is not sent sooner than before.
 func TestPollDelayRunsFromThePoll(t *testing.T) {
 	const patience, way = 2 * time.Second, 250 * ms
--- a/balance/event.go
+++ b/balance/event.go
@@ -55,7 +55,7 @@
 	SessionID         int64         // the session; 0 = none
 	TimeLeft          time.Duration // how long the client still waits
 	SinceSessionWrite time.Duration // age of the session's last write; 0 = none
-	EstimatedWork     time.Duration // expected work; 0 = not told
+	EstimatedWork     time.Duration // expected work; 0 = unknown
 	Retry             bool          // the client sends the same request again
 	PriorAttempts     int           // attempts that it has used before, none of which ran
 }
@@ -116,7 +116,7 @@
 	Elapsed  time.Duration
 	Finished bool // the request is answered
 	Role     Role
-	Position Time // the replication position, an instant on the caller's clock; 0 = not told
+	Position Time // the replication position, an instant on the caller's clock; 0 = unknown
 }
 
 // HealthCheckResult ends one health check.
@@ -125,7 +125,7 @@
 	Status   Status
 	Elapsed  time.Duration
 	Role     Role
-	Position Time // 0 = not told
+	Position Time // 0 = unknown
 }
 
 // ClientDisconnected says that the client has disconnected; nothing is owed any more.
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -52,7 +52,7 @@
 	return l
 }
 
-// agent is on a router's own machine; discovery pushes lists to it. What it has counts as told to the router.
+// agent is on a router's own machine; discovery pushes lists to it. What it has counts as notified to the router.
 type agent struct {
 	r       *instance
 	entries []balance.EndpointEntry // as it was sent last
@@ -95,7 +95,7 @@
 	lost    bool          // what it had to tell did not arrive
 }
 
-// told is how long after a watch's wait what it had to tell counts as told, whether or not it arrived.
+// told is how long after a watch's wait what it had to tell counts as notified, whether or not it arrived.
 const told = 2 * time.Second
 
 // cut says whether messages between the router and discovery get lost.
@@ -133,7 +133,7 @@
 }
 
 // news wakes the watch that is out. On a cut link it stays silent to the end of its wait and a while more, and the router knows
-// nothing of what counts as told to it meanwhile.
+// nothing of what counts as notified to it meanwhile.
 func (w *watcher) news(e balance.EndpointEntry) {
 	r := w.r
 	if !w.follows || w.out || w.lost {
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -172,7 +172,7 @@
 }
 
 // The lists that tell three hundred routers of draining machines are lost on cut links: a zone's routers hear nothing of them,
-// three times. What their watches had to tell counts as told, and nothing is written to a machine that leaves once the grace
+// three times. What their watches had to tell counts as notified, and nothing is written to a machine that leaves once the grace
 // behind that is over.
 func TestADrainThatIsNotHeardOfEndsSendsInTime(t *testing.T) {
 	for seed := range uint64(3) {
--- a/internal/simulation/multiprocess/view.go
+++ b/internal/simulation/multiprocess/view.go
@@ -54,7 +54,7 @@
 	_ = v.server.Close() // its only error is that of a listener that is closed
 }
 
-// hear takes over what discovery pushes, while it can reach the agent. What the agent has counts as told.
+// hear takes over what discovery pushes, while it can reach the agent. What the agent has counts as notified.
 func (v *view) hear() {
 	for {
 		select {
--- a/internal/syslog/parser/message.go
+++ b/internal/syslog/parser/message.go
@@ -14,8 +14,8 @@
 // Message is a message whose parts lie in the bytes that it was read from, and are good as long as those are.
 type Message struct {
 	Facility, Severity int
-	Time               time.Time // zero where it is not told
-	Host, App, Proc    []byte    // nil where not told
+	Time               time.Time // zero where it is missing
+	Host, App, Proc    []byte    // nil where missing
 	ID                 []byte
 	Elements           []Element
 	Text               []byte // without the byte order mark
