--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -10,9 +10,9 @@
 	pollSpacing = 150 * time.Millisecond
 	// unspacedInstances is the number of instances that may poll at one time.
 	unspacedInstances = 3
-	// maxPollDelay is the longest wait from a poll that brought no list to the next one. What changed counts as notified
-	// 6 s after discovery had it and could be reached, however the poll ended; a poll that waits for its turn takes 2
-	// s of that, and its way the rest.
+	// maxPollDelay is the longest wait from a poll that brought no list to the next one. What changed counts as
+	// notified 6 s after discovery had it and could be reached, however the poll ended; a poll that waits for its turn
+	// takes 2 s of that, and its way the rest.
 	maxPollDelay = 3500 * time.Millisecond
 )
 
@@ -45,8 +45,8 @@
 // all the same: many instances that start at once, or lose their subscriptions at once, would keep each other out for
 // good.
 //
-// An instance that waits for longer than it may go without a poll counts as notified of what it has not received. However
-// many there are, the first polls and one more each still fall within that time.
+// An instance that waits for longer than it may go without a poll counts as notified of what it has not received.
+// However many there are, the first polls and one more each still fall within that time.
 func pollSpread(config *Config) time.Duration {
 	spread := time.Duration(max(0, config.Instances-unspacedInstances)) * pollSpacing
 	if config.PollWithin > 0 {
@@ -77,9 +77,9 @@
 func (p *discoveryPoll) retryDelay(now Time, silent bool) time.Duration {
 	interval := min(p.backoff, p.drainGrace/2)
 	if silent && interval > 0 {
-		// What a silent discovery had to report counts as notified all the same, soon after, and the time in which sends
-		// must end runs. So the poll is repeated within a part of that time that leaves it its 2 s, each time: polls
-		// that are not heard cost discovery nothing.
+		// What a silent discovery had to report counts as notified all the same, soon after, and the time in which
+		// sends must end runs. So the poll is repeated within a part of that time that leaves it its 2 s, each time:
+		// polls that are not heard cost discovery nothing.
 		return interval/8 + time.Duration(p.rng.Int64N(int64(interval)))*7/8
 	}
 	// If all instances polled again at once they would overload discovery: one that was rejected doubles its backoff,
