--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -192,8 +192,8 @@
 }
 
 // A poll that was rejected only after it had been queued has spent that time: the next poll, and the 2 s that it may
-// be queued, still come within the 6 s at which a change counts as notified that came right behind the poll before. After
-// one that is rejected at once the next is not sent sooner than before.
+// be queued, still come within the 6 s at which a change counts as notified that came right behind the poll before.
+// After one that is rejected at once the next is not sent sooner than before.
 func TestPollDelayRunsFromThePoll(t *testing.T) {
 	const patience, way = 2 * time.Second, 250 * ms
 	for seed := range uint64(100) {
