--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	for _, x := range cfg.Faults {
-		if x.What == "cut" || x.What == "routers" || x.What == "suspend" || slices.Contains(fleet.RigFaults, x.What) {
+		if x.What == "cut" || x.What == "routers" || x.What == "suspend" || slices.Contains(fleet.MultiprocessFaults, x.What) {
 			return nil, fmt.Errorf("faults: %s needs more than one process: limeladder-sim rig", x.What)
 		}
 	}
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -108,8 +108,8 @@
 
 // The kinds of faults; those of processes and of ways on sockets can be played by a rig only.
 var (
-	Faults    = []string{"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers", "suspend"}
-	RigFaults = []string{"crash", "freeze", "term", "delay", "trickle", "reset", "lose"}
+	Faults             = []string{"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers", "suspend"}
+	MultiprocessFaults = []string{"crash", "freeze", "term", "delay", "trickle", "reset", "lose"}
 )
 
 // Default is brisbane-signing: three routers before banks of three, in its figures.
@@ -191,7 +191,7 @@
 	}
 	for _, f := range c.Faults {
 		known := false
-		for _, w := range append(RigFaults, Faults...) {
+		for _, w := range append(MultiprocessFaults, Faults...) {
 			known = known || w == f.What
 		}
 		if !known {
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -55,7 +55,7 @@
 // Run plays a fleet from a seed.
 func Run(cfg Config, seed uint64) (*Result, error) {
 	for _, x := range cfg.Faults {
-		if slices.Contains(RigFaults, x.What) {
+		if slices.Contains(MultiprocessFaults, x.What) {
 			return nil, fmt.Errorf("faults: %s needs processes: limeladder-sim rig", x.What)
 		}
 	}
--- a/internal/simulation/multiprocess/rig.go
+++ b/internal/simulation/multiprocess/rig.go
@@ -56,8 +56,8 @@
 	Timeline                    string // its file
 }
 
-// Rig is what is running.
-type Rig struct {
+// Driver is what is running.
+type Driver struct {
 	o       Options
 	log     *history.Log
 	net     *faultproxy.Network
@@ -98,7 +98,7 @@
 	if o.Notice == 0 {
 		o.Notice = 2 * time.Second
 	}
-	r := &Rig{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Peer{}, stop: make(chan struct{})}
+	r := &Driver{o: o, log: history.New(), net: faultproxy.New(o.Seed), points: map[string]faultproxy.Peer{}, stop: make(chan struct{})}
 	defer r.end()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 }
 
 // start builds the world and starts the routers, each once.
-func (r *Rig) start() error {
+func (r *Driver) start() error {
 	cfg := r.o.Config
 	cfg.Faults = nil // they come from here
 	var err error
@@ -125,7 +125,7 @@
 }
 
 // router prepares one: its ways, its view of discovery, its files.
-func (r *Rig) router(i int, name, site string) error {
+func (r *Driver) router(i int, name, site string) error {
 	cfg := &r.o.Config
 	p := &process{Name: name, Site: site, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, log: r.log}
 	me := faultproxy.Peer{Name: name, Site: site}
@@ -206,7 +206,7 @@
 }
 
 // doors are the ways of each site's clients to the routers of it, and to the others.
-func (r *Rig) doors() (own, others map[string][]clients.Target, err error) {
+func (r *Driver) doors() (own, others map[string][]clients.Target, err error) {
 	own, others = map[string][]clients.Target{}, map[string][]clients.Target{}
 	for _, site := range r.o.Config.Zones {
 		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
@@ -230,7 +230,7 @@
 }
 
 // play lets clients ask and the steps come, and judges what happened.
-func (r *Rig) play() (*Result, error) {
+func (r *Driver) play() (*Result, error) {
 	cfg := &r.o.Config
 	own, others, err := r.doors()
 	if err != nil {
@@ -269,7 +269,7 @@
 }
 
 // lastWords is the last line of each router's log.
-func (r *Rig) lastWords() string {
+func (r *Driver) lastWords() string {
 	var out []string
 	for _, p := range r.routers {
 		text, _ := os.ReadFile(filepath.Join(p.dir, fmt.Sprintf("log.%d", p.Life())))
@@ -284,7 +284,7 @@
 const lateness = 250 * time.Millisecond
 
 // later does something so long behind the start, unless the run is over.
-func (r *Rig) later(at time.Duration, do func()) {
+func (r *Driver) later(at time.Duration, do func()) {
 	r.steps.Add(1)
 	go func() {
 		defer r.steps.Done()
@@ -297,7 +297,7 @@
 }
 
 // step carries out a fault.
-func (r *Rig) step(f fleet.Fault) {
+func (r *Driver) step(f fleet.Fault) {
 	text := strings.TrimSpace(f.What + " " + strings.Join(f.Who, " "))
 	r.log.Add(history.ScriptStep{Text: text})
 	now := time.Since(r.begin)
@@ -337,14 +337,14 @@
 }
 
 // longest is how long a request may be on its way.
-func (r *Rig) longest() (d time.Duration) {
+func (r *Driver) longest() (d time.Duration) {
 	for _, k := range r.o.Config.Classes {
 		d = max(d, k.ClientTimeout)
 	}
 	return d
 }
 
-func (r *Rig) set(from, to string, both bool, w faultproxy.Impairment) {
+func (r *Driver) set(from, to string, both bool, w faultproxy.Impairment) {
 	r.net.SetImpairment(from, to, w)
 	if both {
 		r.net.SetImpairment(to, from, w)
@@ -363,7 +363,7 @@
 
 // trouble notes for the checks which routers' ways to clients something befalls: what they have taken may not be answered, and what
 // is asked may not come.
-func (r *Rig) trouble(from, to string, both bool, what string, length time.Duration) {
+func (r *Driver) trouble(from, to string, both bool, what string, length time.Duration) {
 	for _, p := range r.routers {
 		me := faultproxy.Peer{Name: p.Name, Site: p.Site}
 		for _, site := range r.o.Config.Zones {
@@ -377,7 +377,7 @@
 }
 
 // named are routers by name, by site, or all.
-func (r *Rig) named(names []string) (out []*process) {
+func (r *Driver) named(names []string) (out []*process) {
 	for _, p := range r.routers {
 		for _, name := range names {
 			if name == "*" || name == p.Name || name == "routers:"+p.Site {
@@ -390,7 +390,7 @@
 }
 
 // befall does something to a router's process.
-func (r *Rig) befall(p *process, f fleet.Fault, now time.Duration) {
+func (r *Driver) befall(p *process, f fleet.Fault, now time.Duration) {
 	switch f.What {
 	case "freeze":
 		p.freeze(f.For)
@@ -414,7 +414,7 @@
 }
 
 // end ends all that was started.
-func (r *Rig) end() {
+func (r *Driver) end() {
 	for _, p := range r.routers {
 		p.end()
 	}
@@ -428,7 +428,7 @@
 }
 
 // observer notes what reaches the machines.
-type observer struct{ r *Rig }
+type observer struct{ r *Driver }
 
 func (o observer) who(remote string) dialler {
 	if d, ok := o.r.by.Load(remote); ok {
@@ -450,7 +450,7 @@
 }
 
 // write leaves one timeline of the history and of each process's own log.
-func (r *Rig) write(res *Result) error {
+func (r *Driver) write(res *Result) error {
 	var lines []history.TimelineEntry
 	for _, e := range res.History {
 		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
--- a/internal/simulation/scenario/call.go
+++ b/internal/simulation/scenario/call.go
@@ -48,7 +48,7 @@
 	} {
 		functions[name] = builtin(name, func(c call) (starlark.Value, error) { return starlark.None, statement(c) })
 	}
-	for _, kind := range slices.Concat(fleet.Faults, fleet.RigFaults) {
+	for _, kind := range slices.Concat(fleet.Faults, fleet.MultiprocessFaults) {
 		functions[kind] = builtin(kind, func(c call) (starlark.Value, error) { return r.newFault(kind, c) })
 	}
 	return functions
