--- a/balance/action.go
+++ b/balance/action.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// Action is something the caller has to do, in order; the types below implement it.
+// Action is an instruction to the caller, which carries out the actions of a step in order. The types below implement
+// it.
 type Action interface{ action() }
 
 // Send starts the next attempt of a request. Attempts are numbered from 0 in the order of their sends.
 type Send struct {
 	ID       string // of the request
-	Endpoint string // the endpoint
-	NotAfter Time   // not to be written later than this: the data may be too old, or the client gone; 0 = no such limit
+	Endpoint string // ID of the endpoint
+	NotAfter Time   // latest time to write the request: later, the data may be too old or the client gone; 0 = no limit
 }
 
-// Reject is a final answer: nothing ran and a retry does no harm.
+// Reject is a final answer after which the client can safely retry: the request did not run, or running it again does
+// no harm.
 type Reject struct {
 	ID         string
 	RetryAfter time.Duration
 	Reason     RejectReason
 }
 
-// RejectReason is why a request is rejected, for the engineers on call.
+// RejectReason is the reason for a rejection, for the engineers on call.
 type RejectReason uint8
 
 // The reasons for a rejection.
 const (
-	RejectNoEndpoint RejectReason = iota // no endpoint could take it in useful time
-	RejectNoGroup                        // no endpoint is listed in its replica group
-	RejectNoPrimary                      // it needs the primary, which is not known or cannot be reached
-	RejectUnanswered                     // it was sent, and no attempt brought an answer
+	RejectNoEndpoint RejectReason = iota // no endpoint could take the request in useful time
+	RejectNoGroup                        // no endpoint is listed in the replica group of the request
+	RejectNoPrimary                      // the request needs the primary, which is not known or cannot be reached
+	RejectUnanswered                     // the request was sent, and no attempt returned an answer
 )
 
 var rejectReasonTexts = [...]string{
@@ -37,37 +39,38 @@
 	RejectUnanswered: "no attempt brought an answer",
 }
 
-// String says the reason in words.
+// String returns a description of the reason.
 func (r RejectReason) String() string { return rejectReasonTexts[r] }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that does not promise that a retry is safe: the request may have run, or its class is not
+// configured.
 type Fail struct{ ID string }
 
-// Cancel withdraws one attempt.
+// Cancel cancels an attempt of a request.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// HealthCheck asks an endpoint for a load report.
+// HealthCheck requests a load report from an endpoint.
 type HealthCheck struct{ Endpoint string }
 
-// Timer asks for a Wake.
+// Timer requests a Wake event after a delay.
 type Timer struct{ After time.Duration }
 
-// PollEndpointList subscribes to the endpoint list.
+// PollEndpointList polls discovery for the endpoint list, which also subscribes to its changes.
 type PollEndpointList struct{}
 
-// PrimaryUpdate tells whom the instance takes for a group's primary from now on, or that it has marked the one it had
-// suspect. It asks for nothing.
+// PrimaryUpdate informs the caller that the instance has found the primary of a group, or has marked the cached one
+// suspect. It requires no action.
 type PrimaryUpdate struct {
 	Group     int64
 	Endpoint  string
-	Confirmed bool
+	Confirmed bool   // false = the cached primary is suspect
 	Reason    string // why the primary is suspect
 }
 
-// LogMessage is a message for the engineers on call.
+// LogMessage is a log message for the engineers on call.
 type LogMessage struct{ Text string }
 
 func (Send) action()             {}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// never is later than any instant.
+// never is a Time later than any other.
 const never = Time(math.MaxInt64)
 
 const (
-	// tickInterval is how often pending requests and silent endpoints are looked at: below any latency objective.
+	// tickInterval is the shortest interval at which pending requests and silent endpoints are checked. It is shorter
+	// than any latency objective.
 	tickInterval = 10 * time.Millisecond
-	// pauseThreshold tells a pause, of this instance or of an endpoint, from silence: the scheduler alone may take a
-	// few ticks.
+	// pauseThreshold is the delay beyond which this instance, or an endpoint, counts as paused. Scheduling alone may
+	// delay a timer by a few ticks.
 	pauseThreshold = 5 * tickInterval
-	// activeWindow is how long a request, a reported lag or a lost health check says something of the present.
+	// activeWindow is how long a request, a reported lag or a lost health check counts as recent.
 	activeWindow = 2 * time.Second
 )
 
-// Balancer decides for one instance. It is not safe for concurrent use.
+// Balancer makes the routing decisions of one router instance. It is not safe for concurrent use.
 type Balancer struct {
 	config  Config
 	rng     *rand.Rand
 	now     Time
-	actions []Action // of the present step
+	actions []Action // of the current step
 	wake    wakeTimer
 
 	endpoints     map[string]*endpoint
 	groups        map[int64]*replicaGroup
 	sortedGroups  []*replicaGroup   // by id
-	busyEndpoints []*endpoint       // those with attempts in flight
+	busyEndpoints []*endpoint       // endpoints with attempts in flight
 	liveScratch   []*attempt        // reused by liveAttempts
 	candidates    replicaCandidates // reused by collectCandidates
 
@@ -43,14 +44,14 @@
 	throughput     throughput
 	retries        retryBudget
 	healthChecks   healthCheckBudget
-	tightestBound  time.Duration // of the bounded classes; 0 = none
+	tightestBound  time.Duration // shortest staleness bound of the bounded classes; 0 = no bounded class
 	poll           discoveryPoll
 	best           bestRank
-	suspended      map[string]bool    // endpoints that operators have taken out of service, listed or not
-	zoneCapacities map[string]float64 // the part of their capacity for which a zone's endpoints may be used, if limited
+	suspended      map[string]bool    // endpoints that operators have suspended, listed or not
+	zoneCapacities map[string]float64 // by zone: usable share of its endpoints' capacity (0 to 1); missing = unlimited
 }
 
-// New returns a balancer that has yet to see its first endpoint list. Its random draws follow from the seed.
+// New returns a balancer that has no endpoint list yet. The seed determines all its random choices.
 func New(config Config, seed uint64) (*Balancer, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -80,7 +81,8 @@
 	return b, nil
 }
 
-// Step takes what happened at now and returns what to do, in order. All events count before anything is sent.
+// Step processes the events seen up to now and returns the actions to carry out, in order. All events are processed
+// before any request is sent.
 func (b *Balancer) Step(now Time, events []Event) []Action {
 	b.wake.begin(now)
 	b.now = now
@@ -100,7 +102,7 @@
 	return b.actions
 }
 
-// handle takes in one event; what follows from it is sent at the end of the step.
+// handle updates the state for one event. Pending requests and health checks are sent at the end of the step.
 func (b *Balancer) handle(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
@@ -122,23 +124,23 @@
 	}
 }
 
-// emit adds an action to those that the step returns.
+// emit appends an action to the result of the current step.
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// log emits a line for the engineers on call.
+// log emits a log message for the engineers on call.
 func (b *Balancer) log(format string, args ...any) {
 	b.emit(LogMessage{Text: fmt.Sprintf(format, args...)})
 }
 
-// wakeTimer keeps the timer that is set, and collects during a step when something is due next.
+// wakeTimer tracks when the timer that is set fires, and determines during a step when the next step is due.
 type wakeTimer struct {
-	firesAt      Time // of the timer that is set; never = none is
-	nextDueAt    Time
-	runningSince Time // the instance was paused before this
+	firesAt      Time // when the timer that is set fires; never = no timer is set
+	nextDueAt    Time // the earliest time at which a step is needed; never = none
+	runningSince Time // end of the last pause of this instance
 }
 
-// begin starts a step. Time in which this instance did not run is neither silence nor slowness of an endpoint, so the
-// end of a pause is kept.
+// begin starts a step. It records the end of a pause of this instance, since an endpoint must not count as silent or
+// slow for time in which the instance itself did not run.
 func (t *wakeTimer) begin(now Time) {
 	if now-pauseThreshold > t.firesAt {
 		t.runningSince = now
@@ -146,17 +148,17 @@
 	t.nextDueAt = never
 }
 
-// dueAt asks for a step at the given time, or earlier.
+// dueAt requests a step at the given time, or earlier.
 func (t *wakeTimer) dueAt(at Time) { t.nextDueAt = min(t.nextDueAt, at) }
 
-// set says after which delay the instance wants to be woken, if a new timer is needed for that. There is no steady
-// tick: at hundreds of instances it would cost more than the requests. A timer may fire early, by up to a tick, and
-// counts as fired then.
-func (t *wakeTimer) set(now Time, least time.Duration) (delay time.Duration, ok bool) {
+// set returns the delay of a new timer; ok is false if none is needed. The delay is at least minDelay. There is no
+// periodic tick, since with hundreds of instances it would cost more than the requests. A timer that is due within a
+// tick counts as fired, since timers may fire up to a tick early.
+func (t *wakeTimer) set(now Time, minDelay time.Duration) (delay time.Duration, ok bool) {
 	if t.firesAt <= now+tickInterval {
 		t.firesAt = never
 	}
-	at := max(t.nextDueAt, now+least)
+	at := max(t.nextDueAt, now+minDelay)
 	if t.nextDueAt == never || at >= t.firesAt {
 		return 0, false
 	}
@@ -164,5 +166,5 @@
 	return at - now, true
 }
 
-// secondsToDuration converts a number of seconds.
+// secondsToDuration converts a number of seconds to a duration.
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/balance/config.go
+++ b/balance/config.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// FreshnessCheck says what an endpoint does with a read that its data is too old for.
+// FreshnessCheck is what an endpoint does with a read that requires more recent data than the endpoint has.
 type FreshnessCheck int
 
-// What an endpoint can do with such a read.
+// The kinds of freshness checks.
 const (
-	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
-	FreshnessCheckReject                       // it answers with a miss
-	FreshnessCheckHold                         // it waits a while, then answers with a miss
+	FreshnessCheckNone   FreshnessCheck = iota // the endpoint answers from the data it has
+	FreshnessCheckReject                       // the endpoint answers with a miss
+	FreshnessCheckHold                         // the endpoint waits for the data for a while, then answers with a miss
 )
 
 // Tenant is a customer and its quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within the quota, over all instances
+	Quota float64 // requests per second, over all instances
 }
 
-// Config is what an instance is told when it starts.
+// Config holds the settings of an instance.
 type Config struct {
-	Instances       int    // how many instances share the work
+	Instances       int    // number of instances that share the work
 	Zone            string // the zone of this instance; endpoints in it are preferred
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64       // weight of a request beyond the tenant's quota, as a part of the usual
-	TimerResolution time.Duration // the shortest time between two steps
-	PollDiscovery   bool          // the endpoint list must be polled
-	DrainGrace      time.Duration // sends to an endpoint end this long after it was told to drain; 0 = unknown
-	PollWithin      time.Duration // an instance that has not polled for this long counts as notified; 0 = no such limit
+	OverQuotaWeight float64       // weight of a request over its tenant's quota, as a multiple of its normal weight
+	TimerResolution time.Duration // minimum delay of a timer
+	PollDiscovery   bool          // whether the endpoint list has to be polled
+	DrainGrace      time.Duration // requests to an endpoint must stop this long after it starts draining; 0 = unknown
+	PollWithin      time.Duration // discovery treats an instance as notified after this long without a poll; 0 = never
 
 	FreshnessCheck      FreshnessCheck
-	ClientSessionTokens bool // session reads carry the age of the last write; otherwise the instance remembers writes
+	ClientSessionTokens bool // session reads carry the age of the last write; if false, the instance remembers writes
 
-	HealthChecks    bool    // endpoints answer health checks
-	LateRejectCost  float64 // cost of rejecting what was never sent after half of its time, as a part of its weight
-	HealthCheckCost float64 // cost of a health check, as a part of the weight of a request
-	Cancellation    bool    // attempts can be cancelled
-	RetryAfter      bool    // clients hear a Retry-After
+	HealthChecks    bool    // whether endpoints answer health checks
+	LateRejectCost  float64 // cost of rejecting an unsent request after half of its timeout, as a share of its weight
+	HealthCheckCost float64 // cost of a health check, as a share of a request's weight
+	Cancellation    bool    // whether attempts can be cancelled
+	RetryAfter      bool    // whether a rejection can carry a Retry-After
 	MaxRetryAfter   time.Duration
-	MaxAttempts     int // attempts for one request; 0 = no limit
+	MaxAttempts     int // attempts per request; 0 = no limit
 
-	SlowStartFrom    float64       // an endpoint that has just started has at least this part of its capacity
-	SlowStartWindow  time.Duration // and all of it after this time
-	OverloadMultiple float64       // more than this multiple of its present capacity
-	OverloadWindow   time.Duration // for this time overloads it until it fails
-	SoftRemoval      bool          // only an entry that says draining forbids sends
+	SlowStartFrom    float64       // minimum capacity of a just started endpoint, as a share of its full capacity
+	SlowStartWindow  time.Duration // time after its start at which an endpoint has its full capacity
+	OverloadMultiple float64       // load, as a multiple of its current capacity, under which an endpoint fails in time
+	OverloadWindow   time.Duration // how long an endpoint withstands more load than OverloadMultiple
+	SoftRemoval      bool          // only EndpointDraining forbids sends; a removed endpoint may still get them
 }
 
-// ConfigError says which settings cannot be served. It names them by the words that users of the configuration know,
-// which are not always those of the fields.
+// ConfigError reports invalid settings. Settings holds their names in the configuration file, which are not always
+// those of the fields of Config.
 type ConfigError struct {
 	Settings string
 	Reason   string
@@ -66,7 +66,7 @@
 	return &ConfigError{Settings: settings, Reason: fmt.Sprintf(format, args...)}
 }
 
-// check returns a *ConfigError if a setting cannot be served.
+// check returns a *ConfigError if a setting is invalid.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
 		return invalid("Classes", "none given")
@@ -77,7 +77,7 @@
 	if !isShare(c.SlowStartFrom) {
 		return invalid("ColdFrom", "%v is no share", c.SlowStartFrom)
 	}
-	if c.shortestTime() < 0 {
+	if c.minDuration() < 0 {
 		return invalid("DrainGrace, AskWithin, ColdFor, FallFor, Resolution, MaxRetryAfter", "a time is negative")
 	}
 	windowMissing := c.OverloadMultiple > 0 && c.OverloadWindow == 0
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// shortestTime is the least of the times in the configuration, so that it shows whether one is negative.
-func (c *Config) shortestTime() time.Duration {
+// minDuration returns the shortest duration in the configuration; it is negative if any of them is.
+func (c *Config) minDuration() time.Duration {
 	return min(c.DrainGrace, c.PollWithin, c.SlowStartWindow, c.OverloadWindow, c.TimerResolution, c.MaxRetryAfter)
 }
 
-// checkClasses returns a *ConfigError if a setting of a class cannot be served.
+// checkClasses returns a *ConfigError if a setting of a class is invalid.
 func (c *Config) checkClasses() error {
 	seen := map[string]bool{}
 	for _, class := range c.Classes {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// check returns a *ConfigError if a setting of the class cannot be served.
+// check returns a *ConfigError if a setting of the class is invalid.
 func (c *Class) check() error {
 	boundMissing := c.Consistency == ConsistencyBounded && c.MaxStaleness <= 0
 	switch {
@@ -134,10 +134,10 @@
 	return nil
 }
 
-// isShare says whether a setting is a number from 0 to 1; NaN is none.
+// isShare reports whether a setting is a number from 0 to 1. NaN is not.
 func isShare(value float64) bool { return value >= 0 && value <= 1 }
 
-// anyNegative says whether one of the values is negative or NaN.
+// anyNegative reports whether any of the values is negative or NaN.
 func anyNegative(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0) {
@@ -147,10 +147,10 @@
 	return false
 }
 
-// instances is the number of instances that share the endpoints' capacity.
+// instances returns the number of instances that share the endpoints' capacity.
 func (c *Config) instances() float64 { return float64(c.Instances) }
 
-// tightestBound is the shortest staleness bound of a bounded class; 0 = no class is bounded.
+// tightestBound returns the shortest staleness bound of the bounded classes, or 0 if there is no bounded class.
 func (c *Config) tightestBound() time.Duration {
 	tightest := time.Duration(0)
 	for _, class := range c.Classes {
@@ -164,5 +164,5 @@
 	return tightest
 }
 
-// MaxAttempts is how many attempts a request may have; 0 = any number.
+// MaxAttempts returns the maximum number of attempts per request; 0 = no limit.
 func (b *Balancer) MaxAttempts() int { return b.config.MaxAttempts }
--- a/balance/eligibility.go
+++ b/balance/eligibility.go
@@ -1,24 +1,24 @@
 package balance
 
-// eligibility says whether an endpoint may be sent a request now, and if not, why.
+// eligibility is whether a request may be sent to an endpoint now, and if not, why.
 type eligibility uint8
 
 const (
 	eligible             eligibility = iota
 	inOtherGroup                     // the endpoint does not have the request's data
-	alreadyAnswered                  // nothing is owed any more
-	attemptInFlight                  // one attempt at a time
-	endpointSuspended                // operators have taken it out of service
-	endpointNotReady                 // it drains or is gone
+	alreadyAnswered                  // the request has its final answer
+	attemptInFlight                  // the request already has an attempt in flight
+	endpointSuspended                // operators have suspended the endpoint
+	endpointNotReady                 // the endpoint is draining or removed
 	repeatUnsafe                     // the request may have run and must not run twice
-	idempotencyExpired               // the endpoint would no longer discard a repeat, or never would
-	dataTooOld                       // its data is not recent enough
-	recoveryNotDue                   // it is suspect, and not to be tried now
-	writeTooRisky                    // it is suspect, and the request must not run twice
-	concurrencyExhausted             // the concurrency limit is reached
-	backingOff                       // it has rejected an attempt, or refused a connection, just now
-	zoneClosed                       // the zone may not be used
-	creditExhausted                  // the work credit does not cover the request
+	idempotencyExpired               // the endpoint does not discard a repeat, or no longer does
+	dataTooOld                       // the endpoint's data is not recent enough
+	recoveryNotDue                   // the endpoint is suspect, and no recovery attempt is due
+	writeTooRisky                    // the endpoint is suspect, and the request must not run twice
+	concurrencyExhausted             // the endpoint's concurrency limit is reached
+	backingOff                       // the endpoint has just rejected an attempt or refused a connection
+	zoneClosed                       // the endpoint's zone has a capacity share of 0
+	creditExhausted                  // the endpoint's work credit does not cover the request
 )
 
 var eligibilityTexts = [...]string{
@@ -39,10 +39,10 @@
 	creditExhausted:      "credit exhausted",
 }
 
-// String names the reason.
+// String returns a description of the reason.
 func (e eligibility) String() string { return eligibilityTexts[e] }
 
-// eligibility is the one place that every send passes: it says whether the endpoint may be sent the request now.
+// eligibility checks whether the request may be sent to the endpoint now. Every send passes this check.
 func (b *Balancer) eligibility(request *request, endpoint *endpoint) eligibility {
 	if reason := request.sendable(endpoint.group); reason != eligible {
 		return reason
@@ -64,7 +64,7 @@
 	return b.capacityFor(request, endpoint)
 }
 
-// sendable says whether an endpoint of the group may get the request at all.
+// sendable checks whether the request may be sent to any endpoint of the group.
 func (q *request) sendable(group *replicaGroup) eligibility {
 	switch {
 	case group != q.group:
@@ -77,7 +77,7 @@
 	return eligible
 }
 
-// repeatable says whether a request that may have run would not run a second time at the endpoint.
+// repeatable checks that a request that may have run can be repeated at the endpoint without running twice.
 func (q *request) repeatable(endpoint *endpoint, now Time) eligibility {
 	switch q.class.Idempotency {
 	case NonIdempotent:
@@ -93,7 +93,7 @@
 	return eligible
 }
 
-// dataRecentEnough says whether the endpoint has the data that a session read or a bounded read has to see.
+// dataRecentEnough reports whether the endpoint has the data that a session read or a bounded read requires.
 func (b *Balancer) dataRecentEnough(request *request, endpoint *endpoint) bool {
 	switch request.class.Consistency {
 	case ConsistencySession, ConsistencyBounded:
@@ -102,7 +102,7 @@
 	return true
 }
 
-// capacityFor says whether the endpoint can take the request, however recent its data.
+// capacityFor checks whether the endpoint can take the request, regardless of the age of its data.
 func (b *Balancer) capacityFor(request *request, endpoint *endpoint) eligibility {
 	if endpoint.health.suspect {
 		if reason := b.suspectEligibility(request, endpoint); reason != eligible {
@@ -124,10 +124,10 @@
 	return eligible
 }
 
-// suspectEligibility says whether a suspect endpoint may be tried with the request. What a silent endpoint takes is
-// lost, so it gets one recovery attempt at a time, after a health check has been answered. A write that must not run
-// twice is tried only where the endpoint has been the primary since, or cannot be reached, so that the write would
-// not run at all.
+// suspectEligibility checks whether the request may be used as a recovery attempt at a suspect endpoint. Requests sent
+// to a silent endpoint are lost, so it gets one recovery attempt at a time, after it has answered a health check. A
+// write that must not run twice is sent only if the endpoint has been observed as the primary since it became suspect,
+// or is unreachable, so that the write would not run at all.
 func (b *Balancer) suspectEligibility(request *request, endpoint *endpoint) eligibility {
 	health := &endpoint.health
 	tooSoon := endpoint.hasLiveAttempt() || b.now < health.recoveryAt
@@ -141,8 +141,8 @@
 	return eligible
 }
 
-// recoveryAwaitsReport says that a recovery attempt has to wait for the answer to a health check. A primary that only
-// this instance cannot reach is tried without one: nothing else takes its writes.
+// recoveryAwaitsReport reports whether a recovery attempt has to wait for the answer to a health check. An attempt at a
+// primary that only this instance cannot reach does not wait, since no other endpoint accepts its writes.
 func (b *Balancer) recoveryAwaitsReport(endpoint *endpoint) bool {
 	if !b.config.HealthChecks || endpoint.health.reportedSinceAttempt {
 		return false
--- a/balance/event.go
+++ b/balance/event.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Time is an instant on the caller's clock, counted from any fixed origin. Replication positions are instants too.
+// Time is an instant on the caller's clock: the duration since a fixed origin of the caller's choice. Replication
+// positions are instants too.
 type Time = time.Duration
 
-// Event is something that happened; the types below implement it.
+// Event is an input to [Balancer.Step]. The types below implement it.
 type Event interface{ event() }
 
-// EndpointState is the lifecycle of an endpoint as discovery tells it.
+// EndpointState is the lifecycle state of an endpoint as reported by discovery.
 type EndpointState int
 
 // The states of an endpoint.
 const (
-	EndpointRemoved  EndpointState = 0 // removed
+	EndpointRemoved  EndpointState = 0 // no longer listed
 	EndpointReady    EndpointState = 1 // may be sent requests
-	EndpointDraining EndpointState = 2 // finishes what it has and must get nothing new
+	EndpointDraining EndpointState = 2 // finishes the requests it has and must not get new ones
 )
 
-// EndpointListKind says how to read an EndpointList.
+// EndpointListKind is the kind of an EndpointList.
 type EndpointListKind int
 
 // The kinds of an endpoint list.
 const (
-	ListDelta  EndpointListKind = iota // only what changed
-	ListFull                           // everything
-	ListCached                         // everything, as it was when the instance last ran
+	ListDelta  EndpointListKind = iota // only the changed entries
+	ListFull                           // all entries
+	ListCached                         // all entries, as they were when the instance last ran
 	ListFailed                         // a poll failed or the subscription broke
-	ListSilent                         // the same, and discovery was not heard, or said nothing that can be believed
+	ListSilent                         // like ListFailed, and discovery sent no answer, or none that can be trusted
 )
 
 // EndpointEntry is one endpoint in an endpoint list.
@@ -36,47 +37,47 @@
 	Zone      string
 	Group     int64
 	State     EndpointState
-	Primary   bool // discovery calls it the primary of its group
-	StartedAt Time // the last start; 0 = long ago
+	Primary   bool // discovery reports it as the primary of its group
+	StartedAt Time // when it last started; 0 = long ago
 }
 
-// EndpointList is an endpoint list, or a change of it, as discovery says it.
+// EndpointList is an endpoint list from discovery, or a change to it.
 type EndpointList struct {
 	Kind    EndpointListKind
 	Entries []EndpointEntry
 }
 
-// Request is a new request. Exactly one final answer is owed.
+// Request is a new request. Each request gets exactly one final answer.
 type Request struct {
 	ID                string
 	Class             string
 	Tenant            string
 	Group             int64
-	SessionID         int64         // the session; 0 = none
-	TimeLeft          time.Duration // how long the client still waits
-	SinceSessionWrite time.Duration // age of the session's last write; 0 = none
-	EstimatedWork     time.Duration // expected work; 0 = unknown
-	Retry             bool          // the client sends the same request again
-	PriorAttempts     int           // attempts that it has used before, none of which ran
+	SessionID         int64         // 0 = no session
+	TimeLeft          time.Duration // until the client times out
+	SinceSessionWrite time.Duration // age of the session's last write; 0 = no write
+	EstimatedWork     time.Duration // expected work of the request; 0 = unknown
+	Retry             bool          // whether this is a retry by the client
+	PriorAttempts     int           // attempts used before the request was submitted again; none of them ran
 }
 
-// Status is how an attempt or a health check ended.
+// Status is the outcome of an attempt or a health check.
 type Status int
 
-// How an attempt or a health check can end.
+// The outcomes of an attempt or a health check.
 const (
-	StatusDone          Status = iota // served
+	StatusDone          Status = iota // the request was served
 	StatusError                       // answered with an error; may have run
-	StatusBusy                        // rejected unseen
+	StatusBusy                        // rejected without being processed
 	StatusTimedOut                    // may have run
 	StatusConnectFailed               // never ran
 	StatusReset                       // may have run
 	StatusCancelled                   // may have run
 	StatusNotSent                     // never sent
-	StatusMiss                        // sent back untouched: wrong role, or data too old
+	StatusMiss                        // not processed: the endpoint has the wrong role, or its data is too old
 )
 
-// answered says that the endpoint itself has answered.
+// answered reports whether the endpoint itself has answered.
 func (s Status) answered() bool {
 	switch s {
 	case StatusDone, StatusError, StatusBusy, StatusMiss:
@@ -85,10 +86,10 @@
 	return false
 }
 
-// reachedEndpoint says that the request has reached the endpoint, or may have.
+// reachedEndpoint reports whether the request has reached the endpoint, or may have.
 func (s Status) reachedEndpoint() bool { return s != StatusConnectFailed && s != StatusNotSent }
 
-// mayHaveRun says that the request may have run, or may still run, though its outcome is not known.
+// mayHaveRun reports whether the outcome of the request is unknown: it may have run, or may still run.
 func (s Status) mayHaveRun() bool {
 	switch s {
 	case StatusError, StatusTimedOut, StatusReset, StatusCancelled:
@@ -97,61 +98,61 @@
 	return false
 }
 
-// Role is what an answer or a load report says of its sender.
+// Role is the role that an endpoint reports in an answer or a load report.
 type Role int
 
 // The roles of an endpoint.
 const (
-	RoleUnknown Role = iota // it says nothing of its role
-	RolePrimary             // it takes the writes of its group
-	RoleReplica             // it takes no writes
+	RoleUnknown Role = iota // no role was reported
+	RolePrimary             // accepts the writes of its group
+	RoleReplica             // does not accept writes
 )
 
-// AttemptResult ends one attempt.
+// AttemptResult reports the end of an attempt.
 type AttemptResult struct {
 	ID       string // of the request
-	Attempt  int
-	Endpoint string // the endpoint
+	Attempt  int    // number of the attempt; see Send
+	Endpoint string // ID of the endpoint
 	Status   Status
 	Elapsed  time.Duration
-	Finished bool // the request is answered
+	Finished bool // whether the client has its final answer
 	Role     Role
-	Position Time // the replication position, an instant on the caller's clock; 0 = unknown
+	Position Time // replication position of the endpoint; 0 = unknown
 }
 
-// HealthCheckResult ends one health check.
+// HealthCheckResult reports the end of a health check.
 type HealthCheckResult struct {
-	Endpoint string // the endpoint
+	Endpoint string // ID of the endpoint
 	Status   Status
 	Elapsed  time.Duration
 	Role     Role
-	Position Time // 0 = unknown
+	Position Time // replication position of the endpoint; 0 = unknown
 }
 
-// ClientDisconnected says that the client has disconnected; nothing is owed any more.
+// ClientDisconnected reports that the client of a request has disconnected. The request needs no answer any more.
 type ClientDisconnected struct{ ID string }
 
-// FirstByte says that a response has begun to stream: its attempt has no deadline any more.
+// FirstByte reports that a response has begun to stream. From then on the request has no deadline.
 type FirstByte struct {
 	ID      string
 	Attempt int
 }
 
-// Suspend takes an endpoint out of service, whatever discovery says of it, or lets it back in. It may come again, and
-// for an endpoint that is not listed yet.
+// Suspend suspends or resumes an endpoint, regardless of its state in discovery. It may be repeated, and may name an
+// endpoint that is not listed yet.
 type Suspend struct {
 	Endpoint  string
 	Suspended bool
 }
 
-// ZoneCapacity limits the endpoints of a zone to a part of their capacity: 0 = not at all, 1 = as usual. A zone that
-// returns is ramped up with it.
+// ZoneCapacity limits the endpoints of a zone to a share of their capacity, from 0 (not used) to 1 (no limit). A zone
+// that recovers is ramped up with it.
 type ZoneCapacity struct {
 	Zone  string
 	Share float64
 }
 
-// Wake is a Timer that ran out.
+// Wake reports that a Timer has fired.
 type Wake struct{}
 
 func (EndpointList) event()       {}
--- a/balance/expiry.go
+++ b/balance/expiry.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// expiryDelay is how long an endpoint that is gone is remembered.
+	// expiryDelay is how long a removed endpoint is kept.
 	expiryDelay = time.Minute
-	// softRemovalExpiryDelay is the same where removal is soft. One that has died is listed as gone until it is back,
-	// and what was known of it still holds then.
+	// softRemovalExpiryDelay is the same with Config.SoftRemoval, where a crashed endpoint is listed as removed until
+	// it is back. What is known of it is still valid then.
 	softRemovalExpiryDelay = 10 * time.Minute
 )
 
-// expire drops, once a second, what would add up for ever: endpoints that are gone, groups without endpoints, and
-// commits that all endpoints of their group are known to have applied. An endpoint that has only left the list may
-// come back where removal is soft, so it is kept for longer.
+// expire deletes state that would otherwise accumulate: removed endpoints, groups without endpoints, and session
+// commits that all endpoints of their group are known to have applied. It is called once a second. With
+// Config.SoftRemoval a removed endpoint may come back, so it is kept for longer.
 func (b *Balancer) expire() {
 	for _, class := range b.classes {
 		class.expire(b.config.hasFractionalShare())
@@ -35,7 +35,8 @@
 	}
 }
 
-// expireEndpoints drops the endpoints of the group that have been gone for the delay and have nothing in flight.
+// expireEndpoints deletes the endpoints of the group that were removed at least the delay ago and have no attempts in
+// flight.
 func (b *Balancer) expireEndpoints(group *replicaGroup, delay time.Duration) {
 	group.endpoints = slices.DeleteFunc(group.endpoints, func(endpoint *endpoint) bool {
 		if endpoint.discovery.state != EndpointRemoved || len(endpoint.inFlight) > 0 {
@@ -49,7 +50,7 @@
 	})
 }
 
-// expireGroups drops the groups without endpoints and without pending requests.
+// expireGroups deletes the groups without endpoints and without pending requests.
 func (b *Balancer) expireGroups() {
 	b.sortedGroups = slices.DeleteFunc(b.sortedGroups, func(group *replicaGroup) bool {
 		if len(group.endpoints) > 0 || len(group.pending) > 0 {
--- a/balance/long_read.go
+++ b/balance/long_read.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// longReadBoundShare is the part of the staleness bound beyond which a read is long: a replica applies no commits
-	// while it runs.
+	// longReadBoundShare is the share of the staleness bound that a read has to exceed to count as long: a replica
+	// applies no commits while it runs a long read.
 	longReadBoundShare = 0.33
-	// longReadFactor is by how much a long read costs more than a bounded one, at least. Of so many of its times a
-	// replica is left to it for one, and to bounded reads for the others. And a replica that is behind by more than
-	// so many long reads would not be of use to bounded reads soon.
+	// longReadFactor is the minimum cost of a long read as a multiple of the cost of a bounded read. It also sets the
+	// spacing of long reads while bounded reads are short of capacity: one per so many times its own duration, so that
+	// a replica is left to bounded reads in between. And a replica that lags by more than the staleness bound and the
+	// duration of so many long reads is not expected to be recent enough for bounded reads soon.
 	longReadFactor = 4
 )
 
-// boundedReadShortage is the weight of bounded reads that no endpoint of a group could take, forgotten over the
-// active window.
+// boundedReadShortage is the total weight of the bounded reads that no endpoint of a group could take, decaying
+// exponentially over the active window.
 type boundedReadShortage struct {
 	weight    float64
 	countedAt Time
 }
 
-// at is what is left of the shortage now.
+// at returns the decayed weight at the given time.
 func (s *boundedReadShortage) at(now Time) float64 {
 	return s.weight * math.Exp(-(now-s.countedAt).Seconds()/activeWindow.Seconds())
 }
 
-// add counts a bounded read that was given up.
+// add adds the weight of a bounded read that was given up.
 func (s *boundedReadShortage) add(weight float64, now Time) {
 	s.weight = s.at(now) + weight
 	s.countedAt = now
@@ -35,14 +36,15 @@
 
 // longReadPacing spaces the long reads of a group while its bounded reads find no endpoint.
 type longReadPacing struct {
-	nextAt Time // the next long read may go then; 0 = not drawn yet
+	nextAt Time // earliest time of the next long read; 0 = not drawn yet
 }
 
-// isLongRead says that reads of a class hold up replication for longer than other reads can bear.
+// isLongRead reports whether reads of a class delay replication for longer than bounded reads tolerate.
 //
-// Where no class is bounded no read is hurt by that; taken for a bound of 0, all reads would go to the last replica
-// of each group. Reads that take about as long as bounded ones hold up replication no longer than these do anywhere;
-// kept apart all the same, they and the bounded reads there would crowd some replicas while others idle.
+// Where no class is bounded, no read suffers from the delay, so no read is long: with a bound of 0 all ConsistencyAny
+// reads would count as long and go to the last replica of each group. Reads that take about as long as bounded reads
+// are not long either: they delay replication no more than the bounded reads do on any replica, and keeping them apart
+// would overload some replicas while others are idle.
 func (b *Balancer) isLongRead(class *classState) bool {
 	if class.Consistency != ConsistencyAny || b.tightestBound == 0 {
 		return false
@@ -61,9 +63,9 @@
 	return true
 }
 
-// longReadCandidates picks the replicas for a long read of those that can take it: the last by id, the same at all
-// instances. Long reads spread over all replicas, by each instance as it sees them, would leave none that is recent
-// enough for bounded reads. The candidates may name a replica twice, and the result too.
+// longReadCandidates returns the replicas for a long read among the candidates: the last ones by id, which are the same
+// at all instances. If each instance spread long reads over all replicas, no replica would be recent enough for bounded
+// reads. The candidates may contain a replica twice, and so may the result.
 func (b *Balancer) longReadCandidates(group *replicaGroup, candidates []*endpoint) []*endpoint {
 	assigned := b.longReadReplicas(group)
 	chosen := slices.DeleteFunc(slices.Clone(candidates), func(candidate *endpoint) bool {
@@ -75,11 +77,12 @@
 	return chosen
 }
 
-// longReadReplicas are the replicas of a group that take its long reads.
+// longReadReplicas returns the replicas of a group that take its long reads: usually one.
 //
-// Where the share of an instance is under one attempt no limit makes long reads spill over. They would wait in one
-// replica's queue, of all instances together, until they time out, while others idle. There they get as large a part
-// of the group as long reads are of the work: that is the same at each instance, whatever traffic it has.
+// Where an instance's share of an endpoint is under one attempt, the concurrency limit does not make long reads spill
+// over to other replicas. The long reads of all instances would wait in the queue of one replica until they time out,
+// while other replicas are idle. There long reads get a share of the replicas equal to their share of the work, which
+// is about the same at each instance, however much traffic it has.
 func (b *Balancer) longReadReplicas(group *replicaGroup) []*endpoint {
 	var replicas []*endpoint
 	for _, endpoint := range group.endpoints {
@@ -94,11 +97,11 @@
 	return replicas[max(0, len(replicas)-count):]
 }
 
-// longReadShare is the part of the work asked of this instance that long reads are.
+// longReadShare returns the share of long reads in the work that is requested from this instance.
 func (b *Balancer) longReadShare() float64 {
 	long := 0.0
 	all := 0.0
-	for _, configured := range b.config.Classes { // in their order: sums in another order differ
+	for _, configured := range b.config.Classes { // in the configured order, since floating-point sums depend on it
 		class := b.classes[configured.Name]
 		work := class.arrivals * class.serviceTime
 		all += work
@@ -109,19 +112,20 @@
 	return long / max(all, math.SmallestNonzeroFloat64)
 }
 
-// defersToBoundedReads says that a long read leaves the endpoint to bounded reads of the group that were rejected
-// lately.
+// defersToBoundedReads reports whether a long read has to leave the endpoint to bounded reads of the group, because
+// bounded reads were rejected lately.
 //
-// While a replica runs a long read it applies nothing, so it is lost to all bounded reads of its group. They have
-// many times as much weight for their work, and where other endpoints are lost, crowded or warming up they are
-// rejected for want of it. What all instances have rejected is about what this one has, times their number; a long
-// read goes where that has less weight than it in the time it takes, and of all instances one goes in longReadFactor
-// of it, since nothing else shows that there is capacity again.
+// While a replica runs a long read it applies no commits, so no bounded read of its group can use it. Bounded reads
+// have many times the weight of a long read for the same work, and are rejected for lack of a replica where other
+// endpoints are lost, overloaded or warming up. The weight rejected by all instances is estimated as the weight
+// rejected by this instance times the number of instances. A long read is sent if it has more weight than the bounded
+// reads that would be rejected while it runs. In addition, all instances together send one long read per longReadFactor
+// times its duration, since nothing else would show that there is capacity again.
 //
-// An instance whose share is under one attempt sees a rejection of a group now and then, and would hold back a few of
-// very many long reads: that frees no replica. There long reads have a part of the group of their own
-// (longReadReplicas). And where the log is applied too slowly whoever reads, as on a slow machine, holding long reads
-// back gains nothing.
+// An instance whose share of an endpoint is under one attempt sees only occasional rejections in a group, and would
+// hold back a few of very many long reads, which frees no replica. There long reads have replicas of their own
+// (longReadReplicas). Where a replica applies the log too slowly even without long reads, for example on a slow
+// machine, holding long reads back gains nothing.
 func (b *Balancer) defersToBoundedReads(request *request, endpoint *endpoint) bool {
 	group := request.group
 	class := request.class
@@ -132,21 +136,21 @@
 		return false
 	}
 	interval := b.config.instances() * longReadFactor * class.serviceTime
-	if group.longReads.nextAt == 0 { // drawn, so that instances do not all send their first
+	if group.longReads.nextAt == 0 { // random, so that instances do not all send their first long read at once
 		group.longReads.nextAt = b.now + secondsToDuration(interval*b.rng.Float64())
 	}
-	lost := group.shortage.at(b.now) / activeWindow.Seconds() * b.config.instances() * class.serviceTime
-	soonRecent := endpoint.replication.lag <= b.tightestBound+secondsToDuration(longReadFactor*class.serviceTime)
-	worthMore := lost > request.weight && soonRecent
-	if worthMore && b.now < group.longReads.nextAt {
+	lostWeight := group.shortage.at(b.now) / activeWindow.Seconds() * b.config.instances() * class.serviceTime
+	recentSoon := endpoint.replication.lag <= b.tightestBound+secondsToDuration(longReadFactor*class.serviceTime)
+	boundedReadsFirst := lostWeight > request.weight && recentSoon
+	if boundedReadsFirst && b.now < group.longReads.nextAt {
 		return true
 	}
 	group.longReads.nextAt = b.now + secondsToDuration(interval*(0.5+b.rng.Float64()))
 	return false
 }
 
-// recordShortage notes that a request is given up. What is given up while the group has no primary says nothing of
-// capacity.
+// recordShortage records that a request is given up, if it is a bounded read that never reached an endpoint. Requests
+// that are given up while the group has no primary are not counted, since they are not a sign of missing capacity.
 func (b *Balancer) recordShortage(request *request) {
 	if request.reached || request.class.Consistency != ConsistencyBounded {
 		return
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// handleOutcome records how an attempt ended, and answers, closes or retries its request.
+// handleOutcome records the outcome of an attempt, and closes, retries or abandons its request.
 func (b *Balancer) handleOutcome(outcome AttemptResult) {
 	request := b.requests[outcome.ID]
 	if request == nil {
@@ -18,7 +18,7 @@
 	endpoint.removeInFlight(attempt)
 	position := outcome.Position
 	if outcome.Status == StatusDone && request.class.isWrite() {
-		b.rememberCommit(request, cmp.Or(position, b.now)) // a commit without a position is taken as late as it can be
+		b.rememberCommit(request, cmp.Or(position, b.now)) // without a position, the latest possible one is assumed
 		position -= commitRounding
 	}
 	b.observeResponse(attempt, outcome.Role, position)
@@ -38,8 +38,8 @@
 	b.retryOrAbandon(request, outcome.Status.retryCost())
 }
 
-// retryCost is what a retry after this status takes from the retry budget. A rejected attempt and a miss have cost
-// the endpoint nothing.
+// retryCost returns the cost of a retry after this status, in tokens of the retry budget. After a rejected attempt or a
+// miss a retry is free, since these cost the endpoint nothing.
 func (s Status) retryCost() float64 {
 	if s == StatusMiss || s == StatusBusy {
 		return 0
@@ -47,9 +47,9 @@
 	return 1
 }
 
-// observeResponse takes in the role and the position that an answer tells. A primary that hands over misses new
-// writes, yet ends older ones and still answers reads. So a role is observed for the time of the send, and a read
-// does not restore what a miss has taken.
+// observeResponse records the role and the position that a response reports. During a handover the old primary answers
+// new writes with a miss, but still completes older writes and serves reads. So the role of primary is recorded for the
+// time at which the attempt was sent, and a read does not restore the role after a miss.
 func (b *Balancer) observeResponse(attempt *attempt, role Role, position Time) {
 	endpoint := attempt.endpoint
 	switch role {
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordStatus records what the end of an attempt says of its endpoint.
+// recordStatus updates the state of the endpoint with the outcome of an attempt.
 func (b *Balancer) recordStatus(attempt *attempt, outcome AttemptResult) {
 	request := attempt.request
 	endpoint := attempt.endpoint
@@ -85,7 +85,7 @@
 		endpoint.limit.recordRejection(b.now, backOffUntil, b.config.minLimit())
 	case StatusError:
 		b.recordFailure(endpoint)
-	case StatusConnectFailed: // nothing ran: the same endpoint again, but not at once
+	case StatusConnectFailed: // the request did not run; the endpoint may be retried, but not at once
 		endpoint.limit.backOff(backOffUntil)
 		endpoint.health.unreachableAgain = endpoint.health.unreachableAgain || endpoint.health.suspect
 		endpoint.health.refusedConnections++
@@ -93,15 +93,15 @@
 	case StatusReset:
 		b.recordBrokenConnection(endpoint)
 	case StatusTimedOut:
-		// When clients give up, the served attempts alone would hide the overload: this one took the objective or
-		// more. An attempt on a connection that has fallen silent says nothing of load.
+		// Once attempts time out, the latency of served attempts alone would hide the overload, so a timeout counts as
+		// an attempt that took the latency objective or longer. A timeout on a silent connection is not a sign of load.
 		if !attempt.connectionLost {
 			b.adaptLimit(endpoint, max(1, request.class.objectiveShare(outcome.Elapsed)))
 		}
 	}
 }
 
-// recordMiss notes that the endpoint has sent the request back untouched: it is no primary, or too far behind.
+// recordMiss records a miss: the endpoint is not the primary, or lags too far behind for the read.
 func (b *Balancer) recordMiss(request *request, endpoint *endpoint) {
 	request.missedBy = append(request.missedBy, endpoint)
 	if request.class.isWrite() {
@@ -112,14 +112,14 @@
 	replication.observeLag(max(replication.lag, b.now-b.requiredPosition(request)+1), b.now)
 }
 
-// recordSuccess records that an endpoint has served a request, in the given time.
+// recordSuccess records that an endpoint has served a request, and the time it took.
 func (b *Balancer) recordSuccess(request *request, endpoint *endpoint, took Time) {
 	class := request.class
 	endpoint.outlier.recordSuccess()
 	endpoint.health.brokenConnections = 0
 	endpoint.health.refusedConnections = 0
 	endpoint.work.sinceMeasured += class.serviceTime
-	if b.wake.runningSince != b.now { // else the time includes a pause of this instance
+	if b.wake.runningSince != b.now { // otherwise the time includes a pause of this instance
 		class.observeLatency(took, b.config.instances())
 		b.adaptLimit(endpoint, class.objectiveShare(took))
 	}
--- a/balance/pending_queue.go
+++ b/balance/pending_queue.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// pendingRecheckDivisor says how often pending requests are looked at: again after this part of the time that they
-// have waited. What has waited long is looked at less often.
+// pendingRecheckDivisor determines when a pending request is checked again: after the time it has waited so far,
+// divided by this. The longer a request has waited, the less often it is checked.
 const pendingRecheckDivisor = 20
 
-// bestRank is the highest priority seen lately.
+// bestRank is the highest rank of any pending request lately.
 type bestRank struct {
-	rank    float64 // slowly forgotten
-	latency float64 // of such a request in the mean, seconds
+	rank    float64 // slowly decaying
+	latency float64 // mean latency of the class of that request, in seconds
 }
 
-// observe takes in the rank of a pending request.
+// observe updates the best rank with the rank of a pending request.
 func (r *bestRank) observe(request *request) {
 	if request.rank > r.rank {
 		r.rank = request.rank
@@ -25,28 +25,29 @@
 	}
 }
 
-// expire forgets a part, once a second.
+// expire decays the best rank; it is called once a second.
 func (r *bestRank) expire() { r.rank *= 1 - smoothing }
 
-// deficit is how far a request ranks below half of the best: 0 = not at all, 1 = it has no weight.
+// deficit returns how far the rank of a request is below half of the best rank: from 0 (not below it) to 1 (a rank
+// of 0).
 func (r *bestRank) deficit(request *request) float64 {
 	return max(0, 1-2*request.rank/max(r.rank, math.SmallestNonzeroFloat64))
 }
 
-// updateRank sets the priority of a pending request: its weight by the chance of an answer within the objective, per
-// work. What is sent too late only adds load.
+// updateRank sets the rank of a pending request: its expected weight, given the probability of an answer within the
+// objective, per second of work. A request that is sent too late only adds load.
 func (q *request) updateRank(now Time) {
 	inTime := 1 - math.Exp(-max(0, (q.objectiveAt-now).Seconds())/q.class.latency)
 	q.rank = q.weight / q.class.latency * (inTime + q.class.LateWeightShare*(1-inTime))
 }
 
-// compareRanks orders pending requests: the highest rank first, then the one whose objective ends first.
+// compareRanks orders pending requests by descending rank, then by the end of their objectives.
 func compareRanks(x, y *request) int {
 	return cmp.Or(cmp.Compare(y.rank, x.rank), cmp.Compare(x.objectiveAt, y.objectiveAt))
 }
 
-// dispatchPending sends the pending requests of a group that an endpoint can take now, in the order of their
-// priority, and rejects those that could no longer be answered in useful time.
+// dispatchPending sends the pending requests of a group that an endpoint can take now, in the order of their ranks,
+// and rejects or fails those that could no longer be answered in useful time.
 func (b *Balancer) dispatchPending(group *replicaGroup) {
 	if len(group.pending) == 0 {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// dispatch sends or answers a pending request, and says whether it stays pending.
+// dispatch sends or answers a pending request, and reports whether it stays pending.
 func (b *Balancer) dispatch(request *request) (pending bool) {
 	if request.answered {
 		return false
@@ -88,15 +89,15 @@
 	return false
 }
 
-// lastUsefulSend is the time from which a send could no longer bring an answer in useful time.
+// lastUsefulSend returns the time from which sending the request could no longer bring an answer in useful time.
 func (b *Balancer) lastUsefulSend(request *request) Time {
 	end := request.lastAnswer()
 	if request.class.LateWeightShare == 0 {
 		end = min(end, request.objectiveAt)
 	}
 	end -= secondsToDuration(request.class.latency / 2)
-	// A write that is pending for its primary is often served after half of its time. Giving it up then pays only
-	// where keeping it for longer, in vain, has a price.
+	// A write that waits for its primary is often served after half of its client timeout. Rejecting it by then pays
+	// off only where a later rejection has a cost.
 	rejectEarly := request.class.Idempotency == Idempotent || b.config.LateRejectCost > 0
 	if !request.reached && rejectEarly {
 		end = min(end, request.halfTime()-tickInterval)
@@ -104,7 +105,8 @@
 	return end
 }
 
-// giveUp answers a request at once. A rejection says that a retry does no harm.
+// giveUp ends a request without a response. It rejects the request if a retry by the client is safe, and fails it
+// otherwise.
 func (b *Balancer) giveUp(request *request) {
 	b.recordShortage(request)
 	if request.repeatMayRunTwice() {
@@ -115,7 +117,7 @@
 	b.closeRequest(request)
 }
 
-// rejectReason is the best that can be told of why a request is rejected now.
+// rejectReason returns the most specific known reason for rejecting the request now.
 func (q *request) rejectReason() RejectReason {
 	switch {
 	case q.class.isWrite() && q.group.primaryLost():
@@ -127,8 +129,8 @@
 	}
 }
 
-// retryAfter is what a rejected client is told to wait, wherever it can hear it: one that comes back at once meets
-// what rejected it.
+// retryAfter returns the Retry-After of a rejection: a client that retried at once would meet the cause of its
+// rejection again.
 func (b *Balancer) retryAfter(class *classState) time.Duration {
 	return min(b.config.MaxRetryAfter, class.LatencyObjective)
 }
@@ -158,8 +160,8 @@
 	b.emit(Send{ID: request.id, Endpoint: endpoint.id, NotAfter: b.writeBy(request, endpoint)})
 }
 
-// startRecoveryAttempt notes that a suspect endpoint or an outlier is tried. The next attempt waits longer, except at
-// a primary that only this instance cannot reach: nothing else takes its writes.
+// startRecoveryAttempt records a recovery attempt at a suspect endpoint or an outlier. The backoff to the next one is
+// extended, except at a primary that only this instance cannot reach, since no other endpoint accepts its writes.
 func (b *Balancer) startRecoveryAttempt(endpoint *endpoint) {
 	endpoint.health.reportedSinceAttempt = false
 	if endpoint.stillPrimaryForGroup() {
@@ -169,19 +171,19 @@
 	}
 }
 
-// writeBy is the time by which an attempt must be written to its connection; 0 = no limit. A connection that has to
-// be opened first delays the send, and what was decided now would be wrong later.
+// writeBy returns the time by which an attempt must be written to its connection; 0 = no limit. If a connection has to
+// be opened first, the send is delayed, and the decision made now may no longer be valid.
 func (b *Balancer) writeBy(request *request, endpoint *endpoint) Time {
 	by := never
-	readsCopy := request.class.Consistency == ConsistencyBounded && !endpoint.isPrimary()
-	if readsCopy && b.config.FreshnessCheck == FreshnessCheckNone {
+	readsReplica := request.class.Consistency == ConsistencyBounded && !endpoint.isPrimary()
+	if readsReplica && b.config.FreshnessCheck == FreshnessCheckNone {
 		by = min(by, endpoint.replication.position+request.class.MaxStaleness) // the bound counts from the position
 	}
 	if !request.reached {
-		by = min(by, request.halfTime()) // a request that waits for a connection is pending all the same
+		by = min(by, request.halfTime()) // until it is written, the request is as good as pending
 	}
 	if request.mayHaveRun && request.class.Idempotency == IdempotentWithKey {
-		by = min(by, request.idempotentUntil()) // later the repeat would run again, however early it was decided
+		by = min(by, request.idempotentUntil()) // later the repeat would not be discarded
 	}
 	if by == never {
 		return 0
--- a/balance/replica_selection.go
+++ b/balance/replica_selection.go
@@ -1,22 +1,22 @@
 package balance
 
-// weakReadPrimaryShare is the part of the primary's limit that weak reads may use: strong requests, which have no
-// other place, need some of it at once.
+// weakReadPrimaryShare is the share of the primary's concurrency limit that weak reads may use. The rest is kept free
+// for strong requests, which can't go elsewhere.
 const weakReadPrimaryShare = 0.75
 
-// maxReplicaMisses is how many replicas a read tries that send it back as a miss, before it goes to the primary.
+// maxReplicaMisses is the number of replicas that may answer a read with a miss before it goes to the primary.
 const maxReplicaMisses = 2
 
-// replicaCandidates are the replicas of a group that a weak read may be sent to now, in the order of preference.
+// replicaCandidates holds the replicas of a group that a weak read may be sent to now, in the order of preference.
 type replicaCandidates struct {
-	resumed *endpoint   // operators have let it back in: it goes before all others
+	resumed *endpoint   // resumed by operators: preferred over all others
 	local   []*endpoint // in the zone of this instance
 	remote  []*endpoint // in other zones
 	ejected []*endpoint // outliers: the last choice
-	missed  int         // replicas that have sent the read back
+	missed  int         // number of replicas that have answered the read with a miss
 }
 
-// reset empties the candidates, and keeps their memory for the next use.
+// reset removes all candidates, but keeps the allocated memory.
 func (c *replicaCandidates) reset() {
 	c.resumed = nil
 	c.local = c.local[:0]
@@ -25,7 +25,7 @@
 	c.missed = 0
 }
 
-// preferred are the replicas of the nearest zone.
+// preferred returns the replicas in the zone of this instance, or those in other zones if there are none.
 func (c *replicaCandidates) preferred() []*endpoint {
 	if len(c.local) == 0 {
 		return c.remote
@@ -33,7 +33,7 @@
 	return c.local
 }
 
-// selectEndpoint returns the endpoint for a request, or nil if it has to stay pending.
+// selectEndpoint returns the endpoint for a request, or nil if the request has to stay pending.
 func (b *Balancer) selectEndpoint(request *request) *endpoint {
 	if request.class.needsPrimary() {
 		return b.selectPrimary(request)
@@ -41,9 +41,9 @@
 	return b.selectReplica(request)
 }
 
-// selectReplica returns the endpoint for a weak read: an available replica, in the own zone if there is one, by a
-// random draw, else the primary if it has capacity to spare, else an outlier. It returns nil if the read has to stay
-// pending.
+// selectReplica returns the endpoint for a weak read: a random available replica, preferably in the zone of this
+// instance; else the primary, if it has spare capacity; else an ejected replica. It returns nil if the read has to
+// stay pending.
 func (b *Balancer) selectReplica(request *request) *endpoint {
 	candidates := b.collectCandidates(request)
 	if candidates.resumed != nil {
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// draw picks one of the endpoints at random.
+// draw returns a random one of the endpoints.
 func (b *Balancer) draw(endpoints []*endpoint) *endpoint {
 	return endpoints[b.rng.IntN(len(endpoints))]
 }
 
-// collectCandidates collects the replicas that the read may be sent to now. A resumed replica ends the search:
-// operators have asked for it, and its position will age again. The result is valid until the next call.
+// collectCandidates returns the replicas that the read may be sent to now. It stops at a resumed replica, since
+// operators want it to be used, and its position would become too old again. The result is valid until the next call.
 func (b *Balancer) collectCandidates(request *request) *replicaCandidates {
 	candidates := &b.candidates
 	candidates.reset()
@@ -105,9 +105,9 @@
 	return candidates
 }
 
-// requestReports notes which replicas could take the read if a report showed that they are recent enough, and says
-// whether the read should wait for one: a report comes much sooner than the primary's work is done. A report from a
-// replica that can take nothing is of no use to anyone.
+// requestReports marks the replicas that could take the read if a load report showed that their data is recent enough,
+// and reports whether the read should wait for such a report: a report arrives much sooner than the primary would
+// finish its work. Replicas that could not take the read even after a report are not marked.
 func (b *Balancer) requestReports(request *request) (expected bool) {
 	for _, endpoint := range request.group.endpoints {
 		if endpoint.isPrimary() || !endpoint.inService() {
@@ -124,7 +124,7 @@
 	return expected
 }
 
-// reportExpected says that a report of the endpoint should come soon, or can be asked for.
+// reportExpected reports whether a load report of the endpoint should arrive soon, or can be requested.
 func (b *Balancer) reportExpected(endpoint *endpoint) bool {
 	if endpoint.check.resultExpected(b.now) {
 		return true
@@ -132,7 +132,7 @@
 	return !endpoint.health.suspect && b.healthCheckAllowed(endpoint, healthCheckInterval)
 }
 
-// wasRecentEnough says that the endpoint would do for the read if it lags as it did when it last reported.
+// wasRecentEnough reports whether the endpoint could serve the read if its lag is as in its last report.
 func (b *Balancer) wasRecentEnough(request *request, endpoint *endpoint) bool {
 	if b.config.FreshnessCheck != FreshnessCheckNone {
 		return false
@@ -140,8 +140,8 @@
 	return b.now-endpoint.replication.lag >= b.requiredPosition(request)
 }
 
-// primaryTakesWeakRead says whether the primary has capacity to spare for a weak read. One that is an outlier gets
-// none if an ejected replica could take it as well.
+// primaryTakesWeakRead reports whether the primary has spare capacity for a weak read. A primary that is an outlier
+// does not get the read if an ejected replica could take it.
 func (b *Balancer) primaryTakesWeakRead(request *request, replicaEjected bool) bool {
 	cache := &request.group.primary
 	if !cache.known() || !b.hasSpareCapacity(request, cache.endpoint) {
@@ -153,8 +153,8 @@
 	return b.eligibility(request, cache.endpoint) == eligible
 }
 
-// hasSpareCapacity says whether the primary can take a weak read and keep enough of its limit and credit for strong
-// requests.
+// hasSpareCapacity reports whether the primary can take a weak read and still has enough of its concurrency limit and
+// work credit left for strong requests.
 func (b *Balancer) hasSpareCapacity(request *request, primary *endpoint) bool {
 	limit := &primary.limit
 	if b.now < limit.weakReadsFrom || float64(len(primary.inFlight)) >= max(1, weakReadPrimaryShare*limit.attempts) {
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// request is a request that is owed an answer, or whose attempts have not all ended.
+// request is a request that has no final answer yet, or whose attempts have not all ended.
 type request struct {
 	id            string
 	class         *classState
 	group         *replicaGroup
-	sessionKey    int64 // 0 = none
-	minPosition   Time  // the replication position that a session read or a read of the latest data has to see
+	sessionKey    int64 // 0 = no session
+	minPosition   Time  // the replication position that a session read or a read of the latest data requires
 	arrivedAt     Time
-	objectiveAt   Time // an answer by then has full weight
-	deadline      Time // the client disconnects then; never once a response streams
+	objectiveAt   Time // end of the latency objective: an answer by then has full weight
+	deadline      Time // the client times out then; never once a response streams
 	usefulUntil   Time // see lastUsefulSend
 	weight        float64
 	rank          float64 // priority among the pending requests of its group
 	attempts      []*attempt
-	priorAttempts int         // before it was handed in again
-	missedBy      []*endpoint // those that sent it back as a miss
-	inFlight      int         // attempts
-	answered      bool        // or the client has disconnected
-	abandoned     bool        // it is to be answered at the end of the step
+	priorAttempts int         // attempts before the request was submitted again
+	missedBy      []*endpoint // endpoints that answered with a miss
+	inFlight      int         // number of attempts in flight
+	answered      bool        // has its final answer, or the client has disconnected
+	abandoned     bool        // gets its final answer at the end of the step, without another attempt
 	reached       bool        // an attempt has reached an endpoint
-	mayHaveRun    bool        // or may be running
+	mayHaveRun    bool        // an attempt may have run, or may still be running
 	firstRunAt    Time        // when the first attempt that may have run was sent
-	firstRunZone  string
+	firstRunZone  string      // zone of the endpoint of that attempt
 }
 
 // attempt is one send of a request.
@@ -38,26 +38,26 @@
 	number         int // from 0
 	ended          bool
 	cancelled      bool
-	connectionLost bool // its connection is silent, the endpoint is not
-	streaming      bool // its response is passed on as it comes
+	connectionLost bool // its connection is silent, though the endpoint answers other attempts
+	streaming      bool // its response is being streamed to the client
 }
 
-// attemptsUsed is how many attempts a request has used.
+// attemptsUsed returns how many attempts the request has used.
 func (q *request) attemptsUsed() int { return len(q.attempts) + q.priorAttempts }
 
-// wasMissedBy says that the endpoint has sent the request back as a miss.
+// wasMissedBy reports whether the endpoint has answered the request with a miss.
 func (q *request) wasMissedBy(endpoint *endpoint) bool { return slices.Contains(q.missedBy, endpoint) }
 
-// halfTime is the last moment in which rejecting what was never sent costs nothing: half of the client's time. What
-// is pending and never sent keeps its client from asking again, of the next primary or elsewhere.
+// halfTime returns the last time at which rejecting an unsent request costs nothing, a tick before half of the client
+// timeout. While an unsent request is pending, its client can't retry it with the next primary or elsewhere.
 func (q *request) halfTime() Time {
 	return q.arrivedAt + (q.deadline-q.arrivedAt)/2 - tickInterval
 }
 
-// lastAnswer is the last moment in which an answer still reaches the client.
+// lastAnswer returns the last time at which an answer still reaches the client.
 func (q *request) lastAnswer() Time { return q.deadline - 2*tickInterval }
 
-// openAttempt returns the attempt with the number if it has not ended, else nil.
+// openAttempt returns the attempt with the given number, or nil if there is none or it has ended.
 func (q *request) openAttempt(number int) *attempt {
 	if number < 0 || number >= len(q.attempts) {
 		return nil
@@ -69,9 +69,10 @@
 	return attempt
 }
 
-// setObjective derives the objective of a new request from its class. Work for a client that retries is lost once its
-// objective has passed. Where retries are marked, a timeout below the longest one was cut by the end of all its
-// attempts, so the rest of that time has already passed.
+// setObjective sets the end of the latency objective of a new request. The objective of a client's retry counts from
+// the client's first try, since an answer after it would be late. Where retries are marked, the timeout of a retry is
+// shorter than the longest timeout of its class only if it was cut to the time that the client has left, so the
+// difference to the client timeout has already passed.
 func (q *request) setObjective(event Request, now Time) {
 	class := q.class
 	elapsed := time.Duration(0)
@@ -82,8 +83,8 @@
 	q.objectiveAt = min(q.deadline, now+class.LatencyObjective-elapsed+stretch)
 }
 
-// handleRequest queues a new request. One whose class is not configured fails, and one whose group has no endpoint is
-// rejected: a client may make up any group, and each would be kept and looked at for ever.
+// handleRequest queues a new request. A request whose class is not configured fails. A request whose group has no
+// endpoint is rejected: clients can name arbitrary groups, and the balancer would have to keep and check each of them.
 func (b *Balancer) handleRequest(event Request) {
 	class := b.classes[event.Class]
 	if class == nil {
@@ -113,7 +114,7 @@
 	request.setObjective(event, b.now)
 	group.lastRequestAt = b.now
 	class.arrivals++
-	if event.PriorAttempts == 0 { // one that is handed in again has earned its part
+	if event.PriorAttempts == 0 { // a request that is submitted again has already earned its share
 		b.healthChecks.earn()
 		b.retries.earn()
 	}
@@ -121,7 +122,7 @@
 	group.pending = append(group.pending, request)
 }
 
-// minPosition is the replication position that a new request has to see, whenever it is sent.
+// minPosition returns the replication position that a new request requires, whenever it is sent.
 func (b *Balancer) minPosition(class *classState, event Request) Time {
 	switch {
 	case class.Consistency == ConsistencyLatest:
@@ -136,15 +137,14 @@
 	return 0
 }
 
-// handleDisconnect notes that a client has disconnected.
+// handleDisconnect closes the request of a client that has disconnected.
 func (b *Balancer) handleDisconnect(event ClientDisconnected) {
 	if request := b.requests[event.ID]; request != nil {
 		b.closeRequest(request)
 	}
 }
 
-// handleFirstByte notes that a response has begun to stream. An event that names no attempt, or one that has ended,
-// says nothing of this response.
+// handleFirstByte records that a response has begun to stream. It ignores events of unknown or ended attempts.
 func (b *Balancer) handleFirstByte(event FirstByte) {
 	request := b.requests[event.ID]
 	if request == nil || request.inFlight == 0 {
@@ -160,9 +160,9 @@
 	}
 }
 
-// startStreaming notes that a response is passed on as it comes, and says whether that is news. How long the client's
-// side takes over the rest is no sign of the endpoint's load or health, and what it still gives must not be
-// cancelled: the attempt does not count among those in flight any more.
+// startStreaming records that the response is being streamed and reports whether it was not before. The attempt no
+// longer counts as in flight: the time that the client takes to read the rest is not a sign of the endpoint's load or
+// health, and a streaming response must not be cancelled.
 func (a *attempt) startStreaming(now Time) bool {
 	if a.streaming {
 		return false
@@ -173,12 +173,12 @@
 	return true
 }
 
-// removeInFlight takes an attempt out of those in flight.
+// removeInFlight removes an attempt from the attempts in flight.
 func (e *endpoint) removeInFlight(ended *attempt) {
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == ended })
 }
 
-// closeRequest notes that nothing is owed for the request any more, and drops it once its attempts have ended.
+// closeRequest marks the request as answered, and deletes it once its attempts have ended.
 func (b *Balancer) closeRequest(request *request) {
 	request.answered = true
 	if request.inFlight == 0 {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,36 +1,36 @@
 package balance
 
 const (
-	// retryBudgetPerRequest is the part of a retry that each request earns: retries cannot add more than this to an
-	// overload.
+	// retryBudgetPerRequest is the number of retries that each request adds to the budget. It limits the load that
+	// retries add to an overload.
 	retryBudgetPerRequest = 0.1
-	// maxRetryBudget is how many retries may be saved up for a sudden failure.
+	// maxRetryBudget is the number of retries that may be saved up for a sudden failure.
 	maxRetryBudget = 20.0
 )
 
-// retryBudget limits retries to a part of the requests.
+// retryBudget limits retries to a share of the requests.
 type retryBudget struct{ tokens float64 }
 
 // newRetryBudget returns a full budget.
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryBudget} }
 
-// earn adds what one request brings.
+// earn adds the share of one request to the budget.
 func (r *retryBudget) earn() { r.tokens = min(maxRetryBudget, r.tokens+retryBudgetPerRequest) }
 
-// covers says whether the budget has so much.
+// covers reports whether the budget covers the cost.
 func (r *retryBudget) covers(cost float64) bool { return r.tokens >= cost }
 
-// spend pays for a retry.
+// spend deducts the cost of a retry.
 func (r *retryBudget) spend(cost float64) { r.tokens -= cost }
 
-// idempotentUntil is until when a repeat of a request with an idempotency key is discarded if the request has run.
-// The window is counted from the first attempt that may have run.
+// idempotentUntil returns the time until which endpoints discard repeats of a request with an idempotency key. The
+// idempotency window starts with the first attempt that may have run; a tick is kept as a margin.
 func (q *request) idempotentUntil() Time {
 	return q.firstRunAt + q.class.IdempotencyWindow - tickInterval
 }
 
-// repeatMayRunTwice says that a client's retry of the request might run it a second time, so that the request must
-// not be rejected as if nothing had happened.
+// repeatMayRunTwice reports whether a client's retry could run the request a second time. Such a request must not be
+// rejected, since a rejection promises that a retry is safe.
 func (q *request) repeatMayRunTwice() bool {
 	if !q.mayHaveRun {
 		return false
@@ -44,7 +44,7 @@
 	return false
 }
 
-// recordRun notes that an attempt may have run; the first one counts.
+// recordRun records that an attempt may have run. Only the first such attempt counts.
 func (q *request) recordRun(attempt *attempt) {
 	if q.mayHaveRun {
 		return
@@ -54,9 +54,9 @@
 	q.firstRunZone = attempt.endpoint.zone
 }
 
-// retryOrAbandon queues a request again whose attempt ended without an answer, or gives it up: that is answered in
-// this step, once all events are read, since the client may have disconnected. The cost is what the retry takes from
-// the budget; a rejected attempt or a miss costs nothing.
+// retryOrAbandon queues a request again after an attempt without an answer. If a retry is not allowed, it marks the
+// request as abandoned: it is answered at the end of the step, after all events, since one of them may report that the
+// client has disconnected. The cost is deducted from the retry budget.
 func (b *Balancer) retryOrAbandon(request *request, cost float64) {
 	if request.answered || request.inFlight > 0 {
 		return
@@ -69,7 +69,7 @@
 	request.group.pending = append(request.group.pending, request)
 }
 
-// mayRetry says whether another attempt is safe, within the limit of attempts, and covered by the budget.
+// mayRetry reports whether another attempt is safe, within the limit of attempts, and covered by the retry budget.
 func (b *Balancer) mayRetry(request *request, cost float64) bool {
 	if request.mayHaveRun && request.class.Idempotency == NonIdempotent {
 		return false
