--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -13,12 +13,12 @@
 		dueAt   []Time
 		want    time.Duration // 0 = no new timer
 	}{
-		{"nothing is due", never, nil, 0},
+		{"nothing due", never, nil, 0},
 		{"due later", never, []Time{now + 80*ms, now + 50*ms}, 50 * ms},
 		{"due sooner than a tick", never, []Time{now + ms}, tickInterval},
-		{"an earlier timer is set", now + 30*ms, []Time{now + 50*ms}, 0},
-		{"a later timer is set", now + 90*ms, []Time{now + 50*ms}, 50 * ms},
-		{"the timer fired a little early", now + 5*ms, []Time{now + 50*ms}, 50 * ms},
+		{"an earlier timer already set", now + 30*ms, []Time{now + 50*ms}, 0},
+		{"a later timer already set", now + 90*ms, []Time{now + 50*ms}, 50 * ms},
+		{"the timer fires slightly early", now + 5*ms, []Time{now + 50*ms}, 50 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			timer := wakeTimer{firesAt: c.firesAt}
@@ -28,21 +28,21 @@
 			}
 			delay, ok := timer.set(now, tickInterval)
 			if delay != c.want || ok != (c.want > 0) {
-				t.Errorf("timer in %v, set %v; want %v", delay, ok, c.want)
+				t.Errorf("got delay %v, new timer %v; want delay %v", delay, ok, c.want)
 			}
 		})
 	}
 }
 
-func TestPauseOfTheInstanceIsNoticed(t *testing.T) {
+func TestInstancePauseIsDetected(t *testing.T) {
 	timer := wakeTimer{firesAt: 10 * time.Second}
 	timer.begin(10*time.Second + pauseThreshold)
 	if timer.runningSince != 0 {
-		t.Errorf("a delay of %v is taken for a pause", pauseThreshold)
+		t.Errorf("a timer delayed by %v was detected as a pause, want no pause", pauseThreshold)
 	}
 	timer.begin(12 * time.Second)
 	if timer.runningSince != 12*time.Second {
-		t.Errorf("running since %v, want the end of the pause", timer.runningSince)
+		t.Errorf("running since %v, want 12s, the end of the pause", timer.runningSince)
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// An idle instance asks for no timers: hundreds of them would cost more than the requests.
+// An idle instance sets no timers: with hundreds of instances they would cost more than the requests.
 func TestIdleInstanceIsNotWoken(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("any")
@@ -64,12 +64,13 @@
 	h.step(20*ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: 20 * ms, Finished: true})
 	for range 10 {
 		if acts := h.step(time.Second); len(actionsOf[Timer](acts)) > 0 {
-			t.Fatalf("%v, want no timer", acts)
+			t.Fatalf("got actions %v of an idle instance, want no timer", acts)
 		}
 	}
 }
 
-// A caller's clock may be coarser: a timer that fires a microsecond early must not be the last one.
+// The caller's clock may be coarser than the timers: after a timer that fires a microsecond early, the balancer must
+// set another one.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
 	acts := h.step(ms, h.request("write"))
@@ -79,9 +80,9 @@
 		}
 		timers := actionsOf[Timer](acts)
 		if len(timers) == 0 {
-			t.Fatalf("%v, want another timer", acts)
+			t.Fatalf("got actions %v, want another timer", acts)
 		}
 		acts = h.step(timers[len(timers)-1].After-time.Microsecond, Wake{})
 	}
-	t.Fatal("no final answer")
+	t.Fatal("the write has no final answer after 500 timers, want a rejection")
 }
--- a/balance/eligibility_test.go
+++ b/balance/eligibility_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each reason for which an endpoint may not get a request is told apart.
+// Each reason why an endpoint may not get a request has its own eligibility value.
 func TestEligibility(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -26,7 +26,7 @@
 		{"a write that may have run", "write", func(_ *Balancer, q *request, _ *endpoint) {
 			q.mayHaveRun = true
 		}, repeatUnsafe},
-		{"a key behind its window", "keyed", func(b *Balancer, q *request, _ *endpoint) {
+		{"a key after its window", "keyed", func(b *Balancer, q *request, _ *endpoint) {
 			q.mayHaveRun = true
 			q.firstRunAt = b.now - time.Second
 		}, idempotencyExpired},
@@ -41,7 +41,7 @@
 			e.health.suspect = true
 			e.health.recoveryAt = b.now + ms
 		}, recoveryNotDue},
-		{"suspect, no report", "any", func(_ *Balancer, _ *request, e *endpoint) {
+		{"suspect, no load report", "any", func(_ *Balancer, _ *request, e *endpoint) {
 			e.health.suspect = true
 			e.health.reportedSinceAttempt = false
 		}, recoveryNotDue},
@@ -49,12 +49,12 @@
 			e.health.suspect = true
 			e.health.reportedSinceAttempt = true
 		}, eligible},
-		{"a write for a suspect", "write", func(b *Balancer, _ *request, e *endpoint) {
+		{"a write for a suspect endpoint", "write", func(b *Balancer, _ *request, e *endpoint) {
 			e.health.suspect = true
 			e.health.suspectSince = b.now
 			e.health.reportedSinceAttempt = true
 		}, writeTooRisky},
-		{"at its limit", "any", func(_ *Balancer, _ *request, e *endpoint) {
+		{"at its concurrency limit", "any", func(_ *Balancer, _ *request, e *endpoint) {
 			e.limit.attempts = 1
 			e.inFlight = []*attempt{{}}
 		}, concurrencyExhausted},
@@ -74,7 +74,7 @@
 			endpoint := b.endpoints["b"]
 			c.set(b, request, endpoint)
 			if got := b.eligibility(request, endpoint); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	for reason := eligible; reason <= creditExhausted; reason++ {
 		text := reason.String()
 		if text == "" || seen[text] {
-			t.Errorf("reason %d: text %q is missing or there twice", reason, text)
+			t.Errorf("reason %d: text %q is empty or used before", reason, text)
 		}
 		seen[text] = true
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,9 +7,9 @@
 	"limeladder/balance"
 )
 
-// A router passes what happened and carries out the actions that come back.
+// The router passes events to Step and carries out the actions that it returns.
 func Example() {
-	router, err := balance.New(balance.Config{Instances: 1, Zone: "east", Classes: []balance.Class{
+	balancer, err := balance.New(balance.Config{Instances: 1, Zone: "east", Classes: []balance.Class{
 		{
 			Name:             "write",
 			LatencyObjective: time.Second,
@@ -22,7 +22,7 @@
 	if err != nil {
 		panic(err)
 	}
-	acts := router.Step(time.Second,
+	acts := balancer.Step(time.Second,
 		[]balance.Event{
 			balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
 				{Endpoint: "db1", Zone: "east", Group: 7, State: balance.EndpointReady},
--- a/balance/expiry_test.go
+++ b/balance/expiry_test.go
@@ -14,17 +14,18 @@
 		h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "b", Group: 1, State: EndpointRemoved}}})
 		h.step(delay - 2*time.Second)
 		if h.balancer.endpoints["b"] == nil {
-			t.Errorf("soft removal %v: forgotten before %v", soft, delay)
+			t.Errorf("soft removal %v: endpoint deleted before %v", soft, delay)
 		}
 		h.step(4 * time.Second)
 		if h.balancer.endpoints["b"] != nil {
-			t.Errorf("soft removal %v: kept for longer than %v", soft, delay)
+			t.Errorf("soft removal %v: endpoint kept for longer than %v", soft, delay)
 		}
 	}
 }
 
-// Endpoints that are replaced under new ids, and groups that clients make up, must not add up.
-func TestNothingAddsUp(t *testing.T) {
+// State must not accumulate when endpoints are replaced under new ids, when clients name unknown groups, and when many
+// sessions write.
+func TestStateDoesNotAccumulate(t *testing.T) {
 	c := testConfig()
 	c.ClientSessionTokens = false
 	h := newReadyHarness(t, c)
@@ -39,10 +40,10 @@
 				},
 			},
 		)
-		made := h.request("any")
-		made.Group = int64(1000 + i)
-		if acts := h.step(ms, made); len(actionsOf[Reject](acts)) != 1 {
-			t.Fatalf("%v", acts)
+		unknownGroup := h.request("any")
+		unknownGroup.Group = int64(1000 + i)
+		if acts := h.step(ms, unknownGroup); len(actionsOf[Reject](acts)) != 1 {
+			t.Fatalf("got actions %v for an unknown group, want one rejection", acts)
 		}
 		q := h.request("write")
 		q.SessionID = int64(i + 1)
@@ -70,9 +71,10 @@
 	if n := len(h.balancer.endpoints); n > 60 || len(h.balancer.groups) != 1 || len(h.balancer.sortedGroups) != 1 ||
 		len(h.balancer.groups[1].endpoints) != n ||
 		len(h.balancer.requests) > 9 {
-		t.Errorf("%d members, %d groups, %d requests", n, len(h.balancer.groups), len(h.balancer.requests))
+		t.Errorf("%d endpoints, %d groups, %d requests are kept; want 60, 1 and 9 at most, all endpoints in the group",
+			n, len(h.balancer.groups), len(h.balancer.requests))
 	}
 	if len(h.balancer.sessionCommits) > 9 {
-		t.Errorf("%d commits", len(h.balancer.sessionCommits))
+		t.Errorf("%d session commits are kept, want 9 at most", len(h.balancer.sessionCommits))
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -10,61 +10,64 @@
 	"time"
 )
 
-// fleet is a model of many instances in front of the same endpoints, in virtual time from one seed: just as much as
-// the tests below need. An endpoint has cores that take work in turn; a replica applies nothing while a long read
-// runs on it.
+// fleet simulates many instances that share the same endpoints, in virtual time and from one seed, as far as the tests
+// need it. An endpoint has cores, each of which processes one request at a time; a replica applies no commits while a
+// long read runs on it.
 type fleet struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     Time
 	routers []*Balancer
-	woken   []Time // the timer of each instance
+	timerAt []Time // when the timer of each instance fires
 	members map[string]*member
-	todo    schedule
-	last    int
-
-	reads, onPrimary int            // bounded reads served, and those by a primary
-	longs            map[string]int // long reads by member
-	long             int            // and all, with the time they waited there
-	queued           time.Duration
-	writes           int // the same of writes
-	waited           time.Duration
-	probes, requests int
-	refused          int
-
-	busy int            // so many requests of a hundred come to instance 0
-	came map[string]int // there, by class
-	lost map[string]int // and were refused
-
-	times float64 // the work of each request, as a multiple of the usual; 0 = 1
-	alike bool    // reads that any data will do for are as long as bounded ones
-	kind  map[string]string
+	jobs    schedule
+	lastSeq int
+
+	reads, onPrimary       int            // bounded reads served, in total and by primaries
+	longReadsServed        map[string]int // ConsistencyAny reads served, by endpoint
+	longReadsSent          int            // ConsistencyAny reads that reached an endpoint
+	longReadWait           time.Duration  // total time that these waited for a core
+	writes                 int            // writes that reached an endpoint
+	writeWait              time.Duration  // total time that these waited for a core
+	healthChecks, requests int
+	rejected               int // requests that were rejected or failed
+
+	busy              int            // requests out of 10,000 that go to instance 0; 0 = all instances get the same load
+	instance0Requests map[string]int // if busy > 0: requests to instance 0, by class
+	instance0Rejects  map[string]int // if busy > 0: requests rejected by instance 0, by class
+
+	times         float64           // work of each request, as a multiple of the usual work; 0 = 1
+	shortAnyReads bool              // ConsistencyAny reads take as long as bounded reads
+	classByID     map[string]string // if busy > 0: class of each request, by id
 }
 
+// member is a simulated endpoint.
 type member struct {
-	id      string
-	group   int64
-	leads   bool
-	cores   []Time // when each is free
-	holds   Time   // a long read runs until then
-	applied Time
-	still   bool
-	startAt Time // cold from then on; 0 = warm
-	work    []piece
+	id                 string
+	group              int64
+	leads              bool   // whether it is the primary of its group
+	cores              []Time // when each core is free
+	longReadUntil      Time   // a long read runs until then
+	appliedPosition    Time   // replication position of a replica
+	replicationStopped bool   // whether replication is stopped
+	startAt            Time   // when the endpoint started to warm up; 0 = warm
+	work               []workItem
 }
 
-// piece is work that has reached an endpoint.
-type piece struct {
+// workItem is the work of a request that has reached an endpoint.
+type workItem struct {
 	at   Time
 	work time.Duration
 }
 
+// job is a function that runs at a time. Jobs of the same time run in the order in which they were scheduled.
 type job struct {
 	at  Time
 	seq int
-	do  func()
+	run func()
 }
 
+// schedule is a heap of jobs, ordered by time; it implements heap.Interface.
 type schedule []job
 
 func (s schedule) Len() int { return len(s) }
@@ -84,12 +87,13 @@
 }
 
 const (
-	short  = 25 * time.Millisecond
-	long   = 300 * time.Millisecond
-	behind = 10 * time.Millisecond
+	shortWork      = 25 * time.Millisecond  // mean work of a bounded read or a write
+	longWork       = 300 * time.Millisecond // mean work of a long read
+	replicationLag = 10 * time.Millisecond  // replication lag of a replica that runs no long read
 )
 
-// fleetConfig is a deployment of eighty instances: reads within half a second, long ones of any age, writes.
+// fleetConfig returns the configuration of eighty instances, with classes for reads with a staleness bound of 500 ms,
+// long reads without a bound, and writes.
 func fleetConfig() Config {
 	c := testConfig()
 	c.Instances = 80
@@ -129,27 +133,29 @@
 	return c
 }
 
-// newFleet starts eighty instances with a list of groups of six endpoints, a primary and five replicas.
+// newFleet returns a fleet of eighty instances with the given number of groups, each with a primary and five replicas.
 func newFleet(t *testing.T, seed uint64, groups int) *fleet {
 	t.Helper()
 	return newFleetOf(t, seed, groups, fleetConfig())
 }
 
+// newFleetOf is like newFleet, with a configuration.
 func newFleetOf(t *testing.T, seed uint64, groups int, c Config) *fleet {
 	t.Helper()
 	f := &fleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, members: map[string]*member{},
-		longs: map[string]int{}, came: map[string]int{}, lost: map[string]int{}, kind: map[string]string{},
+		longReadsServed: map[string]int{}, instance0Requests: map[string]int{}, instance0Rejects: map[string]int{},
+		classByID: map[string]string{},
 	}
 	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
 			m := &member{
-				id:      fmt.Sprintf("%02d%c", g, 'a'+i),
-				group:   int64(g),
-				leads:   i == 0,
-				cores:   make([]Time, 3),
-				applied: f.now,
+				id:              fmt.Sprintf("%02d%c", g, 'a'+i),
+				group:           int64(g),
+				leads:           i == 0,
+				cores:           make([]Time, 3),
+				appliedPosition: f.now,
 			}
 			f.members[m.id] = m
 			l.Entries = append(
@@ -164,18 +170,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.routers, f.woken = append(f.routers, r), append(f.woken, 0)
+		f.routers, f.timerAt = append(f.routers, r), append(f.timerAt, 0)
 		f.step(i, l)
 	}
 	return f
 }
 
+// after schedules a function to run after d.
 func (f *fleet) after(d time.Duration, do func()) {
-	f.last++
-	heap.Push(&f.todo, job{f.now + d, f.last, do})
+	f.lastSeq++
+	heap.Push(&f.jobs, job{f.now + d, f.lastSeq, do})
 }
 
-// step hands events to an instance and does what it asks for.
+// step passes events to an instance and carries out its actions.
 func (f *fleet) step(i int, events ...Event) {
 	r := f.routers[i]
 	for _, a := range r.Step(f.now, events) {
@@ -184,30 +191,30 @@
 			q := r.requests[a.ID]
 			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.members[a.Endpoint]) })
 		case HealthCheck:
-			f.probes++
+			f.healthChecks++
 			m := f.members[a.Endpoint]
 			f.after(2*ms, func() {
 				if f.routers[i] != r {
-					return // it has started anew
+					return // the instance has been restarted
 				}
 				position := m.position(f.now) - 100*ms
 				f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: position})
 			})
 		case Timer:
 			at := f.now + a.After
-			f.woken[i] = at
+			f.timerAt[i] = at
 			f.after(a.After, func() {
-				if f.woken[i] == at {
+				if f.timerAt[i] == at {
 					f.step(i, Wake{})
 				}
 			})
 		case Reject:
-			f.refused++
+			f.rejected++
 			if i == 0 {
-				f.lost[f.kind[a.ID]]++
+				f.instance0Rejects[f.classByID[a.ID]]++
 			}
 		case Fail:
-			f.refused++
+			f.rejected++
 		}
 	}
 }
@@ -219,42 +226,44 @@
 	return RoleReplica
 }
 
+// position returns the replication position. A replica applies no commits while it runs a long read.
 func (m *member) position(now Time) Time {
 	if m.leads {
 		return now
 	}
-	if now >= m.holds && !m.still {
-		m.applied = now - behind
+	if now >= m.longReadUntil && !m.replicationStopped {
+		m.appliedPosition = now - replicationLag
 	}
-	return m.applied
+	return m.appliedPosition
 }
 
-func (f *fleet) serve(i int, id string, leg int, class string, m *member) {
-	work := time.Duration(float64(short) * f.rng.ExpFloat64())
-	if class == "any" && !f.alike {
-		work = time.Duration(float64(long) * (0.5 + f.rng.Float64()))
+// serve queues an attempt of an instance at an endpoint, and passes its result once it is done.
+func (f *fleet) serve(i int, id string, attempt int, class string, m *member) {
+	work := time.Duration(float64(shortWork) * f.rng.ExpFloat64())
+	if class == "any" && !f.shortAnyReads {
+		work = time.Duration(float64(longWork) * (0.5 + f.rng.Float64()))
 	}
 	work = time.Duration(float64(work) * cmp.Or(f.times, 1))
 	m.position(f.now)
-	m.work = append(m.work, piece{f.now, work})
+	m.work = append(m.work, workItem{f.now, work})
 	core := slices.Index(m.cores, slices.Min(m.cores))
-	began, r := f.now, f.routers[i]
+	sentAt, r := f.now, f.routers[i]
 	end := max(f.now, m.cores[core]) + work
 	m.cores[core] = end
 	if class == "write" {
 		f.writes++
-		f.waited += end - work - f.now
+		f.writeWait += end - work - f.now
 	}
 	if class == "any" {
-		if !f.alike {
-			m.holds = max(m.holds, end)
+		if !f.shortAnyReads {
+			m.longReadUntil = max(m.longReadUntil, end)
 		}
-		f.long++
-		f.queued += end - work - f.now
+		f.longReadsSent++
+		f.longReadWait += end - work - f.now
 	}
 	f.after(end-f.now, func() {
 		if f.routers[i] != r {
-			return // it has started anew
+			return // the instance has been restarted
 		}
 		switch {
 		case class == "bounded" && m.leads:
@@ -262,16 +271,16 @@
 		case class == "bounded":
 			f.reads++
 		case class == "any":
-			f.longs[m.id]++
+			f.longReadsServed[m.id]++
 		}
 		f.step(
 			i,
 			AttemptResult{
 				ID:       id,
-				Attempt:  leg,
+				Attempt:  attempt,
 				Endpoint: m.id,
 				Status:   StatusDone,
-				Elapsed:  f.now - began,
+				Elapsed:  f.now - sentAt,
 				Finished: true,
 				Role:     m.role(),
 				Position: m.position(f.now),
@@ -280,7 +289,8 @@
 	})
 }
 
-// load lets requests come at a rate a second for a while, each at an instance and for a group of its own.
+// load sends requests at a mean rate, in requests per second, for the duration d, each to a random instance and for a
+// random group.
 func (f *fleet) load(rate float64, groups int, d time.Duration) {
 	until := f.now + d
 	var next func()
@@ -303,74 +313,74 @@
 		if f.busy > 0 {
 			if i = max(1, i); f.rng.IntN(10000) < f.busy {
 				i = 0
-				f.came[class]++
+				f.instance0Requests[class]++
 			}
-			f.kind[q.ID], q.TimeLeft = class, f.routers[i].classes[class].ClientTimeout
+			f.classByID[q.ID], q.TimeLeft = class, f.routers[i].classes[class].ClientTimeout
 		}
 		f.step(i, q)
 		f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	next()
-	for len(f.todo) > 0 && f.todo[0].at < until {
-		j := heap.Pop(&f.todo).(job)
+	for len(f.jobs) > 0 && f.jobs[0].at < until {
+		j := heap.Pop(&f.jobs).(job)
 		f.now = j.at
-		j.do()
+		j.run()
 	}
 	f.now = until
 }
 
-// A fleet of which each instance sees one read a second of a group still reads from replicas: what its reads earn is
-// enough to know one replica that is recent enough.
+// Each instance gets about one read per second and group, and still sends its reads to replicas: the health checks that
+// so few reads pay for are enough to know one replica that is recent enough.
 func TestFleetReadsFromReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		f := newFleet(t, seed, 10)
 		f.load(1500, 10, 3*time.Second)
-		f.reads, f.onPrimary, f.probes, f.requests = 0, 0, 0, 0
+		f.reads, f.onPrimary, f.healthChecks, f.requests = 0, 0, 0, 0
 		f.load(1500, 10, 6*time.Second)
 		share := float64(f.onPrimary) / float64(f.reads)
-		t.Logf("seed %d: %d reads, %.2f of them by primaries, %.2f probes a request", seed, f.reads, share,
-			float64(f.probes)/float64(f.requests))
-		if share > 0.1 || f.probes > f.requests {
-			t.Errorf("seed %d: %.2f by primaries, %d probes for %d requests", seed, share, f.probes, f.requests)
+		t.Logf("seed %d: %d reads, a share of %.2f by primaries, %.2f health checks per request", seed, f.reads, share,
+			float64(f.healthChecks)/float64(f.requests))
+		if share > 0.1 || f.healthChecks > f.requests {
+			t.Errorf("seed %d: share of %.2f by primaries, want 0.1 at most; %d health checks, want %d at most",
+				seed, share, f.healthChecks, f.requests)
 		}
 	}
 }
 
-// All instances send long reads to the same replicas of a group while they can take them, so the others keep up: to
-// as many of five as long reads are of the work, here two.
-func TestFleetAgreesWhereLongReadsGo(t *testing.T) {
+// All instances send long reads to the same replicas of a group while these can take them, so that the other replicas
+// stay recent enough. They use a share of the five replicas equal to the share of long reads in the work, here two.
+func TestFleetSendsLongReadsToTheSameReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		f := newFleet(t, seed, 4)
 		f.load(300, 4, 10*time.Second)
 		all, last := 0, 0
-		for id, n := range f.longs {
+		for id, n := range f.longReadsServed {
 			if all += n; id[2] >= 'e' {
 				last += n
 			}
 		}
 		if t.Logf("seed %d: %d of %d long reads on two replicas of a group", seed, last, all); last < all*13/20 {
-			t.Errorf("seed %d: %d of %d long reads on two replicas", seed, last, all)
+			t.Errorf("seed %d: %d of %d long reads on two replicas, want 13 of 20 at least", seed, last, all)
 		}
 	}
 }
 
-// Long reads of all instances together are more than one replica can do. They get so many replicas that none of them
-// is queued for long while others idle, though no instance alone has more than a few in flight.
-func TestLongReadsOfAFleetFitTheReplicasTheyGet(t *testing.T) {
+// The long reads of all instances together are more than one replica can serve, though no instance has more than a few
+// in flight. They get enough replicas that none of them queues for long while other replicas are idle.
+func TestFleetLongReadsGetEnoughReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		f := newFleet(t, seed, 4)
 		f.load(1100, 4, 8*time.Second)
-		mean := f.queued / time.Duration(f.long)
-		t.Logf("seed %d: %d long reads waited %v in the mean", seed, f.long, mean)
-		if mean > long {
-			t.Errorf("seed %d: long reads waited %v in the mean, %v of work each", seed, mean, long)
+		mean := f.longReadWait / time.Duration(f.longReadsSent)
+		t.Logf("seed %d: %d long reads waited %v on average", seed, f.longReadsSent, mean)
+		if mean > longWork {
+			t.Errorf("seed %d: long reads waited %v on average, want %v, their mean work, at most", seed, mean, longWork)
 		}
 	}
 }
 
-// Reads that any data will do for and that take much of the staleness bound, but no more than bounded reads do:
-// nothing is won by keeping them apart, and the replicas that got them all would be crowded while others idle. They
-// go to all.
+// ConsistencyAny reads that take a large share of the staleness bound, but no longer than bounded reads, go to all
+// replicas: keeping them apart gains nothing, and would overload some replicas while others are idle.
 func TestReadsAsLongAsBoundedOnesGoToAllReplicas(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		c := fleetConfig()
@@ -378,28 +388,28 @@
 			c.Classes[i].LatencyObjective, c.Classes[i].ClientTimeout = time.Second, 3*time.Second
 		}
 		f := newFleetOf(t, seed, 4, c)
-		f.alike, f.times = true, 8 // 200 ms: more than a third of the bound
+		f.shortAnyReads, f.times = true, 8 // 200 ms: more than a third of the bound
 		f.load(150, 4, 5*time.Second)
-		clear(f.longs)
+		clear(f.longReadsServed)
 		f.load(150, 4, 30*time.Second)
 		all, last := 0, 0
-		for id, n := range f.longs {
+		for id, n := range f.longReadsServed {
 			if all += n; id[2] == 'f' {
 				last += n
 			}
 		}
 		if t.Logf("seed %d: %d of %d on one replica of five", seed, last, all); last > all*2/5 || all < 100 {
-			t.Errorf("seed %d: %d of %d on one replica", seed, last, all)
+			t.Errorf("seed %d: %d of %d on one replica, want 2 of 5 at most and 100 in all", seed, last, all)
 		}
 	}
 }
 
-// An endpoint that warms up gets work from all instances together, and never so much that it fails.
-func TestFleetEasesInAWarmingEndpoint(t *testing.T) {
+// An endpoint that warms up gets work from all instances together, but never so much that it fails.
+func TestFleetDoesNotOverloadAWarmingEndpoint(t *testing.T) {
 	for seed, id := range []string{"00a", "00a", "00a", "00f", "00f"} {
 		f := newFleet(t, uint64(seed), 4)
 		f.load(700, 4, 8*time.Second)
-		// The primary restarts: its writes have no other place. Or the replica that all choose for long reads.
+		// Either the primary restarts, whose writes cannot go elsewhere, or the replica that takes all long reads.
 		m := f.members[id]
 		m.startAt, m.work = f.now, nil
 		for i := range f.routers {
@@ -423,18 +433,18 @@
 			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-m.startAt).Seconds()/c.SlowStartWindow.Seconds()
 			part := work.Seconds() / (c.OverloadMultiple * warm * 3 * c.OverloadWindow.Seconds())
 			if got = max(got, part); part > 1 {
-				t.Fatalf("seed %d: %.2f of what makes it fall over, %v after its start", seed, part, at-m.startAt)
+				t.Fatalf("seed %d: %.2f of the load that makes it fail, %v after its start", seed, part, at-m.startAt)
 			}
 		}
-		t.Logf("seed %d: %d pieces of work, at most %.2f of what makes it fall over", seed, len(m.work), got)
+		t.Logf("seed %d: %d requests, at most %.2f of the load that makes it fail", seed, len(m.work), got)
 		if len(m.work) < 60 && m.leads {
-			t.Errorf("seed %d: %d pieces of work", seed, len(m.work))
+			t.Errorf("seed %d: the primary got %d requests, want 60 at least", seed, len(m.work))
 		}
 	}
 }
 
-// Of 300 instances one sees six times the mean, and endpoints have capacity. Each class is served there: credit that
-// may be saved up for long reads is not kept from short ones, which need a small part of it.
+// One of 300 instances gets six times the mean load, and the endpoints have spare capacity. Each class is served there:
+// the work credit that may be saved up for long reads must not be withheld from short requests, which need little.
 func TestNoClassStarvesAtABusyInstance(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
@@ -443,62 +453,64 @@
 		f.busy = 200
 		f.load(2400, 12, 16*time.Second)
 		for _, class := range []string{"bounded", "any", "write"} {
-			t.Logf("seed %d, %s: %d of %d refused", seed, class, f.lost[class], f.came[class])
-			if f.came[class] < 20 || f.lost[class]*10 > f.came[class] {
-				t.Errorf("seed %d, %s: %d of %d refused", seed, class, f.lost[class], f.came[class])
+			t.Logf("seed %d, %s: %d of %d rejected", seed, class, f.instance0Rejects[class], f.instance0Requests[class])
+			if f.instance0Requests[class] < 20 || f.instance0Rejects[class]*10 > f.instance0Requests[class] {
+				t.Errorf("seed %d, %s: %d of %d rejected, want a tenth of 20 or more at most",
+					seed, class, f.instance0Rejects[class], f.instance0Requests[class])
 			}
 		}
 	}
 }
 
-// No replica of any group is recent enough, and the reads of 300 instances flood the primaries at once. Once those
-// have worked it off they get reads again, as many as leave capacity for their writes: a latency learned in the flood
-// is forgotten though little is sent.
-func TestReadsOfAFleetComeBackAfterAFlood(t *testing.T) {
+// No replica of any group is recent enough, and the reads of 300 instances overload the primaries at once. Once the
+// primaries have worked off the backlog they get reads again, but only as many as leave capacity for their writes. The
+// high latency recorded during the overload has to decay even though few requests are sent.
+func TestFleetReadsResumeAfterOverload(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
 		c.Instances = 300
 		f := newFleetOf(t, seed, 4, c)
 		for _, m := range f.members {
-			m.still = true
+			m.replicationStopped = true
 		}
 		f.load(1600, 4, 12*time.Second)
-		f.writes, f.waited, f.reads = 0, 0, 0
+		f.writes, f.writeWait, f.reads = 0, 0, 0
 		f.load(1600, 4, 6*time.Second)
-		mean := f.waited / time.Duration(f.writes)
-		t.Logf("seed %d: %d writes waited %v in the mean, %d reads by primaries", seed, f.writes, mean, f.reads)
+		mean := f.writeWait / time.Duration(f.writes)
+		t.Logf("seed %d: %d writes waited %v on average, %d reads by primaries", seed, f.writes, mean, f.reads)
 		if most := c.Classes[2].LatencyObjective / 2; mean > most || f.reads < 1000 {
-			t.Errorf("seed %d: writes waited %v in the mean, %v at most wanted; %d reads", seed, mean, most, f.reads)
+			t.Errorf("seed %d: writes waited %v on average, want %v at most; %d reads, want 1000 at least",
+				seed, mean, most, f.reads)
 		}
 	}
 }
 
-// One request a second comes to a group before 300 instances, in all, so each of them has nearly forgotten it by the
-// next. Every class is served: no limit, credit or report that an instance has to earn first keeps out the little
-// there is.
-func TestLittleTrafficOfAFleetIsServed(t *testing.T) {
+// All of 300 instances together get one request per second and group, so the statistics of an instance have mostly
+// decayed by its next request. Every class is still served: no concurrency limit, credit or load report that an
+// instance has to earn first may block so little traffic.
+func TestFleetServesSparseTraffic(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
 		c.Instances = 300
 		f := newFleetOf(t, seed, 2, c)
 		f.load(2, 2, 120*time.Second)
-		t.Logf("seed %d: %d of %d refused, %d long reads", seed, f.refused, f.requests, f.long)
-		if f.requests < 180 || f.refused*50 > f.requests || f.long == 0 || f.writes == 0 {
+		t.Logf("seed %d: %d of %d rejected or failed, %d long reads", seed, f.rejected, f.requests, f.longReadsSent)
+		if f.requests < 180 || f.rejected*50 > f.requests || f.longReadsSent == 0 || f.writes == 0 {
 			t.Errorf(
-				"seed %d: %d of %d refused; %d long reads and %d writes sent",
+				"seed %d: %d of %d rejected or failed, want 1 of 50 at most; %d long reads and %d writes, want both",
 				seed,
-				f.refused,
+				f.rejected,
 				f.requests,
-				f.long,
+				f.longReadsSent,
 				f.writes,
 			)
 		}
 	}
 }
 
-// restart lets an instance start anew, with the list as it stands and nothing else.
+// restart replaces an instance with a new one that knows only the current endpoint list.
 func (f *fleet) restart(i int) {
-	r, err := New(f.routers[i].config, uint64(f.last)*1000+uint64(i))
+	r, err := New(f.routers[i].config, uint64(f.lastSeq)*1000+uint64(i))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -518,6 +530,6 @@
 			)
 		}
 	}
-	f.routers[i], f.woken[i], l.Kind = r, 0, ListCached
+	f.routers[i], f.timerAt[i], l.Kind = r, 0, ListCached
 	f.step(i, l)
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// testConfig is a made-up deployment: one class of each consistency.
+// testConfig returns a configuration with a class of each consistency, named after it, and the class "keyed" of writes
+// with an idempotency key.
 func testConfig() Config {
 	return Config{
 		Instances: 1, Zone: "a", OverQuotaWeight: 0.1, TimerResolution: ms, HealthChecks: true, Cancellation: true,
@@ -70,7 +71,7 @@
 	}
 }
 
-// harness drives one balancer by hand. It models no endpoint: each test says what comes back.
+// harness drives one balancer step by step. It does not simulate endpoints: each test passes the results itself.
 type harness struct {
 	t            *testing.T
 	balancer     *Balancer
@@ -89,7 +90,7 @@
 	return h
 }
 
-// threeEndpoints is a list of a group 1 with the endpoints a, b and c.
+// threeEndpoints returns a list of the given kind with the endpoints a, b and c of group 1, all ready.
 func threeEndpoints(kind EndpointListKind) EndpointList {
 	return EndpointList{Kind: kind, Entries: []EndpointEntry{
 		{
@@ -103,17 +104,20 @@
 	}}
 }
 
+// step advances the time by d and passes the events to the balancer.
 func (h *harness) step(d time.Duration, events ...Event) []Action {
 	h.now += d
 	return h.balancer.Step(h.now, events)
 }
 
+// request returns a new request of the class for group 1, with its own id.
 func (h *harness) request(class string) Request {
 	h.requestCount++
 	return Request{ID: fmt.Sprint("q", h.requestCount), Class: class, Group: 1, SessionID: 5, TimeLeft: time.Second}
 }
 
-// newReadyHarness returns a harness whose balancer knows that a is the primary, and the positions of all.
+// newReadyHarness returns a harness with three endpoints whose balancer knows that a is the primary, and the
+// replication positions of all.
 func newReadyHarness(t *testing.T, c Config) *harness {
 	t.Helper()
 	h := newHarness(t, c, threeEndpoints(ListCached))
@@ -121,7 +125,7 @@
 	return h
 }
 
-// reportAll lets each endpoint answer a health check now.
+// reportAll passes a health check answer of each endpoint, with the current position.
 func (h *harness) reportAll(primary string) {
 	for _, id := range []string{"a", "b", "c"} {
 		role := RoleReplica
@@ -132,13 +136,14 @@
 	}
 }
 
-// failAllHealthChecks lets all health checks that are in flight time out.
+// failAllHealthChecks passes a timed out health check of each endpoint.
 func (h *harness) failAllHealthChecks() {
 	for _, id := range []string{"a", "b", "c"} {
 		h.step(0, HealthCheckResult{Endpoint: id, Status: StatusTimedOut})
 	}
 }
 
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](acts []Action) []A {
 	var out []A
 	for _, a := range acts {
@@ -149,6 +154,8 @@
 	return out
 }
 
+// expectSends checks that the actions contain one send for each string in want, in order, and returns the sends. Each
+// string lists the one-letter ids of the endpoints that the send may go to.
 func (h *harness) expectSends(acts []Action, want ...string) []Send {
 	h.t.Helper()
 	got := actionsOf[Send](acts)
@@ -157,11 +164,12 @@
 		ok = strings.Contains(want[i], got[i].Endpoint)
 	}
 	if !ok {
-		h.t.Fatalf("sent %v, want %v", got, want)
+		h.t.Fatalf("got sends %v, want them to endpoints %v", got, want)
 	}
 	return got
 }
 
+// attempts returns the number of attempts of an open request, or 0 if there is no such request.
 func (h *harness) attempts(id string) int {
 	if q := h.balancer.requests[id]; q != nil {
 		return len(q.attempts)
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// playEvents plays odd but legal events and checks what must hold whatever comes. It models no endpoint: outcomes are
-// drawn.
-func playEvents(t *testing.T, seed uint64) []Action {
+// runRandomEvents runs a balancer with random valid events, checks the invariants and returns all actions. It does not
+// simulate endpoints: the outcomes of attempts are random.
+func runRandomEvents(t *testing.T, seed uint64) []Action {
 	t.Helper()
-	return playEventsWith(t, seed, testConfig())
+	return runRandomEventsWith(t, seed, testConfig())
 }
 
 const (
-	playSteps        = 600
-	lastRequestStep  = 400 // no new requests after this step
-	lastStreamedStep = 500 // streaming responses end after this step
-	lastOpenStep     = 590 // attempts end after this step
+	totalSteps       = 600
+	lastRequestStep  = 400 // no new requests from this step on
+	lastStreamedStep = 500 // streaming responses end soon from this step on
+	lastOpenStep     = 590 // all other attempts end from this step on
 )
 
-func playEventsWith(t *testing.T, seed uint64, c Config) []Action {
+// runRandomEventsWith is like runRandomEvents, with a configuration.
+func runRandomEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	c.FreshnessCheck = FreshnessCheck(rng.IntN(3))
@@ -33,33 +34,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &eventPlayer{
+	p := &eventGenerator{
 		t:              t,
 		seed:           seed,
 		config:         c,
 		rng:            rng,
 		balancer:       b,
 		now:            50 * time.Second,
-		requests:       map[string]*playedRequest{},
+		requests:       map[string]*trackedRequest{},
 		notReady:       map[string]bool{},
 		suspended:      map[string]bool{},
 		suspendedSince: map[string]int{},
 	}
 	p.events = []Event{threeEndpoints(ListCached)}
 	var all []Action
-	for p.step = range playSteps {
-		all = append(all, p.play()...)
+	for p.step = range totalSteps {
+		all = append(all, p.runStep()...)
 	}
 	for id, q := range p.requests {
 		if !q.answered {
-			t.Fatalf("seed %d: %s has no final answer", seed, id)
+			t.Fatalf("seed %d: %s has no final answer at the end", seed, id)
 		}
 	}
 	return all
 }
 
-// eventPlayer draws the events of each step and checks the actions that come back.
-type eventPlayer struct {
+// eventGenerator generates random events for each step and checks the actions that the balancer returns.
+type eventGenerator struct {
 	t        *testing.T
 	seed     uint64
 	config   Config
@@ -67,18 +68,18 @@
 	balancer *Balancer
 	now      Time
 	step     int
-	events   []Event // of the next step
+	events   []Event // for the next step
 
 	requestCount   int
-	requests       map[string]*playedRequest
-	open           []playedAttempt
-	notReady       map[string]bool // endpoints that drain or are removed
-	suspended      map[string]bool
-	suspendedSince map[string]int // the step
+	requests       map[string]*trackedRequest
+	open           []trackedAttempt
+	notReady       map[string]bool // whether the endpoint is draining or removed
+	suspended      map[string]bool // whether the endpoint is suspended
+	suspendedSince map[string]int  // the step in which that last changed
 }
 
-// playedRequest is what the caller knows of a request.
-type playedRequest struct {
+// trackedRequest is the state of a request as the caller knows it.
+type trackedRequest struct {
 	class      string
 	deadline   Time
 	answered   bool
@@ -88,16 +89,16 @@
 	attempts   int
 }
 
-// playedAttempt is an attempt that has not ended.
-type playedAttempt struct {
+// trackedAttempt is an attempt that has not ended.
+type trackedAttempt struct {
 	requestID string
 	endpoint  string
 	number    int
 	sentAt    Time
 }
 
-// play draws the events of one step, plays it and checks its actions.
-func (p *eventPlayer) play() []Action {
+// runStep generates the events of one step, runs it and checks its actions.
+func (p *eventGenerator) runStep() []Action {
 	p.t.Helper()
 	if p.step < lastRequestStep && p.rng.IntN(2) == 0 {
 		p.drawRequest()
@@ -113,7 +114,8 @@
 	return actions
 }
 
-func (p *eventPlayer) drawRequest() {
+// drawRequest adds a new request.
+func (p *eventGenerator) drawRequest() {
 	p.requestCount++
 	class := p.config.Classes[p.rng.IntN(len(p.config.Classes))].Name
 	request := Request{
@@ -124,13 +126,13 @@
 		TimeLeft:          time.Duration(50+p.rng.IntN(900)) * ms,
 		SinceSessionWrite: time.Duration(p.rng.IntN(500)) * ms,
 	}
-	p.requests[request.ID] = &playedRequest{class: class, deadline: p.now + request.TimeLeft}
+	p.requests[request.ID] = &trackedRequest{class: class, deadline: p.now + request.TimeLeft}
 	p.events = append(p.events, request)
 }
 
-// drawOutcomes ends some of the open attempts, and lets some responses begin to stream.
-func (p *eventPlayer) drawOutcomes() {
-	var stillOpen []playedAttempt
+// drawOutcomes ends some of the open attempts, and starts streaming some responses.
+func (p *eventGenerator) drawOutcomes() {
+	var stillOpen []trackedAttempt
 	for _, attempt := range p.open {
 		request := p.requests[attempt.requestID]
 		due := p.now >= request.deadline && !request.streaming
@@ -147,14 +149,16 @@
 	p.open = stillOpen
 }
 
-func (p *eventPlayer) staysOpen(request *playedRequest) bool {
+// staysOpen decides whether an attempt that is not due stays open.
+func (p *eventGenerator) staysOpen(request *trackedRequest) bool {
 	if p.rng.IntN(4) != 0 && p.step < lastOpenStep {
 		return true
 	}
 	return request.streaming && p.rng.IntN(20) != 0 && p.step < lastStreamedStep
 }
 
-func (p *eventPlayer) drawOutcome(attempt playedAttempt, due bool) {
+// drawOutcome ends an attempt with a random outcome, or with a timeout if it is due.
+func (p *eventGenerator) drawOutcome(attempt trackedAttempt, due bool) {
 	request := p.requests[attempt.requestID]
 	outcome := AttemptResult{
 		ID:       attempt.requestID,
@@ -182,8 +186,8 @@
 	p.events = append(p.events, outcome)
 }
 
-// drawOtherEvent draws an event that is none of an attempt, or none at all.
-func (p *eventPlayer) drawOtherEvent() {
+// drawOtherEvent adds other events: changes of endpoints, health checks, unknown ids, disconnects; often none.
+func (p *eventGenerator) drawOtherEvent() {
 	switch p.rng.IntN(12) {
 	case 0:
 		p.drawEndpointState()
@@ -213,10 +217,11 @@
 	}
 }
 
-// drawID draws the id of a request, or of none.
-func (p *eventPlayer) drawID() string { return fmt.Sprint("q", 1+p.rng.IntN(p.requestCount+1)) }
+// drawID returns the id of a random request, or one that is not used yet.
+func (p *eventGenerator) drawID() string { return fmt.Sprint("q", 1+p.rng.IntN(p.requestCount+1)) }
 
-func (p *eventPlayer) drawEndpointState() {
+// drawEndpointState changes the state of a random endpoint.
+func (p *eventGenerator) drawEndpointState() {
 	id := []string{"a", "b", "c"}[p.rng.IntN(3)]
 	state := EndpointState(p.rng.IntN(3))
 	p.notReady[id] = state != EndpointReady
@@ -225,7 +230,8 @@
 	}})
 }
 
-func (p *eventPlayer) drawSuspension() {
+// drawSuspension suspends or resumes a random endpoint, possibly an unknown one.
+func (p *eventGenerator) drawSuspension() {
 	id := []string{"a", "b", "c", "x"}[p.rng.IntN(4)]
 	if suspended := p.rng.IntN(2) == 0; suspended != p.suspended[id] {
 		p.suspended[id] = suspended
@@ -234,60 +240,61 @@
 	p.events = append(p.events, Suspend{Endpoint: id, Suspended: p.suspended[id]})
 }
 
-// check says what must hold for an action, and notes what it changes.
-func (p *eventPlayer) check(action Action) {
+// check checks the invariants for an action, and records the changes it makes.
+func (p *eventGenerator) check(action Action) {
 	p.t.Helper()
 	switch action := action.(type) {
 	case Send:
 		p.checkSend(action)
 	case PollEndpointList:
-		p.require(p.config.PollDiscovery, "the list is polled where it is pushed")
+		p.require(p.config.PollDiscovery, "the endpoint list is polled though PollDiscovery is off")
 	case HealthCheck:
-		p.require(p.config.HealthChecks, "a health check where there are none")
-		// One may be asked for by an event before the suspension, in the same step.
+		p.require(p.config.HealthChecks, "a health check is sent though HealthChecks is off")
+		// In the step of the suspension, an event before it may have caused a health check.
 		suspendedBefore := p.suspended[action.Endpoint] && p.suspendedSince[action.Endpoint] < p.step
-		p.require(!suspendedBefore, "health check of %s, which is suspended", action.Endpoint)
+		p.require(!suspendedBefore, "health check of %s, which was suspended in an earlier step", action.Endpoint)
 	case Cancel:
-		p.require(p.config.Cancellation, "a cancellation where there are none")
+		p.require(p.config.Cancellation, "an attempt is cancelled though Cancellation is off")
 		request := p.requests[action.ID]
 		cutsOff := request.streaming && action.Attempt == request.attempts-1
-		p.require(!cutsOff, "the answer to %s is cut off", action.ID)
+		p.require(!cutsOff, "the attempt of %s whose response is streaming is cancelled", action.ID)
 	case Reject:
 		request := p.checkAnswer(action.ID)
 		repeatable := request.class != "write" && request.class != "keyed"
-		p.require(repeatable || !request.mayHaveRun, "rejection of %s, which may have run", action.ID)
+		p.require(repeatable || !request.mayHaveRun, "rejection of %s, a write that may have run", action.ID)
 	case Fail:
 		p.checkAnswer(action.ID)
 	}
 }
 
-func (p *eventPlayer) checkSend(send Send) {
+// checkSend checks the invariants for a send.
+func (p *eventGenerator) checkSend(send Send) {
 	p.t.Helper()
 	request := p.requests[send.ID]
-	p.require(request != nil && !request.answered, "send of %q, which is unknown or answered", send.ID)
-	p.require(request.inFlight == 0, "send of %q, which is in flight", send.ID)
-	p.require(!request.mayHaveRun || request.class != "write", "second run of the write %s", send.ID)
+	p.require(request != nil && !request.answered, "send of %q, which is unknown or already answered", send.ID)
+	p.require(request.inFlight == 0, "send of %q, which already has an attempt in flight", send.ID)
+	p.require(!request.mayHaveRun || request.class != "write", "send of the write %s, which may have run", send.ID)
 	p.require(!p.suspended[send.Endpoint], "send to %s, which is suspended", send.Endpoint)
-	p.require(!p.notReady[send.Endpoint], "send to %s, which drains or is gone", send.Endpoint)
-	p.open = append(p.open, playedAttempt{send.ID, send.Endpoint, request.attempts, p.now})
+	p.require(!p.notReady[send.Endpoint], "send to %s, which is draining or removed", send.Endpoint)
+	p.open = append(p.open, trackedAttempt{send.ID, send.Endpoint, request.attempts, p.now})
 	request.inFlight++
 	request.attempts++
 	withinLimit := p.config.MaxAttempts == 0 || request.attempts <= p.config.MaxAttempts
-	p.require(withinLimit, "attempt %d of %s", request.attempts, send.ID)
+	p.require(withinLimit, "attempt %d of %s, more than MaxAttempts", request.attempts, send.ID)
 }
 
-// checkAnswer checks a final answer: one to each request, and none into a response that streams.
-func (p *eventPlayer) checkAnswer(id string) *playedRequest {
+// checkAnswer checks a final answer: each request gets one, and none during a streaming response.
+func (p *eventGenerator) checkAnswer(id string) *trackedRequest {
 	p.t.Helper()
 	request := p.requests[id]
-	p.require(request != nil && !request.answered, "second answer to %s", id)
-	p.require(!request.streaming, "answer to %s, whose response streams", id)
+	p.require(request != nil && !request.answered, "final answer to %s, which is unknown or already answered", id)
+	p.require(!request.streaming, "final answer to %s, whose response is streaming", id)
 	request.answered = true
 	return request
 }
 
-// require fails the test, with the seed, if something does not hold.
-func (p *eventPlayer) require(holds bool, format string, args ...any) {
+// require fails the test with the seed and the message if the condition does not hold.
+func (p *eventGenerator) require(holds bool, format string, args ...any) {
 	p.t.Helper()
 	if !holds {
 		p.t.Fatalf("seed %d: %s", p.seed, fmt.Sprintf(format, args...))
@@ -298,37 +305,38 @@
 	for seed := range uint64(60) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) { playEvents(t, seed) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
 
-// Settings at their extremes, alone and together, keep what must hold whatever comes.
+// The invariants hold with extreme settings, alone and in combination. The combinations are drawn in the order of the
+// names, so a name that sorts differently changes them.
 func TestExtremeSettings(t *testing.T) {
 	extremes := map[string]func(c *Config){
-		"one attempt":           func(c *Config) { c.MaxAttempts = 1 },
-		"any number":            func(c *Config) { c.MaxAttempts = 0 },
-		"no probes":             func(c *Config) { c.HealthChecks = false },
-		"dear probes":           func(c *Config) { c.HealthCheckCost = 10 },
-		"no cancelling":         func(c *Config) { c.Cancellation = false },
-		"no time to come again": func(c *Config) { c.RetryAfter, c.MaxRetryAfter = false, 0 },
-		"no grace":              func(c *Config) { c.DrainGrace = 0 },
-		"asked, no grace":       func(c *Config) { c.PollDiscovery, c.DrainGrace, c.PollWithin = true, 0, time.Second },
-		"never cold":            func(c *Config) { c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple = 1, 0, 0 },
-		"cold from nothing":     func(c *Config) { c.SlowStartFrom = 0 },
-		"no zone":               func(c *Config) { c.Zone = "" },
-		"300 routers":           func(c *Config) { c.Instances = 300 },
-		"soft removal":          func(c *Config) { c.SoftRemoval = true },
-		"no resolution":         func(c *Config) { c.TimerResolution = 0 },
-		"nothing when late": func(c *Config) {
+		"one attempt":               func(c *Config) { c.MaxAttempts = 1 },
+		"any number of attempts":    func(c *Config) { c.MaxAttempts = 0 },
+		"no health checks":          func(c *Config) { c.HealthChecks = false },
+		"expensive health checks":   func(c *Config) { c.HealthCheckCost = 10 },
+		"no cancellation":           func(c *Config) { c.Cancellation = false },
+		"no retry-after":            func(c *Config) { c.RetryAfter, c.MaxRetryAfter = false, 0 },
+		"no drain grace":            func(c *Config) { c.DrainGrace = 0 },
+		"discovery polls, no grace": func(c *Config) { c.PollDiscovery, c.DrainGrace, c.PollWithin = true, 0, time.Second },
+		"full capacity at start":    func(c *Config) { c.SlowStartFrom, c.SlowStartWindow, c.OverloadMultiple = 1, 0, 0 },
+		"empty slow start":          func(c *Config) { c.SlowStartFrom = 0 },
+		"no zone":                   func(c *Config) { c.Zone = "" },
+		"300 instances":             func(c *Config) { c.Instances = 300 },
+		"soft removal":              func(c *Config) { c.SoftRemoval = true },
+		"no minimum timer delay":    func(c *Config) { c.TimerResolution = 0 },
+		"nothing for late answers": func(c *Config) {
 			for i := range c.Classes {
 				c.Classes[i].LateWeightShare = 0
 			}
 		},
-		"no worth": func(c *Config) {
+		"no weight": func(c *Config) {
 			for i := range c.Classes {
 				c.Classes[i].PriorityWeight = 0
 			}
 		},
-		"no aim": func(c *Config) {
+		"no LatencyObjective": func(c *Config) {
 			for i := range c.Classes {
 				c.Classes[i].LatencyObjective = 0
 			}
@@ -336,7 +344,7 @@
 	}
 	all := func(c *Config, rng *rand.Rand) {
 		for _, name := range slices.Sorted(maps.Keys(extremes)) {
-			if rng.IntN(3) == 0 && name != "soft removal" { // where removal is soft other sends are allowed
+			if rng.IntN(3) == 0 && name != "soft removal" { // with soft removal, sends to removed endpoints are allowed
 				extremes[name](c)
 			}
 		}
@@ -346,7 +354,7 @@
 			for seed := range uint64(10) {
 				c := testConfig()
 				if set(&c); !c.SoftRemoval {
-					playEventsWith(t, seed, c)
+					runRandomEventsWith(t, seed, c)
 				} else if _, err := New(c, seed); err != nil {
 					t.Fatal(err)
 				}
@@ -356,14 +364,14 @@
 	for seed := range uint64(100) {
 		c := testConfig()
 		all(&c, rand.New(rand.NewPCG(seed, 9)))
-		playEventsWith(t, seed, c)
+		runRandomEventsWith(t, seed, c)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(10) {
-		if !reflect.DeepEqual(playEvents(t, seed), playEvents(t, seed)) {
-			t.Fatalf("seed %d: two runs differ", seed)
+		if !reflect.DeepEqual(runRandomEvents(t, seed), runRandomEvents(t, seed)) {
+			t.Fatalf("seed %d: two runs with the same events returned different actions", seed)
 		}
 	}
 }
--- a/balance/long_read_test.go
+++ b/balance/long_read_test.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-func TestShortageIsForgotten(t *testing.T) {
+func TestShortageDecays(t *testing.T) {
 	var shortage boundedReadShortage
 	now := 100 * time.Second
 	shortage.add(2, now)
 	shortage.add(3, now)
 	if got := shortage.at(now); got != 5 {
-		t.Errorf("%v at once, want 5", got)
+		t.Errorf("got shortage %v at once, want 5", got)
 	}
 	if got := shortage.at(now + activeWindow); got < 1.8 || got > 1.9 {
-		t.Errorf("%v after the active window, want 5/e", got)
+		t.Errorf("got shortage %v after the active window, want 5/e", got)
 	}
 }
 
-// Long reads that any data will do for go to one replica, whatever an instance knows of them, so that the others stay
-// recent enough; short ones are drawn at random.
-func TestLongReadsKeepToOneReplica(t *testing.T) {
+// All ConsistencyAny reads that are long go to the same replica, whichever replica an instance knows to lag, so that
+// the other replicas stay recent enough.
+func TestLongReadsGoToOneReplica(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].LatencyObjective = 2 * time.Second
-	for _, behind := range []string{"b", "c"} {
+	for _, lagging := range []string{"b", "c"} {
 		h := newReadyHarness(t, c)
-		h.step(0, HealthCheckResult{Endpoint: behind, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second})
+		h.step(0, HealthCheckResult{Endpoint: lagging, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second})
 		for range 8 {
 			h.expectSends(h.step(ms, h.request("any")), "c")
 		}
 	}
 }
 
-// Where no class is bounded a delayed replica hurts no read: reads that any data will do for go to all replicas,
-// however long they are.
-func TestWithoutABoundNoReadIsLong(t *testing.T) {
+// Where no class is bounded, no read suffers from a lagging replica, so ConsistencyAny reads go to all replicas,
+// however long they take.
+func TestNoReadIsLongWithoutABoundedClass(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].LatencyObjective = 2 * time.Second
 	c.Classes = slices.DeleteFunc(c.Classes, func(k Class) bool { return k.Consistency == ConsistencyBounded })
 	h := newReadyHarness(t, c)
-	to := map[string]int{}
+	sends := map[string]int{}
 	for range 40 {
 		for _, s := range actionsOf[Send](h.step(ms, h.request("any"))) {
-			to[s.Endpoint]++
+			sends[s.Endpoint]++
 			h.step(
 				0,
 				AttemptResult{
@@ -58,13 +58,13 @@
 			)
 		}
 	}
-	if to["b"] < 10 || to["c"] < 10 {
-		t.Fatalf("%v", to)
+	if sends["b"] < 10 || sends["c"] < 10 {
+		t.Fatalf("got sends %v by endpoint, want 10 at least to each of b and c", sends)
 	}
 }
 
-// newShortageHarness returns a harness with a long class whose bounded reads have just been rejected for want of
-// capacity, and whose replica b is recent again.
+// newShortageHarness returns a harness whose bounded reads have just been rejected for lack of capacity, and whose
+// endpoints have reported since. It has a class "long" with the given service time, in seconds.
 func newShortageHarness(t *testing.T, work float64) *harness {
 	t.Helper()
 	c := testConfig()
@@ -86,17 +86,17 @@
 	h.balancer.classes["bounded"].serviceTime = 0.06
 	h.balancer.groups[1].longReads.nextAt = h.now + 4*time.Second
 	for _, n := range h.balancer.endpoints {
-		n.limit.rejectingUntil = h.now + time.Second // all are full
+		n.limit.rejectingUntil = h.now + time.Second // all endpoints reject
 	}
 	for range 80 {
 		h.step(0, h.request("bounded"))
 	}
-	refused := 0
+	rejected := 0
 	for range 12 {
-		refused += len(actionsOf[Reject](h.step(50 * ms)))
+		rejected += len(actionsOf[Reject](h.step(50 * ms)))
 	}
-	if refused < 20 {
-		t.Fatalf("%d refused", refused)
+	if rejected < 20 {
+		t.Fatalf("%d bounded reads were rejected, want 20 at least", rejected)
 	}
 	for h.now < h.balancer.endpoints["a"].limit.rejectingUntil {
 		h.step(50 * ms)
@@ -105,23 +105,24 @@
 	return h
 }
 
+// sendLongRead adds a long read and returns its sends in the same step.
 func (h *harness) sendLongRead() []Send {
 	q := h.request("long")
 	q.TimeLeft = 10 * time.Second
 	return slices.DeleteFunc(actionsOf[Send](h.step(0, q)), func(s Send) bool { return s.ID != q.ID })
 }
 
-// While bounded reads are rejected beside a primary, a long read, which would cost them its replica, stays pending:
-// not for good, and only where that would help.
+// While bounded reads are rejected though the group has a primary, a long read, which would take a replica from them,
+// stays pending: only for a limited time, and only where that helps.
 func TestLongReadsDeferToBoundedReads(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	if got := h.sendLongRead(); len(got) > 0 {
-		t.Fatalf("sent at once: %v", got)
+		t.Fatalf("got sends %v at once, want the long read to stay pending", got)
 	}
 	at := h.now
 	for len(actionsOf[Send](h.step(100*ms, Wake{}))) == 0 {
 		if h.now-at > 4*time.Second {
-			t.Fatal("held back behind its turn")
+			t.Fatal("the long read is still pending 4 s later, want it to be sent by then")
 		}
 	}
 	t.Logf("sent after %v", h.now-at)
@@ -129,23 +130,23 @@
 		work float64
 		set  func(h *harness)
 	}{
-		"one that costs no more than they do": {0.2, func(*harness) {}},
-		"its turn has come":                   {1, func(h *harness) { h.balancer.groups[1].longReads.nextAt = h.now }},
-		"none was refused for long":           {1, func(h *harness) { h.now += 20 * time.Second; h.reportAll("a") }},
-		"its replica could not catch up": {1, func(h *harness) {
+		"it costs under four bounded reads":   {0.2, func(*harness) {}},
+		"the next one is due":                 {1, func(h *harness) { h.balancer.groups[1].longReads.nextAt = h.now }},
+		"no bounded read was rejected lately": {1, func(h *harness) { h.now += 20 * time.Second; h.reportAll("a") }},
+		"its replica lags too far behind": {1, func(h *harness) {
 			h.balancer.endpoints["c"].replication.lag, h.balancer.endpoints["c"].replication.lagObservedAt = 5*time.Second, h.now
 		}},
-		"it is worth more": {1, func(h *harness) { k := h.balancer.classes["long"]; k.PriorityWeight = 1000 }},
+		"it has more weight": {1, func(h *harness) { k := h.balancer.classes["long"]; k.PriorityWeight = 1000 }},
 	} {
 		h := newShortageHarness(t, c.work)
 		if c.set(h); len(h.sendLongRead()) != 1 {
-			t.Errorf("%s: it is held back", name)
+			t.Errorf("%s: the long read stays pending, want it to be sent", name)
 		}
 	}
 }
 
-// What is rejected while a group has no primary says nothing of capacity.
-func TestRejectionsWithoutAPrimaryDeferNoLongRead(t *testing.T) {
+// Bounded reads that are rejected while the group has no primary are not a sign of missing capacity.
+func TestRejectionsWithoutAPrimaryDoNotDeferLongReads(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	g := h.balancer.groups[1]
 	g.shortage.weight, g.longReads.nextAt = 0, h.now+time.Hour
@@ -153,22 +154,22 @@
 	q := &request{class: h.balancer.classes["bounded"], group: g, weight: 50}
 	h.balancer.recordShortage(q)
 	if len(h.sendLongRead()) != 1 {
-		t.Error("it is held back")
+		t.Error("the long read stays pending, want it to be sent")
 	}
 	g.primary.state = primaryCached
 	h.balancer.recordShortage(q)
 	if len(h.sendLongRead()) != 0 {
-		t.Error("a refusal beside a primary does not count")
+		t.Error("the long read is sent after a rejection with a known primary, want it to stay pending")
 	}
 }
 
-// Among so many instances that each has a share under one attempt none defers a long read: it would free no replica.
+// Where an instance's share of an endpoint is under one attempt, long reads are not deferred: it would free no replica.
 func TestLongReadsOfALargeFleetDoNotDefer(t *testing.T) {
 	h := newShortageHarness(t, 1)
 	h.balancer.config.Instances = 300
 	n := h.balancer.endpoints["c"]
 	n.limit.attempts, n.credit.refilledAt, n.credit.tokens = 1, h.now, 100
 	if len(h.sendLongRead()) != 1 {
-		t.Error("it is held back")
+		t.Error("the long read stays pending, want it to be sent")
 	}
 }
--- a/balance/outcome_test.go
+++ b/balance/outcome_test.go
@@ -25,16 +25,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.status.answered(); got != c.answered {
-				t.Errorf("answered: %v", got)
+				t.Errorf("answered() = %v, want the opposite", got)
 			}
 			if got := c.status.reachedEndpoint(); got != c.reached {
-				t.Errorf("reached the endpoint: %v", got)
+				t.Errorf("reachedEndpoint() = %v, want the opposite", got)
 			}
 			if got := c.status.mayHaveRun(); got != c.mayHaveRun {
-				t.Errorf("may have run: %v", got)
+				t.Errorf("mayHaveRun() = %v, want the opposite", got)
 			}
 			if got := c.status.retryCost(); got != c.retryCost {
-				t.Errorf("retry cost: %v", got)
+				t.Errorf("retryCost() = %v, want the cost in the table", got)
 			}
 		})
 	}
@@ -49,6 +49,6 @@
 	done.Attempt = 7
 	h.step(ms, done, AttemptResult{ID: "unknown"})
 	if n := len(h.balancer.requests); n != 0 {
-		t.Errorf("%d requests are left", n)
+		t.Errorf("%d requests are kept, want none", n)
 	}
 }
--- a/balance/pending_queue_test.go
+++ b/balance/pending_queue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRankFallsWithTheObjective(t *testing.T) {
+func TestRankFallsAsTheObjectiveEnds(t *testing.T) {
 	const now = 100 * time.Second
 	class := &classState{Class: Class{LateWeightShare: 0.2}, latency: 0.1}
 	rankAt := func(timeLeft time.Duration) float64 {
@@ -16,10 +16,10 @@
 	}
 	early, soon, late := rankAt(time.Second), rankAt(50*ms), rankAt(-time.Second)
 	if early <= soon || soon <= late {
-		t.Errorf("ranks %v, %v, %v: want them to fall", early, soon, late)
+		t.Errorf("got ranks %v, %v, %v; want descending ones", early, soon, late)
 	}
 	if late != 0.2*1/0.1 {
-		t.Errorf("rank %v behind the objective, want the late share", late)
+		t.Errorf("got rank %v after the objective, want 2, from the late weight share", late)
 	}
 }
 
@@ -30,7 +30,7 @@
 	pending := []*request{third, first, second}
 	slices.SortStableFunc(pending, compareRanks)
 	if !slices.Equal(pending, []*request{first, second, third}) {
-		t.Errorf("%s, %s, %s", pending[0].id, pending[1].id, pending[2].id)
+		t.Errorf("got order %s, %s, %s; want first, second, third", pending[0].id, pending[1].id, pending[2].id)
 	}
 }
 
@@ -39,22 +39,22 @@
 	best.observe(&request{rank: 8, class: &classState{latency: 0.3}})
 	best.observe(&request{rank: 5, class: &classState{latency: 0.1}})
 	if best.rank != 8 || best.latency != 0.3 {
-		t.Fatalf("best %+v", best)
+		t.Fatalf("got best rank %+v, want rank 8 and its latency, 0.3 s", best)
 	}
 	for rank, want := range map[float64]float64{0: 1, 2: 0.5, 4: 0, 8: 0} {
 		if got := best.deficit(&request{rank: rank}); got != want {
-			t.Errorf("deficit of rank %v: %v, want %v", rank, got, want)
+			t.Errorf("rank %v: got deficit %v, want %v", rank, got, want)
 		}
 	}
 	if got := new(bestRank).deficit(&request{}); got != 1 {
-		t.Errorf("deficit of a request without weight, nothing seen: %v, want 1", got)
+		t.Errorf("got deficit %v of a request without weight before any other request, want 1", got)
 	}
 }
 
 func TestPendingWriteIsRejectedInTime(t *testing.T) {
-	for held, most := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
+	for lateRejectCost, maxDelay := range map[float64]time.Duration{0: time.Second, 0.3: 500 * ms} {
 		c := testConfig()
-		c.LateRejectCost = held
+		c.LateRejectCost = lateRejectCost
 		h := newHarness(t, c, EndpointList{Kind: ListCached})
 		q := h.request("write")
 		var acts []Action
@@ -62,52 +62,52 @@
 		for h.now < 102*time.Second && len(actionsOf[Reject](acts)) == 0 {
 			acts = h.step(10 * ms)
 		}
-		if at := h.now - 100*time.Second; at > most || at < most-100*ms {
-			t.Fatalf("refused after %v, the client waits 1 s", at)
+		if at := h.now - 100*time.Second; at > maxDelay || at < maxDelay-100*ms {
+			t.Fatalf("got rejection after %v, the client waits 1 s", at)
 		}
 		if actionsOf[Reject](acts)[0].RetryAfter == 0 {
-			t.Fatal("a refusal without a retry-after")
+			t.Fatal("got a rejection without a Retry-After, want one with it")
 		}
 	}
 }
 
-// A request that waits for a connection does not do so beyond half of its client's time.
-func TestSendIsOnlyGoodForHalfOfTheTime(t *testing.T) {
+// A request must not wait for a connection for longer than half of its client timeout.
+func TestSendExpiresAtHalfOfTheClientTimeout(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for _, class := range []string{"write", "any", "latest"} {
 		at := h.now + ms
 		s := h.expectSends(h.step(ms, h.request(class)), "abc")[0]
 		if s.NotAfter < at+450*ms || s.NotAfter > at+500*ms {
-			t.Errorf("%s: by %v", class, s.NotAfter-at)
+			t.Errorf("%s: NotAfter is %v after the request, want 450ms to 500ms", class, s.NotAfter-at)
 		}
 	}
 }
 
-// A client that retries has used up part of its latency objective. Its timeout tells how much, once the limit of its
-// class cuts it.
+// A client that retries has already used part of its latency objective. The part is derived from the time left, once it
+// is shorter than the longest timeout of the class.
 func TestRetryingClientHasLessTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	q := h.request("bounded") // aim 400 ms, gives up after 2 s, nothing when late
+	q := h.request("bounded") // objective 400 ms, client timeout 2 s, no weight when late
 	q.TimeLeft = 2 * time.Second
 	h.expectSends(h.step(ms, q), "bc")
 	q = h.request("bounded")
-	q.Retry, q.TimeLeft = true, 1500*ms // 500 ms have gone: no answer can be in time
+	q.Retry, q.TimeLeft = true, 1500*ms // 500 ms have passed: no answer can be in time
 	acts := h.step(ms, q)
 	h.expectSends(acts)
 	if len(actionsOf[Reject](acts)) != 1 {
-		t.Fatalf("%v, want a refusal at once", acts)
+		t.Fatalf("got actions %v, want a rejection at once", acts)
 	}
 	q = h.request("bounded")
 	q.Retry, q.TimeLeft = true, 1900*ms
 	h.expectSends(h.step(ms, q), "bc")
-	q = h.request("bounded") // not a retry: this client just has less patience
+	q = h.request("bounded") // not a retry: this client just has a shorter timeout
 	q.TimeLeft = 1500 * ms
 	h.expectSends(h.step(ms, q), "bc")
 }
 
-// A read that was never sent is rejected before half of its client's time, so that the client can ask elsewhere. One
-// that has reached an endpoint may stay pending for another attempt.
-func TestReadNeverSentIsRejectedBeforeHalfItsTime(t *testing.T) {
+// A read that was never sent is rejected before half of its client timeout, so that the client can retry elsewhere. A
+// read that has reached an endpoint may stay pending for another attempt.
+func TestUnsentReadIsRejectedBeforeHalfOfTheClientTimeout(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		h := newHarness(t, testConfig(), EndpointList{Kind: ListCached})
 		q := h.request("any")
@@ -121,12 +121,13 @@
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; reached != (at >= 500*ms) || at > time.Second {
-			t.Fatalf("reached %v: refused after %v, the client waits 1 s", reached, at)
+			t.Fatalf("reached %v: got rejection after %v, the client waits 1 s", reached, at)
 		}
 	}
 }
 
-// Classes without priority weight are served too: a share of nothing is not taken for more than there is.
+// Classes without priority weight are served too: where all ranks are 0, the credit that is reserved for requests of
+// higher rank must not exceed what an instance can save up.
 func TestRequestsWithoutWeightAreSent(t *testing.T) {
 	c := testConfig()
 	c.Instances = 300
@@ -153,6 +154,6 @@
 		}
 	}
 	if sent < 20 {
-		t.Fatalf("%d of 40 sent", sent)
+		t.Fatalf("%d of 40 requests sent, want 20 at least", sent)
 	}
 }
--- a/balance/quota_test.go
+++ b/balance/quota_test.go
@@ -10,18 +10,18 @@
 	now := 100 * time.Second
 	for i := range int(creditBurst) {
 		if !bucket.take(now) {
-			t.Fatalf("request %d of the burst is beyond the quota", i)
+			t.Fatalf("request %d of the burst is over the quota, want it within", i)
 		}
 	}
 	if bucket.take(now) {
-		t.Fatal("a request behind the burst is within the quota")
+		t.Fatal("a request after the burst is within the quota, want it over")
 	}
 	if now += 2 * time.Second; !bucket.take(now) {
-		t.Error("two seconds have refilled nothing")
+		t.Error("no token after two seconds at 0.5 tokens per second, want one")
 	}
 }
 
-func TestPriorityWeightBeyondTheQuota(t *testing.T) {
+func TestPriorityWeightOverQuota(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "t", Quota: 1}}
 	b, err := New(c, 1)
@@ -32,18 +32,19 @@
 	class := b.classes["write"]
 	for range int(creditBurst) {
 		if got := b.priorityWeight(class, "t"); got != 3 {
-			t.Fatalf("weight %v within the quota, want 3", got)
+			t.Fatalf("got weight %v within the quota, want 3", got)
 		}
 	}
 	if got := b.priorityWeight(class, "t"); got != 3*c.OverQuotaWeight {
-		t.Errorf("weight %v beyond the quota, want %v", got, 3*c.OverQuotaWeight)
+		t.Errorf("got weight %v over the quota, want %v", got, 3*c.OverQuotaWeight)
 	}
 	if got := b.priorityWeight(class, "unknown"); got != 3 {
-		t.Errorf("weight %v of a tenant without a quota, want 3", got)
+		t.Errorf("got weight %v of a tenant without a quota, want 3", got)
 	}
 }
 
-// At hundreds of instances a tenant sends less than one request a second to each: that is within its quota.
+// With hundreds of instances a tenant sends less than one request per second to each. That must count as within its
+// quota.
 func TestSmallQuotaShareIsNotExceeded(t *testing.T) {
 	c := testConfig()
 	c.Instances = 200
@@ -54,7 +55,7 @@
 		q.Tenant = "t"
 		h.step(4*time.Second, q)
 		if w := h.balancer.requests[q.ID]; w != nil && w.weight < 3 {
-			t.Fatalf("a quarter of a request a second, all of the share, is worth %v of 3", w.weight)
+			t.Fatalf("got weight %v at 0.25 requests per second, the share of the quota; want 3", w.weight)
 		}
 	}
 }
--- a/balance/replica_selection_test.go
+++ b/balance/replica_selection_test.go
@@ -16,7 +16,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.candidates.preferred(); len(got) != 1 || got[0].id != c.want {
-				t.Errorf("%v, want %s", got, c.want)
+				t.Errorf("got replicas %v, want %s", got, c.want)
 			}
 		})
 	}
@@ -42,15 +42,15 @@
 		h.step(ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 	}
 	if seen["b"] < 5 || seen["c"] < 5 {
-		t.Fatalf("draw is lopsided: %v", seen)
+		t.Fatalf("got sends %v by endpoint, want 5 at least to each of b and c", seen)
 	}
 }
 
-func TestReadMissGoesToOneOtherThenThePrimary(t *testing.T) {
+func TestReadMissGoesToAnotherReplicaThenThePrimary(t *testing.T) {
 	c := testConfig()
 	c.FreshnessCheck = FreshnessCheckReject
 	h := newReadyHarness(t, c)
-	h.now += 500 * ms // the positions no longer prove anything: any replica may be tried
+	h.now += 500 * ms // the positions are too old: any replica may be tried
 	q := h.request("bounded")
 	first := h.expectSends(h.step(0, q), "bc")[0].Endpoint
 	other := map[string]string{"b": "c", "c": "b"}[first]
@@ -61,10 +61,11 @@
 	)
 }
 
-// When no replica has recent data, weak reads must not take all that the primary can do: writes have no other place.
+// When no replica has recent data, weak reads must not use the whole capacity of the primary, since writes cannot go
+// elsewhere.
 func TestWeakReadsLeaveThePrimaryCapacity(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	h.now += 400 * ms // the positions have aged out
+	h.now += 400 * ms // the positions are too old
 	for range 40 {
 		h.step(0, h.request("bounded"))
 	}
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -9,7 +9,7 @@
 	request := &request{attempts: []*attempt{{number: 0, ended: true}, {number: 1}}}
 	for number, want := range map[int]bool{-1: false, 0: false, 1: true, 2: false} {
 		if got := request.openAttempt(number) != nil; got != want {
-			t.Errorf("attempt %d is open: %v", number, got)
+			t.Errorf("attempt %d: open = %v, want the opposite", number, got)
 		}
 	}
 }
@@ -17,10 +17,10 @@
 func TestTimesOfARequest(t *testing.T) {
 	request := &request{arrivedAt: 100 * time.Second, deadline: 102 * time.Second}
 	if got, want := request.halfTime(), 101*time.Second-tickInterval; got != want {
-		t.Errorf("half time %v, want %v", got, want)
+		t.Errorf("got half time %v, want %v", got, want)
 	}
 	if got, want := request.lastAnswer(), 102*time.Second-2*tickInterval; got != want {
-		t.Errorf("last answer %v, want %v", got, want)
+		t.Errorf("got last answer %v, want %v", got, want)
 	}
 }
 
@@ -44,7 +44,7 @@
 	} {
 		b.config.ClientSessionTokens = c.tokens
 		if got := b.minPosition(b.classes[c.class], event); got != c.want {
-			t.Errorf("%s, tokens %v: %v, want %v", c.class, c.tokens, got, c.want)
+			t.Errorf("%s, tokens %v: got position %v, want %v", c.class, c.tokens, got, c.want)
 		}
 	}
 }
@@ -54,9 +54,10 @@
 	streaming := &attempt{endpoint: endpoint}
 	endpoint.inFlight = []*attempt{streaming}
 	if !streaming.startStreaming(time.Second) || streaming.startStreaming(2*time.Second) {
-		t.Error("the first byte is news once")
+		t.Error("startStreaming must return true at its first call and false at its second")
 	}
 	if len(endpoint.inFlight) != 0 || endpoint.health.lastAnswerAt != time.Second {
-		t.Errorf("%d in flight, last answer at %v", len(endpoint.inFlight), endpoint.health.lastAnswerAt)
+		t.Errorf("%d attempts in flight, last answer at %v; want none and 1s",
+			len(endpoint.inFlight), endpoint.health.lastAnswerAt)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -9,7 +9,7 @@
 	budget := newRetryBudget()
 	for range int(maxRetryBudget) {
 		if !budget.covers(1) {
-			t.Fatal("the saved budget does not cover a retry")
+			t.Fatal("a retry within the saved budget is not covered")
 		}
 		budget.spend(1)
 	}
@@ -23,7 +23,7 @@
 		budget.earn()
 	}
 	if !budget.covers(1) {
-		t.Error("eleven requests have not earned a retry")
+		t.Error("a retry is not covered after eleven requests, want it covered after ten")
 	}
 }
 
@@ -34,7 +34,7 @@
 		mayHaveRun bool
 		want       bool
 	}{
-		{"it has not run", Class{Idempotency: NonIdempotent}, false, false},
+		{"has not run", Class{Idempotency: NonIdempotent}, false, false},
 		{"idempotent", Class{Idempotency: Idempotent}, true, false},
 		{"not idempotent", Class{Idempotency: NonIdempotent}, true, true},
 		{"a key known to the group", Class{Idempotency: IdempotentWithKey, IdempotencyScope: ScopeGroup}, true, true},
@@ -43,13 +43,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			request := &request{class: &classState{Class: c.class}, mayHaveRun: c.mayHaveRun}
 			if got := request.repeatMayRunTwice(); got != c.want {
-				t.Errorf("may run twice: %v", got)
+				t.Errorf("repeatMayRunTwice() = %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-func TestFirstRunCounts(t *testing.T) {
+func TestFirstRunStartsTheIdempotencyWindow(t *testing.T) {
 	request := &request{class: &classState{Class: Class{IdempotencyWindow: time.Second}}}
 	request.recordRun(&attempt{sentAt: 10 * time.Second, endpoint: &endpoint{zone: "a"}})
 	request.recordRun(&attempt{sentAt: 20 * time.Second, endpoint: &endpoint{zone: "b"}})
@@ -66,7 +66,7 @@
 		acts := h.step(50*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: s})
 		h.expectSends(acts)
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) != 0 {
-			t.Fatalf("status %d: %v, want one failure", s, acts)
+			t.Fatalf("status %d: got actions %v, want one Fail", s, acts)
 		}
 	}
 }
@@ -79,17 +79,17 @@
 	h.expectSends(h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed}), "b")
 }
 
-func TestIdempotencyKeyAllowsRepeatsInsideTheWindow(t *testing.T) {
+func TestIdempotencyKeyAllowsRepeatsWithinTheWindow(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("keyed")
 	h.expectSends(h.step(ms, q), "a")
 	first := h.now
 	repeat := h.step(50*ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusError, Role: RolePrimary})
 	h.expectSends(repeat, "a")
-	// A repeat that waits for its connection is not written behind the window either.
+	// A repeat that has to wait for its connection must not be written after the window either.
 	if by := actionsOf[Send](repeat)[0].NotAfter; by == 0 || by >= first+h.balancer.classes["keyed"].IdempotencyWindow {
 		t.Fatalf(
-			"the repeat may be written until %v, the window ends at %v",
+			"the repeat may be written until %v, want a time before %v, the end of the window",
 			by,
 			first+h.balancer.classes["keyed"].IdempotencyWindow,
 		)
@@ -100,6 +100,6 @@
 		acts = append(acts, h.step(10*ms)...)
 	}
 	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Send](acts)) != 0 || len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("%v, want one failure and no send", acts)
+		t.Fatalf("got actions %v, want one Fail and no Send", acts)
 	}
 }
