--- a/balance/config.go
+++ b/balance/config.go
@@ -46,13 +46,13 @@
 
 	SlowStartFrom    float64       // minimum capacity of a just started endpoint, as a share of its full capacity
 	SlowStartWindow  time.Duration // time after its start at which an endpoint has its full capacity
-	OverloadMultiple float64       // load, as a multiple of its current capacity, under which an endpoint fails in time
-	OverloadWindow   time.Duration // how long an endpoint withstands more load than OverloadMultiple
+	OverloadMultiple float64       // load above this multiple of its current capacity makes an endpoint fail
+	OverloadWindow   time.Duration // if the load lasts this long
 	SoftRemoval      bool          // only EndpointDraining forbids sends; a removed endpoint may still get them
 }
 
-// ConfigError reports invalid settings. Settings holds their names in the configuration file, which are not always
-// those of the fields of Config.
+// ConfigError reports invalid settings. It names them as the users of the configuration know them, which is not always
+// by the field names of Config.
 type ConfigError struct {
 	Settings string
 	Reason   string
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -36,9 +36,9 @@
 	instance0Requests map[string]int // if busy > 0: requests to instance 0, by class
 	instance0Rejects  map[string]int // if busy > 0: requests rejected by instance 0, by class
 
-	times         float64           // work of each request, as a multiple of the usual work; 0 = 1
-	shortAnyReads bool              // ConsistencyAny reads take as long as bounded reads
-	classByID     map[string]string // if busy > 0: class of each request, by id
+	times        float64           // work of each request, as a multiple of the usual work; 0 = 1
+	uniformReads bool              // ConsistencyAny reads take as long as bounded reads
+	classByID    map[string]string // if busy > 0: class of each request, by id
 }
 
 // member is a simulated endpoint.
@@ -240,7 +240,7 @@
 // serve queues an attempt of an instance at an endpoint, and passes its result once it is done.
 func (f *fleet) serve(i int, id string, attempt int, class string, m *member) {
 	work := time.Duration(float64(shortWork) * f.rng.ExpFloat64())
-	if class == "any" && !f.shortAnyReads {
+	if class == "any" && !f.uniformReads {
 		work = time.Duration(float64(longWork) * (0.5 + f.rng.Float64()))
 	}
 	work = time.Duration(float64(work) * cmp.Or(f.times, 1))
@@ -255,7 +255,7 @@
 		f.writeWait += end - work - f.now
 	}
 	if class == "any" {
-		if !f.shortAnyReads {
+		if !f.uniformReads {
 			m.longReadUntil = max(m.longReadUntil, end)
 		}
 		f.longReadsSent++
@@ -388,7 +388,7 @@
 			c.Classes[i].LatencyObjective, c.Classes[i].ClientTimeout = time.Second, 3*time.Second
 		}
 		f := newFleetOf(t, seed, 4, c)
-		f.shortAnyReads, f.times = true, 8 // 200 ms: more than a third of the bound
+		f.uniformReads, f.times = true, 8 // 200 ms: more than a third of the bound
 		f.load(150, 4, 5*time.Second)
 		clear(f.longReadsServed)
 		f.load(150, 4, 30*time.Second)
--- a/balance/long_read.go
+++ b/balance/long_read.go
@@ -36,7 +36,7 @@
 
 // longReadPacing spaces the long reads of a group while its bounded reads find no endpoint.
 type longReadPacing struct {
-	nextAt Time // earliest time of the next long read; 0 = not drawn yet
+	nextAt Time // earliest time of the next long read; 0 = not set yet
 }
 
 // isLongRead reports whether reads of a class delay replication for longer than bounded reads tolerate.
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -54,7 +54,7 @@
 	streaming := &attempt{endpoint: endpoint}
 	endpoint.inFlight = []*attempt{streaming}
 	if !streaming.startStreaming(time.Second) || streaming.startStreaming(2*time.Second) {
-		t.Error("startStreaming must return true at its first call and false at its second")
+		t.Error("startStreaming did not return true at its first call and false at its second, as expected")
 	}
 	if len(endpoint.inFlight) != 0 || endpoint.health.lastAnswerAt != time.Second {
 		t.Errorf("%d attempts in flight, last answer at %v; want none and 1s",
