--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -6,98 +6,100 @@
 )
 
 const (
-	// initialLimit is how many attempts an endpoint gets at a time from all instances, before anything is learned.
+	// initialLimit is the first concurrency limit of an endpoint, in attempts over all instances.
 	initialLimit = 16.0
-	// initialFractionalLimit is the same where the share of one instance is under one attempt: it must fit uneven
-	// arrivals, so it starts wider.
+	// initialFractionalLimit replaces initialLimit if the share of one instance is under one attempt. It is higher to
+	// allow for uneven arrivals.
 	initialFractionalLimit = 24.0
-	// minFleetLimit is what overload leaves of the limit at least, over all instances.
+	// minFleetLimit is the lowest limit to which overload reduces an endpoint, in attempts over all instances.
 	minFleetLimit = 4.0
-	// rejectionCut is the part of its limit that an endpoint loses when it rejects an attempt, or when it is slow and
-	// its limit is under one attempt.
-	rejectionCut = 0.25
-	// crowdedRatio is the part of the latency objective that attempts may take in the mean before the endpoint is
-	// crowded.
-	crowdedRatio = 0.35
-	// crowdedFactor is the multiple of its own least ratio that an endpoint must exceed as well, since one that is
-	// always slow is not crowded.
-	crowdedFactor = 1.5
-	// maxCrowdedRatio is the ratio from which an endpoint is crowded however slow it always is.
-	maxCrowdedRatio = 0.5
-	// fractionalWeight is by how much more a sample weighs where the limit is under one attempt and samples are few.
-	fractionalWeight = 3
+	// limitDecrease is the share by which the limit decreases when the endpoint rejects an attempt, or when it is slow
+	// and its limit is under one attempt.
+	limitDecrease = 0.25
+	// congestedRatio is the share of the latency objective that attempts may take on average before the endpoint counts
+	// as congested.
+	congestedRatio = 0.35
+	// congestedFactor is the multiple of its own lowest latency ratio that a congested endpoint must exceed as well,
+	// since an endpoint that is always slow is not congested.
+	congestedFactor = 1.5
+	// alwaysCongestedRatio is the latency ratio above which an endpoint counts as congested even if it is always slow.
+	alwaysCongestedRatio = 0.5
+	// fractionalSampleFactor multiplies the weight of a sample if the limit is under one attempt, since samples are few
+	// then.
+	fractionalSampleFactor = 3
 )
 
-// concurrencyLimit is how many attempts this instance may have in flight at an endpoint. It adapts to the latency of
-// the endpoint's answers, as a part of the latency objective of their class.
+// concurrencyLimit limits the attempts that this instance may have in flight at an endpoint. It adapts to the
+// endpoint's latency, measured as a share of the latency objective of the request's class.
 type concurrencyLimit struct {
-	attempts          float64
-	latencyRatio      float64 // moving mean of latency / objective
-	leastLatencyRatio float64 // the least of it, slowly forgotten
-	rejectingUntil    Time    // it rejected an attempt: nothing new before this
-	weakReadsFrom     Time    // no weak reads here as primary before this
-	weakReadBackoff   time.Duration
+	attempts        float64 // the limit; under 1 for a fractional share
+	latencyRatio    float64 // moving mean of latency / objective
+	minLatencyRatio float64 // minimum of latencyRatio, which rises slowly over time
+	rejectingUntil  Time    // no new attempt before this time, since the endpoint rejected one
+	weakReadsFrom   Time    // as primary, it gets no weak reads before this time
+	weakReadBackoff time.Duration
 }
 
-// newConcurrencyLimit returns a limit with nothing observed.
+// newConcurrencyLimit returns a limit of the given attempts, with no latency observed yet.
 func newConcurrencyLimit(attempts float64) concurrencyLimit {
 	return concurrencyLimit{
-		attempts:          attempts,
-		latencyRatio:      crowdedRatio / 2,
-		leastLatencyRatio: crowdedRatio / 2,
+		attempts:        attempts,
+		latencyRatio:    congestedRatio / 2,
+		minLatencyRatio: congestedRatio / 2,
 	}
 }
 
-// resume starts anew for an endpoint that operators have let back in.
+// resume resets the limit of an endpoint that operators have resumed.
 func (l *concurrencyLimit) resume(attempts float64) {
 	l.attempts = attempts
 	l.rejectingUntil = 0
-	l.latencyRatio = crowdedRatio / 2
-	l.leastLatencyRatio = crowdedRatio / 2
+	l.latencyRatio = congestedRatio / 2
+	l.minLatencyRatio = congestedRatio / 2
 }
 
-// isFractional says that the share of this instance is under one attempt.
+// isFractional reports whether the limit of this instance is under one attempt.
 func (l *concurrencyLimit) isFractional() bool { return l.attempts < 1 }
 
-// permits says whether one more attempt keeps within the limit, of which the endpoint has a part while it warms up.
-// One attempt is always permitted; fractional limits are kept by the work credit.
+// permits reports whether one more attempt stays within the limit, which is scaled by warmup (0 to 1) while the
+// endpoint warms up. One attempt is always permitted: the work credit enforces fractional limits.
 func (l *concurrencyLimit) permits(inFlight int, warmup float64) bool {
 	return float64(inFlight+1) <= max(1, l.attempts*warmup)
 }
 
-// backOff sends nothing new for a while. What was rejected at once would come back at once, and keep the endpoint
-// full.
+// backOff pauses new attempts until the given time. A full endpoint rejects at once, so an immediate retry would keep
+// it full.
 func (l *concurrencyLimit) backOff(until Time) { l.rejectingUntil = until }
 
-// recordRejection lowers the limit of an endpoint that rejected an attempt; of several in a row only once.
+// recordRejection lowers the limit, to at least the given minimum, after the endpoint rejected an attempt. Several
+// rejections during one backoff lower it only once.
 func (l *concurrencyLimit) recordRejection(now, until Time, least float64) {
 	if now >= l.rejectingUntil {
-		l.attempts = max(least, l.attempts*(1-rejectionCut))
+		l.attempts = max(least, l.attempts*(1-limitDecrease))
 	}
 	l.backOff(until)
 }
 
-// observeLatency takes a latency, as a part of the objective, into the means.
+// observeLatency updates the moving means with a latency given as a share of the objective.
 func (l *concurrencyLimit) observeLatency(ratio, weight float64) {
 	l.latencyRatio += weight * (ratio - l.latencyRatio)
-	l.leastLatencyRatio = min(l.latencyRatio, l.leastLatencyRatio*(1+decay))
+	l.minLatencyRatio = min(l.latencyRatio, l.minLatencyRatio*(1+decay))
 }
 
-// isCrowded says that latency has risen so far that the endpoint has too much in flight.
-func (l *concurrencyLimit) isCrowded(fractional bool) bool {
-	if l.latencyRatio > maxCrowdedRatio {
+// isCongested reports whether latency is so high that the endpoint must have too many attempts in flight.
+func (l *concurrencyLimit) isCongested(fractional bool) bool {
+	if l.latencyRatio > alwaysCongestedRatio {
 		return true
 	}
-	return !fractional && l.latencyRatio > max(crowdedRatio, crowdedFactor*l.leastLatencyRatio)
+	return !fractional && l.latencyRatio > max(congestedRatio, congestedFactor*l.minLatencyRatio)
 }
 
-// adaptWeakReadBackoff keeps weak reads off an endpoint, as primary, for a while after an answer that took as long as
-// its objective or longer: twice as long each time, half as long after each quick one.
+// adaptWeakReadBackoff backs weak reads off from an endpoint, in its role as primary, after a response that took at
+// least its latency objective. The backoff doubles with each slow response and halves with each fast one.
 //
-// Where no replica of a group is recent enough, the reads of hundreds of instances meet at its primary, one of each
-// at a time. That is more than it can do, so all of them are late, and its writes with them. No limit tells this to
-// an instance whose share is under one attempt; each learns it from its own few answers, and those that hit a slow
-// primary make way for the others.
+// If no replica of a group is recent enough, hundreds of instances send their reads to its primary, each one at a time.
+// That overloads the primary, so all of these reads are late, and its writes as well. The concurrency limit can't
+// prevent this if the share of an instance is under one attempt. So each instance reacts to its own few responses, and
+// the instances whose reads were slow leave the primary to the others.
 func (l *concurrencyLimit) adaptWeakReadBackoff(ratio float64, now Time, rng *rand.Rand) {
 	if ratio < 1 {
 		l.weakReadBackoff /= 2
@@ -107,18 +109,18 @@
 	l.weakReadsFrom = now + l.weakReadBackoff/2 + time.Duration(rng.Int64N(int64(l.weakReadBackoff)))
 }
 
-// initialLimit is the share of one instance in the first limit of an endpoint.
+// initialLimit returns the share of one instance in the first limit of an endpoint, in attempts.
 func (c *Config) initialLimit() float64 {
 	return max(initialLimit/c.instances(), min(1, initialFractionalLimit/c.instances()))
 }
 
-// minLimit is what overload leaves one instance of the limit at least.
+// minLimit returns the lowest limit of one instance under overload, in attempts.
 func (c *Config) minLimit() float64 { return min(1, minFleetLimit/c.instances()) }
 
-// hasFractionalShare says that the share of one instance in an endpoint is under one attempt.
+// hasFractionalShare reports whether the share of one instance in an endpoint is under one attempt.
 func (c *Config) hasFractionalShare() bool { return c.initialLimit() < 1 }
 
-// adaptLimit moves the limit of an endpoint after an attempt that took the given part of its latency objective.
+// adaptLimit adjusts the limit of an endpoint after an attempt that took the given share of its latency objective.
 func (b *Balancer) adaptLimit(endpoint *endpoint, ratio float64) {
 	limit := &endpoint.limit
 	if limit.isFractional() {
@@ -127,9 +129,9 @@
 	}
 	limit.observeLatency(ratio, smoothing)
 	switch {
-	case limit.isCrowded(false):
-		// With many instances each sees few answers, and would go on crowding the endpoint for long after it has
-		// become slow: each answer cuts more.
+	case limit.isCongested(false):
+		// Each of many instances sees few responses and would congest the endpoint for long after it has become slow,
+		// so each response reduces the limit by more.
 		cut := min(smoothing, smoothing/10*max(2, b.config.instances()))
 		limit.attempts = max(b.config.minLimit(), limit.attempts*(1-cut))
 	case float64(len(endpoint.inFlight)+2) > limit.attempts:
@@ -137,15 +139,15 @@
 	}
 }
 
-// adaptFractionalLimit does the same where the limit is under one attempt.
+// adaptFractionalLimit is adaptLimit for a limit under one attempt.
 func (b *Balancer) adaptFractionalLimit(endpoint *endpoint, ratio float64) {
 	limit := &endpoint.limit
 	limit.adaptWeakReadBackoff(ratio, b.now, b.rng)
-	limit.observeLatency(ratio, fractionalWeight*smoothing)
+	limit.observeLatency(ratio, fractionalSampleFactor*smoothing)
 	switch {
-	case limit.isCrowded(true):
-		if ratio >= maxCrowdedRatio { // one slow answer must not cut the limit several times
-			limit.attempts = max(b.config.minLimit(), limit.attempts*(1-rejectionCut))
+	case limit.isCongested(true):
+		if ratio >= alwaysCongestedRatio { // one slow response must not reduce the limit several times
+			limit.attempts = max(b.config.minLimit(), limit.attempts*(1-limitDecrease))
 		}
 	case endpoint.credit.tokens < endpoint.credit.burst/2:
 		limit.attempts = min(1, limit.attempts+smoothing*b.config.initialLimit())
--- a/balance/concurrency_limit_test.go
+++ b/balance/concurrency_limit_test.go
@@ -54,8 +54,8 @@
 		{"slower than usual, few samples", 0.4, 0.2, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			limit := concurrencyLimit{latencyRatio: c.ratio, leastLatencyRatio: c.least}
-			if got := limit.isCrowded(c.fractional); got != c.want {
+			limit := concurrencyLimit{latencyRatio: c.ratio, minLatencyRatio: c.least}
+			if got := limit.isCongested(c.fractional); got != c.want {
 				t.Errorf("crowded: %v", got)
 			}
 		})
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// pollSpacing is the time that discovery needs for the poll of each instance beyond the first few.
+	// pollSpacing is the time to allow discovery for the poll of each instance beyond unspacedInstances.
 	pollSpacing = 150 * time.Millisecond
-	// unspacedInstances is the number of instances that may poll at one time.
+	// unspacedInstances is the number of instances that may poll at the same time.
 	unspacedInstances = 3
-	// maxPollDelay is the longest wait from a poll that brought no list to the next one. What changed counts as
-	// notified 6 s after discovery had it and could be reached, however the poll ended; a poll that waits for its turn
-	// takes 2 s of that, and its way the rest.
+	// maxPollDelay is the longest delay from a failed poll to the next one. A change counts as notified 6 s after
+	// discovery had it and was reachable, even if the poll failed. Of the remaining time, a queued poll takes up to 2 s
+	// and the network the rest.
 	maxPollDelay = 3500 * time.Millisecond
 )
 
-// discoveryPoll decides when the endpoint list is polled: again after a failure, with a backoff, and spread over time
-// where there are many instances.
+// discoveryPoll schedules the polls of the endpoint list. Failed polls are repeated with a backoff, and the polls of
+// many instances are spread over time.
 type discoveryPoll struct {
 	rng        *rand.Rand
 	enabled    bool
 	spread     time.Duration // the time over which instances spread their polls
 	drainGrace time.Duration // Config.DrainGrace
 
-	inFlight bool // the subscription stands, or is being made
+	inFlight bool // a poll is in flight or has become a subscription
 	nextAt   Time
 	sentAt   Time
 	backoff  time.Duration
 }
 
-// newDiscoveryPoll returns a poll that is due at once.
+// newDiscoveryPoll returns a schedule whose first poll is due at once.
 func newDiscoveryPoll(config *Config, rng *rand.Rand) discoveryPoll {
 	return discoveryPoll{
 		rng:        rng,
@@ -41,12 +41,13 @@
 	}
 }
 
-// pollSpread is the time over which instances spread their polls. Polls that wait too long fail, and cost discovery
-// all the same: many instances that start at once, or lose their subscriptions at once, would keep each other out for
-// good.
+// pollSpread returns the time over which instances spread their polls. A poll that is queued for too long fails, and
+// costs discovery as much as one that succeeds. Without the spread, many instances that start or lose their
+// subscriptions at the same time would make each other's polls fail indefinitely.
 //
-// An instance that waits for longer than it may go without a poll counts as notified of what it has not received.
-// However many there are, the first polls and one more each still fall within that time.
+// An instance that doesn't poll within Config.PollWithin counts as notified of changes that it has not received. The
+// spread is a part of that time, so that the first poll and one repetition of each instance fall within it, whatever
+// the number of instances.
 func pollSpread(config *Config) time.Duration {
 	spread := time.Duration(max(0, config.Instances-unspacedInstances)) * pollSpacing
 	if config.PollWithin > 0 {
@@ -55,45 +56,47 @@
 	return spread
 }
 
-// succeeded notes that a list came.
+// succeeded records that a list arrived.
 func (p *discoveryPoll) succeeded(now Time) {
 	p.backoff = max(minRecoveryBackoff, p.spread)
 	p.sentAt = now
 }
 
-// startedFromCache notes that the instance starts with the list of its last run; the first poll is spread.
+// startedFromCache records that the instance starts with the cached list of its last run. The first poll is delayed at
+// random within the spread.
 func (p *discoveryPoll) startedFromCache(now Time) {
 	p.succeeded(now)
 	p.nextAt = now + time.Duration(p.rng.Int64N(int64(p.spread)+1))
 }
 
-// failed notes that a poll brought no list; silent says that discovery was not heard at all.
+// failed records that a poll returned no list; silent is set if discovery did not answer at all.
 func (p *discoveryPoll) failed(now Time, silent bool) {
 	p.inFlight = false
 	p.nextAt = now + p.retryDelay(now, silent)
 }
 
-// retryDelay is how long to wait with the next poll after one that brought no list.
+// retryDelay returns the delay until the next poll after one that returned no list.
 func (p *discoveryPoll) retryDelay(now Time, silent bool) time.Duration {
 	interval := min(p.backoff, p.drainGrace/2)
 	if silent && interval > 0 {
-		// What a silent discovery had to report counts as notified all the same, soon after, and the time in which
-		// sends must end runs. So the poll is repeated within a part of that time that leaves it its 2 s, each time:
-		// polls that are not heard cost discovery nothing.
+		// A change counts as notified soon after discovery had it even while discovery is silent, and then the drain
+		// grace in which sends must end is running. So the poll is repeated within a part of the grace that leaves the
+		// poll its 2 s, without increasing the backoff: polls that don't reach discovery cost it nothing.
 		return interval/8 + time.Duration(p.rng.Int64N(int64(interval)))*7/8
 	}
-	// If all instances polled again at once they would overload discovery: one that was rejected doubles its backoff,
-	// with jitter.
+	// If all instances polled again at once they would overload discovery, so a rejected poll doubles the backoff, with
+	// jitter.
 	delay := p.backoff/2 + time.Duration(p.rng.Int64N(int64(p.backoff)))
 	if delay > maxPollDelay {
 		delay = maxPollDelay - time.Duration(p.rng.Int64N(int64(maxPollDelay)*3/7))
 	}
-	delay -= min(now-p.sentAt, delay*3/4) // it runs from the poll: the time that it was queued is part of it
+	// The delay counts from the poll, so the time that the poll was queued is part of it.
+	delay -= min(now-p.sentAt, delay*3/4)
 	p.backoff = min(2*p.backoff, max(maxRecoveryBackoff, 2*p.spread))
 	return delay
 }
 
-// pollDiscovery subscribes to the endpoint list when that is due.
+// pollDiscovery polls the endpoint list, which subscribes to its changes, when a poll is due.
 func (b *Balancer) pollDiscovery() {
 	poll := &b.poll
 	if !poll.enabled || poll.inFlight {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// endpoint is a database server as this instance knows it. Its parts are types of their own, each in the file of its
-// concept.
+// endpoint is the state that this instance keeps of a database server. Each aspect of it has its own type, declared
+// in the file for that aspect.
 type endpoint struct {
 	id    string
 	zone  string
@@ -20,10 +20,10 @@
 	credit      workCredit
 	work        workRate
 
-	inFlight []*attempt // in the order of their sends, without those whose response streams
+	inFlight []*attempt // in send order; attempts whose response is being streamed are left out
 }
 
-// newEndpoint returns an endpoint of which nothing is known but what discovery says.
+// newEndpoint returns an endpoint for a newly listed entry, with nothing observed yet.
 func newEndpoint(entry EndpointEntry, group *replicaGroup, initialLimit float64) *endpoint {
 	return &endpoint{
 		id:        entry.Endpoint,
@@ -34,26 +34,26 @@
 	}
 }
 
-// compareIDs orders endpoints by id, the same at all instances.
+// compareIDs orders endpoints by id, which gives the same order at all instances.
 func compareIDs(x, y *endpoint) int { return cmp.Compare(x.id, y.id) }
 
-// isPrimary says that the endpoint is the group's primary, or was before it became suspect.
+// isPrimary reports whether the endpoint is cached as its group's primary, suspect or not.
 func (e *endpoint) isPrimary() bool { return e.group.primary.endpoint == e }
 
-// inService says that the endpoint may get anything at all.
+// inService reports whether the endpoint is ready and not suspended by operators.
 func (e *endpoint) inService() bool {
 	return e.discovery.state == EndpointReady && !e.discovery.suspended
 }
 
-// restart forgets what was observed of the endpoint before it started anew.
+// restart resets the state that was observed before the endpoint restarted at the given time.
 func (e *endpoint) restart(at Time, initialLimit float64) {
 	e.slowStart.startedAt = at
 	e.limit.attempts = initialLimit
 	e.credit.reset()
 }
 
-// resume lets an endpoint back in that operators had suspended. It has been restarted, so it warms up, nothing
-// observed before counts against it, and what was in flight will not be answered.
+// resume puts an endpoint that operators had suspended back into service. It has been restarted meanwhile, so it warms
+// up, earlier observations are discarded, and attempts that were in flight count as lost.
 func (e *endpoint) resume(now Time, initialLimit float64) {
 	e.discovery.resumed = true
 	e.slowStart.recoveredAt = now
@@ -67,7 +67,7 @@
 	}
 }
 
-// hasLiveAttempt says whether an attempt is in flight whose answer would say something of the endpoint.
+// hasLiveAttempt reports whether an attempt is in flight whose connection isn't lost.
 func (e *endpoint) hasLiveAttempt() bool {
 	for _, attempt := range e.inFlight {
 		if !attempt.connectionLost {
@@ -77,13 +77,13 @@
 	return false
 }
 
-// workRate is the work that an endpoint does for this instance.
+// workRate measures the work that an endpoint does for this instance.
 type workRate struct {
 	sinceMeasured float64 // seconds of work done since the last measurement
-	perSecond     float64 // moving mean
+	perSecond     float64 // moving mean, seconds of work per second
 }
 
-// measure takes the work of the last interval into the mean.
+// measure updates the mean with the work of the last interval, which lasted the given seconds.
 func (w *workRate) measure(seconds, weight float64) {
 	w.perSecond += weight * (w.sinceMeasured/max(1, seconds) - w.perSecond)
 	w.sinceMeasured = 0
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -1,17 +1,18 @@
 package balance
 
-// discoveryState is what discovery and the operators say of an endpoint.
+// discoveryState is the state of an endpoint according to discovery and the operators.
 type discoveryState struct {
 	state         EndpointState
-	everDraining  bool // it was listed as draining once: it is never sent anything again but as ready
-	listedPrimary bool // the endpoint list calls it primary
+	everDraining  bool // it was once listed as draining: it gets requests again only when listed as ready
+	listedPrimary bool // the endpoint list names it as the primary
 	removedAt     Time // when it left the list
 	suspended     bool // operators have taken it out of service, whatever the list says
-	resumed       bool // operators have let it back in, and it was not used since
+	resumed       bool // operators have resumed it, and it has not been used since
 }
 
-// allowsSends says whether an endpoint in this state may get requests. One that drains must get nothing new, from the
-// moment that this is known. One that has only left the list may still serve where removal is soft.
+// allowsSends reports whether an endpoint in this state may get requests. A draining endpoint gets no new request from
+// the moment that its state is known. An endpoint that was only removed from the list may still serve requests if
+// removal is soft.
 func (d *discoveryState) allowsSends(softRemoval bool) bool {
 	if d.state == EndpointReady {
 		return true
@@ -20,7 +21,7 @@
 	return softRemoval && !draining
 }
 
-// withdraw notes that the list no longer calls the endpoint ready.
+// withdraw records that the endpoint is out of service from now on, with its state in the list.
 func (d *discoveryState) withdraw(state EndpointState, now Time) {
 	if d.state != EndpointRemoved {
 		d.removedAt = now
@@ -29,7 +30,7 @@
 	d.everDraining = d.everDraining || state == EndpointDraining
 }
 
-// handleDiscovery applies an endpoint list, or notes that none came.
+// handleDiscovery applies an endpoint list, or records that a poll failed.
 func (b *Balancer) handleDiscovery(list EndpointList) {
 	switch list.Kind {
 	case ListFailed, ListSilent:
@@ -50,7 +51,7 @@
 	}
 }
 
-// withdrawUnlisted removes the endpoints that a complete list doesn't name.
+// withdrawUnlisted marks the endpoints that a complete list doesn't contain as removed.
 func (b *Balancer) withdrawUnlisted(listed map[string]bool) {
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
@@ -61,7 +62,7 @@
 	}
 }
 
-// applyEntry takes in what the list says of one endpoint.
+// applyEntry applies the entry of one endpoint.
 func (b *Balancer) applyEntry(entry EndpointEntry) {
 	endpoint := b.endpoints[entry.Endpoint]
 	if endpoint == nil {
@@ -83,7 +84,7 @@
 		}
 	}
 	endpoint.discovery.state = EndpointReady
-	// The list may lag by seconds: it counts only where no answer or report has said anything newer.
+	// The list may lag by seconds, so its primary counts only if no response or health check has shown the role yet.
 	newlyListed := entry.Primary && !endpoint.discovery.listedPrimary
 	unobserved := !group.primary.known() && endpoint.role.replicaAt == 0
 	if newlyListed && unobserved {
@@ -92,7 +93,7 @@
 	endpoint.discovery.listedPrimary = entry.Primary
 }
 
-// addEndpoint takes in an endpoint that is new to the list.
+// addEndpoint adds an endpoint that is new in the list.
 func (b *Balancer) addEndpoint(entry EndpointEntry) *endpoint {
 	group := b.groupFor(entry.Group)
 	endpoint := newEndpoint(entry, group, b.config.initialLimit())
@@ -102,7 +103,7 @@
 	return endpoint
 }
 
-// withdraw takes an endpoint out of use that drains, is gone or is suspended.
+// withdraw takes an endpoint out of service that is draining, removed or suspended.
 func (b *Balancer) withdraw(endpoint *endpoint, state EndpointState) {
 	endpoint.discovery.withdraw(state, b.now)
 	if endpoint.isPrimary() {
@@ -110,8 +111,8 @@
 	}
 }
 
-// handleSuspend takes an endpoint out of service until operators resume it. The suspension stands beside the state
-// that discovery tells, since the list goes on calling the endpoint ready, or does so again once it is back.
+// handleSuspend suspends or resumes an endpoint on behalf of operators. The suspension is kept separately from the
+// discovery state, since the list may go on showing the endpoint as ready, or show it so again after a restart.
 func (b *Balancer) handleSuspend(event Suspend) {
 	b.suspended[event.Endpoint] = event.Suspended
 	endpoint := b.endpoints[event.Endpoint]
@@ -124,6 +125,6 @@
 		return
 	}
 	endpoint.resume(b.now, b.config.initialLimit())
-	b.healthChecks.ensureInitial()
+	b.healthChecks.refillToInitial()
 	endpoint.group.hasSuspects = true
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// minRecoveryBackoff is the first wait before a suspect endpoint is tried; it doubles up to maxRecoveryBackoff.
+	// minRecoveryBackoff is the first backoff before a suspect endpoint is tried; it doubles up to maxRecoveryBackoff.
 	minRecoveryBackoff = 250 * time.Millisecond
-	// maxRecoveryBackoff is the longest wait before a suspect endpoint is tried: a recovery is seen within it.
+	// maxRecoveryBackoff is the longest backoff before a suspect endpoint is tried, and so bounds how long a recovery
+	// goes unnoticed.
 	maxRecoveryBackoff = 2 * time.Second
-	// relapseWindow is how long after it became suspect an endpoint that becomes suspect again waits twice as long.
+	// relapseWindow is the time after an endpoint became suspect in which becoming suspect again doubles its backoff.
 	relapseWindow = 10 * maxRecoveryBackoff
-	// refusalsForOutage is how many refused connections in a row mean an outage without a health check.
+	// refusalsForOutage is how many refused connections in a row mean an outage, without waiting for a health check.
 	refusalsForOutage = 3
 )
 
-// endpointHealth is whether an endpoint is believed to answer. One that is suspect gets single recovery attempts,
-// with a backoff, until it answers one.
+// endpointHealth tracks whether an endpoint answers. A suspect endpoint gets single recovery attempts, with a backoff,
+// until it answers one of them.
 type endpointHealth struct {
-	suspect              bool // it is silent or cannot be reached
-	unreachable          bool // it cannot be reached
-	unreachableAgain     bool // it was not reached again after it had become suspect
+	suspect              bool // it is silent or unreachable
+	unreachable          bool // connections to it fail
+	unreachableAgain     bool // it was unreachable once more after it had become suspect
 	suspectSince         Time
-	recoveryAt           Time // nothing is tried before this
+	recoveryAt           Time // no recovery attempt before this time
 	recoveryBackoff      time.Duration
 	reportedSinceAttempt bool // it has answered a health check since the last recovery attempt
 	lastAnswerAt         Time
-	brokenConnections    int // since it last served
-	refusedConnections   int // since it last served
+	brokenConnections    int // since it last served a request
+	refusedConnections   int // since it last served a request
 }
 
-// markSuspect begins a suspicion. An endpoint that fails and recovers by turns would take what it gets each time, so
-// one that relapses soon is trusted later.
+// markSuspect makes the endpoint suspect. An endpoint that alternates between failure and recovery would lose requests
+// each time, so a relapse within relapseWindow extends the backoff.
 func (h *endpointHealth) markSuspect(now Time) {
 	if now-h.suspectSince > relapseWindow {
 		h.recoveryBackoff = minRecoveryBackoff / 2
@@ -41,24 +42,25 @@
 	h.extendBackoff(now)
 }
 
-// extendBackoff postpones the next recovery attempt, twice as long as before.
+// extendBackoff postpones the next recovery attempt by twice the previous backoff, up to
+// maxRecoveryBackoff.
 func (h *endpointHealth) extendBackoff(now Time) {
 	h.setBackoff(min(2*h.recoveryBackoff, maxRecoveryBackoff), now)
 }
 
-// setBackoff postpones the next recovery attempt.
+// setBackoff postpones the next recovery attempt by the given backoff.
 func (h *endpointHealth) setBackoff(backoff time.Duration, now Time) {
 	h.recoveryBackoff = backoff
 	h.recoveryAt = now + backoff
 }
 
-// clearSuspicion ends a suspicion.
+// clearSuspicion makes the endpoint not suspect.
 func (h *endpointHealth) clearSuspicion() {
 	h.suspect = false
 	h.unreachable = false
 }
 
-// reset forgets what counts against an endpoint that operators have let back in.
+// reset clears the failures recorded for an endpoint that operators have resumed.
 func (h *endpointHealth) reset() {
 	h.clearSuspicion()
 	h.unreachableAgain = false
@@ -67,22 +69,22 @@
 	h.refusedConnections = 0
 }
 
-// recoveryTimeReached says that the endpoint is suspect and its backoff is over.
+// recoveryTimeReached reports whether the endpoint is suspect and its backoff is over.
 func (h *endpointHealth) recoveryTimeReached(now Time) bool { return h.suspect && now >= h.recoveryAt }
 
-// awaitsReport says that the endpoint is due for a recovery attempt, but has not answered a health check since the
-// last one.
+// awaitsReport reports whether the endpoint's backoff is over, but it has not answered a health check since the last
+// recovery attempt.
 func (h *endpointHealth) awaitsReport(now Time) bool {
 	return h.recoveryTimeReached(now) && !h.reportedSinceAttempt
 }
 
-// recoveryDue says that the endpoint is due for a recovery attempt and has answered a health check since the last
-// one.
+// recoveryDue reports whether the endpoint's backoff is over and it has answered a health check since the last recovery
+// attempt.
 func (h *endpointHealth) recoveryDue(now Time) bool {
 	return h.recoveryTimeReached(now) && h.reportedSinceAttempt
 }
 
-// markSuspect notes that an endpoint is silent or cannot be reached, and sends it a health check.
+// markSuspect makes an endpoint suspect that is silent or unreachable, and sends it a health check.
 func (b *Balancer) markSuspect(endpoint *endpoint, reason string) {
 	if endpoint.health.suspect {
 		return
@@ -93,7 +95,7 @@
 	b.sendHealthCheck(endpoint, 0)
 }
 
-// markUnreachable notes an outage of the endpoint.
+// markUnreachable records an outage of the endpoint.
 func (b *Balancer) markUnreachable(endpoint *endpoint) {
 	endpoint.health.unreachable = true
 	b.markSuspect(endpoint, "cannot be reached")
@@ -102,9 +104,9 @@
 	}
 }
 
-// recordBrokenConnection notes that an attempt's connection broke or was refused. A path that breaks connections,
-// several in a row too, is no outage of the endpoint. One that has died takes no new connections either, so a health
-// check settles it; until its result a dead endpoint may get a few more requests.
+// recordBrokenConnection records that an attempt's connection broke or was refused. A network path that breaks
+// connections, even several in a row, is not an outage of the endpoint. An endpoint that is down accepts no new
+// connections either, so a health check decides; until its result the endpoint may get a few more requests.
 func (b *Balancer) recordBrokenConnection(endpoint *endpoint) {
 	health := &endpoint.health
 	b.recordFailure(endpoint)
@@ -117,12 +119,12 @@
 	}
 }
 
-// recordRecovery ends the suspicion of an endpoint that has served a request.
+// recordRecovery clears the suspicion of an endpoint that has served a request.
 func (b *Balancer) recordRecovery(endpoint *endpoint) {
 	b.log("endpoint %s: serves again", endpoint.id)
-	// One that has died may have restarted: it warms up until discovery says otherwise. It is found unreachable more
-	// than once, when it falls silent and at its recovery attempts; taking each unreachable one for restarted would
-	// leave warm endpoints idle where connections break often.
+	// An endpoint that was down may have restarted, so it warms up. It counts as down only if it was unreachable once
+	// more after it became suspect: treating each unreachable endpoint as restarted would leave warm endpoints idle
+	// on networks that break connections often.
 	died := endpoint.health.unreachable && endpoint.health.unreachableAgain
 	if died && !endpoint.stillPrimaryForGroup() {
 		endpoint.slowStart.recoveredAt = b.now
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -7,64 +7,66 @@
 )
 
 const (
-	// healthCheckInterval is the least interval between two regular health checks of an endpoint.
+	// healthCheckInterval is the minimum interval between two regular health checks of an endpoint.
 	healthCheckInterval = 100 * time.Millisecond
-	// healthCheckSpend is the part of a request's weight that may be spent on health checks.
-	healthCheckSpend = 0.06
-	// minHealthCheckPrice bounds what a request may earn where health checks are nearly free.
-	minHealthCheckPrice = healthCheckSpend / 4
-	// initialHealthCheckBudget is the budget before anything is earned: the first use of about two groups.
+	// healthCheckShare is the share of a request's weight that may be spent on health checks.
+	healthCheckShare = 0.06
+	// minHealthCheckCost bounds the budget that a request earns if health checks are nearly free.
+	minHealthCheckCost = healthCheckShare / 4
+	// initialHealthCheckBudget is the budget, in health checks, before any request: enough for the first use of about
+	// two groups.
 	initialHealthCheckBudget = 8.0
-	// maxHealthCheckBudget is how many health checks may be saved up for a failure.
+	// maxHealthCheckBudget is the most health checks that can be saved up, for use during a failure.
 	maxHealthCheckBudget = 32.0
 )
 
-// healthCheckBudget limits health checks to what requests have earned: hundreds of instances that checked at will
-// would overload the endpoints.
+// healthCheckBudget limits health checks in proportion to requests: without a limit, hundreds of instances would
+// overload the endpoints with health checks.
 type healthCheckBudget struct {
-	tokens     float64
-	perRequest float64
+	tokens     float64 // health checks that may be sent now
+	perRequest float64 // tokens earned by each request
 }
 
-// newHealthCheckBudget returns a budget for health checks of the price, as a part of the weight of a request.
-func newHealthCheckBudget(price float64) healthCheckBudget {
+// newHealthCheckBudget returns a budget for health checks that cost the given part of a request's weight.
+func newHealthCheckBudget(cost float64) healthCheckBudget {
 	return healthCheckBudget{
 		tokens:     initialHealthCheckBudget,
-		perRequest: healthCheckSpend / max(price, minHealthCheckPrice),
+		perRequest: healthCheckShare / max(cost, minHealthCheckCost),
 	}
 }
 
-// earn adds what one request brings.
+// earn adds the tokens that one request earns.
 func (h *healthCheckBudget) earn() { h.tokens = min(maxHealthCheckBudget, h.tokens+h.perRequest) }
 
-// available says whether the budget covers a health check.
+// available reports whether the budget covers a health check.
 func (h *healthCheckBudget) available() bool { return h.tokens >= 1 }
 
 // spend pays for one health check.
 func (h *healthCheckBudget) spend() { h.tokens-- }
 
-// ensureInitial fills the budget up to what it starts with.
-func (h *healthCheckBudget) ensureInitial() { h.tokens = max(h.tokens, initialHealthCheckBudget) }
+// refillToInitial refills the budget to at least its initial value.
+func (h *healthCheckBudget) refillToInitial() { h.tokens = max(h.tokens, initialHealthCheckBudget) }
 
-// healthCheckState is the last health check of an endpoint.
+// healthCheckState describes the last health check of an endpoint.
 type healthCheckState struct {
 	inFlight bool
 	sentAt   Time
 }
 
-// mayRepeat says whether another health check may be sent now. One without a result for long counts as lost.
+// mayRepeat reports whether another health check may be sent now. A health check that has had no result for the active
+// window counts as lost.
 func (s *healthCheckState) mayRepeat(now Time, interval time.Duration) bool {
 	since := now - s.sentAt
 	awaitsResult := s.inFlight && since <= activeWindow
 	return since >= interval && !awaitsResult
 }
 
-// resultExpected says that a health check is in flight whose result should come soon.
+// resultExpected reports whether a health check is in flight that was sent recently enough to be answered soon.
 func (s *healthCheckState) resultExpected(now Time) bool {
 	return s.inFlight && now-s.sentAt < healthCheckInterval/2
 }
 
-// handleHealthCheck takes in the result of a health check.
+// handleHealthCheck records the result of a health check.
 func (b *Balancer) handleHealthCheck(result HealthCheckResult) {
 	endpoint := b.endpoints[result.Endpoint]
 	if endpoint == nil {
@@ -84,11 +86,12 @@
 	if lag < replication.lag || b.config.FreshnessCheck == FreshnessCheckNone {
 		replication.observeLag(lag, b.now)
 	}
-	b.observeRole(endpoint, result.Role, result.Position) // a report is as old as a primary's position in it
+	// A primary's position is the time at which it made the report, so the position also dates the reported role.
+	b.observeRole(endpoint, result.Role, result.Position)
 	replication.advance(result.Position, b.now)
 }
 
-// recordFailedCheck notes that a health check was not answered.
+// recordFailedCheck records that a health check failed.
 func (b *Balancer) recordFailedCheck(endpoint *endpoint, status Status) {
 	health := &endpoint.health
 	if b.config.FreshnessCheck == FreshnessCheckNone {
@@ -105,8 +108,8 @@
 	}
 }
 
-// scheduleHealthChecks sends the health checks that the group needs now: only where something waits for them, and
-// further apart each time.
+// scheduleHealthChecks sends the health checks that the group needs now. It sends them only if requests need their
+// results, at growing intervals.
 func (b *Balancer) scheduleHealthChecks(group *replicaGroup) {
 	if !group.inUse(b.now) || group.idle(b.now) {
 		return
@@ -129,7 +132,7 @@
 		}
 		if interval, due := b.healthCheckDue(endpoint); due {
 			b.sendHealthCheck(endpoint, interval)
-		} else if endpoint.positionWanted(b.now) {
+		} else if endpoint.needsPositionCheck(b.now) {
 			outdated = append(outdated, endpoint)
 		}
 	}
@@ -137,7 +140,8 @@
 	b.refreshPosition(group, outdated)
 }
 
-// primarySearchDue says that requests wait for a primary that is not known, or not reachable.
+// primarySearchDue reports whether to start a round of the primary search: requests wait for a primary that is unknown
+// or suspect.
 func (b *Balancer) primarySearchDue(group *replicaGroup) bool {
 	if !group.primaryLost() || b.now < group.search.nextAt {
 		return false
@@ -145,9 +149,9 @@
 	return group.firstChecksSent && len(group.pending) > 0
 }
 
-// expireResumption ends the preference for an endpoint that operators have let back in and that was not used for
-// long. Until then it is checked on its own account: without a report no bounded read may try it, and nothing would
-// ask for one.
+// expireResumption clears the resumed flag of an endpoint that has not been used for two active windows since operators
+// resumed it. While the flag is set the endpoint gets regular health checks: no bounded read may try it before it has
+// reported its position, and nothing else would request a report.
 func (b *Balancer) expireResumption(endpoint *endpoint) {
 	discovery := &endpoint.discovery
 	recent := b.now-endpoint.slowStart.recoveredAt < 2*activeWindow
@@ -156,7 +160,8 @@
 	}
 }
 
-// healthCheckDue says whether the endpoint needs a health check of its own, and the least interval to the one before.
+// healthCheckDue reports whether the endpoint needs a health check regardless of the other endpoints, and the minimum
+// interval since its previous one.
 func (b *Balancer) healthCheckDue(endpoint *endpoint) (interval time.Duration, due bool) {
 	group := endpoint.group
 	health := &endpoint.health
@@ -168,7 +173,7 @@
 	case health.awaitsReport(b.now) && usedSinceCheck:
 	case endpoint.isPrimaryAwaitingReport() && len(group.pending) > 0:
 	case awaitsFreshPosition && usedSinceCheck:
-		// Its position has aged while it waited for its recovery attempt, so no bounded read may try it.
+		// Its position has expired during the recovery backoff, so no bounded read may try it.
 		return max(healthCheckInterval, health.recoveryBackoff), true
 	default:
 		return 0, false
@@ -176,8 +181,9 @@
 	return healthCheckInterval, true
 }
 
-// needsFirstCheck says that the group is used for the first time and its endpoints are all checked for role and
-// position. Where the list names the primary, an instance of many asks for nothing before a read needs it.
+// needsFirstCheck reports whether the group is used for the first time and all its endpoints are to be checked for
+// their role and position. If the primary is known from the list, an instance with a fractional share sends no health
+// check until a read needs one.
 func (b *Balancer) needsFirstCheck(group *replicaGroup) bool {
 	if group.firstChecksSent {
 		return false
@@ -185,8 +191,9 @@
 	return group.primaryLost() || !b.config.hasFractionalShare()
 }
 
-// isPrimaryAwaitingReport says that a suspect primary has reported nothing that is newer than the suspicion. A report
-// is older than its answer, so one that answers has to be checked again; it would be kept from its writes for ever.
+// isPrimaryAwaitingReport reports whether the endpoint is a suspect primary that has answered a health check but not
+// yet shown its role since it became suspect. The role in a report is older than the answer that carries it, so the
+// endpoint has to be checked again, or it would never get its writes back.
 func (e *endpoint) isPrimaryAwaitingReport() bool {
 	if !e.isPrimary() || e.role.primaryAt > e.health.suspectSince {
 		return false
@@ -194,8 +201,9 @@
 	return e.health.suspect && e.health.reportedSinceAttempt
 }
 
-// positionWanted says that a read could go to the endpoint now if a new report showed that it is recent enough.
-func (e *endpoint) positionWanted(now Time) bool {
+// needsPositionCheck reports whether a read could be sent to the endpoint now if a new report showed a recent enough
+// position.
+func (e *endpoint) needsPositionCheck(now Time) bool {
 	if e.replication.neededAt != now || e.isPrimary() {
 		return false
 	}
@@ -205,9 +213,10 @@
 	return now-e.replication.position >= healthCheckInterval
 }
 
-// refreshPosition sends a health check to that one of the endpoints whose report is most likely to be of use to a
-// weak read. One report is enough: each step looks at a read that waits and would ask all endpoints while one report
-// is on its way. In a fixed order, one that is far behind would take all that many instances can spend, in vain.
+// refreshPosition sends a health check to the outdated endpoint whose report is most likely to let a weak read proceed.
+// One report at a time is enough: every step considers a pending read again, and would otherwise check all endpoints
+// while the first report is still in flight. In a fixed order, an endpoint with a large lag would use up the health
+// check budget of many instances without any effect.
 func (b *Balancer) refreshPosition(group *replicaGroup, outdated []*endpoint) {
 	if len(outdated) == 0 {
 		return
@@ -223,16 +232,17 @@
 	b.sendHealthCheck(outdated[useful], b.positionCheckInterval(outdated[useful]))
 }
 
-// positionCheckInterval is how long a report of the endpoint is good enough. One that was behind the bound needs
-// about the time by which it was behind; where the group has no primary all stand still, so checks get rarer by
-// themselves.
+// positionCheckInterval returns the minimum interval between position checks of the endpoint. An endpoint whose lag
+// exceeded the bound needs about the excess to catch up. If the group has no primary, positions stand still and lags
+// grow, so health checks become less frequent.
 func (b *Balancer) positionCheckInterval(endpoint *endpoint) time.Duration {
 	return max(healthCheckInterval, min(endpoint.replication.lag-b.tightestBound, 2*primarySearchInterval))
 }
 
-// positionCheckCost ranks how little a report of the endpoint is likely to be of use to a bounded read: less if it
-// was behind, then if it is in another zone.
-func (b *Balancer) positionCheckCost(endpoint *endpoint) int {
+// positionCheckRank ranks how likely a report of the endpoint is to help a bounded read; 0 is the most likely.
+// Endpoints whose lag exceeded the bound rank last; among equals, endpoints of other zones rank after those of this
+// zone.
+func (b *Balancer) positionCheckRank(endpoint *endpoint) int {
 	rank := 0
 	if !b.reportedWithinBound(endpoint) {
 		rank = 2
@@ -243,17 +253,16 @@
 	return rank
 }
 
-// comparePositionChecks orders endpoints by the cost rank of a health check, then by which was not checked for
-// longest.
+// comparePositionChecks orders endpoints by positionCheckRank, then by the time of the last health check, oldest first.
 func (b *Balancer) comparePositionChecks(x, y *endpoint) int {
 	return cmp.Or(
-		cmp.Compare(b.positionCheckCost(x), b.positionCheckCost(y)),
+		cmp.Compare(b.positionCheckRank(x), b.positionCheckRank(y)),
 		cmp.Compare(x.check.sentAt, y.check.sentAt),
 	)
 }
 
-// healthCheckAllowed says whether the endpoint may be sent a health check now, at least an interval after the last
-// one.
+// healthCheckAllowed reports whether the endpoint may be sent a health check now, with at least the interval since the
+// last one.
 func (b *Balancer) healthCheckAllowed(endpoint *endpoint, interval time.Duration) bool {
 	if !b.config.HealthChecks || endpoint.discovery.suspended {
 		return false
@@ -261,7 +270,7 @@
 	return b.healthChecks.available() && endpoint.check.mayRepeat(b.now, interval)
 }
 
-// sendHealthCheck sends a health check if that is allowed.
+// sendHealthCheck sends the endpoint a health check if healthCheckAllowed permits it.
 func (b *Balancer) sendHealthCheck(endpoint *endpoint, interval time.Duration) {
 	if !b.healthCheckAllowed(endpoint, interval) {
 		return
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestHealthCheckBudget(t *testing.T) {
-	budget := newHealthCheckBudget(healthCheckSpend) // a request earns one health check
+	budget := newHealthCheckBudget(healthCheckShare) // a request earns one health check
 	for range int(initialHealthCheckBudget) {
 		if !budget.available() {
 			t.Fatal("the initial budget is not available")
@@ -26,7 +26,7 @@
 		t.Errorf("%v saved up, want %v", budget.tokens, maxHealthCheckBudget)
 	}
 	budget = newHealthCheckBudget(0)
-	if budget.perRequest != healthCheckSpend/minHealthCheckPrice {
+	if budget.perRequest != healthCheckShare/minHealthCheckCost {
 		t.Errorf("free health checks: a request earns %v", budget.perRequest)
 	}
 }
--- a/balance/liveness.go
+++ b/balance/liveness.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// lostConnectionFactor is after how many times its silence timeout an attempt counts as lost on a silent connection,
-// if the endpoint has answered later ones.
+// lostConnectionFactor is the multiple of its silence timeout after which an unanswered attempt counts as lost with its
+// connection, if the endpoint has answered later attempts.
 const lostConnectionFactor = 2
 
 const (
-	// silenceFactor is how many times its mean latency the slowest of many attempts may take: the spread of latency.
+	// silenceFactor is the multiple of the mean latency that the slowest of many attempts may take: it allows for the
+	// spread of latency.
 	silenceFactor = 1.5
-	// fewAttemptsFactor is added for a single attempt, and its n-th part for each of n: the more are in flight, the
-	// sooner one of them should be answered.
+	// fewAttemptsFactor, divided by the number of attempts in flight, is added to silenceFactor: the more attempts are
+	// in flight, the sooner one of them should be answered.
 	fewAttemptsFactor = 5
 )
 
-// silenceTimeout is how long an endpoint with these attempts in flight may answer nothing before it is suspect. It
-// goes by the slowest class among them and by how slow the endpoint is: neither a long request nor a queue is
-// silence.
+// silenceTimeout returns how long an endpoint with these attempts in flight may leave all of them unanswered before it
+// becomes suspect. It depends on the slowest class among them and on the endpoint's latency, so that neither a long
+// request nor a queue at the endpoint counts as silence.
 func silenceTimeout(inFlight ...*attempt) time.Duration {
 	latency := 0.0
 	for _, attempt := range inFlight {
@@ -26,8 +27,8 @@
 	return max(pauseThreshold, secondsToDuration(latency*(silenceFactor+fewAttemptsFactor/float64(len(inFlight)))))
 }
 
-// checkProgress looks for endpoints that make no progress, and cancels attempts that can safely be repeated
-// elsewhere.
+// checkProgress marks endpoints that make no progress as suspect, and cancels their attempts that can safely be
+// repeated elsewhere.
 func (b *Balancer) checkProgress() {
 	stillBusy := b.busyEndpoints[:0]
 	for _, endpoint := range b.busyEndpoints {
@@ -37,7 +38,7 @@
 		stillBusy = append(stillBusy, endpoint)
 		timeout := b.checkSilence(endpoint)
 		for _, attempt := range endpoint.inFlight {
-			b.answerCancelled(attempt)
+			b.rejectCancelled(attempt)
 			b.cancelSilent(attempt, timeout)
 		}
 	}
@@ -48,7 +49,7 @@
 	}
 }
 
-// checkSilence marks the endpoint suspect if it has answered nothing for its silence timeout, and returns that
+// checkSilence marks the endpoint suspect if it has answered no attempt for its silence timeout, and returns the
 // timeout.
 func (b *Balancer) checkSilence(endpoint *endpoint) time.Duration {
 	live := b.liveAttempts(endpoint)
@@ -65,9 +66,9 @@
 	return timeout
 }
 
-// liveAttempts are the attempts in flight whose answers still say something of the endpoint. An attempt whose
-// connection has fallen silent, while the endpoint answers what was sent later, would make a busy endpoint look dead:
-// it counts as lost. The result is valid until the next call.
+// liveAttempts returns the attempts in flight whose connections are not lost. If a connection is silent while the
+// endpoint answers attempts that were sent later, its attempt is marked as lost: it would make a busy endpoint look
+// down. The result is valid until the next call.
 func (b *Balancer) liveAttempts(endpoint *endpoint) []*attempt {
 	live := b.liveScratch[:0]
 	for _, attempt := range endpoint.inFlight {
@@ -86,14 +87,14 @@
 	return live
 }
 
-// runningSince is since when an attempt has been in flight without a pause of this instance.
+// runningSince returns the time since which the attempt has been in flight without a pause of this instance.
 func (b *Balancer) runningSince(attempt *attempt) Time {
 	return max(attempt.sentAt, b.wake.runningSince)
 }
 
-// answerCancelled rejects the request of a cancelled attempt before its client leaves: the end of the attempt may
-// come after that.
-func (b *Balancer) answerCancelled(attempt *attempt) {
+// rejectCancelled rejects the request of a cancelled attempt before its client disconnects, since the result of the
+// attempt may arrive later than that.
+func (b *Balancer) rejectCancelled(attempt *attempt) {
 	request := attempt.request
 	if !attempt.cancelled || request.answered {
 		return
@@ -105,7 +106,8 @@
 	}
 }
 
-// cancelSilent cancels an attempt that is not answered for the timeout, if its request can be repeated elsewhere.
+// cancelSilent cancels an attempt that was not answered within the timeout or whose connection is lost, if its request
+// can be repeated elsewhere.
 func (b *Balancer) cancelSilent(attempt *attempt, timeout time.Duration) {
 	if attempt.cancelled || !b.mayCancel(attempt) {
 		return
@@ -119,7 +121,8 @@
 	b.emit(Cancel{ID: attempt.request.id, Attempt: attempt.number})
 }
 
-// mayCancel says whether an attempt at a silent endpoint, or on a silent connection, can be cancelled and repeated.
+// mayCancel reports whether the attempt is at a suspect endpoint or on a lost connection, and can be cancelled and
+// repeated elsewhere.
 func (b *Balancer) mayCancel(attempt *attempt) bool {
 	silent := attempt.endpoint.health.suspect || attempt.connectionLost
 	if !silent || attempt.request.answered {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,11 +1,11 @@
 package balance
 
-// outlierFailureMargin is the share of failures beyond that of its best peer that makes an endpoint an outlier.
+// outlierFailureMargin is how much an endpoint's failure rate must exceed that of its best peer to make it an outlier.
 const outlierFailureMargin = 0.25
 
-// outlierStats is the rate of failed attempts by which outliers are found.
+// outlierStats holds the failure rate that outlier detection uses.
 type outlierStats struct {
-	failureRate float64 // moving share of failures
+	failureRate float64 // moving mean, 0 to 1
 }
 
 // recordFailure counts a failed attempt.
@@ -14,8 +14,9 @@
 // recordSuccess counts a served attempt.
 func (o *outlierStats) recordSuccess() { o.failureRate -= smoothing * o.failureRate }
 
-// isOutlier says that the endpoint fails more than its peers: what they all suffer from does not count. An outlier is
-// the last choice for weak reads except for some recovery attempts; strong requests have no other place.
+// isOutlier reports whether the endpoint fails more often than its best peer, so that failures common to all endpoints
+// of the group don't count. Weak reads go to an outlier only as the last choice, apart from recovery attempts. Strong
+// requests still go to it, since no other endpoint can serve them.
 func (e *endpoint) isOutlier() bool {
 	least := e.outlier.failureRate
 	for _, peer := range e.group.endpoints {
@@ -26,19 +27,19 @@
 	return e.outlier.failureRate > outlierFailureMargin+least
 }
 
-// outlierRecoveryDue says that an outlier may get another recovery attempt.
+// outlierRecoveryDue reports whether the endpoint is an outlier that may get another recovery attempt.
 func (e *endpoint) outlierRecoveryDue(now Time) bool {
 	return e.isOutlier() && now >= e.health.recoveryAt
 }
 
-// isEjected says that an outlier gets no weak read that another endpoint can take: it waits for its next recovery
-// attempt, or has one in flight.
+// isEjected reports whether the endpoint is an outlier that gets no weak read which another endpoint can serve: its
+// next recovery attempt is not due, or an attempt is in flight.
 func (e *endpoint) isEjected(now Time) bool {
 	waits := now < e.health.recoveryAt || len(e.inFlight) > 0
 	return waits && e.isOutlier()
 }
 
-// recordFailure counts a failed attempt, and ejects the endpoint if that makes it an outlier.
+// recordFailure counts a failed attempt, and ejects the endpoint if it is an outlier.
 func (b *Balancer) recordFailure(endpoint *endpoint) {
 	endpoint.outlier.recordFailure()
 	if endpoint.isOutlier() && endpoint.health.recoveryAt < b.now {
--- a/balance/primary_cache.go
+++ b/balance/primary_cache.go
@@ -6,24 +6,24 @@
 type primaryState int
 
 const (
-	primaryUnknown primaryState = iota // no primary was known yet: BUILDING on the ODP page
-	primaryCached                      // the cached primary takes the writes: AVAIL
+	primaryUnknown primaryState = iota // no primary has been known yet: BUILDING on the ODP page
+	primaryCached                      // writes go to the cached primary: AVAIL
 	primarySuspect                     // there is evidence against the cached primary: DIRTY
 )
 
-// primaryCache says which endpoint is the primary of a replica group. It is the routing table entry of the ODP page.
+// primaryCache caches which endpoint is the primary of a replica group. It is the routing table entry of the ODP page.
 type primaryCache struct {
 	state            primaryState
-	endpoint         *endpoint // kept while it is suspect; nil while unknown
-	observedAt       Time      // newest evidence for the primary
+	endpoint         *endpoint // kept while the entry is suspect; nil while unknown
+	observedAt       Time      // time of the newest evidence for the primary
 	suspectSince     Time
-	exploratoryWrite *attempt // the write that is in flight to find a new primary
+	exploratoryWrite *attempt // the write sent to find a new primary; nil if none
 }
 
-// known says that the entry names a primary that is not suspect.
+// known reports whether the entry has a primary and is not suspect.
 func (c *primaryCache) known() bool { return c.state == primaryCached }
 
-// acceptsEvidence says whether the observation that an endpoint was primary at a time is news for the entry.
+// acceptsEvidence reports whether the observation that the endpoint was primary at the given time applies to the entry.
 func (c *primaryCache) acceptsEvidence(endpoint *endpoint, at Time) bool {
 	switch {
 	case c.state == primaryUnknown:
@@ -36,7 +36,7 @@
 	return at > c.suspectSince
 }
 
-// exploratoryWritePending says that an exploratory write is in flight and may still be answered in time.
+// exploratoryWritePending reports whether an exploratory write is in flight, within its silence timeout.
 func (c *primaryCache) exploratoryWritePending(now Time) bool {
 	write := c.exploratoryWrite
 	if write == nil || write.ended {
@@ -45,7 +45,7 @@
 	return now-write.sentAt < silenceTimeout(write)
 }
 
-// hasExploratoryWriteAt says that an exploratory write is in flight at the endpoint.
+// hasExploratoryWriteAt reports whether an exploratory write is in flight at the endpoint.
 func (c *primaryCache) hasExploratoryWriteAt(endpoint *endpoint) bool {
 	write := c.exploratoryWrite
 	if write == nil || write.ended {
@@ -54,23 +54,23 @@
 	return write.endpoint == endpoint
 }
 
-// roleEvidence is the newest evidence for the role of an endpoint.
+// roleEvidence holds the times at which an endpoint was last observed in each role.
 type roleEvidence struct {
-	primaryAt Time // it was primary
-	replicaAt Time // it was replica, or at least no primary
+	primaryAt Time // last observed as primary
+	replicaAt Time // last observed as replica, or at least as not primary
 }
 
-// lastObservedAt is the time of the newest evidence.
+// lastObservedAt returns the time of the newest evidence for either role.
 func (r roleEvidence) lastObservedAt() Time { return max(r.replicaAt, r.primaryAt) }
 
-// observePrimary notes that the endpoint was primary at the given time. Newer evidence wins; older evidence is
-// dropped.
+// observePrimary records that the endpoint was primary at the given time. Evidence that is older than the known
+// evidence is ignored.
 func (b *Balancer) observePrimary(endpoint *endpoint, at Time) {
 	if at <= endpoint.role.replicaAt || endpoint.discovery.suspended {
 		return
 	}
-	// An endpoint that came back and does not know that it was replaced still calls itself primary, from data that
-	// stands still. So this is no evidence of its position: once it is a replica, only reported positions count.
+	// A former primary that returns without knowing that it was replaced still reports itself as primary, and its data
+	// is out of date. So the role is not evidence of its position: once it is a replica, only reported positions count.
 	endpoint.role.primaryAt = max(endpoint.role.primaryAt, at)
 	cache := &endpoint.group.primary
 	if !cache.acceptsEvidence(endpoint, at) {
@@ -82,7 +82,7 @@
 	cache.observedAt = max(at, cache.observedAt)
 }
 
-// observeReplica notes that the endpoint was no primary at the given time.
+// observeReplica records that the endpoint was not primary at the given time.
 func (b *Balancer) observeReplica(endpoint *endpoint, at Time) {
 	endpoint.role.replicaAt = max(endpoint.role.replicaAt, at)
 	if endpoint.isPrimary() && at >= endpoint.group.primary.observedAt {
@@ -90,7 +90,7 @@
 	}
 }
 
-// observeRole notes the role that an endpoint reported for the given time.
+// observeRole records the role that an endpoint reported for the given time.
 func (b *Balancer) observeRole(endpoint *endpoint, role Role, at Time) {
 	switch role {
 	case RolePrimary:
@@ -100,7 +100,7 @@
 	}
 }
 
-// promote caches the endpoint as its group's primary, and says whether that is news.
+// promote caches the endpoint as its group's primary. It returns false if the endpoint already was the known primary.
 func (b *Balancer) promote(endpoint *endpoint) bool {
 	group := endpoint.group
 	if group.isKnownPrimary(endpoint) {
@@ -108,15 +108,15 @@
 	}
 	group.primary.endpoint = endpoint
 	group.primary.state = primaryCached
-	// A primary that was lost and reports again is tried at once: its group takes no writes elsewhere.
+	// A lost primary that reports again is tried at once, since no other endpoint of its group takes writes.
 	endpoint.health.recoveryAt = min(endpoint.health.recoveryAt, b.now)
 	b.log("group %d: primary is %s", group.id, endpoint.id)
 	b.emit(PrimaryUpdate{Group: group.id, Endpoint: endpoint.id, Confirmed: true})
 	return true
 }
 
-// markPrimarySuspect notes evidence against the cached primary: writes are no longer sent there as before, and the
-// group's endpoints are checked for their roles.
+// markPrimarySuspect makes the cached primary suspect: regular writes are no longer sent to it, and a search for the
+// primary starts.
 func (b *Balancer) markPrimarySuspect(group *replicaGroup, reason string) {
 	cache := &group.primary
 	if !cache.known() {
@@ -130,9 +130,9 @@
 	b.emit(PrimaryUpdate{Group: group.id, Endpoint: cache.endpoint.id, Reason: reason})
 }
 
-// stillPrimaryForGroup says that a suspect primary that cannot be reached still is the primary: its group goes on
-// committing and no other endpoint has been observed as primary. If this instance alone cannot reach it, it still is
-// the only one to take writes, so it has to be tried on.
+// stillPrimaryForGroup reports whether an unreachable primary still is the primary of its group: it has not been
+// observed as a replica since it became suspect, and the positions of the group's replicas advance. Then only this
+// instance can't reach it, and no other endpoint takes writes, so attempts at it must continue.
 func (e *endpoint) stillPrimaryForGroup() bool {
 	if !e.health.unreachable || !e.isPrimary() {
 		return false
@@ -145,7 +145,8 @@
 	})
 }
 
-// selectPrimary returns the endpoint for a write or a read of the latest data, or nil if it has to stay pending.
+// selectPrimary returns the endpoint for a write or a read of the latest data, or nil if the request has to stay
+// pending.
 func (b *Balancer) selectPrimary(request *request) *endpoint {
 	cache := &request.group.primary
 	if cache.known() {
@@ -160,10 +161,10 @@
 	return b.selectForExploratoryWrite(request)
 }
 
-// selectForExploratoryWrite returns the endpoint for a write while the primary is not known. The endpoints are tried
-// in sorted order, one write at a time, since a silent endpoint may take it. Those that were observed in a role since
-// the primary became suspect are left out for a while; the successor, too, may have been observed as a replica before
-// it took over, so it is tried again.
+// selectForExploratoryWrite returns the endpoint for a write while the primary is not known, or nil if there is none.
+// The endpoints are tried in sorted order with one write at a time, since a silent endpoint may never answer it.
+// Endpoints whose role was observed since the primary became suspect are skipped, but only for primarySearchInterval:
+// the new primary may have been observed as a replica before it was promoted.
 func (b *Balancer) selectForExploratoryWrite(request *request) *endpoint {
 	cache := &request.group.primary
 	observedBefore := max(cache.suspectSince, b.now-primarySearchInterval)
--- a/balance/primary_search.go
+++ b/balance/primary_search.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// primarySearchInterval is the longest interval between two rounds of health checks for a lost primary, and the time
-// after which an endpoint that was no primary is tried again: a successor takes a while to take over.
+// primarySearchInterval is the longest interval between two rounds of health checks for a lost primary, before jitter.
+// It is also the time after which an endpoint that was not primary is tried again, since a failover takes a while.
 const primarySearchInterval = 500 * time.Millisecond
 
-// primarySearch paces the rounds of health checks that look for a group's lost primary.
+// primarySearch schedules the rounds of health checks that search for a group's lost primary.
 type primarySearch struct {
-	nextAt   Time // when the next round starts
-	interval time.Duration
+	nextAt   Time          // when the next round starts
+	interval time.Duration // before jitter
 }
 
 // start begins a search: the first round is due at once.
@@ -23,15 +23,15 @@
 	s.interval = healthCheckInterval
 }
 
-// roundSent schedules the next round, later each time and with jitter.
-func (s *primarySearch) roundSent(now Time, rng *rand.Rand) {
+// scheduleNextRound schedules the next round, with a doubled interval and jitter.
+func (s *primarySearch) scheduleNextRound(now Time, rng *rand.Rand) {
 	s.interval = min(primarySearchInterval, max(healthCheckInterval, 2*s.interval))
 	s.nextAt = now + s.interval/2 + time.Duration(rng.Int64N(int64(s.interval)))
 }
 
-// searchPrimary sends health checks to find the primary of the group: to each endpoint once a round, to the one not
-// checked for longest first. In a fixed order, only the first would ever be checked out of what a small instance
-// earns. A round goes on as checks are earned.
+// searchPrimary sends health checks to find the primary of the group. Each round checks every usable endpoint once,
+// the least recently checked first: with a fixed order, the small budget of an instance with little traffic would only
+// ever reach the first endpoints. If the budget runs out, the round continues when new budget has been earned.
 func (b *Balancer) searchPrimary(group *replicaGroup) {
 	oldestFirst := slices.Clone(group.endpoints)
 	slices.SortStableFunc(oldestFirst, func(x, y *endpoint) int {
@@ -42,12 +42,12 @@
 			continue
 		}
 		if endpoint.check.sentAt >= group.search.nextAt {
-			continue // it was checked in this round
+			continue // already checked in this round
 		}
 		if !b.healthChecks.available() {
 			return
 		}
 		b.sendHealthCheck(endpoint, healthCheckInterval)
 	}
-	group.search.roundSent(b.now, b.rng)
+	group.search.scheduleNextRound(b.now, b.rng)
 }
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("first round at %v, want at once", search.nextAt)
 	}
 	for round := range 10 {
-		search.roundSent(time.Second, rng)
+		search.scheduleNextRound(time.Second, rng)
 		if wait := search.nextAt - time.Second; wait < healthCheckInterval/2 || wait > primarySearchInterval*3/2 {
 			t.Errorf("round %d: next one after %v", round, wait)
 		}
--- a/balance/replica_group.go
+++ b/balance/replica_group.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// replicaGroup is a set of endpoints that replicate the same data: one of them is the primary.
+// replicaGroup is a set of endpoints that hold the same data: one primary and its replicas.
 type replicaGroup struct {
 	id              int64
 	endpoints       []*endpoint // sorted by id
-	pending         []*request  // those that wait for an endpoint
+	pending         []*request  // requests that wait for an endpoint
 	primary         primaryCache
 	search          primarySearch
-	hasSuspects     bool // an endpoint may be suspect, or resumed and not yet used
-	firstChecksSent bool // the health checks of the first use are sent
+	hasSuspects     bool // an endpoint may be suspect, or resumed and not used yet
+	firstChecksSent bool // the health checks for the first use have been sent
 	lastRequestAt   Time
 	unavailableAt   Time // when a weak read last found no available replica
 	shortage        boundedReadShortage
 	longReads       longReadPacing
 }
 
-// groupFor returns the group with the id; a new one if there is none.
+// groupFor returns the group with the id, which it creates if necessary.
 func (b *Balancer) groupFor(id int64) *replicaGroup {
 	group := b.groups[id]
 	if group == nil {
@@ -32,14 +32,14 @@
 	return group
 }
 
-// add takes in an endpoint.
+// add adds an endpoint to the group.
 func (g *replicaGroup) add(endpoint *endpoint) {
 	g.endpoints = append(g.endpoints, endpoint)
 	slices.SortFunc(g.endpoints, compareIDs)
 }
 
-// idle says that nothing is pending in the group, no read wants a position and no endpoint is suspect, so that no
-// health check is of use.
+// idle reports whether the group needs no health check now: no request is pending, no weak read lacked a replica in
+// this step, and no endpoint is suspect.
 func (g *replicaGroup) idle(now Time) bool {
 	if !g.firstChecksSent || g.hasSuspects {
 		return false
@@ -47,17 +47,17 @@
 	return len(g.pending) == 0 && g.unavailableAt != now
 }
 
-// inUse says that a request came for the group lately.
+// inUse reports whether the group had a request within the active window.
 func (g *replicaGroup) inUse(now Time) bool {
 	return g.lastRequestAt != 0 && now-g.lastRequestAt <= activeWindow
 }
 
-// primaryLost says that the group's primary is not known, or not reachable.
+// primaryLost reports whether the group's primary is unknown or suspect.
 func (g *replicaGroup) primaryLost() bool {
 	return !g.primary.known() || g.primary.endpoint.health.suspect
 }
 
-// isKnownPrimary says that the endpoint is cached as the group's primary and not suspect.
+// isKnownPrimary reports whether the endpoint is cached as the group's primary and that entry is not suspect.
 func (g *replicaGroup) isKnownPrimary(endpoint *endpoint) bool {
 	return g.primary.endpoint == endpoint && g.primary.known()
 }
--- a/balance/replication.go
+++ b/balance/replication.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// commitRounding is by how much a reported commit may be rounded up.
+// commitRounding is the most by which a reported commit position may have been rounded up.
 const commitRounding = time.Millisecond
 
-// replicationState is how far an endpoint has applied the commits of its group.
+// replicationState records how far an endpoint has applied the commits of its group.
 type replicationState struct {
-	position      Time // it has applied all commits up to here
+	position      Time // all commits up to this position are applied
 	lag           time.Duration
 	lagObservedAt Time
-	neededAt      Time // when a read could last have gone there, had its position been known to be recent enough
+	neededAt      Time // when a read was last kept from the endpoint only because its position was too old
 }
 
-// advance notes a reported position. One that lies behind, or in the future, is no news.
+// advance records a reported position. A position that is older than the known one or in the future is ignored.
 func (r *replicationState) advance(position, now Time) {
 	if position > r.position && position <= now {
 		r.position = position
 	}
 }
 
-// observeLag notes a lag that was reported now.
+// observeLag records a lag that was reported now.
 func (r *replicationState) observeLag(lag time.Duration, now Time) {
 	r.lag = lag
 	r.lagObservedAt = now
 }
 
-// knownBehind says that the endpoint reported lately that it has not applied what is required. A report of longer ago
-// does not count: the endpoint would stay out for good and its primary be overloaded.
+// knownBehind reports whether the endpoint's lag, reported within the active window, excludes the required position.
+// An older report doesn't count: it would exclude the endpoint permanently and overload its primary.
 func (r *replicationState) knownBehind(required, now Time) bool {
 	return now-r.lag < required && now-r.lagObservedAt < activeWindow
 }
 
-// sessionCommit is the last commit of a session, remembered where clients carry no token of it.
+// sessionCommit is the last commit of a session, kept if clients carry no session token.
 type sessionCommit struct {
 	position Time
 	group    *replicaGroup
 }
 
-// appliedEverywhere says that all ready endpoints of the group have applied the commit.
+// appliedEverywhere reports whether all ready endpoints of the group have applied the commit.
 func (c sessionCommit) appliedEverywhere() bool {
 	return !slices.ContainsFunc(c.group.endpoints, func(endpoint *endpoint) bool {
 		return endpoint.discovery.state == EndpointReady && endpoint.replication.position < c.position
 	})
 }
 
-// requiredPosition is the position that a read has to see.
+// requiredPosition returns the replication position that an endpoint must have reached to serve the read.
 func (b *Balancer) requiredPosition(request *request) Time {
 	switch request.class.Consistency {
 	case ConsistencyBounded:
@@ -59,8 +59,9 @@
 	return request.minPosition
 }
 
-// isAvailable says whether the data of an endpoint is recent enough for a weak read that is sent now. Where endpoints
-// check for themselves any replica may be tried, except one that has reported to be further behind.
+// isAvailable reports whether the data of an endpoint is recent enough for a weak read that is sent now. If endpoints
+// do the freshness check themselves, any replica may be tried except those that recently reported a greater lag or have
+// returned the request as a miss.
 func (b *Balancer) isAvailable(request *request, endpoint *endpoint) bool {
 	required := b.requiredPosition(request)
 	if endpoint.replication.position >= required {
@@ -72,18 +73,18 @@
 	return !request.wasMissedBy(endpoint)
 }
 
-// reportedWithinBound says whether the endpoint was recent enough for a bounded read when it last reported.
+// reportedWithinBound reports whether the endpoint's last reported lag is within the tightest staleness bound.
 func (b *Balancer) reportedWithinBound(endpoint *endpoint) bool {
 	return b.tightestBound == 0 || endpoint.replication.lag <= b.tightestBound
 }
 
-// positionExpired says that the known position of the endpoint is no longer of use for a bounded read, though the
-// endpoint may be recent enough.
+// positionExpired reports whether the known position of the endpoint is too old to send it a bounded read. The
+// endpoint itself may still be recent enough.
 func (b *Balancer) positionExpired(endpoint *endpoint) bool {
 	return b.tightestBound > 0 && b.now-endpoint.replication.position > b.tightestBound
 }
 
-// rememberCommit keeps the position of a session's last write where clients carry no token of it.
+// rememberCommit keeps the position of a session's last write if clients carry no session token.
 func (b *Balancer) rememberCommit(request *request, position Time) {
 	if request.sessionKey == 0 || b.config.ClientSessionTokens {
 		return
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -1,26 +1,29 @@
 package balance
 
 const (
-	// slowStartBudgetShare is the part of the budget of endpoints that warm up that is used: costs are estimates.
+	// slowStartBudgetShare is the share of an endpoint's slow start budget that is used. The rest is a margin, since
+	// the costs of requests are estimates.
 	slowStartBudgetShare = 0.6
-	// savedCreditShare is the part of what that leaves that may be saved up: the rest is for unequal shares.
+	// savedCreditShare is the share of the unused budget that may be saved up as credit. The rest is a margin for
+	// uneven traffic between instances.
 	savedCreditShare = 0.75
-	// maxSavedRequests is how many requests may be saved up where the share of one instance is small.
+	// maxSavedRequests is the most requests that one instance may save up credit for if its share is small.
 	maxSavedRequests = 2
 )
 
-// slowStart eases an endpoint in that has just started. Its capacity rises over Config.SlowStartWindow. What all
-// instances together may send it within Config.OverloadWindow is a budget of N requests; beyond it twice the root of
-// N and two more are chance. Instances keep to the budget without messages between them: each uses its share, as credit
-// (see workCredit).
+// slowStart limits the load on an endpoint that has just started. Its capacity rises over Config.SlowStartWindow. All
+// instances together may send it a budget of N requests within Config.OverloadWindow; an excess of up to 2*sqrt(N)+2
+// is attributed to chance. Instances keep to the budget without communicating: each uses its share as credit (see
+// workCredit).
 type slowStart struct {
 	startedAt     Time    // 0 = long ago
-	recoveredAt   Time    // when it answered again after it could not be reached, or was resumed by operators
-	dither        float64 // the part of a cost that credit must reach while less than a request can be saved up
-	ditherDrawnAt Time    // 0 = the draw has been used
+	recoveredAt   Time    // when it answered again after it was unreachable, or when operators resumed it
+	dither        float64 // share of a cost that the credit must exceed while the burst is smaller than the cost
+	ditherDrawnAt Time    // 0 = a new draw is needed
 }
 
-// capacity is the part of its capacity that the endpoint has at least, of a scale: 1 for the whole.
+// capacity returns the share of its full capacity that the endpoint has at least, multiplied by scale. It is scale once
+// the endpoint is warm.
 func (s *slowStart) capacity(now Time, config *Config, scale float64) float64 {
 	from := max(s.startedAt, s.recoveredAt)
 	age := now - from
@@ -31,13 +34,13 @@
 	return scale * (config.SlowStartFrom + gained)
 }
 
-// warmupFactor is the part of its capacity that an endpoint may be used for: less than 1 while it warms up, and while
-// the return of its zone is ramped.
+// warmupFactor returns the share of its capacity that may be used of an endpoint: less than 1 while it warms up or
+// while its zone is limited, as during a recovery ramp.
 func (b *Balancer) warmupFactor(endpoint *endpoint) float64 {
 	return endpoint.slowStart.capacity(b.now, &b.config, b.zoneCapacity(endpoint))
 }
 
-// zoneCapacity is the part of its capacity that an endpoint may be used for because of its zone.
+// zoneCapacity returns the share of its capacity that may be used of an endpoint according to the limit of its zone.
 func (b *Balancer) zoneCapacity(endpoint *endpoint) float64 {
 	if part, ok := b.zoneCapacities[endpoint.zone]; ok {
 		return part
@@ -45,8 +48,8 @@
 	return 1
 }
 
-// checkSlowStartCredit is checkCredit for an endpoint that warms up. Nothing is known of its capacity but what warm
-// endpoints did; each can do one request at a time at least.
+// checkSlowStartCredit is checkCredit for an endpoint that warms up. Its capacity is estimated from the throughput of
+// warm endpoints, and as one request at a time at least.
 func (b *Balancer) checkSlowStartCredit(request *request, endpoint *endpoint, warmup float64) creditCheck {
 	rate := endpoint.limit.attempts * warmup
 	cost := request.class.latency
@@ -64,13 +67,15 @@
 	}
 }
 
-// slowStartBurst is how much work an instance may have saved up for an endpoint that warms up, of requests of the
-// given cost. The least is what each instance may send a second, of the part of the budget that is used.
+// slowStartBurst returns how much work, in seconds, an instance may save up as credit for an endpoint that warms up.
+// The rate is that of the credit; least is the share of this instance in the used part of the budget. Both are in
+// seconds of work per second, and cost is in seconds of work per request.
 //
-// What each of many instances saves up while little is asked for adds up, and all of it comes at once when reads move
-// there. Where the share of one instance is a few requests, half of what it gets in the window is little enough.
-// Where it is less, all may have saved no more than the budget leaves beside what they get meanwhile. That can be
-// less than one request for each: then a draw says which instance may send one (slowStartCovers).
+// The credit that many instances save up under light load adds up, and all of it can be spent at once when reads move
+// to the endpoint. If the share of one instance is a few requests, half of the credit that it earns in the window is
+// small enough. If it is less, the saved credit of all instances must fit what the budget leaves beside the credit
+// earned meanwhile. That can be less than one request per instance; a random draw then decides which instance may send
+// a request (slowStartCovers).
 func (b *Balancer) slowStartBurst(rate, least, cost float64) float64 {
 	window := b.config.OverloadWindow.Seconds()
 	if half := rate * window / 2; half >= cost {
@@ -81,14 +86,14 @@
 	return cost * min(maxSavedRequests, savedCreditShare*unused/b.config.instances())
 }
 
-// slowStartCovers refills the credit of an endpoint that warms up and says whether it covers a request. Of requests
-// that cost more than can be saved up, so large a part is sent as the credit is of the cost: which instance sends is
-// drawn anew in the time that the savings take to come.
+// slowStartCovers refills the credit of an endpoint that warms up and reports whether it covers a request. If the
+// request costs more than can be saved up, it is covered with a probability of credit divided by cost, so that
+// only some of the instances send. The random draw is repeated after the time in which the whole burst is earned.
 func (b *Balancer) slowStartCovers(endpoint *endpoint, rate, burst, cost float64) bool {
 	credit := &endpoint.credit
 	slowStart := &endpoint.slowStart
-	if !credit.isCounted() {
-		credit.start(burst*b.rng.Float64(), b.now) // drawn, so that instances do not all send at once
+	if !credit.isStarted() {
+		credit.start(burst*b.rng.Float64(), b.now) // random, so that instances don't all send at once
 		slowStart.ditherDrawnAt = 0
 	}
 	credit.refill(rate, burst, b.now)
@@ -103,12 +108,12 @@
 	return credit.tokens > slowStart.dither*cost
 }
 
-// exceedsSlowStartBudget says that a request alone would take more than half of the budget, and is more than the
-// usual work: no share of a budget that is smaller than one such request keeps within it.
+// exceedsSlowStartBudget reports whether a single request would use more than half of the budget and costs more than
+// the average request. Sharing out a budget that is smaller than one such request can't keep within it.
 func (b *Balancer) exceedsSlowStartBudget(request *request, least float64) bool {
 	work := 0.0
 	arrivals := 0.0
-	for _, configured := range b.config.Classes { // in their order: sums in another order differ
+	for _, configured := range b.config.Classes { // in configured order, since floating-point sums depend on the order
 		class := b.classes[configured.Name]
 		work += class.arrivals * class.serviceTime
 		arrivals += class.arrivals
--- a/balance/throughput.go
+++ b/balance/throughput.go
@@ -1,19 +1,19 @@
 package balance
 
-// throughput is the work that the busiest warm endpoints do for this instance. It stands for the capacity of an
-// endpoint that warms up.
+// throughput measures the work that the busiest warm endpoints do for this instance. It serves as the estimate of the
+// capacity that an endpoint will have once it is warm.
 type throughput struct {
 	measuredAt   Time
 	measurements float64
-	peak         float64 // seconds of work a second, slowly forgotten
+	peak         float64 // seconds of work per second, decaying over time
 }
 
-// peakDecay is the part of the peak that is forgotten at each measurement.
+// peakDecay is the share by which the peak decays at each measurement.
 const peakDecay = decay * 5
 
-// measureThroughput measures what warm endpoints do for this instance, once a second. What idle endpoints do is no
-// capacity. The busiest of each group come near it, in the mean: the most of few samples is chance, and all instances
-// add theirs up.
+// measureThroughput measures, once a second, the work that warm endpoints do for this instance. The work of idle
+// endpoints doesn't show their capacity, but that of the busiest endpoint of each group comes near it. It is averaged
+// over the groups: the maximum of few samples would be high by chance, and the excesses of all instances would add up.
 func (b *Balancer) measureThroughput() {
 	measured := &b.throughput
 	measured.measurements++
@@ -35,7 +35,7 @@
 	b.best.expire()
 }
 
-// measureGroup returns the work rate of the busiest warm endpoint of the group.
+// measureGroup updates the work rates of the group's endpoints and returns that of the busiest warm one.
 func (b *Balancer) measureGroup(group *replicaGroup, seconds, weight float64) float64 {
 	busiest := 0.0
 	for _, endpoint := range group.endpoints {
@@ -48,8 +48,8 @@
 	return busiest
 }
 
-// EndpointWorkRate returns the work that an endpoint does for this instance, in seconds a second as a moving mean,
-// and whether it is warm.
+// EndpointWorkRate returns the work that an endpoint does for this instance, as a moving mean in seconds of work per
+// second, and whether the endpoint is warm.
 func (b *Balancer) EndpointWorkRate(name string) (rate float64, warm bool) {
 	if endpoint := b.endpoints[name]; endpoint != nil {
 		return endpoint.work.perSecond, b.warmupFactor(endpoint) == 1
@@ -57,20 +57,20 @@
 	return 0, false
 }
 
-// EndpointView is what an instance makes of an endpoint, for observers.
+// EndpointView is the state of an endpoint as an instance sees it, for monitoring.
 type EndpointView struct {
-	Endpoint         string // the endpoint
+	Endpoint         string // its id
 	Zone             string
 	Group            int64
-	Primary          bool    // it is believed to be its group's primary
-	Available        bool    // it can be sent something now
-	InService        bool    // it is ready and not suspended, whatever is thought of it at this moment
-	ConcurrencyLimit float64 // attempts that may be in flight, for this instance
-	WorkRate         float64 // work done for this instance, seconds a second, moving mean
-	CapacityShare    float64 // the part of its capacity that it may be used for now
+	Primary          bool    // it is cached as its group's primary and not suspect
+	Available        bool    // it is in service and not suspect
+	InService        bool    // it is ready and not suspended, even if suspect
+	ConcurrencyLimit float64 // attempts that this instance may have in flight at it
+	WorkRate         float64 // work done for this instance, seconds of work per second, moving mean
+	CapacityShare    float64 // share of its capacity that may be used now, 0 to 1
 }
 
-// EndpointViews calls f with each endpoint that is listed, in the order of groups and ids.
+// EndpointViews calls f for each endpoint that is not removed from the list, ordered by group and id.
 func (b *Balancer) EndpointViews(f func(EndpointView)) {
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
@@ -81,7 +81,7 @@
 	}
 }
 
-// view is what the instance makes of the endpoint now.
+// view returns the current view of the endpoint.
 func (b *Balancer) view(endpoint *endpoint) EndpointView {
 	inService := endpoint.inService()
 	return EndpointView{
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -9,7 +9,7 @@
 
 func TestWorkCreditRefills(t *testing.T) {
 	var credit workCredit
-	if credit.isCounted() {
+	if credit.isStarted() {
 		t.Fatal("counted before its start")
 	}
 	credit.start(0.5, time.Second)
@@ -21,7 +21,7 @@
 	if credit.tokens != 2 {
 		t.Errorf("%v after a minute, want the burst, 2", credit.tokens)
 	}
-	if credit.reset(); credit.isCounted() {
+	if credit.reset(); credit.isStarted() {
 		t.Error("still counted after its reset")
 	}
 }
