--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -14,21 +14,21 @@
 		want        bool
 	}{
 		{"ready", discoveryState{state: EndpointReady}, false, true},
-		{"ready again after it drained", discoveryState{state: EndpointReady, everDraining: true}, true, true},
+		{"ready again after draining", discoveryState{state: EndpointReady, everDraining: true}, true, true},
 		{"draining", discoveryState{state: EndpointDraining}, true, false},
 		{"removed", discoveryState{state: EndpointRemoved}, false, false},
-		{"removed softly", discoveryState{state: EndpointRemoved}, true, true},
-		{"removed softly after it drained", discoveryState{state: EndpointRemoved, everDraining: true}, true, false},
+		{"soft removal", discoveryState{state: EndpointRemoved}, true, true},
+		{"soft removal after draining", discoveryState{state: EndpointRemoved, everDraining: true}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.state.allowsSends(c.softRemoval); got != c.want {
-				t.Errorf("allows sends: %v", got)
+				t.Errorf("allowsSends() = %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-func TestDrainStopsAtOnce(t *testing.T) {
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	l := EndpointList{
 		Entries: []EndpointEntry{
@@ -41,13 +41,12 @@
 		h.expectSends(h.step(ms, h.request("any")), "a")
 	}
 	h.step(ms, EndpointList{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[1:2]})
-	h.expectSends(h.step(ms, h.request("any")), "b") // a is absent from the full list, b is back
+	h.expectSends(h.step(ms, h.request("any")), "b") // the full list contains only b
 }
 
-// An endpoint that operators have suspended gets nothing, no health checks either, whatever the list says of it; a
-// suspended primary is suspect. Once resumed it is checked and used at once, though it was suspect and its position
-// is old.
-func TestSuspend(t *testing.T) {
+// A suspended endpoint gets neither attempts nor health checks, whatever its state in the list, and a suspended primary
+// is suspect. A resumed endpoint is checked at once and used soon, even if it was suspect and its position is old.
+func TestSuspendAndResume(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.step(0, Suspend{Endpoint: "b", Suspended: true}, Suspend{Endpoint: "later", Suspended: true})
 	for range 200 {
@@ -61,28 +60,29 @@
 		}
 	}
 	h.step(0, EndpointList{Kind: ListFull, Entries: threeEndpoints(ListFull).Entries[:1]})
-	h.step(2*expiryDelay, h.request("any")) // b is forgotten by now
+	h.step(2*expiryDelay, h.request("any")) // b has expired by now
 	h.reportAll("a")
 	if h.balancer.endpoints["b"] != nil {
-		t.Fatal("not forgotten")
+		t.Fatal("removed endpoint b is still known, want it expired")
 	}
 	h.step(0, threeEndpoints(ListFull))
-	// The primary is suspended: exploratory writes go on without it.
+	// The primary is suspended, so exploratory writes go to the other endpoints.
 	h.expectSends(h.step(0, Suspend{Endpoint: "a", Suspended: true}, h.request("write")), "bc")
 	h.reportAll("c")
 	sends := actionsOf[Send](h.step(ms, h.request("any"), h.request("any")))
 	if len(sends) == 0 || sends[0].Endpoint != "c" {
-		t.Fatalf("%v", sends)
+		t.Fatalf("sent %v, want the first read at c", sends)
 	}
 	h.expectResumption()
 }
 
-// expectUnused checks that the endpoints get neither attempts nor health checks, and answers the attempts.
+// expectUnused checks that the actions send neither attempts nor health checks to the endpoints, and answers the
+// attempts.
 func (h *harness) expectUnused(actions []Action, endpoints ...string) {
 	h.t.Helper()
 	for _, send := range actionsOf[Send](actions) {
 		if slices.Contains(endpoints, send.Endpoint) {
-			h.t.Fatalf("sent: %+v", send)
+			h.t.Fatalf("sent %+v, want no attempt at an endpoint out of service", send)
 		}
 		h.step(0, AttemptResult{
 			ID: send.ID, Endpoint: send.Endpoint, Status: StatusDone, Elapsed: ms, Role: RoleReplica, Finished: true,
@@ -90,13 +90,13 @@
 	}
 	for _, check := range actionsOf[HealthCheck](actions) {
 		if slices.Contains(endpoints, check.Endpoint) {
-			h.t.Fatalf("checked: %+v", check)
+			h.t.Fatalf("got %+v, want no health check of an endpoint out of service", check)
 		}
 	}
 }
 
-// expectResumption resumes the suspended endpoint b with much held against it, and expects that it is checked at once
-// and used soon.
+// expectResumption resumes the suspended endpoint b, after it was suspect and an outlier, and checks that it gets a
+// health check at once and an attempt soon.
 func (h *harness) expectResumption() {
 	h.t.Helper()
 	resumed := h.balancer.endpoints["b"]
@@ -107,7 +107,7 @@
 	h.now += time.Second // its position has aged
 	actions := h.step(0, Suspend{Endpoint: "b"}, h.request("bounded"))
 	if resumed.health.suspect || h.balancer.warmupFactor(resumed) == 1 {
-		h.t.Fatalf("%+v: not resumed, or not warming up", resumed)
+		h.t.Fatalf("endpoint %+v, want it resumed and warming up", resumed)
 	}
 	if len(actionsOf[Send](actions)) > 0 || len(actionsOf[HealthCheck](actions)) == 0 {
 		h.t.Fatalf("%v, want a health check and no send", actions)
@@ -120,5 +120,5 @@
 			return
 		}
 	}
-	h.t.Fatal("never used again")
+	h.t.Fatal("resumed endpoint b got no attempt within 3 s")
 }
--- a/balance/endpoint_test.go
+++ b/balance/endpoint_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestResumedEndpointStartsAnew(t *testing.T) {
+func TestResumeResetsEndpoint(t *testing.T) {
 	const now = 100 * time.Second
 	tested := newEndpoint(EndpointEntry{Endpoint: "a"}, &replicaGroup{}, 16)
 	tested.inFlight = []*attempt{{endpoint: tested}}
@@ -14,13 +14,13 @@
 	tested.limit.recordRejection(now, never, 1)
 	tested.resume(now, 16)
 	if tested.health.suspect || tested.outlier.failureRate != 0 || tested.limit.attempts != 16 {
-		t.Errorf("%+v, %+v, %+v: want nothing held against it", tested.health, tested.outlier, tested.limit)
+		t.Errorf("health %+v, outlier %+v, limit %+v, want them reset", tested.health, tested.outlier, tested.limit)
 	}
 	if tested.slowStart.recoveredAt != now || !tested.discovery.resumed {
-		t.Error("it does not warm up as a resumed endpoint")
+		t.Error("resumed endpoint does not warm up or is not marked as resumed")
 	}
 	if tested.hasLiveAttempt() {
-		t.Error("what was in flight before still counts")
+		t.Error("an attempt from before the resumption still counts as live")
 	}
 }
 
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := (&endpoint{discovery: c.state}).inService(); got != c.want {
-				t.Errorf("in service: %v", got)
+				t.Errorf("inService() = %v, want the opposite", got)
 			}
 		})
 	}
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -9,29 +9,29 @@
 	budget := newHealthCheckBudget(healthCheckShare) // a request earns one health check
 	for range int(initialHealthCheckBudget) {
 		if !budget.available() {
-			t.Fatal("the initial budget is not available")
+			t.Fatal("budget exhausted, want the whole initial budget")
 		}
 		budget.spend()
 	}
 	if budget.available() {
-		t.Fatal("more than the initial budget is available")
+		t.Fatal("budget available after the initial budget was spent")
 	}
 	if budget.earn(); !budget.available() {
-		t.Error("a request has earned nothing")
+		t.Error("budget not available after a request earned a health check")
 	}
 	for range 100 {
 		budget.earn()
 	}
 	if budget.tokens != maxHealthCheckBudget {
-		t.Errorf("%v saved up, want %v", budget.tokens, maxHealthCheckBudget)
+		t.Errorf("%v tokens saved up, want %v", budget.tokens, maxHealthCheckBudget)
 	}
 	budget = newHealthCheckBudget(0)
 	if budget.perRequest != healthCheckShare/minHealthCheckCost {
-		t.Errorf("free health checks: a request earns %v", budget.perRequest)
+		t.Errorf("a request earns %v tokens if health checks are free, want the bounded amount", budget.perRequest)
 	}
 }
 
-func TestHealthCheckRepeats(t *testing.T) {
+func TestHealthCheckMayRepeat(t *testing.T) {
 	const now = 100 * time.Second
 	for _, c := range []struct {
 		name  string
@@ -40,13 +40,13 @@
 	}{
 		{"never checked", healthCheckState{}, true},
 		{"checked just now", healthCheckState{sentAt: now - healthCheckInterval + 1}, false},
-		{"the interval is over", healthCheckState{sentAt: now - healthCheckInterval}, true},
-		{"one is in flight", healthCheckState{sentAt: now - healthCheckInterval, inFlight: true}, false},
-		{"the one in flight is lost", healthCheckState{sentAt: now - activeWindow - 1, inFlight: true}, true},
+		{"after the interval", healthCheckState{sentAt: now - healthCheckInterval}, true},
+		{"in flight", healthCheckState{sentAt: now - healthCheckInterval, inFlight: true}, false},
+		{"in flight too long, counts as lost", healthCheckState{sentAt: now - activeWindow - 1, inFlight: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.state.mayRepeat(now, healthCheckInterval); got != c.want {
-				t.Errorf("may repeat: %v", got)
+				t.Errorf("mayRepeat() = %v, want the opposite", got)
 			}
 		})
 	}
@@ -57,45 +57,45 @@
 	acts := h.step(ms, h.request("latest"), h.request("bounded"))
 	h.expectSends(acts)
 	if got := len(actionsOf[HealthCheck](acts)); got != 3 {
-		t.Fatalf("%d probes on first use, want 3", got)
+		t.Fatalf("%d health checks on first use, want 3", got)
 	}
 	acts = h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RolePrimary, Position: h.now})
-	h.expectSends(acts, "b") // the read waits for the reports that are on their way
+	h.expectSends(acts, "b") // the bounded read waits for the outstanding reports
 	h.expectSends(
 		h.step(ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RoleReplica, Position: h.now}),
 		"c",
 	)
 }
 
-// Health checks have a price: reads that keep finding no replica must not turn into a health check each.
-func TestPositionChecksAreEarned(t *testing.T) {
+// Health checks cost work at the endpoints: reads that repeatedly find no replica must not cause one health check each.
+func TestHealthCheckBudgetLimitsPositionChecks(t *testing.T) {
 	c := testConfig()
 	c.HealthCheckCost = 0.05
 	h := newReadyHarness(t, c)
 	h.step(ms, h.request("bounded"))
-	h.reportAll("a") // the probes of the first use
-	probes, asked := 0, 400
-	for range asked {
+	h.reportAll("a") // answers the health checks of the first use
+	checks, reads := 0, 400
+	for range reads {
 		q := h.request("bounded")
 		acts := h.step(10*ms, q)
 		for _, s := range actionsOf[Send](acts) {
 			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 		}
 		for _, p := range actionsOf[HealthCheck](acts) {
-			probes++
+			checks++
 			h.step(
 				0,
 				HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - time.Second},
 			)
 		}
 	}
-	if probes == 0 || probes > asked/4 {
-		t.Fatalf("%d probes for %d reads", probes, asked)
+	if checks == 0 || checks > reads/4 {
+		t.Fatalf("%d health checks for %d reads, want some, but at most one per four reads", checks, reads)
 	}
 }
 
-// A suspect primary is checked until it reports something newer than the suspicion: a report is older than its
-// answer.
+// A report is older than the response that carries it. So a suspect primary must be checked again until it reports its
+// role at a time after it became suspect; otherwise it would get no writes.
 func TestSuspectPrimaryIsCheckedAgain(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["a"]
@@ -125,12 +125,11 @@
 			}
 		}
 	}
-	t.Fatal("no write is tried for two seconds")
+	t.Fatal("no write was sent within 2 s after the primary answered health checks")
 }
 
-// A group has no primary, and its replicas stand still, further behind each second: reads that could not go there
-// cause fewer and fewer health checks. Where the list names the primary, an instance of many sends none before a read
-// needs it.
+// If a group has no primary, its replicas' lag keeps growing, and pending reads must cause ever fewer health checks. If
+// the list names the primary, an instance with a fractional share sends no health check until a read needs one.
 func TestStalledReplicasAreCheckedRarely(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
@@ -139,49 +138,50 @@
 	l.Entries[0].Primary = true
 	h := newHarness(t, c, l)
 	if n := len(actionsOf[HealthCheck](h.step(ms, h.request("write")))); n != 0 {
-		t.Errorf("%d probes at first use", n)
+		t.Errorf("%d health checks at first use, want none", n)
 	}
 	h.reportAll("a")
-	still := h.now
-	probes := 0
+	stalledAt := h.now
+	checks := 0
 	for range 50 {
 		h.balancer.healthChecks.tokens = 8
 		for _, p := range actionsOf[HealthCheck](h.step(200*ms, h.request("bounded"))) {
-			probes++
-			h.step(2*ms, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: still})
+			checks++
+			h.step(2*ms, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: stalledAt})
 		}
 	}
-	if probes < 10 || probes > 30 { // of two in ten seconds
-		t.Errorf("%d probes", probes)
+	if checks < 10 || checks > 30 { // of two replicas in 10 s
+		t.Errorf("%d health checks in 10 s, want 10 to 30", checks)
 	}
 }
 
-// One report at a time is requested where a read is pending for one, however often the instance is woken meanwhile.
+// Only one report at a time is requested for a pending read, however often the instance wakes up meanwhile.
 func TestPendingReadSendsOneHealthCheck(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
 	c.HealthCheckCost = 0.08
 	h := newReadyHarness(t, c)
-	h.step(0, h.request("write")) // the first use asks all
+	h.step(0, h.request("write")) // the first use checks all endpoints
 	h.reportAll("a")
 	h.balancer.healthChecks.tokens = 8
-	probes := len(actionsOf[HealthCheck](h.step(time.Second, h.request("bounded")))) // all positions have aged
+	checks := len(actionsOf[HealthCheck](h.step(time.Second, h.request("bounded")))) // all positions have expired
 	for range 4 {
-		probes += len(actionsOf[HealthCheck](h.step(10*ms, Wake{})))
+		checks += len(actionsOf[HealthCheck](h.step(10*ms, Wake{})))
 	}
-	if probes != 1 {
-		t.Fatalf("%d reports asked for", probes)
+	if checks != 1 {
+		t.Fatalf("%d health checks for one pending read, want 1", checks)
 	}
-	if len(actionsOf[HealthCheck](h.step(50*ms, Wake{}))) == 0 { // that one may be lost
-		t.Fatal("no other is asked")
+	if len(actionsOf[HealthCheck](h.step(50*ms, Wake{}))) == 0 { // the first may be lost
+		t.Fatal("no second health check 50 ms later, want one in case the first was lost")
 	}
 }
 
-// The health check budget is spent on replicas that were recent enough when they last reported, each in its turn.
+// The health check budget is spent on the replicas whose last reported lag was within the staleness bound, whatever
+// their position in the sorted order.
 func TestPositionChecksGoToRecentReplicas(t *testing.T) {
 	for _, recent := range []string{"b", "c"} {
 		h := newReadyHarness(t, testConfig())
-		asked := 0
+		checks := 0
 		var run func(acts []Action)
 		run = func(acts []Action) {
 			for _, s := range actionsOf[Send](acts) {
@@ -194,20 +194,20 @@
 					role = RolePrimary
 				case recent:
 					lag = 250 * ms
-					asked++
+					checks++
 				}
-				if p.Endpoint != recent && asked > 1 {
-					t.Fatalf("%s is asked", p.Endpoint)
+				if p.Endpoint != recent && checks > 1 {
+					t.Fatalf("health check of %s, want it only of the recent replica", p.Endpoint)
 				}
 				run(h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: role, Position: h.now - lag}))
 			}
 		}
-		for range 30 { // at the first use all are asked
+		for range 30 { // all are checked at the first use
 			h.balancer.healthChecks.tokens = 1
 			run(h.step(600*ms, h.request("bounded")))
 		}
-		if asked < 20 {
-			t.Fatalf("%s is asked %d times", recent, asked)
+		if checks < 20 {
+			t.Fatalf("%s got %d health checks, want at least 20", recent, checks)
 		}
 	}
 }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -10,7 +10,7 @@
 	var health endpointHealth
 	health.markSuspect(now)
 	if health.recoveryBackoff != minRecoveryBackoff || health.recoveryAt != now+minRecoveryBackoff {
-		t.Fatalf("first backoff %v until %v", health.recoveryBackoff, health.recoveryAt)
+		t.Fatalf("first backoff %v until %v, want the minimum", health.recoveryBackoff, health.recoveryAt)
 	}
 	for range 5 {
 		health.extendBackoff(now)
@@ -22,16 +22,16 @@
 	now += relapseWindow + ms
 	health.markSuspect(now)
 	if health.recoveryBackoff != minRecoveryBackoff {
-		t.Errorf("backoff %v after a quiet time, want %v", health.recoveryBackoff, minRecoveryBackoff)
+		t.Errorf("backoff %v after the relapse window, want %v", health.recoveryBackoff, minRecoveryBackoff)
 	}
 }
 
 func TestHealthRecovery(t *testing.T) {
 	const now = 100 * time.Second
 	for _, c := range []struct {
-		name                 string
-		health               endpointHealth
-		awaitsReport, mayTry bool
+		name                      string
+		health                    endpointHealth
+		awaitsReport, recoveryDue bool
 	}{
 		{"not suspect", endpointHealth{reportedSinceAttempt: true}, false, false},
 		{"backing off", endpointHealth{suspect: true, recoveryAt: now + ms}, false, false},
@@ -40,10 +40,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.health.awaitsReport(now); got != c.awaitsReport {
-				t.Errorf("awaits a report: %v", got)
+				t.Errorf("awaitsReport() = %v, want the opposite", got)
 			}
-			if got := c.health.recoveryDue(now); got != c.mayTry {
-				t.Errorf("recovery due: %v", got)
+			if got := c.health.recoveryDue(now); got != c.recoveryDue {
+				t.Errorf("recoveryDue() = %v, want the opposite", got)
 			}
 		})
 	}
@@ -56,13 +56,12 @@
 	}
 	health.reset()
 	if health != (endpointHealth{}) {
-		t.Errorf("%+v is left", health)
+		t.Errorf("%+v after the reset, want the zero value", health)
 	}
 }
 
-// A connection that could not be opened is no outage for this instance if a health check passes: the same primary
-// again.
-func TestOneFailedConnectionIsNoOutage(t *testing.T) {
+// A failed connection is not an outage if a health check succeeds: the write is sent to the same primary again.
+func TestOneFailedConnectionIsNotAnOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
@@ -80,20 +79,20 @@
 		sends += len(actionsOf[Send](acts))
 	}
 	if sends > 20 {
-		t.Fatalf("%d writes went to a silent primary", sends)
+		t.Fatalf("%d writes sent to a silent primary, want at most 20", sends)
 	}
 }
 
-// A network that breaks some connections everywhere must not make endpoints suspect or warming up, nor primaries
-// suspect.
-func TestOneBrokenConnectionIsNoOutage(t *testing.T) {
+// A network that breaks some connections to all endpoints must not make endpoints suspect, primaries suspect or
+// endpoints warm up.
+func TestOneBrokenConnectionIsNotAnOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
-	h.reportAll("a") // the probes of the first use
+	h.reportAll("a") // answers the health checks of the first use
 	acts := h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset})
 	if len(actionsOf[HealthCheck](acts)) == 0 {
-		t.Fatal("the member is not asked whether it is there")
+		t.Fatal("no health check after a broken connection, want one")
 	}
 	h.expectSends(
 		h.step(
@@ -105,14 +104,14 @@
 	)
 }
 
-func TestBrokenConnectionsOfADeadEndpointAreAnOutage(t *testing.T) {
+func TestBrokenConnectionsOfUnreachableEndpointAreAnOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.reportAll("a")
 	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusReset})
 	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
-	h.expectSends(h.step(ms, h.request("write")), "b") // in doubt: the next in order
+	h.expectSends(h.step(ms, h.request("write")), "b") // the primary is suspect, so the next endpoint in order is tried
 	h = newReadyHarness(t, testConfig())
 	var ids []string
 	for range 3 {
@@ -129,8 +128,8 @@
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
-// Connections that break now and then, several in a row too, are neither an outage of their endpoint nor a restart.
-func TestBrokenConnectionsAreNoRestart(t *testing.T) {
+// Connections that break occasionally, even several in a row, are neither an outage nor a restart of their endpoint.
+func TestBrokenConnectionsAreNotARestart(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for range 20 {
 		for range 4 {
@@ -149,7 +148,7 @@
 			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary},
 		)
 	}
-	// Nor is one a restart that could not be reached once and answers again.
+	// An endpoint that was unreachable once and answers again has not restarted either.
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
 	h.step(
@@ -159,7 +158,7 @@
 	)
 	n := h.balancer.endpoints["a"]
 	if !n.health.suspect {
-		t.Fatal("a member that cannot be reached is in doubt")
+		t.Fatal("endpoint is not suspect, want it suspect after it was unreachable")
 	}
 	h.step(
 		maxRecoveryBackoff,
@@ -172,41 +171,41 @@
 		AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 2 * ms, Finished: true, Role: RolePrimary},
 	)
 	if n.health.suspect || h.balancer.warmupFactor(n) < 1 {
-		t.Fatalf("suspect %v, warmth %v", n.health.suspect, h.balancer.warmupFactor(n))
+		t.Fatalf("suspect %v, warm-up factor %v, want it warm and not suspect", n.health.suspect, h.balancer.warmupFactor(n))
 	}
 }
 
-// An endpoint that fails and recovers by turns gets its recovery attempts later each time.
-func TestRelapseWaitsLonger(t *testing.T) {
+// An endpoint that alternates between failure and recovery gets its recovery attempts after a longer backoff each time.
+func TestRelapseExtendsBackoff(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
-	var waits []time.Duration
+	var backoffs []time.Duration
 	for range 3 {
 		h.balancer.now = h.now
 		h.balancer.markSuspect(n, "answers nothing")
-		n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
-		waits = append(waits, n.health.recoveryBackoff)
+		n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
+		backoffs = append(backoffs, n.health.recoveryBackoff)
 		n.health.suspect = false
 		h.now += 3 * time.Second
 	}
-	if waits[1] <= waits[0] || waits[2] <= waits[1] {
-		t.Fatalf("waits %v", waits)
+	if backoffs[1] <= backoffs[0] || backoffs[2] <= backoffs[1] {
+		t.Fatalf("backoffs %v, want them to increase", backoffs)
 	}
 	h.now += time.Minute
 	h.balancer.now = h.now
 	h.balancer.markSuspect(n, "answers nothing")
-	n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
-	if n.health.recoveryBackoff != waits[0] {
-		t.Fatalf("%v after a quiet minute, want %v", n.health.recoveryBackoff, waits[0])
+	n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
+	if n.health.recoveryBackoff != backoffs[0] {
+		t.Fatalf("backoff %v after a minute without failure, want %v", n.health.recoveryBackoff, backoffs[0])
 	}
 }
 
-// A suspect replica is checked again when its position has aged, or no bounded read may ever try it.
+// A suspect replica is checked again when its position has expired: otherwise no bounded read could ever try it.
 func TestSuspectReplicaIsTriedAgain(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
 	h.balancer.markSuspect(n, "answers nothing")
-	n.health.recoveryAt = h.now + 600*ms // beyond the bound of the read
+	n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
 	h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
 	for range 200 {
 		acts := h.step(10*ms, h.request("bounded"))
@@ -231,5 +230,5 @@
 			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now})
 		}
 	}
-	t.Fatal("no read has tried it for two seconds")
+	t.Fatal("no read was sent to suspect replica b within 2 s")
 }
--- a/balance/layout_test.go
+++ b/balance/layout_test.go
@@ -17,7 +17,7 @@
 	maxLineColumns   = 120
 )
 
-// sourceFiles are the files of the package without its tests.
+// sourceFiles returns the names of the package's source files without tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -36,7 +36,7 @@
 	return files
 }
 
-// The decision module stays readable: short files, functions and lines, in all of its files.
+// All source files of the decision module stay within limits on the length of files, functions and lines.
 func TestSizeLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		t.Run(name, func(t *testing.T) {
@@ -46,11 +46,11 @@
 			}
 			lines := strings.Split(string(text), "\n")
 			if len(lines) > maxFileLines {
-				t.Errorf("%d lines, %d at most", len(lines), maxFileLines)
+				t.Errorf("%d lines, want at most %d", len(lines), maxFileLines)
 			}
 			for i, line := range lines {
 				if utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")) > maxLineColumns {
-					t.Errorf("line %d is over %d columns", i+1, maxLineColumns)
+					t.Errorf("line %d is longer than %d columns", i+1, maxLineColumns)
 				}
 			}
 			checkFunctionLengths(t, name, text)
@@ -72,12 +72,12 @@
 		}
 		lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1
 		if lines > maxFunctionLines {
-			t.Errorf("%s: %d lines, %d at most", function.Name.Name, lines, maxFunctionLines)
+			t.Errorf("%s: %d lines, want at most %d", function.Name.Name, lines, maxFunctionLines)
 		}
 	}
 }
 
-// The deployment names each file of the decision module as its policy.
+// The policy setting of the deployment lists each file of the decision module.
 func TestPolicyNamesAllFiles(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -92,10 +92,10 @@
 	files := sourceFiles(t)
 	for _, name := range files {
 		if !strings.Contains(policy, `"balance/`+name+`"`) {
-			t.Errorf("policy does not name balance/%s", name)
+			t.Errorf("policy does not list balance/%s", name)
 		}
 	}
 	if named := strings.Count(policy, `"balance/`); named != len(files) {
-		t.Errorf("policy names %d files, the package has %d", named, len(files))
+		t.Errorf("policy lists %d files, but the package has %d", named, len(files))
 	}
 }
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -14,28 +14,28 @@
 			endpoint: &endpoint{limit: concurrencyLimit{latencyRatio: latencyRatio}},
 		}
 	}
-	quick, slow, crowded := attemptOf(0.001, 0), attemptOf(1, 0), attemptOf(0.001, 0.5)
+	fast, slow, congested := attemptOf(0.001, 0), attemptOf(1, 0), attemptOf(0.001, 0.5)
 	for _, c := range []struct {
 		name        string
 		inFlight    []*attempt
 		least, most time.Duration
 	}{
-		{"quick answers are given a pause at least", []*attempt{quick}, pauseThreshold, pauseThreshold},
-		{"one slow attempt", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
-		{"the slowest of several counts", []*attempt{quick, slow}, 3 * time.Second, 5 * time.Second},
-		{"five in flight, an answer comes sooner", slices.Repeat([]*attempt{slow}, 5), 2 * time.Second, 3 * time.Second},
-		{"a slow endpoint", []*attempt{crowded}, 3 * time.Second, 4 * time.Second},
+		{"a fast class gets at least the pause threshold", []*attempt{fast}, pauseThreshold, pauseThreshold},
+		{"one attempt of a slow class", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
+		{"the slowest of several attempts counts", []*attempt{fast, slow}, 3 * time.Second, 5 * time.Second},
+		{"five slow attempts: one ends sooner", slices.Repeat([]*attempt{slow}, 5), 2 * time.Second, 3 * time.Second},
+		{"a slow endpoint", []*attempt{congested}, 3 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := silenceTimeout(c.inFlight...); got < c.least || got > c.most {
-				t.Errorf("%v, want %v to %v", got, c.least, c.most)
+				t.Errorf("timeout %v, want %v to %v", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-func TestSilentReplicaIsAvoidedAndItsReadsMove(t *testing.T) {
-	s := &silentReplica{harness: newReadyHarness(t, testConfig()), stuck: map[string]bool{}}
+func TestReadsOfSilentReplicaAreRepeatedElsewhere(t *testing.T) {
+	s := &silentReplica{harness: newReadyHarness(t, testConfig()), sentToSilent: map[string]bool{}}
 	for i := range 300 {
 		s.countLate = i > 200
 		answers := s.answer(s.step(10*ms, s.request("any")))
@@ -43,32 +43,33 @@
 			answers = s.answer(s.step(0, answers...))
 		}
 	}
-	if s.moved == 0 || s.late > 3 {
-		t.Fatalf("%d reads moved, %d sent to a silent endpoint after 2 s", s.moved, s.late)
+	if s.sentElsewhere == 0 || s.lateSends > 3 {
+		t.Fatalf("%d reads repeated elsewhere, %d sent to the silent endpoint after 2 s, want some and at most 3",
+			s.sentElsewhere, s.lateSends)
 	}
 }
 
-// silentReplica answers all attempts but those at b, which says nothing.
+// silentReplica is a harness that answers all attempts except those at endpoint b.
 type silentReplica struct {
 	*harness
-	stuck     map[string]bool // requests that were sent to b
-	moved     int             // requests of these that were sent elsewhere
-	late      int             // attempts at b while they count
-	countLate bool
+	sentToSilent  map[string]bool // ids of the requests that were sent to b
+	sentElsewhere int             // attempts elsewhere of requests that were sent to b
+	lateSends     int             // attempts at b while countLate is set
+	countLate     bool
 }
 
 func (s *silentReplica) answer(actions []Action) []Event {
 	var answers []Event
 	for _, send := range actionsOf[Send](actions) {
 		if send.Endpoint == "b" {
-			s.stuck[send.ID] = true
+			s.sentToSilent[send.ID] = true
 			if s.countLate {
-				s.late++
+				s.lateSends++
 			}
 			continue
 		}
-		if s.stuck[send.ID] {
-			s.moved++
+		if s.sentToSilent[send.ID] {
+			s.sentElsewhere++
 		}
 		answers = append(answers, AttemptResult{
 			ID: send.ID, Attempt: s.attempts(send.ID) - 1, Endpoint: send.Endpoint, Status: StatusDone,
@@ -81,8 +82,8 @@
 	return answers
 }
 
-// A slow class must not make its endpoints suspect: the silence timeout goes by what is in flight.
-func TestLongRequestIsGivenTime(t *testing.T) {
+// A slow class must not make its endpoints suspect: the silence timeout allows for the classes in flight.
+func TestSilenceTimeoutCoversSlowClass(t *testing.T) {
 	c := testConfig()
 	c.Classes = append(
 		c.Classes,
@@ -96,12 +97,12 @@
 		acts = append(acts, h.step(10*ms)...)
 	}
 	if got := len(actionsOf[Cancel](acts)); got != 0 {
-		t.Fatalf("a report of 2.5 s, aim 4 s, was withdrawn %d times", got)
+		t.Fatalf("%d attempts cancelled of a class with a latency objective of 4 s, after 2.5 s, want none", got)
 	}
 }
 
-// An instance that did not run for a while must not take its own pause for the silence of endpoints.
-func TestOwnPauseIsNoSilence(t *testing.T) {
+// After a pause of its own process, an instance must not consider its endpoints silent.
+func TestOwnPauseIsNotEndpointSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.expectSends(h.step(ms, h.request("any")), "bc")
 	for _, a := range actionsOf[LogMessage](h.step(3 * time.Second)) {
@@ -111,7 +112,7 @@
 	}
 }
 
-// The end of a cancelled attempt may be lost on its way: the client still gets its answer in time.
+// The result of a cancelled attempt may never arrive. The client must be answered in time all the same.
 func TestCancelledReadIsAnsweredInTime(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	q := h.request("any")
@@ -122,12 +123,13 @@
 		acts = append(acts, h.step(10*ms)...)
 	}
 	if len(actionsOf[Cancel](acts)) != 1 || len(actionsOf[Reject](acts)) != 1 {
-		t.Fatalf("%v, want one withdrawal and one refusal", acts)
+		t.Fatalf("actions %v, want one cancellation and one rejection", acts)
 	}
 }
 
-// A connection that falls silent while its endpoint answers others is given up; it is no sign of a silent endpoint.
-func TestSilentConnectionIsNoSilentEndpoint(t *testing.T) {
+// If one connection is silent while its endpoint answers on others, its attempt is cancelled, but the endpoint must not
+// become suspect.
+func TestSilentConnectionIsNotASilentEndpoint(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	read, write := h.request("latest"), h.request("write")
 	read.TimeLeft, write.TimeLeft = 2*time.Second, 3*time.Second
@@ -136,7 +138,7 @@
 	step := func(d time.Duration, e ...Event) {
 		for _, c := range actionsOf[Cancel](h.step(d, e...)) {
 			if c.ID != read.ID {
-				t.Fatalf("%+v: a write must not be taken back", c)
+				t.Fatalf("%+v, want only the read cancelled", c)
 			}
 			cancelled++
 			h.step(0, AttemptResult{ID: c.ID, Endpoint: "a", Status: StatusCancelled, Finished: true})
@@ -150,26 +152,26 @@
 			AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusDone, Elapsed: 5 * ms, Finished: true, Role: RolePrimary},
 		)
 		if h.balancer.endpoints["a"].health.suspect {
-			t.Fatalf("suspect after %d answers", i)
+			t.Fatalf("endpoint suspect after %d responses, want it not suspect", i)
 		}
-		if i%20 == 19 { // a lull: nothing is out but the silent ones
+		if i%20 == 19 { // for a while, only the silent attempts are in flight
 			for range 20 {
 				step(10 * ms)
 			}
 			if h.balancer.endpoints["a"].health.suspect {
-				t.Fatal("suspect in a lull")
+				t.Fatal("endpoint suspect while only silent attempts were in flight, want it not suspect")
 			}
 		}
 	}
 	if cancelled != 1 {
-		t.Fatalf("%d attempts were taken back", cancelled)
+		t.Fatalf("%d attempts cancelled, want 1", cancelled)
 	}
 }
 
-// Where requests take a few milliseconds a pause of twenty is not silence: the scheduler alone may cause it.
-func TestShortPauseIsNoSilence(t *testing.T) {
+// If requests take a few milliseconds, a gap of 20 ms is not silence: the scheduler alone may cause it.
+func TestShortGapIsNotSilence(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	for range 200 { // answers take 2 ms
+	for range 200 { // responses take 2 ms
 		q := h.request("write")
 		h.expectSends(h.step(ms, q), "a")
 		h.step(
@@ -182,12 +184,12 @@
 	}
 	h.step(20 * ms)
 	if h.balancer.endpoints["a"].health.suspect {
-		t.Fatal("suspect after 20 ms")
+		t.Fatal("endpoint suspect after 20 ms, want it not suspect")
 	}
 	h.step(30 * ms)
 	h.step(20 * ms)
 	h.step(20 * ms)
 	if !h.balancer.endpoints["a"].health.suspect {
-		t.Fatal("its silence is not seen")
+		t.Fatal("endpoint not suspect after 90 ms of silence, want it suspect")
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -4,18 +4,18 @@
 	"testing"
 )
 
-func TestOutlierIsComparedWithItsPeers(t *testing.T) {
+func TestOutlierIsComparedWithPeers(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		rate  float64
 		peers []float64
 		want  bool
 	}{
-		{"none fails", 0, []float64{0, 0}, false},
-		{"it alone fails", 0.5, []float64{0, 0.4}, true},
-		{"all fail", 0.5, []float64{0.5, 0.4}, false},
-		{"it fails a little", outlierFailureMargin, []float64{0}, false},
-		{"it has no peers", 0.9, nil, false},
+		{"no endpoint fails", 0, []float64{0, 0}, false},
+		{"fails more than its best peer", 0.5, []float64{0, 0.4}, true},
+		{"all endpoints fail", 0.5, []float64{0.5, 0.4}, false},
+		{"fails by no more than the margin", outlierFailureMargin, []float64{0}, false},
+		{"has no peers", 0.9, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			group := &replicaGroup{}
@@ -30,7 +30,7 @@
 				addEndpoint(rate)
 			}
 			if got := tested.isOutlier(); got != c.want {
-				t.Errorf("outlier: %v", got)
+				t.Errorf("isOutlier() = %v, want the opposite", got)
 			}
 		})
 	}
@@ -42,19 +42,19 @@
 		stats.recordFailure()
 	}
 	if stats.failureRate < 0.9 {
-		t.Errorf("failure rate %v after 30 failures", stats.failureRate)
+		t.Errorf("failure rate %v after 30 failures, want at least 0.9", stats.failureRate)
 	}
 	for range 30 {
 		stats.recordSuccess()
 	}
 	if stats.failureRate > 0.1 {
-		t.Errorf("failure rate %v after 30 successes", stats.failureRate)
+		t.Errorf("failure rate %v after 30 successes, want at most 0.1", stats.failureRate)
 	}
 }
 
-// A primary that fails some requests is the only one that takes writes: they must not stay pending for its recovery
-// attempts.
-func TestOutlierPrimaryStillGetsItsWrites(t *testing.T) {
+// A primary that fails some requests is still the only endpoint for writes, so they must not wait for a recovery
+// attempt.
+func TestOutlierPrimaryStillGetsWrites(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	for i := range 40 {
 		q := h.request("write")
@@ -67,10 +67,11 @@
 	}
 }
 
-// A replica that fails some reads gets recovery attempts only while others serve, and is used when no other can be.
+// A replica that fails some reads gets only recovery attempts while other endpoints serve, and is used when no other
+// endpoint is left.
 func TestOutlierReplicaIsTheLastChoice(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
-	sick := 0
+	outlierReads := 0
 	for i := range 100 {
 		q := h.request("any")
 		s := h.expectSends(h.step(10*ms, q), "abc")[0]
@@ -79,7 +80,7 @@
 			continue
 		}
 		if i > 50 {
-			sick++
+			outlierReads++
 		}
 		for k := 0; s.Endpoint == "b"; k++ {
 			s = h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: k, Endpoint: "b", Status: StatusError}), "abc")[0]
@@ -91,8 +92,8 @@
 			}
 		}
 	}
-	if sick > 5 {
-		t.Fatalf("%d of the last 50 reads went to a sick replica", sick)
+	if outlierReads > 5 {
+		t.Fatalf("%d of the last 50 reads sent to the failing replica, want at most 5", outlierReads)
 	}
 	h.step(
 		0,
--- a/balance/primary_cache_test.go
+++ b/balance/primary_cache_test.go
@@ -16,24 +16,24 @@
 		at       Time
 		want     bool
 	}{
-		{"any endpoint while unknown", primaryUnknown, other, 0, true},
+		{"any endpoint while the primary is unknown", primaryUnknown, other, 0, true},
 		{"the cached primary again", primaryCached, primary, observed - ms, true},
-		{"another one, later", primaryCached, other, observed + ms, true},
-		{"another one, not later", primaryCached, other, observed, false},
-		{"the suspect primary from before the suspicion", primarySuspect, primary, suspect, false},
-		{"the suspect primary after it", primarySuspect, primary, suspect + ms, true},
-		{"another one while suspect", primarySuspect, other, observed + ms, true},
+		{"another endpoint, newer", primaryCached, other, observed + ms, true},
+		{"another endpoint, not newer", primaryCached, other, observed, false},
+		{"the suspect primary, not newer than the suspicion", primarySuspect, primary, suspect, false},
+		{"the suspect primary, newer than the suspicion", primarySuspect, primary, suspect + ms, true},
+		{"another endpoint while the primary is suspect", primarySuspect, other, observed + ms, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cache := primaryCache{state: c.state, endpoint: primary, observedAt: observed, suspectSince: suspect}
 			if got := cache.acceptsEvidence(c.endpoint, c.at); got != c.want {
-				t.Errorf("accepted: %v", got)
+				t.Errorf("acceptsEvidence() = %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-func TestSuspectPrimaryIsAnnouncedOnce(t *testing.T) {
+func TestSuspectPrimaryIsReportedOnce(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	var updates []PrimaryUpdate
 	for range 3 {
@@ -42,11 +42,11 @@
 		}}))...)
 	}
 	if len(updates) != 1 || updates[0].Confirmed || updates[0].Endpoint != "a" || updates[0].Reason == "" {
-		t.Errorf("%+v, want one suspicion of a with its reason", updates)
+		t.Errorf("updates %+v, want a single one that reports a as suspect, with a reason", updates)
 	}
 }
 
-func TestUnknownGroupTriesWritesInOrder(t *testing.T) {
+func TestExploratoryWritesGoInOrder(t *testing.T) {
 	h := newHarness(t, testConfig(), threeEndpoints(ListCached))
 	q := h.request("write")
 	h.expectSends(h.step(ms, q), "a")
@@ -56,7 +56,7 @@
 		"c",
 	)
 	h.expectSends(h.step(ms, AttemptResult{ID: q.ID, Attempt: 2, Endpoint: "c", Status: StatusMiss, Role: RoleReplica}))
-	h.expectSends(h.step(50*ms, h.request("write"))) // one round of misses, then hold
+	h.expectSends(h.step(50*ms, h.request("write"))) // after one round of misses, writes stay pending
 	h.expectSends(
 		h.step(50*ms, HealthCheckResult{Endpoint: "c", Status: StatusDone, Role: RolePrimary, Position: h.now + 40*ms}),
 		"c",
@@ -86,7 +86,7 @@
 	h.expectSends(h.step(ms, h.request("write")), "b")
 }
 
-func TestLateListDoesNotOverrideAnAnswer(t *testing.T) {
+func TestListDoesNotOverrideObservedPrimary(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	l := threeEndpoints(ListFull)
 	l.Entries[1].Primary = true
@@ -94,13 +94,14 @@
 	h.expectSends(h.step(ms, h.request("write")), "a")
 }
 
-// A role that the list tells 4 s late, two changes behind, moves no write: answers have told what came since.
-func TestListedRoleFourSecondsOld(t *testing.T) {
-	h := newReadyHarness(t, testConfig()) // a leads
-	list := func(leads string) EndpointList {
+// A primary in a list that is 4 s old, two failovers late, must not change where writes go: responses and health checks
+// have shown newer roles.
+func TestOutdatedListDoesNotChangePrimary(t *testing.T) {
+	h := newReadyHarness(t, testConfig()) // a is the primary
+	list := func(primary string) EndpointList {
 		l := threeEndpoints(ListDelta)
 		for i := range l.Entries {
-			l.Entries[i].Primary = l.Entries[i].Endpoint == leads
+			l.Entries[i].Primary = l.Entries[i].Endpoint == primary
 		}
 		return l
 	}
@@ -122,27 +123,28 @@
 		h.step(ms, answer(want, RolePrimary))
 	}
 	write("a")
-	// Each says that it is primary no more, the next one that it is.
+	// The old primary reports itself as replica, then the new one as primary.
 	for _, change := range [][2]string{{"a", "b"}, {"b", "c"}} {
 		h.step(100*ms, HealthCheckResult{Endpoint: change[0], Status: StatusDone, Role: RoleReplica, Position: h.now})
 		h.step(100*ms, HealthCheckResult{Endpoint: change[1], Status: StatusDone, Role: RolePrimary, Position: h.now})
 		write(change[1])
 	}
-	for _, late := range []string{"b", "b", "a", "c"} { // in any order, again, and of what has been denied since
+	for _, late := range []string{"b", "b", "a", "c"} { // outdated lists in any order, also repeated
 		h.step(2*time.Second, list(late))
 		write("c")
 	}
 }
 
-func TestListNamesThePrimaryOfAnUnknownGroup(t *testing.T) {
+func TestListSetsPrimaryOfNewGroup(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[2].Primary = true
 	h := newHarness(t, testConfig(), l)
 	h.expectSends(h.step(ms, h.request("write")), "c")
 }
 
-// A primary that hands over rejects writes while it still finishes others and answers reads as a primary.
-func TestPrimaryChangeDoesNotFlap(t *testing.T) {
+// During a switchover, the old primary rejects writes while it completes earlier ones and still serves reads as
+// primary. These responses must not make it the cached primary again.
+func TestPrimaryDoesNotFlapDuringSwitchover(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	old, q := h.request("write"), h.request("write")
 	h.expectSends(h.step(ms, old, q), "a", "a")
@@ -155,7 +157,7 @@
 	)
 	h.expectSends(acts)
 	r := h.request("any")
-	for n := 0; n < 10; n++ { // until the draw takes a
+	for n := 0; n < 10; n++ { // until the random draw selects a
 		s := actionsOf[Send](h.step(ms, r))
 		if len(s) == 1 && s[0].Endpoint == "a" {
 			break
@@ -170,7 +172,7 @@
 	)
 }
 
-// A primary that only this instance cannot reach: its group goes on committing, so it still takes the writes.
+// Only this instance can't reach a primary whose group goes on committing, so the primary is tried again for writes.
 func TestUnreachablePrimaryOfACommittingGroupIsTriedAgain(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("any"))
@@ -179,10 +181,10 @@
 	h.expectSends(h.step(ms, q), "a")
 	h.step(ms, AttemptResult{ID: q.ID, Endpoint: "a", Status: StatusConnectFailed})
 	h.step(ms, HealthCheckResult{Endpoint: "a", Status: StatusConnectFailed})
-	for leg, id := range []string{"b", "c"} {
+	for i, id := range []string{"b", "c"} {
 		h.step(
 			ms,
-			AttemptResult{ID: q.ID, Attempt: leg + 1, Endpoint: id, Status: StatusMiss, Role: RoleReplica, Position: h.now},
+			AttemptResult{ID: q.ID, Attempt: i + 1, Endpoint: id, Status: StatusMiss, Role: RoleReplica, Position: h.now},
 		)
 	}
 	acts := []Action{}
@@ -193,13 +195,13 @@
 	h.expectSends(acts, "a")
 }
 
-// All endpoints have said that they are replicas. The write that comes once one of them is primary tries them again,
-// without a health check.
+// All endpoints have responded as replicas. After one of them is promoted, a write must try them again, without any
+// health check.
 func TestSuccessorThatWasAReplicaIsTriedAgain(t *testing.T) {
 	c := testConfig()
 	c.HealthChecks = false
 	h := newHarness(t, c, threeEndpoints(ListCached))
-	write := func(leader string) (served bool) {
+	write := func(primary string) (served bool) {
 		acts := h.step(100*ms, h.request("write"))
 		for range 6 {
 			for _, s := range actionsOf[Send](acts) {
@@ -211,7 +213,7 @@
 					Elapsed:  ms,
 					Role:     RoleReplica,
 				}
-				if s.Endpoint == leader {
+				if s.Endpoint == primary {
 					o.Status, o.Role, o.Finished, served = StatusDone, RolePrimary, true, true
 				}
 				acts = h.step(ms, o)
@@ -220,10 +222,10 @@
 		return served
 	}
 	if write("") {
-		t.Fatal("nobody leads")
+		t.Fatal("write served while no endpoint is primary, want it not served")
 	}
 	h.step(time.Second)
 	if !write("c") {
-		t.Fatal("c leads and is not tried again")
+		t.Fatal("write not served after c was promoted, want c tried again")
 	}
 }
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -12,12 +12,12 @@
 	var search primarySearch
 	search.start(time.Second)
 	if search.nextAt != time.Second {
-		t.Fatalf("first round at %v, want at once", search.nextAt)
+		t.Fatalf("first round at %v, want it at once, at 1s", search.nextAt)
 	}
 	for round := range 10 {
 		search.scheduleNextRound(time.Second, rng)
 		if wait := search.nextAt - time.Second; wait < healthCheckInterval/2 || wait > primarySearchInterval*3/2 {
-			t.Errorf("round %d: next one after %v", round, wait)
+			t.Errorf("round %d: next round after %v, outside the interval with its jitter", round, wait)
 		}
 	}
 	if search.interval != primarySearchInterval {
@@ -25,13 +25,13 @@
 	}
 }
 
-// Hundreds of instances that each look for a lost primary must not overload its group with health checks.
-func TestSearchForALostPrimaryIsBounded(t *testing.T) {
+// Hundreds of instances that search for a lost primary must not overload its group with health checks.
+func TestPrimarySearchIsRateLimited(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.step(ms, h.request("write"))
 	h.reportAll("a")
 	h.step(0, EndpointList{Entries: []EndpointEntry{{Endpoint: "a", Zone: "a", Group: 1, State: EndpointRemoved}}})
-	probes := 0
+	checks := 0
 	for i := range 500 {
 		var events []Event
 		if i%50 == 0 {
@@ -39,18 +39,18 @@
 			events = append(events, q)
 		}
 		for _, p := range actionsOf[HealthCheck](h.step(10*ms, events...)) {
-			probes++
+			checks++
 			h.step(0, HealthCheckResult{Endpoint: p.Endpoint, Status: StatusDone, Role: RoleReplica, Position: h.now - 10*ms})
 		}
 	}
-	if probes < 3 || probes > 25 {
-		t.Fatalf("%d probes in 5 s without a primary", probes)
+	if checks < 3 || checks > 25 {
+		t.Fatalf("%d health checks in 5 s without a primary, want 3 to 25", checks)
 	}
 }
 
-// An instance of eighty earns a health check in three requests, and reads of another group spend them. Its group's
-// primary leaves, and another endpoint becomes primary: it is found by the reads that need it, whichever one it is,
-// though all others are behind.
+// One of 80 instances earns less than one health check per request, and reads of another group use them up. The primary
+// of its group drains, and another endpoint is promoted. The reads that need the new primary must find it,
+// whichever endpoint it is, though the data of all others is too old.
 func TestLostPrimaryIsFoundOnASmallBudget(t *testing.T) {
 	for _, successor := range []string{"b", "c", "d", "e", "f"} {
 		t.Run(successor, func(t *testing.T) {
@@ -65,35 +65,37 @@
 				)
 			}
 			s := &searchHarness{harness: newHarness(t, c, list), primary: "a", used: map[string]bool{}}
-			s.play(20)
+			s.run(20)
 			list.Kind = ListDelta
 			list.Entries[0].State = EndpointDraining
-			for _, id := range []string{"y", "z"} { // recent enough, but warming up: they can take next to nothing
+			for _, id := range []string{"y", "z"} { // recent enough, but warming up, so they take hardly any reads
 				list.Entries = append(list.Entries,
 					EndpointEntry{Endpoint: id, Zone: "a", Group: 1, State: EndpointReady, StartedAt: s.now},
 				)
 			}
 			s.step(ms, list)
-			s.play(3) // there is no primary for now
+			s.run(3) // without a primary
 			s.primary = successor
 			clear(s.used)
-			s.play(25)
+			s.run(25)
 			if !s.used[successor] {
-				t.Errorf("%s is the primary, and is not found", successor)
+				t.Errorf("no attempt at the new primary %s, want it found", successor)
 			}
 		})
 	}
 }
 
-// searchHarness answers the attempts and health checks of an instance whose replicas are all behind, except y and z.
+// searchHarness answers the attempts and health checks of an instance. The data of all its replicas is too old, except
+// that of y and z.
 type searchHarness struct {
 	*harness
 	primary string
-	used    map[string]bool // endpoints that got an attempt
+	used    map[string]bool // ids of the endpoints that got an attempt
 }
 
-// play lets a read of the first group come so many times, and reads of another group that spend all there is.
-func (s *searchHarness) play(times int) {
+// run sends the given number of reads of group 1, each followed by reads of group 2 that use up the health check
+// budget.
+func (s *searchHarness) run(times int) {
 	for range times {
 		s.answer(s.step(100*ms, s.request("bounded")))
 		for range 4 {
@@ -101,7 +103,7 @@
 			q.Group = 2
 			s.answer(s.step(25*ms, q))
 		}
-		for range 5 { // an instance is woken for what is pending
+		for range 5 { // the timer wakes the instance for pending requests
 			s.answer(s.step(100*ms, Wake{}))
 		}
 	}
@@ -129,8 +131,8 @@
 	}
 }
 
-// A budget of one health check a round reaches all endpoints in turn.
-func TestPrimarySearchChecksTheOldestFirst(t *testing.T) {
+// With a budget of one health check per round, all endpoints are checked in turn.
+func TestPrimarySearchChecksLeastRecentlyCheckedFirst(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	b := h.balancer
 	group := b.groups[1]
@@ -147,6 +149,6 @@
 		}
 	}
 	if !slices.Equal(checked, []string{"a", "b", "c", "a", "b", "c"}) {
-		t.Errorf("checked %v, want each in its turn", checked)
+		t.Errorf("checked %v, want each endpoint in turn", checked)
 	}
 }
--- a/balance/replica_group_test.go
+++ b/balance/replica_group_test.go
@@ -11,7 +11,7 @@
 	for lastRequestAt, want := range inUse {
 		group := &replicaGroup{lastRequestAt: lastRequestAt}
 		if got := group.inUse(now); got != want {
-			t.Errorf("last request at %v, in use %v", lastRequestAt, got)
+			t.Errorf("last request at %v: inUse() = %v, want the opposite", lastRequestAt, got)
 		}
 	}
 }
@@ -27,11 +27,11 @@
 		{"nothing pending", replicaGroup{firstChecksSent: true}, true},
 		{"a request is pending", replicaGroup{firstChecksSent: true, pending: []*request{{}}}, false},
 		{"an endpoint may be suspect", replicaGroup{firstChecksSent: true, hasSuspects: true}, false},
-		{"a read has just found no replica", replicaGroup{firstChecksSent: true, unavailableAt: now}, false},
+		{"a read found no available replica in this step", replicaGroup{firstChecksSent: true, unavailableAt: now}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.group.idle(now); got != c.want {
-				t.Errorf("idle: %v", got)
+				t.Errorf("idle() = %v, want the opposite", got)
 			}
 		})
 	}
@@ -48,7 +48,8 @@
 	}
 	for i, group := range b.sortedGroups {
 		if group.id != int64(i+1) || group.endpoints[0].id != "a" || group.endpoints[1].id != "b" {
-			t.Errorf("group %d at %d, its first endpoint is %s", group.id, i, group.endpoints[0].id)
+			t.Errorf("group %d at index %d with first endpoint %s, want groups and endpoints sorted",
+				group.id, i, group.endpoints[0].id)
 		}
 	}
 }
--- a/balance/replication_test.go
+++ b/balance/replication_test.go
@@ -31,19 +31,19 @@
 	for _, c := range []struct {
 		name      string
 		lag       time.Duration
-		reported  time.Duration // ago
-		staleness time.Duration // that the read bears
+		reported  time.Duration // age of the report
+		staleness time.Duration // bound of the read
 		want      bool
 	}{
 		{"recent enough", 100 * ms, ms, 300 * ms, false},
-		{"behind", 400 * ms, ms, 300 * ms, true},
-		{"behind when it reported long ago", 400 * ms, activeWindow, 300 * ms, false},
+		{"too old", 400 * ms, ms, 300 * ms, true},
+		{"too old, but the report is older than the active window", 400 * ms, activeWindow, 300 * ms, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var state replicationState
 			state.observeLag(c.lag, now-c.reported)
 			if got := state.knownBehind(now-c.staleness, now); got != c.want {
-				t.Errorf("known behind: %v", got)
+				t.Errorf("knownBehind() = %v, want the opposite", got)
 			}
 		})
 	}
@@ -61,13 +61,13 @@
 	group.add(&endpoint{group: group, discovery: discoveryState{state: EndpointRemoved}})
 	for position, want := range map[Time]bool{5 * time.Second: true, 6 * time.Second: false} {
 		if got := (sessionCommit{position: position, group: group}).appliedEverywhere(); got != want {
-			t.Errorf("commit at %v applied everywhere: %v", position, got)
+			t.Errorf("commit at %v: appliedEverywhere() = %v, want the opposite", position, got)
 		}
 	}
 }
 
-// A lag that an endpoint reported seconds ago must not keep it out for good.
-func TestOldLagIsForgotten(t *testing.T) {
+// A lag that an endpoint reported seconds ago must not exclude it permanently.
+func TestOldLagIsIgnored(t *testing.T) {
 	c := testConfig()
 	c.FreshnessCheck = FreshnessCheckReject
 	h := newReadyHarness(t, c)
@@ -94,7 +94,7 @@
 	h.expectSends(h.step(3*time.Second, h.request("bounded")), "bc")
 }
 
-func TestBoundedReadsGoToThePrimaryWhenPositionsAge(t *testing.T) {
+func TestBoundedReadsGoToThePrimaryWhenPositionsExpire(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.expectSends(h.step(299*ms, h.request("bounded")), "bc")
 	h.failAllHealthChecks()
@@ -105,7 +105,7 @@
 	h := newReadyHarness(t, testConfig())
 	q := h.request("session")
 	q.SinceSessionWrite = 10 * ms
-	h.expectSends(h.step(5*ms, q), "bc") // committed 5 ms before the positions were told
+	h.expectSends(h.step(5*ms, q), "bc") // committed 5 ms before the positions were reported
 	h.failAllHealthChecks()
 	q = h.request("session")
 	q.SinceSessionWrite = 4 * ms
@@ -136,8 +136,8 @@
 	h.expectSends(h.step(ms, h.request("session")), "b")
 }
 
-// A primary that was replaced while it was away may still call itself primary: its old data must not count as new.
-func TestPrimaryRoleIsNoPosition(t *testing.T) {
+// A former primary that returns may still report itself as primary. Its old data must not count as recent.
+func TestPrimaryRoleIsNotEvidenceOfPosition(t *testing.T) {
 	c := testConfig()
 	h := newReadyHarness(t, c)
 	h.now += time.Second
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// One of 350 instances in front of 1,024 endpoints in one list: each group is served at its own endpoints, none is
-// forgotten, and a change of the list that withdraws half of them at once binds all of it.
+// One of 350 instances has a list of 1,024 endpoints. Requests of each group must go to the group's endpoints, nearly
+// all endpoints must be used, and after a list change that drains half of them at once, none of those may be used.
 func TestThousandEndpointsAtOneOfManyInstances(t *testing.T) {
 	c := testConfig()
 	c.Instances = 350
@@ -17,20 +17,20 @@
 	for i := range manyEndpoints {
 		l.Entries = append(l.Entries, manyEntry(i, EndpointReady))
 	}
-	m := &manyGroups{harness: newHarness(t, c, l), used: map[string]int{}, left: map[string]bool{}}
+	m := &manyGroups{harness: newHarness(t, c, l), used: map[string]int{}, draining: map[string]bool{}}
 	m.serve(60)
 	for group, served := range m.served {
 		if served < 55 {
-			t.Errorf("group %d: %d of 60 sent", group, served)
+			t.Errorf("group %d: %d of 60 requests sent, want at least 55", group, served)
 		}
 	}
 	if len(m.used) < manyEndpoints*9/10 {
-		t.Errorf("%d endpoints used of %d", len(m.used), manyEndpoints)
+		t.Errorf("%d of %d endpoints used, want at least 90 %%", len(m.used), manyEndpoints)
 	}
 	d := EndpointList{Kind: ListDelta}
 	for i := manyEndpoints / 2; i < manyEndpoints; i++ {
 		entry := manyEntry(i, EndpointDraining)
-		m.left[entry.Endpoint] = true
+		m.draining[entry.Endpoint] = true
 		d.Entries = append(d.Entries, entry)
 	}
 	m.step(time.Millisecond, d)
@@ -38,7 +38,7 @@
 	m.serve(20)
 	for group, served := range m.served {
 		if served < 15 {
-			t.Errorf("group %d: %d of 20 sent with half of its endpoints leaving", group, served)
+			t.Errorf("group %d: %d of 20 requests sent while half of the endpoints drain, want at least 15", group, served)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	manyEndpointGroups = 64
 )
 
-// manyEntry is the i-th of the many endpoints: the first of each group are primaries.
+// manyEntry returns the list entry of the i-th endpoint. The first endpoint of each group is its primary.
 func manyEntry(i int, state EndpointState) EndpointEntry {
 	return EndpointEntry{
 		Endpoint: fmt.Sprint("n", i),
@@ -59,15 +59,15 @@
 	}
 }
 
-// manyGroups plays requests for many groups and answers them.
+// manyGroups is a harness that sends requests to many groups and answers the attempts.
 type manyGroups struct {
 	*harness
-	used   map[string]int // attempts by endpoint
-	served [manyEndpointGroups]int
-	left   map[string]bool // endpoints that drain
+	used     map[string]int          // attempts per endpoint
+	served   [manyEndpointGroups]int // attempts per group
+	draining map[string]bool         // ids of the endpoints that drain
 }
 
-// serve plays rounds of a request for each group.
+// serve sends one request to each group per round.
 func (m *manyGroups) serve(rounds int) {
 	m.t.Helper()
 	for range rounds {
@@ -83,7 +83,7 @@
 	}
 }
 
-// answer checks that attempts go to endpoints of the group, and answers what was sent.
+// answer checks that attempts go to endpoints of the group, and returns the results of attempts and health checks.
 func (m *manyGroups) answer(group int64, actions []Action) []Event {
 	m.t.Helper()
 	var answers []Event
@@ -112,7 +112,8 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	if number%manyEndpointGroups != group || m.left[id] {
-		m.t.Fatalf("group %d is sent to %s, left: %v", group, id, m.left[id])
+	if number%manyEndpointGroups != group || m.draining[id] {
+		m.t.Fatalf("request of group %d sent to %s (draining: %v), want an endpoint of the group that is not draining",
+			group, id, m.draining[id])
 	}
 }
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// overfull is the most that a warming endpoint got in any window of the contract since its start, in requests of mean
-// work: by how much it went beyond what the settings allow, N, less twice the root of N, and 2. Up to 0 it is put
-// down to chance.
-func (f *fleet) overfull(m *member, c Config, mean time.Duration) (most, at float64) {
+// maxBudgetExcess returns by how much the work that an endpoint received exceeds its slow start budget at most, in any
+// overload window since its start, and the start of that window in seconds after the endpoint's start. The excess is
+// counted in requests of mean work, beyond the budget N plus 2*sqrt(N)+2 that are attributed to chance, so a value up
+// to 0 is within the budget.
+func (f *fleet) maxBudgetExcess(m *member, c Config, mean time.Duration) (most, at float64) {
 	most = math.Inf(-1)
 	for from := m.startAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
 		got := 0.0
@@ -28,8 +29,8 @@
 	return most, at
 }
 
-// leaveTo lets all replicas of the first group but the last drain.
-func (f *fleet) leaveTo() {
+// drainAllButLastReplica drains all replicas of the first group except the last.
+func (f *fleet) drainAllButLastReplica() {
 	for i := range f.routers {
 		var l EndpointList
 		for _, id := range []string{"00b", "00c", "00d", "00e"} {
@@ -39,37 +40,37 @@
 	}
 }
 
-// slowStartCase is a deployment whose endpoints warm up.
+// slowStartCase is a deployment whose endpoints warm up after a restart.
 type slowStartCase struct {
-	name  string
-	cores int
-	times float64 // of the usual work
-	rate  float64 // requests a second, beside the usual 700
-	set   func(c *Config)
+	name       string
+	cores      int     // per endpoint
+	workFactor float64 // factor on the default work of a request
+	rate       float64 // requests per second; the default is 700
+	configure  func(c *Config)
 }
 
-// The slow start of an endpoint holds for the whole fleet, without a word between its instances: beyond what the
-// settings allow, N requests of mean work, only 2 x root of N + 2 is put down to chance. That holds with few and many
-// instances, with uneven traffic, where all were idle and could have saved up, where reads move there from endpoints
-// that drain at once, where instances start anew meanwhile, and where N is far less than one request for each.
-func TestSlowStartHoldsForTheFleet(t *testing.T) {
-	shapes := map[string]func(f *fleet, rate float64){
-		"busy": func(f *fleet, rate float64) { f.load(rate, 4, 8*time.Second) },
-		"idle, then busy": func(f *fleet, rate float64) {
+// All instances together must keep the slow start budget of an endpoint without communicating: N requests of mean work,
+// plus 2*sqrt(N)+2 that are attributed to chance. This must hold for few and many instances, for uneven traffic, after
+// idle time in which credit was saved up, when reads move to the endpoint because others drain at once, when instances
+// restart meanwhile, and when N is far less than one request per instance.
+func TestFleetKeepsSlowStartBudget(t *testing.T) {
+	loads := map[string]func(f *fleet, rate float64){
+		"steady load": func(f *fleet, rate float64) { f.load(rate, 4, 8*time.Second) },
+		"idle, then loaded": func(f *fleet, rate float64) {
 			f.load(rate/200, 4, 5*time.Second)
 			f.load(rate*1.3, 4, 4*time.Second)
 		},
-		"long idle, then all at once": func(f *fleet, rate float64) {
+		"idle for long, then high load at once": func(f *fleet, rate float64) {
 			f.load(rate/200, 4, 9*time.Second)
-			f.leaveTo()
+			f.drainAllButLastReplica()
 			f.load(rate*4, 4, 3*time.Second)
 		},
-		"reads move there": func(f *fleet, rate float64) {
+		"reads move to the endpoint": func(f *fleet, rate float64) {
 			f.load(rate/30, 4, 4*time.Second)
-			f.leaveTo()
+			f.drainAllButLastReplica()
 			f.load(rate, 4, 5*time.Second)
 		},
-		"instances start anew": func(f *fleet, rate float64) {
+		"instances restart": func(f *fleet, rate float64) {
 			f.load(rate, 4, 2*time.Second)
 			for i := range f.routers {
 				if i%2 == 0 {
@@ -84,7 +85,7 @@
 		},
 	}
 	for _, k := range []slowStartCase{
-		{"usual work", 3, 1, 700, func(*Config) {}},
+		{"default work", 3, 1, 700, func(*Config) {}},
 		{"long work, a short window", 1, 3, 150, func(c *Config) {
 			c.OverloadMultiple = 2
 			c.OverloadWindow = time.Second
@@ -96,12 +97,12 @@
 		}},
 	} {
 		for _, instances := range []int{3, 20, 30, 300} {
-			for name, shape := range shapes {
+			for name, load := range loads {
 				for _, id := range []string{"00a", "00f"} {
 					t.Run(fmt.Sprint(k.name, ", ", instances, " instances, ", name, ", ", id), func(t *testing.T) {
 						t.Parallel()
 						for seed := range uint64(2) {
-							k.play(t, seed, instances, id, shape)
+							k.run(t, seed, instances, id, load)
 						}
 					})
 				}
@@ -110,46 +111,46 @@
 	}
 }
 
-// play lets the endpoint start anew in a fleet under the load of a shape, and checks that it does not get too much.
-func (k slowStartCase) play(t *testing.T, seed uint64, instances int, id string, shape func(*fleet, float64)) {
+// run restarts the endpoint in a fleet under the given load and checks that it gets no more than its budget.
+func (k slowStartCase) run(t *testing.T, seed uint64, instances int, id string, load func(*fleet, float64)) {
 	t.Helper()
-	const mean = 39 * time.Millisecond // of the load's work, about
+	const mean = 39 * time.Millisecond // approximate mean work of the load's requests
 	c := k.config(instances)
 	f := newFleetOf(t, 7+seed, 4, c)
-	f.times = k.times
+	f.times = k.workFactor
 	for _, m := range f.members {
 		m.cores = make([]Time, k.cores)
 	}
 	f.load(k.rate, 4, 6*time.Second)
 	m := f.members[id]
 	f.restartMember(m)
-	f.load(0.001, 4, 2*ms) // what was sent before they were told is no part of it
+	f.load(0.001, 4, 2*ms) // excludes the work sent before the instances learned of the restart
 	m.work = nil
-	shape(f, k.rate)
-	work := time.Duration(k.times * float64(mean))
+	load(f, k.rate)
+	work := time.Duration(k.workFactor * float64(mean))
 	bound := c.OverloadMultiple * c.SlowStartFrom * float64(k.cores) * c.OverloadWindow.Seconds() / work.Seconds()
-	over, at := f.overfull(m, c, work)
-	t.Logf("seed %d: N %.1f at first, %d pieces of work; at most %.1f requests from the bound, %.1f s after its start",
+	over, at := f.maxBudgetExcess(m, c, work)
+	t.Logf("seed %d: N %.1f at first, %d requests; highest excess %.1f requests, %.1f s after the restart",
 		seed, bound, len(m.work), over, at)
 	if over > 0 {
-		t.Errorf("seed %d: %.1f requests of mean work too many, %.1f s after its start", seed, over, at)
+		t.Errorf("seed %d: %.1f requests of mean work over the budget, %.1f s after the restart", seed, over, at)
 	}
 }
 
-// config is the deployment of the case: a client waits for a multiple of the work.
+// config returns the configuration of the case. Latency objectives and client timeouts scale with the work.
 func (k slowStartCase) config(instances int) Config {
 	c := fleetConfig()
 	c.Instances = instances
 	for i := range c.Classes {
 		class := &c.Classes[i]
-		class.LatencyObjective = time.Duration(float64(class.LatencyObjective) * k.times)
-		class.ClientTimeout = time.Duration(float64(class.ClientTimeout) * k.times)
+		class.LatencyObjective = time.Duration(float64(class.LatencyObjective) * k.workFactor)
+		class.ClientTimeout = time.Duration(float64(class.ClientTimeout) * k.workFactor)
 	}
-	k.set(&c)
+	k.configure(&c)
 	return c
 }
 
-// restartMember lets an endpoint start anew, and tells all instances.
+// restartMember restarts an endpoint and sends the new list entry and a health check result to all instances.
 func (f *fleet) restartMember(m *member) {
 	m.startAt = f.now
 	m.work = nil
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -16,13 +16,13 @@
 		scale float64
 		want  float64
 	}{
-		{"started long ago", slowStart{}, 1, 1},
-		{"started just now", slowStart{startedAt: now}, 1, 0.2},
-		{"half of the window", slowStart{startedAt: now - 5*time.Second}, 1, 0.6},
-		{"the window is over", slowStart{startedAt: now - 10*time.Second}, 1, 1},
+		{"warm", slowStart{}, 1, 1},
+		{"just started", slowStart{startedAt: now}, 1, 0.2},
+		{"after half of the window", slowStart{startedAt: now - 5*time.Second}, 1, 0.6},
+		{"after the window", slowStart{startedAt: now - 10*time.Second}, 1, 1},
 		{"recovered after its start", slowStart{startedAt: now - time.Hour, recoveredAt: now}, 1, 0.2},
-		{"starts in the future", slowStart{startedAt: now + time.Second}, 1, 0.2},
-		{"in a zone at half", slowStart{startedAt: now}, 0.5, 0.1},
+		{"start time in the future", slowStart{startedAt: now + time.Second}, 1, 0.2},
+		{"in a zone limited to half", slowStart{startedAt: now}, 0.5, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.state.capacity(now, &config, c.scale); math.Abs(got-c.want) > 1e-9 {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWarmingEndpointStaysWithinItsBudget(t *testing.T) {
+func TestWarmingEndpointStaysWithinBudget(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[1].StartedAt = 99900 * ms
 	l.Entries[2].State = EndpointDraining
@@ -49,13 +49,13 @@
 			h.step(0, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: StatusBusy})
 		}
 	}
-	// Nothing is known of what a warm endpoint does: work goes one at a time, and rejected work counts.
+	// The throughput of a warm endpoint is unknown, so requests are sent one at a time, and rejected ones count.
 	if sends == 0 || sends > 30 {
-		t.Fatalf("%d sends in a second to a cold member", sends)
+		t.Fatalf("%d attempts in 1 s at an endpoint that warms up, want 1 to 30", sends)
 	}
 }
 
-// Many instances, each told of a warming endpoint, must not send it one request each at once: a plain count of sends.
+// Many instances with the same endpoint that warms up must not send it one request each at once. Counts the attempts.
 func TestSlowStartBudgetOverManyInstances(t *testing.T) {
 	c := testConfig()
 	c.Instances = 200
@@ -84,14 +84,15 @@
 		}
 	}
 	if first > 12 || later == 0 {
-		t.Fatalf("%d sends of 200 instances in the first second, %d in the next four", first, later)
+		t.Fatalf("%d attempts of 200 instances in the first second, %d in the next 4 s, want at most 12 and some",
+			first, later)
 	}
 }
 
-// What instances have saved up for a warming endpoint while nobody asked fits the budget of all of them together,
-// beside what they get meanwhile, however many they are: with two requests saved up at each, 80 would send 160 at
-// once where 30 are allowed. It is spent: little traffic reaches a warming endpoint all the same.
-func TestSavedCreditOfAFleetFitsTheBudget(t *testing.T) {
+// The credit that idle instances save up for an endpoint that warms up must fit the budget of the whole fleet, together
+// with the credit earned meanwhile: with two requests saved up per instance, 80 instances would send 160 at once where
+// 30 are allowed. The budget must also be used, so that the endpoint gets requests even at low traffic.
+func TestSavedCreditOfFleetFitsBudget(t *testing.T) {
 	for _, instances := range []int{3, 20, 30, 80, 300} {
 		c := testConfig()
 		c.Instances = instances
@@ -108,10 +109,10 @@
 func checkSavedCredit(t *testing.T, c Config, seed uint64) {
 	t.Helper()
 	f := newWarmingFleet(t, c, seed)
-	if most := allowed(f.budget(c.SlowStartFrom)); float64(f.sent) > most {
-		t.Errorf("%d at the start, %.0f allowed", f.sent, most)
+	if most := allowedRequests(f.budget(c.SlowStartFrom)); float64(f.sent) > most {
+		t.Errorf("%d attempts at the start, %.0f allowed", f.sent, most)
 	}
-	for _, h := range f.instances { // idle for the better part of a minute, then all ask for more than they may
+	for _, h := range f.instances { // after 58 s of idle time, all instances get more requests than they may send
 		f.step(h, 58*time.Second)
 	}
 	f.sent = 0
@@ -121,26 +122,27 @@
 		}
 	}
 	budget := f.budget(c.SlowStartFrom + (1-c.SlowStartFrom)*0.58)
-	t.Logf("%d of %.0f", f.sent, allowed(budget))
-	if float64(f.sent) > allowed(budget) {
-		t.Errorf("%d in the contract's time, %.0f allowed", f.sent, allowed(budget))
+	t.Logf("%d attempts, %.0f allowed", f.sent, allowedRequests(budget))
+	if float64(f.sent) > allowedRequests(budget) {
+		t.Errorf("%d attempts in the overload window, %.0f allowed", f.sent, allowedRequests(budget))
 	}
 	if float64(f.sent) < budget/4 {
-		t.Errorf("%d in the contract's time, %.0f allowed: it is not used", f.sent, allowed(budget))
+		t.Errorf("%d attempts in the overload window, %.0f allowed: want at least a quarter of the budget used",
+			f.sent, allowedRequests(budget))
 	}
 }
 
-// allowed is how many requests a budget of n allows, with what is put down to chance.
-func allowed(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// allowedRequests returns how many requests a budget of n allows, including the excess that is attributed to chance.
+func allowedRequests(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// warmingFleet is a fleet of instances whose only endpoint warms up. Each attempt is answered at once.
+// warmingFleet is a fleet of instances whose only endpoint warms up and answers each attempt at once.
 type warmingFleet struct {
 	config    Config
 	instances []*harness
-	sent      int
+	sent      int // attempts
 }
 
-// newWarmingFleet starts the fleet with one write at each instance: its credit is counted from there.
+// newWarmingFleet starts the fleet with one write at each instance, which starts the instance's credit.
 func newWarmingFleet(t *testing.T, c Config, seed uint64) *warmingFleet {
 	t.Helper()
 	const at = 100 * time.Second
@@ -161,7 +163,7 @@
 	return f
 }
 
-// step passes the events to an instance, and counts and answers its attempts.
+// step passes the events to an instance, then counts and answers its attempts.
 func (f *warmingFleet) step(h *harness, d time.Duration, events ...Event) {
 	sends := actionsOf[Send](h.step(d, events...))
 	for len(sends) > 0 {
@@ -177,8 +179,8 @@
 	}
 }
 
-// budget is how many writes the settings allow in their window, at a part of the endpoint's capacity. Their work is
-// taken as it is before any answer.
+// budget returns how many writes the configuration allows in an overload window at the given share of the endpoint's
+// capacity. The work of a write is the initial estimate, a fifth of the latency objective.
 func (f *warmingFleet) budget(capacity float64) float64 {
 	work := 0.0
 	for _, class := range f.config.Classes {
@@ -189,8 +191,8 @@
 	return f.config.OverloadMultiple * capacity * f.config.OverloadWindow.Seconds() / work
 }
 
-// What a warming endpoint may get goes by what the busiest warm ones do, not by those that stand idle beside them.
-func TestSlowStartBudgetGoesByTheBusiest(t *testing.T) {
+// The slow start budget is estimated from the busiest warm endpoints. Idle ones beside them must not lower it.
+func TestSlowStartBudgetUsesBusiestEndpoints(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
 	c.SlowStartFrom = 0.16
@@ -222,7 +224,7 @@
 		}
 		return n
 	}
-	sent(1, 150, 100*ms) // a does two tenths of a second's work a second, the others nothing
+	sent(1, 150, 100*ms) // a does 0.2 s of work per second, the others none
 	h.step(
 		0,
 		EndpointList{
@@ -231,12 +233,12 @@
 	)
 	h.step(0, HealthCheckResult{Endpoint: "p", Status: StatusDone, Role: RolePrimary, Position: h.now})
 	if n := sent(2, 25, 200*ms); n < 8 {
-		t.Fatalf("%d of 25 writes sent in 5 s", n)
+		t.Fatalf("%d of 25 writes sent in 5 s, want at least 8", n)
 	}
 }
 
-// A zone that may not be used gets nothing, one that may be used in part gets less at a time, and one that is free
-// again gets its part.
+// A zone with capacity 0 gets no attempts, a zone with a limited capacity gets fewer at a time, and a zone with full
+// capacity gets all again.
 func TestZoneCapacity(t *testing.T) {
 	l := threeEndpoints(ListCached)
 	l.Entries[1].Zone = "b"
@@ -257,13 +259,13 @@
 	}
 	h.balancer.endpoints["c"].discovery.suspended = true // b is the only replica
 	if n := count(0); n != 0 {
-		t.Errorf("%d sent to a zone that may not be used", n)
+		t.Errorf("%d attempts in a zone with capacity 0, want none", n)
 	}
 	if n := count(1); n != 40 {
-		t.Errorf("%d of 40 sent to a zone that is free", n)
+		t.Errorf("%d of 40 reads sent to a zone with full capacity, want all", n)
 	}
 	h.step(0, ZoneCapacity{Zone: "b", Share: 0.25})
-	h.step(0, h.request("any")) // its credit is drawn, and earned from here on
+	h.step(0, h.request("any")) // starts its credit with a random value
 	h.step(2 * time.Second)
 	most := 0
 	for range 40 {
@@ -271,6 +273,6 @@
 		most = max(most, len(h.balancer.endpoints["b"].inFlight))
 	}
 	if free := h.balancer.endpoints["b"].limit.attempts; most == 0 || float64(most) > free/4+1 {
-		t.Errorf("%d out at a quarter of %.1f", most, free)
+		t.Errorf("%d attempts in flight with a quarter of limit %.1f, want 1 to that quarter plus 1", most, free)
 	}
 }
--- a/balance/step_bench_test.go
+++ b/balance/step_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkStep measures one request on its way: a step that sends it and a step that records its response.
+// BenchmarkStep measures two steps per request: one that sends the request and one that records its response.
 func BenchmarkStep(b *testing.B) {
 	for _, instances := range []int{1, 3, 300} {
 		b.Run(strconv.Itoa(instances), func(b *testing.B) { benchmarkStep(b, instances) })
@@ -41,7 +41,7 @@
 	}
 }
 
-// benchmarkRole is the role of an endpoint: a is the primary.
+// benchmarkRole returns the role of an endpoint: a is the primary, all others are replicas.
 func benchmarkRole(id string) Role {
 	if id == "a" {
 		return RolePrimary
@@ -49,7 +49,7 @@
 	return RoleReplica
 }
 
-// benchmarkAnswer answers an attempt or a health check, in the role of the endpoint.
+// benchmarkAnswer returns the result of an attempt or a health check, or nil for other actions.
 func benchmarkAnswer(action Action, now Time) Event {
 	switch action := action.(type) {
 	case Send:
--- a/balance/throughput_test.go
+++ b/balance/throughput_test.go
@@ -12,7 +12,7 @@
 		rate.measure(1, smoothing)
 	}
 	if math.Abs(rate.perSecond-0.5) > 0.001 || rate.sinceMeasured != 0 {
-		t.Errorf("%v a second, %v not measured", rate.perSecond, rate.sinceMeasured)
+		t.Errorf("work rate %v per second with %v unmeasured, want 0.5 and 0", rate.perSecond, rate.sinceMeasured)
 	}
 }
 
@@ -29,10 +29,11 @@
 			t.Errorf("%s: primary, available, in service %v, want %v", id, got, want)
 		}
 		if view.ConcurrencyLimit != initialLimit || view.CapacityShare != 1 {
-			t.Errorf("%s: limit %v, capacity %v", id, view.ConcurrencyLimit, view.CapacityShare)
+			t.Errorf("%s: limit %v, capacity share %v, want the initial limit and 1",
+				id, view.ConcurrencyLimit, view.CapacityShare)
 		}
 	}
 	if rate, warm := h.balancer.EndpointWorkRate("a"); rate != 0 || !warm {
-		t.Errorf("work rate %v, warm %v", rate, warm)
+		t.Errorf("work rate %v, warm %v, want 0 and true", rate, warm)
 	}
 }
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -10,23 +10,23 @@
 func TestWorkCreditRefills(t *testing.T) {
 	var credit workCredit
 	if credit.isStarted() {
-		t.Fatal("counted before its start")
+		t.Fatal("new credit is started, want it not started")
 	}
 	credit.start(0.5, time.Second)
 	credit.refill(0.1, 2, 6*time.Second)
 	if credit.tokens != 1 {
-		t.Errorf("%v after five seconds, want 1", credit.tokens)
+		t.Errorf("%v tokens after 5 s, want 1", credit.tokens)
 	}
 	credit.refill(0.1, 2, time.Minute)
 	if credit.tokens != 2 {
-		t.Errorf("%v after a minute, want the burst, 2", credit.tokens)
+		t.Errorf("%v tokens after a minute, want the burst, 2", credit.tokens)
 	}
 	if credit.reset(); credit.isStarted() {
-		t.Error("still counted after its reset")
+		t.Error("credit is started after reset, want it not started")
 	}
 }
 
-func TestCreditOfAnEndpointWithAWholeShareIsUnlimited(t *testing.T) {
+func TestWholeShareNeedsNoCredit(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
 	h.step(ms)
 	request := &request{class: h.balancer.classes["any"], group: h.balancer.groups[1]}
@@ -35,9 +35,9 @@
 	}
 }
 
-// Of an endpoint's share an instance of eighty has less than one attempt. What it saves up is enough for a long read,
-// however often short ones look at it in between.
-func TestShortReadsLeaveALongOneItsCredit(t *testing.T) {
+// The share of one of 80 instances in an endpoint is under one attempt. The credit that it saves up must suffice for a
+// long read even though short reads refill and check the same credit in between.
+func TestShortReadsDoNotStarveLongReads(t *testing.T) {
 	c := testConfig()
 	c.Instances = 80
 	h := newHarness(
@@ -55,20 +55,20 @@
 		at Time
 		AttemptResult
 	}
-	var out []end
-	longs, served := 0, 0
+	var inFlight []end
+	longReads, served := 0, 0
 	for i := range 6000 { // a minute
 		var events []Event
 		if i%15 == 0 {
 			events = append(events, h.request("bounded"))
 		}
-		if i%200 == 100 && i > 1000 { // once the times are known
-			longs++
+		if i%200 == 100 && i > 1000 { // once latencies have been observed
+			longReads++
 			events = append(events, h.request("any"))
 		}
-		for len(out) > 0 && out[0].at <= h.now {
-			events = append(events, out[0].AttemptResult)
-			out = out[1:]
+		for len(inFlight) > 0 && inFlight[0].at <= h.now {
+			events = append(events, inFlight[0].AttemptResult)
+			inFlight = inFlight[1:]
 		}
 		acts := h.step(10*ms, events...)
 		for _, p := range actionsOf[HealthCheck](acts) {
@@ -83,17 +83,17 @@
 				served++
 			}
 			role := map[string]Role{"a": RolePrimary, "b": RoleReplica}[s.Endpoint]
-			out = append(
-				out,
+			inFlight = append(
+				inFlight,
 				end{h.now + took, AttemptResult{
 					ID: s.ID, Attempt: h.attempts(s.ID) - 1, Endpoint: s.Endpoint, Status: StatusDone,
 					Elapsed: took, Role: role, Position: h.now, Finished: true,
 				}},
 			)
-			slices.SortStableFunc(out, func(a, b end) int { return cmp.Compare(a.at, b.at) })
+			slices.SortStableFunc(inFlight, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 		}
 	}
-	if served < longs*3/4 {
-		t.Fatalf("%d of %d long reads sent", served, longs)
+	if served < longReads*3/4 {
+		t.Fatalf("%d of %d long reads sent, want at least three quarters", served, longReads)
 	}
 }
