--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -70,11 +70,11 @@
 // it full.
 func (l *concurrencyLimit) backOff(until Time) { l.rejectingUntil = until }
 
-// recordRejection lowers the limit, to at least the given minimum, after the endpoint rejected an attempt. Several
+// recordRejection lowers the limit, but not below minAttempts, after the endpoint rejected an attempt. Several
 // rejections during one backoff lower it only once.
-func (l *concurrencyLimit) recordRejection(now, until Time, least float64) {
+func (l *concurrencyLimit) recordRejection(now, until Time, minAttempts float64) {
 	if now >= l.rejectingUntil {
-		l.attempts = max(least, l.attempts*(1-limitDecrease))
+		l.attempts = max(minAttempts, l.attempts*(1-limitDecrease))
 	}
 	l.backOff(until)
 }
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -77,14 +77,14 @@
 }
 
 // newPollingBalancer returns a balancer that polls discovery, with the test configuration except for the values in
-// numbers.
-func newPollingBalancer(t *testing.T, seed uint64, numbers Config) *Balancer {
+// overrides.
+func newPollingBalancer(t *testing.T, seed uint64, overrides Config) *Balancer {
 	t.Helper()
 	c := testConfig()
 	c.PollDiscovery = true
-	c.Instances = numbers.Instances
-	c.PollWithin = numbers.PollWithin
-	c.DrainGrace = numbers.DrainGrace
+	c.Instances = overrides.Instances
+	c.PollWithin = overrides.PollWithin
+	c.DrainGrace = overrides.DrainGrace
 	b, err := New(c, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 	return b
 }
 
-// polls steps the balancer with the events and reports whether it polls.
-func polls(b *Balancer, now Time, events ...Event) bool {
+// stepPolls steps the balancer with the events and reports whether it polls.
+func stepPolls(b *Balancer, now Time, events ...Event) bool {
 	return len(actionsOf[PollEndpointList](b.Step(now, events))) > 0
 }
 
@@ -101,9 +101,9 @@
 // plus one interval, or now if the first step polls. It gives up after 100 s.
 func nextPoll(b *Balancer, now Time, interval time.Duration, events ...Event) Time {
 	end := now + 100*time.Second
-	polled := polls(b, now, events...)
+	polled := stepPolls(b, now, events...)
 	for ; !polled && now < end; now += interval {
-		polled = polls(b, now)
+		polled = stepPolls(b, now)
 	}
 	return now
 }
@@ -114,12 +114,12 @@
 func TestSimultaneousStartReceivesListInTime(t *testing.T) {
 	const instances = 80
 	for _, seed := range []uint64{1, 2, 3} {
-		numbers := Config{Instances: instances, PollWithin: 10 * time.Second}
+		overrides := Config{Instances: instances, PollWithin: 10 * time.Second}
 		start := 100 * time.Second
 		discovery := &queuedDiscovery{freeAt: start}
 		fleet := make([]*pollingInstance, instances)
 		for i := range fleet {
-			fleet[i] = &pollingInstance{balancer: newPollingBalancer(t, seed*1000+uint64(i), numbers)}
+			fleet[i] = &pollingInstance{balancer: newPollingBalancer(t, seed*1000+uint64(i), overrides)}
 			discovery.step(fleet[i], start, threeEndpoints(ListCached))
 		}
 		for now := start; now < start+30*time.Second; now += 5 * ms {
@@ -129,9 +129,9 @@
 		}
 		last := Time(0)
 		for i, instance := range fleet {
-			most := numbers.PollWithin * 4 / 5
+			most := overrides.PollWithin * 4 / 5
 			if instance.droppedOnce {
-				most = numbers.PollWithin * 2 // a failed poll extends the time
+				most = overrides.PollWithin * 2 // a failed poll extends the time
 			}
 			if instance.listReceivedAt == 0 || instance.listReceivedAt-start > most {
 				t.Errorf("seed %d, instance %d: list received at %v after a start at %v, want it in time",
@@ -165,7 +165,7 @@
 // step passes the events to the instance and queues its poll, if it sends one.
 func (d *queuedDiscovery) step(instance *pollingInstance, now Time, events ...Event) {
 	const service, patience = time.Second / 14, 2 * time.Second
-	if !polls(instance.balancer, now, events...) {
+	if !stepPolls(instance.balancer, now, events...) {
 		return
 	}
 	d.polls++
@@ -237,14 +237,14 @@
 // within the grace, whenever the network is back, and not all at the same time.
 func TestSilentDiscoveryIsPolledAgainWithinDrainGrace(t *testing.T) {
 	const fleet, slack, connect = 300, time.Second, 250 * ms
-	numbers := Config{Instances: fleet, PollWithin: 10 * time.Second, DrainGrace: 2 * time.Second}
+	overrides := Config{Instances: fleet, PollWithin: 10 * time.Second, DrainGrace: 2 * time.Second}
 	for _, seed := range []uint64{1, 2, 3} {
 		firstPolls := map[time.Duration]int{} // count by tenths of a second after the silence
 		for i := range fleet {
-			b := newPollingBalancer(t, seed*1000+uint64(i), numbers)
+			b := newPollingBalancer(t, seed*1000+uint64(i), overrides)
 			now := 100 * time.Second
 			b.Step(now, []Event{threeEndpoints(ListCached)})
-			for !polls(b, now) {
+			for !stepPolls(b, now) {
 				now += 10 * ms
 			}
 			// The subscription times out in silence, and so does each new connection.
@@ -256,7 +256,7 @@
 					firstPolls[(now-from)/(100*ms)]++
 				}
 				// The delay, with 1 s of slack, must leave time for a response within 2 s and the grace.
-				if now-from > numbers.DrainGrace {
+				if now-from > overrides.DrainGrace {
 					t.Fatalf("seed %d, instance %d: polls %v after silence %d, want within the grace", seed, i, now-from, silence)
 				}
 				now += connect
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -104,7 +104,7 @@
 	resumed.health.unreachable = true
 	resumed.health.recoveryAt = never
 	resumed.outlier.failureRate = 1
-	h.now += time.Second // its position has aged
+	h.now += time.Second // its position has expired
 	actions := h.step(0, Suspend{Endpoint: "b"}, h.request("bounded"))
 	if resumed.health.suspect || h.balancer.warmupFactor(resumed) == 1 {
 		h.t.Fatalf("endpoint %+v, want it resumed and warming up", resumed)
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -53,22 +53,23 @@
 func (b *Balancer) checkSlowStartCredit(request *request, endpoint *endpoint, warmup float64) creditCheck {
 	rate := endpoint.limit.attempts * warmup
 	cost := request.class.latency
-	least := slowStartBudgetShare * b.config.OverloadMultiple * warmup * max(b.throughput.peak, 1/b.config.instances())
-	if least < rate {
+	budgetRate := slowStartBudgetShare * b.config.OverloadMultiple * warmup *
+		max(b.throughput.peak, 1/b.config.instances())
+	if budgetRate < rate {
 		cost = request.class.serviceTime
-		rate = least
+		rate = budgetRate
 	}
-	burst := b.slowStartBurst(rate, least, cost)
+	burst := b.slowStartBurst(rate, budgetRate, cost)
 	covered := b.slowStartCovers(endpoint, rate, burst, cost)
 	return creditCheck{
-		covered: covered && !b.exceedsSlowStartBudget(request, least),
+		covered: covered && !b.exceedsSlowStartBudget(request, budgetRate),
 		cost:    cost,
 		burst:   burst,
 	}
 }
 
 // slowStartBurst returns how much work, in seconds, an instance may save up as credit for an endpoint that warms up.
-// The rate is that of the credit; least is the share of this instance in the used part of the budget. Both are in
+// The rate is that of the credit; budgetRate is the share of this instance in the used part of the budget. Both are in
 // seconds of work per second, and cost is in seconds of work per request.
 //
 // The credit that many instances save up under light load adds up, and all of it can be spent at once when reads move
@@ -76,12 +77,12 @@
 // small enough. If it is less, the saved credit of all instances must fit what the budget leaves beside the credit
 // earned meanwhile. That can be less than one request per instance; a random draw then decides which instance may send
 // a request (slowStartCovers).
-func (b *Balancer) slowStartBurst(rate, least, cost float64) float64 {
+func (b *Balancer) slowStartBurst(rate, budgetRate, cost float64) float64 {
 	window := b.config.OverloadWindow.Seconds()
 	if half := rate * window / 2; half >= cost {
 		return half
 	}
-	budget := least / slowStartBudgetShare * b.config.instances() * window / cost
+	budget := budgetRate / slowStartBudgetShare * b.config.instances() * window / cost
 	unused := budget - rate*b.config.instances()*window/cost
 	return cost * min(maxSavedRequests, savedCreditShare*unused/b.config.instances())
 }
@@ -110,7 +111,7 @@
 
 // exceedsSlowStartBudget reports whether a single request would use more than half of the budget and costs more than
 // the average request. Sharing out a budget that is smaller than one such request can't keep within it.
-func (b *Balancer) exceedsSlowStartBudget(request *request, least float64) bool {
+func (b *Balancer) exceedsSlowStartBudget(request *request, budgetRate float64) bool {
 	work := 0.0
 	arrivals := 0.0
 	for _, configured := range b.config.Classes { // in configured order, since floating-point sums depend on the order
@@ -118,6 +119,6 @@
 		work += class.arrivals * class.serviceTime
 		arrivals += class.arrivals
 	}
-	half := least * b.config.instances() * b.config.OverloadWindow.Seconds() / 2
+	half := budgetRate * b.config.instances() * b.config.OverloadWindow.Seconds() / 2
 	return request.class.serviceTime > max(half, work/max(1, arrivals))
 }
