--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -9,32 +9,32 @@
 	"limeladder/internal/audit"
 )
 
-// Errors of Accept: nothing is kept of such a request, and its client gets no call.
+// Errors returned by Accept. The router keeps no state of such a request and never calls its Client.
 var (
 	ErrUnknownClass     = errors.New("no class of that name")
 	ErrNoTimeLeft       = errors.New("no time is left to answer in")
 	ErrDuplicateRequest = errors.New("a request of that id is open")
 )
 
-// connectionCheckAge is the age from which the operating system is asked whether a request's client is still
-// connected. Earlier the poller has reported it, and each question costs a system call.
+// connectionCheckAge is the request age above which the operating system is asked whether the client is still
+// connected. For younger requests the poller has already reported a disconnect, and each check costs a system call.
 const connectionCheckAge = 20 * time.Millisecond
 
-// Accept takes a request from a frontend and returns its id, for Disconnect. The answer never comes before Accept has
-// returned.
+// Accept accepts a request from a frontend and returns the id to be passed to Disconnect. No method that answers the
+// request is called on client before Accept has returned.
 func (r *Router) Accept(received Request, client Client) (id string, err error) {
 	if err := r.validate(&received); err != nil {
 		return "", err
 	}
-	// No client of the class waits longer than this, whatever the request says.
+	// No client of the class waits longer than its timeout, even if the request has a later deadline.
 	received.Deadline = min(received.Deadline, r.classes[received.Class].ClientTimeout)
 	if received.ClientRequestID != "" {
-		r.openLabels[received.ClientRequestID] = true
+		r.openClientRequestIDs[received.ClientRequestID] = true
 	}
 	r.lastRequestNumber++
 	req := &request{
 		Request: received,
-		// Labels of clients need not be unique: a repeated one must not meet another request's attempt.
+		// Ids assigned by clients need not be unique, and a repeated one must not match another request's attempt.
 		id:       strconv.FormatUint(r.lastRequestNumber, 36),
 		client:   client,
 		answerBy: r.answerBy(received.ReceivedAt, received.Deadline),
@@ -53,14 +53,14 @@
 	if received.Deadline <= 0 {
 		return ErrNoTimeLeft
 	}
-	if r.openLabels[received.ClientRequestID] {
-		// A client that uses the label of another one's request must not get, or spoil, its answer.
+	if r.openClientRequestIDs[received.ClientRequestID] {
+		// A client that reuses the id of another client's request must neither receive nor affect its answer.
 		return ErrDuplicateRequest
 	}
 	return nil
 }
 
-// answerBy is the moment by which the answer to a request has to be on its way.
+// answerBy returns the latest time at which the answer to a request may be sent.
 func (r *Router) answerBy(receivedAt, deadline time.Duration) time.Duration {
 	at := receivedAt + deadline - r.answerMargin(deadline)
 	if r.shutdownDeadline > 0 {
@@ -69,12 +69,12 @@
 	return at
 }
 
-// answerMargin is how long before the client's deadline the answer has to be on its way.
+// answerMargin returns how long before the client's deadline the answer has to be sent.
 func (r *Router) answerMargin(deadline time.Duration) time.Duration {
 	return min(r.limits.Router.DeadlineMargin, deadline/4)
 }
 
-// age is how long ago a request was received.
+// age returns the time since a request was received.
 func (r *Router) age(req *request) time.Duration { return r.loop.Now() - req.ReceivedAt }
 
 // RecordRejection counts and records a request that its frontend has rejected for lack of capacity, so that every
@@ -85,9 +85,9 @@
 	r.auditAnswer(&request{Request: received}, audit.Refused, audit.Answer{Retry: retryAfter})
 }
 
-// Disconnect says that the client of a request has left. The attempt of an idempotent request is cancelled: nobody
-// waits for it, and others wait for the endpoint. What may change data runs on, but only if some of it was written:
-// nothing is started for a client that has left.
+// Disconnect handles the disconnect of a request's client. The attempt of an idempotent request is cancelled: its
+// response is no longer needed, and other requests wait for the endpoint. An attempt that may change data continues if
+// any of it was written; otherwise it is cancelled too, because nothing is started for a disconnected client.
 func (r *Router) Disconnect(id string) {
 	req := r.inFlight[id]
 	if req == nil || req.finished {
@@ -105,10 +105,10 @@
 	r.release(req)
 }
 
-// detectDisconnect says whether the client of a request has left, and handles that like a call of Disconnect.
+// detectDisconnect reports whether the client of a request has disconnected, and if so handles it as Disconnect does.
 //
-// A router that is short of CPU time learns of a closed connection long after the fact. An attempt that starts in the
-// meantime is for nobody, while a client that came back has another one in flight.
+// A router that is short of CPU time learns of a closed connection late. An attempt started in the meantime would be
+// wasted, and a client that has reconnected may have another attempt in flight.
 func (r *Router) detectDisconnect(req *request) bool {
 	if !req.finished && r.clientDisconnected(req) {
 		r.Disconnect(req.id)
@@ -116,14 +116,14 @@
 	return req.finished
 }
 
-// clientDisconnected asks the frontend whether the client of a request has left.
+// clientDisconnected asks the frontend whether the client of a request has disconnected.
 func (r *Router) clientDisconnected(req *request) bool {
 	askSystem := r.age(req) > connectionCheckAge
 	return req.client.Disconnected(askSystem)
 }
 
-// finish notes that a request is owed nothing any more.
+// finish marks a request as finished: its client gets no further answer.
 func (r *Router) finish(req *request) {
 	req.finished = true
-	delete(r.openLabels, req.ClientRequestID)
+	delete(r.openClientRequestIDs, req.ClientRequestID)
 }
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -18,26 +18,26 @@
 			ErrNoTimeLeft:   {Class: readClass},
 		} {
 			if _, err := router.Accept(req, invalid); !errors.Is(err, want) {
-				t.Errorf("%v, not %v", err, want)
+				t.Errorf("Accept returned %v, want %v", err, want)
 			}
 		}
 		now := loop.Now()
-		labelled := Request{ClientRequestID: "b", Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 2}
-		accept(t, router, labelled, first)
-		// With the same label the second client would get what the first one has asked for.
-		labelled.Job = 4
-		if _, err := router.Accept(labelled, invalid); !errors.Is(err, ErrDuplicateRequest) {
+		withRequestID := Request{ClientRequestID: "b", Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 2}
+		accept(t, router, withRequestID, first)
+		// A second client with the same request id would get the first client's answer.
+		withRequestID.Job = 4
+		if _, err := router.Accept(withRequestID, invalid); !errors.Is(err, ErrDuplicateRequest) {
 			t.Error(err)
 		}
 		accept(t, router, Request{Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 3}, excess)
 	})
 	if n := invalid.answers(); n != 0 {
-		t.Errorf("%d answers to requests that were not accepted", n)
+		t.Errorf("got %d answers to requests that were not accepted, want 0", n)
 	}
 	if n := first.answers(); n != 0 {
-		t.Errorf("%d answers to the request in flight", n)
+		t.Errorf("got %d answers to the request in flight, want 0", n)
 	}
 	if excess.rejected != 1 || excess.retryAfter <= 0 {
-		t.Errorf("the request beyond the limit: %+v", excess)
+		t.Errorf("request above the limit: got %+v, want one rejection with a Retry-After", excess)
 	}
 }
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Reasons for the rejection of a request of which the balancer has not heard.
+// Reasons for the rejection of a request that was not submitted to the balancer.
 const (
 	reasonTooManyInFlight = "too many requests are in flight"
 
-	// These go into the audit record as well.
-	reasonExpiredUnread = "its time was over before it could be begun"
-	reasonSiteLost      = "a site is lost and there is no place for it"
+	// The following reasons are written to the audit record as well.
+	reasonExpiredBeforeAdmission = "its time was over before it could be begun"
+	reasonSiteLost               = "a site is lost and there is no place for it"
 )
 
-// admit sheds what is too much, and hands the rest to the failover queue or to the balancer.
+// admit rejects excess and expired requests, and passes the others to the failover queue or to the balancer.
 func (r *Router) admit(req *request) {
 	if len(r.inFlight) >= r.limits.Router.InFlightRequests {
-		// Nothing is kept of a request beyond the limit, so that memory stays bounded.
+		// No state is kept for a request above the limit, so that memory use stays bounded.
 		r.loop.Post(func() { r.reject(req, 0, reasonTooManyInFlight) })
 		return
 	}
 	if req.answerBy <= r.loop.Now() {
-		// It was queued unread behind others for all of its time: nobody waits for the answer any more.
+		// The request was queued unread until its deadline, so its client no longer waits for the answer.
 		r.counts.Expired++
-		r.rejectLater(req, 0, reasonExpiredUnread)
+		r.rejectLater(req, 0, reasonExpiredBeforeAdmission)
 		return
 	}
 	r.siteMonitor.recordDemand(req)
@@ -31,17 +31,17 @@
 		return
 	}
 	r.inFlight[req.id] = req
-	// The balancer ends in time what it has queued. The timer is for attempts in flight, and makes sure that no
-	// request stays without an answer.
+	// The balancer answers the requests in its queue before their deadlines. The timer ends attempts in flight, and
+	// ensures that every request is answered.
 	req.timer = r.loop.AfterFunc(req.answerBy-r.loop.Now(), func() { r.expire(req) })
-	req.queueable = r.failoverQueue.takesClass(req.Class)
+	req.queueable = r.failoverQueue.queuesClass(req.Class)
 	if req.queueable && r.failoverQueue.enqueue(req) {
 		return
 	}
 	r.submit(req)
 }
 
-// rejectLater rejects a request once Accept has returned.
+// rejectLater rejects a request after Accept has returned, and records the reason in the audit record.
 func (r *Router) rejectLater(req *request, retryAfter time.Duration, reason string) {
-	r.loop.Post(func() { r.rejectFor(req, retryAfter, reason) })
+	r.loop.Post(func() { r.rejectAndRecordReason(req, retryAfter, reason) })
 }
--- a/internal/router/audit_record.go
+++ b/internal/router/audit_record.go
@@ -5,7 +5,7 @@
 	"limeladder/internal/audit"
 )
 
-// auditLog is where audit events go. Without a sink nothing is recorded, and nothing is collected for it.
+// auditLog passes audit events to an optional sink. Without a sink nothing is recorded or collected.
 type auditLog struct{ sink Audit }
 
 func (l auditLog) enabled() bool { return l.sink != nil }
@@ -16,7 +16,7 @@
 	}
 }
 
-// auditAttempt notes the end of the attempt that was in flight, for the record of the answer.
+// auditAttempt adds an ended attempt to the history that auditAnswer records.
 func (r *Router) auditAttempt(req *request, status balance.Status) {
 	if !r.audit.enabled() || req.finished {
 		return
@@ -30,7 +30,7 @@
 	})
 }
 
-// auditAnswer records a final answer. The answer comes with what only its caller knows.
+// auditAnswer records a final answer. The caller has set the fields of answer that cannot be derived from the request.
 func (r *Router) auditAnswer(req *request, outcome audit.Outcome, answer audit.Answer) {
 	if !r.audit.enabled() {
 		return
@@ -64,7 +64,7 @@
 	r.audit.record(&answer)
 }
 
-// mayHaveRun says whether a request that is answered so has run, or may have run, or still may.
+// mayHaveRun reports whether a request with this outcome was, may have been or may still be executed.
 func (req *request) mayHaveRun(outcome audit.Outcome) bool {
 	if outcome == audit.Served || outcome == audit.Cut {
 		return true
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// Job is what a frontend wants done. Only the frontend and the backends look inside.
+// Job is the work that a frontend requests. It is opaque to the router; only frontends and backends inspect it.
 type Job any
 
-// Response is what an endpoint answered to a job. Only the frontend and the backends look inside.
+// Response is an endpoint's response to a job. It is opaque to the router; only frontends and backends inspect it.
 type Response any
 
-// Client is the frontend's side of one request. Exactly one of Served, Rejected, Failed and ResponseTruncated is
-// called, once.
+// Client receives the answer to one request on behalf of the frontend. Unless the client disconnects first, exactly one
+// of Served, Rejected, Failed and ResponseTruncated is called, once.
 type Client interface {
-	// ResponseStarted says that a long response is forwarded while it arrives, and brings the part before its long
-	// row. ResponsePart brings the row, piece by piece, and Served what follows it.
+	// ResponseStarted is called when a long response is going to be forwarded while it arrives. response is the part
+	// before its long row. ResponsePart delivers the row in pieces, and Served the part after it.
 	ResponseStarted(response Response, flow Flow)
 
-	// ResponsePart brings the next piece of the long row.
+	// ResponsePart delivers the next piece of the long row.
 	ResponsePart(part []byte)
 
-	// ResponseTruncated says that the forwarded response stays incomplete. The client has to see that.
+	// ResponseTruncated is called when the forwarded response stays incomplete. The client must be able to notice it.
 	ResponseTruncated()
 
-	// Served brings the response, or the rest of one that was forwarded while it arrived.
+	// Served delivers the response, or the rest of a response that was forwarded while it arrived.
 	Served(response Response)
 
-	// Rejected says that nothing ran: the client may retry after this time without harm.
+	// Rejected is called when the request was not executed: the client may safely retry it after retryAfter.
 	Rejected(retryAfter time.Duration)
 
-	// Failed says that nothing is promised: the request may have run.
+	// Failed is called when the outcome is unknown: the request may have been executed.
 	Failed(reason string)
 
-	// Disconnected says that the client has left, although Disconnect was not called yet. With askSystem the
-	// operating system is asked too, which knows first.
+	// Disconnected reports whether the client has disconnected, even if Disconnect was not called yet. With askSystem
+	// the operating system is asked too, which learns of it first.
 	Disconnected(askSystem bool) bool
 }
 
-// Committer is a Client that is notified of the position of its write, right before its answer.
+// Committer is a Client that is notified of the replication position of its write.
 type Committer interface {
-	// Committed brings the position.
+	// Committed is called with the position right before the answer.
 	Committed(position time.Duration)
 }
 
 // Flow is the source of a response that is forwarded while it arrives.
 type Flow interface {
-	// SetPaused stops the source, or lets it go on.
+	// SetPaused pauses or resumes the source.
 	SetPaused(paused bool)
 }
 
-// Request is what a frontend has received. Times are on the loop's clock.
+// Request is a request as a frontend received it. Points in time are on the event loop's clock.
 type Request struct {
-	ClientRequestID string // the client's own id of the request, "" = it gave none
+	ClientRequestID string // assigned by the client, "" = none
 	Class           string
 	Group           int64 // the replica group
 	Session         string
-	Deadline        time.Duration // the client gives up this long after it has sent the request
+	Deadline        time.Duration // client timeout, counted from when the client sent the request
 	ReceivedAt      time.Duration // when the last byte of the request arrived
-	MinPosition     time.Duration // the position that the response has to reflect, 0 = any
+	MinPosition     time.Duration // replication position that the response has to reflect, 0 = any
 	Retry           bool
 	Job             Job
-	Tenant          string // the user of the connection, for the audit record; "" = not known
+	Tenant          string // the user of the connection, for the audit record; "" = unknown
 	ClientAddress   string // the address of the client
 }
 
-// Ordering says which of the requests that were sent before it on the same connection a request has to follow.
+// Ordering specifies which of the earlier requests on its connection a request has to wait for.
 type Ordering struct {
-	// Writes says that the request may change data. It follows all earlier requests, so that none of them sees its
+	// Writes is set if the request may change data. It waits for all earlier requests, so that none of them sees its
 	// change.
 	Writes bool
-	// ReadsOwnWrites says that the request has to see what its session has written. It follows those writes.
+	// ReadsOwnWrites is set if the request has to see the writes of its session. It waits for those.
 	ReadsOwnWrites bool
-	// ReadsAllWrites says that the request has to see what anybody has written. It follows all writes.
+	// ReadsAllWrites is set if the request has to see the writes of all sessions. It waits for all earlier writes.
 	ReadsAllWrites bool
 }
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -9,7 +9,7 @@
 	"limeladder/internal/eventloop"
 )
 
-func TestRequestExpiredBeforeItWasReadIsRejectedAndNeverSent(t *testing.T) {
+func TestExpiredRequestIsRejectedAndNeverSent(t *testing.T) {
 	for _, class := range bothClasses {
 		t.Run(class, func(t *testing.T) {
 			router, peers, loop := newTestRouter(t)
@@ -20,16 +20,17 @@
 				accept(t, router, req, client)
 			})
 			if client.rejected != 1 || client.answers() != 1 || client.retryAfter <= 0 {
-				t.Errorf("%+v", client)
+				t.Errorf("got %+v, want one rejection with a Retry-After", client)
 			}
 			if len(peers.attempts) > 0 || router.InFlight() != 0 || router.Counts().Expired != 1 {
-				t.Errorf("%d attempts, %d in flight, %+v", len(peers.attempts), router.InFlight(), router.Counts())
+				t.Errorf("got %d attempts, %d in flight, %+v, want 0 attempts, 0 in flight, 1 expired",
+					len(peers.attempts), router.InFlight(), router.Counts())
 			}
 		})
 	}
 }
 
-// A request that was queued unread for a part of its time has the rest of it, counted from its receipt.
+// A request that was queued unread for part of its deadline has only the remaining time, counted from its receipt.
 func TestDeadlineCountsFromReceipt(t *testing.T) {
 	router, peers, loop := newTestRouter(t)
 	client := &fakeClient{loop: loop}
@@ -41,13 +42,13 @@
 		accept(t, router, req, client)
 	})
 	if len(peers.attempts) != 1 {
-		t.Fatalf("%d attempts", len(peers.attempts))
+		t.Fatalf("got %d attempts, want 1", len(peers.attempts))
 	}
 	if left := peers.attempts[0].Deadline - acceptedAt; left != 690*time.Millisecond {
-		t.Fatalf("the attempt has %v", left)
+		t.Fatalf("time left for the attempt is %v, want 690ms", left)
 	}
 	if client.rejected != 1 || client.answers() != 1 {
-		t.Fatalf("%+v", client)
+		t.Fatalf("got %+v, want one rejection", client)
 	}
 }
 
@@ -63,21 +64,21 @@
 				accept(t, router, req, client)
 			})
 			if len(peers.attempts) == 0 || !peers.attempts[0].ended {
-				t.Fatal("its attempt is still in flight")
+				t.Fatal("no attempt was started, or the first one is still in flight")
 			}
-			// Only a write that was written may have run with an effect.
+			// Only a write that was sent to an endpoint may have had an effect.
 			want := map[string]int{readClass: client.rejected, writeClass: client.failed}
 			if client.answers() != 1 || want[class] != 1 {
-				t.Fatalf("%+v", client)
+				t.Fatalf("got %+v, want one answer: a rejection of the read, a failure of the write", client)
 			}
 			if elapsed := client.answeredAt - receivedAt; elapsed >= 120*time.Millisecond {
-				t.Logf("answered after %v", elapsed) // a busy machine may be late; the order is what is tested
+				t.Logf("answered after %v", elapsed) // not an error: on a busy machine the answer may be late
 			}
 			if client.rejected == 1 && client.retryAfter <= 0 {
-				t.Fatal("a rejection that does not say when to retry")
+				t.Fatal("rejection has no Retry-After")
 			}
 			if router.InFlight() != 0 {
-				t.Fatalf("%d in flight", router.InFlight())
+				t.Fatalf("got %d requests in flight, want 0", router.InFlight())
 			}
 		})
 	}
@@ -92,11 +93,11 @@
 		accept(t, router, req, client)
 	})
 	if client.rejected != 1 || client.answers() != 1 {
-		t.Fatalf("%+v", client)
+		t.Fatalf("got %+v, want one rejection", client)
 	}
 }
 
-// A request that is accepted late in a shutdown is answered before the platform ends the process, although its client
+// A request that is accepted late in a shutdown is answered before the platform ends the process, even if its client
 // would wait longer.
 func TestShutdownDeadlineBoundsLateRequests(t *testing.T) {
 	for _, class := range bothClasses {
@@ -116,50 +117,50 @@
 				loop.AfterFunc(150*time.Millisecond, func() { send(3, last) })
 			})
 			if early.answers() != 0 && early.answeredAt <= late.answeredAt {
-				t.Errorf("accepted before the shutdown: %+v", early)
+				t.Errorf("accepted before the shutdown: got %+v, want no answer before that of the later request", early)
 			}
 			if late.answers() != 1 {
-				t.Errorf("accepted during the shutdown: %+v", late)
+				t.Errorf("accepted during the shutdown: got %+v, want one answer", late)
 			}
 			if last.rejected != 1 || last.answers() != 1 {
-				t.Errorf("accepted after the shutdown deadline: %+v", last)
+				t.Errorf("accepted after the shutdown deadline: got %+v, want one rejection", last)
 			}
 		})
 	}
 }
 
-// Each request gets one answer, no later than it was meant to leave, to the nanosecond: queued for a failover, queued
-// in the balancer, or in flight at an endpoint that never answers. The clock is the test's own, so that a busy machine
-// has no influence.
+// Each request gets one answer no later than at its answerBy time, to the nanosecond, whether it is queued for a
+// failover, queued in the balancer, or in flight at an endpoint that never answers. The test uses a virtual clock, so
+// that the load of the machine has no influence.
 func TestEachAnswerIsInTimeInVirtualTime(t *testing.T) {
 	t.Run("silent endpoints", func(t *testing.T) {
-		run := playInVirtualTime(t, true, false)
+		run := runInVirtualTime(t, true, false)
 		if len(run.peers.attempts) == 0 {
-			t.Error("nothing was sent")
+			t.Error("got no attempts, want at least one")
 		}
 	})
 	t.Run("no primary", func(t *testing.T) {
-		playInVirtualTime(t, false, false)
+		runInVirtualTime(t, false, false)
 	})
 	t.Run("failover queue", func(t *testing.T) {
-		run := playInVirtualTime(t, true, true)
+		run := runInVirtualTime(t, true, true)
 		if len(run.peers.attempts) == 0 {
-			t.Error("nothing was sent")
+			t.Error("got no attempts, want at least one")
 		}
 		if run.maxPending < 50 {
-			t.Errorf("%d queued at most", run.maxPending)
+			t.Errorf("got at most %d requests queued at once, want at least 50", run.maxPending)
 		}
 	})
 }
 
-// virtualRun is a router that is asked for 400 answers in virtual time.
+// virtualRun is a run of a router that gets 400 requests in virtual time.
 type virtualRun struct {
 	router     *Router
 	peers      *fakePeers
 	loop       *eventloop.Loop
 	clock      time.Duration
 	requests   []virtualRequest
-	maxPending int // in the failover queue at once
+	maxPending int // highest number of requests in the failover queue
 }
 
 type virtualRequest struct {
@@ -169,12 +170,12 @@
 	answerBy   time.Duration
 }
 
-// playInVirtualTime sends all requests, runs until nothing is left to do, and checks their answers.
-func playInVirtualTime(t *testing.T, primary, withQueue bool) *virtualRun {
+// runInVirtualTime sends all requests, runs the loop until nothing is left to do, and checks the answers.
+func runInVirtualTime(t *testing.T, primary, withQueue bool) *virtualRun {
 	t.Helper()
 	run := &virtualRun{clock: time.Hour}
 	run.loop = eventloop.NewWithClock(func() time.Duration { return run.clock })
-	run.router, run.peers = newTestRouterOn(t, run.loop, primary)
+	run.router, run.peers = newTestRouterOnLoop(t, run.loop, primary)
 	if withQueue {
 		enableTestFailoverQueue(run.router)
 		suspectPrimary(run.router)
@@ -197,7 +198,7 @@
 	return run
 }
 
-// send schedules request i: one each 7 ms, each fourth a read, with all kinds of deadlines.
+// send schedules request i. There is one every 7 ms, every fourth is a read, and deadlines range from 20 to 3019 ms.
 func (run *virtualRun) send(t *testing.T, i int) {
 	t.Helper()
 	delay := time.Duration(i) * 7 * time.Millisecond
@@ -228,16 +229,17 @@
 		answers := req.client.answers()
 		answeredAt := req.client.answeredAt
 		if answers != 1 || answeredAt > req.answerBy || answeredAt < req.receivedAt {
-			t.Errorf("r%d, a %s: %d answers, after %v of %v", i, req.class, answers,
+			t.Errorf("request r%d of class %s: got %d answers, the last after %v, want one within %v", i, req.class, answers,
 				answeredAt-req.receivedAt, req.answerBy-req.receivedAt)
 		}
 	}
 	if n := run.router.InFlight(); n != 0 {
-		t.Errorf("%d in flight", n)
+		t.Errorf("got %d requests in flight, want 0", n)
 	}
 }
 
-// The balancer hears when a response began to arrive, not when a slow peer had sent all of it.
+// The elapsed time that is reported to the balancer ends when the response begins to arrive, not when a slow endpoint
+// has sent all of it.
 func TestElapsedEndsWithFirstByte(t *testing.T) {
 	router, peers, loop := newTestRouter(t)
 	var elapsed time.Duration
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -7,7 +7,7 @@
 	"limeladder/balance"
 )
 
-// A client that leaves cancels the attempt of its read, and hears nothing; what may change data runs to its end.
+// When a client disconnects, the attempt of a read is cancelled, while a write runs to its end. Neither is answered.
 func TestDisconnectCancelsReadsOnly(t *testing.T) {
 	for _, class := range bothClasses {
 		t.Run(class, func(t *testing.T) {
@@ -20,17 +20,18 @@
 			})
 			cancelled := class == readClass
 			if len(peers.attempts) != 1 || peers.attempts[0].ended != cancelled {
-				t.Errorf("%d attempts: %+v", len(peers.attempts), peers.attempts)
+				t.Errorf("got %d attempts: %+v, want one, cancelled only for a read", len(peers.attempts), peers.attempts)
 			}
 			if client.answers() != 0 || (router.InFlight() == 0) != cancelled {
-				t.Errorf("%+v, %d in flight", client, router.InFlight())
+				t.Errorf("got %+v, %d in flight, want no answer, and only a write in flight", client, router.InFlight())
 			}
 		})
 	}
 }
 
-// No attempt starts for a client that has left, be it the first one or a retry, although Disconnect was not called
-// yet; nor is one written that has no connection yet when its client leaves, whatever the class.
+// No attempt, neither the first one nor a retry, starts for a client that has disconnected, even if Disconnect was not
+// called yet. An attempt that still waits for a backend connection when its client disconnects is not written. Both
+// hold for reads and writes.
 func TestNoAttemptStartsForADisconnectedClient(t *testing.T) {
 	for _, class := range bothClasses {
 		t.Run(class, func(t *testing.T) {
@@ -49,9 +50,9 @@
 		accept(t, router, Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: 1}, client)
 	})
 	if router.Counts().Disconnected != 1 {
-		t.Errorf("%+v", router.Counts())
+		t.Errorf("got %+v, want 1 disconnected", router.Counts())
 	}
-	checkNothingLeft(t, router, peers, client, 0)
+	checkNoAnswerAndNothingInFlight(t, router, peers, client, 0)
 }
 
 func disconnectBeforeRetry(t *testing.T, class string) {
@@ -65,7 +66,7 @@
 			peers.attempts[0].end(balance.StatusBusy)
 		})
 	})
-	checkNothingLeft(t, router, peers, client, 1)
+	checkNoAnswerAndNothingInFlight(t, router, peers, client, 1)
 }
 
 func disconnectBeforeWrite(t *testing.T, class string) {
@@ -79,24 +80,25 @@
 		loop.AfterFunc(20*time.Millisecond, func() {
 			client.disconnected = true
 			if !peers.attempts[0].Abandoned() {
-				t.Error("its attempt is still wanted")
+				t.Error("the attempt is not reported as abandoned")
 			}
 			router.Disconnect(id)
 		})
 	})
-	checkNothingLeft(t, router, peers, client, 1)
+	checkNoAnswerAndNothingInFlight(t, router, peers, client, 1)
 	if !peers.attempts[0].ended {
-		t.Error("its attempt was not cancelled")
+		t.Error("the attempt was not cancelled")
 	}
 }
 
-// checkNothingLeft checks that a request has had so many attempts and no answer, and that nothing of it is in flight.
-func checkNothingLeft(t *testing.T, router *Router, peers *fakePeers, client *fakeClient, attempts int) {
+// checkNoAnswerAndNothingInFlight checks that a request has had the given number of attempts and no answer,
+// and that it is no longer in flight.
+func checkNoAnswerAndNothingInFlight(t *testing.T, router *Router, peers *fakePeers, client *fakeClient, attempts int) {
 	t.Helper()
 	if len(peers.attempts) != attempts {
-		t.Fatalf("%d attempts, not %d", len(peers.attempts), attempts)
+		t.Fatalf("got %d attempts, want %d", len(peers.attempts), attempts)
 	}
 	if client.answers() != 0 || router.InFlight() != 0 {
-		t.Errorf("%+v, %d in flight", client, router.InFlight())
+		t.Errorf("got %+v, %d in flight, want no answer and 0 in flight", client, router.InFlight())
 	}
 }
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -8,12 +8,12 @@
 	"limeladder/balance"
 )
 
-// reasonDeadlinePassed is what a client reads whose request may have run and was not answered in time.
+// reasonDeadlinePassed is sent to the client if its request was not answered in time and may have been executed.
 const reasonDeadlinePassed = "its time is over"
 
-// startAttempt starts the attempt that the balancer has asked for.
+// startAttempt starts an attempt that the balancer requested.
 func (r *Router) startAttempt(req *request, action balance.Send) {
-	number := req.attempts.request()
+	number := req.attempts.nextNumber()
 	if !r.mayStartAttempt(req) {
 		r.reportOutcome(req, number, action.Endpoint, Result{Status: balance.StatusNotSent}, 0)
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// mayStartAttempt says whether a request still needs an attempt. A second one beside the first is never started,
-// whatever the balancer says: the request could run twice.
+// mayStartAttempt reports whether another attempt of a request may be started. Even if the balancer requests it, no
+// attempt is started while one is in flight: the request could be executed twice.
 func (r *Router) mayStartAttempt(req *request) bool {
 	if req.finished || req.attempts.isInFlight() {
 		r.log.Error("attempt not sent", "request", req.ClientRequestID, "answered", req.finished,
@@ -51,16 +51,16 @@
 	return !r.detectDisconnect(req)
 }
 
-// attemptCallbacks is what the backends call during one attempt.
+// attemptCallbacks has the functions that the backends call during one attempt.
 type attemptCallbacks struct {
 	router *Router
 	req    *request
 	number int
-	ended  bool // the backends may report the end before Start returns
+	ended  bool // set by done, which the backends may call before Start returns
 }
 
 func (c *attemptCallbacks) responseStarted(response Response, flow Flow) {
-	c.router.forwardStart(c.req, c.number, response, flow)
+	c.router.forwardResponseStart(c.req, c.number, response, flow)
 }
 
 func (c *attemptCallbacks) responsePart(part []byte) {
@@ -79,8 +79,8 @@
 	c.router.recordAttempt(c.req, c.number, result)
 }
 
-// cancelAttempt gives up the attempt in flight, if there is one. It ends with the status, or with StatusNotSent where
-// nothing of it was written, which proves that nothing has run.
+// cancelAttempt cancels the attempt in flight, if there is one. The attempt ends with the given status, or with
+// StatusNotSent if no byte of it was written, because then it cannot have been executed.
 func (r *Router) cancelAttempt(req *request, status balance.Status) {
 	handle := req.attempts.inFlight
 	if handle == nil {
@@ -90,10 +90,10 @@
 	if written := handle.Cancel(); !written {
 		status = balance.StatusNotSent
 	}
-	r.recordAttempt(req, req.attempts.newest(), Result{Status: status})
+	r.recordAttempt(req, req.attempts.newestNumber(), Result{Status: status})
 }
 
-// expire ends the time of a request.
+// expire handles the deadline of a request.
 func (r *Router) expire(req *request) {
 	req.timer = nil
 	if req.attempts.isInFlight() {
@@ -103,7 +103,7 @@
 	if req.finished {
 		return
 	}
-	// The balancer ends well before this what it has queued. A request that nobody answers must not stay.
+	// The balancer answers the requests in its queue well before this. A request that it missed is answered here.
 	r.withdraw(req)
 	if req.attempts.mayHaveRun && !r.isIdempotent(req) {
 		r.fail(req, reasonDeadlinePassed)
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkHealthForBalancer starts a health check that the balancer has asked for. It hears of every result.
+// checkHealthForBalancer starts a health check that the balancer requested. Every result is reported to the balancer.
 func (r *Router) checkHealthForBalancer(endpoint string) {
 	startedAt := r.loop.Now()
 	r.backends.HealthCheck(endpoint, func(result Result) {
@@ -123,8 +123,9 @@
 	})
 }
 
-// checkHealth starts a health check that the failover queue or the site monitor has asked for. The balancer hears of
-// success only: its backoff for an endpoint grows with each failure, and these checks are many more than its own.
+// checkHealth starts a health check that the failover queue or the site monitor requested. Only successes are reported
+// to the balancer: its backoff for an endpoint grows with each failure, and these checks are far more frequent than its
+// own.
 func (r *Router) checkHealth(endpoint string) {
 	startedAt := r.loop.Now()
 	r.backends.HealthCheck(endpoint, func(result Result) {
@@ -137,16 +138,16 @@
 	})
 }
 
-// logHealthCheck logs how a health check has ended.
+// logHealthCheck logs the result of a health check.
 func (r *Router) logHealthCheck(endpoint string, startedAt time.Duration, result *Result) {
 	if !r.log.Enabled(context.Background(), slog.LevelDebug) {
-		return // nothing is built for the log
+		return // saves building the attributes
 	}
 	r.log.Debug("health check ended", "endpoint", endpoint, "status", int(result.Status), "role", int(result.Role),
 		"elapsed", r.loop.Now()-startedAt)
 }
 
-// reportHealthCheck hands the balancer the result of a health check.
+// reportHealthCheck reports the result of a health check to the balancer.
 func (r *Router) reportHealthCheck(endpoint string, startedAt time.Duration, result *Result) {
 	r.notifyBalancer(balance.HealthCheckResult{
 		Endpoint: endpoint,
--- a/internal/router/failover_queue.go
+++ b/internal/router/failover_queue.go
@@ -13,32 +13,34 @@
 	"limeladder/internal/failover"
 )
 
-// How soon the tracker looks at its deadlines and at the silence of a primary after something that may start them.
+// Delays until the next tick of the tracker, in which it checks the deadlines of queued requests and whether a primary
+// has stopped responding.
 const (
 	tickAfterEnqueue = 10 * time.Millisecond
 	tickAfterAttempt = 50 * time.Millisecond
 )
 
-// failoverQueueHost is what the failover queue needs of the Router.
+// failoverQueueHost has the methods of Router that the failover queue needs.
 type failoverQueueHost interface {
-	// IsWrite says whether the requests of a class may change data.
+	// IsWrite reports whether the requests of a class may change data.
 	IsWrite(class string) bool
-	// request returns the request in flight with that id, nil = there is none.
+	// request returns the request in flight with that id, or nil if there is none.
 	request(id string) *request
-	// queueableRequests returns those of a replica group, in the order in which they were received.
+	// queueableRequests returns the queueable requests of a replica group, in the order in which they were received.
 	queueableRequests(group int64) []*request
-	// submit hands a request to the balancer, withdraw takes it back.
+	// submit submits a request to the balancer.
 	submit(req *request)
+	// withdraw removes a request from the balancer.
 	withdraw(req *request)
-	// reject answers a request.
+	// reject rejects a request.
 	reject(req *request, retryAfter time.Duration, reason string)
 	// checkHealth starts a health check.
 	checkHealth(endpoint string)
 }
 
-// failoverQueue queues writes while the primary of their replica group changes, instead of handing them to the
-// balancer. failover.Tracker decides; the queue tells it what happens and carries out its actions. A nil failoverQueue
-// queues nothing.
+// failoverQueue queues writes while the primary of their replica group changes, instead of submitting them to the
+// balancer. It passes events to a failover.Tracker, which decides, and performs the actions that the tracker returns. A
+// nil failoverQueue queues nothing.
 type failoverQueue struct {
 	host        failoverQueueHost
 	tracker     *failover.Tracker
@@ -46,14 +48,14 @@
 	log         *slog.Logger
 	audit       auditLog
 	classes     map[string]failover.Class
-	maxAttempts int // of one request, 0 = no limit
+	maxAttempts int // per request, 0 = no limit
 	timer       *eventloop.Timer
 	timerDue    time.Duration
-	onPromotion func(group int64, term uint64, primary string) // nil = nobody is told of new primaries
+	onPromotion func(group int64, term uint64, primary string) // called with each new primary; may be nil
 }
 
-// EnableFailoverQueue turns the failover queue on. It is called before the first endpoint list. onPromotion, if not
-// nil, is called with each new primary of a replica group.
+// EnableFailoverQueue enables the failover queue. It must be called before the first endpoint list is delivered.
+// onPromotion, if not nil, is called with each new primary of a replica group.
 func (r *Router) EnableFailoverQueue(
 	cfg failover.Config, seed uint64, onPromotion func(group int64, term uint64, primary string),
 ) {
@@ -69,7 +71,8 @@
 	}
 }
 
-// FailoverViews is what an operator sees of each replica group's primary; nil while the failover queue is off.
+// FailoverViews returns the state of each replica group's primary as shown to operators, or nil if the failover queue
+// is disabled.
 func (r *Router) FailoverViews() []failover.GroupView {
 	if r.failoverQueue == nil {
 		return nil
@@ -77,8 +80,8 @@
 	return r.failoverQueue.tracker.Views(r.loop.Now())
 }
 
-// AnnounceFailover says that operators are about to change the primary of a replica group. It returns whether the
-// group is known.
+// AnnounceFailover announces that operators are going to change the primary of a replica group within the given time.
+// It reports whether the group is known.
 func (r *Router) AnnounceFailover(group int64, within time.Duration) (known bool) {
 	if r.failoverQueue == nil {
 		return false
@@ -88,7 +91,7 @@
 	return known
 }
 
-// RestoreTerm hands over the term and the primary of a replica group that an earlier start knew.
+// RestoreTerm restores the term and the primary of a replica group that an earlier process knew.
 func (r *Router) RestoreTerm(group int64, term uint64, primary string) {
 	if r.failoverQueue != nil {
 		r.failoverQueue.tracker.RestoreTerm(group, term, primary)
@@ -112,8 +115,8 @@
 	return found
 }
 
-// takesClass says whether requests of a class are queued during a failover.
-func (q *failoverQueue) takesClass(class string) bool {
+// queuesClass reports whether requests of a class are queued during a failover.
+func (q *failoverQueue) queuesClass(class string) bool {
 	if q == nil {
 		return false
 	}
@@ -121,7 +124,7 @@
 	return ok
 }
 
-// enqueue queues a request if its replica group is in a failover, and says whether it did.
+// enqueue queues a request if its replica group is in a failover, and reports whether it did.
 func (q *failoverQueue) enqueue(req *request) bool {
 	if !q.tracker.ShouldQueue(req.Group, req.Class) {
 		return false
@@ -136,11 +139,11 @@
 		Deadline: req.ReceivedAt + req.Deadline,
 		Size:     jobSize(req.Job),
 	})
-	q.tickBy(now + tickAfterEnqueue)
+	q.scheduleTick(now + tickAfterEnqueue)
 	return true
 }
 
-// clientKey names the client that the queue is fair to.
+// clientKey returns the key by which the queue distinguishes clients, so that it can be fair to each of them.
 func (req *request) clientKey() string {
 	if req.ClientAddress != "" {
 		return req.ClientAddress
@@ -148,10 +151,10 @@
 	return req.Session
 }
 
-// sizer is a Job that knows how much memory it takes.
+// sizer is implemented by a Job that knows its memory use in bytes.
 type sizer interface{ Size() int }
 
-// jobSize is how much memory a job takes, 0 = not known.
+// jobSize returns the memory use of a job in bytes, 0 = unknown.
 func jobSize(job Job) int {
 	if s, ok := job.(sizer); ok {
 		return s.Size()
@@ -159,44 +162,44 @@
 	return 0
 }
 
-// requeue takes a request back from the balancer and queues it, if nothing of it can have run.
+// requeue moves a request from the balancer to the queue, provided that it cannot have been executed.
 func (q *failoverQueue) requeue(req *request) {
 	if !req.canBeWithdrawn() || !q.tracker.ShouldQueue(req.Group, req.Class) {
 		return
 	}
 	if q.isOutOfAttempts(req) {
-		return // the balancer answers it
+		return // the balancer answers the request
 	}
 	q.host.withdraw(req)
-	req.attempts.resubmit()
+	req.attempts.resetNumbers()
 	q.enqueue(req)
 }
 
-// isOutOfAttempts says whether a request has used all its attempts.
+// isOutOfAttempts reports whether a request has used all its attempts.
 func (q *failoverQueue) isOutOfAttempts(req *request) bool {
-	return q.maxAttempts > 0 && req.attempts.prior+req.attempts.requested >= q.maxAttempts
+	return q.maxAttempts > 0 && req.attempts.priorAttempts+req.attempts.requested >= q.maxAttempts
 }
 
-// attemptSent tells the tracker of an attempt.
+// attemptSent reports the start of an attempt to the tracker.
 func (q *failoverQueue) attemptSent(req *request) {
 	if q == nil || !req.queueable {
 		return
 	}
 	q.tracker.AttemptSent(req.attempts.sentAt, req.attempts.endpoint, req.id)
-	q.tickBy(req.attempts.sentAt + tickAfterAttempt)
+	q.scheduleTick(req.attempts.sentAt + tickAfterAttempt)
 }
 
-// attemptEnded tells the tracker of an attempt's end, and queues again what is proved not to have run.
+// attemptEnded reports the end of an attempt to the tracker, and requeues the request if it cannot have been executed.
 func (q *failoverQueue) attemptEnded(req *request, result *Result, elapsed, now time.Duration) {
 	if q == nil {
 		return
 	}
 	served := result.Status == balance.StatusDone
-	servedClass := "" // of a request whose duration the tracker learns from
+	servedClass := "" // class whose request durations the tracker learns, "" = none
 	if req.queueable && served {
 		servedClass = req.Class
 	}
-	end := q.attemptEnd(req.Class, result.Status)
+	end := q.failoverAttemptEnd(req.Class, result.Status)
 	role := failoverRole(result.Role)
 	q.tracker.AttemptEnded(now, req.attempts.endpoint, req.id, end, role, result.Position, servedClass, elapsed)
 	if req.queueable && !served {
@@ -204,8 +207,8 @@
 	}
 }
 
-// attemptEnd is what the end of an attempt says of the endpoint.
-func (q *failoverQueue) attemptEnd(class string, status balance.Status) failover.AttemptEnd {
+// failoverAttemptEnd maps the status of an attempt to what it shows about the endpoint.
+func (q *failoverQueue) failoverAttemptEnd(class string, status balance.Status) failover.AttemptEnd {
 	switch status {
 	case balance.StatusDone:
 		return failover.EndAnswered
@@ -234,7 +237,7 @@
 	}
 }
 
-// requestDone says that a request is answered, or that its client has left.
+// requestDone notifies the tracker that a request was answered or its client has disconnected.
 func (q *failoverQueue) requestDone(req *request) {
 	if q == nil || !req.queueable {
 		return
@@ -244,7 +247,7 @@
 	}
 }
 
-// healthCheckEnded passes on the result of a health check.
+// healthCheckEnded reports the result of a health check to the tracker.
 func (q *failoverQueue) healthCheckEnded(endpoint string, result *Result) {
 	if q == nil {
 		return
@@ -253,7 +256,7 @@
 	q.tracker.HealthCheckEnded(q.loop.Now(), endpoint, answered, failoverRole(result.Role), result.Position)
 }
 
-// primaryUpdated passes on what the balancer takes for the primary of a replica group.
+// primaryUpdated reports the balancer's view of a replica group's primary to the tracker.
 func (q *failoverQueue) primaryUpdated(update balance.PrimaryUpdate) {
 	if q == nil {
 		return
@@ -271,14 +274,14 @@
 	}
 }
 
-// endpointSuspended says that operators have taken an endpoint out of service, or let it back in.
+// endpointSuspended notifies the tracker that an operator has suspended or resumed an endpoint.
 func (q *failoverQueue) endpointSuspended(endpoint string, suspended bool) {
 	if q != nil {
 		q.tracker.Suspend(q.loop.Now(), endpoint, suspended)
 	}
 }
 
-// endpointsUpdated passes on an endpoint list.
+// endpointsUpdated passes an endpoint list to the tracker.
 func (q *failoverQueue) endpointsUpdated(list balance.EndpointList) {
 	if q == nil || !hasEntries(list.Kind) {
 		return
@@ -295,13 +298,14 @@
 	q.tracker.UpdateEndpoints(q.loop.Now(), endpoints, list.Kind != balance.ListDelta)
 }
 
-// hasEntries says whether a list of that kind says anything of endpoints; the others say that there is no news.
+// hasEntries reports whether an endpoint list of that kind has entries. The other kinds only report that discovery has
+// nothing new.
 func hasEntries(kind balance.EndpointListKind) bool {
 	return kind != balance.ListFailed && kind != balance.ListSilent
 }
 
-// tickBy makes sure that the tracker looks at the clock by then.
-func (q *failoverQueue) tickBy(at time.Duration) {
+// scheduleTick makes sure that the tracker ticks no later than at the given time.
+func (q *failoverQueue) scheduleTick(at time.Duration) {
 	if q.timer != nil && q.timerDue <= at {
 		return
 	}
@@ -315,11 +319,11 @@
 
 func (q *failoverQueue) tick() {
 	if next := q.tracker.Tick(q.loop.Now()); next > 0 {
-		q.tickBy(next)
+		q.scheduleTick(next)
 	}
 }
 
-// performActions carries out what the tracker asks for.
+// performActions performs the actions that the tracker requests.
 func (q *failoverQueue) performActions() {
 	if q == nil {
 		return
@@ -349,7 +353,7 @@
 	}
 }
 
-// releaseQueued hands a queued request to the balancer.
+// releaseQueued submits a queued request to the balancer.
 func (q *failoverQueue) releaseQueued(action failover.Action) {
 	req := q.host.request(action.ID)
 	if req == nil || !req.queued || req.finished {
@@ -359,7 +363,7 @@
 	q.host.submit(req)
 }
 
-// rejectQueued answers a queued request that can't be served in time or has no place in the queue.
+// rejectQueued rejects a queued request that cannot be served in time or does not fit into the queue.
 func (q *failoverQueue) rejectQueued(action failover.Action) {
 	req := q.host.request(action.ID)
 	if req == nil || !req.queued {
@@ -371,7 +375,7 @@
 	q.host.reject(req, action.RetryAfter, action.Reason.String())
 }
 
-// reportPhase logs and records the phase of a replica group's failover.
+// reportPhase writes the phase of a replica group's failover to the log and the audit record.
 func (q *failoverQueue) reportPhase(group int64) {
 	phase, term, primary, last := q.tracker.Group(group)
 	evidence := last.Evidence.String()
--- a/internal/router/failover_queue_bench_test.go
+++ b/internal/router/failover_queue_bench_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// BenchmarkSteadyWrite routes writes one after the other through a replica group that keeps its primary, without and
+// BenchmarkSteadyWrite routes writes one after the other to a replica group whose primary does not change, without and
 // with a failover queue.
 func BenchmarkSteadyWrite(b *testing.B) {
-	for round := range 3 { // by turns, so that the machine treats them alike
+	for round := range 3 { // alternating, so that both see the same load of the machine
 		for _, withQueue := range []bool{false, true} {
-			b.Run(fmt.Sprintf("holding %v, round %d", withQueue, round), func(b *testing.B) {
+			b.Run(fmt.Sprintf("failover queue %v, round %d", withQueue, round), func(b *testing.B) {
 				benchmarkSteadyWrite(b, withQueue)
 			})
 		}
@@ -32,7 +32,7 @@
 			return
 		}
 		req := Request{Class: writeClass, ClientRequestID: strconv.Itoa(sent), Deadline: time.Second, ReceivedAt: loop.Now()}
-		// tb.Helper allocates, so the accept helper would add to what is measured.
+		// The accept helper is not used because tb.Helper allocates, which would be part of the measurement.
 		if _, err := router.Accept(req, instantPeers{loop}); err != nil {
 			b.Fatal(err)
 		}
@@ -43,18 +43,18 @@
 	loop.Run(router.Step)
 }
 
-// BenchmarkTenThousandPending tells how much memory ten thousand queued writes take: in the failover queue, and in the
-// balancer where there is no such queue.
+// BenchmarkTenThousandPending measures the memory use of ten thousand queued writes, in the failover queue and, without
+// one, in the balancer.
 func BenchmarkTenThousandPending(b *testing.B) {
 	for b.Loop() {
 		for _, withQueue := range []bool{false, true} {
 			mebibytes := memoryOfPendingWrites(b, withQueue, 10_000)
-			b.ReportMetric(mebibytes, fmt.Sprintf("MiB-holding-%v", withQueue))
+			b.ReportMetric(mebibytes, fmt.Sprintf("MiB-failover-queue-%v", withQueue))
 		}
 	}
 }
 
-// memoryOfPendingWrites is how much the heap grows by so many writes, in MiB.
+// memoryOfPendingWrites returns the heap growth in MiB that count queued writes cause.
 func memoryOfPendingWrites(b *testing.B, withQueue bool, count int) float64 {
 	b.Helper()
 	router, loop := newInstantRouter(b, withQueue, false)
@@ -66,10 +66,10 @@
 	router.Step()
 	views := router.FailoverViews()
 	if withQueue && (len(views) != 1 || views[0].Pending != count) {
-		b.Fatalf("%+v", views)
+		b.Fatalf("got views %+v, want one with all writes pending", views)
 	}
 	if router.InFlight() != count {
-		b.Fatalf("%d in flight", router.InFlight())
+		b.Fatalf("got %d requests in flight, want all writes", router.InFlight())
 	}
 	grown := heapMebibytes() - before
 	runtime.KeepAlive(router)
--- a/internal/router/failover_queue_test.go
+++ b/internal/router/failover_queue_test.go
@@ -10,7 +10,7 @@
 	"limeladder/internal/failover"
 )
 
-// What is queued goes out to a new primary a few at first, and more with each answer.
+// Queued writes are released to a new primary gradually: a few at first, and more with each answer.
 func TestEachAnswerReleasesMorePendingWrites(t *testing.T) {
 	router, loop := newInstantRouter(t, true, true)
 	peers := &manualPeers{instantPeers: instantPeers{loop}}
@@ -20,14 +20,14 @@
 		t.Helper()
 		router.Step()
 		if n := released(); n != want {
-			t.Fatalf("%d released, not %d", n, want)
+			t.Fatalf("got %d writes released, want %d", n, want)
 		}
 	}
 	suspectPrimary(router)
 	acceptWrites(t, router, loop, 500)
 	router.Step()
 	if pending := router.FailoverViews()[0].Pending; pending != 500 || len(peers.inFlight) != 0 {
-		t.Fatalf("%d queued, %d sent", pending, len(peers.inFlight))
+		t.Fatalf("got %d writes queued, %d sent, want 500 queued, 0 sent", pending, len(peers.inFlight))
 	}
 	router.perform(balance.PrimaryUpdate{Group: 0, Endpoint: "n1", Confirmed: true})
 	wantReleased(8)
@@ -35,7 +35,7 @@
 	wantReleased(16)
 	peers.endAll(balance.StatusDone)
 	if n := released(); n < 24 || n > 32 {
-		t.Fatalf("%d released", n)
+		t.Fatalf("got %d writes released, want 24 to 32", n)
 	}
 	for range 6 {
 		router.Step()
@@ -43,11 +43,11 @@
 	}
 	router.Step()
 	if n := released(); n < 64 {
-		t.Fatalf("%d released after eight rounds of answers", n)
+		t.Fatalf("got %d writes released after eight rounds of answers, want at least 64", n)
 	}
 }
 
-// acceptWrites hands so many writes to a router.
+// acceptWrites passes count writes of 500 clients to a router.
 func acceptWrites(tb testing.TB, router *Router, loop *eventloop.Loop, count int) {
 	tb.Helper()
 	for i := range count {
@@ -61,19 +61,19 @@
 	}
 }
 
-// A write goes back to the queue only if it is proved not to have run and may have another attempt.
-func TestOnlyWritesThatHaveNotRunAreQueuedAgain(t *testing.T) {
+// A write is requeued only if it cannot have been executed and has an attempt left.
+func TestOnlyUnexecutedWritesAreRequeued(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*request)
 		queued bool
 	}{
-		{"no attempt has run", func(*request) {}, true},
-		{"one may have run", func(req *request) { req.attempts.mayHaveRun = true }, false},
-		{"one is in flight", func(req *request) { req.attempts.inFlight = instantPeers{} }, false},
-		{"its response has started", func(req *request) { req.attempts.responseStarted = true }, false},
-		{"it is answered", func(req *request) { req.finished = true }, false},
-		{"it has used its attempts", func(req *request) { req.attempts.prior = 3 }, false},
+		{"no attempt was executed", func(*request) {}, true},
+		{"an attempt may have been executed", func(req *request) { req.attempts.mayHaveRun = true }, false},
+		{"an attempt is in flight", func(req *request) { req.attempts.inFlight = instantPeers{} }, false},
+		{"the response has started", func(req *request) { req.attempts.responseStarted = true }, false},
+		{"the request is answered", func(req *request) { req.finished = true }, false},
+		{"all attempts are used", func(req *request) { req.attempts.priorAttempts = 3 }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			host := &fakeQueueHost{}
@@ -85,13 +85,14 @@
 			test.change(req)
 			queue.requeue(req)
 			if req.queued != test.queued || len(host.withdrawn) == 1 != test.queued {
-				t.Errorf("queued %v, withdrawn %v", req.queued, host.withdrawn)
+				t.Errorf("got queued %v, withdrawn %v, which is not what the test case expects", req.queued, host.withdrawn)
 			}
 		})
 	}
 }
 
-// A queued write goes to the balancer when a new primary is seen, and is answered when it can't be served in time.
+// A queued write is submitted to the balancer when a new primary is observed, and is rejected when it cannot be served
+// in time.
 func TestQueuedWriteIsReleasedOrRejected(t *testing.T) {
 	host := &fakeQueueHost{}
 	queue := newTestQueue(host)
@@ -99,7 +100,7 @@
 	released := newQueuedRequest("released", 7)
 	released.queued = false
 	if !queue.enqueue(released) || !released.queued {
-		t.Fatal("not queued")
+		t.Fatal("the write was not queued")
 	}
 	tooLate := newQueuedRequest("too late", 7)
 	tooLate.Deadline = time.Millisecond
@@ -107,21 +108,21 @@
 	host.requests = []*request{released, tooLate}
 	queue.performActions()
 	if len(host.rejected) != 1 || host.rejected[0] != "too late" {
-		t.Errorf("rejected: %v", host.rejected)
+		t.Errorf("got rejected %v, want only the write that is too late", host.rejected)
 	}
 	queue.primaryUpdated(balance.PrimaryUpdate{Group: 7, Endpoint: "n2", Confirmed: true})
 	queue.performActions()
 	if len(host.submitted) != 1 || host.submitted[0] != "released" || released.queued {
-		t.Errorf("submitted: %v", host.submitted)
+		t.Errorf("got submitted %v, want only the released write", host.submitted)
 	}
 }
 
-// While the queue is off its methods do nothing.
+// The methods of a nil queue, which means that it is disabled, do nothing.
 func TestNilFailoverQueueDoesNothing(t *testing.T) {
 	var queue *failoverQueue
 	req := newQueuedRequest("1", 7)
-	if queue.takesClass(writeClass) {
-		t.Error("it takes a class")
+	if queue.queuesClass(writeClass) {
+		t.Error("a nil queue queues the requests of a class")
 	}
 	queue.attemptSent(req)
 	queue.attemptEnded(req, &Result{}, 0, 0)
@@ -133,7 +134,7 @@
 	queue.performActions()
 }
 
-// fakeQueueHost stands for the Router and notes what the queue asks of it.
+// fakeQueueHost implements failoverQueueHost and records the calls of the queue.
 type fakeQueueHost struct {
 	requests  []*request
 	submitted []string
@@ -162,7 +163,7 @@
 	h.rejected = append(h.rejected, req.id)
 }
 
-// newTestQueue returns a queue on a clock that stands still.
+// newTestQueue returns a queue whose clock does not advance.
 func newTestQueue(host failoverQueueHost) *failoverQueue {
 	cfg := failover.Config{
 		Instances:       1,
@@ -175,13 +176,13 @@
 		host:        host,
 		tracker:     failover.New(cfg, 1),
 		loop:        eventloop.NewWithClock(func() time.Duration { return time.Hour }),
-		log:         discardLog(),
+		log:         discardLogger(),
 		classes:     cfg.Classes,
 		maxAttempts: 4,
 	}
 }
 
-// newQueuedRequest returns a write that is queued.
+// newQueuedRequest returns a queued write.
 func newQueuedRequest(id string, group int64) *request {
 	received := Request{Class: writeClass, Group: group, Deadline: time.Second, ReceivedAt: time.Hour}
 	return &request{Request: received, id: id, queueable: true, queued: true}
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -20,31 +20,30 @@
 	writeClass = "write"
 )
 
-// bothClasses are a read, which is idempotent, and a write, which is not.
+// bothClasses has a read class, which is idempotent, and a write class, which is not.
 var bothClasses = []string{readClass, writeClass}
 
-// fakePeers stands for the backends, discovery and the audit sink. It keeps the attempts that were started; the test
-// ends them.
+// fakePeers implements Backends, DiscoveryPoller and Audit. It keeps the started attempts, which the test ends.
 type fakePeers struct {
 	t        *testing.T
 	attempts []*fakeAttempt
-	written  bool // whether attempts that are cancelled had been written
+	written  bool // reported by Cancel: whether cancelled attempts had been written
 	events   []audit.Event
 }
 
-// fakeAttempt is an attempt at a fakePeers. It implements AttemptHandle.
+// fakeAttempt is an attempt that was started on a fakePeers. It implements AttemptHandle.
 type fakeAttempt struct {
 	Attempt
 	peers  *fakePeers
 	done   func(Result)
 	ended  bool
-	status balance.Status // of one that the test has ended
+	status balance.Status // passed to end by the test
 }
 
 func (p *fakePeers) Start(attempt Attempt, done func(Result)) AttemptHandle {
 	for _, other := range p.attempts {
 		if !other.ended && other.Job == attempt.Job {
-			p.t.Error("two attempts of one request are in flight")
+			p.t.Error("got two attempts of one request in flight, want at most one")
 		}
 	}
 	started := &fakeAttempt{Attempt: attempt, peers: p, done: done}
@@ -59,7 +58,7 @@
 func (p *fakePeers) Suspend(string, bool)     {}
 func (p *fakePeers) Record(event audit.Event) { p.events = append(p.events, event) }
 
-// answers returns what was recorded of answers.
+// answers returns the recorded answers.
 func (p *fakePeers) answers() []*audit.Answer {
 	var answers []*audit.Answer
 	for _, event := range p.events {
@@ -83,7 +82,7 @@
 	a.done(Result{Status: status})
 }
 
-// fakeClient counts the answers to one request.
+// fakeClient implements Client and counts the answers to one request.
 type fakeClient struct {
 	loop         *eventloop.Loop
 	disconnected bool
@@ -119,10 +118,11 @@
 	c.answeredAt = c.loop.Now()
 }
 
-// answers is the number of final answers, apart from truncated responses.
+// answers returns the number of final answers other than truncated responses.
 func (c *fakeClient) answers() int { return c.served + c.rejected + c.failed }
 
-// instantPeers stands for backends whose endpoints answer at once, for discovery, and for a client.
+// instantPeers implements Backends, with endpoints that answer immediately, as well as AttemptHandle, DiscoveryPoller
+// and Client.
 type instantPeers struct{ loop *eventloop.Loop }
 
 func (p instantPeers) Start(_ Attempt, done func(Result)) AttemptHandle {
@@ -145,7 +145,7 @@
 func (instantPeers) Failed(string)                  {}
 func (instantPeers) Served(Response)                {}
 
-// manualPeers stands for backends whose endpoints answer when the test says so.
+// manualPeers implements Backends, with endpoints that answer when the test calls endAll.
 type manualPeers struct {
 	instantPeers
 	inFlight []func(Result)
@@ -156,7 +156,7 @@
 	return p
 }
 
-// endAll ends the attempts that are in flight.
+// endAll ends the attempts in flight.
 func (p *manualPeers) endAll(status balance.Status) {
 	ending := p.inFlight
 	p.inFlight = nil
@@ -165,10 +165,11 @@
 	}
 }
 
-// discardLog is a logger that writes nothing, at the price of one that writes.
-func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLogger returns a logger that discards its output. It formats each record, so that its cost is that of a real
+// one.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// testClass is a class of the test routers.
+// testClass returns a class of the test routers.
 func testClass(name string, clientTimeout time.Duration) balance.Class {
 	class := balance.Class{
 		Name:             name,
@@ -184,7 +185,7 @@
 	return class
 }
 
-// testEndpoints is a replica group of n1 and n2; n1 may be its primary.
+// testEndpoints returns a replica group of n1 and n2. If primary is set, n1 is its primary.
 func testEndpoints(primary bool) balance.EndpointList {
 	return balance.EndpointList{Kind: balance.ListFull, Entries: []balance.EndpointEntry{
 		{Endpoint: "n1", Zone: "a", State: balance.EndpointReady, Primary: primary},
@@ -196,12 +197,12 @@
 func newTestRouter(t *testing.T) (*Router, *fakePeers, *eventloop.Loop) {
 	t.Helper()
 	loop := eventloop.New()
-	router, peers := newTestRouterOn(t, loop, true)
+	router, peers := newTestRouterOnLoop(t, loop, true)
 	return router, peers, loop
 }
 
-// newTestRouterOn is newTestRouter on a loop that the test made; the primary may be missing.
-func newTestRouterOn(t *testing.T, loop *eventloop.Loop, primary bool) (*Router, *fakePeers) {
+// newTestRouterOnLoop is like newTestRouter, but uses the given loop, and has a primary only if primary is set.
+func newTestRouterOnLoop(t *testing.T, loop *eventloop.Loop, primary bool) (*Router, *fakePeers) {
 	t.Helper()
 	peers := &fakePeers{t: t, written: true}
 	lim := limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
@@ -212,7 +213,7 @@
 		MaxAttempts:  4,
 		Classes:      []balance.Class{testClass(readClass, time.Second), testClass(writeClass, time.Second)},
 	}
-	router, err := New(loop, lim, discardLog(), cfg, 1, peers)
+	router, err := New(loop, lim, discardLogger(), cfg, 1, peers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +222,7 @@
 	return router, peers
 }
 
-// newInstantRouter returns a router without audit whose endpoints answer at once, with or without a failover queue.
+// newInstantRouter returns a router without audit whose endpoints answer immediately.
 func newInstantRouter(tb testing.TB, withQueue, primary bool) (*Router, *eventloop.Loop) {
 	tb.Helper()
 	loop := eventloop.New()
@@ -232,7 +233,7 @@
 		MaxAttempts: 4,
 		Classes:     []balance.Class{testClass(writeClass, 3*time.Second)},
 	}
-	router, err := New(loop, lim, discardLog(), cfg, 1, nil)
+	router, err := New(loop, lim, discardLogger(), cfg, 1, nil)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -245,7 +246,7 @@
 	return router, loop
 }
 
-// enableTestFailoverQueue lets a router queue writes during a failover.
+// enableTestFailoverQueue enables the failover queue of a router.
 func enableTestFailoverQueue(router *Router) {
 	router.EnableFailoverQueue(failover.Config{
 		Instances:       1,
@@ -256,30 +257,30 @@
 	}, 1, nil)
 }
 
-// suspectPrimary makes a router believe that n1 is no primary any more, and that it has no successor.
+// suspectPrimary makes a router suspect the primary n1, while no other primary is known.
 func suspectPrimary(router *Router) {
 	router.perform(balance.PrimaryUpdate{Group: 0, Endpoint: "n1"})
 }
 
-// accept hands a valid request to a router and returns its id.
+// accept passes a valid request to a router and returns its id.
 func accept(tb testing.TB, router *Router, req Request, client Client) (id string) {
 	tb.Helper()
 	id, err := router.Accept(req, client)
 	if err != nil {
-		tb.Errorf("a valid request was not accepted: %v", err)
+		tb.Errorf("Accept returned %v for a valid request", err)
 	}
 	return id
 }
 
-// runFor runs the loop for a while; first is called in it first.
+// runFor runs the loop for the given duration, starting with a call of first in the loop's goroutine.
 func runFor(router *Router, loop *eventloop.Loop, duration time.Duration, first func()) {
 	loop.Post(first)
 	loop.Post(func() { loop.AfterFunc(duration, loop.Stop) })
 	loop.Run(router.Step)
 }
 
-// isSafeEnd says whether an attempt that ended so has surely not run.
-func isSafeEnd(status balance.Status) bool {
+// provesNotRun reports whether the status of an attempt proves that it was not executed.
+func provesNotRun(status balance.Status) bool {
 	safe := []balance.Status{
 		balance.StatusBusy, balance.StatusConnectFailed, balance.StatusNotSent, balance.StatusMiss,
 	}
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -7,10 +7,10 @@
 	"limeladder/internal/audit"
 )
 
-// reasonTruncated is the reason in the audit record of a response that broke off while it was forwarded.
+// reasonTruncated is recorded in the audit record for a response that was truncated while it was forwarded.
 const reasonTruncated = "its answer broke off"
 
-// serve answers a request with a response. code is the SQLSTATE of an error that the response carries, "" = none.
+// serve answers a request with a response. code is the SQLSTATE of an error in the response, "" = no error.
 func (r *Router) serve(req *request, response Response, code string) {
 	if req.finished {
 		return
@@ -22,9 +22,9 @@
 	r.release(req)
 }
 
-// forwardStart forwards a response that has begun to arrive. From here on neither the request's deadline nor the
-// balancer ends the attempt, and no other attempt takes its place: the rest of the response must not be cut off.
-func (r *Router) forwardStart(req *request, number int, response Response, flow Flow) {
+// forwardResponseStart starts forwarding a response that has begun to arrive. From then on neither the request's
+// deadline nor the balancer ends the attempt, and no other attempt replaces it, so that the response is not truncated.
+func (r *Router) forwardResponseStart(req *request, number int, response Response, flow Flow) {
 	req.attempts.responseStarted = true
 	req.stopTimer()
 	r.notifyBalancer(balance.FirstByte{ID: req.id, Attempt: number})
@@ -33,7 +33,7 @@
 	}
 }
 
-// truncate ends a request whose response was forwarded in part and stays incomplete.
+// truncate finishes a request whose response was forwarded only in part.
 func (r *Router) truncate(req *request) {
 	if req.finished {
 		return
@@ -46,17 +46,17 @@
 	r.release(req)
 }
 
-// reject answers that no endpoint could take the request and that nothing has run. The reason goes into the debug log.
+// reject rejects a request that was not executed. The reason goes only into the debug log.
 func (r *Router) reject(req *request, retryAfter time.Duration, reason string) {
 	r.answerRejected(req, retryAfter, reason, "")
 }
 
-// rejectFor is reject for a reason that goes into the audit record as well.
-func (r *Router) rejectFor(req *request, retryAfter time.Duration, reason string) {
+// rejectAndRecordReason rejects a request like reject, but also writes the reason to the audit record.
+func (r *Router) rejectAndRecordReason(req *request, retryAfter time.Duration, reason string) {
 	r.answerRejected(req, retryAfter, reason, reason)
 }
 
-// answerRejected answers that nothing has run. A rejection always says when to come back: retryAfter 0 stands for the
+// answerRejected rejects a request that was not executed. Each rejection has a Retry-After; retryAfter 0 selects the
 // default.
 func (r *Router) answerRejected(req *request, retryAfter time.Duration, loggedReason, recordedReason string) {
 	if req.finished {
@@ -74,7 +74,7 @@
 	r.release(req)
 }
 
-// fail answers that nothing is promised: the request may have run.
+// fail answers that the outcome of the request is unknown: it may have been executed.
 func (r *Router) fail(req *request, reason string) {
 	if req.finished {
 		return
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -8,8 +8,8 @@
 	"limeladder/internal/audit"
 )
 
-// Once a response is forwarded neither the request's deadline nor the balancer ends it. If it breaks off the client is
-// told once, by ResponseTruncated, and nothing is sent again.
+// Once a response is being forwarded, neither the request's deadline nor the balancer ends it. If it is truncated, the
+// client is notified once, by ResponseTruncated, and the request is not retried.
 func TestStreamedResponse(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -39,20 +39,20 @@
 				})
 			})
 			if client.responsesStarted != 1 || client.responseBytes != 14 {
-				t.Errorf("forwarded: %+v", client)
+				t.Errorf("got %+v, want one started response of 14 bytes", client)
 			}
 			if client.served != test.served || client.truncated != test.truncated || client.answers() != test.served {
-				t.Errorf("answered: %+v", client)
+				t.Errorf("got %+v, want the response served if it is complete, truncated otherwise", client)
 			}
 			if len(peers.attempts) != 1 || router.InFlight() != 0 {
-				t.Errorf("%d attempts, %d in flight", len(peers.attempts), router.InFlight())
+				t.Errorf("got %d attempts, %d in flight, want 1 and 0", len(peers.attempts), router.InFlight())
 			}
 			recorded := peers.answers()
 			if len(recorded) != 1 || len(recorded[0].Attempts) != 1 {
-				t.Fatalf("recorded as %+v", recorded)
+				t.Fatalf("got audit records %+v, want one with one attempt", recorded)
 			}
 			if recorded[0].Outcome != test.outcome || recorded[0].Attempts[0].End != test.end {
-				t.Errorf("recorded as %+v", recorded[0])
+				t.Errorf("got audit record %+v with a wrong outcome or end of the attempt", recorded[0])
 			}
 		})
 	}
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -12,8 +12,8 @@
 	"limeladder/internal/eventloop"
 )
 
-// Whatever the endpoints do and whenever clients leave, each request ends once, no write is sent again after it may
-// have run, and nothing stays behind.
+// With random results of attempts and random disconnects of clients, each request ends exactly once, no write is
+// retried after it may have been executed, and no state is left in the router.
 func TestRandomOutcomes(t *testing.T) {
 	run := &randomRun{rng: rand.New(rand.NewPCG(7, 8))}
 	run.router, run.peers, run.loop = newTestRouter(t)
@@ -21,12 +21,13 @@
 	run.checkNoUnsafeRetry(t)
 	run.checkAudit(t)
 	run.checkAnswers(t)
-	if run.router.InFlight() != 0 || len(run.router.openLabels) != 0 {
-		t.Errorf("%d in flight, %d open labels", run.router.InFlight(), len(run.router.openLabels))
+	if run.router.InFlight() != 0 || len(run.router.openClientRequestIDs) != 0 {
+		t.Errorf("got %d requests in flight, %d open client request ids, want 0 and 0",
+			run.router.InFlight(), len(run.router.openClientRequestIDs))
 	}
 }
 
-// randomRun sends one request a millisecond, lets some clients leave, and ends attempts at random.
+// randomRun sends one request per millisecond, and at random disconnects clients and ends attempts.
 type randomRun struct {
 	rng      *rand.Rand
 	router   *Router
@@ -36,9 +37,9 @@
 }
 
 type randomRequest struct {
-	id     string
-	client *fakeClient
-	left   bool // its client left before the answer
+	id           string
+	client       *fakeClient
+	disconnected bool // the client disconnected before the answer
 }
 
 func (run *randomRun) tick(t *testing.T) {
@@ -55,14 +56,14 @@
 func (run *randomRun) send(t *testing.T) {
 	t.Helper()
 	class := []string{readClass, writeClass}[run.rng.IntN(2)]
-	label := fmt.Sprint(class, len(run.requests)+1)
+	requestID := fmt.Sprint(class, len(run.requests)+1)
 	client := &fakeClient{loop: run.loop}
 	id := accept(t, run.router, Request{
 		Class:           class,
-		ClientRequestID: label,
+		ClientRequestID: requestID,
 		Deadline:        time.Duration(20+run.rng.IntN(80)) * time.Millisecond,
 		ReceivedAt:      run.loop.Now(),
-		Job:             label,
+		Job:             requestID,
 	}, client)
 	run.requests = append(run.requests, randomRequest{id: id, client: client})
 }
@@ -70,7 +71,7 @@
 func (run *randomRun) disconnectSome() {
 	req := &run.requests[run.rng.IntN(len(run.requests))]
 	if run.rng.IntN(6) == 0 && req.client.answers() == 0 {
-		req.left = true
+		req.disconnected = true
 		run.router.Disconnect(req.id)
 	}
 }
@@ -87,17 +88,17 @@
 	}
 }
 
-func isWriteLabel(label string) bool { return strings.HasPrefix(label, writeClass) }
+func isWriteRequestID(requestID string) bool { return strings.HasPrefix(requestID, writeClass) }
 
 func (run *randomRun) checkNoUnsafeRetry(t *testing.T) {
 	t.Helper()
 	mayHaveRun := map[any]bool{}
 	for _, attempt := range run.peers.attempts {
 		if mayHaveRun[attempt.Job] {
-			t.Fatalf("%v: sent again", attempt.Job)
+			t.Fatalf("write %v was retried after it may have been executed", attempt.Job)
 		}
-		// An attempt that ended without a status was cancelled at its deadline: it may have run.
-		mayHaveRun[attempt.Job] = isWriteLabel(attempt.Job.(string)) && !isSafeEnd(attempt.status)
+		// An attempt without a status was cancelled at its deadline, so it may have been executed.
+		mayHaveRun[attempt.Job] = isWriteRequestID(attempt.Job.(string)) && !provesNotRun(attempt.status)
 	}
 }
 
@@ -107,14 +108,14 @@
 	outcomes := map[audit.Outcome]uint64{}
 	for _, answer := range run.peers.answers() {
 		if recorded[answer.Request] != nil {
-			t.Fatalf("%s is recorded twice", answer.Request)
+			t.Fatalf("request %s has two audit records, want one", answer.Request)
 		}
 		recorded[answer.Request] = answer
 		outcomes[answer.Outcome]++
 		checkAnswerRecord(t, answer)
 	}
 	if len(recorded) != len(run.requests) {
-		t.Fatalf("%d records of %d requests", len(recorded), len(run.requests))
+		t.Fatalf("got %d audit records of %d requests, want one each", len(recorded), len(run.requests))
 	}
 	counts := run.router.Counts()
 	for outcome, counted := range map[audit.Outcome]uint64{
@@ -124,27 +125,27 @@
 		audit.Left:    counts.Disconnected,
 	} {
 		if outcomes[outcome] != counted {
-			t.Errorf("outcome %v: %d recorded, %d counted", outcome, outcomes[outcome], counted)
+			t.Errorf("outcome %v: got %d audit records, counter is %d", outcome, outcomes[outcome], counted)
 		}
 	}
 }
 
-// checkAnswerRecord checks that what is recorded of an answer fits together.
+// checkAnswerRecord checks that the audit record of an answer does not contradict itself.
 func checkAnswerRecord(t *testing.T, answer *audit.Answer) {
 	t.Helper()
-	write := isWriteLabel(answer.Request)
+	write := isWriteRequestID(answer.Request)
 	contradictions := map[string]bool{
 		"an effect without an attempt": len(answer.Attempts) == 0 &&
 			(answer.Outcome == audit.Served || answer.MayHaveExecuted),
 		"the wrong kind of class": answer.Writes != write,
-		"a rejection without a time to retry, or of what may have run": answer.Outcome == audit.Refused &&
+		"a rejection without a Retry-After, or of a request that may have been executed": answer.Outcome == audit.Refused &&
 			(answer.Retry <= 0 || answer.MayHaveExecuted),
-		"a failed write that has not run": answer.Outcome == audit.Failed && write && !answer.MayHaveExecuted,
-		"queued longer than in flight":    answer.Total < answer.Queued,
+		"a failed write that was not executed": answer.Outcome == audit.Failed && write && !answer.MayHaveExecuted,
+		"queued longer than in flight":         answer.Total < answer.Queued,
 	}
 	for contradiction, found := range contradictions {
 		if found {
-			t.Errorf("%s is recorded with %s: %+v", answer.Request, contradiction, answer)
+			t.Errorf("audit record of request %s has %s: %+v", answer.Request, contradiction, answer)
 		}
 	}
 }
@@ -153,11 +154,12 @@
 	t.Helper()
 	for i, req := range run.requests {
 		want := 1
-		if req.left {
+		if req.disconnected {
 			want = 0
 		}
 		if req.client.answers() != want {
-			t.Errorf("request %d, client left %v: %+v", i, req.left, req.client)
+			t.Errorf("request %d, client disconnected %v: got %+v, want one answer unless disconnected",
+				i, req.disconnected, req.client)
 		}
 	}
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -6,23 +6,23 @@
 	"limeladder/balance"
 )
 
-// Counts is what has happened since the start.
+// Counts has the counters since the start of the process.
 type Counts struct {
-	Accepted            uint64 // requests, also those that were rejected at once
+	Accepted            uint64 // requests, including those that were rejected immediately
 	Served              uint64
 	Rejected            uint64
 	Failed              uint64
-	Disconnected        uint64                         // requests whose client left before the answer
-	RejectedForSiteLoss uint64                         // of those rejected: shed while a site was lost
-	Expired             uint64                         // of those rejected: their time was over before they were admitted
+	Disconnected        uint64                         // requests whose client disconnected before the answer
+	RejectedForSiteLoss uint64                         // subset of Rejected: shed while a site was lost
+	Expired             uint64                         // subset of Rejected: the deadline had passed before admission
 	Attempts            [balance.StatusMiss + 1]uint64 // by status
 }
 
 // Counts returns a copy of the counters.
 func (r *Router) Counts() Counts { return r.counts }
 
-// recordAttempt records the end of an attempt and reports it to all who learn from it. A response is forwarded on the
-// way.
+// recordAttempt records the end of an attempt, forwards its response, and reports the result to the components that use
+// it.
 func (r *Router) recordAttempt(req *request, number int, result Result) {
 	now := r.loop.Now()
 	attempts := &req.attempts
@@ -36,8 +36,8 @@
 	elapsed := attempts.elapsed(now, result.ResponseStartedAt)
 	served := result.Status == balance.StatusDone
 	if served {
-		// The failover queue has to hear of it before the request is released: it lets more queued writes out with
-		// each answer, and does not count the answer to a request that it has forgotten.
+		// The failover queue has to be notified before the request is released: it releases more queued writes with
+		// each answer, and would not count the answer to a request that it no longer tracks.
 		r.failoverQueue.attemptEnded(req, &result, elapsed, now)
 		r.notifyCommitted(req, &result)
 		r.serve(req, result.Response, result.SQLState)
@@ -51,8 +51,8 @@
 	r.release(req)
 }
 
-// elapsed is how long the newest attempt took until its response began to arrive, or until it ended without one. The
-// time that a slow peer takes to send a long response says nothing of how busy it is.
+// elapsed returns the time that the newest attempt took until its response began to arrive, or until it ended without a
+// response. The transfer time of a long response is excluded because it does not show how busy the endpoint is.
 func (s *attemptState) elapsed(now, responseStartedAt time.Duration) time.Duration {
 	if responseStartedAt > 0 {
 		return responseStartedAt - s.sentAt
@@ -60,7 +60,7 @@
 	return now - s.sentAt
 }
 
-// notifyCommitted tells the client of a write that was served the position of the write.
+// notifyCommitted passes the replication position of a successful write to its client.
 func (r *Router) notifyCommitted(req *request, result *Result) {
 	committer, ok := req.client.(Committer)
 	if !ok || req.finished {
@@ -72,7 +72,7 @@
 	}
 }
 
-// reportOutcome counts the end of an attempt and hands it to the balancer and the site parts.
+// reportOutcome counts the end of an attempt and reports it to the balancer, the site monitor and site admission.
 func (r *Router) reportOutcome(
 	req *request, number int, endpoint string, result Result, elapsed time.Duration,
 ) {
@@ -90,15 +90,15 @@
 	})
 }
 
-// reportToSites hands the end of an attempt or a health check to the site monitor and to site admission.
+// reportToSites reports the result of an attempt or a health check to the site monitor and to site admission.
 func (r *Router) reportToSites(endpoint string, result *Result) {
 	r.siteMonitor.recordResult(endpoint, result)
 	r.siteAdmission.recordResult(endpoint, result.Status)
 }
 
-// release drops a request that is answered and has nothing in flight.
+// release removes a request that is finished and has no attempt in flight.
 func (r *Router) release(req *request) {
-	if !req.isSettled() {
+	if !req.canBeReleased() {
 		return
 	}
 	req.stopTimer()
--- a/internal/router/rejection_log_test.go
+++ b/internal/router/rejection_log_test.go
@@ -11,10 +11,10 @@
 	"limeladder/internal/eventloop"
 )
 
-// Guards against a rejection whose reason nobody can see.
+// Guards against a rejection without its reason in the log.
 func TestRejectionIsLoggedWithItsReason(t *testing.T) {
 	loop := eventloop.New()
-	router, _ := newTestRouterOn(t, loop, false)
+	router, _ := newTestRouterOnLoop(t, loop, false)
 	var logged bytes.Buffer
 	router.log = slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	client := &fakeClient{loop: loop}
@@ -23,9 +23,9 @@
 		accept(t, router, request, client)
 	})
 	if client.rejected != 1 || !strings.Contains(logged.String(), "request rejected") {
-		t.Fatalf("%+v\n%s", client, &logged)
+		t.Fatalf("got %+v, want one logged rejection; the log is\n%s", client, &logged)
 	}
 	if !strings.Contains(logged.String(), balance.RejectNoGroup.String()) {
-		t.Errorf("no reason in\n%s", &logged)
+		t.Errorf("the reason of the rejection is missing in the log:\n%s", &logged)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -8,90 +8,90 @@
 	"limeladder/internal/eventloop"
 )
 
-// request is one that is owed an answer, or whose attempt is still in flight.
+// request is the state of a request that is unanswered or has an attempt in flight.
 type request struct {
 	Request
-	id       string // the router's own, never used twice
+	id       string // assigned by the router, never reused
 	client   Client
-	answerBy time.Duration    // the answer has to be on its way by then
+	answerBy time.Duration    // latest time at which the answer may be sent
 	timer    *eventloop.Timer // fires at answerBy; nil once it has fired or a response has started
-	finished bool             // answered, or its client has left
+	finished bool             // answered, or its client has disconnected
 
-	queueable bool // its class is one that the failover queue takes
-	queued    bool // in the failover queue: the balancer does not know of it
+	queueable bool // the failover queue accepts its class
+	queued    bool // in the failover queue, so not submitted to the balancer
 
 	attempts attemptState
 	history  attemptHistory
 }
 
-// canBeWithdrawn says whether the request may go from the balancer to the failover queue without a risk that it
-// runs twice.
+// canBeWithdrawn reports whether the request may be moved from the balancer to the failover queue without the risk of
+// being executed twice.
 func (req *request) canBeWithdrawn() bool {
 	if req.finished || req.queued {
 		return false
 	}
-	return req.attempts.provedNotToHaveRun()
+	return req.attempts.provablyNotRun()
 }
 
-// isSettled says that the request is answered and nothing of it is in flight.
-func (req *request) isSettled() bool { return req.finished && !req.attempts.isInFlight() }
+// canBeReleased reports whether the request is finished and has no attempt in flight.
+func (req *request) canBeReleased() bool { return req.finished && !req.attempts.isInFlight() }
 
-// acceptsCancel says whether the balancer's cancellation of an attempt still applies: the attempt is the newest one,
-// and none of its response was forwarded.
+// acceptsCancel reports whether the balancer may still cancel the attempt with this number: it is the newest attempt,
+// and no part of its response has been forwarded.
 func (req *request) acceptsCancel(number int) bool {
-	return req.attempts.newest() == number && !req.attempts.responseStarted
+	return req.attempts.newestNumber() == number && !req.attempts.responseStarted
 }
 
-// stopTimer stops the request's deadline.
+// stopTimer stops the timer of the request's deadline.
 func (req *request) stopTimer() {
 	req.timer.Stop()
 	req.timer = nil
 }
 
-// attemptState is what has become of a request's attempts. At most one of them is in flight.
+// attemptState is the state of a request's attempts. At most one of them is in flight.
 type attemptState struct {
-	requested       int           // by the balancer since the request was last submitted to it
-	prior           int           // requested before that; none of them ran
+	requested       int           // number of attempts requested by the balancer since the last submit
+	priorAttempts   int           // number requested before that; none of them was executed
 	inFlight        AttemptHandle // nil = none
-	endpoint        string        // of the newest attempt that was started
-	sentAt          time.Duration // of the same
-	mayHaveRun      bool          // one was written and is not proved to have had no effect
-	responseStarted bool          // its response is forwarded while it arrives
+	endpoint        string        // of the last attempt that was started
+	sentAt          time.Duration // of the last attempt that was started
+	mayHaveRun      bool          // an attempt was written and may have had an effect
+	responseStarted bool          // a response is being forwarded while it arrives
 }
 
 func (s *attemptState) isInFlight() bool { return s.inFlight != nil }
 
-// newest is the number of the attempt that was requested last.
-func (s *attemptState) newest() int { return s.requested - 1 }
+// newestNumber returns the number of the attempt that was requested last.
+func (s *attemptState) newestNumber() int { return s.requested - 1 }
 
-// request returns the number of another attempt.
-func (s *attemptState) request() (number int) {
+// nextNumber counts a newly requested attempt and returns its number.
+func (s *attemptState) nextNumber() (number int) {
 	s.requested++
-	return s.newest()
+	return s.newestNumber()
 }
 
-// resubmit starts the numbers of attempts anew, as the balancer does with a request that is submitted again.
-func (s *attemptState) resubmit() {
-	s.prior += s.requested
+// resetNumbers restarts the attempt numbers at 0, as the balancer does for a request that is submitted again.
+func (s *attemptState) resetNumbers() {
+	s.priorAttempts += s.requested
 	s.requested = 0
 }
 
-// isUnwritten says that an attempt is in flight of which nothing was written yet.
+// isUnwritten reports whether an attempt is in flight of which no byte has been written.
 func (s *attemptState) isUnwritten() bool { return s.inFlight != nil && s.inFlight.NotWritten() }
 
-// provedNotToHaveRun says that nothing of the request has run or still can run.
-func (s *attemptState) provedNotToHaveRun() bool {
+// provablyNotRun reports whether it is certain that no attempt was executed or still can be.
+func (s *attemptState) provablyNotRun() bool {
 	return s.inFlight == nil && !s.mayHaveRun && !s.responseStarted
 }
 
-// attemptHistory is what the audit record of an answer says of its attempts.
+// attemptHistory is the part of the audit record that describes the attempts of a request.
 type attemptHistory struct {
-	ended       []audit.Attempt // only where there is an audit
+	ended       []audit.Attempt // empty if auditing is disabled
 	firstSentAt time.Duration
-	duration    time.Duration // of all ended attempts together
+	duration    time.Duration // total of all ended attempts
 }
 
-// statusMayHaveRun says whether an attempt that ended so may have had an effect.
+// statusMayHaveRun reports whether an attempt that ended with this status may have had an effect.
 func statusMayHaveRun(status balance.Status) bool {
 	switch status {
 	case balance.StatusError, balance.StatusTimedOut, balance.StatusReset, balance.StatusCancelled:
--- a/internal/router/route.go
+++ b/internal/router/route.go
@@ -8,27 +8,28 @@
 	"limeladder/internal/audit"
 )
 
-// reasonMayHaveRun is what a client reads when the balancer gives a request up that was written.
+// reasonMayHaveRun is sent to the client when the balancer gives up a request that may have been executed.
 const reasonMayHaveRun = "the request may have run"
 
-// UpdateEndpoints passes on what discovery has reported.
+// UpdateEndpoints passes an endpoint list from discovery to the balancer, the failover queue and the site monitor.
 func (r *Router) UpdateEndpoints(list balance.EndpointList) {
 	r.notifyBalancer(list)
 	r.failoverQueue.endpointsUpdated(list)
 	r.siteMonitor.endpointsUpdated(list)
 }
 
-// Suspend takes an endpoint out of service for operators, or lets it back in. It is in force when it returns.
+// Suspend takes an endpoint out of service on behalf of an operator, or resumes it. The change is in effect when
+// Suspend returns.
 func (r *Router) Suspend(endpoint string, suspended bool) {
-	// The backends come first: earlier events of the same step may still ask for a health check.
+	// The backends are notified first: earlier events of the same step may still request a health check.
 	r.backends.Suspend(endpoint, suspended)
 	r.notifyBalancer(balance.Suspend{Endpoint: endpoint, Suspended: suspended})
 	r.failoverQueue.endpointSuspended(endpoint, suspended)
 	r.Step()
 }
 
-// Step lets the balancer, the failover queue and the site monitor look at what has happened, and carries out what they
-// decide. The loop calls it each time when all that has arrived is handed over.
+// Step lets the balancer, the failover queue and the site monitor process pending events, and performs the actions that
+// they return. The event loop calls it whenever it has delivered all input that had arrived.
 func (r *Router) Step() {
 	for {
 		r.stepBalancer()
@@ -39,7 +40,7 @@
 	}
 }
 
-// stepBalancer goes on until neither the failover queue nor the balancer has anything left to do.
+// stepBalancer repeats until neither the failover queue nor the balancer has anything left to do.
 func (r *Router) stepBalancer() {
 	for {
 		r.failoverQueue.performActions()
@@ -54,12 +55,12 @@
 	}
 }
 
-// notifyBalancer hands the balancer an event with the next step.
+// notifyBalancer queues an event for the balancer's next step.
 func (r *Router) notifyBalancer(event balance.Event) {
 	r.balancerEvents = append(r.balancerEvents, event)
 }
 
-// submit hands a request to the balancer.
+// submit submits a request to the balancer.
 func (r *Router) submit(req *request) {
 	now := r.loop.Now()
 	event := balance.Request{
@@ -68,7 +69,7 @@
 		Group:         req.Group,
 		TimeLeft:      max(0, req.answerBy-now),
 		Retry:         req.Retry,
-		PriorAttempts: req.attempts.prior,
+		PriorAttempts: req.attempts.priorAttempts,
 	}
 	if req.Session != "" && dependsOnSession(r.classes[req.Class].Consistency) {
 		event.SessionID = sessionID(req.Session)
@@ -79,26 +80,26 @@
 	r.notifyBalancer(event)
 }
 
-// dependsOnSession says whether the balancer has to know the session of a request: reads that have to see the
-// session's writes, and those writes.
+// dependsOnSession reports whether the balancer needs to know the session of a request. It does for writes, and for
+// reads that have to see the writes of their session.
 func dependsOnSession(consistency balance.Consistency) bool {
 	return consistency == balance.ConsistencySession || consistency == balance.ConsistencyWrite
 }
 
-// sessionID is the number that the balancer knows a session by. It is never 0, which stands for no session, and has 53
-// bits at most.
+// sessionID returns the number that identifies a session to the balancer. It is never 0, which means no session, and
+// has at most 53 bits.
 func sessionID(session string) int64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(session))
 	return int64(hash.Sum64()>>11) | 1
 }
 
-// withdraw takes a request back from the balancer, as if its client had left.
+// withdraw removes a request from the balancer, as if its client had disconnected.
 func (r *Router) withdraw(req *request) {
 	r.notifyBalancer(balance.ClientDisconnected{ID: req.id})
 }
 
-// perform carries out one action of the balancer.
+// perform performs one action of the balancer.
 func (r *Router) perform(action balance.Action) {
 	switch action := action.(type) {
 	case balance.Send:
@@ -172,7 +173,7 @@
 	r.audit.record(audit.Note{Topic: "decision", Text: text})
 }
 
-// earliest is the earlier of two moments, where 0 stands for none.
+// earliest returns the earlier of two points in time. Zero and negative values mean that none is set.
 func earliest(a, b time.Duration) time.Duration {
 	if a <= 0 {
 		return max(b, 0)
--- a/internal/router/route_test.go
+++ b/internal/router/route_test.go
@@ -7,36 +7,36 @@
 	"limeladder/balance"
 )
 
-func TestEarliestTakesZeroForNone(t *testing.T) {
+func TestEarliestIgnoresUnsetTimes(t *testing.T) {
 	for _, test := range []struct{ a, b, want time.Duration }{
 		{0, 0, 0}, {1, 0, 1}, {0, 1, 1}, {1, 2, 1}, {2, 1, 1}, {-1, 3, 3}, {3, -1, 3}, {-1, -1, 0},
 	} {
 		if got := earliest(test.a, test.b); got != test.want {
-			t.Errorf("earliest(%d, %d) is %d, not %d", test.a, test.b, got, test.want)
+			t.Errorf("earliest(%d, %d) = %d, want %d", test.a, test.b, got, test.want)
 		}
 	}
 }
 
-func TestSessionIDIsNeverZeroAndHas53BitsAtMost(t *testing.T) {
+func TestSessionIDIsPositiveAndFitsIn53Bits(t *testing.T) {
 	for _, session := range []string{"s", "another session", "\x00"} {
 		id := sessionID(session)
 		if id <= 0 || id >= 1<<53 || id != sessionID(session) {
-			t.Errorf("session %q has the id %d", session, id)
+			t.Errorf("session %q: got id %d, want a stable id from 1 to 1<<53 - 1", session, id)
 		}
 	}
 }
 
-// A cancellation that crosses the start of a response, or is for an earlier attempt, cancels nothing.
+// A cancellation of an earlier attempt, or one that arrives after the response has started, is ignored.
 func TestOnlyTheNewestAttemptWithoutResponseIsCancelled(t *testing.T) {
 	req := &request{}
-	req.attempts.request()
-	second := req.attempts.request()
+	req.attempts.nextNumber()
+	second := req.attempts.nextNumber()
 	if second != 1 || !req.acceptsCancel(1) || req.acceptsCancel(0) {
-		t.Errorf("after two attempts: %+v", req.attempts)
+		t.Errorf("after two attempts: got %+v, want only attempt 1 to accept a cancellation", req.attempts)
 	}
 	req.attempts.responseStarted = true
 	if req.acceptsCancel(1) {
-		t.Error("its response would be cut off")
+		t.Error("an attempt whose response has started accepts a cancellation")
 	}
 }
 
@@ -56,7 +56,7 @@
 		"key":     {Writes: true},
 	} {
 		if got := router.OrderingOf(class); got != want {
-			t.Errorf("%s: %+v, not %+v", class, got, want)
+			t.Errorf("class %s: got %+v, want %+v", class, got, want)
 		}
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,9 +10,9 @@
 	"limeladder/internal/limits"
 )
 
-// Audit stores audit events.
+// Audit is a sink for audit events.
 type Audit interface {
-	// Record stores one event. It never blocks and makes no system call.
+	// Record stores one event. It must not block or make a system call.
 	Record(event audit.Event)
 }
 
@@ -27,23 +27,23 @@
 	discovery DiscoveryPoller
 
 	failoverQueue *failoverQueue // nil = writes are not queued during a failover
-	siteMonitor   *siteMonitor   // nil = sites are not followed
-	siteAdmission *siteAdmission // nil = the state of sites changes nothing for requests
+	siteMonitor   *siteMonitor   // nil = the state of sites is not tracked
+	siteAdmission *siteAdmission // nil = the state of sites does not affect requests
 
 	classes             map[string]balance.Class
 	healthChecksEnabled bool
-	instances           int // routers that share the work
+	instances           int // number of routers that share the load
 
-	balancerEvents    []balance.Event // what the balancer has yet to hear
-	balancerTimer     *eventloop.Timer
-	inFlight          map[string]*request // by the router's own id
-	openLabels        map[string]bool     // the labels of requests that are owed an answer
-	lastRequestNumber uint64
-	shutdownDeadline  time.Duration // requests accepted from now on are answered by then, 0 = no such limit
-	counts            Counts
+	balancerEvents       []balance.Event // events for the balancer's next step
+	balancerTimer        *eventloop.Timer
+	inFlight             map[string]*request // by request.id
+	openClientRequestIDs map[string]bool     // of unanswered requests
+	lastRequestNumber    uint64
+	shutdownDeadline     time.Duration // latest answer time of newly accepted requests, 0 = no limit
+	counts               Counts
 }
 
-// New returns a Router that knows no endpoint yet. With a nil Audit no audit records are written.
+// New returns a Router without endpoints. If sink is nil, no audit records are written.
 func New(
 	loop *eventloop.Loop, lim limits.Limits, log *slog.Logger, cfg balance.Config, seed uint64, sink Audit,
 ) (*Router, error) {
@@ -56,45 +56,45 @@
 		classes[class.Name] = class
 	}
 	return &Router{
-		loop:                loop,
-		limits:              lim,
-		log:                 log,
-		audit:               auditLog{sink: sink},
-		balancer:            balancer,
-		classes:             classes,
-		healthChecksEnabled: cfg.HealthChecks,
-		instances:           cfg.Instances,
-		inFlight:            map[string]*request{},
-		openLabels:          map[string]bool{},
+		loop:                 loop,
+		limits:               lim,
+		log:                  log,
+		audit:                auditLog{sink: sink},
+		balancer:             balancer,
+		classes:              classes,
+		healthChecksEnabled:  cfg.HealthChecks,
+		instances:            cfg.Instances,
+		inFlight:             map[string]*request{},
+		openClientRequestIDs: map[string]bool{},
 	}, nil
 }
 
-// Connect names the peers; it is called once, before anything else.
+// Connect sets the backends and the discovery poller. It must be called once, before any other method.
 func (r *Router) Connect(backends Backends, discovery DiscoveryPoller) {
 	r.backends = backends
 	r.discovery = discovery
 }
 
-// SetShutdownDeadline bounds the requests that are accepted from now on: they are answered by then, although their
-// clients may wait longer, because the process may be ended after that.
+// SetShutdownDeadline sets the time by which all requests accepted from now on are answered, even if their clients
+// would wait longer: the platform may end the process after that.
 func (r *Router) SetShutdownDeadline(at time.Duration) { r.shutdownDeadline = at }
 
-// InFlight is the number of requests that are owed an answer or have an attempt in flight.
+// InFlight returns the number of requests that are unanswered or have an attempt in flight.
 func (r *Router) InFlight() int { return len(r.inFlight) }
 
-// IsWrite says whether the requests of a class may change data, so that they must not run twice.
+// IsWrite reports whether the requests of a class may change data, so that they must not be executed twice.
 func (r *Router) IsWrite(class string) bool { return isWrite(r.classes[class]) }
 
 func isWrite(class balance.Class) bool {
 	return class.Idempotency != balance.Idempotent || class.Consistency == balance.ConsistencyWrite
 }
 
-// isIdempotent says whether the request may be repeated and rejected freely.
+// isIdempotent reports whether the request may safely be repeated, and rejected even if it may have been executed.
 func (r *Router) isIdempotent(req *request) bool {
 	return r.classes[req.Class].Idempotency == balance.Idempotent
 }
 
-// OrderingOf tells the ordering of a class's requests.
+// OrderingOf returns the ordering that the requests of a class need relative to earlier ones on their connection.
 func (r *Router) OrderingOf(class string) Ordering {
 	consistency := r.classes[class].Consistency
 	return Ordering{
--- a/internal/router/site_admission.go
+++ b/internal/router/site_admission.go
@@ -10,43 +10,43 @@
 	"limeladder/internal/sitefailover"
 )
 
-// siteStates is what site admission needs of the site monitor.
+// siteStates has the methods of the site monitor that site admission needs.
 type siteStates interface {
-	// SiteOf is the site of an endpoint, "" = not known.
+	// SiteOf returns the site of an endpoint, "" = unknown.
 	SiteOf(endpoint string) string
-	// AnyLost says whether any site is lost.
+	// AnyLost reports whether any site is lost.
 	AnyLost() bool
-	// Flaps is how often a site was lost again while it recovered.
+	// Flaps returns how often a site was lost again while it recovered.
 	Flaps(site string) int
 }
 
-// zoneLimiter is what site admission needs of the Router.
+// zoneLimiter has the methods of Router that site admission needs.
 type zoneLimiter interface {
-	// limitZone bounds the use of a zone to a share of its capacity.
+	// limitZone limits the use of a zone to a share of its capacity.
 	limitZone(zone string, share float64)
 }
 
-// siteAdmission sheds load while a site is lost, and paces the recovery of a site: its controller decides what is
-// rejected, its ramp which share of a recovering site may be used. A nil siteAdmission does nothing.
+// siteAdmission sheds load while a site is lost, and paces the recovery of a site: its controller decides which
+// requests are rejected, its ramp which share of a recovering site may be used. A nil siteAdmission does nothing.
 type siteAdmission struct {
 	limiter    zoneLimiter
 	states     siteStates
-	planInput  func() sitefailover.PlanInput // of this moment
+	planInput  func() sitefailover.PlanInput // returns the present capacity and demand
 	controller *sitefailover.AdmissionController
 	ramp       *sitefailover.RecoveryRamp
 	log        *slog.Logger
 	audit      auditLog
 }
 
-// EnableSiteAdmission makes the state of sites binding: requests are shed while a site is lost, and its recovery is
-// paced. It is called after EnableSiteMonitor.
+// EnableSiteAdmission makes the router act on the state of sites: requests are shed while a site is lost, and its
+// recovery is paced. It must be called after EnableSiteMonitor.
 func (r *Router) EnableSiteAdmission(
 	admission sitefailover.AdmissionConfig, ramp sitefailover.RecoveryRampConfig, seed uint64,
 ) {
 	r.siteAdmission = &siteAdmission{
 		limiter:    r,
 		states:     r.siteMonitor.monitor,
-		planInput:  r.siteMonitor.presentPlanInput,
+		planInput:  r.siteMonitor.currentPlanInput,
 		controller: sitefailover.NewAdmissionController(admission, seed),
 		ramp:       sitefailover.NewRecoveryRamp(ramp),
 		log:        r.log,
@@ -55,7 +55,8 @@
 	r.siteMonitor.observer = r.siteAdmission
 }
 
-// SiteRejectedShares is what is shed now because a site is lost; nil while site admission is off.
+// SiteRejectedShares returns the shares of requests that are rejected at present because a site is lost, or nil if site
+// admission is disabled.
 func (r *Router) SiteRejectedShares() []sitefailover.RejectedShare {
 	if r.siteAdmission == nil {
 		return nil
@@ -63,7 +64,8 @@
 	return r.siteAdmission.controller.RejectedShares()
 }
 
-// SiteRamps are the sites whose recovery is paced or bounded by an operator; nil while site admission is off.
+// SiteRamps returns the recovery ramps of the sites whose recovery is paced or limited by an operator, or nil if site
+// admission is disabled.
 func (r *Router) SiteRamps() []sitefailover.SiteRamp {
 	if r.siteAdmission == nil {
 		return nil
@@ -71,13 +73,14 @@
 	return r.siteAdmission.ramp.Ramps()
 }
 
-// LimitSiteRamp is an operator's bound on the recovery of a site: no more than a share of its capacity for so long;
-// duration 0 takes the bound back. It returns whether the site is known, and whether site admission is off.
+// LimitSiteRamp sets an operator's limit on the recovery of a site: at most the given share of its capacity is used for
+// the given duration. Duration 0 removes the limit. It reports whether the site is known, and whether site admission is
+// disabled.
 func (r *Router) LimitSiteRamp(site string, share float64, duration time.Duration) (known, off bool) {
 	if r.siteAdmission == nil {
 		return false, true
 	}
-	if !r.siteMonitor.knows(site) {
+	if !r.siteMonitor.knowsSite(site) {
 		return false, false
 	}
 	limit := sitefailover.RampLimit{Site: site, Share: share}
@@ -95,7 +98,7 @@
 	r.notifyBalancer(balance.ZoneCapacity{Zone: zone, Share: share})
 }
 
-// shouldReject says whether a new request is shed, and after what time its client may retry.
+// shouldReject reports whether a new request is shed, and after which time its client may retry it.
 func (a *siteAdmission) shouldReject(req *request) (retryAfter time.Duration, rejected bool) {
 	if a == nil {
 		return 0, false
@@ -104,17 +107,17 @@
 	return retryAfter, rejected
 }
 
-// recordResult tells the ramp how an attempt or a health check has ended.
+// recordResult reports the result of an attempt or a health check to the ramp.
 func (a *siteAdmission) recordResult(endpoint string, status balance.Status) {
-	if a == nil || !tellsOfEndpoint(status) {
+	if a == nil || !reflectsEndpointHealth(status) {
 		return
 	}
 	failed := status != balance.StatusDone
 	a.ramp.RecordOutcome(a.states.SiteOf(endpoint), failed)
 }
 
-// tellsOfEndpoint says whether an attempt that ended so says how its endpoint fares.
-func tellsOfEndpoint(status balance.Status) bool {
+// reflectsEndpointHealth reports whether the status of an attempt or a health check shows if the endpoint works.
+func reflectsEndpointHealth(status balance.Status) bool {
 	switch status {
 	case balance.StatusNotSent, balance.StatusCancelled, balance.StatusMiss:
 		return false
--- a/internal/router/site_admission_test.go
+++ b/internal/router/site_admission_test.go
@@ -10,17 +10,17 @@
 	"limeladder/internal/sitefailover"
 )
 
-// While a site is lost, what has surely no place is rejected before the balancer hears of it: answered once, with a
-// time to retry that clients heed, counted, and with the reason in the audit record.
+// While a site is lost, demand that exceeds the remaining capacity is rejected before it reaches the balancer: answered
+// once, with a Retry-After, counted, and with the reason in the audit record.
 func TestExcessDemandIsRejectedWhileASiteIsLost(t *testing.T) {
 	run := runWithLostSite(t, true)
 	router := run.router
 	rejected := router.Counts().RejectedForSiteLoss
 	if rejected < 50 || rejected > uint64(len(run.clients))*99/100 {
-		t.Fatalf("%d of %d rejected", rejected, len(run.clients))
+		t.Fatalf("got %d of %d requests rejected, want at least 50 and at most 99 %%", rejected, len(run.clients))
 	}
 	if cost := router.siteMonitor.classCosts[readClass]; cost > 1 {
-		t.Errorf("a request is taken for %.0f s of work, as it was long before the loss", cost)
+		t.Errorf("class cost is %.0f s of work, want it to be measured anew at the loss", cost)
 	}
 	recorded := uint64(0)
 	for _, answer := range run.peers.answers() {
@@ -29,57 +29,58 @@
 		}
 		recorded++
 		if len(answer.Attempts) > 0 || answer.Retry < 500*time.Millisecond || answer.Retry > time.Second {
-			t.Fatalf("%+v", answer)
+			t.Fatalf("got audit record %+v, want no attempts and a Retry-After of 500 ms to 1 s", answer)
 		}
 	}
 	if recorded != rejected {
-		t.Errorf("%d rejected, %d in the audit record", rejected, recorded)
+		t.Errorf("got %d requests rejected for site loss, %d with a reason in the audit record", rejected, recorded)
 	}
 	for _, client := range run.clients {
 		if client.answers() != 1 {
-			t.Fatalf("%+v", client)
+			t.Fatalf("got %+v, want one answer", client)
 		}
 	}
 	shares := router.SiteRejectedShares()
 	if len(shares) != 1 || shares[0].Class != readClass || shares[0].Share <= 0 {
-		t.Errorf("%+v", shares)
+		t.Errorf("got rejected shares %+v, want one of the read class", shares)
 	}
 	known, off := router.LimitSiteRamp("b", 0.5, time.Minute)
 	if !known || off || len(router.SiteRamps()) != 1 {
-		t.Errorf("%v %v %v", known, off, router.SiteRamps())
+		t.Errorf("LimitSiteRamp returned known %v, off %v; ramps %v, want true, false, one ramp",
+			known, off, router.SiteRamps())
 	}
 }
 
-// Where nothing binds nothing is rejected, whatever is known.
+// With the site monitor but without site admission, no request is rejected for the loss of a site.
 func TestSiteMonitorAloneRejectsNothing(t *testing.T) {
 	router := runWithLostSite(t, false).router
 	if n := router.Counts().RejectedForSiteLoss; n != 0 || router.SiteRejectedShares() != nil {
-		t.Errorf("%d rejected", n)
+		t.Errorf("got %d requests rejected for site loss, want 0 and no rejected shares", n)
 	}
 	if _, off := router.LimitSiteRamp("b", 0.5, time.Minute); !off {
-		t.Error("a bound on a ramp is taken though none is in force")
+		t.Error("LimitSiteRamp did not report that site admission is disabled")
 	}
 }
 
-// lostSiteRun is a router that is asked for far more than the endpoints outside a lost site can do.
+// lostSiteRun is a run of a router whose demand far exceeds the capacity of the endpoints outside a lost site.
 type lostSiteRun struct {
-	router   *Router
-	peers    *fakePeers
-	loop     *eventloop.Loop
-	clients  []*fakeClient
-	answered int   // attempts that the test has ended
-	sent     []int // attempts that were started by each tick
+	router         *Router
+	peers          *fakePeers
+	loop           *eventloop.Loop
+	clients        []*fakeClient
+	endedAttempts  int   // number of attempts that the test has ended
+	attemptsAtTick []int // number of attempts that had been started at each tick
 }
 
-// runWithLostSite runs a router for 1.5 s; after 0.4 s operators declare a site lost. withAdmission says whether that
-// binds.
+// runWithLostSite runs a router for 1.5 s. After 0.4 s an operator declares site b lost. withAdmission enables site
+// admission.
 func runWithLostSite(t *testing.T, withAdmission bool) *lostSiteRun {
 	t.Helper()
 	run := &lostSiteRun{}
 	run.router, run.peers, run.loop = newTestRouter(t)
 	router := run.router
 	router.EnableSiteMonitor(sitefailover.DefaultMonitorConfig("a", time.Second, 100))
-	router.siteMonitor.classCosts[readClass] = 99 // as a plan of long ago had it
+	router.siteMonitor.classCosts[readClass] = 99 // outdated value from an earlier plan
 	if withAdmission {
 		ramp := sitefailover.RecoveryRampConfig{InitialShare: 0.2, Duration: time.Second}
 		router.EnableSiteAdmission(sitefailover.AdmissionConfig{RetrySpread: time.Second}, ramp, 3)
@@ -92,22 +93,22 @@
 		for i := range 400 {
 			run.loop.AfterFunc(time.Duration(i)*2*time.Millisecond, func() { run.tick(t) })
 		}
-		run.loop.AfterFunc(400*time.Millisecond, func() { // the demand is known by then
+		run.loop.AfterFunc(400*time.Millisecond, func() { // the demand has been measured by then
 			if !router.DeclareSiteLost("b", time.Minute) || router.DeclareSiteLost("c", time.Minute) {
-				t.Error("sites are not known by name")
+				t.Error("DeclareSiteLost: want site b known and site c unknown")
 			}
 		})
 	})
 	return run
 }
 
-// tick ends what was sent 20 ms ago and sends eight requests.
+// tick ends the attempts that were sent 20 ms ago and sends eight requests.
 func (run *lostSiteRun) tick(t *testing.T) {
 	t.Helper()
-	run.sent = append(run.sent, len(run.peers.attempts))
-	due := run.sent[max(0, len(run.sent)-11)]
-	for ; run.answered < due; run.answered++ {
-		attempt := run.peers.attempts[run.answered]
+	run.attemptsAtTick = append(run.attemptsAtTick, len(run.peers.attempts))
+	due := run.attemptsAtTick[max(0, len(run.attemptsAtTick)-11)]
+	for ; run.endedAttempts < due; run.endedAttempts++ {
+		attempt := run.peers.attempts[run.endedAttempts]
 		if !attempt.ended {
 			attempt.end(balance.StatusDone)
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// A site that was lost again while it recovered gets a part of its capacity first, and the balancer is told of each
-// change.
+// A site that was lost again while it recovered is used only for part of its capacity at first, and the balancer is
+// notified of each change.
 func TestRecoveryOfAFlappingSiteIsPaced(t *testing.T) {
 	limiter := &fakeZoneLimiter{}
 	admission := &siteAdmission{
@@ -133,22 +134,22 @@
 			InitialShare: 0.2,
 			Duration:     time.Second,
 		}),
-		log: discardLog(),
+		log: discardLogger(),
 	}
 	now := time.Hour
 	admission.siteStateChanged(now, "b", sitefailover.SiteLost)
 	admission.siteStateChanged(now, "b", sitefailover.SiteRecovering)
 	next := admission.update(now)
 	if len(limiter.shares) != 1 || limiter.shares[0] != 0.1 {
-		t.Fatalf("the balancer was told of %v", limiter.shares)
+		t.Fatalf("got zone limits %v, want one of 0.1", limiter.shares)
 	}
 	if next <= now {
-		t.Errorf("the next look is at %v", next-now)
+		t.Errorf("next update is due in %v, want a positive time", next-now)
 	}
 }
 
-// While the site parts are off their methods do nothing.
-func TestNilSitePartsDoNothing(t *testing.T) {
+// The methods of a nil site monitor and of nil site admission, which means that they are disabled, do nothing.
+func TestNilSiteComponentsDoNothing(t *testing.T) {
 	var monitor *siteMonitor
 	req := newQueuedRequest("1", 7)
 	monitor.recordDemand(req)
@@ -159,16 +160,16 @@
 	var admission *siteAdmission
 	admission.recordResult("n1", balance.StatusDone)
 	if _, rejected := admission.shouldReject(req); rejected {
-		t.Error("a request is rejected")
+		t.Error("nil site admission rejects a request")
 	}
 }
 
-// fakeZoneLimiter stands for the Router and keeps the shares that it was told.
+// fakeZoneLimiter implements zoneLimiter and records the shares.
 type fakeZoneLimiter struct{ shares []float64 }
 
 func (l *fakeZoneLimiter) limitZone(_ string, share float64) { l.shares = append(l.shares, share) }
 
-// fakeSiteStates stands for the site monitor: site b has flapped once.
+// fakeSiteStates implements siteStates: all endpoints are in site b, which has flapped once.
 type fakeSiteStates struct{}
 
 func (fakeSiteStates) SiteOf(string) string { return "b" }
--- a/internal/router/site_check.go
+++ b/internal/router/site_check.go
@@ -6,30 +6,30 @@
 	"limeladder/internal/sitefailover"
 )
 
-// A lost site gets few requests or none, so they may not tell in time that it is back, nor that it fails again while
-// it recovers. Its endpoints are asked for load reports instead.
+// A lost site gets few requests or none, so their results may show too late that the site is back, or that it fails
+// again while it recovers. Its endpoints are therefore asked for load reports.
 const (
-	siteCheckInterval   = 300 * time.Millisecond // of one endpoint by one router, while the bound leaves it that often
-	siteChecksPerSecond = 20                     // of one endpoint by all routers together
+	siteCheckInterval   = 300 * time.Millisecond // per endpoint and router; longer if siteChecksPerSecond requires it
+	siteChecksPerSecond = 20                     // per endpoint, by all routers together
 )
 
-// siteChecks asks the endpoints of sites that are lost or recover for load reports, one after the other.
-type siteChecks struct {
-	host     siteMonitorHost
-	interval time.Duration // between two checks of one endpoint
-	nextAt   time.Duration // of any endpoint
-	last     string        // the endpoint that was checked last
+// siteChecker asks the endpoints of lost and recovering sites for load reports, one after the other.
+type siteChecker struct {
+	host         siteMonitorHost
+	interval     time.Duration // between two checks of the same endpoint
+	nextAt       time.Duration // next check of any endpoint
+	lastEndpoint string        // the endpoint that was checked last
 }
 
-// newSiteChecks returns the checks of one of so many routers.
-func newSiteChecks(host siteMonitorHost, instances int) *siteChecks {
+// newSiteChecker returns a siteChecker for one of the given number of routers.
+func newSiteChecker(host siteMonitorHost, instances int) *siteChecker {
 	fleetInterval := time.Duration(instances) * time.Second / siteChecksPerSecond
-	return &siteChecks{host: host, interval: max(siteCheckInterval, fleetInterval)}
+	return &siteChecker{host: host, interval: max(siteCheckInterval, fleetInterval)}
 }
 
-// update checks the endpoint that is next, if it is due. It returns when the next one is, 0 = there is none to check.
-// A nil siteChecks checks nothing.
-func (c *siteChecks) update(now time.Duration, monitor *sitefailover.Monitor) (next time.Duration) {
+// update checks the next endpoint if a check is due. It returns the time of the next check, 0 = there is no endpoint to
+// check. A nil siteChecker checks nothing.
+func (c *siteChecker) update(now time.Duration, monitor *sitefailover.Monitor) (next time.Duration) {
 	if c == nil {
 		return 0
 	}
@@ -39,13 +39,13 @@
 	}
 	if now >= c.nextAt {
 		c.nextAt = now + c.interval/time.Duration(len(endpoints))
-		c.last = endpointAfter(endpoints, c.last)
-		c.host.checkHealth(c.last)
+		c.lastEndpoint = endpointAfter(endpoints, c.lastEndpoint)
+		c.host.checkHealth(c.lastEndpoint)
 	}
 	return c.nextAt
 }
 
-// endpointAfter returns the first of the sorted ids that is greater than last, or the first of all.
+// endpointAfter returns the first of the sorted ids that is greater than last, or the first id if there is none.
 func endpointAfter(sorted []string, last string) string {
 	for _, id := range sorted {
 		if id > last {
--- a/internal/router/site_monitor.go
+++ b/internal/router/site_monitor.go
@@ -10,57 +10,57 @@
 	"limeladder/internal/sitefailover"
 )
 
-// A plan for the loss of a site needs to know what endpoints can do, so one endpoint after the other is asked for a
-// load report. All routers together ask so often at most: a larger fleet has enough health checks anyway.
+// A plan for the loss of a site needs the capacity of endpoints, so the endpoints are asked for load reports in turn.
+// The rate of all routers together is limited: a larger fleet has enough health checks anyway.
 const (
-	utilizationCheckInterval   = time.Second // of one router, while the bound leaves it that often
-	utilizationChecksPerSecond = 10          // of all routers together
+	utilizationCheckInterval   = time.Second // per router; longer if utilizationChecksPerSecond requires it
+	utilizationChecksPerSecond = 10          // by all routers together
 )
 
-// siteMonitorHost is what the site monitor needs of the Router.
+// siteMonitorHost has the methods of Router that the site monitor needs.
 type siteMonitorHost interface {
 	// checkHealth starts a health check.
 	checkHealth(endpoint string)
 }
 
-// endpointStatistics is what the site monitor needs of the balancer.
+// endpointStatistics has the methods of the balancer that the site monitor needs.
 type endpointStatistics interface {
 	EndpointViews(visit func(balance.EndpointView))
 	EndpointWorkRate(endpoint string) (rate float64, warm bool)
 	ClassCost(class string) (work, mean float64)
 }
 
-// siteObserver acts on the state of sites.
+// siteObserver acts on changes of the state of sites.
 type siteObserver interface {
-	// siteStateChanged says that a site is taken for something else.
+	// siteStateChanged is called when the state of a site has changed.
 	siteStateChanged(now time.Duration, site string, state sitefailover.SiteState)
-	// update follows the state of sites. It returns when it wants to be called next, 0 = after the next event.
+	// update is called after each step of the monitor. It returns the time of the next call, 0 = after the next event.
 	update(now time.Duration) (next time.Duration)
 }
 
-// siteMonitor follows the state of whole sites and plans for their loss. sitefailover.Monitor judges; the siteMonitor
-// tells it what happens. It never chooses an endpoint for a request. A nil siteMonitor does nothing.
+// siteMonitor tracks the state of whole sites and plans for their loss. It passes events to a sitefailover.Monitor,
+// which determines the state. It never chooses an endpoint for a request. A nil siteMonitor does nothing.
 type siteMonitor struct {
 	host       siteMonitorHost
 	statistics endpointStatistics
-	observer   siteObserver // nil = nobody acts on the state of sites
-	checks     *siteChecks  // nil = endpoints are not checked
+	observer   siteObserver // nil = nothing acts on the state of sites
+	checker    *siteChecker // nil = lost and recovering sites are not checked
 	loop       *eventloop.Loop
 	log        *slog.Logger
 	audit      auditLog
 	classes    map[string]balance.Class
 
 	monitor     *sitefailover.Monitor
-	events      []sitefailover.Event // what the monitor has yet to hear
+	events      []sitefailover.Event // for the monitor's next step
 	timer       *eventloop.Timer
 	demand      sitefailover.DemandMeter
 	utilization sitefailover.UtilizationTracker
-	classCosts  map[string]float64 // seconds of work of a request, as last seen while no site was lost
+	classCosts  map[string]float64 // work per request in seconds, as last measured while no site was lost
 
-	demandBeforeLoss map[sitefailover.DemandKey]float64 // requests a second when a site was lost; nil = none is lost
+	demandBeforeLoss map[sitefailover.DemandKey]float64 // requests per second when a site was lost; nil = no site is lost
 }
 
-// EnableSiteMonitor turns the site monitor on. It is called before the first endpoint list.
+// EnableSiteMonitor enables the site monitor. It must be called before the first endpoint list is delivered.
 func (r *Router) EnableSiteMonitor(cfg sitefailover.MonitorConfig) {
 	r.siteMonitor = &siteMonitor{
 		host:       r,
@@ -75,11 +75,11 @@
 	if r.healthChecksEnabled {
 		interval := utilizationCheckInterval * time.Duration(max(1, r.instances/utilizationChecksPerSecond))
 		r.siteMonitor.scheduleUtilizationCheck(interval, 0)
-		r.siteMonitor.checks = newSiteChecks(r, r.instances)
+		r.siteMonitor.checker = newSiteChecker(r, r.instances)
 	}
 }
 
-// SiteViews is what an operator sees of each site; nil while the site monitor is off.
+// SiteViews returns the state of each site as shown to operators, or nil if the site monitor is disabled.
 func (r *Router) SiteViews() []sitefailover.SiteView {
 	if r.siteMonitor == nil {
 		return nil
@@ -87,13 +87,13 @@
 	return r.siteMonitor.monitor.Views()
 }
 
-// DeclareSiteLost is an operator's declaration that a site is lost for so long; 0 takes it back. It returns whether
-// the site is known.
+// DeclareSiteLost handles an operator's declaration that a site is lost for the given duration. Duration 0 revokes it.
+// It reports whether the site is known.
 func (r *Router) DeclareSiteLost(site string, duration time.Duration) (known bool) {
 	if r.siteMonitor == nil {
 		return false
 	}
-	known = r.siteMonitor.knows(site)
+	known = r.siteMonitor.knowsSite(site)
 	until := time.Duration(0)
 	if duration > 0 {
 		until = r.loop.Now() + duration
@@ -103,10 +103,10 @@
 	return known
 }
 
-// notify tells the monitor of an event with the next step.
+// notify queues an event for the monitor's next step.
 func (m *siteMonitor) notify(event sitefailover.Event) { m.events = append(m.events, event) }
 
-func (m *siteMonitor) knows(site string) bool {
+func (m *siteMonitor) knowsSite(site string) bool {
 	for _, view := range m.monitor.Views() {
 		if view.Site == site {
 			return true
@@ -115,7 +115,7 @@
 	return false
 }
 
-// scheduleUtilizationCheck asks one endpoint after the other for a load report, one each interval.
+// scheduleUtilizationCheck asks the available endpoints for load reports in turn, one endpoint per interval.
 func (m *siteMonitor) scheduleUtilizationCheck(interval time.Duration, round int) {
 	m.loop.AfterFunc(interval, func() {
 		var available []string
@@ -132,19 +132,20 @@
 	})
 }
 
-// recordDemand counts a request. A retry asks for the same once more, not for more.
+// recordDemand counts a request as demand. Retries are not counted, because they repeat demand that was counted before.
 func (m *siteMonitor) recordDemand(req *request) {
 	if m != nil && !req.Retry {
 		m.demand.Record(m.loop.Now(), demandKey(req))
 	}
 }
 
-// demandKey names the demand that a request belongs to.
+// demandKey returns the key of the demand that a request is counted in.
 func demandKey(req *request) sitefailover.DemandKey {
 	return sitefailover.DemandKey{Class: req.Class, Group: req.Group}
 }
 
-// recordResult takes the end of an attempt or a health check as evidence of the endpoint's site.
+// recordResult reports the result of an attempt or a health check to the monitor, as evidence of the state of the
+// endpoint's site.
 func (m *siteMonitor) recordResult(endpoint string, result *Result) {
 	if m == nil {
 		return
@@ -152,7 +153,7 @@
 	m.recordUtilization(endpoint, result.Utilization)
 	switch result.Status {
 	case balance.StatusNotSent, balance.StatusCancelled:
-		// They say nothing of the endpoint.
+		// These show nothing about the endpoint.
 	case balance.StatusConnectFailed:
 		m.notify(sitefailover.AttemptFailed{Endpoint: endpoint, Failure: sitefailover.FailureRefused})
 	case balance.StatusReset:
@@ -167,8 +168,9 @@
 	}
 }
 
-// recordUtilization takes an endpoint's utilization from a load report, 0 = it reported none. The work that endpoints
-// do for this router is a mean of seconds: while a site is lost it says little of the utilization at that moment.
+// recordUtilization records the utilization from an endpoint's load report, 0 = not reported. The work rate of an
+// endpoint is a mean over seconds. While a site is lost it does not match the utilization at that time, so nothing is
+// recorded.
 func (m *siteMonitor) recordUtilization(endpoint string, utilization float64) {
 	if utilization <= 0 || m.monitor.AnyLost() {
 		return
@@ -178,14 +180,14 @@
 	}
 }
 
-// primaryUpdated passes on what the balancer takes for the primary of a replica group.
+// primaryUpdated reports the balancer's view of a replica group's primary to the monitor.
 func (m *siteMonitor) primaryUpdated(update balance.PrimaryUpdate) {
 	if m != nil && update.Confirmed {
 		m.notify(sitefailover.PrimaryObserved{Group: update.Group, Endpoint: update.Endpoint})
 	}
 }
 
-// endpointsUpdated passes on an endpoint list.
+// endpointsUpdated passes an endpoint list to the monitor.
 func (m *siteMonitor) endpointsUpdated(list balance.EndpointList) {
 	if m == nil || !hasEntries(list.Kind) {
 		return
@@ -216,7 +218,7 @@
 	}
 }
 
-// step lets the monitor look at what has happened.
+// step lets the monitor process the pending events.
 func (m *siteMonitor) step() {
 	if m == nil || len(m.events) == 0 {
 		return
@@ -226,7 +228,7 @@
 	m.evaluate(events)
 }
 
-// evaluate lets the monitor look at events and at the clock, and the observer at the outcome.
+// evaluate lets the monitor process events and the passage of time, and then updates the observer and the checker.
 func (m *siteMonitor) evaluate(events []sitefailover.Event) {
 	now := m.loop.Now()
 	next := time.Duration(0)
@@ -241,14 +243,14 @@
 	if m.observer != nil {
 		next = earliest(next, m.observer.update(now))
 	}
-	next = earliest(next, m.checks.update(now, m.monitor))
+	next = earliest(next, m.checker.update(now, m.monitor))
 	m.timer.Stop()
 	if next > 0 {
 		m.timer = m.loop.AfterFunc(max(0, next-now), func() { m.evaluate(nil) })
 	}
 }
 
-// siteStateChanged logs and records that a site is taken for something else, and tells the observer.
+// siteStateChanged writes a change of state to the log and the audit record, and notifies the observer.
 func (m *siteMonitor) siteStateChanged(now time.Duration, change sitefailover.StateChanged) {
 	m.log.Info("site state changed", "site", change.Site, "from", change.OldState.String(), "to", change.NewState.String(),
 		"kind", change.Fault.String(), "evidence", change.Evidence)
@@ -256,20 +258,21 @@
 		Topic: "site",
 		Text:  change.Site + " is " + change.NewState.String() + ", " + change.Fault.String() + ": " + change.Evidence,
 	})
-	m.rememberDemandBeforeLoss(now)
+	m.updateDemandBeforeLoss(now)
 	if m.observer != nil {
 		m.observer.siteStateChanged(now, change.Site, change.NewState)
 	}
 }
 
-// rememberDemandBeforeLoss keeps the demand of the moment at which the first site was lost, for as long as any is.
-func (m *siteMonitor) rememberDemandBeforeLoss(now time.Duration) {
+// updateDemandBeforeLoss saves the demand at the time when the first site is lost, and discards it when no site is
+// lost.
+func (m *siteMonitor) updateDemandBeforeLoss(now time.Duration) {
 	if !m.monitor.AnyLost() {
 		m.demandBeforeLoss = nil
 		return
 	}
 	if m.demandBeforeLoss == nil {
 		m.demandBeforeLoss = m.demand.Rates(now)
-		clear(m.classCosts) // they may be as old as the last plan that anybody has asked for
+		clear(m.classCosts) // may be outdated: they are only updated when a plan is requested
 	}
 }
--- a/internal/router/site_plan.go
+++ b/internal/router/site_plan.go
@@ -7,28 +7,29 @@
 	"limeladder/internal/sitefailover"
 )
 
-// planHorizon says which capacity and demand a plan is made of.
+// planHorizon selects the capacity and demand that a plan is based on.
 type planHorizon uint8
 
 const (
-	// planLongRun takes each endpoint that is in service for what it can do once it is warm.
-	planLongRun planHorizon = iota
-	// planAtPresent takes endpoints as they are at this moment: none in a lost site, and little of one that warms up.
-	planAtPresent
+	// planSteadyState uses the capacity that each endpoint in service has once it is warmed up.
+	planSteadyState planHorizon = iota
+	// planCurrent uses the present capacity: none in a lost site, and a reduced share of an endpoint that is warming up.
+	planCurrent
 )
 
-// SiteLossPlans is what the loss of each site would mean as of now; nil while the site monitor is off.
+// SiteLossPlans returns the present estimate of the effects of losing each site, or nil if the site monitor is
+// disabled.
 func (r *Router) SiteLossPlans() []sitefailover.SiteLossPlan {
 	if r.siteMonitor == nil {
 		return nil
 	}
-	return sitefailover.PlanLosses(r.siteMonitor.planInput(planLongRun))
+	return sitefailover.PlanLosses(r.siteMonitor.planInput(planSteadyState))
 }
 
-// presentPlanInput is what a plan for this moment is made of.
-func (m *siteMonitor) presentPlanInput() sitefailover.PlanInput { return m.planInput(planAtPresent) }
+// currentPlanInput returns the input of a plan for the present capacity and demand.
+func (m *siteMonitor) currentPlanInput() sitefailover.PlanInput { return m.planInput(planCurrent) }
 
-// planInput is what a plan is made of.
+// planInput returns the input of a plan.
 func (m *siteMonitor) planInput(horizon planHorizon) sitefailover.PlanInput {
 	now := m.loop.Now()
 	return sitefailover.PlanInput{
@@ -37,9 +38,9 @@
 	}
 }
 
-// planEndpoints is what each endpoint can do for this router.
+// planEndpoints returns the capacity that each endpoint has for this router.
 func (m *siteMonitor) planEndpoints(now time.Duration, horizon planHorizon) []sitefailover.PlanEndpoint {
-	workShare := m.workShareOfAttempts(now)
+	workShare := m.attemptWorkShare(now)
 	fairCapacity, known := m.utilization.FairCapacity()
 	var endpoints []sitefailover.PlanEndpoint
 	m.statistics.EndpointViews(func(view balance.EndpointView) {
@@ -47,8 +48,8 @@
 		if !known {
 			capacity = max(view.WorkRate, view.ConcurrencyLimit*workShare)
 		}
-		available := view.InService // a suspicion of this moment is no reason to plan without an endpoint
-		if horizon == planAtPresent {
+		available := view.InService // a suspect endpoint still counts in a long-term plan
+		if horizon == planCurrent {
 			available = view.Available && !m.monitor.IsLost(view.Zone)
 			capacity *= view.CapacityShare
 		}
@@ -64,9 +65,9 @@
 	return endpoints
 }
 
-// workShareOfAttempts is the part of an attempt's duration that is work. Where work is queued at an endpoint attempts
-// take longer than their work: it does as much work as the attempts that may be in flight, less their time in queues.
-func (m *siteMonitor) workShareOfAttempts(now time.Duration) float64 {
+// attemptWorkShare returns the share of an attempt's duration that is work. The rest is time in the endpoint's queue,
+// so the work rate that an endpoint can sustain is its concurrency limit multiplied by this share.
+func (m *siteMonitor) attemptWorkShare(now time.Duration) float64 {
 	work := 0.0
 	duration := 0.0
 	for class, rate := range m.demand.RatesByClass(now) {
@@ -80,14 +81,15 @@
 	return min(1, work/duration)
 }
 
-// planDemands is what is asked for.
+// planDemands returns the demand of each class and replica group.
 func (m *siteMonitor) planDemands(now time.Duration, horizon planHorizon) []sitefailover.Demand {
 	var demands []sitefailover.Demand
 	for key, rate := range m.demand.Rates(now) {
 		class := m.classes[key.Class]
-		if horizon == planAtPresent && m.demandBeforeLoss != nil {
-			// Where other routers are lost too their clients come to this one, and with them their part of the
-			// endpoints. That can't be told from a burst, which the balancer handles as it always does.
+		if horizon == planCurrent && m.demandBeforeLoss != nil {
+			// If other routers are lost too, their clients move to this one, and with them their share of the endpoints.
+			// That cannot be distinguished from a burst, which the balancer handles as usual, so the rate is limited to
+			// the demand before the loss.
 			rate = min(rate, m.demandBeforeLoss[key])
 		}
 		demands = append(demands, sitefailover.Demand{
@@ -106,8 +108,8 @@
 	return consistency == balance.ConsistencyWrite || consistency == balance.ConsistencyLatest
 }
 
-// classCost is the work of a request of a class in seconds. What is measured while a site is lost contains time in
-// queues: the cost from before the loss holds then.
+// classCost returns the work per request of a class in seconds. Values measured while a site is lost include time in
+// queues, so the cost from before the loss is used during a loss.
 func (m *siteMonitor) classCost(class string) float64 {
 	work, _ := m.statistics.ClassCost(class)
 	if !m.monitor.AnyLost() || m.classCosts[class] == 0 {
