--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/simprotocol"
 )
 
-// host runs the instances that the simulator has started.
+// host runs the instances that the simulator starts.
 type host struct {
 	decoder   *simprotocol.Decoder
 	instances map[string]*balance.Balancer
@@ -21,15 +21,15 @@
 	}
 }
 
-// answer applies one batch and returns the reply line. Settings that an instance can't run with are a crash of that
-// instance; any other fault of the batch is an error.
-func (h *host) answer(line []byte) ([]byte, error) {
+// handleLine applies the batch in a line and returns the reply line. Invalid settings of an instance are reported as a
+// crash of that instance. Any other fault in the batch is returned as an error.
+func (h *host) handleLine(line []byte) ([]byte, error) {
 	reply := &simprotocol.Reply{}
 	batch, err := h.decoder.Decode(line)
 	var settings *simprotocol.ConfigError
 	switch {
 	case errors.As(err, &settings):
-		reply.Crash(settings.Who, settings.Err.Error())
+		reply.Crash(settings.Instance, settings.Err.Error())
 	case err != nil:
 		return nil, err
 	default:
@@ -38,45 +38,45 @@
 	return reply.Encode()
 }
 
-// apply gives each instance its own events only, in their order, in one step.
+// apply passes each instance its events, in the order of the batch, in a single step.
 func (h *host) apply(batch simprotocol.Batch, reply *simprotocol.Reply) {
 	events := map[string][]balance.Event{}
-	var order []string // in which the instances first appear
+	var order []string // instances in the order of their first event
 	for _, event := range batch.Events {
-		who := event.Who
-		if _, seen := events[who]; !seen {
-			order = append(order, who)
-			events[who] = nil
+		name := event.Instance
+		if _, seen := events[name]; !seen {
+			order = append(order, name)
+			events[name] = nil
 		}
 		switch {
-		case event.Down:
-			delete(h.instances, who)
-			events[who] = nil
+		case event.Stop:
+			delete(h.instances, name)
+			events[name] = nil
 		case event.Start != nil:
 			instance, err := balance.New(event.Start.Config, event.Start.Seed)
 			if err != nil {
-				reply.Crash(who, err.Error())
+				reply.Crash(name, err.Error())
 				return
 			}
-			h.instances[who] = instance
-			events[who] = nil // what came before was for the earlier instance of that name
+			h.instances[name] = instance
+			events[name] = nil // earlier events were for the previous instance of that name
 		default:
-			events[who] = append(events[who], event.Event)
+			events[name] = append(events[name], event.Event)
 		}
 	}
-	for _, who := range order {
-		if instance := h.instances[who]; instance != nil {
-			step(reply, who, instance, batch.Now, events[who])
+	for _, name := range order {
+		if instance := h.instances[name]; instance != nil {
+			step(reply, name, instance, batch.Now, events[name])
 		}
 	}
 }
 
-// step passes a panic of the decision code on as the crash action.
-func step(reply *simprotocol.Reply, who string, instance *balance.Balancer, now balance.Time, events []balance.Event) {
+// step runs one step of an instance and adds its actions to the reply. A panic is reported as a crash of the instance.
+func step(reply *simprotocol.Reply, name string, instance *balance.Balancer, now balance.Time, events []balance.Event) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			reply.Crash(who, fmt.Sprint(fault))
+			reply.Crash(name, fmt.Sprint(fault))
 		}
 	}()
-	reply.Add(who, instance.Step(now, events))
+	reply.Add(name, instance.Step(now, events))
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,8 +1,8 @@
-// Command simadapter hosts instances of the decision module behind the simulator's JSON pipe: a batch a line in, a
-// reply a line out.
+// Command simadapter runs instances of the decision module for the simulator. It reads one JSON batch per line from the
+// standard input and writes one JSON reply per line to the standard output.
 //
-// It owns the running instances and nothing else: package simprotocol knows the pipe's form and package balance
-// decides. It has no clock, since each batch carries its time, and one goroutine.
+// It only manages the running instances: package simprotocol implements the protocol, and package balance makes the
+// decisions. It uses no clock, since each batch has a timestamp, and runs in a single goroutine.
 package main
 
 import (
@@ -20,25 +20,25 @@
 	}
 }
 
-// readBuffer holds a usual batch; longer lines are read all the same.
-const readBuffer = 1 << 20
+// readBufferSize is the size in bytes of the input buffer. It holds a typical batch; longer lines are read as well.
+const readBufferSize = 1 << 20
 
-// run answers each line until the input ends.
+// run replies to each line of in until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader := bufio.NewReaderSize(in, readBuffer)
+	reader := bufio.NewReaderSize(in, readBufferSize)
 	writer := bufio.NewWriter(out)
 	h := newHost()
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := reader.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		if len(line) == 0 {
 			return nil
 		}
-		reply, err := h.answer(line)
+		reply, err := h.handleLine(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		if _, err := writer.Write(append(reply, '\n')); err != nil {
 			return err
--- a/internal/requestcomment/comment.go
+++ b/internal/requestcomment/comment.go
@@ -1,7 +1,9 @@
-// Package requestcomment reads the comment in front of a statement, which says how the request is to be routed.
+// Package requestcomment parses the request comment, which precedes a statement and specifies how the request is
+// routed.
 //
-// It owns the comment's form. It never looks at the statement behind it, but for the first quoted word, which names the
-// session, and it doesn't judge whether a class or a group exists. It holds no state and starts no goroutines.
+// It defines the format of the comment. It does not inspect the statement after it, except for the first quoted string,
+// which is the session, and it does not check whether a class or a group exists. It holds no state and starts no
+// goroutines.
 package requestcomment
 
 import (
@@ -11,34 +13,34 @@
 	"time"
 )
 
-// Head is what the comment says.
+// Head has the values of a request comment.
 type Head struct {
 	ID       string
 	Class    string
 	Deadline time.Duration // counted from when the client sent the statement
 	Group    int64
-	After    time.Duration // a position, since the Unix epoch; 0 = none is given
+	After    time.Duration // replication position to be reflected, as time since the Unix epoch; 0 = none
 	Retry    bool
-	Session  string // the first quoted word behind the comment
+	Session  string // the first quoted string after the comment
 
-	// Where the figure of the deadline stands in the statement.
+	// Byte offsets of the deadline's value in the statement.
 	deadlineStart int
 	deadlineEnd   int
 }
 
-// The faults of a comment.
+// Errors returned by Parse.
 var (
-	ErrNone = errors.New("the statement carries no request comment")
-	ErrForm = errors.New("the request comment is malformed")
+	ErrMissing   = errors.New("the statement carries no request comment")
+	ErrMalformed = errors.New("the request comment is malformed")
 )
 
 const (
-	opening = "/*"
-	closing = "*/"
-	quote   = "'"
+	commentStart = "/*"
+	commentEnd   = "*/"
+	quote        = "'"
 )
 
-// The comment's keys. Others are skipped, so that clients may add their own.
+// Keys of the comment. Unknown keys are ignored, so that clients may add their own.
 const (
 	keyID       = "id"
 	keyClass    = "c"
@@ -54,34 +56,34 @@
 	maxPosition = (1 << 42) * time.Millisecond
 )
 
-// Parse reads the comment at the start of sql. The error is ErrNone or ErrForm.
+// Parse parses the comment at the start of sql. The error is nil, ErrMissing or ErrMalformed.
 func Parse(sql string) (Head, error) {
 	var h Head
-	rest, ok := strings.CutPrefix(sql, opening)
+	rest, ok := strings.CutPrefix(sql, commentStart)
 	if !ok {
-		return h, ErrNone
+		return h, ErrMissing
 	}
-	text, statement, ok := strings.Cut(rest, closing)
+	text, statement, ok := strings.Cut(rest, commentEnd)
 	if !ok {
-		return h, ErrNone
+		return h, ErrMissing
 	}
 	seen := map[string]bool{}
-	start := len(opening)
+	start := len(commentStart)
 	for _, pair := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		key := strings.TrimLeft(name, " ")
 		if !ok || seen[key] {
-			return h, ErrForm
+			return h, ErrMalformed
 		}
 		seen[key] = true
 		valueStart := start + len(name) + len("=")
-		if err := h.set(key, strings.TrimRight(value, " "), valueStart); err != nil {
+		if err := h.setField(key, strings.TrimRight(value, " "), valueStart); err != nil {
 			return h, err
 		}
 		start += len(pair) + len(",")
 	}
-	if !h.complete(seen) {
-		return h, ErrForm
+	if !h.isComplete(seen) {
+		return h, ErrMalformed
 	}
 	if _, quoted, ok := strings.Cut(statement, quote); ok {
 		h.Session, _, _ = strings.Cut(quoted, quote)
@@ -89,50 +91,50 @@
 	return h, nil
 }
 
-// set takes one key's value, which begins at valueStart in the statement.
-func (h *Head) set(key, value string, valueStart int) (err error) {
+// setField sets the field of a key. valueStart is the byte offset of the value in the statement.
+func (h *Head) setField(key, value string, valueStart int) (err error) {
 	switch key {
 	case keyID:
 		h.ID = value
 	case keyClass:
 		h.Class = value
 	case keyDeadline:
-		h.Deadline, err = milliseconds(value, maxDeadline)
+		h.Deadline, err = parseMilliseconds(value, maxDeadline)
 		h.deadlineStart = valueStart
 		h.deadlineEnd = valueStart + len(value)
 	case keyGroup:
 		h.Group, err = strconv.ParseInt(value, 10, 64)
 	case keyAfter:
-		h.After, err = milliseconds(value, maxPosition)
+		h.After, err = parseMilliseconds(value, maxPosition)
 	case keyRetry:
 		h.Retry = value == "1"
 	}
 	if err != nil {
-		return ErrForm
+		return ErrMalformed
 	}
 	return nil
 }
 
-// milliseconds reads a duration from 0 to limit.
-func milliseconds(text string, limit time.Duration) (time.Duration, error) {
+// parseMilliseconds parses a duration in milliseconds between 0 and limit.
+func parseMilliseconds(text string, limit time.Duration) (time.Duration, error) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0, err
 	}
 	if ms < 0 || ms > limit.Milliseconds() {
-		return 0, ErrForm
+		return 0, ErrMalformed
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// complete says whether the comment has the keys without which a request can't be routed.
-func (h *Head) complete(seen map[string]bool) bool {
+// isComplete reports whether the comment has all keys that are required to route a request.
+func (h *Head) isComplete(seen map[string]bool) bool {
 	identified := h.ID != "" && h.Class != ""
 	return identified && seen[keyDeadline] && seen[keyGroup]
 }
 
-// WithDeadline returns sql, for which Parse gave h, with the time that is left as its deadline. All else stays as it
-// is.
+// WithDeadline returns a copy of sql, the statement that h was parsed from, in which the deadline is replaced by the
+// time that is left. The rest of the statement is unchanged.
 func (h Head) WithDeadline(sql string, left time.Duration) string {
 	return sql[:h.deadlineStart] + strconv.FormatInt(max(1, left.Milliseconds()), 10) + sql[h.deadlineEnd:]
 }
--- a/internal/requestcomment/comment_test.go
+++ b/internal/requestcomment/comment_test.go
@@ -21,7 +21,7 @@
 		After: 1767225600123 * time.Millisecond, Retry: true, Session: "7f3a",
 	}
 	if h != wantHead {
-		t.Fatalf("%+v", h)
+		t.Fatalf("got %+v, want the values of the example", h)
 	}
 	h, err = Parse(example)
 	if err != nil {
@@ -33,17 +33,18 @@
 		t.Fatal(got)
 	}
 	for sql, want := range map[string]error{
-		"": ErrNone, "SELECT 1": ErrNone, "/* id=1": ErrNone, "/* */ x": ErrForm,
-		"/* id=1,c=a,d=5 */ x": ErrForm, "/* id=1,c=a,d=-5,cluster=1 */": ErrForm, "/* id=1,c=a,d=x,cluster=1 */": ErrForm,
-		"/* id=1,c=a,d=5,d=6,cluster=1 */": ErrForm, "/* id=1,c=a,d=99999999999,cluster=1 */": ErrForm,
+		"": ErrMissing, "SELECT 1": ErrMissing, "/* id=1": ErrMissing, "/* */ x": ErrMalformed,
+		"/* id=1,c=a,d=5 */ x": ErrMalformed, "/* id=1,c=a,d=-5,cluster=1 */": ErrMalformed,
+		"/* id=1,c=a,d=x,cluster=1 */": ErrMalformed, "/* id=1,c=a,d=5,d=6,cluster=1 */": ErrMalformed,
+		"/* id=1,c=a,d=99999999999,cluster=1 */": ErrMalformed,
 	} {
 		if _, err := Parse(sql); !errors.Is(err, want) {
-			t.Errorf("%q: %v", sql, err)
+			t.Errorf("Parse(%q) returned the unexpected error %v", sql, err)
 		}
 	}
 }
 
-// Whatever stands in a comment that is taken, only the figure of d changes.
+// WithDeadline changes only the value of d, whatever else a valid comment contains.
 func FuzzParse(f *testing.F) {
 	f.Add(example)
 	f.Add("/*d=1,id=a,c=b,cluster=0*/")
@@ -60,7 +61,7 @@
 		}
 		h.Deadline = max(h.Deadline+time.Millisecond, time.Millisecond)
 		if err != nil && h.Deadline <= maxDeadline || err == nil && h != h2 {
-			t.Fatalf("%+v %+v %v", h, h2, err)
+			t.Fatalf("want %+v with the new deadline, got %+v, error %v", h, h2, err)
 		}
 	})
 }
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -10,43 +10,43 @@
 	"limeladder/balance"
 )
 
-// Batch is one line of input, with its events in their order.
+// Batch is one decoded line of input. Its events are in the order of the line.
 type Batch struct {
 	Now    balance.Time
 	Events []Event
 }
 
-// Event is one event of the wire. Exactly one of Start, Down and Event is set.
+// Event is an event for one instance. Exactly one of Start, Stop and Event is set.
 type Event struct {
-	Who   string
-	Start *Start
-	Down  bool
-	Event balance.Event
+	Instance string
+	Start    *Start
+	Stop     bool
+	Event    balance.Event
 }
 
-// Start begins an instance.
+// Start starts an instance.
 type Start struct {
 	Seed   uint64
 	Config balance.Config
 }
 
-var errNoTime = errors.New("batch without TsNs")
+var errMissingTime = errors.New("batch without TsNs")
 
-// Decoder reads batches. It remembers the numbered endpoint lists, which belong to the process.
+// Decoder decodes batches. It keeps the numbered endpoint lists, which all instances of the process share.
 type Decoder struct {
-	lists   map[int][]balance.EndpointEntry
-	origins map[string]balance.Time // where each instance's positions start
+	endpointLists   map[int][]balance.EndpointEntry
+	positionOrigins map[string]balance.Time // origin of each instance's replication positions
 }
 
 // NewDecoder returns an empty Decoder.
 func NewDecoder() *Decoder {
 	return &Decoder{
-		lists:   map[int][]balance.EndpointEntry{},
-		origins: map[string]balance.Time{},
+		endpointLists:   map[int][]balance.EndpointEntry{},
+		positionOrigins: map[string]balance.Time{},
 	}
 }
 
-// Decode reads one line. An error says what is wrong and at which event.
+// Decode decodes one line. If an event is invalid, the error includes its index.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	var wire rawBatch
 	var batch Batch
@@ -54,7 +54,7 @@
 		return batch, err
 	}
 	if wire.TsNs == nil {
-		return batch, errNoTime
+		return batch, errMissingTime
 	}
 	batch.Now = time.Duration(*wire.TsNs)
 	if len(wire.Arrivals) == 0 {
@@ -62,10 +62,10 @@
 	}
 	var events []rawEvent
 	if err := json.Unmarshal(wire.Arrivals, &events); err != nil {
-		return batch, locate(wire.Arrivals, err)
+		return batch, locateTypeError(wire.Arrivals, err)
 	}
 	for i := range events {
-		event, ok, err := d.event(&events[i])
+		event, ok, err := d.decodeEvent(&events[i])
 		if err != nil {
 			return batch, fmt.Errorf("event %d (%s): %w", i, events[i].Cmd, err)
 		}
@@ -76,8 +76,8 @@
 	return batch, nil
 }
 
-// locate names the event that a type error stands in.
-func locate(arrivals []byte, err error) error {
+// locateTypeError adds the index of the event with the wrong type to a type error.
+func locateTypeError(arrivals []byte, err error) error {
 	var parts []json.RawMessage
 	if json.Unmarshal(arrivals, &parts) != nil {
 		return fmt.Errorf("arrivals: %w", err)
@@ -90,8 +90,8 @@
 	return err
 }
 
-// event decodes one event; ok is false for one that no instance needs to see.
-func (d *Decoder) event(w *rawEvent) (event Event, ok bool, err error) {
+// decodeEvent decodes one event; ok is false if the event is not for an instance.
+func (d *Decoder) decodeEvent(w *rawEvent) (event Event, ok bool, err error) {
 	if w.Cmd == commandPool {
 		d.storeEndpoints(w)
 		return Event{}, false, nil
@@ -99,31 +99,31 @@
 	if w.Who == "" {
 		return Event{}, false, &MissingFieldError{Field: "Who"}
 	}
-	event.Who = w.Who
+	event.Instance = w.Who
 	switch w.Cmd {
 	case commandStart:
-		event.Start, err = d.start(w)
+		event.Start, err = d.decodeStart(w)
 	case commandDown:
-		event.Down = true
-	case commandMail: // instances send each other nothing
+		event.Stop = true
+	case commandMail: // instances do not send messages to each other
 		return Event{}, false, nil
 	default:
-		event.Event, err = d.balanceEvent(w)
+		event.Event, err = d.decodeBalanceEvent(w)
 	}
 	return event, err == nil, err
 }
 
-// balanceEvent decodes an event that goes to the decision code.
-func (d *Decoder) balanceEvent(w *rawEvent) (balance.Event, error) {
+// decodeBalanceEvent decodes an event that is passed to the balancer.
+func (d *Decoder) decodeBalanceEvent(w *rawEvent) (balance.Event, error) {
 	switch w.Cmd {
 	case commandMembers:
-		return d.endpointUpdate(w)
+		return d.decodeEndpointList(w)
 	case commandRequest:
-		return request(w), nil
+		return decodeRequest(w), nil
 	case commandOutcome:
-		return d.attemptResult(w)
+		return d.decodeAttemptResult(w)
 	case commandPong:
-		return d.healthCheckResult(w)
+		return d.decodeHealthCheckResult(w)
 	case commandLeft:
 		return balance.ClientDisconnected{ID: w.Ticket}, nil
 	case commandFirstByte:
@@ -135,7 +135,7 @@
 	}
 }
 
-// storeEndpoints keeps a numbered endpoint list, in place of an earlier one of that number.
+// storeEndpoints stores a numbered endpoint list, replacing an earlier one with the same number.
 func (d *Decoder) storeEndpoints(w *rawEvent) {
 	list := make([]balance.EndpointEntry, len(w.Members))
 	for i, m := range w.Members {
@@ -148,36 +148,36 @@
 			StartedAt: time.Duration(m.ReadyAtNs),
 		}
 	}
-	d.lists[w.Slot] = list
+	d.endpointLists[w.Slot] = list
 }
 
-func (d *Decoder) start(w *rawEvent) (*Start, error) {
+func (d *Decoder) decodeStart(w *rawEvent) (*Start, error) {
 	if w.Params == nil {
 		return nil, &MissingFieldError{Field: "Params"}
 	}
 	settings, err := w.Params.Balance()
 	if err != nil {
-		return nil, &ConfigError{Who: w.Who, Err: err}
+		return nil, &ConfigError{Instance: w.Who, Err: err}
 	}
-	d.origins[w.Who] = time.Duration(*w.Params.Extra.OriginTimeNs)
+	d.positionOrigins[w.Who] = time.Duration(*w.Params.Extra.OriginTimeNs)
 	return &Start{Seed: w.Nonce64, Config: settings}, nil
 }
 
-// maxKind is the last of the kinds of endpoint lists, in the wire's and in package balance's order.
-const maxKind = int(balance.ListFailed)
+// maxListKind is the highest kind of endpoint list. The wire and package balance number the kinds in the same order.
+const maxListKind = int(balance.ListFailed)
 
-func (d *Decoder) endpointUpdate(w *rawEvent) (balance.Event, error) {
-	if w.Kind < 0 || w.Kind > maxKind {
+func (d *Decoder) decodeEndpointList(w *rawEvent) (balance.Event, error) {
+	if w.Kind < 0 || w.Kind > maxListKind {
 		return nil, &FieldError{Field: "Kind", Reason: fmt.Sprintf("unknown value %d", w.Kind)}
 	}
 	list := balance.EndpointList{Kind: balance.EndpointListKind(w.Kind)}
 	if list.Kind != balance.ListFailed {
-		list.Entries = d.lists[w.Slot]
+		list.Entries = d.endpointLists[w.Slot]
 	}
 	return list, nil
 }
 
-func request(w *rawEvent) balance.Request {
+func decodeRequest(w *rawEvent) balance.Request {
 	return balance.Request{
 		ID:                w.Ticket,
 		Class:             w.TierClass,
@@ -191,12 +191,12 @@
 	}
 }
 
-// standRoles is how many values the field Stand has for a role, in its lowest part; the position, in milliseconds since
-// the origin, stands above them.
-const standRoles = 4
+// standRoleCount is the number of values that the field Stand reserves for the role. Stand is the position in
+// milliseconds since the origin, multiplied by this number, plus the role.
+const standRoleCount = 4
 
-func (d *Decoder) attemptResult(w *rawEvent) (balance.Event, error) {
-	status, err := status(w.Reason)
+func (d *Decoder) decodeAttemptResult(w *rawEvent) (balance.Event, error) {
+	status, err := decodeStatus(w.Reason)
 	if err != nil {
 		return nil, err
 	}
@@ -207,16 +207,16 @@
 		Status:   status,
 		Elapsed:  time.Duration(w.TookNs),
 		Finished: w.Finished,
-		Role:     role(w.Stand % standRoles),
+		Role:     decodeRole(w.Stand % standRoleCount),
 	}
-	if ms := w.Stand / standRoles; ms > 0 {
-		result.Position = d.origins[w.Who] + time.Duration(ms)*time.Millisecond
+	if ms := w.Stand / standRoleCount; ms > 0 {
+		result.Position = d.positionOrigins[w.Who] + time.Duration(ms)*time.Millisecond
 	}
 	return result, nil
 }
 
-func (d *Decoder) healthCheckResult(w *rawEvent) (balance.Event, error) {
-	status, err := status(w.Reason)
+func (d *Decoder) decodeHealthCheckResult(w *rawEvent) (balance.Event, error) {
+	status, err := decodeStatus(w.Reason)
 	if err != nil {
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 		Elapsed:  time.Duration(w.TookNs),
 	}
 	if seconds, ok := w.Telemetry[telemetryPosition]; ok {
-		result.Position = d.origins[w.Who] + time.Duration(math.Floor(seconds*1e9))
+		result.Position = d.positionOrigins[w.Who] + time.Duration(math.Floor(seconds*1e9))
 	}
 	if primary, ok := w.Telemetry[telemetryPrimary]; ok {
 		result.Role = balance.RoleReplica
@@ -237,7 +237,7 @@
 	return result, nil
 }
 
-func status(reason string) (balance.Status, error) {
+func decodeStatus(reason string) (balance.Status, error) {
 	status, ok := statuses[reason]
 	if !ok {
 		return 0, &FieldError{Field: "Reason", Reason: fmt.Sprintf("unknown word %q", reason)}
@@ -245,8 +245,8 @@
 	return status, nil
 }
 
-// role reads a role as the wire numbers it, which is as package balance does.
-func role(number int64) balance.Role {
+// decodeRole decodes a role. The wire and package balance use the same numbers.
+func decodeRole(number int64) balance.Role {
 	switch role := balance.Role(number); role {
 	case balance.RolePrimary, balance.RoleReplica:
 		return role
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,7 +1,7 @@
-// Package simprotocol turns the JSON lines of the simulator's pipe into the events of package balance, and its actions
-// back into JSON.
+// Package simprotocol decodes the JSON lines that the simulator sends over its pipe into events of package balance, and
+// encodes the actions of package balance as JSON.
 //
-// It owns the names and forms of that pipe, which are fixed; they are translated here and stand nowhere else in the
-// code. It remembers the numbered endpoint lists, which belong to the process, and where the positions of each instance
-// start. It holds no balancer and decides nothing. Its caller uses it from one goroutine.
+// The names and formats of that protocol are fixed by the simulator. They are translated here and are not used anywhere
+// else. The package keeps the numbered endpoint lists, which all instances of the process share, and the origin of each
+// instance's replication positions. It contains no balancer and makes no decisions. It is not safe for concurrent use.
 package simprotocol
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// ConfigError is a settings fault of one instance; the pipe itself is sound.
+// ConfigError reports invalid settings of one instance. The batch itself is well-formed.
 type ConfigError struct {
-	Who string
-	Err error
+	Instance string
+	Err      error
 }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return e.Who + ": " + e.Err.Error() }
+func (e *ConfigError) Error() string { return e.Instance + ": " + e.Err.Error() }
 
-// Unwrap returns the fault without the instance.
+// Unwrap returns the error in the settings.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// FieldError says that a field of an event holds what it may not. Field is its name on the wire.
+// FieldError reports an invalid value in a field of an event. Field is the name of the field on the wire.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -23,13 +23,13 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// MissingFieldError says that an event lacks a field. Field is its name on the wire.
+// MissingFieldError reports that a field of an event is missing. Field is the name of the field on the wire.
 type MissingFieldError struct{ Field string }
 
 // Error implements error.
 func (e *MissingFieldError) Error() string { return e.Field + " is missing" }
 
-// UnknownCommandError says that an event has a command that the protocol does not know.
+// UnknownCommandError reports an event with a command that is not part of the protocol.
 type UnknownCommandError struct{ Command string }
 
 // Error implements error.
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -7,7 +7,7 @@
 	"limeladder/balance"
 )
 
-// wireAction is an action as it stands on the wire.
+// wireAction is the encoding of an action on the wire.
 type wireAction struct {
 	Cmd     string `json:"cmd"`
 	Who     string `json:"Who"`
@@ -25,18 +25,18 @@
 type Reply struct{ actions []wireAction }
 
 // Add appends the actions of one instance.
-func (r *Reply) Add(who string, actions []balance.Action) {
+func (r *Reply) Add(instance string, actions []balance.Action) {
 	for _, action := range actions {
 		if _, ok := action.(balance.PrimaryUpdate); ok {
-			continue // the simulator's wire has no word for it
+			continue // the simulator's protocol has no such action
 		}
 		wire := encodeAction(action)
-		wire.Who = who
+		wire.Who = instance
 		r.actions = append(r.actions, wire)
 	}
 }
 
-// encodeAction returns the action without its instance.
+// encodeAction encodes an action. The caller sets the instance.
 func encodeAction(action balance.Action) wireAction {
 	switch a := action.(type) {
 	case balance.Send:
@@ -60,19 +60,19 @@
 	}
 }
 
-// Crash reports that the decision code of an instance failed.
-func (r *Reply) Crash(who, text string) {
-	r.actions = append(r.actions, wireAction{Cmd: "Crash", Who: who, Text: text})
+// Crash appends the report that an instance has failed: its settings are invalid, or its balancer panicked.
+func (r *Reply) Crash(instance, text string) {
+	r.actions = append(r.actions, wireAction{Cmd: "Crash", Who: instance, Text: text})
 }
 
-// Encode returns the reply line, without its newline.
+// Encode returns the reply line without the trailing newline.
 func (r *Reply) Encode() ([]byte, error) {
 	if len(r.actions) == 0 {
 		return []byte(`{"do":[]}`), nil
 	}
 	var line bytes.Buffer
 	encoder := json.NewEncoder(&line)
-	encoder.SetEscapeHTML(false) // the pipe carries texts as they are
+	encoder.SetEscapeHTML(false) // the simulator's protocol does not escape HTML
 	err := encoder.Encode(struct {
 		Actions []wireAction `json:"do"`
 	}{r.actions})
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -10,7 +10,7 @@
 	"limeladder/balance"
 )
 
-const start = `{"cmd":"Start","Who":"router-0","Nonce64":18446744073709551615,"Params":{"Instances":2,` +
+const startEvent = `{"cmd":"Start","Who":"router-0","Nonce64":18446744073709551615,"Params":{"Instances":2,` +
 	`"Locality":"z1","Discovery":"ask","ResolutionNs":1000,"Novelty":{"x":1},"Lanes":[` +
 	`{"Name":"r","AimNs":5,"GiveUpNs":9,"Effect":"safe","Group":"all","Importance":2,"LateShare":0.5},` +
 	`{"Name":"w","AimNs":6,"GiveUpNs":8,"Effect":"keyed","Group":"cell","WindowNs":7}],` +
@@ -25,13 +25,13 @@
 		t.Fatal(err)
 	}
 	if b.Now != 3*time.Second {
-		t.Fatalf("clock %v", b.Now)
+		t.Fatalf("got batch time %v, want 3s", b.Now)
 	}
 	return b.Events
 }
 
 func TestStart(t *testing.T) {
-	e := decode(t, NewDecoder(), start)[0]
+	e := decode(t, NewDecoder(), startEvent)[0]
 	want := balance.Config{
 		Instances: 2, Zone: "z1", TimerResolution: 1000, PollDiscovery: true,
 		FreshnessCheck: balance.FreshnessCheckHold, ClientSessionTokens: true, HealthChecks: true,
@@ -47,13 +47,13 @@
 		},
 	}
 	if e.Start.Seed != 1<<64-1 || !reflect.DeepEqual(e.Start.Config, want) {
-		t.Fatalf("got %+v", e.Start)
+		t.Fatalf("got %+v, want the settings of the start event and the highest seed", e.Start)
 	}
 }
 
 func TestEvents(t *testing.T) {
 	d := NewDecoder()
-	decode(t, d, start)
+	decode(t, d, startEvent)
 	for _, c := range []struct {
 		in   string
 		want balance.Event
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestPoolNumbersAreReused(t *testing.T) {
+func TestLaterPoolReplacesEarlierOneOfItsNumber(t *testing.T) {
 	pool := func(node string) string {
 		return `{"cmd":"Pool","Slot":1,"Members":[{"Node":"` + node + `","Lifecycle":1,"Leader":1,` +
 			`"Locality":"z","Group":4,"ReadyAtNs":6,"Weight":1.5}]}`
@@ -110,12 +110,12 @@
 			{Endpoint: node, Zone: "z", Group: 4, State: balance.EndpointReady, Primary: true, StartedAt: 6},
 		}}
 		if !reflect.DeepEqual(es[i].Event, want) {
-			t.Errorf("list %d: %+v", i, es[i].Event)
+			t.Errorf("list %d: got %+v, want the endpoints of the last pool before it", i, es[i].Event)
 		}
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestDecodeRejectsInvalidInput(t *testing.T) {
 	for in, want := range map[string]string{
 		`no json`:                    "invalid",
 		`{"arrivals":[]}`:            "TsNs",
@@ -128,12 +128,12 @@
 		`{"TsNs":1,"arrivals":[{"cmd":"Start","Who":"r"}]}`:                                    "Params",
 	} {
 		if _, err := NewDecoder().Decode([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v does not say %q", in, err, want)
+			t.Errorf("%s: got error %v, want one with %q", in, err, want)
 		}
 	}
 }
 
-func TestSettingsFaultNamesTheField(t *testing.T) {
+func TestConfigErrorNamesTheField(t *testing.T) {
 	for from, want := range map[string]string{
 		`"LagAllowedNs":[4,0]`:               "LagAllowedNs",
 		`"NeedsByClass":["recent","update"]`: "NeedsByClass",
@@ -142,10 +142,10 @@
 		to := strings.Replace(from, "0]", "0,1]", 1)
 		to = strings.Replace(to, `["recent",`, "[", 1)
 		to = strings.Replace(to, "1000000000", "null", 1)
-		_, err := NewDecoder().Decode([]byte(`{"TsNs":1,"arrivals":[` + strings.Replace(start, from, to, 1) + `]}`))
+		_, err := NewDecoder().Decode([]byte(`{"TsNs":1,"arrivals":[` + strings.Replace(startEvent, from, to, 1) + `]}`))
 		var bad *ConfigError
 		if !errors.As(err, &bad) || !strings.Contains(bad.Error(), want) {
-			t.Errorf("error %v does not name %s", err, want)
+			t.Errorf("got error %v, want a ConfigError that names %s", err, want)
 		}
 	}
 }
@@ -173,6 +173,6 @@
 		t.Fatalf("%v\n got %s\nwant %s", err, got, want)
 	}
 	if got, _ := (&Reply{}).Encode(); string(got) != `{"do":[]}` {
-		t.Fatalf("empty reply %s", got)
+		t.Fatalf("got empty reply %s, want an empty list of actions", got)
 	}
 }
--- a/internal/simprotocol/wire_event.go
+++ b/internal/simprotocol/wire_event.go
@@ -7,7 +7,7 @@
 	"limeladder/internal/config"
 )
 
-// Commands of the events.
+// Commands of events.
 const (
 	commandPool      = "Pool"
 	commandStart     = "Start"
@@ -22,19 +22,19 @@
 	commandMail      = "Mail"
 )
 
-// The values of a health check's answer.
+// Names of the values in the result of a health check.
 const (
 	telemetryPosition = "x0" // in seconds
-	telemetryPrimary  = "x1" // 1 = it is the primary
+	telemetryPrimary  = "x1" // 1 = the endpoint is the primary
 )
 
-// rawBatch is a line as it stands on the wire. The names of this type and of rawEvent appear in the texts of errors.
+// rawBatch is a line of input before decoding. The names of this type and of rawEvent appear in error messages.
 type rawBatch struct {
 	TsNs     *int64          `json:"TsNs"`
 	Arrivals json.RawMessage `json:"arrivals"`
 }
 
-// rawEvent has the fields of all events, by their names on the wire.
+// rawEvent has the fields of all events. The names of its fields are those on the wire.
 type rawEvent struct {
 	Cmd, Who                   string
 	Ticket, Node, Reason       string
@@ -60,11 +60,11 @@
 	Node, Locality string
 	Group          int64
 	Lifecycle      int
-	Leader, Weight float64 // Weight is decoded for its type alone
+	Leader, Weight float64 // Weight is only decoded to check its type
 	ReadyAtNs      int64
 }
 
-// tenant is a tenant's name; the wire writes 0 where there is none.
+// tenant is the name of a tenant. On the wire 0 means that there is none.
 type tenant string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// statuses are the words that the wire has for the end of an attempt.
+// statuses maps the reasons on the wire to the status of an attempt or a health check.
 var statuses = map[string]balance.Status{
 	"done":         balance.StatusDone,
 	"err":          balance.StatusError,
