--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -59,7 +59,7 @@
 	Retry           bool
 	Job             Job
 	Tenant          string // the user of the connection, for the audit record; "" = unknown
-	ClientAddress   string // the address of the client
+	ClientAddress   string
 }
 
 // Ordering specifies which of the earlier requests on its connection a request has to wait for.
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -3,8 +3,8 @@
 //
 // The package owns all requests in flight: their deadlines, attempts, answers and audit records. It is independent of
 // the wire protocol and of the routing policy. Frontends pass requests to it and receive answers through the Client
-// interface, package balance decides which endpoint a request goes to, and backends execute attempts behind the
-// Backends interface.
+// interface, package balance decides which endpoint a request goes to, and an implementation of Backends executes
+// the attempts.
 //
 // A request passes through these stages, each in the file of its name:
 //
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -24,7 +24,7 @@
 	Event    balance.Event
 }
 
-// Start starts an instance.
+// Start has the seed and the settings of an instance that is to be started.
 type Start struct {
 	Seed   uint64
 	Config balance.Config
