--- a/internal/failover/action.go
+++ b/internal/failover/action.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Action is something that the caller has to do. Actions are carried out in order.
+// Action is something that the caller has to do. The caller has to carry out actions in their order.
 type Action struct {
 	Kind       ActionKind
-	ID         string        // of the request: ActionRelease, ActionReject
-	Endpoint   string        // ActionHealthCheck
-	Group      int64         // all but ActionHealthCheck
-	RetryAfter time.Duration // ActionReject: when the client may try again
-	Reason     Reason        // ActionReject
+	ID         string        // of the request; set for ActionRelease and ActionReject
+	Endpoint   string        // set for ActionHealthCheck
+	Group      int64         // set for all kinds but ActionHealthCheck
+	RetryAfter time.Duration // how long the client should wait before it retries; set for ActionReject
+	Reason     Reason        // set for ActionReject
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	ActionRelease      ActionKind = iota // give the request to the decision module
-	ActionReject                         // answer the request as rejected, at once
-	ActionHealthCheck                    // ask the endpoint for a load report
-	ActionWithdraw                       // take the group's requests of Config.Classes back, and enqueue them
-	ActionPhaseChanged                   // the group is in another phase
+	ActionRelease      ActionKind = iota // pass the request to the decision module
+	ActionReject                         // reject the request immediately
+	ActionHealthCheck                    // request a load report from the endpoint
+	ActionWithdraw                       // withdraw the group's requests of Config.Classes, and enqueue them
+	ActionPhaseChanged                   // the group has entered another phase
 )
 
-// Reason says why a request was rejected.
+// Reason is why a request was rejected.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonDeadline     Reason = iota // an answer can't reach the client before its deadline
-	ReasonQueueFull                  // the queue is over a bound, and this was its least valuable request
+	ReasonDeadline     Reason = iota // a response can't reach the client before its deadline
+	ReasonQueueFull                  // the queue exceeded a bound, and this was its least valuable request
 	ReasonQueueTimeout               // it was queued for MaxPendingTime
 	reasonCount
 )
@@ -45,7 +45,7 @@
 	return actions
 }
 
-// HasActions says whether Actions would return any.
+// HasActions reports whether Actions would return any.
 func (t *Tracker) HasActions() bool { return len(t.actions) > 0 }
 
 func (t *Tracker) emit(a Action) { t.actions = append(t.actions, a) }
--- a/internal/failover/attempt.go
+++ b/internal/failover/attempt.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// AttemptEnd is how an attempt ended, as far as a failover is concerned.
+// AttemptEnd is the result of an attempt, as far as it matters for a failover.
 type AttemptEnd uint8
 
-// The ends.
+// The results of an attempt.
 const (
-	EndAnswered     AttemptEnd = iota // the endpoint answered
-	EndNotPrimary                     // it rejected a write because it is no primary
-	EndUnreachable                    // the connection was refused or broke: nothing is known of what stands behind it
-	EndInconclusive                   // cancelled or timed out: says nothing by itself
-	EndRejected                       // it shed the request
+	EndAnswered     AttemptEnd = iota // the endpoint responded
+	EndNotPrimary                     // the endpoint rejected a write because it isn't the primary
+	EndUnreachable                    // the connection was refused or broke
+	EndInconclusive                   // cancelled or timed out, which is no evidence on its own
+	EndRejected                       // the endpoint shed the request
 )
 
-// Role is what an answer or a load report says of its sender.
+// Role is the role of an endpoint according to its response or load report.
 type Role uint8
 
 // The roles.
@@ -24,7 +24,7 @@
 	RoleReplica
 )
 
-// AttemptSent records an attempt at an endpoint.
+// AttemptSent records that an attempt was sent to an endpoint.
 func (t *Tracker) AttemptSent(now time.Duration, endpointID, requestID string) {
 	endpoint := t.endpoints[endpointID]
 	if endpoint != nil && endpoint.isPrimary() {
@@ -32,8 +32,9 @@
 	}
 }
 
-// AttemptEnded records the end of an attempt. The position is the one that the answer told, 0 = none; class and
-// elapsed are those of a request that was served.
+// AttemptEnded records the result of an attempt. position is the replication position in the response, 0 if it had
+// none. class and elapsed are the class of the request and the duration of the attempt; they are set only if the
+// request was served.
 func (t *Tracker) AttemptEnded(now time.Duration, endpointID, requestID string, end AttemptEnd, role Role,
 	position time.Duration, class string, elapsed time.Duration,
 ) {
@@ -55,7 +56,7 @@
 		}
 		t.endpointAnswered(endpoint, now)
 		if role == RolePrimary && group.phase.queuesWrites() && !endpoint.isPrimary() {
-			t.sendHealthCheck(endpoint, now) // the decision module believes a load report sooner than an answer
+			t.sendHealthCheck(endpoint, now) // the decision module accepts a load report sooner than a response
 		}
 	case EndRejected:
 		t.endpointAnswered(endpoint, now)
@@ -69,17 +70,18 @@
 	t.releasePending(group, now)
 }
 
-// endpointAnswered refutes the suspicion of a primary that answers.
+// endpointAnswered records a response of an endpoint. If the endpoint is a primary under suspicion, the response
+// refutes that.
 func (t *Tracker) endpointAnswered(endpoint *trackedEndpoint, now time.Duration) {
 	endpoint.silence.lastAnswerAt = now
-	endpoint.connectFailures = 0
+	endpoint.consecutiveFailures = 0
 	if endpoint.answerRefutesLoss() {
-		endpoint.silence.suspectedWrongly()
+		endpoint.silence.recordWrongSuspicion()
 		t.startRelease(endpoint.group, EvidenceAnswered, now)
 	}
 }
 
-// answerRefutesLoss says whether an answer of the endpoint shows that its group has not lost its primary.
+// answerRefutesLoss reports whether a response of the endpoint proves that its group has not lost its primary.
 func (e *trackedEndpoint) answerRefutesLoss() bool {
 	if !e.isPrimary() {
 		return false
@@ -94,9 +96,10 @@
 	}
 }
 
-// endpointUnreachable suspects a primary that can't be reached, and takes it for lost the second time.
+// endpointUnreachable records a refused or broken connection. A primary is suspected after the first one, and
+// considered lost after the second one in a row.
 func (t *Tracker) endpointUnreachable(endpoint *trackedEndpoint, now time.Duration) {
-	endpoint.connectFailures++
+	endpoint.consecutiveFailures++
 	if !endpoint.isPrimary() {
 		return
 	}
@@ -105,7 +108,7 @@
 	case !group.phase.queuesWrites():
 		t.transition(group, PhaseSuspected, EvidenceConnectionRefused, endpoint.id, now)
 		t.sendHealthCheck(endpoint, now)
-	case group.phase == PhaseSuspected && endpoint.connectFailures > 1:
+	case group.phase == PhaseSuspected && endpoint.consecutiveFailures > 1:
 		t.transition(group, PhasePrimaryLost, EvidenceConnectionRefused, endpoint.id, now)
 	}
 }
--- a/internal/failover/endpoint.go
+++ b/internal/failover/endpoint.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// trackedEndpoint is one endpoint of a replica group.
+// trackedEndpoint is the state of one endpoint of a replica group.
 type trackedEndpoint struct {
 	id        string
 	group     *replicaGroup
-	draining  bool // by the endpoint list, or no longer named there
+	draining  bool // draining according to the endpoint list, or no longer listed
 	suspended bool // by an operator
 
-	position   time.Duration // the newest replication position that it told
-	positionAt time.Duration // when it told that
+	position   time.Duration // the highest replication position that it reported
+	positionAt time.Duration // when it reported that position
 
-	silence         silenceDetector
-	connectFailures int // connections refused or broken, and health checks without an answer, in a row
+	silence             silenceDetector
+	consecutiveFailures int // consecutive refused or broken connections and failed health checks
 
 	healthCheckInFlight bool
 	healthCheckSentAt   time.Duration
 }
 
-// inService says whether the endpoint may be primary.
+// inService reports whether the endpoint may be the primary.
 func (e *trackedEndpoint) inService() bool { return !e.draining && !e.suspended }
 
-// isUsable says whether nothing speaks against sending to the endpoint.
-func (e *trackedEndpoint) isUsable() bool { return e.inService() && e.connectFailures == 0 }
+// isUsable reports whether the endpoint is in service and has had no connection failure since its last response.
+func (e *trackedEndpoint) isUsable() bool { return e.inService() && e.consecutiveFailures == 0 }
 
-// isPrimary says whether the endpoint is its group's primary, as far as is known.
+// isPrimary reports whether the endpoint is the last observed primary of its group.
 func (e *trackedEndpoint) isPrimary() bool { return e.group.primary == e }
 
 func (e *trackedEndpoint) recordPosition(position, now time.Duration) {
@@ -44,11 +44,12 @@
 	ID       string
 	Group    int64
 	Draining bool
-	Removed  bool // forgotten at once, or where it is the primary as soon as another one is observed
+	Removed  bool // the endpoint is no longer part of the deployment; see UpdateEndpoints
 }
 
-// UpdateEndpoints takes over entries of the endpoint list. An endpoint that has no entry stays as it was, or is
-// removed where the list is complete.
+// UpdateEndpoints applies entries of the endpoint list. An endpoint without an entry is removed if the list is
+// complete, and stays unchanged otherwise. A removed endpoint is forgotten immediately, unless it is the primary: then
+// it is kept as draining, and forgotten with the next list after another primary was observed.
 func (t *Tracker) UpdateEndpoints(now time.Duration, entries []Endpoint, complete bool) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Suspend says that operators have taken an endpoint out of service, or put it back.
+// Suspend records that operators have suspended an endpoint, or, if suspended is false, resumed it.
 func (t *Tracker) Suspend(now time.Duration, endpointID string, suspended bool) {
 	endpoint := t.endpoints[endpointID]
 	if endpoint == nil {
@@ -99,7 +100,8 @@
 	}
 }
 
-// startSwitchover queues the writes of a group whose primary gives up its role.
+// startSwitchover starts to queue the writes of the endpoint's group if the endpoint is its primary. evidence is why
+// the primary is giving up its role.
 func (t *Tracker) startSwitchover(endpoint *trackedEndpoint, evidence Evidence, now time.Duration) {
 	if endpoint.isPrimary() && !endpoint.group.phase.queuesWrites() {
 		t.transition(endpoint.group, PhaseSwitchover, evidence, endpoint.id, now)
@@ -114,8 +116,8 @@
 	return endpoint
 }
 
-// removeEndpoint forgets an endpoint that is no longer listed. A primary is kept, draining, until another one is
-// observed: its role is still evidence.
+// removeEndpoint forgets an endpoint that is no longer listed. A primary is kept as draining until another one is
+// observed, because its responses are still evidence about the group.
 func (t *Tracker) removeEndpoint(endpoint *trackedEndpoint, now time.Duration) {
 	if endpoint == nil {
 		return
--- a/internal/failover/expiry.go
+++ b/internal/failover/expiry.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// workEstimates are the expected times of attempts, by class.
+// workEstimates holds the expected durations of attempts by class.
 type workEstimates struct {
 	classes  map[string]Class
-	measured map[string]*time.Duration // smoothed
+	measured map[string]*time.Duration // moving averages
 }
 
 func newWorkEstimates(classes map[string]Class) workEstimates {
 	return workEstimates{classes: classes, measured: map[string]*time.Duration{}}
 }
 
-// record learns from an attempt that was served.
+// record updates the estimate of a class with the duration of an attempt that was served.
 func (w *workEstimates) record(class string, elapsed time.Duration) {
 	estimate := w.measured[class]
 	if estimate == nil {
@@ -23,7 +23,8 @@
 	*estimate += time.Duration(responseTimeSmoothing * float64(elapsed-*estimate))
 }
 
-// expected is the time that an attempt takes: as measured, or as configured until one was.
+// expected returns the expected duration of an attempt: the measured one, or the configured one until an attempt was
+// measured.
 func (w *workEstimates) expected(class string) time.Duration {
 	if estimate := w.measured[class]; estimate != nil {
 		return *estimate
@@ -31,13 +32,14 @@
 	return w.classes[class].Work
 }
 
-// latestRelease is the last moment at which a release is useful: the client's deadline, less the way of the answer,
-// less the expected time of the attempt.
+// latestRelease returns the time from which on a release of the request is useless: the client's deadline, minus
+// Config.DeadlineMargin, minus the expected duration of the attempt.
 func (t *Tracker) latestRelease(request Request) time.Duration {
 	return request.Deadline - t.cfg.DeadlineMargin - t.work.expected(request.Class)
 }
 
-// rejectExpired rejects a group's requests that can't be answered in time any more, or were queued for too long.
+// rejectExpired rejects the requests of a group that can no longer be served before their deadline, or that were
+// queued for too long.
 func (t *Tracker) rejectExpired(group *replicaGroup, now time.Duration) {
 	for len(group.pending) > 0 && now >= group.pending[0].latestRelease {
 		request := group.pending[0]
@@ -49,18 +51,18 @@
 	}
 }
 
-// rejectTimedOut rejects a group's requests that were queued for MaxPendingTime.
+// rejectTimedOut rejects the requests of a group that have been queued for MaxPendingTime.
 func (t *Tracker) rejectTimedOut(group *replicaGroup, now time.Duration) {
-	if now < group.oldestPending+t.cfg.MaxPendingTime {
+	if now < group.oldestEnqueuedAt+t.cfg.MaxPendingTime {
 		return
 	}
 	var timedOut []*pendingRequest
-	group.oldestPending = now
+	group.oldestEnqueuedAt = now
 	for _, request := range group.pending {
 		if now-request.enqueuedAt >= t.cfg.MaxPendingTime {
 			timedOut = append(timedOut, request)
 		} else {
-			group.oldestPending = min(group.oldestPending, request.enqueuedAt)
+			group.oldestEnqueuedAt = min(group.oldestEnqueuedAt, request.enqueuedAt)
 		}
 	}
 	for _, request := range timedOut {
--- a/internal/failover/group.go
+++ b/internal/failover/group.go
@@ -9,28 +9,28 @@
 // replicaGroup is the failover state of one replica group.
 type replicaGroup struct {
 	id        int64
-	endpoints []*trackedEndpoint // by their names
-	primary   *trackedEndpoint   // observed last, possibly suspect; nil = none was
-	term      uint64             // counts the primaries
-	history   []Transition       // the newest last
+	endpoints []*trackedEndpoint // sorted by ID
+	primary   *trackedEndpoint   // the last observed primary, possibly suspect; nil = none was observed
+	term      uint64             // number of primaries so far; increases with each change of the primary
+	history   []Transition       // in the order of time, the newest last
 
 	phase          Phase
 	phaseSince     time.Duration
 	failoverSince  time.Duration
-	announcedUntil time.Duration // end of an announced failover, 0 = none is announced
-	primarySuspect bool          // the decision module suspects the primary, until it observes one
+	announcedUntil time.Duration // when an announced failover expires, 0 = none is announced
+	primarySuspect bool          // the decision module suspects the primary and has not observed one since
 
-	pending         deadlineHeap
-	oldestPending   time.Duration // no queued request was enqueued before
-	release         releaseWindow
-	releaseReviewAt time.Duration // released requests that have not ended by then are no longer waited for
-	healthChecks    healthCheckSchedule
+	pending          deadlineHeap
+	oldestEnqueuedAt time.Duration // lower bound of the times at which the queued requests were enqueued
+	release          releaseWindow
+	releaseReviewAt  time.Duration // when to stop waiting for the released requests that have not ended
+	healthChecks     healthCheckSchedule
 
 	releasedTotal uint64
 	rejectedTotal [reasonCount]uint64
 }
 
-// groupFor returns a group, which it creates if need be.
+// groupFor returns the group with an ID. It creates the group if necessary.
 func (t *Tracker) groupFor(id int64) *replicaGroup {
 	group := t.groups[id]
 	if group == nil {
@@ -51,8 +51,8 @@
 	return g.primary.id
 }
 
-// Announce says that operators are about to change a group's primary: its writes are queued from now on, until
-// another primary is observed or the time has passed. It returns false if the group is not known.
+// Announce records that operators are about to change the primary of a group. The writes of the group are queued until
+// another primary is observed or the duration within has passed. Announce returns false if the group is not known.
 func (t *Tracker) Announce(now time.Duration, groupID int64, within time.Duration) bool {
 	group := t.groups[groupID]
 	if group == nil {
@@ -63,7 +63,7 @@
 	return true
 }
 
-// ObservePrimary says which endpoint the decision module has confirmed as a group's primary.
+// ObservePrimary records that the decision module has confirmed an endpoint as the primary of a group.
 func (t *Tracker) ObservePrimary(now time.Duration, groupID int64, endpointID string) {
 	group := t.groupFor(groupID)
 	endpoint := t.endpoints[endpointID]
@@ -85,12 +85,12 @@
 	if awaitsAnnounced && !isNew {
 		return // the old primary keeps its role until another one takes over
 	}
-	endpoint.connectFailures = 0
+	endpoint.consecutiveFailures = 0
 	endpoint.silence.lastAnswerAt = now
 	t.startRelease(group, EvidencePrimaryObserved, now)
 }
 
-// SuspectPrimary says that the decision module suspects an endpoint that it had confirmed as a group's primary.
+// SuspectPrimary records that the decision module suspects an endpoint that it had confirmed as the primary of a group.
 func (t *Tracker) SuspectPrimary(now time.Duration, groupID int64, endpointID string) {
 	group := t.groupFor(groupID)
 	if group.primary != nil && group.primary.id != endpointID {
@@ -102,15 +102,16 @@
 	}
 }
 
-// restoredPositionAt ranks an earlier primary before endpoints of which nothing is known, and behind all others.
+// restoredPositionAt is the positionAt of a restored primary. It ranks the endpoint before endpoints that have not
+// reported a position, and after all endpoints that have.
 const restoredPositionAt = 1
 
-// RestoreTerm passes on what an earlier process knew of a group: its term continues, and its primary gets the first
-// health check. It may be called late, after a primary was observed.
+// RestoreTerm restores the term and the primary of a group from an earlier process. The term is continued, and the
+// primary is the first endpoint to get a health check. RestoreTerm may also be called after a primary was observed.
 func (t *Tracker) RestoreTerm(groupID int64, term uint64, primary string) {
 	group := t.groupFor(groupID)
 	if group.primary != nil && group.primary.id != primary {
-		term++ // another primary has followed meanwhile
+		term++ // another primary has succeeded it in the meantime
 	}
 	group.term = max(group.term, term)
 	endpoint := t.endpoints[primary]
@@ -118,6 +119,6 @@
 		return
 	}
 	if group.primary == nil {
-		endpoint.positionAt = restoredPositionAt // it is only asked first: the decision module has to confirm it
+		endpoint.positionAt = restoredPositionAt // only checked first: the decision module still has to confirm it
 	}
 }
--- a/internal/failover/health_check.go
+++ b/internal/failover/health_check.go
@@ -6,78 +6,81 @@
 	"time"
 )
 
-// Rounds of health checks look for the successor. Queued requests pay for dense rounds; without any they are rare,
-// because all routers that share a group check its endpoints at once.
+// Health checks are sent in rounds to find the successor. Each queued request adds to a budget of rounds at short
+// intervals. Without a budget rounds are rare, because all routers that share a group check its endpoints at the same
+// time.
 const (
-	firstHealthCheckInterval  = 15 * time.Millisecond // between paid rounds, at first
-	maxHealthCheckInterval    = 50 * time.Millisecond // later: a successor is to be found in 60 ms at the median
-	healthCheckIntervalGrowth = 1.15                  // from round to round
+	firstHealthCheckInterval  = 15 * time.Millisecond // between the first rounds on a budget
+	maxHealthCheckInterval    = 50 * time.Millisecond // later, so that a successor is found within 60 ms at the median
+	healthCheckIntervalGrowth = 1.15                  // factor of the interval from one round to the next
 
-	// healthCheckRoundsPerRequest are the rounds that each queued request pays for, over all routers.
+	// healthCheckRoundsPerRequest is the number of rounds, over all routers, that a queued request adds to the budget.
 	healthCheckRoundsPerRequest = 20.0
 
-	// unpaidHealthCheckInterval is the interval of rounds that no request pays for, and
-	// unpaidHealthCheckIntervalPerRouter, times the number of routers, where that is longer.
-	unpaidHealthCheckInterval          = 250 * time.Millisecond
-	unpaidHealthCheckIntervalPerRouter = 50 * time.Millisecond
+	// Without a budget the interval between rounds is unbudgetedHealthCheckInterval, or
+	// unbudgetedHealthCheckIntervalPerRouter times the number of routers if that is longer.
+	unbudgetedHealthCheckInterval          = 250 * time.Millisecond
+	unbudgetedHealthCheckIntervalPerRouter = 50 * time.Millisecond
 
-	// healthCheckTimeout is when a health check without an answer no longer stops another one.
+	// healthCheckTimeout is the time after which an endpoint may get another health check though the last one has not
+	// ended.
 	healthCheckTimeout = 400 * time.Millisecond
 )
 
-// healthCheckSchedule says when a group's next round of health checks is due.
+// healthCheckSchedule determines when the next round of health checks of a group is due.
 type healthCheckSchedule struct {
-	nextRound  time.Duration
-	interval   time.Duration // of paid rounds
-	paidRounds float64
+	nextRound   time.Duration
+	interval    time.Duration // between rounds on the budget
+	roundBudget float64       // rounds that may still be sent at short intervals
 }
 
 func (s *healthCheckSchedule) start(firstRound time.Duration) {
 	s.interval = firstHealthCheckInterval
-	s.paidRounds = 0
+	s.roundBudget = 0
 	s.nextRound = firstRound
 }
 
-// firstRoundDelay draws when the first round of a failover begins, so that routers don't all begin at once.
+// firstRoundDelay returns a random delay before the first round of a failover, so that routers don't all start at the
+// same time.
 func (t *Tracker) firstRoundDelay() time.Duration {
 	routers := time.Duration(1 + t.cfg.Instances)
-	bound := min(unpaidHealthCheckInterval, unpaidHealthCheckIntervalPerRouter/10*routers)
+	bound := min(unbudgetedHealthCheckInterval, unbudgetedHealthCheckIntervalPerRouter/10*routers)
 	return time.Duration(t.rng.Int64N(int64(bound)))
 }
 
-// jitter draws from an interval, a quarter more or less.
+// jitter returns a random duration between 3/4 and 5/4 of an interval.
 func (t *Tracker) jitter(interval time.Duration) time.Duration {
 	return interval*3/4 + time.Duration(t.rng.Int64N(int64(interval/2)))
 }
 
-// canPayHealthCheckRound says whether queued requests pay for another round of health checks.
-func (g *replicaGroup) canPayHealthCheckRound() bool {
-	return len(g.pending) > 0 && g.healthChecks.paidRounds >= 1
+// hasRoundBudget reports whether requests are queued and the budget allows another round of health checks.
+func (g *replicaGroup) hasRoundBudget() bool {
+	return len(g.pending) > 0 && g.healthChecks.roundBudget >= 1
 }
 
-// payHealthChecks adds the rounds that a request pays for which was just enqueued, and brings the next round forward.
-func (t *Tracker) payHealthChecks(group *replicaGroup, now time.Duration) {
+// addRoundBudget adds to the budget for a request that was just enqueued, and brings the next round forward.
+func (t *Tracker) addRoundBudget(group *replicaGroup, now time.Duration) {
 	schedule := &group.healthChecks
-	schedule.paidRounds += t.cfg.sharePerInstance(healthCheckRoundsPerRequest)
-	if group.phase.queuesWrites() && group.canPayHealthCheckRound() {
+	schedule.roundBudget += t.cfg.sharePerInstance(healthCheckRoundsPerRequest)
+	if group.phase.queuesWrites() && group.hasRoundBudget() {
 		schedule.nextRound = min(schedule.nextRound, now+t.jitter(schedule.interval))
 	}
 }
 
-// runHealthCheckRound checks all endpoints that might be the successor, when the next round is due. Rounds are
-// bounded by what queued requests pay for: at a fixed rate, many routers with a write or two each would keep the
-// group busy with load reports.
+// runHealthCheckRound sends a health check to each endpoint that may be the successor, if a round is due. The budget
+// bounds the number of rounds at short intervals: at a fixed rate, many routers with one or two queued writes each
+// would keep the group busy with load reports.
 func (t *Tracker) runHealthCheckRound(group *replicaGroup, now time.Duration) {
 	schedule := &group.healthChecks
 	if now < schedule.nextRound {
 		return
 	}
 	interval := schedule.interval
-	if group.canPayHealthCheckRound() {
-		schedule.paidRounds--
+	if group.hasRoundBudget() {
+		schedule.roundBudget--
 	} else {
-		perRouter := unpaidHealthCheckIntervalPerRouter * time.Duration(t.cfg.Instances)
-		interval = max(unpaidHealthCheckInterval, perRouter)
+		perRouter := unbudgetedHealthCheckIntervalPerRouter * time.Duration(t.cfg.Instances)
+		interval = max(unbudgetedHealthCheckInterval, perRouter)
 	}
 	grown := time.Duration(healthCheckIntervalGrowth * float64(schedule.interval))
 	schedule.interval = min(maxHealthCheckInterval, grown)
@@ -87,8 +90,9 @@
 	}
 }
 
-// healthCheckCandidates are the endpoints that may be checked, the likeliest successor first: by replication
-// position, and among equals the one that told its position last. A suspected primary comes first, a lost one last.
+// healthCheckCandidates returns the endpoints in service, the most likely successor first: sorted by replication
+// position, and those with the same position by the time at which they reported it, the newest first. A suspected
+// primary comes first, a lost one last.
 func (g *replicaGroup) healthCheckCandidates() []*trackedEndpoint {
 	var candidates []*trackedEndpoint
 	for _, endpoint := range g.endpoints {
@@ -122,7 +126,8 @@
 	t.emit(Action{Kind: ActionHealthCheck, Endpoint: endpoint.id})
 }
 
-// HealthCheckEnded records the end of a health check, with the role and the replication position of the load report.
+// HealthCheckEnded records the result of a health check. role and position are the role and the replication position
+// in the load report; they are ignored if the endpoint didn't answer.
 func (t *Tracker) HealthCheckEnded(now time.Duration, endpointID string, answered bool, role Role,
 	position time.Duration,
 ) {
@@ -147,13 +152,13 @@
 	if !endpoint.isPrimary() {
 		return
 	}
-	endpoint.connectFailures++
+	endpoint.consecutiveFailures++
 	if endpoint.group.phase == PhaseSuspected {
 		t.transition(endpoint.group, PhasePrimaryLost, EvidenceHealthCheckFailed, endpoint.id, now)
 	}
 }
 
-// primaryReportedReplica starts a switchover, since the primary says itself that it has lost its role.
+// primaryReportedReplica starts a switchover, because the primary itself reports that it has become a replica.
 func (t *Tracker) primaryReportedReplica(primary *trackedEndpoint, now time.Duration) {
 	primary.silence.lastAnswerAt = now
 	group := primary.group
--- a/internal/failover/health_check_test.go
+++ b/internal/failover/health_check_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// answerHealthChecks carries out the health checks that were requested, and returns their endpoints. All but n0-0
-// answer.
+// answerHealthChecks reports a result for each requested health check, and returns the checked endpoints. All endpoints
+// but n0-0 answer.
 func answerHealthChecks(tracker *Tracker, now time.Duration) (endpoints []string) {
 	for _, action := range tracker.Actions() {
 		if action.Kind == ActionHealthCheck {
@@ -19,8 +19,8 @@
 	return endpoints
 }
 
-// Routers draw their own moments of health checks; the endpoint with the newest position is checked first; queued
-// requests bound the number of checks.
+// The endpoint with the highest replication position is checked first, the number of queued requests bounds the number
+// of health checks, and routers send them at different times.
 func TestHealthChecksOfOneRouter(t *testing.T) {
 	const endpoints, seconds = 3, 20
 	var secondRounds []time.Duration
@@ -46,22 +46,23 @@
 			}
 		}
 		if checked[0] != "n0-2" || checked[1] != "n0-1" {
-			t.Fatalf("%v are checked first", checked[:2])
+			t.Fatalf("%v are checked first, want n0-2 and n0-1", checked[:2])
 		}
-		paid := endpoints * healthCheckRoundsPerRequest
-		unpaid := endpoints * seconds * 6
-		if n := float64(len(checked)); n > paid+float64(unpaid) || n < paid {
-			t.Fatalf("%v health checks in %d s", n, seconds)
+		budgeted := endpoints * healthCheckRoundsPerRequest
+		unbudgeted := endpoints * seconds * 6
+		if n := float64(len(checked)); n > budgeted+float64(unbudgeted) || n < budgeted {
+			t.Fatalf("%v health checks in %d s are out of bounds", n, seconds)
 		}
 	}
 	slices.Sort(secondRounds)
 	if len(slices.Compact(secondRounds)) < 5 {
-		t.Fatalf("all routers check at once: %v", secondRounds)
+		t.Fatalf("the second rounds of 20 routers are at fewer than 5 different times: %v", secondRounds)
 	}
 }
 
-// countHealthChecks plays routers whose group has lost its primary. Each enqueues a write every 250 ms until it has
-// so many. It returns the number of health checks of all routers, and of the busiest tenth of a second.
+// countHealthChecks simulates routers whose group has lost its primary. Each router enqueues the given number of
+// writes, one every 250 ms. countHealthChecks returns the number of health checks of all routers over the whole length,
+// and in the busiest 100 ms.
 func countHealthChecks(routers, writes int, length time.Duration) (total, busiest int) {
 	const writeInterval = 250 * ms
 	cfg := testConfig()
@@ -87,23 +88,23 @@
 	return total, busiest
 }
 
-// Eighty routers whose group has lost its primary: with nothing queued their health checks are rare, with a write or
-// two each they are as many as those pay for, and one that queues many checks as densely as one router alone does.
+// 80 routers whose group has lost its primary send few health checks while nothing is queued, no more than the budget
+// allows with one queued write each, and clearly more with many writes each.
 func TestHealthChecksOfManyRouters(t *testing.T) {
 	const routers, endpoints, length = 80, 3, 4 * time.Second
-	const unpaidInterval = unpaidHealthCheckIntervalPerRouter * routers * 3 / 4
+	const unbudgetedInterval = unbudgetedHealthCheckIntervalPerRouter * routers * 3 / 4
 	idle, _ := countHealthChecks(routers, 0, length)
-	if most := routers * endpoints * int(1+length/unpaidInterval); idle > most {
-		t.Errorf("%d health checks with nothing queued, more than %d", idle, most)
+	if most := routers * endpoints * int(1+length/unbudgetedInterval); idle > most {
+		t.Errorf("%d health checks with nothing queued, want at most %d", idle, most)
 	}
 	one, busiest := countHealthChecks(routers, 1, length)
 	if most := idle + routers*endpoints; one > most || busiest > routers*endpoints {
-		t.Errorf("%d health checks with a write each, more than %d; %d in a tenth of a second", one, most, busiest)
+		t.Errorf("%d health checks with a write each, want at most %d; %d in the busiest 100 ms", one, most, busiest)
 	}
 	if many, _ := countHealthChecks(routers, 16, length); many < one+routers*endpoints*2 {
-		t.Errorf("%d health checks with sixteen writes each, %d with one: they are not paid for", many, one)
+		t.Errorf("%d health checks with 16 writes each, want clearly more than the %d with one", many, one)
 	}
-	t.Logf("nothing queued: %d, a write each: %d (%d in the busiest tenth of a second)", idle, one, busiest)
+	t.Logf("health checks with nothing queued: %d, with a write each: %d (%d in the busiest 100 ms)", idle, one, busiest)
 }
 
 func TestHealthCheckCandidates(t *testing.T) {
@@ -114,17 +115,17 @@
 		"by position": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, "n0-0")
 		}, []string{"n0-2", "n0-1", "n0-0"}},
-		"a suspected primary first": {func(tracker *Tracker) {
+		"suspected primary first": {func(tracker *Tracker) {
 			tracker.AttemptEnded(1, "n0-0", "a", EndUnreachable, RoleUnknown, 0, "", 0)
 		}, []string{"n0-0", "n0-2", "n0-1"}},
-		"none that is suspended": {func(tracker *Tracker) {
+		"without suspended endpoints": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, "n0-0")
 			tracker.Suspend(1, "n0-2", true)
 		}, []string{"n0-1", "n0-0"}},
-		"none that drains": {func(tracker *Tracker) {
+		"without draining endpoints": {func(tracker *Tracker) {
 			tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false)
 		}, []string{"n0-2", "n0-1"}},
-		"among equals the newest report": {func(tracker *Tracker) {
+		"newest report first at the same position": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, "n0-0")
 			tracker.HealthCheckEnded(2, "n0-1", true, RoleReplica, 500)
 		}, []string{"n0-1", "n0-2", "n0-0"}},
@@ -138,14 +139,14 @@
 				got = append(got, endpoint.id)
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("candidates are %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A second health check of an endpoint waits for the first one's end, but not for ever.
-func TestHealthCheckInFlightIsNotRepeated(t *testing.T) {
+// An endpoint gets no second health check before the first one has ended or timed out.
+func TestNoSecondHealthCheckInFlight(t *testing.T) {
 	tracker := newTestTracker(testConfig(), 1, 1)
 	endpoint := tracker.endpoints["n0-1"]
 	for _, step := range []struct {
--- a/internal/failover/heaps.go
+++ b/internal/failover/heaps.go
@@ -1,7 +1,7 @@
 package failover
 
-// deadlineHeap is the queued requests of a group by the latest useful release, the earliest first: that one is
-// released first, and expires first.
+// deadlineHeap is a heap of the queued requests of a group. The request with the earliest latestRelease comes first: it
+// is the next to be released, and the next to expire.
 type deadlineHeap []*pendingRequest
 
 // Len implements heap.Interface.
@@ -28,20 +28,20 @@
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	request := (*h)[last]
-	(*h)[last] = nil // a slice that shrinks still references its elements
+	(*h)[last] = nil // so that the backing array doesn't keep the request reachable
 	*h = (*h)[:last]
 	request.deadlineIndex = -1
 	return request
 }
 
-// clientQueue is the queued requests of a client, in no order.
+// clientQueue holds the queued requests of a client, in no particular order.
 type clientQueue struct {
-	name      string // "" = of a single request without a client
+	name      string // "" = the queue of a single request without a client
 	pending   []*pendingRequest
 	heapIndex int
 }
 
-// clientHeap is the clients with queued requests, the one with the most first.
+// clientHeap is a heap of the clients with queued requests. The client with the most requests comes first.
 type clientHeap []*clientQueue
 
 // Len implements heap.Interface.
@@ -68,7 +68,7 @@
 func (h *clientHeap) Pop() any {
 	last := len(*h) - 1
 	client := (*h)[last]
-	(*h)[last] = nil // a slice that shrinks still references its elements
+	(*h)[last] = nil // so that the backing array doesn't keep the client reachable
 	*h = (*h)[:last]
 	return client
 }
--- a/internal/failover/pending_queue.go
+++ b/internal/failover/pending_queue.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Request is one that needs the primary of a group.
+// Request is a request that needs the primary of a group.
 type Request struct {
 	ID       string
 	Group    int64
 	Class    string
-	Client   string        // the queue is fair between clients; "" is a client of its own
-	Deadline time.Duration // when its client gives up
-	Size     int           // of its statement, bytes
+	Client   string        // for fairness between clients; each request with "" counts as a client of its own
+	Deadline time.Duration // when the client gives up
+	Size     int           // of the statement, in bytes
 }
 
-// pendingRequest is a request in the queue of its group.
+// pendingRequest is a queued request.
 type pendingRequest struct {
 	Request
 	group          *replicaGroup
 	priorityWeight float64
 	enqueuedAt     time.Duration
-	latestRelease  time.Duration // released later, it can't be answered in time
-	deadlineIndex  int           // in the heap of its group
+	latestRelease  time.Duration // from this time on a release is useless; see Tracker.latestRelease
+	deadlineIndex  int           // index in the heap of its group
 	clientQueue    *clientQueue
-	clientIndex    int // in the queue of its client
+	clientIndex    int // index in the queue of its client
 }
 
-// pendingQueue is the queued requests of all groups: each is in the heap of its group, which says what is released or
-// expires first, and in the queue of its client, which says what is rejected first.
+// pendingQueue holds the queued requests of all groups. Each request is both in the heap of its group, which determines
+// the order of release and expiry, and in the queue of its client, which determines the order of rejection.
 type pendingQueue struct {
 	byID         map[string]*pendingRequest
-	bytes        int
+	bytes        int // total size of the statements
 	clients      clientHeap
 	clientByName map[string]*clientQueue
 }
@@ -53,8 +53,8 @@
 	heap.Push(&request.group.pending, request)
 }
 
-// clientFor returns the queue of a client, which it creates if need be. A request without a client gets a queue of
-// its own.
+// clientFor returns the queue of a client. It creates the queue if necessary. A request without a client gets a queue
+// of its own.
 func (q *pendingQueue) clientFor(name string) *clientQueue {
 	if client := q.clientByName[name]; client != nil {
 		return client
@@ -86,8 +86,9 @@
 	}
 }
 
-// leastValuable returns the request that is rejected when the queue is full. It is one of the client that has the
-// most requests queued: of the lowest priority weight, and among equals the newest, since it has waited least.
+// leastValuable returns the request to reject when the queue is full. Of the requests of the client that has the most
+// queued, it is the one with the lowest priority weight, and among several of these the newest, because it has waited
+// for the shortest time.
 func (q *pendingQueue) leastValuable() *pendingRequest {
 	pending := q.clients[0].pending
 	least := pending[0]
@@ -101,13 +102,13 @@
 	return least
 }
 
-// exceeds says whether the queue is over a bound of the configuration.
+// exceeds reports whether the queue exceeds a bound of the configuration.
 func (q *pendingQueue) exceeds(cfg *Config) bool {
 	return len(q.byID) > cfg.MaxPending || q.bytes > cfg.MaxPendingBytes
 }
 
-// ShouldQueue says whether a new request of the class that needs the group's primary has to be enqueued here, rather
-// than given to the decision module.
+// ShouldQueue reports whether a new request of the class that needs the primary of the group has to be passed to
+// Enqueue rather than to the decision module.
 func (t *Tracker) ShouldQueue(groupID int64, class string) bool {
 	group := t.groups[groupID]
 	if group == nil || !group.queuesNewRequests() {
@@ -117,7 +118,8 @@
 	return ok
 }
 
-// queuesNewRequests says whether new requests have to wait: for a primary, or behind those that waited for it.
+// queuesNewRequests reports whether new requests have to be queued: because there is no usable primary, or because
+// older requests are still queued for it.
 func (g *replicaGroup) queuesNewRequests() bool {
 	if g.phase.queuesWrites() {
 		return true
@@ -125,11 +127,11 @@
 	return g.phase == PhaseSuccessorSeen && len(g.pending) > 0
 }
 
-// IsPending says whether a request is queued.
+// IsPending reports whether a request is queued.
 func (t *Tracker) IsPending(requestID string) bool { return t.pending.contains(requestID) }
 
-// Enqueue queues a request until its group has a primary. It rejects at once a request that can't be answered in
-// time, and the least valuable ones where the queue is full.
+// Enqueue queues a request until its group has a primary. It immediately rejects a request that can't be served before
+// its deadline. If the queue is full, it rejects the least valuable requests.
 func (t *Tracker) Enqueue(now time.Duration, request Request) {
 	if t.pending.contains(request.ID) {
 		return
@@ -147,7 +149,7 @@
 		return
 	}
 	if len(group.pending) == 0 {
-		group.oldestPending = now
+		group.oldestEnqueuedAt = now
 	}
 	t.pending.add(pending)
 	for t.pending.exceeds(&t.cfg) {
@@ -158,10 +160,10 @@
 	if t.pending.contains(request.ID) {
 		t.releasePending(group, now)
 	}
-	t.payHealthChecks(group, now)
+	t.addRoundBudget(group, now)
 }
 
-// reject rejects a request that is not, or no longer, in the queue.
+// reject requests the rejection of a request, which must not be in the queue (any more).
 func (t *Tracker) reject(request *pendingRequest, reason Reason, now time.Duration) {
 	request.group.rejectedTotal[reason]++
 	t.emit(Action{
--- a/internal/failover/pending_queue_test.go
+++ b/internal/failover/pending_queue_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// When the queue is full the least valuable request of the client that has the most queued is rejected; one that
-// can't be answered in time is rejected at once; each with a time to retry that follows the failover.
-func TestWhichRequestIsRejectedFirst(t *testing.T) {
+// If the queue is full, the least valuable request of the client with the most queued requests is rejected. A request
+// that can't be served before its deadline is rejected immediately. The Retry-After of both follows the expected
+// duration of the failover.
+func TestRejectionOrderOfFullQueue(t *testing.T) {
 	tracker := newTestTracker(testConfig(), 1, 1)
 	tracker.SuspectPrimary(0, 0, "n0-0")
 	tracker.Actions()
@@ -17,10 +18,10 @@
 	tracker.Enqueue(1, Request{ID: "late", Class: "job", Client: "a", Deadline: 20 * ms})
 	late := tracker.Actions()
 	if len(late) != 1 || late[0].Kind != ActionReject || late[0].Reason != ReasonDeadline {
-		t.Fatalf("%+v", late)
+		t.Fatalf("actions are %+v, want one rejection for the deadline", late)
 	}
 	if wait := late[0].RetryAfter; wait < defaultFailoverDuration || wait > defaultFailoverDuration*5/4 {
-		t.Fatalf("retry after %v", wait)
+		t.Fatalf("retry after %v, want the default failover duration and at most a quarter more", wait)
 	}
 
 	for i := range 19 {
@@ -32,19 +33,19 @@
 	var rejected []string
 	for _, action := range tracker.Actions() {
 		if action.Kind != ActionReject || action.Reason != ReasonQueueFull {
-			t.Fatalf("%+v", action)
+			t.Fatalf("action is %+v, want a rejection because the queue is full", action)
 		}
 		rejected = append(rejected, action.ID)
 	}
 	if !slices.Equal(rejected, []string{"a18", "a-small"}) {
-		t.Fatalf("%v are rejected", rejected)
+		t.Fatalf("rejected %v, want a18 and a-small", rejected)
 	}
 
-	// A failover that lasts longer than usual is expected to go on for longer.
+	// A failover that has lasted longer than usual is expected to last for half of that time again.
 	tracker.Enqueue(10*time.Second, Request{ID: "now", Class: "job", Deadline: 10*time.Second + ms})
 	for _, action := range tracker.Actions() {
 		if action.ID == "now" && action.RetryAfter < 4*time.Second {
-			t.Fatalf("%+v", action)
+			t.Fatalf("action is %+v, want a RetryAfter of at least 4s", action)
 		}
 	}
 }
@@ -57,11 +58,11 @@
 	tracker.Enqueue(1, Request{ID: "fits", Class: "job", Deadline: time.Minute, Size: cfg.MaxPendingBytes})
 	tracker.Enqueue(1, Request{ID: "empty", Class: "job", Deadline: time.Minute})
 	if actions := tracker.Actions(); len(actions) != 0 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("actions are %+v within the bound, want none", actions)
 	}
 	tracker.Enqueue(1, Request{ID: "too much", Class: "small", Deadline: time.Minute, Size: cfg.MaxPendingBytes + 1})
 	if tracker.IsPending("too much") || tracker.pending.bytes > cfg.MaxPendingBytes {
-		t.Fatalf("%d bytes are queued", tracker.pending.bytes)
+		t.Fatalf("%d bytes are queued, which is over the bound", tracker.pending.bytes)
 	}
 }
 
@@ -70,11 +71,11 @@
 	check := func(when string, group int64, class string, want bool) {
 		t.Helper()
 		if got := tracker.ShouldQueue(group, class); got != want {
-			t.Errorf("%s: ShouldQueue(%d, %q) is %v", when, group, class, got)
+			t.Errorf("%s: ShouldQueue(%d, %q) is %v, which is wrong", when, group, class, got)
 		}
 	}
 	check("steady", 0, "job", false)
-	check("of an unknown group", 9, "job", false)
+	check("unknown group", 9, "job", false)
 	tracker.SuspectPrimary(1, 0, "n0-0")
 	check("primary lost", 0, "job", true)
 	check("primary lost", 0, "unknown class", false)
@@ -83,7 +84,7 @@
 		tracker.Enqueue(2, Request{ID: fmt.Sprint(i), Class: "job", Deadline: time.Minute})
 	}
 	tracker.ObservePrimary(3, 0, "n0-1")
-	check("behind a queue that is being released", 0, "job", true)
+	check("while the queue is being released", 0, "job", true)
 	releaseAll(tracker)
-	check("with the queue released", 0, "job", false)
+	check("after the release of the queue", 0, "job", false)
 }
--- a/internal/failover/phase.go
+++ b/internal/failover/phase.go
@@ -9,10 +9,10 @@
 const (
 	PhaseSteady        Phase = iota // no failover
 	PhaseSuspected                  // the primary is silent or refuses connections
-	PhasePrimaryLost                // the primary is taken for lost
-	PhaseSwitchover                 // the primary gives up its role, or is about to
-	PhaseSuccessorSeen              // a primary is known, queued requests are released to it
-	PhaseSettled                    // the queue is empty
+	PhasePrimaryLost                // the primary is considered lost
+	PhaseSwitchover                 // the primary is giving up its role, or is about to
+	PhaseSuccessorSeen              // a primary is known; queued requests are released to it
+	PhaseSettled                    // the queue is empty; the group becomes steady next
 )
 
 // String returns the phase as operators see it.
@@ -20,7 +20,7 @@
 	return []string{"steady", "suspected", "lost", "handing over", "successor seen", "settled"}[p]
 }
 
-// queuesWrites says whether new writes are queued in the phase: no usable primary is known.
+// queuesWrites reports whether new writes are queued in the phase because no usable primary is known.
 func (p Phase) queuesWrites() bool {
 	switch p {
 	case PhaseSuspected, PhasePrimaryLost, PhaseSwitchover:
@@ -30,25 +30,25 @@
 	}
 }
 
-// Evidence is what takes a replica group from one phase to another.
+// Evidence is the reason for a replica group's transition from one phase to another.
 type Evidence uint8
 
 // The kinds of evidence.
 const (
 	EvidenceNone                Evidence = iota
 	EvidenceConnectionRefused            // a connection to the primary was refused or broke
-	EvidenceSilence                      // the primary was silent for longer than its usual answers take
+	EvidenceSilence                      // the primary was silent for longer than its responses usually take
 	EvidenceHealthCheckFailed            // the suspected primary didn't answer a health check either
-	EvidenceNotPrimary                   // the primary rejected a write (SQLSTATE 25006), or reported to be a replica
+	EvidenceNotPrimary                   // the primary rejected a write (SQLSTATE 25006), or reported that it is a replica
 	EvidencePrimarySuspect               // the decision module suspects the primary
-	EvidenceDraining                     // the endpoint list says that the primary drains, or names it no more
+	EvidenceDraining                     // the primary is draining according to the endpoint list, or no longer listed
 	EvidenceSuspended                    // an operator suspended the primary
 	EvidenceAnnounced                    // an operator announced a failover
-	EvidenceAnswered                     // the suspected primary answered after all
+	EvidenceAnswered                     // the suspected primary responded after all
 	EvidencePrimaryObserved              // the decision module confirmed a primary
 	EvidenceQueueReleased                // the queue is empty again
-	EvidenceQuiet                        // no evidence against the primary for a while
-	EvidenceAnnouncementExpired          // the time of an announced failover has passed
+	EvidenceQuiet                        // no evidence against the primary for settleTime
+	EvidenceAnnouncementExpired          // an announced failover has expired
 )
 
 // String returns the evidence as operators see it.
@@ -59,20 +59,20 @@
 	}[e]
 }
 
-// Transition is a step in the history of a replica group.
+// Transition is a replica group's transition from one phase to another.
 type Transition struct {
 	OccurredAt time.Duration
 	From       Phase
 	To         Phase
 	Evidence   Evidence
-	Endpoint   string // that the evidence is about, "" = none
-	Term       uint64
+	Endpoint   string // the endpoint that the evidence is about, "" = none
+	Term       uint64 // the term of the group at the time of the transition
 }
 
-// maxTransitionHistory is the number of transitions that are kept of each group for operators.
+// maxTransitionHistory is the number of transitions of each group that are kept for operators.
 const maxTransitionHistory = 16
 
-// transition takes a group to another phase.
+// transition moves a group to another phase. It does nothing if the group is in that phase already.
 func (t *Tracker) transition(group *replicaGroup, to Phase, evidence Evidence, endpoint string, now time.Duration) {
 	from := group.phase
 	if from == to {
@@ -89,10 +89,10 @@
 	t.emit(Action{Kind: ActionPhaseChanged, Group: group.id})
 }
 
-// startQueueing prepares a group whose writes are queued from now on.
+// startQueueing prepares a group for a phase in which its writes are queued. The group's phase is still the old one.
 func (t *Tracker) startQueueing(group *replicaGroup, now time.Duration) {
 	if group.phase == PhaseSteady || group.phase == PhaseSettled {
-		group.failoverSince = now // otherwise the failover before is still being finished, and goes on
+		group.failoverSince = now // otherwise the release of the last failover has not finished, and that failover continues
 	}
 	group.healthChecks.start(now + t.firstRoundDelay())
 	t.emit(Action{Kind: ActionWithdraw, Group: group.id})
--- a/internal/failover/phase_test.go
+++ b/internal/failover/phase_test.go
@@ -7,8 +7,8 @@
 
 const primary, replica, otherReplica = "n0-0", "n0-1", "n0-2" // of group 0 at the start
 
-// phaseTests are events at a tracker in the steady phase, by what they are, and the phase and evidence that they
-// lead to.
+// phaseTests is a table of tests by name. Each one applies events to a group in the steady phase, and checks the phase
+// that the group is in afterwards and the evidence of the last transition.
 type phaseTests map[string]struct {
 	events       func(tracker *Tracker)
 	wantPhase    Phase
@@ -23,7 +23,7 @@
 			test.events(tracker)
 			phase, _, _, last := tracker.Group(0)
 			if phase != test.wantPhase || last.Evidence != test.wantEvidence {
-				t.Errorf("%v by %v, want %v by %v", phase, last.Evidence, test.wantPhase, test.wantEvidence)
+				t.Errorf("phase %v by evidence %v, want %v by %v", phase, last.Evidence, test.wantPhase, test.wantEvidence)
 			}
 		})
 	}
@@ -38,13 +38,13 @@
 	tracker.Tick(minSilenceTimeout)
 }
 
-func primarySucceeded(tracker *Tracker) {
+func successorObserved(tracker *Tracker) {
 	tracker.SuspectPrimary(1, 0, primary)
 	tracker.ObservePrimary(2, 0, replica)
 }
 
-// A group leaves the steady phase by evidence against its primary, and by no other.
-func TestPhaseOnEvidenceAgainstThePrimary(t *testing.T) {
+// A group leaves the steady phase on evidence against its primary, but not on evidence against a replica.
+func TestFirstEvidenceAgainstPrimary(t *testing.T) {
 	phaseTests{
 		"one refused connection": {func(tracker *Tracker) {
 			primaryUnreachable(tracker, "a")
@@ -53,14 +53,14 @@
 			tracker.AttemptEnded(1, replica, "a", EndUnreachable, RoleUnknown, 0, "", 0)
 		}, PhaseSteady, EvidenceNone},
 		"silence": {primarySilent, PhaseSuspected, EvidenceSilence},
-		"not yet silence": {func(tracker *Tracker) {
+		"silence shorter than the timeout": {func(tracker *Tracker) {
 			tracker.AttemptSent(0, primary, "a")
 			tracker.Tick(minSilenceTimeout - 1)
 		}, PhaseSteady, EvidenceNone},
 		"write rejected with 25006": {func(tracker *Tracker) {
 			tracker.AttemptEnded(1, primary, "a", EndNotPrimary, RoleReplica, 0, "job", 0)
 		}, PhaseSwitchover, EvidenceNotPrimary},
-		"load report of a replica": {func(tracker *Tracker) {
+		"load report with the role replica": {func(tracker *Tracker) {
 			tracker.HealthCheckEnded(1, primary, true, RoleReplica, 0)
 		}, PhaseSwitchover, EvidenceNotPrimary},
 		"failed health check in the steady phase": {func(tracker *Tracker) {
@@ -90,8 +90,8 @@
 	}.run(t)
 }
 
-// A failover goes on by what follows the first evidence, and ends.
-func TestPhaseInTheCourseOfAFailover(t *testing.T) {
+// Further evidence moves a failover from phase to phase until it ends.
+func TestPhasesDuringFailover(t *testing.T) {
 	phaseTests{
 		"two refused connections": {func(tracker *Tracker) {
 			primaryUnreachable(tracker, "a")
@@ -101,7 +101,7 @@
 			primarySilent(tracker)
 			tracker.Tick(minSilenceTimeout + suspicionTime)
 		}, PhasePrimaryLost, EvidenceSilence},
-		"suspected primary answers": {func(tracker *Tracker) {
+		"suspected primary responds": {func(tracker *Tracker) {
 			primarySilent(tracker)
 			tracker.AttemptEnded(100*ms, primary, "a", EndAnswered, RolePrimary, 0, "job", 100*ms)
 		}, PhaseSuccessorSeen, EvidenceAnswered},
@@ -118,28 +118,28 @@
 			tracker.Suspend(2, primary, true)
 			tracker.Tick(time.Second + 1)
 		}, PhasePrimaryLost, EvidenceAnnouncementExpired},
-		"successor observed": {primarySucceeded, PhaseSuccessorSeen, EvidencePrimaryObserved},
+		"successor observed": {successorObserved, PhaseSuccessorSeen, EvidencePrimaryObserved},
 		"old primary observed in an announced failover": {func(tracker *Tracker) {
 			tracker.Announce(1, 0, time.Second)
 			tracker.ObservePrimary(2, 0, primary)
 		}, PhaseSwitchover, EvidenceAnnounced},
-		"answer of a primary that the decision module suspects": {func(tracker *Tracker) {
+		"response of a primary that the decision module suspects": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, primary)
 			tracker.HealthCheckEnded(2, primary, true, RolePrimary, 1)
 		}, PhasePrimaryLost, EvidencePrimarySuspect},
 		"empty queue released": {func(tracker *Tracker) {
-			primarySucceeded(tracker)
+			successorObserved(tracker)
 			tracker.Tick(3)
 		}, PhaseSettled, EvidenceQueueReleased},
 		"quiet after a failover": {func(tracker *Tracker) {
-			primarySucceeded(tracker)
+			successorObserved(tracker)
 			tracker.Tick(3)
 			tracker.Tick(3 + settleTime)
 		}, PhaseSteady, EvidenceQuiet},
 	}.run(t)
 }
 
-// Operators see these texts, in the admin API and in the audit record.
+// The admin API and the audit record show these texts to operators.
 func TestTextsOfPhasesEvidenceAndReasons(t *testing.T) {
 	for got, want := range map[string]string{
 		PhaseSteady.String():                 "steady",
@@ -181,10 +181,10 @@
 	}
 	history := tracker.Views(time.Minute)[0].History
 	if len(history) != maxTransitionHistory {
-		t.Fatalf("%d transitions are kept", len(history))
+		t.Fatalf("%d transitions are kept, want maxTransitionHistory", len(history))
 	}
 	newest, _, _, last := tracker.Group(0)
 	if history[len(history)-1] != last || last.To != newest || last.OccurredAt != maxTransitionHistory*time.Second+1 {
-		t.Fatalf("%+v is the newest transition", last)
+		t.Fatalf("the newest transition is %+v, want the last one to the phase successor seen", last)
 	}
 }
--- a/internal/failover/release.go
+++ b/internal/failover/release.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// The release of a queue is a slow start: the successor has just begun to take writes.
+// A queue is released with a slow start, because the successor has only just begun to take writes. The limits are
+// numbers of requests that are released and not answered.
 const (
-	initialReleaseLimit = 8.0 // released and not answered at first, over all routers
-	maxReleaseLimit     = 256.0
+	initialReleaseLimit = 8.0   // over all routers
+	maxReleaseLimit     = 256.0 // per router
 )
 
-// releaseWindow bounds the released requests of a group that are not answered.
+// releaseWindow bounds the number of requests of a group that are released and not answered.
 type releaseWindow struct {
 	limit    float64
-	inFlight map[string]bool // by request
+	inFlight map[string]bool // by request ID
 }
 
 func (w *releaseWindow) isFull() bool { return float64(len(w.inFlight)) >= w.limit }
 
-// adapt grows the window with each answer, and halves it where the successor sheds load.
+// adapt increases the limit by one for each response, and halves it each time the successor sheds a request.
 func (w *releaseWindow) adapt(end AttemptEnd) {
 	switch end {
 	case EndAnswered:
 		w.limit = min(maxReleaseLimit, w.limit+1)
 	case EndRejected:
 		w.limit = max(1, w.limit/2)
-	case EndNotPrimary, EndUnreachable, EndInconclusive: // say nothing about the successor's capacity
+	case EndNotPrimary, EndUnreachable, EndInconclusive: // no evidence about the successor's capacity
 	}
 }
 
-// startRelease releases a group's queue to the primary that is known now.
+// startRelease starts to release the queue of a group to its current primary.
 func (t *Tracker) startRelease(group *replicaGroup, evidence Evidence, now time.Duration) {
 	if group.phase.queuesWrites() && evidence == EvidencePrimaryObserved {
-		t.learnFailoverDuration(now - group.failoverSince)
+		t.recordFailoverDuration(now - group.failoverSince)
 	}
 	group.announcedUntil = 0
 	group.release.limit = max(1, t.cfg.sharePerInstance(initialReleaseLimit))
 	t.transition(group, PhaseSuccessorSeen, evidence, group.primaryID(), now)
-	group.phaseSince = now // also where it was in that phase already
+	group.phaseSince = now // even if the group was in that phase already
 	group.releaseReviewAt = now + settleTime
 	t.releasePending(group, now)
 }
 
-// releasePending releases as many requests as the window allows, the earliest deadline first.
+// releasePending releases as many requests as the window allows, the earliest latestRelease first.
 func (t *Tracker) releasePending(group *replicaGroup, now time.Duration) {
 	if group.phase != PhaseSuccessorSeen {
 		return
@@ -59,7 +60,8 @@
 	}
 }
 
-// forgetReleased says whether a request was released and in flight, which it is no longer.
+// forgetReleased removes a request from the released requests in flight. It reports whether the request was one of
+// them.
 func (t *Tracker) forgetReleased(group *replicaGroup, requestID string) bool {
 	if t.releasedInFlight == 0 || !group.release.inFlight[requestID] {
 		return false
@@ -69,10 +71,10 @@
 	return true
 }
 
-// InProgress says whether any request is queued, or released and not answered.
+// InProgress reports whether any request is queued, or released and not answered.
 func (t *Tracker) InProgress() bool { return len(t.pending.byID)+t.releasedInFlight > 0 }
 
-// RequestDone says that a request is answered, or that its client has disconnected.
+// RequestDone records that a request was answered or that its client has disconnected.
 func (t *Tracker) RequestDone(now time.Duration, groupID int64, requestID string) {
 	if !t.InProgress() {
 		return
--- a/internal/failover/retry_after.go
+++ b/internal/failover/retry_after.go
@@ -4,19 +4,19 @@
 
 const (
 	minRetryAfter             = 50 * time.Millisecond
-	defaultFailoverDuration   = 1500 * time.Millisecond // expected until some failovers were seen
-	failoverDurationSmoothing = 0.2                     // weight of the newest failover
+	defaultFailoverDuration   = 1500 * time.Millisecond // expected duration before any failover was observed
+	failoverDurationSmoothing = 0.2                     // weight of the newest failover in the moving average
 )
 
-// learnFailoverDuration learns how long it takes until a successor is observed.
-func (t *Tracker) learnFailoverDuration(lasted time.Duration) {
-	t.usualFailoverDuration += time.Duration(failoverDurationSmoothing * float64(lasted-t.usualFailoverDuration))
+// recordFailoverDuration updates the moving average of the time until a successor is observed.
+func (t *Tracker) recordFailoverDuration(lasted time.Duration) {
+	t.averageFailoverDuration += time.Duration(failoverDurationSmoothing * float64(lasted-t.averageFailoverDuration))
 }
 
-// retryAfter is when a rejected client may try again: at the expected end of the failover. Up to a quarter is added
-// by chance, so that rejected clients don't return all at once.
+// retryAfter returns how long a rejected client should wait before it retries: until the expected end of the failover.
+// Up to a quarter of that is added at random, so that rejected clients don't all retry at the same time.
 func (t *Tracker) retryAfter(group *replicaGroup, now time.Duration) time.Duration {
-	wait := max(minRetryAfter, t.expectedRemainder(group, now))
+	wait := max(minRetryAfter, t.expectedRemainingTime(group, now))
 	wait += time.Duration(t.rng.Int64N(int64(wait/4) + 1))
 	if t.cfg.MaxRetryAfter > 0 {
 		wait = min(wait, t.cfg.MaxRetryAfter)
@@ -24,14 +24,14 @@
 	return wait
 }
 
-// expectedRemainder is how long a group's failover is expected to go on.
-func (t *Tracker) expectedRemainder(group *replicaGroup, now time.Duration) time.Duration {
+// expectedRemainingTime returns how much longer the failover of a group is expected to last.
+func (t *Tracker) expectedRemainingTime(group *replicaGroup, now time.Duration) time.Duration {
 	if !group.phase.queuesWrites() {
 		return 0
 	}
 	lasted := now - group.failoverSince
-	if lasted > t.usualFailoverDuration {
-		return lasted / 2 // longer than usual: nothing is known but its length so far
+	if lasted > t.averageFailoverDuration {
+		return lasted / 2 // longer than usual: its duration so far is the only estimate
 	}
-	return t.usualFailoverDuration - lasted
+	return t.averageFailoverDuration - lasted
 }
--- a/internal/failover/retry_after_test.go
+++ b/internal/failover/retry_after_test.go
@@ -9,7 +9,7 @@
 	for name, test := range map[string]struct {
 		elapsed time.Duration // of the failover
 		most    time.Duration // MaxRetryAfter
-		want    time.Duration // least; up to a quarter more is drawn
+		want    time.Duration // the least value; up to a quarter more is added at random
 	}{
 		"at the start":          {0, 0, defaultFailoverDuration},
 		"near the usual end":    {defaultFailoverDuration - ms, 0, minRetryAfter},
@@ -24,17 +24,17 @@
 			for range 100 {
 				got := tracker.retryAfter(tracker.groups[0], time.Minute+test.elapsed)
 				if got < test.want || got > test.want*5/4 {
-					t.Fatalf("retry after %v, want %v and a quarter at the most", got, test.want)
+					t.Fatalf("retry after %v, want %v to 5/4 of it", got, test.want)
 				}
 				if test.most > 0 && got > test.most {
-					t.Fatalf("retry after %v, more than %v", got, test.most)
+					t.Fatalf("retry after %v, want at most %v", got, test.most)
 				}
 			}
 		})
 	}
 }
 
-func TestUsualFailoverDurationIsLearned(t *testing.T) {
+func TestAverageFailoverDuration(t *testing.T) {
 	tracker := newTestTracker(testConfig(), 1, 1)
 	const lasted = 3 * time.Second
 	for i := range 100 {
@@ -44,7 +44,7 @@
 		tracker.Tick(start + lasted + 1)
 		tracker.Tick(start + lasted + 2*settleTime)
 	}
-	if got := tracker.usualFailoverDuration; got < lasted-ms || got > lasted+ms {
-		t.Errorf("a failover is expected to last %v, not %v", got, lasted)
+	if got := tracker.averageFailoverDuration; got < lasted-ms || got > lasted+ms {
+		t.Errorf("average failover duration is %v, want %v", got, lasted)
 	}
 }
--- a/internal/failover/silence_detector.go
+++ b/internal/failover/silence_detector.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// The silence of a primary is judged by how long its own answers usually take.
+// The silence timeout of a primary is derived from the mean and the deviation of its own response times.
 const (
 	minSilenceTimeout        = 60 * time.Millisecond // a shorter silence is never evidence
-	silenceTimeoutDeviations = 6                     // deviations beyond the mean that an answer may take
-	silenceTimeoutFactor     = 2                     // times that
-	silenceLeniencyGrowth    = 1.5                   // of the timeout, after a suspicion that proved wrong
-	maxSilenceLeniency       = 8
-	responseTimeSmoothing    = 0.1 // weight of the newest measurement
+	silenceTimeoutDeviations = 6                     // deviations above the mean that a response may take
+	baseTimeoutMultiplier    = 2                     // factor of the mean plus these deviations
+	timeoutMultiplierGrowth  = 1.5                   // of timeoutMultiplier, after each suspicion that proved wrong
+	maxTimeoutMultiplier     = 8
+	responseTimeSmoothing    = 0.1 // weight of the newest measurement in the moving averages
 )
 
-// silenceDetector says when an endpoint with attempts in flight has been silent for too long.
+// silenceDetector determines when an endpoint with attempts in flight has been silent for too long.
 type silenceDetector struct {
-	meanSeconds      float64 // of the time that an answer takes
-	deviationSeconds float64
-	samples          int
-	leniency         float64 // factor of the timeout
-	lastAnswerAt     time.Duration
-	inFlight         []attempt // the oldest first
+	meanSeconds       float64 // moving average of the response times, in seconds
+	deviationSeconds  float64 // moving average of their absolute deviation from the mean, in seconds
+	samples           int
+	timeoutMultiplier float64 // factor of the timeout, increased after wrong suspicions
+	lastAnswerAt      time.Duration
+	inFlight          []attempt // in the order in which they were sent
 }
 
-// attempt is one that was sent and has not ended.
+// attempt is an attempt that was sent and has not ended.
 type attempt struct {
 	requestID string
 	sentAt    time.Duration
 }
 
-func newSilenceDetector() silenceDetector { return silenceDetector{leniency: 1} }
+func newSilenceDetector() silenceDetector { return silenceDetector{timeoutMultiplier: 1} }
 
-// recordResponseTime learns how long the endpoint's answers take.
+// recordResponseTime updates the mean and the deviation with the response time of an attempt that was served.
 func (d *silenceDetector) recordResponseTime(elapsed time.Duration) {
 	seconds := elapsed.Seconds()
 	d.samples++
@@ -44,19 +44,19 @@
 	d.deviationSeconds += responseTimeSmoothing * (max(difference, -difference) - d.deviationSeconds)
 }
 
-// timeout is how long an endpoint with attempts in flight may be silent.
+// timeout returns how long an endpoint with attempts in flight may be silent.
 func (d *silenceDetector) timeout() time.Duration {
 	usual := d.meanSeconds + silenceTimeoutDeviations*d.deviationSeconds
-	seconds := silenceTimeoutFactor * d.leniency * usual
+	seconds := baseTimeoutMultiplier * d.timeoutMultiplier * usual
 	return max(minSilenceTimeout, time.Duration(seconds*float64(time.Second)))
 }
 
-// suspectedWrongly lets the endpoint be silent for longer, since a suspicion has proved wrong.
-func (d *silenceDetector) suspectedWrongly() {
-	d.leniency = min(maxSilenceLeniency, d.leniency*silenceLeniencyGrowth)
+// recordWrongSuspicion extends the timeout, because a suspicion has proved wrong.
+func (d *silenceDetector) recordWrongSuspicion() {
+	d.timeoutMultiplier = min(maxTimeoutMultiplier, d.timeoutMultiplier*timeoutMultiplierGrowth)
 }
 
-// deadline is when the endpoint has to have answered; ok is false where no attempt waits for an answer.
+// deadline returns the time by which the endpoint has to respond. ok is false if no attempt is in flight.
 func (d *silenceDetector) deadline() (at time.Duration, ok bool) {
 	if len(d.inFlight) == 0 {
 		return 0, false
@@ -69,7 +69,7 @@
 }
 
 func (d *silenceDetector) attemptEnded(requestID string) {
-	for i, a := range d.inFlight { // attempts end about in the order in which they were sent
+	for i, a := range d.inFlight { // attempts usually end in the order in which they were sent, so the search is short
 		if a.requestID == requestID {
 			d.inFlight = append(d.inFlight[:i], d.inFlight[i+1:]...)
 			return
--- a/internal/failover/silence_detector_test.go
+++ b/internal/failover/silence_detector_test.go
@@ -8,23 +8,23 @@
 func TestSilenceTimeoutFollowsResponseTimes(t *testing.T) {
 	detector := newSilenceDetector()
 	if got := detector.timeout(); got != minSilenceTimeout {
-		t.Errorf("timeout %v before a measurement", got)
+		t.Errorf("timeout is %v before a measurement, want the minimum", got)
 	}
-	detector.recordResponseTime(100 * ms) // a deviation of half the mean is assumed
+	detector.recordResponseTime(100 * ms) // the first measurement sets the deviation to half the mean
 	if got, want := detector.timeout(), 800*ms; got != want {
-		t.Errorf("timeout %v, want %v", got, want)
+		t.Errorf("timeout is %v after one measurement, want %v", got, want)
 	}
 	for range 500 {
 		detector.recordResponseTime(100 * ms)
 	}
 	if got := detector.timeout(); got < 200*ms || got > 201*ms {
-		t.Errorf("timeout %v of steady answers, want twice their time", got)
+		t.Errorf("timeout is %v for constant response times of 100 ms, want 200ms to 201ms", got)
 	}
 	for range 500 {
 		detector.recordResponseTime(ms)
 	}
 	if got := detector.timeout(); got != minSilenceTimeout {
-		t.Errorf("timeout %v of fast answers, want %v", got, minSilenceTimeout)
+		t.Errorf("timeout is %v for fast responses, want %v", got, minSilenceTimeout)
 	}
 }
 
@@ -32,15 +32,15 @@
 	detector := newSilenceDetector()
 	detector.recordResponseTime(100 * ms)
 	before := detector.timeout()
-	detector.suspectedWrongly()
+	detector.recordWrongSuspicion()
 	if got := detector.timeout(); got != before*3/2 {
-		t.Errorf("timeout %v after one wrong suspicion, want %v", got, before*3/2)
+		t.Errorf("timeout is %v after one wrong suspicion, want %v", got, before*3/2)
 	}
 	for range 50 {
-		detector.suspectedWrongly()
+		detector.recordWrongSuspicion()
 	}
-	if got := detector.timeout(); got != before*maxSilenceLeniency {
-		t.Errorf("timeout %v after many, want %v", got, before*maxSilenceLeniency)
+	if got := detector.timeout(); got != before*maxTimeoutMultiplier {
+		t.Errorf("timeout is %v after many wrong suspicions, want %v", got, before*maxTimeoutMultiplier)
 	}
 }
 
@@ -49,7 +49,7 @@
 	check := func(when string, want time.Duration, wantOK bool) {
 		t.Helper()
 		if got, ok := detector.deadline(); got != want || ok != wantOK {
-			t.Errorf("%s: %v %v, want %v %v", when, got, ok, want, wantOK)
+			t.Errorf("%s: deadline is %v (ok: %v), want %v (ok: %v)", when, got, ok, want, wantOK)
 		}
 	}
 	check("nothing in flight", 0, false)
--- a/internal/failover/tracker.go
+++ b/internal/failover/tracker.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// randomStream keeps the draws of this package apart from those of others with the same seed.
+// randomStream separates the random numbers of this package from those of other packages that use the same seed.
 const randomStream = 0xc4a
 
-// Tracker is the failover state of all replica groups. Only one goroutine may use it.
+// Tracker holds the failover state of all replica groups. It is not safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	rng     *rand.Rand
 	actions []Action
 
 	groups        map[int64]*replicaGroup
-	orderedGroups []*replicaGroup // by their numbers
+	orderedGroups []*replicaGroup // sorted by ID
 	endpoints     map[string]*trackedEndpoint
 
-	pending               pendingQueue
-	releasedInFlight      int // released and not answered, over all groups
-	work                  workEstimates
-	usualFailoverDuration time.Duration
+	pending                 pendingQueue
+	releasedInFlight        int // requests that are released and not answered, over all groups
+	work                    workEstimates
+	averageFailoverDuration time.Duration // moving average
 }
 
-// New returns a Tracker that knows no group.
+// New returns a Tracker without any replica groups.
 func New(cfg Config, seed uint64) *Tracker {
 	return &Tracker{
-		cfg:                   cfg,
-		rng:                   rand.New(rand.NewPCG(seed, randomStream)),
-		groups:                map[int64]*replicaGroup{},
-		endpoints:             map[string]*trackedEndpoint{},
-		pending:               newPendingQueue(),
-		work:                  newWorkEstimates(cfg.Classes),
-		usualFailoverDuration: defaultFailoverDuration,
+		cfg:                     cfg,
+		rng:                     rand.New(rand.NewPCG(seed, randomStream)),
+		groups:                  map[int64]*replicaGroup{},
+		endpoints:               map[string]*trackedEndpoint{},
+		pending:                 newPendingQueue(),
+		work:                    newWorkEstimates(cfg.Classes),
+		averageFailoverDuration: defaultFailoverDuration,
 	}
 }
 
-// minTickInterval keeps a moment that has passed already from calling for the next Tick at once.
+// minTickInterval is the least time between two calls of Tick. It prevents a busy loop when the time of the next call
+// has passed already.
 const minTickInterval = time.Millisecond
 
-// wakeTime collects the earliest moment at which Tick has something to do.
+// wakeTime determines the earliest time at which Tick has to be called again.
 type wakeTime struct {
 	now  time.Duration
-	next time.Duration // 0 = none yet
+	next time.Duration // 0 = not needed so far
 }
 
-// by asks for a Tick at a moment, or soon where that has passed.
-func (w *wakeTime) by(at time.Duration) {
+// noLaterThan requests a call of Tick at a time, or after minTickInterval if that time has passed.
+func (w *wakeTime) noLaterThan(at time.Duration) {
 	if w.next == 0 || at < w.next {
 		w.next = max(at, w.now+minTickInterval)
 	}
 }
 
-// Tick does what is due: it judges the primaries' silence, moves phases on, requests health checks and rejects
-// expired requests. It returns when it wants to be called next, 0 = not before another event.
+// Tick does everything that is due: it suspects silent primaries, ends phases that have lasted long enough, requests
+// health checks and rejects expired requests. It returns the time at which it has to be called again, 0 = not before
+// another event.
 func (t *Tracker) Tick(now time.Duration) (next time.Duration) {
 	wake := wakeTime{now: now}
 	for _, group := range t.orderedGroups {
@@ -62,20 +64,20 @@
 		t.advancePhase(group, &wake)
 		if group.phase.queuesWrites() {
 			t.runHealthCheckRound(group, now)
-			wake.by(group.healthChecks.nextRound)
+			wake.noLaterThan(group.healthChecks.nextRound)
 		}
 		t.rejectExpired(group, now)
 		if len(group.pending) > 0 {
-			wake.by(group.pending[0].latestRelease)
+			wake.noLaterThan(group.pending[0].latestRelease)
 			if t.cfg.MaxPendingTime > 0 {
-				wake.by(group.oldestPending + t.cfg.MaxPendingTime)
+				wake.noLaterThan(group.oldestEnqueuedAt + t.cfg.MaxPendingTime)
 			}
 		}
 	}
 	return wake.next
 }
 
-// checkSilence suspects a primary that has not answered its attempts for too long.
+// checkSilence suspects the primary of a group if it has not responded to its attempts for too long.
 func (t *Tracker) checkSilence(group *replicaGroup, wake *wakeTime) {
 	primary := group.primary
 	if primary == nil || group.phase.queuesWrites() {
@@ -85,14 +87,14 @@
 	switch {
 	case !waiting:
 	case wake.now < deadline:
-		wake.by(deadline)
+		wake.noLaterThan(deadline)
 	default:
 		t.transition(group, PhaseSuspected, EvidenceSilence, primary.id, wake.now)
 		t.sendHealthCheck(primary, wake.now)
 	}
 }
 
-// advancePhase moves a group on whose phase has lasted long enough.
+// advancePhase moves a group to the next phase if the current one has lasted long enough.
 func (t *Tracker) advancePhase(group *replicaGroup, wake *wakeTime) {
 	switch group.phase {
 	case PhaseSuspected:
@@ -103,28 +105,28 @@
 		t.finishRelease(group, wake)
 	case PhaseSettled:
 		t.endFailover(group, wake)
-	case PhaseSteady, PhasePrimaryLost: // left by events only
+	case PhaseSteady, PhasePrimaryLost: // these end only with an event
 	}
 }
 
-// suspicionTime is how long a primary may be suspected: a suspicion that nothing refutes by then becomes a loss.
+// suspicionTime is how long a primary is suspected before it is considered lost, if nothing refutes the suspicion.
 const suspicionTime = 120 * time.Millisecond
 
 func (t *Tracker) confirmSuspicion(group *replicaGroup, wake *wakeTime) {
 	if wake.now-group.phaseSince < suspicionTime {
-		wake.by(group.phaseSince + suspicionTime)
+		wake.noLaterThan(group.phaseSince + suspicionTime)
 		return
 	}
 	t.transition(group, PhasePrimaryLost, EvidenceSilence, group.primaryID(), wake.now)
 }
 
-// expireAnnouncement ends an announced failover that has not come by its time.
+// expireAnnouncement ends an announced failover that did not take place in time.
 func (t *Tracker) expireAnnouncement(group *replicaGroup, wake *wakeTime) {
 	if !group.isAnnounced() {
 		return
 	}
 	if wake.now < group.announcedUntil {
-		wake.by(group.announcedUntil)
+		wake.noLaterThan(group.announcedUntil)
 		return
 	}
 	group.announcedUntil = 0
@@ -135,23 +137,25 @@
 	t.transition(group, PhasePrimaryLost, EvidenceAnnouncementExpired, group.primaryID(), wake.now)
 }
 
-// settleTime is how long a settled group has to be quiet to be steady, and how long released requests are waited for.
+// settleTime is how long a settled group has to be without evidence to become steady. It is also how long the Tracker
+// waits for released requests whose end has not been reported.
 const settleTime = time.Second
 
-// finishRelease settles a group whose queue is empty, and keeps lost answers from stopping a release.
+// finishRelease moves a group with an empty queue to the phase settled. It also drops released requests whose end is
+// not reported within settleTime, so that they don't stop the release of others.
 func (t *Tracker) finishRelease(group *replicaGroup, wake *wakeTime) {
 	reviewDue := wake.now >= group.releaseReviewAt
 	queueEmpty := len(group.pending) == 0
 	if queueEmpty && (reviewDue || len(group.release.inFlight) == 0) {
 		t.transition(group, PhaseSettled, EvidenceQueueReleased, group.primaryID(), wake.now)
-		wake.by(wake.now + settleTime)
+		wake.noLaterThan(wake.now + settleTime)
 	} else {
-		wake.by(min(group.releaseReviewAt, wake.now+settleTime/4))
+		wake.noLaterThan(min(group.releaseReviewAt, wake.now+settleTime/4))
 	}
 	if !reviewDue {
 		return
 	}
-	// Requests whose end was never reported would fill the release window for ever.
+	// Requests whose end is never reported would occupy the release window indefinitely.
 	t.releasedInFlight -= len(group.release.inFlight)
 	clear(group.release.inFlight)
 	group.releaseReviewAt = wake.now + settleTime
@@ -160,7 +164,7 @@
 
 func (t *Tracker) endFailover(group *replicaGroup, wake *wakeTime) {
 	if wake.now-group.phaseSince < settleTime {
-		wake.by(group.phaseSince + settleTime)
+		wake.noLaterThan(group.phaseSince + settleTime)
 		return
 	}
 	t.transition(group, PhaseSteady, EvidenceQuiet, group.primaryID(), wake.now)
--- a/internal/failover/tracker_test.go
+++ b/internal/failover/tracker_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// newTestTracker returns a Tracker of groups 0, 1, ... with the endpoints n0-0, n0-1, n0-2, n1-0, ...; the first one
-// of each group is its primary.
+// newTestTracker returns a Tracker with the given number of groups, with IDs from 0. Each group has three endpoints, in
+// group 0 n0-0, n0-1 and n0-2. The first endpoint of each group is its primary.
 func newTestTracker(cfg Config, seed uint64, groups int) *Tracker {
 	tracker := New(cfg, seed)
 	var entries []Endpoint
@@ -48,7 +48,7 @@
 	return kinds
 }
 
-// requestState is what the fake router knows of a request.
+// requestState is the state of a request in the fake router.
 type requestState string
 
 const (
@@ -58,7 +58,7 @@
 	stateDone     requestState = "done"
 )
 
-// fakeRouter plays the router around a Tracker and checks the actions that the Tracker requests.
+// fakeRouter is a router around a Tracker. It checks the actions that the Tracker requests.
 type fakeRouter struct {
 	t         *rapid.T
 	tracker   *Tracker
@@ -97,7 +97,7 @@
 			case ActionHealthCheck:
 				endpoint := r.tracker.endpoints[action.Endpoint]
 				if endpoint == nil || endpoint.draining || endpoint.suspended {
-					r.t.Fatalf("%s gets a health check though it is out of service", action.Endpoint)
+					r.t.Fatalf("health check of %s, which is out of service", action.Endpoint)
 				}
 			case ActionWithdraw, ActionPhaseChanged:
 			}
@@ -108,11 +108,11 @@
 func (r *fakeRouter) release(action Action) {
 	r.t.Helper()
 	if r.states[action.ID] != statePending {
-		r.t.Fatalf("%s is released, it is %s", action.ID, r.states[action.ID])
+		r.t.Fatalf("request %s is released in state %s, want pending", action.ID, r.states[action.ID])
 	}
 	phase, _, primary, _ := r.tracker.Group(action.Group)
 	if phase != PhaseSuccessorSeen || primary == "" {
-		r.t.Fatalf("%s is released while %v, to %q", action.ID, phase, primary)
+		r.t.Fatalf("request %s is released in phase %v to primary %q", action.ID, phase, primary)
 	}
 	r.states[action.ID] = stateReleased
 }
@@ -120,15 +120,16 @@
 func (r *fakeRouter) reject(action Action) {
 	r.t.Helper()
 	if state := r.states[action.ID]; state != statePending && state != stateNew {
-		r.t.Fatalf("%s is rejected, it is %s", action.ID, state)
+		r.t.Fatalf("request %s is rejected in state %s, want pending or new", action.ID, state)
 	}
 	if action.RetryAfter <= 0 {
-		r.t.Fatalf("%s is rejected without a time to retry", action.ID)
+		r.t.Fatalf("request %s is rejected without a Retry-After", action.ID)
 	}
 	r.states[action.ID] = stateDone
 }
 
-// checkInvariants compares the queue with what the router knows, and with its bounds.
+// checkInvariants compares the queue with the states of the requests in the router and with its bounds, and checks that
+// no term has decreased.
 func (r *fakeRouter) checkInvariants() {
 	r.t.Helper()
 	expected := 0
@@ -138,7 +139,7 @@
 		}
 		expected++
 		if !r.tracker.IsPending(id) {
-			r.t.Fatalf("%s is lost", id)
+			r.t.Fatalf("request %s is not in the queue, want it pending", id)
 		}
 	}
 	bytes, inGroups := 0, 0
@@ -148,23 +149,23 @@
 		}
 		inGroups += len(group.pending)
 		if group.term < r.terms[group.id] {
-			r.t.Fatalf("the term of %d went back from %d to %d", group.id, r.terms[group.id], group.term)
+			r.t.Fatalf("term of group %d decreased from %d to %d", group.id, r.terms[group.id], group.term)
 		}
 		r.terms[group.id] = group.term
 	}
 	queue, cfg := &r.tracker.pending, &r.tracker.cfg
 	if expected != len(queue.byID) || expected != inGroups || expected > cfg.MaxPending {
-		r.t.Fatalf("%d pending, %d by ID, %d in groups", expected, len(queue.byID), inGroups)
+		r.t.Fatalf("%d requests should be pending; %d are by ID, %d in groups", expected, len(queue.byID), inGroups)
 	}
 	if bytes != queue.bytes || bytes > cfg.MaxPendingBytes {
-		r.t.Fatalf("%d bytes pending, %d counted", bytes, queue.bytes)
+		r.t.Fatalf("%d bytes are pending, the queue counts %d", bytes, queue.bytes)
 	}
-	ofClients := 0
+	inClientQueues := 0
 	for _, client := range queue.clients {
-		ofClients += len(client.pending)
+		inClientQueues += len(client.pending)
 	}
-	if ofClients != expected {
-		r.t.Fatalf("%d pending, %d of clients", expected, ofClients)
+	if inClientQueues != expected {
+		r.t.Fatalf("%d requests should be pending; %d are in the queues of clients", expected, inClientQueues)
 	}
 }
 
@@ -173,7 +174,7 @@
 	return fmt.Sprintf("n%d-%d", group, rapid.IntRange(0, 2).Draw(r.t, "endpoint"))
 }
 
-// enqueue offers a new request.
+// enqueue creates a random request, and enqueues it if ShouldQueue returns true.
 func (r *fakeRouter) enqueue(group int64) {
 	t := r.t
 	request := Request{
@@ -195,15 +196,15 @@
 		r.states[request.ID] = statePending
 		return
 	}
-	for _, action := range r.tracker.actions { // it was released or rejected at once
+	for _, action := range r.tracker.actions { // it may have been released immediately
 		if action.ID == request.ID && action.Kind == ActionRelease {
 			r.states[request.ID] = statePending
 		}
 	}
 }
 
-// endOne ends one of the requests that are pending or released.
-func (r *fakeRouter) endOne() {
+// completeOneRequest reports the end of one pending or released request.
+func (r *fakeRouter) completeOneRequest() {
 	for id, state := range r.states {
 		if state == statePending || state == stateReleased {
 			r.tracker.RequestDone(r.now, r.groups[id], id)
@@ -213,7 +214,7 @@
 	}
 }
 
-// drawEvent lets anything happen that a Tracker may be told.
+// drawEvent reports a random event to the Tracker.
 func (r *fakeRouter) drawEvent() {
 	t, tracker := r.t, r.tracker
 	group := int64(rapid.IntRange(0, 1).Draw(t, "group"))
@@ -245,7 +246,7 @@
 		entry.Removed = rapid.IntRange(0, 9).Draw(t, "removed") == 0
 		tracker.UpdateEndpoints(r.now, []Endpoint{entry}, false)
 	case 12:
-		r.endOne()
+		r.completeOneRequest()
 	case 13:
 		tracker.AttemptSent(r.now, r.drawEndpoint(), "x")
 	}
@@ -258,9 +259,9 @@
 	r.checkInvariants()
 }
 
-// Under any order of events terms never go back, the queue stays within its bounds, requests are released only to a
-// known primary, endpoints out of service get no health check, and no request stays in the queue after its deadline.
-func TestTrackerUnderAnyOrderOfEvents(t *testing.T) {
+// In any order of events, terms never decrease, the queue stays within its bounds, requests are released only to a
+// known primary, endpoints out of service get no health checks, and no request stays in the queue after its deadline.
+func TestTrackerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		router := newFakeRouter(t)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -268,13 +269,13 @@
 			router.drawEvent()
 			router.tick()
 		}
-		for range 200 { // and then nothing happens any more
+		for range 200 { // without further events
 			router.now += 5 * ms
 			router.tick()
 		}
 		for id, state := range router.states {
 			if state == statePending && router.now > router.deadlines[id] {
-				t.Fatalf("%s is still pending %v after its deadline", id, router.now-router.deadlines[id])
+				t.Fatalf("request %s is still pending %v after its deadline", id, router.now-router.deadlines[id])
 			}
 		}
 	})
@@ -305,7 +306,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/requests, "ns/enqueue+release")
 }
 
-// releaseAll answers each released request until no more are released.
+// releaseAll reports a response to each released request until no more are released, and returns their number.
 func releaseAll(tracker *Tracker) (released int) {
 	for tracker.HasActions() {
 		for _, action := range tracker.Actions() {
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// GroupView is what operators see of a replica group.
+// GroupView is the state of a replica group as operators see it.
 type GroupView struct {
 	Group            int64
 	Phase            Phase
 	Term             uint64
 	Primary          string        // "" = none is known
-	Since            time.Duration // how long the phase lasts
+	Since            time.Duration // how long the group has been in the phase
 	Pending          int
-	OldestPending    time.Duration // how long the oldest queued request waits
-	ReleasedInFlight int           // released and not answered
-	Released         uint64
-	Rejected         map[string]uint64 // by reason
-	History          []Transition
+	OldestPending    time.Duration     // how long the oldest queued request has been waiting
+	ReleasedInFlight int               // requests that are released and not answered
+	Released         uint64            // total number of requests
+	Rejected         map[string]uint64 // total numbers of requests by reason
+	History          []Transition      // the newest last
 }
 
-// Views returns all groups, by their numbers.
+// Views returns the state of all groups, sorted by ID.
 func (t *Tracker) Views(now time.Duration) []GroupView {
 	longestWait := map[*replicaGroup]time.Duration{}
 	for _, request := range t.pending.byID {
--- a/internal/failover/view_test.go
+++ b/internal/failover/view_test.go
@@ -15,7 +15,7 @@
 
 	views := tracker.Views(5 * time.Second)
 	if len(views) != 2 || views[0].Group != 0 || views[0].Phase != PhaseSteady || views[0].OldestPending != 0 {
-		t.Fatalf("%+v", views)
+		t.Fatalf("views are %+v, want two, with group 0 steady and nothing pending", views)
 	}
 	want := GroupView{
 		Group:         1,
@@ -32,11 +32,11 @@
 		}},
 	}
 	if !reflect.DeepEqual(views[1], want) {
-		t.Fatalf("%+v, want %+v", views[1], want)
+		t.Fatalf("view is %+v, want %+v", views[1], want)
 	}
 	tracker.ObservePrimary(6*time.Second, 1, "n1-1")
 	view := tracker.Views(6 * time.Second)[1]
 	if view.ReleasedInFlight != 2 || view.Released != 2 || view.Pending != 0 {
-		t.Fatalf("%+v after the release", view)
+		t.Fatalf("view is %+v after the release, want 2 released, 2 in flight and 0 pending", view)
 	}
 }
