--- a/internal/sitefailover/action.go
+++ b/internal/sitefailover/action.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Action is what a Monitor tells its caller.
+// Action is a result of Monitor.Step.
 type Action interface{ action() }
 
-// StateChanged says that a site has entered another state.
+// StateChanged reports that a site has entered another state.
 type StateChanged struct {
 	Site               string
 	OldState, NewState SiteState
 	Fault              FaultKind
-	Evidence           string // Evidence is a sentence for operators.
+	Evidence           string // Evidence is a text for operators.
 }
 
-// Wake asks for a call of Monitor.Step at the given time, also without events.
+// Wake asks for a call of Monitor.Step at Deadline, even if there are no events.
 type Wake struct{ Deadline time.Duration }
 
 func (StateChanged) action() {}
--- a/internal/sitefailover/admission.go
+++ b/internal/sitefailover/admission.go
@@ -9,64 +9,66 @@
 )
 
 const (
-	// admissionInterval is the time between two updates of the rejected shares, a few of them within a second of a loss.
+	// admissionInterval is the time between two updates of the rejected shares. It is short enough for several updates
+	// in the first second after a loss.
 	admissionInterval = 500 * time.Millisecond
-	// maxRejectedShare of a class is rejected at most; what is still admitted shows that there is capacity again.
-	maxRejectedShare = 1 - probeShare
-	// maxClassBurden bounds what a class bears, in multiples of its proportional part of all rejected work, so that no
-	// class pays for all others.
-	maxClassBurden = 3.0
-	// maxShareIncrease is by how much a rejected share grows in an interval at most.
+	// maxRejectedShare is the largest rejected share of a class. The requests that are still admitted show when there
+	// is capacity again.
+	maxRejectedShare = 1 - minServedShare
+	// maxClassShareFactor bounds the rejected share of a class, as a multiple of the rejected share of all work, so
+	// that the rejections are not concentrated on a single class.
+	maxClassShareFactor = 3.0
+	// maxShareIncrease is the largest increase of a rejected share per interval.
 	maxShareIncrease = 0.25
-	// maxShareDecrease is by how much a rejected share falls in an interval at most. It is the smaller one because work
-	// that is admitted too early is rejected a second time.
+	// maxShareDecrease is the largest decrease of a rejected share per interval. It is smaller than maxShareIncrease,
+	// because work that is admitted too early has to be rejected again.
 	maxShareDecrease = 0.05
-	// planUncertainty is the part of all work by which a plan may be wrong. So much is left to the balancer, which sees
-	// the queue of each endpoint.
+	// planUncertainty is the error of a plan, as a share of all work. That much excess work is not rejected here but
+	// left to the balancer, which sees the queue of each endpoint.
 	planUncertainty = 0.15
-	// defaultRetrySpread holds where AdmissionConfig.RetrySpread is not set.
+	// defaultRetrySpread is used if AdmissionConfig.RetrySpread is not set.
 	defaultRetrySpread = time.Second
-	// admissionStream separates the random numbers of this package from others that are drawn from the same seed.
+	// admissionStream separates the random numbers of this package from those of other packages that use the same seed.
 	admissionStream = 5
 )
 
-// AdmissionConfig bounds an AdmissionController.
+// AdmissionConfig configures an AdmissionController.
 type AdmissionConfig struct {
-	// RetrySpread is the latest time after which rejected clients are asked to retry, the longest that clients respect.
-	// 0 = one second.
+	// RetrySpread is the longest time after which rejected clients are asked to retry: the longest that clients
+	// respect. 0 = one second.
 	RetrySpread time.Duration
 }
 
-// RejectedShare is the share of a class's requests to a replica group that is rejected, and why.
+// RejectedShare is the share of a class's requests to a replica group that is rejected, with the reason.
 type RejectedShare struct {
 	Group        int64         `json:"bank"`
 	Class        string        `json:"class"`
-	Saturated    string        `json:"where"`   // Saturated is the resource that is short, "primary" or "replicas".
-	Share        float64       `json:"part"`    // Share is the part of the requests.
-	Since        time.Duration `json:"-"`       // Since is on the caller's clock.
-	Ending       bool          `json:"ends"`    // Ending says that the share is falling.
-	PlannedShare float64       `json:"by_plan"` // PlannedShare is what the plan alone would reject.
+	Saturated    string        `json:"where"`   // Saturated is the resource that lacks capacity, "primary" or "replicas".
+	Share        float64       `json:"part"`    // Share is the rejected share of the requests, 0 to 1.
+	Since        time.Duration `json:"-"`       // Since is the start of the rejection on the caller's clock.
+	Ending       bool          `json:"ends"`    // Ending reports whether the share is decreasing.
+	PlannedShare float64       `json:"by_plan"` // PlannedShare is the share that the plan alone would reject.
 }
 
-// AdmissionController sheds load while a site is lost: of the work with the least weight as much as the plan surely
-// finds no capacity for. It decides by shares, so that routers which know nothing of each other together reject what is
-// too much. It is not safe for concurrent use.
+// AdmissionController sheds load while a site is lost. It rejects as much work as certainly exceeds the capacity in the
+// plan, beginning with the least priority weight per second of work. It rejects shares of the requests, so that routers
+// that don't communicate reject the right amount together. It is not safe for concurrent use.
 type AdmissionController struct {
 	cfg        AdmissionConfig
 	rng        *rand.Rand
 	admitsAll  bool
-	nextUpdate time.Duration // 0 = none is due while all is admitted
+	nextUpdate time.Duration // 0 = no update is due, everything is admitted
 	rejections map[DemandKey]*classRejection
 }
 
-// classRejection is what is rejected of one class in one replica group.
+// classRejection is the rejection of the requests of one class to one replica group.
 type classRejection struct {
-	resource resource
-	share    float64 // rejected now
-	target   float64 // the share moves towards it
-	planned  float64 // what the plan alone would reject
-	debt     float64 // grows by share with each request; at 1 a request is rejected
-	since    time.Duration
+	resource    resource
+	share       float64 // the rejected share of the requests
+	target      float64 // share moves towards it with each update
+	planned     float64 // the share that the plan alone would reject
+	accumulated float64 // grows by share with each request; a request is rejected when it reaches 1
+	since       time.Duration
 }
 
 // NewAdmissionController returns an AdmissionController that admits everything.
@@ -85,10 +87,10 @@
 // AdmitsAll reports whether nothing is rejected and no site is lost.
 func (c *AdmissionController) AdmitsAll() bool { return c.admitsAll }
 
-// ShouldReject decides on one request: whether it is rejected, and after what time its client may retry.
+// ShouldReject decides whether to reject a request, and after what time its client should retry.
 //
-// Each class of a group is rejected evenly, by a debt with a random start. That keeps to the share however few requests
-// each router sees.
+// The rejections of a class in a group are spread evenly over its requests by an accumulator with a random start value.
+// Together the routers then reject the right share even if each of them gets few requests.
 func (c *AdmissionController) ShouldReject(key DemandKey) (rejected bool, retryAfter time.Duration) {
 	if c.admitsAll {
 		return false, 0
@@ -100,31 +102,31 @@
 	return true, c.drawRetryAfter()
 }
 
-// rejectsNext counts a request and reports whether it is one to reject.
+// rejectsNext adds a request to the accumulator and reports whether to reject it.
 func (r *classRejection) rejectsNext() bool {
 	if r.share <= 0 {
 		return false
 	}
-	r.debt += r.share
-	if r.debt < 1 {
+	r.accumulated += r.share
+	if r.accumulated < 1 {
 		return false
 	}
-	r.debt--
+	r.accumulated--
 	return true
 }
 
-// drawRetryAfter draws a time from the upper half of RetrySpread: the lack of capacity will last for a while, and the
-// rejected clients must not return together.
+// drawRetryAfter returns a random time between half of RetrySpread and RetrySpread: the lack of capacity will last for
+// a while, and the rejected clients must not all retry at the same time.
 func (c *AdmissionController) drawRetryAfter() time.Duration {
 	half := c.cfg.RetrySpread / 2
 	return half + time.Duration(c.rng.Int64N(int64(half)+1))
 }
 
-// NextUpdate returns when Update wants to be called next, 0 = not before a site is lost.
+// NextUpdate returns the time at which Update has to be called next, 0 = not before a site is lost.
 func (c *AdmissionController) NextUpdate() time.Duration { return c.nextUpdate }
 
-// Update moves the rejected shares, if an update is due. siteLost says that some site is lost. input is called where a
-// plan is needed, and returns what there is now, without the endpoints of lost sites.
+// Update adjusts the rejected shares if an update is due. siteLost reports whether any site is lost. input returns the
+// current endpoints and demands, without the endpoints of lost sites; Update calls it only if it needs a plan.
 func (c *AdmissionController) Update(now time.Duration, siteLost bool, input func() PlanInput) {
 	if !siteLost && c.admitsAll {
 		c.nextUpdate = 0
@@ -148,7 +150,7 @@
 	}
 }
 
-// scheduleUpdate sets the time of the next update. The first interval is drawn, so that routers update at different
+// scheduleUpdate sets the time of the next update. The first interval is random, so that routers update at different
 // times.
 func (c *AdmissionController) scheduleUpdate(now time.Duration) {
 	if !c.admitsAll {
@@ -159,7 +161,7 @@
 	c.admitsAll = false
 }
 
-// moveShares moves each share towards its target and forgets the shares that have come to nothing.
+// moveShares moves each share towards its target and deletes those that have reached zero.
 func (c *AdmissionController) moveShares(now time.Duration) {
 	for key, rejection := range c.rejections {
 		before := rejection.share
@@ -174,13 +176,13 @@
 	}
 }
 
-// setTargets sets as the targets, for each group and resource, the work that the plan finds no capacity for, less what
-// the plan may be off by, beginning with the least weight for its work.
+// setTargets sets the target shares for each group and resource. The work to reject is the work that has no capacity in
+// the plan, minus planUncertainty, beginning with the least priority weight per second of work.
 func (c *AdmissionController) setTargets(input PlanInput) {
 	for _, group := range collectGroups(input) {
 		plan := group.allocate(noSiteLost)
 		if plan.primary == nil {
-			continue // the balancer rejects what it must, and a successor may come at any time
+			continue // the balancer rejects these requests if necessary; a successor may appear at any time
 		}
 		total, unplaced := group.workByResource(plan)
 		for saturated := range resourceCount {
@@ -189,7 +191,8 @@
 	}
 }
 
-// workByResource sums up the demanded work, and that of it which the plan finds no capacity for.
+// workByResource returns the demanded work, and the part of it that has no capacity in the plan, for each resource, in
+// seconds of work per second.
 func (g *groupDemand) workByResource(plan allocation) (total, unplaced [resourceCount]float64) {
 	for i, demand := range g.demands {
 		needed := demand.resource()
@@ -204,7 +207,7 @@
 	group *groupDemand, plan allocation, saturated resource, total, unplaced float64,
 ) {
 	excess := unplaced - planUncertainty*total
-	maxShare := math.Min(maxRejectedShare, maxClassBurden*excess/total)
+	maxShare := math.Min(maxRejectedShare, maxClassShareFactor*excess/total)
 	for i, demand := range slices.Backward(group.demands) {
 		if demand.resource() != saturated {
 			continue
@@ -218,7 +221,7 @@
 			if share == 0 {
 				continue
 			}
-			rejection = &classRejection{resource: saturated, debt: c.rng.Float64()}
+			rejection = &classRejection{resource: saturated, accumulated: c.rng.Float64()}
 			c.rejections[key] = rejection
 		}
 		rejection.target = share
@@ -226,7 +229,7 @@
 	}
 }
 
-// RejectedShares returns what is rejected now, in the order of the groups' numbers, the highest share first.
+// RejectedShares returns the current rejections, sorted by group, the highest share of a group first.
 func (c *AdmissionController) RejectedShares() []RejectedShare {
 	var shares []RejectedShare
 	for key, rejection := range c.rejections {
--- a/internal/sitefailover/demand.go
+++ b/internal/sitefailover/demand.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// demandTimeConstant is the time over which demand is averaged: long enough for a router that sees few requests,
-	// short enough for a burst of seconds.
+	// demandTimeConstant is the time constant of the moving average: long enough for a router with few requests, short
+	// enough to show a burst of a few seconds.
 	demandTimeConstant = 10 * time.Second
-	// maxDemandKeys bounds the keys that are counted, because a client may name any group.
+	// maxDemandKeys bounds the number of keys, because a client may name any group.
 	maxDemandKeys = 4096
-	// negligibleCount is the count below which a demand is forgotten.
+	// negligibleCount is the count below which a key is deleted.
 	negligibleCount = 0.01
-	// minBuiltUpShare bounds the extrapolation from a demand that has only just begun.
+	// minBuiltUpShare limits the extrapolation from a demand that has only just started.
 	minBuiltUpShare = 0.05
 )
 
-// DemandKey names what is counted: the requests of a class to a replica group.
+// DemandKey identifies the requests of a class to a replica group.
 type DemandKey struct {
 	Class string
 	Group int64
@@ -29,11 +29,11 @@
 	demands map[DemandKey]*decayingCount
 }
 
-// decayingCount counts requests and forgets them exponentially.
+// decayingCount is a count of requests that decays exponentially.
 type decayingCount struct {
 	level     float64 // requests, as of updatedAt
 	updatedAt time.Duration
-	firstAt   time.Duration // the first request: a count that began lately has not built up yet
+	firstAt   time.Duration // time of the first request; a recent one means that level has not built up yet
 }
 
 // Record counts one request.
@@ -61,14 +61,14 @@
 	c.updatedAt = now
 }
 
-// perSecond is the rate of requests.
+// perSecond returns the rate in requests per second.
 func (c *decayingCount) perSecond(now time.Duration) float64 {
-	// Of the level that a steady demand reaches, only this share has had time to build up.
+	// builtUp is the share of its final level that a constant demand has reached since the first request.
 	builtUp := max(minBuiltUpShare, 1-math.Exp(-float64(now-c.firstAt)/float64(demandTimeConstant)))
 	return c.level / (builtUp * demandTimeConstant.Seconds())
 }
 
-// forget drops the keys for which there was no request for a long time.
+// forget deletes the keys without a request for a long time.
 func (m *DemandMeter) forget(now time.Duration) {
 	for key, count := range m.demands {
 		count.decay(now)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Rates returns the requests a second by key.
+// Rates returns the requests per second by key.
 func (m *DemandMeter) Rates(now time.Duration) map[DemandKey]float64 {
 	rates := map[DemandKey]float64{}
 	m.forget(now)
@@ -88,7 +88,7 @@
 	return rates
 }
 
-// RatesByClass returns the requests a second by class.
+// RatesByClass returns the requests per second by class.
 func (m *DemandMeter) RatesByClass(now time.Duration) map[string]float64 {
 	rates := map[string]float64{}
 	for key, rate := range m.Rates(now) {
--- a/internal/sitefailover/demand_test.go
+++ b/internal/sitefailover/demand_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A steady demand is measured from its first second on, a change within some time constants; what is no longer asked
-// for is forgotten, and the number of keys that clients can make up is bounded.
+// A constant demand is measured correctly after a few seconds, and a changed one after a few time constants. A key
+// without requests is deleted, and the number of keys, which clients can make up, is bounded.
 func TestDemandMeter(t *testing.T) {
 	var meter DemandMeter
 	key := DemandKey{Class: "view", Group: 1}
@@ -34,17 +34,17 @@
 	}
 	now += 5 * time.Minute
 	if rates := meter.Rates(now); len(rates) != 0 {
-		t.Errorf("rates after five minutes without a request: %v", rates)
+		t.Errorf("rates are %v after five minutes without a request, want none", rates)
 	}
 	for group := range int64(3 * maxDemandKeys) {
 		meter.Record(now, DemandKey{Class: "view", Group: group})
 	}
 	if len(meter.demands) > maxDemandKeys {
-		t.Errorf("%d keys are counted, want at most %d", len(meter.demands), maxDemandKeys)
+		t.Errorf("%d keys, want at most %d", len(meter.demands), maxDemandKeys)
 	}
 	now += 5 * time.Minute
 	meter.Record(now, DemandKey{Class: "view", Group: -1})
 	if len(meter.demands) != 1 {
-		t.Errorf("%d keys are counted, want only the one that was asked for", len(meter.demands))
+		t.Errorf("%d keys, want only the one with a recent request", len(meter.demands))
 	}
 }
--- a/internal/sitefailover/endpoint_evidence.go
+++ b/internal/sitefailover/endpoint_evidence.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// silenceFraction is the part of the evidence window, as its divisor, for which an endpoint has to stay silent after a
-// single failure to count as down. A second failure in a row makes it down at once.
+// silenceFraction is the divisor of the evidence window for the time that an endpoint has to stay silent after a single
+// failure to count as down. After a second consecutive failure it counts as down immediately.
 const silenceFraction = 4
 
-// endpointEvidence is what is known of one endpoint.
+// endpointEvidence is the evidence about one endpoint.
 type endpointEvidence struct {
 	id            string
 	site          string
 	group         int64
-	draining      bool          // it was told to leave before it failed, which is a deploy and no loss
-	delisted      bool          // the list has dropped it although it was not draining
-	unlistedSince time.Duration // since when no list has named it, 0 = one does
-	answeredAt    time.Duration // of the last answer, 0 = there was none
-	failingSince  time.Duration // of the first failure since the last answer, 0 = there was none
-	failures      int           // since the last answer
+	draining      bool          // by a deploy, before it failed; not evidence of a loss
+	delisted      bool          // removed from the list although it was not draining
+	unlistedSince time.Duration // since when it is missing from the complete lists, 0 = it is listed
+	answeredAt    time.Duration // time of the last answer, 0 = none yet
+	failingSince  time.Duration // time of the first failure since the last answer, 0 = none
+	failures      int           // number of failures since the last answer
 	lastFailure   Failure
 
-	// committedAfterFailure says that the endpoint's group went on committing so soon after the endpoint failed that
-	// only the endpoint itself can have led the group.
+	// committedAfterFailure reports whether the endpoint's group has committed so soon after the endpoint failed that
+	// only the endpoint itself can have been the primary.
 	committedAfterFailure bool
 }
 
@@ -48,7 +48,8 @@
 	e.lastFailure = failure
 }
 
-// isDown reports whether the endpoint has failed and not answered since: twice, or once with a silence behind it.
+// isDown reports whether the endpoint counts as down: delisted, or without an answer since two failures, or since one
+// failure that is long enough ago.
 func (e *endpointEvidence) isDown(now, window time.Duration) bool {
 	if e.delisted {
 		return true
@@ -59,7 +60,7 @@
 	return e.failures > 1 || now >= e.downAt(window)
 }
 
-// downAt is when a single failure makes the endpoint down.
+// downAt returns the time from which on the endpoint counts as down after a single failure.
 func (e *endpointEvidence) downAt(window time.Duration) time.Duration {
 	return e.failingSince + window/silenceFraction
 }
@@ -69,18 +70,18 @@
 	return e.answeredAt > 0 && now-e.answeredAt <= window
 }
 
-// evidenceCounts sums up the evidence on several endpoints. Draining endpoints, and those of which nothing was heard
-// lately, count for nothing.
+// evidenceCounts summarizes the evidence about several endpoints. It doesn't count draining endpoints, nor those that
+// have neither failed nor answered recently.
 type evidenceCounts struct {
 	down       int
 	answering  int
 	downGroups map[int64]bool // the groups of the endpoints that are down
 }
 
-// known is the number of endpoints of which anything is known.
+// known returns the number of endpoints that are known to be down or answering.
 func (c evidenceCounts) known() int { return c.down + c.answering }
 
-// downShare is the share of the known endpoints that is down.
+// downShare returns the share of the known endpoints that are down.
 func (c evidenceCounts) downShare() float64 {
 	if c.known() == 0 {
 		return 0
@@ -88,7 +89,7 @@
 	return float64(c.down) / float64(c.known())
 }
 
-// countEvidence sums up the evidence on a site's endpoints.
+// countEvidence summarizes the evidence about the endpoints of a site.
 func (m *Monitor) countEvidence(site *siteStatus) evidenceCounts {
 	counts := evidenceCounts{downGroups: map[int64]bool{}}
 	for _, endpoint := range site.endpoints {
@@ -108,7 +109,7 @@
 	return endpoint.isDown(m.now, m.cfg.EvidenceWindow)
 }
 
-// failureSummary says for operators how a site's endpoints fail, as in "2 refused, 1 silent".
+// failureSummary describes for operators how the endpoints of a site fail, as in "2 refused, 1 silent".
 func (m *Monitor) failureSummary(site *siteStatus) string {
 	counts := map[string]int{}
 	for _, endpoint := range site.endpoints {
--- a/internal/sitefailover/endpoint_list.go
+++ b/internal/sitefailover/endpoint_list.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// delistedRetention is how long an endpoint that no list names any more goes on to count for its site's loss.
+// delistedRetention is how long an endpoint that is no longer listed still counts as part of its site's loss.
 const delistedRetention = 10 * time.Minute
 
-// recordListing takes one entry of an endpoint list.
+// recordListing applies one entry of an endpoint list.
 func (m *Monitor) recordListing(entry EndpointListed) {
 	endpoint := m.endpoints[entry.Endpoint]
 	if endpoint == nil {
@@ -29,7 +29,7 @@
 	m.forgetReplaced(site)
 }
 
-// assignSite puts an endpoint into a site and returns the site.
+// assignSite assigns an endpoint to a site and returns the site.
 func (m *Monitor) assignSite(endpoint *endpointEvidence, name string) *siteStatus {
 	if endpoint.site == name && m.sites[name] != nil {
 		return m.sites[name]
@@ -45,7 +45,7 @@
 	return site
 }
 
-// recordListState takes over what a list says of the endpoint.
+// recordListState applies the state of the endpoint in a list.
 func (e *endpointEvidence) recordListState(state EndpointState) {
 	e.unlistedSince = 0
 	switch state {
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordUnlisted notes that a complete list does not name the endpoint.
+// recordUnlisted records that the endpoint is missing from a complete list.
 func (e *endpointEvidence) recordUnlisted(now time.Duration) {
 	e.delisted = !e.draining
 	if e.unlistedSince == 0 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// forgetReplaced forgets one delisted endpoint for each new one. Without that a site that returns under new identifiers
-// would be taken for half lost, or lost again, because of endpoints that nobody will see any more.
+// forgetReplaced forgets one delisted endpoint for each new one. Otherwise a site that recovers with new endpoint IDs
+// would count as half lost, or lost again, because of endpoints that will never come back.
 func (m *Monitor) forgetReplaced(site *siteStatus) {
 	for _, id := range slices.Sorted(maps.Keys(site.endpoints)) {
 		if site.unmatchedNewEndpoints > 0 && site.endpoints[id].delisted {
@@ -78,8 +78,8 @@
 	}
 }
 
-// retainListed forgets the endpoints that a complete list does not name. Those that were down before they left the list
-// go on counting while their site is not healthy, because they are part of its loss.
+// retainListed forgets the endpoints that are missing from a complete list. Endpoints that are down still count while
+// their site is not healthy, because they are part of its loss.
 func (m *Monitor) retainListed(list EndpointListComplete) {
 	listed := map[string]bool{}
 	for _, id := range list.Endpoints {
@@ -100,7 +100,7 @@
 	}
 }
 
-// forgetExpired forgets the endpoints that no list has named for longer than delistedRetention.
+// forgetExpired forgets the endpoints that have been unlisted for longer than delistedRetention.
 func (m *Monitor) forgetExpired() {
 	for _, endpoint := range m.endpoints {
 		if endpoint.unlistedSince > 0 && m.now-endpoint.unlistedSince > delistedRetention {
@@ -114,7 +114,7 @@
 	delete(m.endpoints, endpoint.id)
 }
 
-// detach takes an endpoint out of its site, and forgets the site with its last endpoint.
+// detach removes an endpoint from its site, and removes the site if that was its last endpoint.
 func (m *Monitor) detach(endpoint *endpointEvidence) {
 	site := m.sites[endpoint.site]
 	if site == nil {
--- a/internal/sitefailover/fault.go
+++ b/internal/sitefailover/fault.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// FaultKind is what the evidence says of a site that is not healthy.
+// FaultKind classifies the fault of a site that is not healthy.
 type FaultKind uint8
 
 // The kinds of fault.
 const (
-	// FaultUnclear means that the evidence does not tell, or that there is no fault.
+	// FaultUnclear means that the evidence is inconclusive, or that there is no fault.
 	FaultUnclear FaultKind = iota
-	// FaultSiteLost means that nothing suggests that the site's endpoints are alive.
+	// FaultSiteLost means that there is no sign that the site's endpoints are alive.
 	FaultSiteLost
-	// FaultPartitioned means that this router cannot reach the site although it is alive: its groups go on committing.
+	// FaultPartitioned means that this router cannot reach the site although it is alive: its primaries still commit.
 	FaultPartitioned
-	// FaultIsolated means that this router reaches no site but its own, or none at all, so that the fault is as likely
-	// on its own side.
+	// FaultIsolated means that this router reaches no site other than its own, or none at all, so the fault may just as
+	// well be on the router's side.
 	FaultIsolated
-	// FaultDelisted means that the endpoint list has dropped the site's endpoints.
+	// FaultDelisted means that at least half of the site's endpoints were removed from the endpoint list.
 	FaultDelisted
 )
 
-// String returns the words that operators read.
+// String returns the text for operators.
 func (k FaultKind) String() string {
 	return [...]string{"unclear", "site lost", "cut off from here", "alone on this side", "listed as gone"}[k]
 }
 
-// classifyFault says what fault the evidence speaks for, once a site is suspected or lost.
+// classifyFault returns the most likely fault of a suspected or lost site.
 func (m *Monitor) classifyFault(site *siteStatus, evidence assessment) FaultKind {
 	delisted := site.countDelisted()
 	mostDelisted := delisted > 0 && 2*delisted >= site.countExpected()
@@ -39,7 +39,7 @@
 	case nothingElseAnswers, onlyOwnSiteAnswers:
 		return FaultIsolated
 	case m.isOnlyOtherSite(site):
-		return FaultUnclear // with two sites, one side cannot tell by itself on which of them the fault is
+		return FaultUnclear // with two sites, a router can't know which side the fault is on
 	}
 	return FaultSiteLost
 }
@@ -54,14 +54,14 @@
 	return delisted
 }
 
-// isOnlyOtherSite reports whether there is no site beside the given one and the router's own.
+// isOnlyOtherSite reports whether there is no other site than the given one and the router's own.
 func (m *Monitor) isOnlyOtherSite(site *siteStatus) bool {
 	ownSiteKnown := m.cfg.OwnSite != ""
 	return ownSiteKnown && site.name != m.cfg.OwnSite && len(m.sites) <= 2
 }
 
-// commitsProveAlive reports whether a group whose primary stands in the site has committed since the primary failed
-// here.
+// commitsProveAlive reports whether a group whose primary is in the site has committed after the primary failed for
+// this router.
 func (m *Monitor) commitsProveAlive(site *siteStatus) bool {
 	for group, id := range m.primaries {
 		primary := site.endpoints[id]
@@ -72,8 +72,8 @@
 	return false
 }
 
-// recordAppliedPosition notes up to when a group has committed. Commits that lie further behind the primary's failure
-// than the evidence window prove nothing, because a successor may have made them.
+// recordAppliedPosition records the position up to which a replica has applied the commits of a group. Commits later
+// than the primary's failure plus the evidence window prove nothing, because they may come from a successor.
 func (m *Monitor) recordAppliedPosition(group int64, position time.Duration) {
 	primary := m.endpoints[m.primaries[group]]
 	if primary == nil || primary.failingSince == 0 {
--- a/internal/sitefailover/group_demand.go
+++ b/internal/sitefailover/group_demand.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// probeShare is the part of each class and group that is served whatever its weight is: without any, no answer would
-	// tell that there is capacity again.
-	probeShare = 0.02
-	// usableCapacity is the part of a resource's capacity that a plan fills; the rest is for chance.
+	// minServedShare is the share of the demand of each class and group that is served regardless of its priority
+	// weight. Without it, no response would show when there is capacity again.
+	minServedShare = 0.02
+	// usableCapacity is the share of a capacity that a plan uses. The rest is a reserve for random variation.
 	usableCapacity = 0.95
-	// negligible is the share, or work a second, below which a difference is taken for an error of rounding.
+	// negligible is the share, or work per second, below which a difference counts as a rounding error.
 	negligible = 1e-9
 )
 
-// noSiteLost stands for the lost site in an allocation with all sites. Endpoints that have no site are left out of such
-// an allocation too: it cannot tell them from those of a lost site.
+// noSiteLost is the name of the lost site in an allocation with all sites. Since it equals the site of endpoints
+// without a site, such an allocation doesn't use these endpoints either.
 const noSiteLost = ""
 
-// resource is a part of a replica group that can be saturated by itself.
+// resource is a part of a replica group that can be saturated independently of the others.
 type resource int
 
 const (
@@ -28,12 +28,12 @@
 	resourceCount
 )
 
-// String returns the word that operators read.
+// String returns the word for operators.
 func (r resource) String() string {
 	return [...]string{"primary", "replicas"}[r]
 }
 
-// resource is what a demand has to be rejected for, if it is.
+// resource returns the resource whose saturation causes a rejection of the demand.
 func (d Demand) resource() resource {
 	if d.NeedsPrimary {
 		return primaryResource
@@ -41,16 +41,15 @@
 	return replicaResource
 }
 
-// groupDemand is a replica group with what is asked of it.
+// groupDemand is a replica group with its demands.
 type groupDemand struct {
 	id        int64
-	endpoints []*PlanEndpoint // by their identifiers
-	demands   []Demand        // by their weight for a second of work, the highest first
-	current   allocation      // with all sites
+	endpoints []*PlanEndpoint // sorted by ID
+	demands   []Demand        // sorted by priority weight per second of work, the highest first
+	current   allocation      // with all sites in service
 }
 
-// collectGroups sorts an input by replica groups, in the order of their numbers. Work is rejected from the end of a
-// group's demands.
+// collectGroups splits the input into replica groups, sorted by ID. Work is rejected from the end of a group's demands.
 func collectGroups(input PlanInput) []*groupDemand {
 	var groups []*groupDemand
 	byID := map[int64]*groupDemand{}
@@ -82,29 +81,29 @@
 	return groups
 }
 
-// compareDemands puts the higher weight for a second of work first.
+// compareDemands orders demands by priority weight per second of work, the highest first.
 func compareDemands(a, b Demand) int {
 	return cmp.Or(cmp.Compare(b.PriorityWeight/b.Work, a.PriorityWeight/a.Work), cmp.Compare(a.Class, b.Class))
 }
 
-// remainsWithout reports whether the endpoint can take work once the site is lost.
+// remainsWithout reports whether the endpoint can still serve requests if the site is lost.
 func (e *PlanEndpoint) remainsWithout(lostSite string) bool {
 	return e.Available && e.Site != lostSite
 }
 
-// allocation is how the demands of a group are served without one site.
+// allocation describes how the demands of a group are served without one site.
 type allocation struct {
-	primary         *PlanEndpoint // nil = there can be none, and nothing is served
+	primary         *PlanEndpoint // nil = no endpoint is left, and nothing is served
 	served          []float64     // the share of each demand that is served
-	primaryWork     []float64     // the work of each demand that the primary does; replicas do the rest
-	primaryCapacity float64       // usable, in seconds of work a second
-	replicaCapacity float64       // of all replicas together
+	primaryWork     []float64     // the primary's work for each demand, in seconds of work per second
+	primaryCapacity float64       // usable capacity, in seconds of work per second
+	replicaCapacity float64       // usable capacity of all replicas together, in the same unit
 
 	primaryUtilization float64
 	replicaUtilization float64
 }
 
-// primaryID is the identifier of the primary, "" if there can be none.
+// primaryID returns the ID of the primary, or "" if no endpoint is left.
 func (a *allocation) primaryID() string {
 	if a.primary == nil {
 		return ""
@@ -112,14 +111,14 @@
 	return a.primary.ID
 }
 
-// freeCapacity is what is left while work is placed, in seconds of work a second.
+// freeCapacity is the capacity that is not allocated yet, in seconds of work per second.
 type freeCapacity struct {
 	primary  float64
 	replicas float64
 }
 
-// allocate shares the group's work out among the endpoints that remain without a site. First probeShare of each demand
-// is placed, then the rest in the order of weight for work.
+// allocate distributes the work of the group over the endpoints that remain without a site. It allocates minServedShare
+// of each demand first, and then the rest in the order of priority weight per second of work.
 func (g *groupDemand) allocate(lostSite string) allocation {
 	result := allocation{
 		primary:     g.primaryWithout(lostSite),
@@ -138,12 +137,12 @@
 		}
 	}
 	free := freeCapacity{primary: result.primaryCapacity, replicas: result.replicaCapacity}
-	// Until the end served holds work, not shares.
+	// Up to the last loop, result.served holds work rather than shares.
 	for i, demand := range g.demands {
-		result.place(i, demand, probeShare*demand.Rate*demand.Work, &free)
+		result.allocateWork(i, demand, minServedShare*demand.Rate*demand.Work, &free)
 	}
 	for i, demand := range g.demands {
-		result.place(i, demand, (1-probeShare)*demand.Rate*demand.Work, &free)
+		result.allocateWork(i, demand, (1-minServedShare)*demand.Rate*demand.Work, &free)
 	}
 	for i, demand := range g.demands {
 		result.served[i] = min(1, result.served[i]/(demand.Rate*demand.Work))
@@ -153,7 +152,8 @@
 	return result
 }
 
-// primaryWithout returns the primary if it remains, else the first endpoint that can succeed it, nil if there is none.
+// primaryWithout returns the primary if it remains without the site, otherwise the first endpoint that does. It returns
+// nil if no endpoint is left.
 func (g *groupDemand) primaryWithout(lostSite string) *PlanEndpoint {
 	var primary *PlanEndpoint
 	for _, endpoint := range g.endpoints {
@@ -164,9 +164,9 @@
 	return primary
 }
 
-// place adds work of the demand with the given index, as far as there is capacity. Replicas come first for work that
-// they can do, because the primary has work that nobody else can.
-func (a *allocation) place(index int, demand Demand, work float64, free *freeCapacity) {
+// allocateWork allocates work of the demand with the given index, as far as there is capacity. Work that replicas can
+// do goes to them first, because other work needs the primary.
+func (a *allocation) allocateWork(index int, demand Demand, work float64, free *freeCapacity) {
 	if !demand.NeedsPrimary {
 		atReplicas := min(work, free.replicas)
 		free.replicas -= atReplicas
--- a/internal/sitefailover/monitor.go
+++ b/internal/sitefailover/monitor.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// MonitorConfig bounds a Monitor. Zero durations and a zero MaxEndpoints are not allowed.
+// MonitorConfig configures a Monitor. Durations and MaxEndpoints must not be zero.
 type MonitorConfig struct {
-	OwnSite        string        // OwnSite is the router's own site, "" = not known.
+	OwnSite        string        // OwnSite is the site of the router, "" = not known.
 	EvidenceWindow time.Duration // EvidenceWindow is how long an answer proves that an endpoint is up.
-	SuspicionTime  time.Duration // SuspicionTime is how long a suspicion has to last for the site to be lost.
-	SettleTime     time.Duration // SettleTime is how long a recovering site is watched; endpoints warm up meanwhile.
-	MaxEndpoints   int           // MaxEndpoints is the number of endpoints that are followed at most.
+	SuspicionTime  time.Duration // SuspicionTime is how long a site is suspected before it is lost.
+	SettleTime     time.Duration // SettleTime is how long a site recovers at least; its endpoints warm up in that time.
+	MaxEndpoints   int           // MaxEndpoints is the maximum number of tracked endpoints.
 }
 
 const (
-	// defaultEvidenceWindow lets a router with little traffic hear of most endpoints within it.
+	// defaultEvidenceWindow is long enough for a router with little traffic to get a response from most endpoints.
 	defaultEvidenceWindow = 2 * time.Second
-	// defaultSuspicionTime is longer than a momentary silence of a network.
+	// defaultSuspicionTime is longer than a brief network outage.
 	defaultSuspicionTime = 500 * time.Millisecond
-	// evaluationsPerSuspicion is how often a site that is not healthy is judged within the suspicion time, events or not.
+	// evaluationsPerSuspicion is how often a site that is not healthy is evaluated per SuspicionTime, even without
+	// events.
 	evaluationsPerSuspicion = 4
 )
 
-// DefaultMonitorConfig is the configuration of a router in a site of its own whose endpoints take warmUp to get warm.
+// DefaultMonitorConfig returns the configuration for a router in ownSite. warmUp is how long cold endpoints take to
+// warm up.
 func DefaultMonitorConfig(ownSite string, warmUp time.Duration, maxEndpoints int) MonitorConfig {
 	return MonitorConfig{
 		OwnSite:        ownSite,
@@ -35,16 +37,16 @@
 	}
 }
 
-// Monitor judges all sites by the events that it is given. It is not safe for concurrent use.
+// Monitor determines the state of all sites from events. It is not safe for concurrent use.
 type Monitor struct {
 	cfg       MonitorConfig
 	now       time.Duration
 	endpoints map[string]*endpointEvidence
 	sites     map[string]*siteStatus
-	primaries map[int64]string // the endpoint that is believed to be each group's primary
+	primaries map[int64]string // the endpoint that is considered the primary of each group
 }
 
-// NewMonitor returns a Monitor that knows nothing yet.
+// NewMonitor returns a Monitor without any sites and endpoints.
 func NewMonitor(cfg MonitorConfig) *Monitor {
 	return &Monitor{
 		cfg:       cfg,
@@ -54,8 +56,8 @@
 	}
 }
 
-// Step takes what has happened by now and returns what has changed, in the order of the sites' names. Times must not
-// fall from one call to the next.
+// Step processes the events since the last call and returns the changes of state, sorted by site name, and possibly a
+// Wake. now must not decrease from one call to the next.
 func (m *Monitor) Step(now time.Duration, events []Event) []Action {
 	m.now = now
 	for _, event := range events {
@@ -69,7 +71,8 @@
 	return actions
 }
 
-// apply takes in one event. Events on endpoints or sites that are not known are ignored.
+// apply processes an event. It ignores events for unknown endpoints or sites, except for new entries of an endpoint
+// list.
 func (m *Monitor) apply(event Event) {
 	switch event := event.(type) {
 	case EndpointListed:
@@ -97,7 +100,7 @@
 	}
 }
 
-// evaluateSites moves each site to the state that the evidence gives it.
+// evaluateSites updates the state of each site according to the evidence.
 func (m *Monitor) evaluateSites() []Action {
 	names := slices.Sorted(maps.Keys(m.sites))
 	counts := map[string]evidenceCounts{}
@@ -114,7 +117,7 @@
 	return actions
 }
 
-// nextWake is when time alone may change a judgement. ok is false if it cannot.
+// nextWake returns the earliest time at which a state may change without an event. ok is false if there is none.
 func (m *Monitor) nextWake() (at time.Duration, ok bool) {
 	consider := func(candidate time.Duration) {
 		if !ok || candidate < at {
--- a/internal/sitefailover/monitor_invariants_test.go
+++ b/internal/sitefailover/monitor_invariants_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// randomHistory gives a Monitor events that are drawn, and checks after each step what always holds.
+// randomHistory feeds a Monitor with random events, and checks the invariants after each step.
 type randomHistory struct {
 	t       *rapid.T
 	monitor *Monitor
 	now     time.Duration
-	states  map[string]SiteState // as the actions tell them
+	states  map[string]SiteState // according to the actions
 }
 
 func (h *randomHistory) step(events ...Event) {
@@ -23,7 +23,7 @@
 			continue
 		}
 		if h.states[change.Site] != change.OldState || change.OldState == change.NewState {
-			h.t.Fatalf("%+v, it was %v", change, h.states[change.Site])
+			h.t.Fatalf("change is %+v, want one from the last state %v", change, h.states[change.Site])
 		}
 		h.states[change.Site] = change.NewState
 	}
@@ -33,11 +33,11 @@
 		}
 	}
 	if len(h.monitor.endpoints) > h.monitor.cfg.MaxEndpoints {
-		h.t.Fatalf("%d endpoints are followed", len(h.monitor.endpoints))
+		h.t.Fatalf("%d endpoints are tracked, want at most MaxEndpoints", len(h.monitor.endpoints))
 	}
 }
 
-// drawEvent draws one event of any kind, failures and listings more often than others.
+// drawEvent draws an event of any kind; failures and list entries are more frequent than others.
 func (h *randomHistory) drawEvent() Event {
 	t := h.t
 	sites := rapid.SampledFrom([]string{"n", "s", "w"})
@@ -64,7 +64,7 @@
 	}
 }
 
-// answerAll lets all endpoints answer, and lists those again that are off the list.
+// answerAll makes all endpoints answer for the given length of time, and lists delisted endpoints again.
 func (h *randomHistory) answerAll(length time.Duration) {
 	for end := h.now + length; h.now < end; h.now += 500 * ms {
 		var events []Event
@@ -78,9 +78,9 @@
 	}
 }
 
-// Whatever happens, a site is in a state with an exit: once all answer for long it is healthy, whatever came before;
-// the number of endpoints that are followed is bounded; and an empty list leaves nothing.
-func TestEveryStateHasAnExit(t *testing.T) {
+// After any events, a site becomes healthy again once all of its endpoints have answered for long enough. The number of
+// tracked endpoints is bounded, and an empty endpoint list removes all endpoints and sites.
+func TestMonitorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig(rapid.SampledFrom([]string{"", "n", "s"}).Draw(t, "own site"))
 		cfg.MaxEndpoints = 9
@@ -90,15 +90,15 @@
 			history.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
 			history.step(event)
 		}
-		history.answerAll(10 * time.Minute) // longer than the longest wait of a site that has flapped
+		history.answerAll(10 * time.Minute) // longer than the longest wait of a flapping site
 		for _, view := range history.monitor.Views() {
 			if view.State != SiteHealthy {
-				t.Fatalf("%s stays %v", view.Site, view.State)
+				t.Fatalf("site %s is still %v, want it healthy", view.Site, view.State)
 			}
 		}
 		history.step(EndpointListComplete{})
 		if len(history.monitor.endpoints) > 0 || len(history.monitor.sites) > 0 {
-			t.Fatal("something is left of an empty list")
+			t.Fatal("endpoints or sites are left after an empty list, want none")
 		}
 	})
 }
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -2,33 +2,34 @@
 
 import "slices"
 
-// PlanEndpoint is an endpoint as a plan counts with it.
+// PlanEndpoint is an endpoint in the input of a plan.
 type PlanEndpoint struct {
 	ID        string
 	Site      string
 	Group     int64
 	Primary   bool
-	Available bool    // Available says that it can take work now.
-	Capacity  float64 // Capacity is what it can do for this router, in seconds of work a second.
+	Available bool    // Available reports whether it can serve requests now.
+	Capacity  float64 // Capacity is what it can do for this router, in seconds of work per second.
 }
 
-// Demand is what is asked of a replica group in one class.
+// Demand is the demand for a replica group in one class.
 type Demand struct {
 	Class          string
 	Group          int64
-	Rate           float64 // Rate is in requests a second.
-	Work           float64 // Work is that of one request, in seconds.
-	PriorityWeight float64 // PriorityWeight is that of one request.
+	Rate           float64 // Rate is in requests per second.
+	Work           float64 // Work is the work of one request, in seconds.
+	PriorityWeight float64 // PriorityWeight is the weight of one request.
 	NeedsPrimary   bool
 }
 
-// PlanInput is everything that a plan is made from.
+// PlanInput is the input of a plan.
 type PlanInput struct {
 	Endpoints []PlanEndpoint
 	Demands   []Demand
 }
 
-// SiteLossPlan is what the loss of a site would mean.
+// SiteLossPlan describes the effects of the loss of a site. RemainingWeightShare and CurrentWeightShare are shares of
+// the priority weight of all demands.
 type SiteLossPlan struct {
 	Site                 string      `json:"site"`
 	Groups               []GroupLoss `json:"banks"` // Groups are those that have an available endpoint in the site.
@@ -38,12 +39,12 @@
 	CurrentWeightShare   float64     `json:"worth_served"` // CurrentWeightShare is served with all sites.
 }
 
-// GroupLoss is what becomes of one replica group. Utilizations are shares of what the endpoints can do.
+// GroupLoss describes the effects on one replica group. Utilizations are shares of the endpoints' capacity.
 type GroupLoss struct {
 	Group          int64  `json:"bank"`
 	LosesPrimary   bool   `json:"loses_primary"`
-	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft: nothing of the group can be served without the site.
-	Successor      string `json:"successor"` // Successor is the likely primary without the site, "" = there can be none.
+	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft reports that no request to the group can be served.
+	Successor      string `json:"successor"` // Successor is the likely primary without the site, "" = no endpoint left.
 
 	PrimaryUtilization        float64 `json:"primary"`
 	ReplicaUtilization        float64 `json:"replicas"`
@@ -51,7 +52,7 @@
 	CurrentReplicaUtilization float64 `json:"replicas_now"`
 }
 
-// LoadShift is work that another endpoint takes over, in seconds of work a second.
+// LoadShift is work that another endpoint takes over. Work is in seconds of work per second.
 type LoadShift struct {
 	Group        int64   `json:"bank"`
 	FromEndpoint string  `json:"from"`
@@ -59,18 +60,18 @@
 	Work         float64 `json:"work"`
 }
 
-// Rejection is work that has no place.
+// Rejection is work for which there is no capacity.
 type Rejection struct {
 	Group     int64   `json:"bank"`
 	Class     string  `json:"class"`
-	Saturated string  `json:"where"` // Saturated is the resource that is full, "primary" or "replicas".
-	Share     float64 `json:"share"` // Share is the part of the class's demand in the group.
-	Rate      float64 `json:"rate"`  // Rate is in requests a second.
+	Saturated string  `json:"where"` // Saturated is the resource without free capacity, "primary" or "replicas".
+	Share     float64 `json:"share"` // Share is the rejected share of the class's demand for the group.
+	Rate      float64 `json:"rate"`  // Rate is the rejected rate in requests per second.
 }
 
-// PlanLosses plans the loss of each site that has an endpoint, in the order of the sites' names. The rejections of a
-// group stand in the order in which they would be made. It costs a sort of each group's demands, and for each site a
-// pass over all endpoints and demands.
+// PlanLosses returns a plan for the loss of each site that has an endpoint, sorted by site name. The rejections of a
+// group are in the order in which work would be rejected. The cost is a sort of the demands of each group, plus a pass
+// over all endpoints and demands for each site.
 func PlanLosses(input PlanInput) []SiteLossPlan {
 	groups := collectGroups(input)
 	for _, group := range groups {
@@ -94,7 +95,7 @@
 	return names
 }
 
-// planLoss plans the loss of one site.
+// planLoss returns the plan for the loss of one site.
 func planLoss(site string, groups []*groupDemand) SiteLossPlan {
 	plan := SiteLossPlan{
 		Site:                 site,
@@ -121,7 +122,7 @@
 	return plan
 }
 
-// weights are sums of priority weights a second.
+// weights holds sums of priority weight per second.
 type weights struct {
 	demanded  float64
 	remaining float64 // served without the site
@@ -140,7 +141,7 @@
 	})
 }
 
-// loss sums up what becomes of the group without the site.
+// loss describes the effects of the site's loss on the group.
 func (g *groupDemand) loss(site string, after allocation) GroupLoss {
 	return GroupLoss{
 		Group:                     g.id,
@@ -154,7 +155,8 @@
 	}
 }
 
-// weights sums up the priority weight of the group's demands, beside what is served of it after the loss and now.
+// weights sums up the priority weight of the group's demands, and the parts of it that are served after the loss and
+// now.
 func (g *groupDemand) weights(after allocation) weights {
 	sum := weights{}
 	for i, demand := range g.demands {
@@ -166,7 +168,8 @@
 	return sum
 }
 
-// rejections are the group's demands that have no place, those of the least weight for their work first.
+// rejections returns the parts of the group's demands for which there is no capacity, the lowest priority weight per
+// second of work first.
 func (g *groupDemand) rejections(after allocation) []Rejection {
 	var rejections []Rejection
 	for i, demand := range slices.Backward(g.demands) {
@@ -187,8 +190,8 @@
 	return rejections
 }
 
-// loadShifts says which endpoints take over the work that the site does now. Each endpoint of the site is relieved in
-// proportion to its work, and each other endpoint takes over in proportion to the growth of its own.
+// loadShifts returns which endpoints take over the work that the site does now. Each endpoint of the site gives up work
+// in proportion to its load, and each other endpoint takes over work in proportion to the increase of its load.
 func (g *groupDemand) loadShifts(site string, after allocation) []LoadShift {
 	loadBefore := g.endpointLoads(g.current, noSiteLost)
 	loadAfter := g.endpointLoads(after, site)
@@ -224,7 +227,7 @@
 	return shifts
 }
 
-// endpointLoads is the work of each endpoint under an allocation that was made without a site.
+// endpointLoads returns the work of each endpoint, in seconds of work per second, under an allocation without lostSite.
 func (g *groupDemand) endpointLoads(allocated allocation, lostSite string) map[string]float64 {
 	loads := map[string]float64{}
 	if allocated.primary == nil {
--- a/internal/sitefailover/plan_table.go
+++ b/internal/sitefailover/plan_table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes plans as a table for operators. Its words are part of the operators' interface.
+// WriteTable writes plans as a table for operators. Operators rely on its wording, so it must not change.
 func WriteTable(w io.Writer, plans []SiteLossPlan) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if len(plans) == 0 {
@@ -19,7 +19,7 @@
 	return table.Flush()
 }
 
-// writeTo writes one plan. Errors are kept by the table until it is flushed.
+// writeTo writes one plan. It ignores errors, because the table returns them when it is flushed.
 func (p *SiteLossPlan) writeTo(table *tabwriter.Writer) {
 	fmt.Fprintf(table, "loss of %s: worth kept %.1f%% (now %.1f%%)\n",
 		p.Site, 100*p.RemainingWeightShare, 100*p.CurrentWeightShare)
@@ -44,7 +44,7 @@
 	}
 }
 
-// describePrimary says who is the group's primary without the site.
+// describePrimary describes the primary of the group without the site.
 func (g *GroupLoss) describePrimary() string {
 	switch {
 	case g.NoEndpointLeft:
@@ -55,7 +55,7 @@
 	return g.Successor
 }
 
-// percent keeps columns narrow: what is more than tenfold is shown as 999%.
+// percent formats a share as a percentage, at most 999% to keep the columns narrow.
 func percent(share float64) string {
 	return fmt.Sprintf("%.0f%%", 100*math.Min(share, 9.99))
 }
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// twoGroups is a group over two sites with its primary in n, and one wholly inside s.
+// twoGroups returns a group that spans two sites, with its primary in n, and a group that is entirely in s.
 func twoGroups() PlanInput {
 	return PlanInput{
 		Endpoints: []PlanEndpoint{
@@ -36,7 +36,7 @@
 	}
 }
 
-// expectRejections checks of which classes and groups a plan rejects work, in its order.
+// expectRejections checks the classes and groups of a plan's rejections, in order.
 func expectRejections(t *testing.T, plan SiteLossPlan, want ...string) {
 	t.Helper()
 	var got []string
@@ -44,15 +44,15 @@
 		got = append(got, fmt.Sprint(rejection.Class, " of ", rejection.Group))
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("the loss of %s rejects %q, want %q", plan.Site, got, want)
+		t.Fatalf("rejections at the loss of %s are %q, want %q", plan.Site, got, want)
 	}
 }
 
-// The plans are those that are found by hand.
-func TestPlanByHand(t *testing.T) {
+// The plans match a manual calculation.
+func TestPlanMatchesManualCalculation(t *testing.T) {
 	plans := PlanLosses(twoGroups())
 	if len(plans) != 2 || plans[0].Site != "n" || plans[1].Site != "s" {
-		t.Fatalf("%+v", plans)
+		t.Fatalf("plans are %+v, want one for n and one for s", plans)
 	}
 	t.Run("loss of a site with replicas and a whole group", func(t *testing.T) { expectLossOfS(t, plans[1]) })
 	t.Run("loss of a site with a primary", func(t *testing.T) { expectLossOfN(t, plans[0]) })
@@ -67,29 +67,31 @@
 			"refused 1.: bank 1 history at the primary, 98%, 9.8 a second",
 		} {
 			if !strings.Contains(out.String(), want) {
-				t.Errorf("%q is missing in\n%s", want, out.String())
+				t.Errorf("%q is missing in the table\n%s", want, out.String())
 			}
 		}
 	})
 }
 
-// With s lost, 2.85 s of work a second are left in group 1 for 7; writes need 2 of it, reads of most weight the rest.
+// With s lost, group 1 has a capacity of 2.85 seconds of work per second for a demand of 7. Writes need 2 of it, and
+// the reads with the highest weight get the rest.
 func expectLossOfS(t *testing.T, plan SiteLossPlan) {
 	t.Helper()
 	if len(plan.Groups) != 2 {
-		t.Fatalf("%+v", plan.Groups)
+		t.Fatalf("groups are %+v, want two", plan.Groups)
 	}
 	if group := plan.Groups[0]; group.LosesPrimary || group.NoEndpointLeft || group.Successor != "a" {
-		t.Fatalf("%+v", group)
+		t.Fatalf("group 1 is %+v, want it to keep the primary a", group)
 	}
 	if group := plan.Groups[1]; !group.NoEndpointLeft || group.Successor != "" {
-		t.Fatalf("%+v", group)
+		t.Fatalf("group 2 is %+v, want it without endpoints", group)
 	}
 	expectNear(t, "the primary's utilization", plan.Groups[0].PrimaryUtilization, 0.95)
-	// 2 % of history (0.02) are served whatever their weight; views have 2.85 - 2 - 0.02 = 0.83 of 4.
+	// 2% of the history requests (0.02) are served regardless of their weight. That leaves 2.85 - 2 - 0.02 = 0.83 for
+	// views, which need 4.
 	expectRejections(t, plan, "history of 1", "view of 1", "write of 2")
 	if saturated := plan.Rejections[0].Saturated; saturated != "primary" {
-		t.Fatalf("%s is saturated, want primary", saturated)
+		t.Fatalf("saturated resource is %q, want primary", saturated)
 	}
 	expectNear(t, "rejected history", plan.Rejections[0].Share, 0.98)
 	expectNear(t, "rejected views", plan.Rejections[1].Share, 1-0.83/4)
@@ -98,40 +100,40 @@
 	expectNear(t, "weight with all sites", plan.CurrentWeightShare, 1)
 }
 
-// The loss of n takes the primary: a replica succeeds it, the other one has 2.85 for 5 of reads, the new primary 0.85
-// beside its writes.
+// With n lost, a replica of group 1 succeeds its primary. The other replica has a capacity of 2.85 for a demand of 5
+// for reads, and the new primary has 0.85 left for reads in addition to the writes.
 func expectLossOfN(t *testing.T, plan SiteLossPlan) {
 	t.Helper()
 	if len(plan.Groups) != 1 || !plan.Groups[0].LosesPrimary || plan.Groups[0].Successor != "b" {
-		t.Fatalf("%+v", plan.Groups)
+		t.Fatalf("groups are %+v, want group 1 with the successor b", plan.Groups)
 	}
 	expectRejections(t, plan, "history of 1", "view of 1")
 	expectNear(t, "rejected views", plan.Rejections[1].Share, 1-(2.85+0.85-0.02)/4)
 	shifted := 0.0
 	for _, shift := range plan.LoadShifts {
 		if shift.FromEndpoint != "a" || shift.Group != 1 {
-			t.Errorf("%+v", shift)
+			t.Errorf("shift is %+v, want one from a in group 1", shift)
 		}
 		shifted += shift.Work
 	}
-	// What a did, 2 of writes: b and c were busy with 5 of reads at 5.7, and take what fits.
+	// Endpoint a did 2 of writes. b and c did 5 of reads with a capacity of 5.7, and take over as much as fits.
 	if shifted <= 0 || shifted > 2+1e-6 {
-		t.Errorf("%v of work shifts", shifted)
+		t.Errorf("%v of work shifts, want more than 0 and at most 2", shifted)
 	}
 }
 
-// Without sites, endpoints or demand there is a plan too: of nothing.
-func TestPlansOfNothing(t *testing.T) {
+// Plans are also valid without endpoints, without zones, and for a site whose endpoints are all down.
+func TestPlanWithoutEndpointsOrZones(t *testing.T) {
 	t.Run("no endpoints", func(t *testing.T) {
 		if plans := PlanLosses(PlanInput{}); len(plans) != 0 {
-			t.Errorf("%+v", plans)
+			t.Errorf("plans are %+v, want none", plans)
 		}
 		var out strings.Builder
 		if err := WriteTable(&out, nil); err != nil || !strings.Contains(out.String(), "no sites") {
 			t.Error(err, out.String())
 		}
 	})
-	t.Run("no zones: all endpoints stand in one site", func(t *testing.T) {
+	t.Run("without zones all endpoints are in one site", func(t *testing.T) {
 		plans := PlanLosses(PlanInput{
 			Endpoints: []PlanEndpoint{
 				{ID: "a", Group: 1, Available: true, Capacity: 1},
@@ -141,26 +143,26 @@
 		})
 		if len(plans) != 1 || plans[0].Site != "" ||
 			!plans[0].Groups[0].NoEndpointLeft || plans[0].RemainingWeightShare != 0 {
-			t.Errorf("%+v", plans)
+			t.Errorf("plans are %+v, want one for the site \"\" that leaves nothing", plans)
 		}
 	})
-	t.Run("a site whose endpoints are down already has nothing to lose", func(t *testing.T) {
+	t.Run("the loss of a site whose endpoints are down has no effect", func(t *testing.T) {
 		plans := PlanLosses(PlanInput{Endpoints: []PlanEndpoint{
 			{ID: "a", Site: "n", Group: 1, Available: true, Capacity: 1},
 			{ID: "b", Site: "s", Group: 1, Capacity: 1},
 		}})
 		if len(plans) != 2 || plans[0].RemainingWeightShare != 1 || len(plans[1].Groups) != 0 {
-			t.Errorf("%+v", plans)
+			t.Errorf("plans are %+v, want two, with no groups for the loss of s", plans)
 		}
 	})
 }
 
-// drawFleet draws endpoints of up to three groups in up to three sites with what is asked of them.
-func drawFleet(t *rapid.T) PlanInput {
+// drawPlanInput draws endpoints of up to three groups in up to three sites, with the demands for the groups.
+func drawPlanInput(t *rapid.T) PlanInput {
 	sites := []string{"n", "s", "w"}[:rapid.IntRange(1, 3).Draw(t, "sites")]
 	var input PlanInput
 	for group := range rapid.Int64Range(1, 3).Draw(t, "groups") {
-		// All endpoints of a group have the same capacity: where a stronger one succeeds, a loss may serve more.
+		// All endpoints of a group have the same capacity. With a larger successor, more might be served after a loss.
 		capacity := rapid.Float64Range(0, 8).Draw(t, "capacity")
 		for i := range rapid.IntRange(1, 4).Draw(t, "endpoints") {
 			input.Endpoints = append(input.Endpoints, PlanEndpoint{
@@ -186,8 +188,8 @@
 	return input
 }
 
-// remainingCapacity is the usable capacity of a group without a site, found without the code under test. ok is false if
-// there can be no primary.
+// remainingCapacity computes the usable capacity of a group without a site, independently of the code under test. ok is
+// false if no endpoint is left.
 func remainingCapacity(input PlanInput, group int64, lostSite string) (primary, replicas float64, ok bool) {
 	primaryID := ""
 	for _, endpoint := range input.Endpoints {
@@ -208,7 +210,7 @@
 	return primary, replicas, primaryID != ""
 }
 
-// rejectedShare is the share of a demand that a plan rejects.
+// rejectedShare returns the share of a demand that a plan rejects.
 func rejectedShare(plan SiteLossPlan, demand Demand) float64 {
 	for _, rejection := range plan.Rejections {
 		if rejection.Group == demand.Group && rejection.Class == demand.Class {
@@ -218,17 +220,17 @@
 	return 0
 }
 
-// expectJustified checks that a rejection is one that the group's remaining capacity and the order of weights call for.
+// expectJustified checks that a rejection follows from the group's remaining capacity and the order of the weights.
 func expectJustified(t *rapid.T, input PlanInput, plan SiteLossPlan, rejection Rejection) {
 	index := slices.IndexFunc(input.Demands, func(demand Demand) bool {
 		return demand.Group == rejection.Group && demand.Class == rejection.Class
 	})
 	rejected := input.Demands[index]
 	if rejection.Share < 0 || rejection.Share > 1+1e-9 {
-		t.Fatalf("%+v", rejection)
+		t.Fatalf("rejection is %+v, want a share from 0 to 1", rejection)
 	}
 	if math.Abs(rejection.Rate-rejection.Share*rejected.Rate) > 1e-6 {
-		t.Fatalf("%+v", rejection)
+		t.Fatalf("rejection is %+v, want its rate to match its share", rejection)
 	}
 	primaryCapacity, replicaCapacity, ok := remainingCapacity(input, rejection.Group, plan.Site)
 	if !ok {
@@ -249,8 +251,8 @@
 		}
 		sameResource := other.NeedsPrimary == rejected.NeedsPrimary
 		lessWeight := other.PriorityWeight/other.Work < rejected.PriorityWeight/rejected.Work
-		if sameResource && lessWeight && servedShare > probeShare+1e-6 {
-			t.Fatalf("%s is served to %v while %s is rejected: %+v",
+		if sameResource && lessWeight && servedShare > minServedShare+1e-6 {
+			t.Fatalf("%s has less weight but a served share of %v while %s is rejected: %+v",
 				other.Class, servedShare, rejected.Class, plan.Rejections)
 		}
 	}
@@ -260,19 +262,20 @@
 		full = full || primaryFull
 	}
 	if !full {
-		t.Fatalf("%+v is rejected at %v of %v", rejection, used, capacity)
+		t.Fatalf("rejection is %+v though only %v of a capacity of %v is used", rejection, used, capacity)
 	}
 }
 
-// Whatever is asked of whatever fleet: nothing is rejected where there is capacity, nothing of less weight for its work
-// is served while more is rejected at the same resource, and a loss serves no more than there was.
-func TestPlansRejectNoMoreThanNeeded(t *testing.T) {
+// For any endpoints and demands, nothing is rejected while there is capacity, no work is served beyond minServedShare
+// while work with more weight is rejected at the same resource, and no more is served after a loss than before.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		input := drawFleet(t)
+		input := drawPlanInput(t)
 		for _, plan := range PlanLosses(input) {
 			remaining, current := plan.RemainingWeightShare, plan.CurrentWeightShare
 			if remaining < -1e-9 || remaining > current+1e-9 || current > 1+1e-9 {
-				t.Fatalf("%s keeps %v of %v", plan.Site, plan.RemainingWeightShare, plan.CurrentWeightShare)
+				t.Fatalf("loss of %s: remaining share %v, current share %v; want 0 <= remaining <= current <= 1",
+					plan.Site, plan.RemainingWeightShare, plan.CurrentWeightShare)
 			}
 			for _, rejection := range plan.Rejections {
 				expectJustified(t, input, plan, rejection)
@@ -281,19 +284,20 @@
 	})
 }
 
-// The view that one of 300 routers has of 120 endpoints, 30 groups in 3 sites with 5 classes, is planned in under a
-// millisecond.
+// BenchmarkPlan plans for what one of 300 routers sees of 120 endpoints: 30 groups in 3 sites with 5 classes. That
+// should take less than a millisecond.
 func BenchmarkPlan(b *testing.B) {
-	input := largeFleet()
+	input := largePlanInput()
 	b.ReportAllocs()
 	for b.Loop() {
 		PlanLosses(input)
 	}
 }
 
-// An update of the admission controller for the same, and one request.
+// BenchmarkAdmission measures an update of the admission controller with the same input, and the decision on one
+// request.
 func BenchmarkAdmission(b *testing.B) {
-	input := largeFleet()
+	input := largePlanInput()
 	b.Run("update", func(b *testing.B) {
 		controller := NewAdmissionController(AdmissionConfig{}, 1)
 		now := time.Second
@@ -309,9 +313,9 @@
 		for i := range input.Endpoints {
 			input.Endpoints[i].Capacity /= 4
 		}
-		update(controller, &now, true, input, 10*time.Second)
+		runUpdates(controller, &now, true, input, 10*time.Second)
 		if len(controller.RejectedShares()) == 0 {
-			b.Fatal("nothing is rejected")
+			b.Fatal("nothing is rejected, want some rejected shares")
 		}
 		b.ReportAllocs()
 		for b.Loop() {
@@ -320,8 +324,8 @@
 	})
 }
 
-// largeFleet is the view that one of 300 routers has of 120 endpoints.
-func largeFleet() PlanInput {
+// largePlanInput returns what one of 300 routers sees of 120 endpoints.
+func largePlanInput() PlanInput {
 	var input PlanInput
 	sites := []string{"n", "s", "w"}
 	for group := range 30 {
--- a/internal/sitefailover/recovery_ramp.go
+++ b/internal/sitefailover/recovery_ramp.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// rampSteps is the number of steps from the initial share to all of a site.
+	// rampSteps is the number of steps from the initial share to a share of 1.
 	rampSteps = 8
-	// minInitialShare bounds RecoveryRampConfig.InitialShare from below, so that a ramp sees outcomes at all.
+	// minInitialShare is the lower bound of RecoveryRampConfig.InitialShare, so that there are outcomes to observe.
 	minInitialShare = 0.05
-	// relapseFactor is what a relapse leaves of a site's share.
+	// relapseFactor is the factor by which a relapse reduces the share of a site.
 	relapseFactor = 0.5
-	// relapsePauseSteps is the number of steps without growth behind a relapse.
+	// relapsePauseSteps is the number of steps for which the share doesn't grow after a relapse.
 	relapsePauseSteps = 2
-	// relapseFailureShare is the share of failures that makes a step a relapse; a healthy site has next to none.
+	// relapseFailureShare is the share of failed outcomes above which a step is a relapse. A healthy site has almost
+	// none.
 	relapseFailureShare = 0.15
-	// relapseMinOutcomes is the number of outcomes from which on a step can be a relapse.
+	// relapseMinOutcomes is the minimum number of outcomes in a step for it to be a relapse.
 	relapseMinOutcomes = 8
 )
 
-// Why the share of a site changes, as operators read it.
+// Reasons for a change of a site's share, as operators see them.
 const (
 	reasonComplete = "it may be used again"
 	reasonFlapped  = "it has gone again as it came back"
@@ -30,33 +31,36 @@
 	reasonLimited  = "bound by operators"
 )
 
-// RecoveryRampConfig bounds a RecoveryRamp.
+// RecoveryRampConfig configures a RecoveryRamp.
 type RecoveryRampConfig struct {
-	// InitialShare is the share of its capacity for which a site is used first: that which a cold endpoint has.
+	// InitialShare is the share of its capacity that a recovering site is used for at first: the share that a cold
+	// endpoint can provide.
 	InitialShare float64
-	// Duration is how long a recovery without a relapse takes: as long as endpoints warm up.
+	// Duration is how long a ramp takes without a relapse, before the slowdown for flaps: the time that endpoints take
+	// to warm up.
 	Duration time.Duration
 }
 
-// RampChange says that from now on this router may use a site for Share of the capacity of its endpoints. Share 1 is
-// the end of the ramp.
+// RampChange reports that this router may now use a site for a share of the capacity of its endpoints. A share of 1
+// ends the ramp.
 type RampChange struct {
 	Site   string
 	Share  float64
 	Reason string // Reason is for operators.
 }
 
-// RampLimit is an operator's limit on the use of a site: no more than Share until a time on the caller's clock. Share 0
-// forbids the use, and a zero Until takes the limit back.
+// RampLimit is an operator's limit on the use of a site: at most Share until a time on the caller's clock. A share of 0
+// forbids the use of the site, and a zero Until removes the limit.
 type RampLimit struct {
 	Site  string
 	Share float64
 	Until time.Duration
 }
 
-// RecoveryRamp paces the return of load to sites that have flapped: step by step while what is sent there is answered,
-// halved and paused at a relapse, and the slower the more often the site has flapped. It holds each router to its own
-// part; together these are the site's. It is not safe for concurrent use.
+// RecoveryRamp limits the load of sites that recover after a flap. The share grows step by step while requests to the
+// site succeed; a relapse halves it and pauses the growth. The more often a site has flapped, the slower its ramp. Each
+// router limits its own use of the site, which together limits the use by all routers. It is not safe for concurrent
+// use.
 type RecoveryRamp struct {
 	cfg   RecoveryRampConfig
 	ramps map[string]*siteRamp
@@ -64,26 +68,26 @@
 
 // siteRamp is the ramp of one site.
 type siteRamp struct {
-	share    float64 // by the ramp alone, without an operator's limit
-	reported float64 // the share that the caller was told last
+	share    float64 // share according to the ramp, regardless of an operator's limit
+	reported float64 // share that was last returned to the caller
 
 	running      bool
 	nextStep     time.Duration
 	stepInterval time.Duration
-	successes    int // in this step
-	failures     int // in this step
+	successes    int // in the current step
+	failures     int // in the current step
 
-	limit      float64       // an operator's
-	limitUntil time.Duration // 0 = there is no limit
+	limit      float64       // largest share that an operator allows
+	limitUntil time.Duration // 0 = no limit
 }
 
-// NewRecoveryRamp returns a RecoveryRamp that holds back no site.
+// NewRecoveryRamp returns a RecoveryRamp that limits no site.
 func NewRecoveryRamp(cfg RecoveryRampConfig) *RecoveryRamp {
 	return &RecoveryRamp{cfg: cfg, ramps: map[string]*siteRamp{}}
 }
 
-// rampOf returns the ramp of a site, a new one if it has none.
-func (r *RecoveryRamp) rampOf(site string) *siteRamp {
+// rampFor returns the ramp of a site. It creates the ramp if necessary.
+func (r *RecoveryRamp) rampFor(site string) *siteRamp {
 	ramp := r.ramps[site]
 	if ramp == nil {
 		ramp = &siteRamp{share: 1, reported: 1}
@@ -92,20 +96,20 @@
 	return ramp
 }
 
-// SiteStateChanged takes a transition of a site. The ramp starts when a site recovers that has flapped, and stops when
-// it is lost or healthy.
+// SiteStateChanged records a change of a site's state. A ramp starts when a site that has flapped recovers, and stops
+// when the site is lost or healthy.
 //
-// A first recovery is not paced, because slow start bounds each endpoint while it is cold. A site that has flapped is
-// not to be trusted so soon.
+// A site that has not flapped gets no ramp, because slow start already limits the load of its cold endpoints. A site
+// that has flapped is more likely to fail again.
 func (r *RecoveryRamp) SiteStateChanged(now time.Duration, site string, to SiteState, flaps int) {
 	switch to {
 	case SiteLost:
 		if flaps > 0 {
-			r.rampOf(site).reset(r.initialShare())
+			r.rampFor(site).reset(r.initialShare())
 		}
 	case SiteRecovering:
 		if flaps > 0 {
-			r.rampOf(site).start(now, r.initialShare(), r.cfg.Duration, flaps)
+			r.rampFor(site).start(now, r.initialShare(), r.cfg.Duration, flaps)
 		}
 	case SiteHealthy:
 		if ramp := r.ramps[site]; ramp != nil {
@@ -115,19 +119,19 @@
 	}
 }
 
-// initialShare is the configured one within its bounds.
+// initialShare returns the configured initial share, limited to its bounds.
 func (r *RecoveryRamp) initialShare() float64 {
 	return max(minInitialShare, min(1, r.cfg.InitialShare))
 }
 
-// reset stops the ramp and takes the site back to its initial share.
+// reset stops the ramp and resets the share to its initial value.
 func (r *siteRamp) reset(initialShare float64) {
 	r.share = initialShare
 	r.running = false
 	r.nextStep = 0
 }
 
-// start begins a ramp that is lower at first, and slower, by a factor of two for each flap.
+// start starts a ramp. For each flap the first share is halved, and the duration is doubled.
 func (r *siteRamp) start(now time.Duration, initialShare float64, duration time.Duration, flaps int) {
 	slowdown := time.Duration(1) << min(flaps, maxFlapDoublings)
 	r.share = initialShare / float64(slowdown)
@@ -138,8 +142,8 @@
 	r.nextStep = now + r.stepInterval
 }
 
-// RecordOutcome takes the outcome of something sent to one of a site's endpoints. Callers leave out outcomes that say
-// nothing of the endpoint.
+// RecordOutcome records the outcome of an attempt or health check that was sent to an endpoint of a site. Callers don't
+// report outcomes that are no evidence about the endpoint.
 func (r *RecoveryRamp) RecordOutcome(site string, failed bool) {
 	ramp := r.ramps[site]
 	if ramp == nil || !ramp.running {
@@ -152,15 +156,15 @@
 	}
 }
 
-// SetLimit sets an operator's limit or takes it back.
+// SetLimit sets or removes an operator's limit.
 func (r *RecoveryRamp) SetLimit(limit RampLimit) {
-	ramp := r.rampOf(limit.Site)
+	ramp := r.rampFor(limit.Site)
 	ramp.limit = max(0, min(1, limit.Share))
 	ramp.limitUntil = limit.Until
 }
 
-// Update takes the steps that are due and returns what has changed, in the order of the sites' names. due is when
-// Update wants to be called next, 0 = not before the next change of a site.
+// Update carries out the steps that are due and returns the changes, sorted by site name. due is the time at which
+// Update has to be called again, 0 = not before the next change of a site's state or limit.
 func (r *RecoveryRamp) Update(now time.Duration) (changes []RampChange, due time.Duration) {
 	for _, site := range slices.Sorted(maps.Keys(r.ramps)) {
 		ramp := r.ramps[site]
@@ -179,7 +183,7 @@
 	return changes, due
 }
 
-// update takes a step if one is due, and returns the share that holds now beside the reason for it.
+// update carries out a step if one is due, and returns the current share with the reason for it.
 func (r *siteRamp) update(now time.Duration, initialShare float64) (share float64, reason string) {
 	reason = reasonComplete
 	if r.share < 1 {
@@ -187,7 +191,7 @@
 	}
 	if r.running && now >= r.nextStep {
 		if r.relapsed() {
-			r.retreat(now, initialShare)
+			r.backOff(now, initialShare)
 			reason = reasonRelapse
 		} else {
 			r.grow(now, initialShare)
@@ -207,19 +211,20 @@
 	return r.share, reason
 }
 
-// relapsed reports whether too much has failed in this step.
+// relapsed reports whether too many outcomes in the current step were failures.
 func (r *siteRamp) relapsed() bool {
 	outcomes := r.successes + r.failures
 	return outcomes >= relapseMinOutcomes && float64(r.failures) > relapseFailureShare*float64(outcomes)
 }
 
-// retreat lowers the share and pauses the ramp.
-func (r *siteRamp) retreat(now time.Duration, initialShare float64) {
+// backOff reduces the share and pauses the ramp.
+func (r *siteRamp) backOff(now time.Duration, initialShare float64) {
 	r.share = max(initialShare/(1<<maxFlapDoublings), relapseFactor*r.share)
 	r.nextStep = now + relapsePauseSteps*r.stepInterval
 }
 
-// grow takes the ramp one step on. It does so without outcomes too: a router with few requests would never have enough.
+// grow increases the share by one step. It needs no minimum of outcomes, which a router with few requests would never
+// reach.
 func (r *siteRamp) grow(now time.Duration, initialShare float64) {
 	r.share = min(1, r.share+(1-initialShare)/rampSteps)
 	r.nextStep = now + r.stepInterval
@@ -227,7 +232,8 @@
 
 func (r *siteRamp) hasLimit() bool { return r.limitUntil > 0 }
 
-// due is when the ramp changes by time alone. ok is false if it does not.
+// due returns the time of the next step or of the end of the limit, whichever is earlier. ok is false if there is
+// neither.
 func (r *siteRamp) due() (at time.Duration, ok bool) {
 	if r.hasLimit() {
 		at = r.limitUntil
@@ -238,19 +244,19 @@
 	return at, at > 0
 }
 
-// finished reports whether the ramp holds the site back no more, now or later.
+// finished reports whether the ramp no longer limits the site, now or later.
 func (r *siteRamp) finished() bool {
 	return !r.running && r.share >= 1 && !r.hasLimit()
 }
 
-// SiteRamp is how far the recovery of a site is, for operators.
+// SiteRamp is the progress of a site's recovery, for operators.
 type SiteRamp struct {
 	Site  string
 	Share float64
-	Until time.Duration // Until is when an operator's limit ends, 0 = there is none.
+	Until time.Duration // Until is the end of an operator's limit, 0 = no limit.
 }
 
-// Ramps returns the sites that are held back now, in the order of their names.
+// Ramps returns the sites that are currently limited, sorted by name.
 func (r *RecoveryRamp) Ramps() []SiteRamp {
 	var ramps []SiteRamp
 	for site, ramp := range r.ramps {
--- a/internal/sitefailover/site_state.go
+++ b/internal/sitefailover/site_state.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// SiteState is what a site is judged to be; the package comment shows the transitions.
+// SiteState is the state of a site. The package comment lists the transitions.
 type SiteState uint8
 
 // The states of a site.
 const (
-	SiteHealthy    SiteState = iota // SiteHealthy has no sign of a fault.
-	SiteSuspected                   // SiteSuspected fails as a whole, but for a short time only.
-	SiteLost                        // SiteLost has failed for long enough, or was declared lost.
-	SiteRecovering                  // SiteRecovering answers again and may still flap.
-	SiteSettled                     // SiteSettled has answered for a while; it becomes healthy next.
+	SiteHealthy    SiteState = iota // SiteHealthy: no evidence of a fault of the site.
+	SiteSuspected                   // SiteSuspected: the site is failing as a whole, but not for long enough.
+	SiteLost                        // SiteLost: the site has failed for long enough, or was declared lost.
+	SiteRecovering                  // SiteRecovering: the site answers again, but may still flap.
+	SiteSettled                     // SiteSettled: the site has answered for some time; it becomes healthy next.
 )
 
-// String returns the word that operators read.
+// String returns the word for operators.
 func (s SiteState) String() string {
 	return [...]string{"well", "suspected", "lost", "returning", "settled"}[s]
 }
 
-// The shares of a site's known endpoints that decide its state.
+// Shares of the known endpoints that determine the state of a site.
 const (
-	// suspectDownShare is the share of endpoints that are down from which on a site is suspected.
+	// suspectDownShare is the smallest share of down endpoints at which a site is suspected.
 	suspectDownShare = 0.6
-	// maxDownShareElsewhere is how much may be down in the other sites for a fault to be the site's own.
+	// maxDownShareElsewhere is the largest share of down endpoints in the other sites at which a fault counts as
+	// specific to the site.
 	maxDownShareElsewhere = 0.3
-	// settleDownShare is how much may be down in a site that settles.
+	// settleDownShare is the largest share of down endpoints at which a recovering site settles.
 	settleDownShare = 0.2
 )
 
-// maxFlapDoublings bounds how often the waiting times of a site that flaps are doubled.
+// maxFlapDoublings bounds how often the wait times of a flapping site are doubled.
 const maxFlapDoublings = 5
 
-// siteStatus is what is known of one site.
+// siteStatus is the status of one site.
 type siteStatus struct {
 	name              string
 	endpoints         map[string]*endpointEvidence
 	state             SiteState
 	stateSince        time.Duration
 	fault             FaultKind
-	evidence          string        // of the last change of state, for operators
-	mostlyUpSince     time.Duration // since when at most settleDownShare is down, 0 = more than that is
-	flaps             int           // how often the site has failed while it recovered, less those forgiven
-	declaredLostUntil time.Duration
+	evidence          string        // text for operators on the last change of state
+	mostlyUpSince     time.Duration // since when at most settleDownShare of the endpoints are down, 0 = more
+	flaps             int           // number of failures during a recovery, minus one for each return to healthy
+	declaredLostUntil time.Duration // end of an operator's declaration
 
-	// unmatchedNewEndpoints counts the endpoints that were listed for the first time while the site was not healthy and
-	// that have not yet taken the place of a delisted one.
+	// unmatchedNewEndpoints is the number of endpoints that were first listed while the site was not healthy, and that
+	// have not replaced a delisted endpoint yet.
 	unmatchedNewEndpoints int
 }
 
-// assessment is the evidence on one site at one time.
+// assessment is the evidence about one site at one time.
 type assessment struct {
-	site              evidenceCounts
-	elsewhere         evidenceCounts // of the other sites, without those that fail as a whole
-	otherSiteAnswers  bool           // a site answers that is neither the assessed one nor the router's own
-	failing           bool           // the evidence speaks against the site as a whole
-	declaredLost      bool           // an operator's declaration holds
-	evidenceForHealth bool           // enough of the site answers for it not to be suspected
+	site             evidenceCounts
+	elsewhere        evidenceCounts // of the other sites, except those that fail as a whole
+	otherSiteAnswers bool           // a site other than the assessed one and the router's own answers
+	failing          bool           // the site fails as a whole
+	declaredLost     bool           // an operator's declaration is in effect
+	enoughAnswering  bool           // enough of the site's endpoints answer for it not to be suspected
 }
 
-// assess weighs the evidence on a site.
+// assess evaluates the evidence about a site.
 func (m *Monitor) assess(site *siteStatus, counts map[string]evidenceCounts) assessment {
 	result := assessment{site: counts[site.name], declaredLost: site.declaredLostUntil > m.now}
 	for name, other := range counts {
 		if name == site.name || other.downShare() >= suspectDownShare {
-			continue // a site that fails itself does not tell whether the fault is one that all sites share
+			continue // a failing site doesn't show whether all sites share the fault
 		}
 		result.elsewhere.down += other.down
 		result.elsewhere.answering += other.answering
@@ -75,14 +76,15 @@
 			result.otherSiteAnswers = true
 		}
 	}
-	result.evidenceForHealth = result.site.downShare() < suspectDownShare
-	result.failing = !result.evidenceForHealth && site.failsAlone(result.site, result.elsewhere)
+	result.enoughAnswering = result.site.downShare() < suspectDownShare
+	result.failing = !result.enoughAnswering && site.hasOwnFault(result.site, result.elsewhere)
 	return result
 }
 
-// failsAlone reports whether a site of whose endpoints most are down has a fault of its own: one that is not the fault
-// of a single replica group, is not shared with the other sites, and shows in at least half of the site.
-func (s *siteStatus) failsAlone(counts, elsewhere evidenceCounts) bool {
+// hasOwnFault reports whether the fault of a site, most of whose known endpoints are down, is specific to the site: it
+// doesn't affect only a single replica group, the other sites don't share it, and the state of at least half of the
+// site's endpoints is known.
+func (s *siteStatus) hasOwnFault(counts, elsewhere evidenceCounts) bool {
 	if 2*counts.known() < s.countExpected() {
 		return false
 	}
@@ -91,7 +93,7 @@
 	return !faultOfOneGroup && !faultOfAllSites
 }
 
-// countExpected returns the number of endpoints that should be in service.
+// countExpected returns the number of endpoints that should be in service: those that are not draining.
 func (s *siteStatus) countExpected() int {
 	expected := 0
 	for _, endpoint := range s.endpoints {
@@ -102,7 +104,7 @@
 	return expected
 }
 
-// countGroups returns the number of replica groups that have an endpoint in the site that should be in service.
+// countGroups returns the number of replica groups with an endpoint in the site that should be in service.
 func (s *siteStatus) countGroups() int {
 	groups := map[int64]bool{}
 	for _, endpoint := range s.endpoints {
@@ -113,7 +115,7 @@
 	return len(groups)
 }
 
-// updateMostlyUp notes since when only few of the site's endpoints have been down.
+// updateMostlyUp updates mostlyUpSince for the current share of down endpoints.
 func (s *siteStatus) updateMostlyUp(downShare float64, now time.Duration) {
 	switch {
 	case downShare > settleDownShare:
@@ -123,7 +125,7 @@
 	}
 }
 
-// nextState returns the state that follows from an assessment: the present one, or one that is a single transition
+// nextState returns the state that follows from an assessment: the current state, or one that is a single transition
 // away.
 func (s *siteStatus) nextState(evidence assessment, cfg MonitorConfig, now time.Duration) SiteState {
 	if evidence.declaredLost {
@@ -145,8 +147,8 @@
 	case SiteSuspected:
 		return s.nextStateOfSuspected(evidence, cfg, inState)
 	case SiteLost:
-		// A site that flaps has to stay lost for longer each time, so that work does not move to and fro.
-		if evidence.answersAgain() && inState >= s.lostTime(cfg) {
+		// A flapping site stays lost for longer each time, so that load doesn't move back and forth.
+		if evidence.showsRecovery() && inState >= s.minLostTime(cfg) {
 			return SiteRecovering
 		}
 	case SiteRecovering:
@@ -167,27 +169,28 @@
 		}
 		return SiteSuspected
 	}
-	// Without this limit a suspicion would stay for ever where the evidence neither confirms nor refutes it.
+	// Without this limit a suspicion that the evidence neither confirms nor refutes would last indefinitely.
 	undecidedForLong := inState >= 2*cfg.EvidenceWindow
-	if evidence.evidenceForHealth || undecidedForLong {
+	if evidence.enoughAnswering || undecidedForLong {
 		return SiteHealthy
 	}
 	return SiteSuspected
 }
 
-// answersAgain reports whether a lost site shows signs of recovery.
-func (a assessment) answersAgain() bool {
+// showsRecovery reports whether a lost site shows signs of recovery.
+func (a assessment) showsRecovery() bool {
 	anyAnswer := a.site.answering > 0 || a.site.down == 0
-	return anyAnswer && a.evidenceForHealth
+	return anyAnswer && a.enoughAnswering
 }
 
-// settleTime is how long the site has to be mostly up to become settled, and to stay settled to become healthy.
+// settleTime returns how long the site has to be mostly up to settle, and how long it then stays settled before it is
+// healthy.
 func (s *siteStatus) settleTime(cfg MonitorConfig) time.Duration {
 	return cfg.SettleTime << min(s.flaps, maxFlapDoublings)
 }
 
-// lostTime is how long the site stays lost at least. It is zero unless the site has flapped.
-func (s *siteStatus) lostTime(cfg MonitorConfig) time.Duration {
+// minLostTime returns the minimum time that the site stays lost. It is zero unless the site has flapped.
+func (s *siteStatus) minLostTime(cfg MonitorConfig) time.Duration {
 	return cfg.SuspicionTime<<min(s.flaps, maxFlapDoublings) - cfg.SuspicionTime
 }
 
@@ -206,13 +209,13 @@
 	s.stateSince = now
 }
 
-// advance moves a site by at most one transition and reports it.
+// advance updates the state of a site by at most one transition and returns the change.
 func (m *Monitor) advance(site *siteStatus, evidence assessment) (change StateChanged, changed bool) {
 	site.updateMostlyUp(evidence.site.downShare(), m.now)
 	next := site.nextState(evidence, m.cfg, m.now)
 	switch next {
 	case SiteSuspected, SiteLost:
-		site.fault = m.classifyFault(site, evidence) // also without a transition: it may become clear later
+		site.fault = m.classifyFault(site, evidence) // even without a transition, because the fault may become clear later
 	case SiteHealthy:
 		site.fault = FaultUnclear
 	}
@@ -231,7 +234,7 @@
 	return change, true
 }
 
-// describe puts the evidence on a site into words for operators.
+// describe returns a description of the evidence about a site for operators.
 func (m *Monitor) describe(site *siteStatus, evidence assessment) string {
 	text := fmt.Sprintf("%d of %d known machines down (%s), %d of %d elsewhere",
 		evidence.site.down, evidence.site.known(), m.failureSummary(site),
--- a/internal/sitefailover/utilization.go
+++ b/internal/sitefailover/utilization.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// reportWeight is the weight of a new report in the moving means.
+	// reportWeight is the weight of a new report in the moving averages.
 	reportWeight = 0.1
-	// minReports is the number of reports of all endpoints from which on they tell a capacity.
+	// minReports is the number of reports, over all endpoints, that are needed for an estimate.
 	minReports = 8
-	// minBusyShare is the mean utilization below which reports tell nothing but noise.
+	// minBusyShare is the mean utilization below which reports are too noisy for an estimate.
 	minBusyShare = 0.02
-	// maxTrackedEndpoints bounds the endpoints that are followed.
+	// maxTrackedEndpoints is the maximum number of tracked endpoints.
 	maxTrackedEndpoints = 4096
 )
 
-// UtilizationTracker estimates the capacity of endpoints from their load reports, beside the work that they do for this
-// router. The zero UtilizationTracker is ready for use. It is not safe for concurrent use.
+// UtilizationTracker estimates the capacity of endpoints from their load reports and from the work that they do for
+// this router. The zero UtilizationTracker is ready for use. It is not safe for concurrent use.
 type UtilizationTracker struct {
 	endpoints map[string]*utilization
 }
 
-// utilization holds moving means of what an endpoint reports. They are kept apart because the mean of the quotient of
-// two noisy figures would be far too high.
+// utilization holds moving averages of the values in an endpoint's reports. There is one average for each value,
+// because the mean of the quotient of two noisy values would be far too high.
 type utilization struct {
-	workRate  float64 // for this router, in seconds of work a second
-	busyShare float64 // by the work of all routers
+	workRate  float64 // work for this router, in seconds of work per second
+	busyShare float64 // utilization by the work of all routers, 1 = fully busy
 	reports   int
 }
 
-// Record takes a load report. workRate is what the endpoint does for this router, in seconds of work a second,
-// busyShare the part of the endpoint that is busy with all its work.
+// Record records a load report. workRate is the work that the endpoint does for this router, in seconds of work per
+// second. busyShare is the utilization of the endpoint by the work of all routers.
 func (u *UtilizationTracker) Record(endpoint string, workRate, busyShare float64) {
 	means := u.endpoints[endpoint]
 	if means == nil {
@@ -47,7 +47,8 @@
 	means.add(workRate, busyShare)
 }
 
-// add takes a report into the means. The first reports count more, so that they don't count from zero.
+// add updates the moving averages with a report. The first reports have a higher weight, so that the averages don't
+// start from zero.
 func (u *utilization) add(workRate, busyShare float64) {
 	u.reports++
 	weight := max(reportWeight, 1/float64(u.reports))
@@ -55,14 +56,15 @@
 	u.busyShare += weight * (busyShare - u.busyShare)
 }
 
-// FairCapacity returns what an endpoint can do for this router, in seconds of work a second, if the router gets the
-// same part of each endpoint as it has of the work of all endpoints now. Of a single endpoint it may have much more, or
-// nothing, because it prefers its own site; once a site is lost that is over. ok is false where too little is known.
+// FairCapacity returns the capacity of an endpoint for this router, in seconds of work per second, assuming that the
+// router's share of each endpoint equals its current share of the work of all endpoints. Its current share of a single
+// endpoint may be much higher, or zero, because it prefers its own site; that no longer holds once a site is lost. ok
+// is false if there are too few reports or the endpoints are almost idle.
 func (u *UtilizationTracker) FairCapacity() (capacity float64, ok bool) {
 	workRate := 0.0
 	busyShare := 0.0
 	reports := 0
-	// The order is fixed because a sum of floating-point numbers depends on it.
+	// The order is fixed, because the sum of floating-point numbers depends on it.
 	for _, id := range slices.Sorted(maps.Keys(u.endpoints)) {
 		means := u.endpoints[id]
 		workRate += means.workRate
--- a/internal/sitefailover/utilization_test.go
+++ b/internal/sitefailover/utilization_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// The capacity of endpoints shows in what they do for this router beside how busy they are with all work, however noisy
-// single reports are, and though the router sends to some of them only.
+// The capacity is estimated from the work for this router and the utilization by all work, even if single reports are
+// noisy and the router sends to only some of the endpoints.
 func TestFairCapacity(t *testing.T) {
 	var tracker UtilizationTracker
 	if _, ok := tracker.FairCapacity(); ok {
-		t.Error("a capacity is known before any report")
+		t.Error("FairCapacity returned an estimate before any report, want none")
 	}
 	for i := range 60 {
-		// Two routers alike: each sends to one endpoint only. An endpoint can do 1, half of it for each router.
+		// There are two similar routers, and each sends to one endpoint only. An endpoint has a capacity of 1, which is
+		// 0.5 for each router.
 		tracker.Record("near", 0.3, 0.3+0.25*math.Sin(float64(i)))
 		tracker.Record("far", 0, 0.3+0.25*math.Cos(float64(i)))
 	}
 	if capacity, ok := tracker.FairCapacity(); !ok || math.Abs(capacity-0.5) > 0.06 {
-		t.Errorf("capacity is %.2f (known: %v), want 0.5", capacity, ok)
+		t.Errorf("capacity is %.2f (ok: %v), want 0.5", capacity, ok)
 	}
 	tracker.Retain(func(id string) bool { return id == "near" })
 	if len(tracker.endpoints) != 1 {
@@ -36,13 +37,13 @@
 		fresh.Record("m", 0.3, 0.3)
 	}
 	if _, ok := fresh.FairCapacity(); ok {
-		t.Errorf("a capacity is told from %d reports", minReports-1)
+		t.Errorf("FairCapacity returned an estimate from %d reports, want none", minReports-1)
 	}
 	var idle UtilizationTracker
 	for range 60 {
 		idle.Record("m", 0.001, 0.001)
 	}
 	if _, ok := idle.FairCapacity(); ok {
-		t.Error("a capacity is told from the reports of idle endpoints")
+		t.Error("FairCapacity returned an estimate from the reports of idle endpoints, want none")
 	}
 }
--- a/internal/sitefailover/view.go
+++ b/internal/sitefailover/view.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// SiteView is a site as operators see it.
+// SiteView is the state of a site as operators see it.
 type SiteView struct {
 	Site      string
 	State     SiteState
 	Fault     FaultKind
 	Since     time.Duration // Since is when the site entered its state, on the caller's clock.
-	Evidence  string        // Evidence is that of the last change of state.
+	Evidence  string        // Evidence is the text for the last change of the state.
 	Endpoints int
 	Down      int
 	Flaps     int
 }
 
-// Views returns all sites in the order of their names.
+// Views returns the state of all sites, sorted by name.
 func (m *Monitor) Views() []SiteView {
 	var views []SiteView
 	for _, site := range m.sites {
@@ -37,8 +37,8 @@
 	return views
 }
 
-// AnyLost reports whether some site is lost. A suspected site does not count because the suspicion may be wrong, nor a
-// recovering one because slow start bounds the use of each of its endpoints.
+// AnyLost reports whether any site is lost. Suspected sites don't count, because the suspicion may be wrong. Recovering
+// sites don't count, because slow start already limits the load of each of their endpoints.
 func (m *Monitor) AnyLost() bool {
 	for _, site := range m.sites {
 		if site.state == SiteLost {
@@ -48,14 +48,14 @@
 	return false
 }
 
-// IsLost reports whether a site is taken for lost, by the evidence or by an operator's declaration.
+// IsLost reports whether a site is lost, according to the evidence or to an operator's declaration.
 func (m *Monitor) IsLost(name string) bool {
 	site := m.sites[name]
 	return site != nil && site.state == SiteLost
 }
 
-// EndpointsOfFailedSites returns the ids of the endpoints of sites that are lost or recovering, in order. Endpoints
-// that drain or are not listed are left out.
+// EndpointsOfFailedSites returns the sorted IDs of the endpoints of lost and recovering sites. It omits endpoints that
+// are draining or not listed.
 func (m *Monitor) EndpointsOfFailedSites() []string {
 	var ids []string
 	for _, site := range m.sites {
@@ -72,7 +72,8 @@
 	return ids
 }
 
-// Flaps returns how often a site has failed again while it recovered.
+// Flaps returns the flap count of a site: how often it has failed again while it recovered, minus one for each time it
+// became healthy since.
 func (m *Monitor) Flaps(name string) int {
 	if site := m.sites[name]; site != nil {
 		return site.flaps
@@ -80,7 +81,7 @@
 	return 0
 }
 
-// SiteOf returns the site of an endpoint, "" if the endpoint is not known.
+// SiteOf returns the site of an endpoint, or "" if the endpoint is not known.
 func (m *Monitor) SiteOf(id string) string {
 	if endpoint := m.endpoints[id]; endpoint != nil {
 		return endpoint.site
@@ -88,7 +89,7 @@
 	return ""
 }
 
-// IsDown reports whether an endpoint is taken for down.
+// IsDown reports whether an endpoint counts as down.
 func (m *Monitor) IsDown(id string) bool {
 	endpoint := m.endpoints[id]
 	return endpoint != nil && m.isDown(endpoint)
--- a/internal/sitefailover/world_test.go
+++ b/internal/sitefailover/world_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// world drives a Monitor: in each step every endpoint that can answers, the others fail.
-type world struct {
+// monitorHarness drives a Monitor with the outcomes of simulated endpoints. The endpoints in failing fail, the others
+// answer.
+type monitorHarness struct {
 	t       *testing.T
 	monitor *Monitor
 	now     time.Duration
@@ -29,10 +30,11 @@
 	changes []StateChanged
 }
 
-// newWorld has groups of one endpoint in each site, the primary of group n in site n.
-func newWorld(t *testing.T, ownSite string, groups int, sites ...string) *world {
+// newMonitorHarness returns a harness whose groups have one endpoint in each site. The primaries are spread over the
+// sites in turn.
+func newMonitorHarness(t *testing.T, ownSite string, groups int, sites ...string) *monitorHarness {
 	t.Helper()
-	w := &world{
+	w := &monitorHarness{
 		t:       t,
 		monitor: NewMonitor(testConfig(ownSite)),
 		now:     100 * time.Second,
@@ -54,7 +56,7 @@
 	return w
 }
 
-func (w *world) step(length time.Duration, events ...Event) {
+func (w *monitorHarness) step(length time.Duration, events ...Event) {
 	w.t.Helper()
 	w.now += length
 	for _, action := range w.monitor.Step(w.now, events) {
@@ -63,20 +65,20 @@
 			w.changes = append(w.changes, action)
 		case Wake:
 			if action.Deadline <= w.now {
-				w.t.Fatalf("it wants to be woken at %v, now is %v", action.Deadline, w.now)
+				w.t.Fatalf("wake deadline is %v, want it after now, %v", action.Deadline, w.now)
 			}
 		}
 	}
 }
 
-// list steps with one entry of an endpoint list.
-func (w *world) list(id, site string, group int, state EndpointState) {
+// list reports an entry of an endpoint list to the Monitor.
+func (w *monitorHarness) list(id, site string, group int, state EndpointState) {
 	w.t.Helper()
 	w.step(ms, EndpointListed{Endpoint: id, Site: site, Group: int64(group), State: state})
 }
 
-// run lets time pass, with an outcome of each endpoint every 50 ms.
-func (w *world) run(length time.Duration) {
+// run simulates the given length of time, with an outcome of each endpoint every 50 ms.
+func (w *monitorHarness) run(length time.Duration) {
 	w.t.Helper()
 	for end := w.now + length; w.now < end; {
 		var events []Event
@@ -91,8 +93,8 @@
 	}
 }
 
-// lose lets all of a site fail.
-func (w *world) lose(site string, failure Failure) {
+// failSite makes all endpoints of a site fail.
+func (w *monitorHarness) failSite(site string, failure Failure) {
 	for _, id := range w.ids {
 		if w.site[id] == site {
 			w.failing[id] = failure
@@ -100,8 +102,8 @@
 	}
 }
 
-// restore lets all of a site answer.
-func (w *world) restore(site string) {
+// restoreSite makes all endpoints of a site answer.
+func (w *monitorHarness) restoreSite(site string) {
 	for _, id := range w.ids {
 		if w.site[id] == site {
 			delete(w.failing, id)
@@ -109,22 +111,22 @@
 	}
 }
 
-// view returns a site as operators see it.
-func (w *world) view(site string) SiteView {
+// view returns the view of a site.
+func (w *monitorHarness) view(site string) SiteView {
 	w.t.Helper()
 	for _, view := range w.monitor.Views() {
 		if view.Site == site {
 			return view
 		}
 	}
-	w.t.Fatalf("no site %s", site)
+	w.t.Fatalf("site %s is not known to the Monitor", site)
 	return SiteView{}
 }
 
-func (w *world) expect(site string, state SiteState, fault FaultKind) {
+func (w *monitorHarness) expect(site string, state SiteState, fault FaultKind) {
 	w.t.Helper()
 	view := w.view(site)
 	if view.State != state || view.Fault != fault {
-		w.t.Fatalf("%s is %v (%v), want %v (%v): %s", site, view.State, view.Fault, state, fault, view.Evidence)
+		w.t.Fatalf("site %s is %v (%v), want %v (%v): %s", site, view.State, view.Fault, state, fault, view.Evidence)
 	}
 }
