--- a/internal/failover/retry_after_test.go
+++ b/internal/failover/retry_after_test.go
@@ -24,7 +24,7 @@
 			for range 100 {
 				got := tracker.retryAfter(tracker.groups[0], time.Minute+test.elapsed)
 				if got < test.want || got > test.want*5/4 {
-					t.Fatalf("retry after %v, want %v to 5/4 of it", got, test.want)
+					t.Fatalf("retry after %v, want between %v and 5/4 of that", got, test.want)
 				}
 				if test.most > 0 && got > test.most {
 					t.Fatalf("retry after %v, want at most %v", got, test.most)
--- a/internal/sitefailover/doc.go
+++ b/internal/sitefailover/doc.go
@@ -9,7 +9,7 @@
 //	healthy ──▶ suspected   most of the site's known endpoints are down, and the fault is specific to the site
 //	suspected ──▶ lost      this has lasted for MonitorConfig.SuspicionTime
 //	suspected ──▶ healthy   the evidence no longer holds, or has been inconclusive for two evidence windows
-//	lost ──▶ recovering     endpoints answer again; the site stays lost for a minimum time that grows with each flap
+//	lost ──▶ recovering     endpoints answer again; after flaps, not before a minimum time has passed
 //	recovering ──▶ lost     the site fails again: a flap
 //	recovering ──▶ settled  few endpoints have been down for MonitorConfig.SettleTime; longer after each flap
 //	settled ──▶ suspected   as from healthy
--- a/internal/sitefailover/monitor.go
+++ b/internal/sitefailover/monitor.go
@@ -71,8 +71,8 @@
 	return actions
 }
 
-// apply processes an event. It ignores events for unknown endpoints or sites, except for new entries of an endpoint
-// list.
+// apply processes an event. It ignores events for unknown endpoints or sites, except for observed primaries and entries
+// of an endpoint list.
 func (m *Monitor) apply(event Event) {
 	switch event := event.(type) {
 	case EndpointListed:
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// With s lost, group 1 has a capacity of 2.85 seconds of work per second for a demand of 7. Writes need 2 of it, and
-// the reads with the highest weight get the rest.
+// expectLossOfS checks the plan for the loss of s. Group 1 then has a capacity of 2.85 seconds of work per second for a
+// demand of 7. Writes need 2 of it, and the reads with the highest weight get the rest.
 func expectLossOfS(t *testing.T, plan SiteLossPlan) {
 	t.Helper()
 	if len(plan.Groups) != 2 {
@@ -100,8 +100,9 @@
 	expectNear(t, "weight with all sites", plan.CurrentWeightShare, 1)
 }
 
-// With n lost, a replica of group 1 succeeds its primary. The other replica has a capacity of 2.85 for a demand of 5
-// for reads, and the new primary has 0.85 left for reads in addition to the writes.
+// expectLossOfN checks the plan for the loss of n. A replica of group 1 then succeeds its primary. The other replica
+// has a capacity of 2.85 for a demand of 5 for reads, and the new primary has 0.85 left for reads in addition to the
+// writes.
 func expectLossOfN(t *testing.T, plan SiteLossPlan) {
 	t.Helper()
 	if len(plan.Groups) != 1 || !plan.Groups[0].LosesPrimary || plan.Groups[0].Successor != "b" {
