--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,36 +10,37 @@
 	"limeladder/internal/transport"
 )
 
-// endpointsPath is where discovery gives its list.
+// endpointsPath is the URL path of discovery's endpoint list.
 const endpointsPath = "/v1/endpoints"
 
-// call is the call that is out, or the last one that was.
+// call is the call in flight, or the last one that was.
 type call struct {
 	kind       CallKind
 	request    []byte
 	response   *httpResponse // nil = the call has ended
-	reusesConn bool          // it was sent on a connection that had carried another call
+	reusesConn bool          // the call was sent on a connection that had carried another call
 
 	startedAt       time.Duration
-	longPollTimeout time.Duration    // how long discovery may wait with its answer
-	slack           time.Duration    // how long beyond that the answer may take to begin
-	lastDataAt      time.Duration    // when the newest part of the answer came, 0 = none did
-	deadline        *eventloop.Timer // of the answer
+	longPollTimeout time.Duration    // how long discovery may hold the call open before it responds
+	slack           time.Duration    // how much longer the response may take to arrive
+	lastDataAt      time.Duration    // when the newest part of the response was received, 0 = none was
+	deadline        *eventloop.Timer // of the response
 }
 
-func (c *call) isOut() bool { return c.response != nil }
+func (c *call) inFlight() bool { return c.response != nil }
 
-// receivedWithin says whether a part of the answer came within the interval that ends now.
+// receivedWithin reports whether a part of the response was received within the interval that ends now.
 func (c *call) receivedWithin(interval, now time.Duration) bool {
 	return c.lastDataAt > 0 && now-c.lastDataAt < interval
 }
 
-// foundIdleConnClosed says whether the call was sent on a connection that discovery was closing for having been idle.
+// foundIdleConnClosed reports whether the call was sent on a reused connection that discovery was closing because it
+// had been idle.
 func (c *call) foundIdleConnClosed() bool {
 	return c.reusesConn && len(c.response.buffered) == 0 && !c.response.headerRead
 }
 
-// sendCall makes the next call, on the open connection or a new one.
+// sendCall makes the next call, on the open connection or on a new one.
 func (w *Watcher) sendCall() {
 	bounds := &w.limits.Discovery
 	w.call.deadline.Stop()
@@ -51,14 +52,15 @@
 		reusesConn: w.connection != nil,
 	}
 	path := endpointsPath
-	// Zero is a version like any other. Taken for none, it would make each call ask for the full list, and the
-	// capacity of discovery is shared by all routers.
+	// Version 0 is valid. If it meant "no list", each call after it would request the full list, and all routers share
+	// the capacity of discovery.
 	if !w.snapshotDue {
 		next.kind = CallWatch
 		next.longPollTimeout = bounds.LongPollTimeout
 		path = fmt.Sprintf("%s?index=%d&wait=%d", endpointsPath, w.version, next.longPollTimeout.Milliseconds())
 	}
-	// A watch on a broken link is silent, as one of a list that doesn't change: only its deadline tells them apart.
+	// A watch on a broken link receives nothing, just as a watch on a list that doesn't change. Only the deadline
+	// distinguishes the two.
 	if next.longPollTimeout > 0 {
 		next.slack = bounds.WatchSlack
 	}
@@ -75,7 +77,7 @@
 	w.dial()
 }
 
-// abandonCall ends the call that is out, if any, and closes its connection. What still comes of it is ignored.
+// abandonCall ends the call in flight, if any, and closes its connection. Later events of that connection are ignored.
 func (w *Watcher) abandonCall() {
 	w.dialNumber++
 	w.call.deadline.Stop()
@@ -87,9 +89,9 @@
 	}
 }
 
-// deadlinePassed ends a call whose answer should have come. Discovery counts a list as delivered once it has written
-// it, so an answer that is arriving, or that has arrived and was not read yet, is not given up: the call goes on
-// while more comes, for as long again at the most.
+// deadlinePassed ends a call whose response is overdue. Discovery counts a list as delivered once it has written it, so
+// the call is not given up while its response is arriving, or is in the socket's buffer and not read yet: the deadline
+// is extended while more data arrives, by at most the slack again.
 func (w *Watcher) deadlinePassed() {
 	maxGap := min(w.limits.Backend.StallTimeout, w.call.slack/4)
 	now := w.loop.Now()
@@ -101,7 +103,8 @@
 	w.callUnanswered(errNoAnswer)
 }
 
-// answerIsArriving says whether a part of the answer came within maxGap, or waits in the connection to be read.
+// answerIsArriving reports whether a part of the response was received within maxGap, or is still unread in the
+// connection.
 func (w *Watcher) answerIsArriving(maxGap, now time.Duration) bool {
 	if w.call.receivedWithin(maxGap, now) {
 		return true
@@ -109,7 +112,7 @@
 	return w.connection != nil && !w.connection.Quiet()
 }
 
-// dial sends the call that is out on a new connection.
+// dial sends the call in flight on a new connection.
 func (w *Watcher) dial() {
 	w.call.reusesConn = false
 	w.dialNumber++
@@ -136,10 +139,10 @@
 		return
 	}
 	w.connection = conn
-	conn.DetectResets() // an answer without a length ends with its connection, and a reset must not be taken for that end
+	conn.DetectResets() // a response without a length ends with its connection; a reset must not be taken for that end
 }
 
-// connectionHandler passes on what happens on a connection while that is the Watcher's newest one.
+// connectionHandler forwards the events of a connection to the Watcher, as long as it is the newest connection dialed.
 type connectionHandler struct {
 	watcher    *Watcher
 	dialNumber int
@@ -161,10 +164,10 @@
 	}
 }
 
-// received takes a part of an answer.
+// received handles a part of a response.
 func (w *Watcher) received(p []byte) {
-	if !w.call.isOut() {
-		w.abandonCall() // bytes that answer no call: the connection can't be used again
+	if !w.call.inFlight() {
+		w.abandonCall() // bytes that belong to no call: the connection can't be reused
 		return
 	}
 	w.call.lastDataAt = w.loop.Now()
@@ -178,7 +181,7 @@
 
 func (w *Watcher) connectionClosed(err error) {
 	w.connection = nil
-	if !w.call.isOut() {
+	if !w.call.inFlight() {
 		return
 	}
 	response := w.call.response
@@ -187,15 +190,15 @@
 		w.responseComplete()
 	case w.call.foundIdleConnClosed():
 		w.dial()
-	case response.headerRead, w.outlastedRejection():
-		w.callUnanswered(fmt.Errorf("watch ended: %w", err))
+	case response.headerRead, w.outlivedCallTimeout():
+		w.callUnanswered(fmt.Errorf("connection lost during the call: %w", err))
 	default:
-		w.callRejected(fmt.Errorf("connection ended: %w", err))
+		w.callRejected(fmt.Errorf("connection closed without a response: %w", err))
 	}
 }
 
-// outlastedRejection says whether a watch is out for longer than discovery takes to reject a call: if it ends then,
-// the link or discovery is lost.
-func (w *Watcher) outlastedRejection() bool {
+// outlivedCallTimeout reports whether a watch has been in flight for longer than discovery takes to reject a call. If
+// its connection ends after that, the link or discovery has failed.
+func (w *Watcher) outlivedCallTimeout() bool {
 	return !w.snapshotDue && w.loop.Now()-w.call.startedAt > w.limits.Discovery.CallTimeout
 }
--- a/internal/discovery/call_test.go
+++ b/internal/discovery/call_test.go
@@ -12,12 +12,13 @@
 
 const smallList = `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready"}]}`
 
-// An answer that is arriving when its call's time is over is used, and no call fails: discovery counts as delivered
-// what it writes. The rest of the answer is held back until that time is over on the watcher's own clock.
-func TestAnswerThatIsArrivingIsNotGivenUp(t *testing.T) {
+// Guards against giving up a call whose response is still arriving at its deadline: discovery counts the list as
+// delivered once it has written it. The server holds the rest of the response back until the deadline has passed on the
+// watcher's clock.
+func TestArrivingAnswerIsAwaitedBeyondTimeout(t *testing.T) {
 	lim := testLimits()
-	lim.Backend.StallTimeout = 20 * time.Second // so that only the length of the answer ends it, and
-	lim.Discovery.CallTimeout = 2 * time.Second // its gaps may be 0.5 s
+	lim.Backend.StallTimeout = 20 * time.Second // longer than the gap that CallTimeout allows
+	lim.Discovery.CallTimeout = 2 * time.Second // allows gaps of a quarter of it, 0.5 s
 	began, rest := make(chan bool), make(chan bool)
 	sendRest := sync.OnceFunc(func() { close(rest) })
 	watch := startWatch(t, lim, func(w http.ResponseWriter, r *http.Request) {
@@ -50,12 +51,12 @@
 	}
 	sendRest()
 	if list := watch.nextList(t); list.Version != 7 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("list %+v, want version 7", list)
 	}
 }
 
-// An answer that has arrived while the loop was busy beyond the call's time is read before the call is given up.
-func TestAnswerThatHasArrivedIsReadFirst(t *testing.T) {
+// A response that arrives while the loop is busy past the call's deadline is read before the call is given up.
+func TestReceivedAnswerIsReadBeforeTimeout(t *testing.T) {
 	lim := testLimits()
 	lim.Discovery.CallTimeout = 300 * time.Millisecond
 	called, busy := make(chan bool), make(chan bool)
@@ -72,27 +73,28 @@
 	watch.runInLoop(func() {
 		connection := watch.watcher.connection
 		if connection == nil {
-			t.Error("no connection")
+			t.Error("the watcher has no connection, want one")
 			close(busy)
 			return
 		}
 		close(busy)
 		deadline := watch.watcher.call.startedAt + lim.Discovery.CallTimeout
 		for connection.Quiet() || watch.loop.Now() <= deadline {
-			time.Sleep(time.Millisecond) // the loop is busy until the answer is there and the call's time is over
+			time.Sleep(time.Millisecond) // keeps the loop busy until the response is there and the deadline has passed
 		}
 	})
 	if list := watch.nextList(t); list.Version != 7 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("list %+v, want version 7", list)
 	}
 }
 
-// What a silent watch misses is asked for again, with the 2 s that a call may wait for its turn, within 6 s of the
-// beginning of its silence; for a watch that waits longer, within 2 s of the end of its wait and the shortest grace
-// that the settings have known.
+// The changes that a silent watch misses are requested again in time, counted from the beginning of the silence: within
+// 6 s (7 s in fleets whose watches wait longer) plus the shortest drain grace that the settings have had, 2 s. That
+// includes the 2 s that a call may wait for its scheduled turn.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
-	const turn, grace = 2 * time.Second, 2 * time.Second // the decision module polls again within half of the grace
-	for routers, delivered := range map[int]time.Duration{
+	// The decision module polls again within half of the grace.
+	const maxTurnWait, grace = 2 * time.Second, 2 * time.Second
+	for routers, deliveryBound := range map[int]time.Duration{
 		1:   6 * time.Second,
 		3:   6 * time.Second,
 		10:  6 * time.Second,
@@ -101,11 +103,12 @@
 	} {
 		lim := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(routers)
 		failed := lim.Discovery.LongPollTimeout + lim.Discovery.WatchSlack
-		if again := failed + grace/2; again+turn > delivered+grace {
-			t.Errorf("%d routers: polled %v after the silence, delivered by %v", routers, again, delivered)
+		if again := failed + grace/2; again+maxTurnWait > deliveryBound+grace {
+			t.Errorf("%d routers: polled again %v after the silence began, want delivery within %v plus the grace",
+				routers, again, deliveryBound)
 		}
-		if routers <= 10 && failed+250*time.Millisecond*3/2+turn > delivered+500*time.Millisecond {
-			t.Errorf("%d routers: failed after %v", routers, failed)
+		if routers <= 10 && failed+250*time.Millisecond*3/2+maxTurnWait > deliveryBound+500*time.Millisecond {
+			t.Errorf("%d routers: the watch failed after %v, which is too late for its delivery bound", routers, failed)
 		}
 	}
 }
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -8,10 +8,11 @@
 	"limeladder/internal/config"
 )
 
-// maxOlderAnswers is how many answers in a row may be older than the newest list before one is used all the same.
-const maxOlderAnswers = 2
+// maxOutdatedAnswers is the number of consecutive responses older than the newest list that are discarded before an
+// older full list is accepted.
+const maxOutdatedAnswers = 2
 
-// responseComplete uses the answer of the call that is out, and makes the next call.
+// responseComplete processes the complete response of the call in flight and makes the next call.
 func (w *Watcher) responseComplete() {
 	response := w.call.response
 	w.call.response = nil
@@ -46,9 +47,9 @@
 	return list, nil
 }
 
-// checkPlausible returns an error for a list that is readable but must not be used: the newest one stays valid. A
-// discovery that has lost its data, or that answers from a replica that lags, would otherwise take all routers'
-// endpoints away at once.
+// checkPlausible returns an error for a list that is well-formed but must not be used, in which case the newest list
+// stays valid. Otherwise a discovery service that has lost its data, or that responds from a lagging replica, would
+// remove the endpoints of all routers at once.
 func (w *Watcher) checkPlausible(list config.EndpointList) error {
 	if list.Full && len(list.Endpoints) == 0 {
 		return errNoEndpoints
@@ -56,20 +57,20 @@
 	if list.Version >= w.version {
 		return nil
 	}
-	// The next call asks for the full list. A discovery whose full list is older even then has started anew.
-	w.olderAnswers++
-	if w.olderAnswers > maxOlderAnswers && list.Full {
+	// The next call requests the full list. If that is still older, discovery has restarted its version numbers.
+	w.outdatedAnswers++
+	if w.outdatedAnswers > maxOutdatedAnswers && list.Full {
 		return nil
 	}
 	w.snapshotDue = true
 	return errOutdated
 }
 
-// acceptEndpoints passes a list on and makes the next call.
+// acceptEndpoints reports a valid list to the listener and makes the next call.
 func (w *Watcher) acceptEndpoints(list config.EndpointList) {
 	w.version = list.Version
 	w.snapshotDue = false
-	w.olderAnswers = 0
+	w.outdatedAnswers = 0
 	w.invalidAnswers = 0
 	w.lastLoggedError = ""
 	if w.retry != nil {
@@ -77,19 +78,19 @@
 	}
 	w.stopPrevious()
 	w.listener.EndpointListReceived(list)
-	if w.stopped || w.call.isOut() {
+	if w.stopped || w.call.inFlight() {
 		return // the listener has stopped the watch, or made a call
 	}
 	isEmptyChange := !list.Full && len(list.Endpoints) == 0
 	if isEmptyChange && w.answeredEarly() {
-		// A discovery that doesn't wait as it was asked to would keep one of the router's cores busy.
+		// Without a delay, a discovery service that ignores the wait parameter would keep one of the router's cores busy.
 		w.nextCall = w.loop.AfterFunc(w.limits.Discovery.WatchInterval, w.sendCall)
 		return
 	}
-	w.sendCall() // at once: discovery continues a watch only if the next call comes within 200 ms
+	w.sendCall() // without delay: discovery continues a watch only if the next call arrives within 200 ms
 }
 
-// answeredEarly says whether discovery has answered the last watch long before its wait was over.
+// answeredEarly reports whether discovery responded to the last watch in less than half of the requested wait.
 func (w *Watcher) answeredEarly() bool {
 	return w.loop.Now()-w.call.startedAt < w.call.longPollTimeout/2
 }
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A list without a length ends with its connection; it may come indented, in any parts.
-func TestListWithoutALengthInParts(t *testing.T) {
+// A list without Content-Length ends with its connection. It may be indented and arrive in parts of any size.
+func TestListWithoutContentLengthInParts(t *testing.T) {
 	const text = `{
   "version": 7,
   "full": true,
@@ -35,12 +35,12 @@
 			}
 		})
 		if list := watch.nextList(t); list.Version != 7 || len(list.Endpoints) != 1 {
-			t.Fatalf("%+v", list)
+			t.Fatalf("list %+v, want version 7 with one endpoint", list)
 		}
 	}
 }
 
-// implausibleDiscovery answers its first call with a list, and all others with an implausible one.
+// implausibleDiscovery responds to its first call with a valid list, and to all others with an implausible one.
 type implausibleDiscovery struct {
 	answer           string
 	calls, snapshots int
@@ -58,13 +58,14 @@
 	fmt.Fprint(w, d.answer)
 }
 
-// A list that is empty, or older than the newest one, is not used, and logged once; a discovery that goes on to give
-// an older one has started anew. The call after an older list asks for the full one.
+// A list that is empty, or older than the newest one, is not used, and the failure is logged once. If discovery keeps
+// sending an older list, it has restarted its version numbers and the list is accepted. The call after an older list
+// requests the full one.
 func TestImplausibleListsAreNotUsed(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer      string
 		failures    int
-		usedVersion int64 // 0 = it is never used
+		usedVersion int64 // version accepted after the failures, 0 = none
 	}{
 		"empty": {`{"version":9,"full":true,"servers":[]}`, 4, 0},
 		"older": {`{"version":3,"full":true,"servers":[{"id":"old","state":"ready"}]}`, 2, 3},
@@ -75,26 +76,26 @@
 			var logged strings.Builder
 			watch.loop.Post(func() { watch.watcher.log = slog.New(slog.NewTextHandler(&logged, nil)) })
 			if list := watch.nextList(t); list.Version != 7 {
-				t.Fatalf("%+v", list)
+				t.Fatalf("list %+v, want version 7", list)
 			}
 			for i := range test.failures {
-				// Discovery counts the list as delivered, so the call is repeated soon, but not for ever.
-				if unanswered := watch.nextFailure(t); unanswered != (i <= maxOlderAnswers) {
-					t.Fatalf("failure %d, unanswered: %v", i, unanswered)
+				// Discovery counts the list as delivered, so the first failures are reported as unanswered and repeated soon.
+				if unanswered := watch.nextFailure(t); unanswered != (i <= maxOutdatedAnswers) {
+					t.Fatalf("failure %d: unanswered is %v, want true for the first three failures only", i, unanswered)
 				}
 				watch.poll()
 			}
 			if test.usedVersion > 0 {
 				if list := watch.nextList(t); list.Version != test.usedVersion {
-					t.Fatalf("%+v", list)
+					t.Fatalf("list %+v, want the older version", list)
 				}
 			}
 			watch.runInLoop(watch.watcher.Stop)
 			if n := strings.Count(logged.String(), "discovery call failed"); n != 1 {
-				t.Errorf("logged %d times: %s", n, logged.String())
+				t.Errorf("the failure was logged %d times, want once: %s", n, logged.String())
 			}
 			if name == "older" && discovery.snapshots < 2 {
-				t.Errorf("the full list was asked for %d times", discovery.snapshots)
+				t.Errorf("the full list was requested %d times, want at least 2", discovery.snapshots)
 			}
 		})
 	}
@@ -104,7 +105,7 @@
 
 func largeListID(i int) string { return fmt.Sprintf("s-%064d", i) }
 
-// largeList returns a list of 1,024 endpoints.
+// largeList returns the JSON text of a list of 1,024 endpoints.
 func largeList(t *testing.T, full, indented bool) string {
 	t.Helper()
 	type server struct {
@@ -146,7 +147,7 @@
 	return string(text)
 }
 
-// A list of 1,024 endpoints is read on one line, indented, in small parts, without a length, and as a change.
+// A list of 1,024 endpoints is read on one line, indented, in small parts, without Content-Length, and as a change.
 func TestListOfAThousandEndpoints(t *testing.T) {
 	const onePart = 1 << 20
 	for name, test := range map[string]struct {
@@ -163,7 +164,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := testLimits()
-			lim.Discovery.CallTimeout *= 50 // the machine that tests may be slow
+			lim.Discovery.CallTimeout *= 50 // the test machine may be slow
 			watch := startWatch(t, lim, func(w http.ResponseWriter, _ *http.Request) {
 				rest := largeList(t, test.full, test.indented)
 				if test.hasLength {
@@ -178,11 +179,11 @@
 			})
 			list := watch.nextList(t)
 			if len(list.Endpoints) != largeListEndpoints || list.Full != test.full {
-				t.Fatalf("%d endpoints, full: %v", len(list.Endpoints), list.Full)
+				t.Fatalf("the list has %d endpoints, full: %v; not as sent", len(list.Endpoints), list.Full)
 			}
 			const last = largeListEndpoints - 1
 			if got := list.Endpoints[last]; got.ID != largeListID(last) || got.Cell != last%40 {
-				t.Fatalf("the last endpoint is %+v", got)
+				t.Fatalf("the last endpoint is %+v, not as sent", got)
 			}
 		})
 	}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -3,18 +3,18 @@
 import "errors"
 
 var (
-	errNoAnswer    = errors.New("no answer in time")
-	errNoEndpoints = errors.New("the whole list is empty")
-	errOutdated    = errors.New("the list is older than the one that is known")
+	errNoAnswer    = errors.New("no response before the deadline")
+	errNoEndpoints = errors.New("full list has no endpoints")
+	errOutdated    = errors.New("list is older than the newest one received")
 )
 
-// CallKind is what a call asks discovery for.
+// CallKind is the kind of list that a call requests.
 type CallKind uint8
 
 // The kinds of calls.
 const (
-	CallSnapshot CallKind = iota // the full list, at once
-	CallWatch                    // what has changed since a version, when there is something
+	CallSnapshot CallKind = iota // the full list, without waiting
+	CallWatch                    // the changes since a version, as soon as there are any
 )
 
 // String returns the kind for logs.
@@ -25,14 +25,14 @@
 	return "snapshot"
 }
 
-// CallFailure is how a call failed.
+// CallFailure is the way in which a call failed.
 type CallFailure uint8
 
-// The failures.
+// The failures of a call.
 const (
-	CallRejected   CallFailure = iota // discovery has rejected the call, or answered something else than HTTP
-	CallUnanswered                    // the answer didn't come, or not all of it: the link may be broken
-	CallInvalid                       // the answer came, and its list can't be used
+	CallRejected   CallFailure = iota // discovery rejected the call, or its response is not valid HTTP
+	CallUnanswered                    // no response or only a part of it was received: the link may be broken
+	CallInvalid                       // the response was received, but its list can't be used
 )
 
 // String returns the failure for logs.
@@ -40,7 +40,7 @@
 	return []string{"rejected", "unanswered", "invalid"}[f]
 }
 
-// CallError is the failure of a call of discovery.
+// CallError is the failure of a call to discovery.
 type CallError struct {
 	Call    CallKind
 	Address string
@@ -48,7 +48,7 @@
 	Err     error
 }
 
-// Error returns the cause alone: the log line has the rest as attributes.
+// Error returns the text of the cause alone: the log record has the other fields as attributes.
 func (e *CallError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
@@ -61,17 +61,18 @@
 // callRejected ends a call that discovery has rejected.
 func (w *Watcher) callRejected(cause error) { w.callFailed(w.newCallError(CallRejected, cause), false) }
 
-// callUnanswered ends a call without an answer. Discovery need not be overloaded, and it counts as delivered
-// what it has written.
+// callUnanswered ends a call without a complete response. It need not mean that discovery is overloaded, and discovery
+// counts what it has written as delivered.
 func (w *Watcher) callUnanswered(cause error) {
 	w.callFailed(w.newCallError(CallUnanswered, cause), true)
 }
 
-// callInvalid ends a call whose list can't be used. Discovery counts it as delivered, so the call is repeated soon,
-// as an unanswered one; but not by all routers for ever, where discovery goes on like that.
+// callInvalid ends a call whose list can't be used. Discovery counts the list as delivered, so the call is repeated
+// soon, like an unanswered one. If discovery keeps sending invalid lists, the calls count as rejected after a few, so
+// that the whole fleet doesn't repeat them quickly without end.
 func (w *Watcher) callInvalid(cause error) {
 	w.invalidAnswers++
-	w.callFailed(w.newCallError(CallInvalid, cause), w.invalidAnswers <= maxOlderAnswers+1)
+	w.callFailed(w.newCallError(CallInvalid, cause), w.invalidAnswers <= maxOutdatedAnswers+1)
 }
 
 func (w *Watcher) callFailed(err *CallError, unanswered bool) {
@@ -86,7 +87,8 @@
 	w.listener.PollFailed(unanswered)
 }
 
-// logOnce logs an error that is not the one of the call before: a discovery that is away is called many times.
+// logOnce logs an error unless the previous failed call had the same one: while discovery is unavailable, it is called
+// many times.
 func (w *Watcher) logOnce(err *CallError) {
 	text := err.Error()
 	if text == w.lastLoggedError {
--- a/internal/discovery/http_response.go
+++ b/internal/discovery/http_response.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// bodyFraming says where the body of a response ends.
+// bodyFraming is the way in which the end of a response body is marked.
 type bodyFraming uint8
 
 const (
-	framedByClose  bodyFraming = iota // with the connection
-	framedByLength                    // after Content-Length bytes
-	framedByChunks                    // with an empty chunk
+	framedByClose  bodyFraming = iota // ends when the connection is closed
+	framedByLength                    // ends after Content-Length bytes
+	framedByChunks                    // ends with an empty chunk
 )
 
-// The parts of the protocol that a response is made of.
+// The separators within a response.
 var (
 	crlf      = []byte("\r\n")
 	headerEnd = []byte("\r\n\r\n")
@@ -29,9 +29,9 @@
 	maxHeaderBytes int
 	maxBodyBytes   int
 
-	buffered         []byte // received and not parsed
+	buffered         []byte // received and not parsed yet
 	status           int
-	closesConnection bool // the connection can't be used again
+	closesConnection bool // the connection can't be reused after this response
 	framing          bodyFraming
 	contentLength    int
 	headerRead       bool
@@ -40,7 +40,7 @@
 
 var errMalformedResponse = errors.New("malformed HTTP response")
 
-// feed takes a part of the response and says whether the response is complete.
+// feed adds the next received bytes to the response and reports whether the response is complete.
 func (r *httpResponse) feed(p []byte) (complete bool, err error) {
 	r.buffered = append(r.buffered, p...)
 	if !r.headerRead {
@@ -58,7 +58,7 @@
 	}
 }
 
-// completeAtClose says whether the end of the connection completes the response.
+// completeAtClose reports whether the end of the connection completes the response.
 func (r *httpResponse) completeAtClose() bool { return r.headerRead && r.framing == framedByClose }
 
 // readHeader parses the header if all of it has arrived.
@@ -66,7 +66,7 @@
 	end := bytes.Index(r.buffered, headerEnd)
 	if end < 0 {
 		if len(r.buffered) > r.maxHeaderBytes {
-			return fmt.Errorf("%w: its header is too long", errMalformedResponse)
+			return fmt.Errorf("%w: header is too long", errMalformedResponse)
 		}
 		return nil
 	}
@@ -117,14 +117,14 @@
 	return nil
 }
 
-// parseField takes the header fields that frame the response. Chunks win over a length, and a first length over a
-// second one.
+// parseField handles the header fields that frame the response; others are ignored. Chunked encoding takes precedence
+// over Content-Length, and the first Content-Length over later ones.
 func (r *httpResponse) parseField(name, value string) error {
 	switch name {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || int(length) > r.maxBodyBytes {
-			return fmt.Errorf("%w: length %.40q", errMalformedResponse, value)
+			return fmt.Errorf("%w: Content-Length %.40q", errMalformedResponse, value)
 		}
 		if r.framing == framedByClose {
 			r.framing = framedByLength
@@ -132,7 +132,7 @@
 		}
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("%w: encoding %.40q", errMalformedResponse, value)
+			return fmt.Errorf("%w: Transfer-Encoding %.40q", errMalformedResponse, value)
 		}
 		r.framing = framedByChunks
 	case "connection":
@@ -143,35 +143,35 @@
 	return nil
 }
 
-// readUntilClose takes more of a body that ends with the connection.
+// readUntilClose reads a part of a body that ends with the connection.
 func (r *httpResponse) readUntilClose() error {
 	r.body = append(r.body, r.buffered...)
 	if len(r.body) > r.maxBodyBytes {
-		return fmt.Errorf("%w: its body is too long", errMalformedResponse)
+		return fmt.Errorf("%w: body is too long", errMalformedResponse)
 	}
 	r.buffered = r.buffered[:0]
 	return nil
 }
 
-// readBody takes a body of a known length once all of it has arrived.
+// readBody reads a body of a known length once all of it has arrived.
 func (r *httpResponse) readBody() (complete bool, err error) {
 	if len(r.buffered) < r.contentLength {
 		return false, nil
 	}
 	if len(r.buffered) > r.contentLength {
-		return false, fmt.Errorf("%w: bytes behind its end", errMalformedResponse)
+		return false, fmt.Errorf("%w: bytes after the body", errMalformedResponse)
 	}
 	r.body = r.buffered
 	return true, nil
 }
 
-// readChunks takes the chunks that have arrived completely.
+// readChunks reads the chunks that have arrived completely.
 func (r *httpResponse) readChunks() (complete bool, err error) {
 	for {
 		line, rest, ok := bytes.Cut(r.buffered, crlf)
 		if !ok {
 			if len(r.buffered) > r.maxHeaderBytes {
-				return false, fmt.Errorf("%w: chunk line", errMalformedResponse)
+				return false, fmt.Errorf("%w: chunk line is too long", errMalformedResponse)
 			}
 			return false, nil
 		}
@@ -180,13 +180,13 @@
 			return false, err
 		}
 		if size == 0 {
-			return trailerEnded(rest), nil
+			return trailerComplete(rest), nil
 		}
 		if len(rest) < size+len(crlf) {
 			return false, nil
 		}
 		if !bytes.HasPrefix(rest[size:], crlf) {
-			return false, fmt.Errorf("%w: end of a chunk", errMalformedResponse)
+			return false, fmt.Errorf("%w: chunk does not end with CRLF", errMalformedResponse)
 		}
 		r.body = append(r.body, rest[:size]...)
 		r.buffered = rest[size+len(crlf):]
@@ -197,12 +197,13 @@
 	text, _, _ := strings.Cut(line, ";") // an extension may follow
 	size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 	if err != nil || len(r.body)+int(size) > r.maxBodyBytes {
-		return 0, fmt.Errorf("%w: chunk %.40q", errMalformedResponse, line)
+		return 0, fmt.Errorf("%w: chunk size %.40q", errMalformedResponse, line)
 	}
 	return int(size), nil
 }
 
-// trailerEnded says whether what follows the last chunk, fields or none, has ended with an empty line.
-func trailerEnded(rest []byte) bool {
+// trailerComplete reports whether the trailer after the last chunk, with or without fields, has ended with an empty
+// line.
+func trailerComplete(rest []byte) bool {
 	return bytes.HasPrefix(rest, crlf) || bytes.Contains(rest, headerEnd)
 }
--- a/internal/discovery/http_response_test.go
+++ b/internal/discovery/http_response_test.go
@@ -14,7 +14,7 @@
 	responseBusy = "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\nConnection: close\r\n\r\n"
 )
 
-// feedResponse parses a text in parts of the sizes that a function returns.
+// feedResponse parses a text in parts whose sizes nextSize returns, given the number of bytes left.
 func feedResponse(text string, nextSize func(left int) int) (response *httpResponse, complete bool, err error) {
 	response = &httpResponse{maxHeaderBytes: 512, maxBodyBytes: 4096}
 	for rest := []byte(text); len(rest) > 0 && !complete && err == nil; {
@@ -46,13 +46,13 @@
 			for range 200 {
 				response, complete, err := feedResponse(test.text, inRandomParts)
 				if !complete || err != nil {
-					t.Fatalf("complete: %v, %v", complete, err)
+					t.Fatalf("complete %v, error %v; want a complete response", complete, err)
 				}
 				if response.status != test.wantStatus || string(response.body) != test.wantBody {
-					t.Fatalf("status %d, body %q", response.status, response.body)
+					t.Fatalf("unexpected status %d or body %q", response.status, response.body)
 				}
 				if response.closesConnection != test.wantClose {
-					t.Fatalf("closes the connection: %v", response.closesConnection)
+					t.Fatalf("closesConnection is %v, want the opposite", response.closesConnection)
 				}
 			}
 		})
@@ -79,30 +79,30 @@
 		"HTTP/1.1 abc\r\n\r\n":                                                  `status "abc"`,
 		"HTTP/1.1 99\r\n\r\n":                                                   `status "99"`,
 		"HTTP/1.1 200 OK\r\nnothing\r\n\r\n":                                    `header line "nothing"`,
-		"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n":                          `length "x"`,
-		"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n":                       `length "5000"`,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n":                    `encoding "gzip"`,
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab":                        "bytes behind its end",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n":           `chunk "xy"`,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc":         "end of a chunk",
-		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 600):                     "its header is too long",
-		"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 5000):                   "its body is too long",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + longChunkLine: "chunk line",
+		"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n":                          `Content-Length "x"`,
+		"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n":                       `Content-Length "5000"`,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n":                    `Transfer-Encoding "gzip"`,
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab":                        "bytes after the body",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n":           `chunk size "xy"`,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc":         "chunk does not end with CRLF",
+		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 600):                     "header is too long",
+		"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 5000):                   "body is too long",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + longChunkLine: "chunk line is too long",
 	} {
 		_, complete, err := feedResponse(text, inOnePart)
 		if complete || !errors.Is(err, errMalformedResponse) {
-			t.Errorf("%.60q: complete: %v, %v", text, complete, err)
+			t.Errorf("%.60q: complete %v, error %v; want errMalformedResponse", text, complete, err)
 			continue
 		}
 		if got := err.Error(); got != "malformed HTTP response: "+want {
-			t.Errorf("%.60q: %s", text, got)
+			t.Errorf("%.60q: unexpected error text %q", text, got)
 		}
 	}
 }
 
 var longChunkLine = strings.Repeat("0", 600)
 
-// Where the body of a response ends.
+// The end of a response body is found by its framing: length, chunks, status or the end of the connection.
 func TestResponseFraming(t *testing.T) {
 	for name, test := range map[string]struct {
 		text         string
@@ -123,7 +123,8 @@
 		t.Run(name, func(t *testing.T) {
 			response, complete, err := feedResponse(test.text, inOnePart)
 			if err != nil || complete != test.wantComplete || response.completeAtClose() != test.wantAtClose {
-				t.Errorf("complete: %v, at close: %v, %v", complete, response.completeAtClose(), err)
+				t.Errorf("unexpected result: complete %v, complete at close %v, error %v",
+					complete, response.completeAtClose(), err)
 			}
 		})
 	}
@@ -138,10 +139,11 @@
 		whole, wholeComplete, wholeErr := feedResponse(text, inOnePart)
 		parts, partsComplete, partsErr := feedResponse(text, byteByByte)
 		if len(whole.body) > 4096 || len(parts.body) > 4096 {
-			t.Fatalf("bodies of %d and %d bytes", len(whole.body), len(parts.body))
+			t.Fatalf("bodies of %d and %d bytes, want at most 4096", len(whole.body), len(parts.body))
 		}
 		if wholeComplete && partsComplete && string(whole.body) != string(parts.body) {
-			t.Fatalf("%q in one part, %q byte by byte; %v %v", whole.body, parts.body, wholeErr, partsErr)
+			t.Fatalf("body %q in one part, %q byte by byte, want the same; errors %v, %v",
+				whole.body, parts.body, wholeErr, partsErr)
 		}
 	})
 }
--- a/internal/discovery/previous.go
+++ b/internal/discovery/previous.go
@@ -2,11 +2,11 @@
 
 import "limeladder/internal/config"
 
-// keepWatch hands the watch that is out to a Watcher that goes on with it at the present address. Without a watch
-// nothing is kept.
-func (w *Watcher) keepWatch() {
+// keepPreviousWatch moves the watch in flight to a second Watcher, which continues it at the current address. It does
+// nothing if no watch is in flight.
+func (w *Watcher) keepPreviousWatch() {
 	w.stopPrevious()
-	if w.connection == nil || !w.call.isOut() || w.call.kind != CallWatch {
+	if w.connection == nil || !w.call.inFlight() || w.call.kind != CallWatch {
 		return
 	}
 	previous := &Watcher{
@@ -30,7 +30,7 @@
 	w.previous = previous
 }
 
-// stopPrevious ends the watch at the address before.
+// stopPrevious ends the watch at the previous address, if there is one.
 func (w *Watcher) stopPrevious() {
 	if w.previous != nil {
 		previous := w.previous
@@ -39,13 +39,13 @@
 	}
 }
 
-// previousListener passes on what the address before still tells.
+// previousListener forwards the lists that are still received from the previous address.
 type previousListener struct {
 	current  *Watcher
 	previous *Watcher
 }
 
-// EndpointListReceived implements Listener. What the new address answers must not be older than this list.
+// EndpointListReceived implements Listener. A list from the new address must not be older than this one.
 func (l *previousListener) EndpointListReceived(list config.EndpointList) {
 	if l.current.previous != l.previous {
 		return
@@ -54,7 +54,7 @@
 	l.current.listener.EndpointListReceived(list)
 }
 
-// PollFailed implements Listener. The address before is not called again.
+// PollFailed implements Listener. The previous address is not called again.
 func (l *previousListener) PollFailed(bool) {
 	if l.current.previous == l.previous {
 		l.current.stopPrevious()
--- a/internal/discovery/previous_test.go
+++ b/internal/discovery/previous_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// startDiscovery starts a discovery that answers with a handler.
+// startDiscovery starts a discovery server with the given handler and returns its address.
 func startDiscovery(t *testing.T, handler http.HandlerFunc) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -19,23 +19,24 @@
 	return server.Listener.Addr().String()
 }
 
-// await waits for something that a handler notes.
+// await returns the next value of a channel that a handler sends to. what names the awaited event in the failure.
 func await[T any](t *testing.T, what string, noted <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-noted:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("timed out waiting until %s", what)
 	}
 	panic("unreachable")
 }
 
 const listFormat = `{"version":%d,"full":%v,"servers":[{"id":"s%d","addr":"127.0.0.1:1","state":"ready"}]}`
 
-// Guards against a large fleet that takes two turns each at a discovery that it moves to, and that hears of no change
-// meanwhile: it goes on from the version that it has, and with the old watch until the new discovery answers.
-func TestMoveOfALargeFleet(t *testing.T) {
+// Guards against a large fleet in which each router needs two scheduled calls to the discovery that it moves to, and
+// receives no change meanwhile: the router resumes from the version that it has, and keeps the old watch until the new
+// discovery responds.
+func TestMoveResumesFromKnownVersion(t *testing.T) {
 	oldEvents, oldEnded := make(chan int, 9), make(chan bool, 9)
 	oldWatched := make(chan bool, 9)
 	old := startDiscovery(t, func(w http.ResponseWriter, r *http.Request) {
@@ -73,24 +74,24 @@
 	await(t, "the old discovery is watched", oldWatched)
 	watch.runInLoop(func() { watch.watcher.MoveTo(next) })
 	if query := await(t, "the new discovery is called", newCalls); query != "index=5&wait=20000" {
-		t.Errorf("the first call asks for %q", query)
+		t.Errorf("the first call has the query %q, want index=5&wait=20000", query)
 	}
-	newEvents <- 0 // it rejects the call
+	newEvents <- 0 // the new discovery rejects the call
 	if watch.nextFailure(t) {
-		t.Error("a rejection was reported as silence")
+		t.Error("a rejected call was reported as unanswered")
 	}
 	oldEvents <- 6
 	if list := watch.nextList(t); list.Version != 6 {
-		t.Errorf("%+v, want the change that the old discovery tells", list)
+		t.Errorf("list %+v, want version 6 from the old discovery", list)
 	}
-	await(t, "the old discovery is watched on", oldWatched)
+	await(t, "the old discovery is watched again", oldWatched)
 	watch.poll()
 	if query := await(t, "the new discovery is called again", newCalls); query != "index=6&wait=20000" {
-		t.Errorf("the second call asks for %q", query)
+		t.Errorf("the second call has the query %q, want index=6&wait=20000", query)
 	}
 	newEvents <- 7
 	if list := watch.nextList(t); list.Version != 7 {
-		t.Errorf("%+v, want the change that the new discovery tells", list)
+		t.Errorf("list %+v, want version 7 from the new discovery", list)
 	}
 	await(t, "the old watch ends", oldEnded)
 	if len(watch.failures) > 0 {
@@ -98,8 +99,8 @@
 	}
 }
 
-// The old discovery goes away before the new one answers: that is no failure of the new one.
-func TestOldDiscoveryEndsDuringAMove(t *testing.T) {
+// If the old discovery fails before the new one responds, no failure is reported.
+func TestOldDiscoveryFailsDuringMove(t *testing.T) {
 	oldWatched, endOld := make(chan bool, 9), make(chan bool)
 	old := startDiscovery(t, func(w http.ResponseWriter, r *http.Request) {
 		if !isWatch(r) {
@@ -134,7 +135,7 @@
 	}
 	close(answer)
 	if list := watch.nextList(t); list.Version != 6 {
-		t.Errorf("%+v", list)
+		t.Errorf("list %+v, want version 6", list)
 	}
 	if len(watch.failures) > 0 {
 		t.Error("the end of the old discovery was reported as a failure")
--- a/internal/discovery/retry_test.go
+++ b/internal/discovery/retry_test.go
@@ -19,7 +19,8 @@
 	return limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForPushedLists(grace)
 }
 
-// followAgent follows the lists that are pushed to an agent, and has received the first one.
+// followAgent starts an agent and a Watcher that follows the lists pushed to it, and returns once the Watcher has
+// received the first list.
 func followAgent(t *testing.T, grace time.Duration) (*testWatch, *testserver.Agent) {
 	t.Helper()
 	agent, err := testserver.NewAgent(readyEndpoint)
@@ -30,12 +31,12 @@
 	watch := newTestWatch(t, pushedLimits(grace), agent.Addr)
 	watch.loop.Post(func() { watch.watcher.FollowPushed(7) })
 	if list := watch.nextChange(t); !list.Full || len(list.Endpoints) != 1 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("list %+v, want a full list with one endpoint", list)
 	}
 	return watch, agent
 }
 
-// nextChange returns the next list that names an endpoint, whatever calls fail before it.
+// nextChange returns the next list with at least one endpoint. Calls may fail before it.
 func (w *testWatch) nextChange(t *testing.T) config.EndpointList {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -45,14 +46,14 @@
 				return list
 			}
 		case <-timeout:
-			t.Fatal("no change was reported")
+			t.Fatal("no list with an endpoint was reported in time")
 		}
 	}
 }
 
-// Where lists are pushed nobody calls Poll: the watch goes on by itself through every failure, and receives what came
-// meanwhile.
-func TestFollowPushedRetriesByItself(t *testing.T) {
+// Where lists are pushed nobody calls Poll: the Watcher retries after every kind of failure, and receives the changes
+// pushed meanwhile.
+func TestFollowPushedRetriesWithoutPoll(t *testing.T) {
 	for name, fail := range map[string]func(t *testing.T, agent *testserver.Agent) (restore func()){
 		"silent": func(_ *testing.T, agent *testserver.Agent) func() {
 			agent.Silent(true)
@@ -76,76 +77,76 @@
 			watch, agent := followAgent(t, 500*time.Millisecond)
 			for range 2 {
 				restore := fail(t, agent)
-				for range 3 { // it has retried and failed
+				for range 3 { // the first failure and two failed retries
 					select {
 					case <-watch.failures:
 					case <-time.After(testTimeout):
-						t.Fatal("it does not retry")
+						t.Fatal("no failure was reported in time, want retries that fail")
 					}
 				}
 				agent.Push(drainingEndpoint)
 				restore()
 				if list := watch.nextChange(t); list.Endpoints[0].State != "draining" {
-					t.Fatalf("%+v", list)
+					t.Fatalf("list %+v, want a draining endpoint", list)
 				}
 			}
 		})
 	}
 }
 
-// A call that fails, whichever way, is found and made again within three quarters of the grace.
-func TestPushedListIsReceivedWithinTheGrace(t *testing.T) {
+// The failure of a call, of whatever kind, is detected and the call repeated within three quarters of the drain grace.
+func TestPushedListIsReceivedWithinDrainGrace(t *testing.T) {
 	for _, milliseconds := range []time.Duration{200, 500, 2_000, 10_000} {
 		grace := milliseconds * time.Millisecond
 		lim := pushedLimits(grace).Discovery
 		failed := max(lim.LongPollTimeout+lim.WatchSlack, lim.CallTimeout)
 		if again := failed + lim.MaxRetryInterval; again > grace*3/4 {
-			t.Errorf("grace %v: made again after %v", grace, again)
+			t.Errorf("grace %v: call repeated after %v, want at most three quarters of the grace", grace, again)
 		}
 		backoff := retryBackoff{maxInterval: lim.MaxRetryInterval, rng: rand.New(rand.NewPCG(1, 2))}
 		for range 50 {
 			if delay := backoff.nextDelay(); delay > lim.MaxRetryInterval || delay <= 0 {
-				t.Errorf("grace %v: a delay of %v", grace, delay)
+				t.Errorf("grace %v: delay %v, want more than 0 and at most MaxRetryInterval", grace, delay)
 			}
 		}
 		backoff.reset()
 		if delay := backoff.nextDelay(); delay > initialRetryInterval {
-			t.Errorf("grace %v: a first delay of %v", grace, delay)
+			t.Errorf("grace %v: first delay %v, want at most initialRetryInterval", grace, delay)
 		}
 	}
 	for _, grace := range []time.Duration{0, time.Millisecond} {
 		lim := pushedLimits(grace).Discovery
 		if lim.LongPollTimeout < 20*time.Millisecond || lim.MaxRetryInterval < 20*time.Millisecond {
-			t.Errorf("grace %v: calls all the time, %+v", grace, lim)
+			t.Errorf("grace %v: want timeout and retry interval of at least 20 ms, got %+v", grace, lim)
 		}
 	}
 }
 
-// Where lists are pushed a full list costs nobody anything, however many routers there are; asked of a service that
-// all routers share, it does in a large fleet.
-func TestFullListIsAskedForWhereItIsCheap(t *testing.T) {
+// A pushed full list is read from the router's own machine and is cheap in a fleet of any size. A large fleet that
+// requests full lists from a shared service would overload it.
+func TestFullListIsRequestedWhereItIsCheap(t *testing.T) {
 	fleet := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second).ForFleet(80)
 	if !fleet.Discovery.ResumeFromKnown {
-		t.Error("80 routers ask for a full list")
+		t.Error("a fleet of 80 routers requests full lists from a shared service")
 	}
 	if fleet.ForPushedLists(time.Second).Discovery.ResumeFromKnown {
-		t.Error("a full list is not asked for where it is pushed")
+		t.Error("no full list is requested where lists are pushed")
 	}
 }
 
-// The delay doubles with each failure, up to its bound, and is drawn from the upper half.
+// The retry interval doubles with each failure, up to its bound, and the delay is drawn from its upper half.
 func TestRetryBackoffGrows(t *testing.T) {
 	backoff := retryBackoff{maxInterval: 50 * time.Millisecond, rng: rand.New(rand.NewPCG(1, 2))}
 	for i, interval := range []time.Duration{10, 20, 40, 50, 50} {
 		interval *= time.Millisecond
 		if delay := backoff.nextDelay(); delay < interval/2 || delay > interval {
-			t.Errorf("delay %d is %v, want %v to %v", i, delay, interval/2, interval)
+			t.Errorf("delay %d is %v, want between %v and %v", i, delay, interval/2, interval)
 		}
 	}
 }
 
-// An agent whose watches do not wait is not called without pause.
-func TestAgentThatDoesNotWaitIsNotCalledWithoutPause(t *testing.T) {
+// An agent that responds to watches without waiting is called at the configured interval, not in a busy loop.
+func TestAgentThatDoesNotWaitIsCalledAtIntervals(t *testing.T) {
 	watch, agent := followAgent(t, 500*time.Millisecond)
 	agent.AnswerAtOnce(true)
 	callsBefore, start := agent.Calls(), time.Now()
@@ -153,16 +154,17 @@
 	calls := agent.Calls() - callsBefore
 	elapsed := time.Since(start)
 	if most := int(elapsed/(50*time.Millisecond)) + 2; calls > most {
-		t.Errorf("%d calls in %v", calls, elapsed)
+		t.Errorf("%d calls in %v, want at most one per 50 ms and two more", calls, elapsed)
 	}
 	agent.Push(drainingEndpoint)
 	if list := watch.nextChange(t); list.Endpoints[0].State != "draining" {
-		t.Fatalf("%+v", list)
+		t.Fatalf("list %+v, want a draining endpoint", list)
 	}
 }
 
-// What an agent is sent between two watches of a router, or several times during one, is received with the next call.
-func TestFollowPushedReceivesWhatCameBetweenWatches(t *testing.T) {
+// Changes that are pushed to an agent between two watches of a router, or several times during one, are received with
+// the next call.
+func TestFollowPushedReceivesChangesBetweenWatches(t *testing.T) {
 	watch, agent := followAgent(t, 500*time.Millisecond)
 	for i := range 200 {
 		pushed := readyEndpoint
@@ -171,17 +173,17 @@
 		}
 		agent.Push(pushed)
 		if i%3 == 0 {
-			continue // the next push follows at once: a call may not be out yet
+			continue // push again without waiting: a call may not be in flight yet
 		}
 		list := config.EndpointList{}
 		for timeout := time.Now().Add(testTimeout); list.Version < int64(i)+2; {
 			if time.Now().After(timeout) {
-				t.Fatalf("change %d is not received", i)
+				t.Fatalf("change %d was not received in time", i)
 			}
 			list = watch.nextChange(t)
 		}
 		if list.Endpoints[0].State != pushed.State {
-			t.Fatalf("change %d: %+v", i, list)
+			t.Fatalf("change %d: list %+v does not have the pushed state", i, list)
 		}
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -10,17 +10,17 @@
 	"limeladder/internal/transport"
 )
 
-// Listener is told what discovery says.
+// Listener receives the lists and the failures of a Watcher.
 type Listener interface {
-	// EndpointListReceived passes a list on, in full or as a change of the one before.
+	// EndpointListReceived is called with each valid list: a full one, or the changes since the previous one.
 	EndpointListReceived(list config.EndpointList)
 
-	// PollFailed says that a call has ended without a list. It is unanswered if discovery has not rejected it:
-	// nothing was heard of it, or nothing that can be used.
+	// PollFailed is called when a call has ended without a valid list. unanswered is false if discovery rejected the
+	// call, and true if its response was missing, incomplete or unusable.
 	PollFailed(unanswered bool)
 }
 
-// Watcher follows the endpoint list of one discovery service. It keeps one call out at a time.
+// Watcher follows the endpoint list of one discovery service. It has at most one call in flight.
 type Watcher struct {
 	loop     *eventloop.Loop
 	engine   *transport.Engine
@@ -31,23 +31,23 @@
 	stopped  bool
 
 	version     int64 // of the newest list
-	snapshotDue bool  // the next call asks for the full list
+	snapshotDue bool  // the next call requests the full list
 
 	call       call
 	connection *transport.Conn    // nil = none is open
 	handler    *connectionHandler // of the newest dial
-	dialNumber int                // of the newest dial; what comes of an older one is ignored
+	dialNumber int                // of the newest dial; the result of an older one is ignored
 
-	previous *Watcher // goes on at the address before until this one has a list, nil = none does
+	previous *Watcher // watches the previous address until this Watcher has received a list, nil = none
 
-	nextCall        *eventloop.Timer // where the next call waits
-	retry           *retryBackoff    // nil = Poll is called after each failure
-	olderAnswers    int              // in a row, that were older than the newest list
-	invalidAnswers  int              // in a row, that could not be used for any reason
-	lastLoggedError string           // "" = the last answer was used
+	nextCall        *eventloop.Timer // starts the next call after a delay
+	retry           *retryBackoff    // nil = the owner calls Poll after each failure
+	outdatedAnswers int              // consecutive responses older than the newest list
+	invalidAnswers  int              // consecutive responses that could not be used, for any reason
+	lastLoggedError string           // "" = the last response was used
 }
 
-// New returns a Watcher that makes no call before Poll or FollowPushed.
+// New returns a Watcher that makes no call before Poll or FollowPushed is called.
 func New(loop *eventloop.Loop, engine *transport.Engine, lim limits.Limits, log *slog.Logger, address string,
 	listener Listener,
 ) *Watcher {
@@ -62,22 +62,24 @@
 	}
 }
 
-// ResumeFrom says that the list of that version is known: only what has changed since is asked for.
+// ResumeFrom sets the version of the list that the caller already has: the first call requests only later changes.
 func (w *Watcher) ResumeFrom(version int64) {
 	w.version = version
 	w.snapshotDue = false
 }
 
-// MoveTo goes on at another address. The full list is asked for first, and what the old address may still answer is
-// ignored, but in a fleet that starts from the lists that it knows: there all routers move at once, and each would take
-// two turns at discovery, for the list and for the watch behind it, and wait for them while endpoints begin to drain.
-// Such a router goes on from the version that it has, and keeps the old watch until the new address answers.
+// MoveTo switches to another address. By default it requests the full list there, and ignores any later response from
+// the old address.
+//
+// With limits.Discovery.ResumeFromKnown it resumes from the version that it has, and keeps the old watch until the new
+// address responds. This is for large fleets: all routers move at once, and each would need two scheduled calls to
+// discovery, one for the list and one for the watch, and would miss endpoints that begin to drain while it waits.
 func (w *Watcher) MoveTo(address string) {
 	if address == w.address {
 		return
 	}
 	if w.limits.Discovery.ResumeFromKnown {
-		w.keepWatch()
+		w.keepPreviousWatch()
 	}
 	w.address = address
 	if !w.limits.Discovery.ResumeFromKnown {
@@ -88,15 +90,16 @@
 	w.Poll()
 }
 
-// Poll makes a call unless one is out, and follows the list from then on. It has to be called again after a failure.
+// Poll makes a call unless one is in flight, and follows the list from then on. The owner must call it again after each
+// failure, except after FollowPushed.
 func (w *Watcher) Poll() {
-	if !w.call.isOut() && !w.stopped {
+	if !w.call.inFlight() && !w.stopped {
 		w.sendCall()
 	}
 }
 
-// FollowPushed follows the list and retries by itself after each failure, within limits.Discovery.MaxRetryInterval:
-// Poll need not be called.
+// FollowPushed follows the list and retries after each failure, within limits.Discovery.MaxRetryInterval, without
+// further calls of Poll. seed seeds the jitter of the delays.
 func (w *Watcher) FollowPushed(seed uint64) {
 	w.retry = &retryBackoff{
 		maxInterval: w.limits.Discovery.MaxRetryInterval,
@@ -105,7 +108,7 @@
 	w.Poll()
 }
 
-// Stop ends the watch.
+// Stop ends the watch for good.
 func (w *Watcher) Stop() {
 	w.stopped = true
 	w.stopPrevious()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -20,13 +20,13 @@
 	"limeladder/internal/transport"
 )
 
-// testTimeout is when a test gives up waiting. It is longer than any machine stalls.
+// testTimeout limits each wait of a test. It is longer than any stall of a test machine.
 const testTimeout = 20 * time.Second
 
-// recordingListener keeps what a Watcher reports.
+// recordingListener is a Listener that records the lists and failures.
 type recordingListener struct {
 	lists    chan config.EndpointList
-	failures chan bool // unanswered or not
+	failures chan bool // true = unanswered
 }
 
 func newRecordingListener() recordingListener {
@@ -36,35 +36,35 @@
 func (l recordingListener) EndpointListReceived(list config.EndpointList) { l.lists <- list }
 func (l recordingListener) PollFailed(unanswered bool)                    { l.failures <- unanswered }
 
-// nextList returns the next list. No call may fail before it.
+// nextList returns the next list. The test fails if a call fails before it.
 func (l recordingListener) nextList(t *testing.T) config.EndpointList {
 	t.Helper()
 	select {
 	case list := <-l.lists:
 		return list
 	case unanswered := <-l.failures:
-		t.Fatalf("a call failed, unanswered: %v", unanswered)
+		t.Fatalf("a call failed (unanswered: %v), want a list", unanswered)
 	case <-time.After(testTimeout):
-		t.Fatal("no list was reported")
+		t.Fatal("no list was reported in time")
 	}
 	return config.EndpointList{}
 }
 
-// nextFailure returns whether the next call that fails is unanswered. No list may come before it.
+// nextFailure reports whether the next failed call is unanswered. The test fails if a list is received before it.
 func (l recordingListener) nextFailure(t *testing.T) (unanswered bool) {
 	t.Helper()
 	select {
 	case unanswered := <-l.failures:
 		return unanswered
 	case list := <-l.lists:
-		t.Fatalf("a list was reported: %+v", list)
+		t.Fatalf("list %+v was reported, want a failed call", list)
 	case <-time.After(testTimeout):
-		t.Fatal("no failure was reported")
+		t.Fatal("no failed call was reported in time")
 	}
 	return false
 }
 
-// testWatch is a Watcher that runs in an event loop of its own.
+// testWatch is a Watcher with its own event loop and a recordingListener.
 type testWatch struct {
 	recordingListener
 	watcher *Watcher
@@ -91,7 +91,7 @@
 	return &testWatch{recordingListener: listener, watcher: watcher, loop: loop}
 }
 
-// startWatch polls a discovery that answers with a handler.
+// startWatch starts a discovery server with the given handler and a Watcher that polls it.
 func startWatch(t *testing.T, lim limits.Limits, handler http.HandlerFunc) *testWatch {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -106,7 +106,7 @@
 
 func (w *testWatch) poll() { w.loop.Post(w.watcher.Poll) }
 
-// runInLoop runs f in the loop, and returns when it has ended.
+// runInLoop runs f in the event loop and waits until it has returned.
 func (w *testWatch) runInLoop(f func()) {
 	done := make(chan bool)
 	w.loop.Post(func() {
@@ -116,8 +116,8 @@
 	<-done
 }
 
-// testLimits let calls wait for longer than any machine stalls. A call that such a stall would end as unanswered is
-// followed by no other before Poll, and a test that waits for its list would wait for ever.
+// testLimits returns limits whose call timeouts are longer than any stall of a test machine. If a stall ended a call as
+// unanswered, no other call would follow before Poll, and a test that waits for a list would not end.
 func testLimits() limits.Limits {
 	lim := limits.New(192, 1024, 250*time.Millisecond, time.Second, time.Second)
 	lim.Backend.ConnectTimeout = 10 * time.Second
@@ -131,7 +131,7 @@
 
 func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
 
-// hijack returns the connection of a call.
+// hijack takes the connection of a call over from the HTTP server.
 func hijack(t *testing.T, w http.ResponseWriter) net.Conn {
 	t.Helper()
 	conn, _, err := w.(http.Hijacker).Hijack()
@@ -141,7 +141,7 @@
 	return conn
 }
 
-// resetConnection ends a call's connection with a reset, after it has written a text.
+// resetConnection writes a text to the connection of a call and then resets the connection.
 func resetConnection(t *testing.T, w http.ResponseWriter, text string) {
 	t.Helper()
 	conn := hijack(t, w)
@@ -150,7 +150,7 @@
 	conn.Close()
 }
 
-func TestWatchGoesOn(t *testing.T) {
+func TestWatchIsRenewedAfterEachList(t *testing.T) {
 	calls := 0
 	watch := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 		calls++
@@ -159,10 +159,10 @@
 			wantIndex = fmt.Sprint(calls - 2) // the first list has version 0
 		}
 		if calls == 3 {
-			w.Header().Set("Connection", "close") // an answer that ends its connection
+			w.Header().Set("Connection", "close") // the next call needs a new connection
 		}
 		if r.URL.Query().Get("index") != wantIndex {
-			t.Errorf("call %d: %s", calls, r.URL)
+			t.Errorf("call %d requests %s, want the version of the previous list as index", calls, r.URL)
 		}
 		const format = `{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"ready","cell":3}]}`
 		fmt.Fprintf(w, format, calls-1, calls == 1)
@@ -170,18 +170,18 @@
 	for version := range int64(6) {
 		list := watch.nextList(t)
 		if list.Version != version || list.Full != (version == 0) {
-			t.Fatalf("%+v", list)
+			t.Fatalf("list %+v, want consecutive versions from 0, only the first list full", list)
 		}
 		if len(list.Endpoints) != 1 || list.Endpoints[0].Cell != 3 {
-			t.Fatalf("%+v", list)
+			t.Fatalf("list %+v, want one endpoint in cell 3", list)
 		}
 	}
 	if len(watch.failures) > 0 {
-		t.Fatal("a call failed")
+		t.Fatal("a call failed, want none to fail")
 	}
 }
 
-// A Watcher that knows a list begins with a watch.
+// A Watcher that resumes from a known version begins with a watch.
 func TestResumeFrom(t *testing.T) {
 	queries := make(chan string, 9)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -200,17 +200,17 @@
 	select {
 	case query := <-queries:
 		if query != "index=41&wait=30" {
-			t.Fatalf("the first call asks for %q", query)
+			t.Fatalf("the first call has the query %q, want index=41&wait=30", query)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no call")
+		t.Fatal("no call was received in time")
 	}
 }
 
-// failingDiscovery is a discovery whose calls fail.
+// failingDiscovery is a discovery server whose calls fail.
 type failingDiscovery struct {
 	handler        func(t *testing.T) http.HandlerFunc
-	shortTimeout   bool // a call is given up soon
+	shortTimeout   bool // the calls have a short deadline
 	wantUnanswered bool
 }
 
@@ -228,12 +228,12 @@
 		"silent": {answer(func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}), true, true},
-		"silent after half of a list": {answer(func(w http.ResponseWriter, r *http.Request) {
+		"silent after a part of a list": {answer(func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, `{"version":7,"servers":[`)
 			flush(w)
 			<-r.Context().Done()
 		}), true, true},
-		"a list that trickles": {answer(func(w http.ResponseWriter, r *http.Request) {
+		"slow list that never ends": {answer(func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
 				fmt.Fprint(w, " ")
 				flush(w)
@@ -249,9 +249,9 @@
 		"unknown state": {answer(func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, `{"servers":[{"id":"s","state":"odd"}]}`)
 		}), false, true},
-		"reset after a whole list without a length": {reset("HTTP/1.1 200 OK\r\n\r\n" +
+		"reset after a full list without a length": {reset("HTTP/1.1 200 OK\r\n\r\n" +
 			`{"version":7,"full":true,"servers":[{"id":"s","state":"ready"}]}`), false, true},
-		"a list without end": {answer(func(w http.ResponseWriter, _ *http.Request) {
+		"list that exceeds the size limit": {answer(func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, `{"version":7,"servers":[`)
 			for err := error(nil); err == nil; {
 				_, err = io.WriteString(w, strings.Repeat(`{"id":"s","state":"ready"},`, 100))
@@ -261,7 +261,7 @@
 	}
 }
 
-// A call that fails is reported, as unanswered or not, and followed by no other before Poll.
+// A failed call is reported with the right value of unanswered, and Poll makes the next call.
 func TestFailuresAreReported(t *testing.T) {
 	for name, test := range failingDiscoveries() {
 		t.Run(name, func(t *testing.T) {
@@ -273,7 +273,7 @@
 			watch := startWatch(t, lim, test.handler(t))
 			for range 2 {
 				if unanswered := watch.nextFailure(t); unanswered != test.wantUnanswered {
-					t.Fatalf("unanswered: %v", unanswered)
+					t.Fatalf("unanswered is %v, want the opposite", unanswered)
 				}
 				watch.poll()
 			}
@@ -281,11 +281,12 @@
 	}
 }
 
-// A watch that is reset later than discovery rejects a call is unanswered: the link or discovery is lost.
-func TestWatchThatIsResetLateIsUnanswered(t *testing.T) {
+// A watch whose connection is reset after more time than discovery takes to reject a call counts as unanswered, because
+// the link or discovery has failed.
+func TestWatchResetLateIsUnanswered(t *testing.T) {
 	const callTimeout = 20 * time.Millisecond
 	var calls atomic.Int32
-	resetLate := make(chan bool) // closed once a watch that ends from now on ends late
+	resetLate := make(chan bool) // closed once the shorter call timeout is set
 	lim := testLimits()
 	lim.Discovery.LongPollTimeout = 20 * time.Second
 	watch := startWatch(t, lim, func(w http.ResponseWriter, _ *http.Request) {
@@ -304,35 +305,36 @@
 	})
 	for range 2 {
 		if !watch.nextFailure(t) {
-			t.Fatal("the call was reported as rejected")
+			t.Fatal("the call was reported as rejected, want unanswered")
 		}
 		watch.poll()
 	}
 }
 
-// A watch moves at once, with the full list first. What the old address answers after that is ignored.
+// After a move the Watcher calls the new address without delay and requests the full list first. Later responses of the
+// old address are ignored.
 func TestMoveTo(t *testing.T) {
-	watched, goOn := make(chan bool, 9), make(chan bool)
+	watched, release := make(chan bool, 9), make(chan bool)
 	watch := startWatch(t, testLimits(), func(w http.ResponseWriter, r *http.Request) {
 		if isWatch(r) {
 			watched <- true
-			<-goOn
+			<-release
 		}
 		fmt.Fprint(w, `{"version":7,"full":true,"servers":[{"id":"old","state":"ready"}]}`)
 	})
-	answerOld := sync.OnceFunc(func() { close(goOn) })
-	t.Cleanup(answerOld) // a server does not end while a call to it is out
+	answerOld := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(answerOld) // a server does not close while a call to it is in flight
 	watch.nextList(t)
 	select {
 	case <-watched:
 	case <-time.After(testTimeout):
-		t.Fatal("no watch")
+		t.Fatal("no watch was received in time")
 	}
 	calls := 0
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls++
 		if isWatch(r) != (calls > 1) {
-			t.Errorf("call %d: %s", calls, r.URL)
+			t.Errorf("call %d requests %s, want the full list first, then watches", calls, r.URL)
 		}
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[{"id":"new","state":"ready"}]}`, calls, calls == 1)
 	}))
@@ -344,28 +346,28 @@
 	for i := range 3 {
 		list := watch.nextList(t)
 		if list.Endpoints[0].ID != "new" || list.Full != (i == 0) {
-			t.Fatalf("%+v", list)
+			t.Fatalf("list %+v, want the new endpoint, only the first list full", list)
 		}
 		if i == 0 {
-			answerOld() // too late
+			answerOld() // too late: the Watcher has moved
 		}
 	}
 	watch.loop.Post(watch.watcher.Stop)
 	if len(watch.failures) > 0 {
-		t.Fatal("a move was reported as a failure")
+		t.Fatal("the move was reported as a failure")
 	}
 }
 
-// A CallError says which call failed and how; its text is the cause.
+// A CallError contains the kind and address of the call and the kind of failure; its text is that of the cause.
 func TestCallError(t *testing.T) {
 	watcher := &Watcher{address: "127.0.0.1:1", call: call{kind: CallWatch}}
-	var err error = watcher.newCallError(CallUnanswered, fmt.Errorf("watch ended: %w", io.EOF))
+	var err error = watcher.newCallError(CallUnanswered, fmt.Errorf("connection lost during the call: %w", io.EOF))
 	var callError *CallError
-	if !errors.As(err, &callError) || !errors.Is(err, io.EOF) || err.Error() != "watch ended: EOF" {
-		t.Fatalf("%v", err)
+	if !errors.As(err, &callError) || !errors.Is(err, io.EOF) || err.Error() != "connection lost during the call: EOF" {
+		t.Fatalf("error %v, want a CallError that wraps io.EOF and has its text", err)
 	}
 	if callError.Call != CallWatch || callError.Failure != CallUnanswered || callError.Address != "127.0.0.1:1" {
-		t.Fatalf("%+v", callError)
+		t.Fatalf("%+v, want an unanswered watch at 127.0.0.1:1", callError)
 	}
 	for got, want := range map[string]string{
 		CallSnapshot.String():   "snapshot",
