--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -9,34 +9,34 @@
 )
 
 // attempt is an attempt of a request, or a health check. It waits for a connection, is written to it, then waits for
-// the response; it ends once. It implements router.AttemptHandle, and router.Flow for its response.
+// the response; it ends exactly once. It implements router.AttemptHandle, and router.Flow for its response.
 type attempt struct {
 	pool     *Pool
-	endpoint *endpoint // nil until it is known
+	endpoint *endpoint // nil until the endpoint has been looked up
 	job      Job
-	deadline time.Duration // nobody waits for the response any more then
-	notAfter time.Duration // it is not written later than this; 0 = no such limit
+	deadline time.Duration // when the client stops waiting for the response
+	notAfter time.Duration // the attempt must not be written later than this; 0 = no such limit
 
 	onResponseStarted func(router.Response, router.Flow) // nil = the response is buffered until it is complete
 	onResponsePart    func(p []byte)
-	abandoned         func() bool // reports whether its client has gone; nil = it cannot go
+	abandoned         func() bool // reports whether the client has disconnected; nil = it never does
 	done              func(router.Result)
 
 	connection   *connection      // nil until the attempt is written
-	connectTimer *eventloop.Timer // limits the wait for a connection; nil = it did not wait
-	redialTimer  *eventloop.Timer
+	connectTimer *eventloop.Timer // limits the wait for a connection; nil = the attempt never waited
+	redialTimer  *eventloop.Timer // dials another connection during the wait
 	timeoutTimer *eventloop.Timer // limits a health check
 	ended        bool
 }
 
-// isLate reports whether the attempt must not be written any more: the data it may read would be too old, or its client
-// has given up. A slow connection holds attempts up that long.
+// isLate reports whether it is too late to write the attempt: the data that it may read would be too stale, or its
+// client no longer waits. This happens to attempts that wait for a connection that is slow to come up.
 func (a *attempt) isLate(now time.Duration) bool {
 	return a.notAfter > 0 && now > a.notAfter || now >= a.deadline
 }
 
-// isPointless reports whether the attempt is late or its client has gone.
-func (a *attempt) isPointless(now time.Duration) bool {
+// isLateOrAbandoned reports whether it is too late to write the attempt or its client has disconnected.
+func (a *attempt) isLateOrAbandoned(now time.Duration) bool {
 	return a.isLate(now) || a.abandoned != nil && a.abandoned()
 }
 
@@ -51,13 +51,14 @@
 	a.done(result)
 }
 
-// postNotSent ends the attempt as not sent in a later turn of the loop: whoever started it does not expect its end
+// postNotSent ends the attempt as not sent in a later turn of the loop: the caller of Start does not expect the result
 // before Start has returned.
 func (a *attempt) postNotSent() {
 	a.pool.loop.Post(func() { a.finish(router.Result{Status: balance.StatusNotSent}) })
 }
 
-// NotWritten reports whether nothing of the attempt was written yet. It implements router.AttemptHandle.
+// NotWritten reports whether the attempt is still waiting, with no part of it written. It implements
+// router.AttemptHandle.
 func (a *attempt) NotWritten() bool { return !a.ended && a.connection == nil }
 
 // Cancel gives the attempt up and reports whether it was written completely. It implements router.AttemptHandle.
@@ -70,7 +71,7 @@
 	a.redialTimer.Stop()
 	a.timeoutTimer.Stop()
 	if a.connection != nil {
-		// The connection is closed with it, so that a late response cannot be taken for that of a later attempt.
+		// The connection is closed too, so that a late response cannot be taken for the response to a later attempt.
 		socket := a.connection.socket
 		a.connection.close()
 		return socket.Flushed()
@@ -81,7 +82,7 @@
 	return false
 }
 
-// SetPaused stops the reading of the response, or goes on with it. It implements router.Flow.
+// SetPaused pauses or resumes the reading of the response. It implements router.Flow.
 func (a *attempt) SetPaused(paused bool) {
 	if a.connection != nil {
 		a.connection.setPaused(paused)
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -10,28 +10,28 @@
 	"limeladder/internal/transport"
 )
 
-// connection is a connection to an endpoint. It is dialed, completes its startup, and then carries one attempt at a
-// time. It implements transport.Handler.
+// connection is a connection to an endpoint. After the dial and the startup it carries one attempt at a time. It
+// implements transport.Handler.
 type connection struct {
 	endpoint   *endpoint
 	generation int             // of the endpoint when the connection was dialed
 	socket     *transport.Conn // nil until the dial has succeeded
 	reader     *pgwire.Reader
-	dialing    bool // the system has not answered the dial yet
+	dialing    bool // the dial has not returned yet
 	started    bool // the startup is complete
 	closed     bool
-	attempt    *attempt // that it carries, nil = none
+	attempt    *attempt // the attempt that it carries, nil = none
 	idleSince  time.Duration
-	paused     bool // the client takes no more of the response for now
+	paused     bool // reading is paused because the client is slow to read the response
 
 	startupTimer  *eventloop.Timer // limits the dial and the startup
-	reuseTimer    *eventloop.Timer // until it may carry the next attempt, nil = it may
-	progressTimer *eventloop.Timer // limits the wait for the rest of what has begun to come
+	reuseTimer    *eventloop.Timer // ends the delay before the next attempt, nil = no delay is in progress
+	progressTimer *eventloop.Timer // limits the wait for the rest of a partial message or response
 
 	incoming incomingResponse
 }
 
-// handleDialed takes over the socket of a dial, or its failure.
+// handleDialed handles the result of the dial: a socket or an error.
 func (c *connection) handleDialed(socket *transport.Conn, err error) transport.Handler {
 	c.dialing = false
 	if c.closed {
@@ -82,8 +82,8 @@
 	}
 }
 
-// releaseSlot stops counting the connection, once it has no descriptor any more: a dial that is given up has one until
-// the system ends it.
+// releaseSlot stops counting the connection once it no longer has a descriptor. An abandoned dial keeps its descriptor
+// until the system ends the dial.
 func (c *connection) releaseSlot() {
 	c.endpoint.open--
 	c.endpoint.pool.open--
@@ -92,7 +92,8 @@
 // Closed is called when the connection has ended. It implements transport.Handler.
 func (c *connection) Closed(error) { c.handleDisconnect() }
 
-// handleDisconnect ends a connection that the router did not choose to close, and the attempts that depend on it.
+// handleDisconnect closes a connection that failed or was closed by the endpoint, and ends or reassigns the attempts
+// that depend on it.
 func (c *connection) handleDisconnect() {
 	if c.closed {
 		return
@@ -109,19 +110,19 @@
 	}
 }
 
-// disconnectResult is the result of an attempt whose connection broke.
+// disconnectResult returns the result of an attempt whose connection broke.
 func (c *connection) disconnectResult() router.Result {
-	if c.incoming.sqlState != "" { // a fatal error comes without ReadyForQuery
+	if c.incoming.sqlState != "" { // a fatal error is not followed by ReadyForQuery
 		return c.result()
 	}
 	if !c.socket.Flushed() {
-		// Its last byte was never written, which proves that it did not run.
+		// The last byte of the attempt was never written, which proves that it did not run.
 		return router.Result{Status: balance.StatusConnectFailed}
 	}
 	return router.Result{Status: balance.StatusReset}
 }
 
-// startupFailure says why a connection did not complete its startup.
+// startupFailure returns the status of attempts that waited for a connection whose startup failed.
 func (c *connection) startupFailure() balance.Status {
 	if c.incoming.sqlState == pgwire.TooManyConnections {
 		return balance.StatusBusy
@@ -129,8 +130,8 @@
 	return balance.StatusConnectFailed
 }
 
-// handleViolation gives up a connection that sent what is not a response. Nothing that it claimed is believed, and its
-// attempt may have run.
+// handleViolation closes a connection whose endpoint violated the protocol. The attempt may have run; the role and
+// position in the response are discarded.
 func (c *connection) handleViolation(err error) {
 	e := c.endpoint
 	e.pool.log.Warn("endpoint violated the protocol", "endpoint", e.id, "error", err)
@@ -143,7 +144,7 @@
 	a.finish(router.Result{Status: balance.StatusError})
 }
 
-// detachAttempt separates the connection from the attempt that it carries, which must exist.
+// detachAttempt separates the connection from the attempt that it carries, and returns that attempt. There must be one.
 func (c *connection) detachAttempt() *attempt {
 	a := c.attempt
 	c.attempt = nil
@@ -151,9 +152,9 @@
 	return a
 }
 
-// delayReuse keeps the connection from carrying another attempt right after a response. Bytes that belong to the
-// response and come in a later segment would be taken for the response to the next attempt; whatever comes now closes
-// the connection.
+// delayReuse keeps the connection from carrying another attempt right after a response. Stray bytes that follow the
+// response in a later segment would otherwise be taken for the response to the next attempt. Any bytes received during
+// the delay cause the connection to be closed.
 func (c *connection) delayReuse() {
 	c.endpoint.reuseDelayed++
 	c.reuseTimer = c.endpoint.pool.loop.AfterFunc(c.endpoint.pool.limits.Backend.ReuseDelay, c.endReuseDelay)
@@ -163,7 +164,7 @@
 	e := c.endpoint
 	c.reuseTimer = nil
 	e.reuseDelayed--
-	// sendOnIdle looks at the socket of an idle connection, so here it matters only where an attempt waits for it.
+	// sendOnIdle checks the socket of an idle connection, so the check is needed here only if an attempt is waiting.
 	if c.reader.Waiting() == 0 && (len(e.waiting) == 0 || c.socket.Quiet()) {
 		c.makeAvailable()
 		return
@@ -172,11 +173,11 @@
 	e.dialForWaiting()
 }
 
-// isQuiet reports whether nothing has come behind the last response, not even a part of a message or the connection's
-// end.
-func (c *connection) isQuiet() bool { return c.reader.Waiting() == 0 && c.socket.Quiet() }
+// hasNoUnreadData reports whether nothing has been received after the last response: no part of a message, and not the
+// end of the connection.
+func (c *connection) hasNoUnreadData() bool { return c.reader.Waiting() == 0 && c.socket.Quiet() }
 
-// hasExpired reports whether the connection was idle for so long that its endpoint may have closed it.
+// hasExpired reports whether the connection has been idle for so long that its endpoint may have closed it.
 func (c *connection) hasExpired(now time.Duration) bool {
 	return now-c.idleSince > c.endpoint.pool.limits.Backend.IdleTimeout
 }
@@ -184,7 +185,8 @@
 // isOutdated reports whether the endpoint has moved, drained or been suspended since the connection was dialed.
 func (c *connection) isOutdated() bool { return c.generation != c.endpoint.generation }
 
-// makeAvailable gives the connection to the attempt that waits first, or keeps it idle.
+// makeAvailable sends the attempt that has waited longest on the connection. If none waits, it keeps the connection
+// idle or closes it.
 func (c *connection) makeAvailable() {
 	e := c.endpoint
 	if c.isOutdated() {
@@ -205,14 +207,14 @@
 	e.idle = append(e.idle, c)
 }
 
-// send writes an attempt. False means that the connection does not carry it: the attempt has ended, or the connection
-// broke first and the attempt waits for another one.
+// send writes an attempt to the connection. It returns false if the connection does not carry the attempt: the attempt
+// has ended, or the connection broke and the attempt needs another one.
 func (c *connection) send(a *attempt) bool {
 	now := c.endpoint.pool.loop.Now()
 	if a.ended {
 		return false
 	}
-	if a.isPointless(now) {
+	if a.isLateOrAbandoned(now) {
 		a.postNotSent()
 		return false
 	}
@@ -228,11 +230,11 @@
 	return true
 }
 
-// handleWriteFailure lets an attempt wait for another connection: it was not written completely, so it did not run.
+// handleWriteFailure queues the attempt for another connection: it was not written completely, so it did not run.
 func (c *connection) handleWriteFailure(a *attempt) {
 	c.close()
 	if a.connectTimer == nil {
-		return // sendOnIdle still has the attempt and goes on to the next connection
+		return // sendOnIdle tries the next idle connection
 	}
 	e := c.endpoint
 	if e.suspended || c.isOutdated() {
@@ -245,7 +247,7 @@
 	}
 }
 
-// setPaused stops the reading of the response, or goes on with it.
+// setPaused pauses or resumes the reading of the response.
 func (c *connection) setPaused(paused bool) {
 	c.socket.SetPaused(paused)
 	c.paused = paused
--- a/internal/backend/endpoint.go
+++ b/internal/backend/endpoint.go
@@ -8,13 +8,13 @@
 	"limeladder/internal/router"
 )
 
-// The states of an endpoint in discovery's list that matter to its connections.
+// The states of an endpoint that affect its connections, as the endpoint list names them.
 const (
 	stateReady   = "ready"
 	stateRemoved = "gone"
 )
 
-// endpoint is one PostgreSQL server, the connections to it and the attempts that wait for one.
+// endpoint is one PostgreSQL server, with the connections to it and the attempts that wait for one.
 type endpoint struct {
 	id        string
 	addr      string
@@ -22,15 +22,15 @@
 	state     string
 	suspended bool // by an operator
 
-	// generation counts how often the endpoint was drained. A connection that was dialed in an earlier generation is not
-	// used for another attempt.
+	// generation counts the calls of drain. A connection that was dialed in an earlier generation carries no further
+	// attempt.
 	generation int
 
-	open         int           // connections, those that are being dialed included
-	starting     int           // connections that have not finished their startup
-	reuseDelayed int           // connections that have just carried a response
-	idle         []*connection // the most recently used one last
-	waiting      []*attempt    // for a connection, the oldest first
+	open         int           // connections, including those being dialed
+	starting     int           // connections that have not completed their startup
+	reuseDelayed int           // connections in their delay after a response
+	idle         []*connection // least recently used first
+	waiting      []*attempt    // attempts that wait for a connection, oldest first
 }
 
 // acceptsAttempts reports whether new attempts may be written to the endpoint.
@@ -41,7 +41,7 @@
 	return e.state == stateRemoved && e.open == 0 && len(e.waiting) == 0
 }
 
-// keepsIdle reports whether one more idle connection is worth keeping.
+// keepsIdle reports whether the endpoint may have one more idle connection.
 func (e *endpoint) keepsIdle() bool {
 	if e.pool.closed || e.suspended || e.state != stateReady {
 		return false
@@ -49,10 +49,10 @@
 	return len(e.idle) < e.pool.limits.Backend.IdlePerEndpoint
 }
 
-// expectedConnections is the number of connections that will soon be free for the attempts that wait.
+// expectedConnections returns the number of connections that will soon be available to waiting attempts.
 func (e *endpoint) expectedConnections() int { return e.starting + e.reuseDelayed }
 
-// dial opens a connection for whichever attempt waits first when it is ready.
+// dial opens a connection. When it is ready, it is used by the attempt that has waited longest.
 func (e *endpoint) dial() *connection {
 	p := e.pool
 	c := &connection{
@@ -69,19 +69,19 @@
 	return c
 }
 
-// dialForWaiting opens a connection if some attempts wait and none is on its way to them.
+// dialForWaiting opens a connection if more attempts wait than connections are expected.
 func (e *endpoint) dialForWaiting() {
 	if len(e.waiting) > e.expectedConnections() && e.pool.ensureCapacity(e) {
 		e.dial()
 	}
 }
 
-// sendOnIdle writes an attempt to the most recently used idle connection that is still usable, and reports whether
-// there was one.
+// sendOnIdle writes an attempt to the most recently used idle connection that is still usable, and reports whether it
+// found one.
 func (e *endpoint) sendOnIdle(a *attempt) bool {
 	for len(e.idle) > 0 {
 		c := e.idle[len(e.idle)-1]
-		if c.hasExpired(e.pool.loop.Now()) || !c.isQuiet() {
+		if c.hasExpired(e.pool.loop.Now()) || !c.hasNoUnreadData() {
 			c.close()
 			continue
 		}
@@ -93,7 +93,7 @@
 	return false
 }
 
-// enqueue lets an attempt wait for a connection, for a limited time.
+// enqueue adds an attempt to those that wait for a connection, for a limited time.
 func (e *endpoint) enqueue(a *attempt) {
 	p := e.pool
 	e.waiting = append(e.waiting, a)
@@ -101,13 +101,13 @@
 	status := balance.StatusConnectFailed
 	if remaining := a.notAfter - p.loop.Now(); a.notAfter > 0 && remaining < timeout {
 		timeout = remaining
-		status = balance.StatusNotSent // it may not be written any more then
+		status = balance.StatusNotSent // after that time it must not be written
 	}
 	a.connectTimer = p.loop.AfterFunc(timeout, func() {
 		e.removeWaiting(a)
 		a.finish(router.Result{Status: status})
 	})
-	// A SYN that is lost would be repeated by the system only after a second, so another connection is dialed before.
+	// The system retransmits a lost SYN only after 1 s, so another connection is dialed before that.
 	a.redialTimer = p.loop.AfterFunc(p.limits.Backend.RedialAfter, func() {
 		if p.ensureCapacity(e) {
 			e.dial()
@@ -116,30 +116,30 @@
 	e.dialForWaiting()
 }
 
-// takeWaiting removes the attempt that has waited for the longest time. There must be one.
+// takeWaiting removes and returns the attempt that has waited longest. There must be one.
 func (e *endpoint) takeWaiting() *attempt {
 	a := e.waiting[0]
 	e.waiting = e.waiting[1:]
 	return a
 }
 
-// removeWaiting removes an attempt that waits for a connection.
+// removeWaiting removes an attempt from those that wait for a connection, if it is among them.
 func (e *endpoint) removeWaiting(a *attempt) {
 	if i := slices.Index(e.waiting, a); i >= 0 {
 		e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
 	}
 }
 
-// failWaiting ends the attempts that no connection is on its way to: nothing of them was written.
+// failWaiting ends the waiting attempts for which no connection is expected. No part of them was written.
 func (e *endpoint) failWaiting(status balance.Status) {
 	for len(e.waiting) > e.expectedConnections() {
 		e.takeWaiting().finish(router.Result{Status: status})
 	}
 }
 
-// drain closes idle connections and ends the attempts that wait for one as not sent. An attempt that was decided
-// before the endpoint was known to drain must not reach it over a connection that comes up afterwards. Attempts that
-// are decided from now on, with the news in hand, are let through.
+// drain closes idle connections and ends the attempts that wait for one as not sent. An attempt that was routed before
+// the endpoint was known to drain must not reach it over a connection that comes up afterwards. Attempts that the
+// balancer routes later, knowing the new state, are still accepted.
 func (e *endpoint) drain() {
 	e.generation++
 	e.closeIdle()
--- a/internal/backend/endpoint_test.go
+++ b/internal/backend/endpoint_test.go
@@ -15,9 +15,9 @@
 	"limeladder/internal/testserver"
 )
 
-// What the endpoint list says of an endpoint binds the attempts that wait for a connection to it: nothing is written
-// there any more, in whichever form the news comes, and the attempts end as not sent.
-func TestNothingIsSentToAnEndpointThatDrainsMeanwhile(t *testing.T) {
+// An endpoint list that drains, removes or moves an endpoint also applies to the attempts that wait for a connection to
+// it: they end as not sent, and nothing is written to the endpoint.
+func TestWaitingAttemptsEndWhenTheEndpointDrains(t *testing.T) {
 	other := config.EndpointEntry{ID: "other", Addr: "127.0.0.1:1", State: "ready"}
 	for _, test := range []struct {
 		name  string
@@ -42,10 +42,11 @@
 	}
 }
 
-// checkDrain lets an attempt and a health check wait for a connection, and then changes the endpoint list.
+// checkDrain starts an attempt and a health check that wait for a connection, changes the endpoint list, and checks
+// that both end as not sent.
 func checkDrain(t *testing.T, full, moves bool, newEntry func(addr, newAddr string) config.EndpointEntry) {
 	t.Helper()
-	server, dialed, release := newSlowStartServer(t)
+	server, dialed, release := newPausedStartupServer(t)
 	newServer := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{} })
 	lim := testLimits()
 	lim.Backend.ConnectTimeout = 3 * time.Second
@@ -61,29 +62,29 @@
 	p.loop.Post(func() { p.pool.UpdateEndpoints(list) })
 	for range 2 {
 		if result := p.await(done); result.Status != balance.StatusNotSent {
-			t.Fatalf("%+v", result)
+			t.Fatalf("got %+v, want StatusNotSent", result)
 		}
 	}
 	release()
-	p.awaitZero(10*time.Second, "its connection is kept", func() int {
+	p.awaitZero(10*time.Second, "the connection was not closed", func() int {
 		if e := p.pool.endpoints["n"]; e != nil {
 			return e.open
 		}
 		return 0
 	})
 	if server.Runs("a") != 0 {
-		t.Fatal("it was sent")
+		t.Fatal("the attempt was written to the endpoint, want it not sent")
 	}
 	if !moves {
 		return
 	}
 	if result := p.attempt("b", 0); result.Status != balance.StatusDone || newServer.Runs("b") != 1 {
-		t.Fatalf("%+v, %d runs at the new address", result, newServer.Runs("b"))
+		t.Fatalf("got %+v and %d runs at the new address, want StatusDone and one run", result, newServer.Runs("b"))
 	}
 }
 
-// An endpoint that has no connection left says so during the startup. Each attempt ends there, and nobody dials again
-// for it.
+// An endpoint that has reached its connection limit reports that during the startup. Each waiting attempt then ends as
+// busy, and no further connection is dialed for it.
 func TestFullEndpointIsNotDialedAgain(t *testing.T) {
 	var dials atomic.Int32
 	addr := serveConnections(t, func(c net.Conn) {
@@ -93,7 +94,7 @@
 		}
 		refusal := pgwire.AppendError(nil, pgwire.Error{Fatal: true, Code: "53300", Message: "no place"})
 		if _, err := c.Write(refusal); err != nil {
-			return // the attempt ends otherwise then, which the test sees
+			return // the attempt ends with another status, which fails the test
 		}
 		time.Sleep(5 * time.Millisecond)
 		c.Close()
@@ -109,11 +110,11 @@
 	})
 	for range attempts {
 		if result := p.await(done); result.Status != balance.StatusBusy {
-			t.Errorf("%+v", result)
+			t.Errorf("got %+v, want StatusBusy", result)
 		}
 	}
 	time.Sleep(2 * lim.Backend.RedialAfter)
 	if n := dials.Load(); n > attempts {
-		t.Errorf("%d connections for %d attempts", n, attempts)
+		t.Errorf("%d connections dialed for %d attempts, want at most one each", n, attempts)
 	}
 }
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -11,7 +11,7 @@
 	"limeladder/internal/router"
 )
 
-// HealthCheck asks an endpoint for its load report and calls done once with what it says. It implements
+// HealthCheck requests the load report of an endpoint and calls done once with the result. It implements
 // router.Backends.
 func (p *Pool) HealthCheck(id string, done func(router.Result)) {
 	timeout := p.limits.Backend.HealthCheckTimeout
@@ -29,14 +29,14 @@
 	a.timeoutTimer = p.loop.AfterFunc(timeout, func() {
 		a.Cancel()
 		if e := p.endpoints[id]; e != nil {
-			e.closeIdle() // an endpoint that does not answer a health check answers on no connection
+			e.closeIdle() // an endpoint that does not respond to a health check is assumed to respond on no connection
 		}
 		done(router.Result{Status: balance.StatusTimedOut})
 	})
 	p.startAttempt(id, a)
 }
 
-// healthCheck is the Job that asks for a load report.
+// healthCheck is the Job that requests a load report.
 type healthCheck struct{}
 
 // Messages returns the query for the load report.
@@ -50,7 +50,7 @@
 // StartsResponse returns false: no load report is long enough to be streamed.
 func (healthCheck) StartsResponse(*Response) bool { return false }
 
-// loadReport is what an endpoint says of itself. Its zero value says nothing.
+// loadReport is the state that an endpoint reports about itself. The zero value is an empty report.
 type loadReport struct {
 	role        balance.Role
 	position    time.Duration // replication position
@@ -66,11 +66,11 @@
 	maxMetric = 1e10 // larger metrics are invalid
 )
 
-// metricCleaner brings a metric in JSON's form into the plain one.
-var metricCleaner = strings.NewReplacer(`"`, "", ":", "=", " ", "")
+// metricNormalizer rewrites a metric in JSON notation to name=value.
+var metricNormalizer = strings.NewReplacer(`"`, "", ":", "=", " ", "")
 
-// parseLoadReport reads a load report such as x0=1767225600.123,x1=0,util=0.61. Of a report with an invalid metric
-// nothing is believed.
+// parseLoadReport parses a load report such as x0=1767225600.123,x1=0,util=0.61. A report with an invalid metric is
+// discarded as a whole.
 func parseLoadReport(response *Response) loadReport {
 	var report loadReport
 	reader := pgwire.NewReader(len(response.Messages)+messageHeaderBytes, 0)
@@ -95,10 +95,10 @@
 	}
 }
 
-// addMetrics reads the metrics of one value and reports whether all of them are valid.
+// addMetrics parses the metrics in one column value and reports whether all of them are valid.
 func (r *loadReport) addMetrics(text string) bool {
 	for _, metric := range strings.Split(strings.Trim(text, "{} "), ",") {
-		name, digits, _ := strings.Cut(metricCleaner.Replace(metric), "=")
+		name, digits, _ := strings.Cut(metricNormalizer.Replace(metric), "=")
 		value, err := strconv.ParseFloat(digits, 64)
 		if err != nil || !isValidMetric(value) || !r.setMetric(name, value) {
 			return false
@@ -109,11 +109,11 @@
 
 func isValidMetric(value float64) bool { return value >= 0 && value <= maxMetric } // false for NaN too
 
-// setMetric notes one metric and reports whether it is valid. Figures of other names are ignored.
+// setMetric stores one metric and reports whether it is valid. Metrics with other names are ignored.
 func (r *loadReport) setMetric(name string, value float64) bool {
 	switch name {
 	case metricPosition:
-		// The report is exact to the millisecond; a float64 of this size is off by far less.
+		// The report has millisecond precision; the rounding error of a float64 of this size is far smaller.
 		millis := math.Floor(value*1e3 + 1e-3)
 		r.position = time.Duration(millis) * time.Millisecond
 	case metricUtilization:
--- a/internal/backend/health_check_test.go
+++ b/internal/backend/health_check_test.go
@@ -10,7 +10,7 @@
 	"limeladder/internal/testserver"
 )
 
-// healthCheck makes a health check and waits for its end.
+// healthCheck performs a health check and returns its result.
 func (p *testPool) healthCheck() router.Result {
 	p.t.Helper()
 	done := make(chan router.Result, 9)
@@ -24,17 +24,17 @@
 	now := time.Duration(time.Now().UnixNano())
 	result := p.healthCheck()
 	if result.Status != balance.StatusDone || result.Role != balance.RoleReplica {
-		t.Fatalf("%+v", result)
+		t.Fatalf("got %+v, want StatusDone from a replica", result)
 	}
 	if result.Position > now+time.Minute || result.Position < now-time.Minute {
-		t.Fatalf("%+v", result)
+		t.Fatalf("got %+v, want a position within a minute of now", result)
 	}
 	silent := testserver.NewDB(t, false, func(typ byte, _ string) testserver.Act {
 		return testserver.Act{Silent: typ == 'Q'}
 	})
 	p = newTestPool(t, testLimits(), silent.Addr)
 	if result := p.healthCheck(); result.Status != balance.StatusTimedOut {
-		t.Fatalf("%+v", result)
+		t.Fatalf("silent endpoint: got %+v, want StatusTimedOut", result)
 	}
 	for text, want := range map[string]time.Duration{
 		"x0=1767225600.123,x1=1,util=0.6": 1767225600123 * time.Millisecond,
@@ -47,7 +47,7 @@
 		report := parseLoadReport(&Response{Messages: row})
 		isEmpty := report.position == 0
 		if report.position != want || isEmpty != (report.role == balance.RoleUnknown) {
-			t.Errorf("%s: %+v", text, report)
+			t.Errorf("%s: unexpected report %+v", text, report)
 		}
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,7 +11,7 @@
 	"limeladder/internal/transport"
 )
 
-// Pool holds the connections to all endpoints. Its methods belong to the event loop's goroutine.
+// Pool manages the connections to all endpoints. Its methods must be called on the event loop's goroutine.
 type Pool struct {
 	loop      *eventloop.Loop
 	engine    *transport.Engine
@@ -19,12 +19,12 @@
 	log       *slog.Logger
 	startup   []byte // the StartupMessage of every connection
 	endpoints map[string]*endpoint
-	suspended map[string]bool // by operators, whether or not discovery lists the endpoint
-	open      int             // connections to all endpoints, those that are being dialed included
+	suspended map[string]bool // endpoints suspended by operators, whether or not discovery lists them
+	open      int             // connections to all endpoints, including those being dialed
 	closed    bool
 }
 
-// New returns a Pool that knows no endpoint.
+// New returns a Pool without endpoints.
 func New(loop *eventloop.Loop, engine *transport.Engine, lim limits.Limits, log *slog.Logger) *Pool {
 	p := &Pool{
 		loop:      loop,
@@ -39,8 +39,8 @@
 	return p
 }
 
-// UpdateEndpoints follows the endpoint list. An endpoint that drains, has moved or is no longer listed loses its idle
-// connections, and the attempts that wait for a connection to it end as not sent.
+// UpdateEndpoints applies a new endpoint list. If an endpoint drains, has moved or is no longer listed, its idle
+// connections are closed and the attempts that wait for a connection to it end as not sent.
 func (p *Pool) UpdateEndpoints(list config.EndpointList) {
 	listed := map[string]bool{}
 	for _, entry := range list.Endpoints {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Suspend takes an endpoint out of service for an operator, or resumes it. Nothing new is written to a suspended
-// endpoint, and the attempts that wait for a connection to it end at once as not sent.
+// Suspend suspends or resumes an endpoint for an operator. No new attempt is written to a suspended endpoint, and the
+// attempts that wait for a connection to it end immediately as not sent.
 func (p *Pool) Suspend(id string, suspended bool) {
 	if suspended {
 		p.suspended[id] = true
@@ -95,7 +95,7 @@
 // SetLimits sets new limits. Connections that exceed them are closed as they become idle.
 func (p *Pool) SetLimits(lim limits.Limits) { p.limits = lim }
 
-// Close closes all idle connections; from now on none is kept idle.
+// Close closes all idle connections. From then on, connections are closed when they become idle.
 func (p *Pool) Close() {
 	p.closed = true
 	for _, e := range p.endpoints {
@@ -120,7 +120,7 @@
 	return a
 }
 
-// startAttempt writes an attempt to an idle connection, or lets it wait for one that is dialed for it.
+// startAttempt writes an attempt to an idle connection, or queues it for one that is being dialed.
 func (p *Pool) startAttempt(id string, a *attempt) {
 	e := p.endpoints[id]
 	if e == nil || !e.acceptsAttempts() {
@@ -142,8 +142,8 @@
 	e.enqueue(a)
 }
 
-// closeExpired closes connections that were idle for too long, before the endpoint closes them: what is written to a
-// connection that its endpoint has closed may have run.
+// closeExpired closes connections that have been idle for too long, before the endpoint closes them: an attempt written
+// to a connection that the endpoint has closed cannot be proven not to have run.
 func (p *Pool) closeExpired() {
 	now := p.loop.Now()
 	for _, e := range p.endpoints {
@@ -159,8 +159,8 @@
 	p.loop.AfterFunc(p.limits.Backend.SweepInterval, p.closeExpired)
 }
 
-// ensureCapacity reports whether one more connection to e may be opened. Where all connections are in use it makes room
-// by closing an idle one to any endpoint.
+// ensureCapacity reports whether one more connection to e may be opened. If the limit for all endpoints is reached, it
+// closes an idle connection to any endpoint to make room.
 func (p *Pool) ensureCapacity(e *endpoint) bool {
 	if e.open >= p.limits.Backend.ConnectionsPerEndpoint {
 		return false
@@ -171,7 +171,7 @@
 	return p.closeOldestIdle()
 }
 
-// closeOldestIdle closes the connection that has been idle for the longest time, and reports whether there was one.
+// closeOldestIdle closes the connection that has been idle longest, and reports whether there was one.
 func (p *Pool) closeOldestIdle() bool {
 	var oldest *connection
 	for _, e := range p.endpoints {
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -26,32 +26,32 @@
 			time.Sleep(3 * lim.Backend.ReuseDelay)
 			id := fmt.Sprint(i)
 			if result := p.attempt(id, 0); !isServed(result) || server.Runs(id) != 1 {
-				t.Fatalf("%+v", result)
+				t.Fatalf("idle timeout %v: unexpected result or number of runs: %+v", idle, result)
 			}
 		}
 		if dials.Load() != want {
-			t.Errorf("idle %v: %d connections, %d expected", idle, dials.Load(), want)
+			t.Errorf("idle timeout %v: %d connections, want %d", idle, dials.Load(), want)
 		}
 	}
 }
 
-// A dial that is given up has a descriptor until the system ends it, and counts until then.
+// An abandoned dial keeps its descriptor until the system ends the dial, so it counts as a connection until then.
 func TestAbandonedDialCountsUntilItEnds(t *testing.T) {
 	server := testserver.NewDB(t, true, nil)
 	p := newTestPool(t, testLimits(), server.Addr)
 	first := make(chan int, 1)
 	p.loop.Post(func() {
 		e := p.pool.endpoints["n"]
-		e.dial().close() // in the same turn: what the system says of the dial comes in a later one
+		e.dial().close() // in the same turn of the loop: the result of the dial arrives in a later one
 		first <- p.pool.open
 	})
 	if n := <-first; n != 1 {
-		t.Fatalf("%d connections counted while the dial is in progress", n)
+		t.Fatalf("%d connections counted while the dial is in progress, want 1", n)
 	}
 	p.awaitZero(20*time.Second, "the dial still counts", func() int { return p.pool.open })
 }
 
-// A send that a slow connection has held up past the age its data may have is not made.
+// An attempt that a slow connection delays past the time at which its data would be too stale is not sent.
 func TestLateAttemptIsNotSent(t *testing.T) {
 	server := testserver.NewDB(t, true, func(typ byte, _ string) testserver.Act {
 		if typ == 0 {
@@ -61,20 +61,20 @@
 	})
 	p := newTestPool(t, testLimits(), server.Addr)
 	if result := p.attempt("a", 20*time.Millisecond); result.Status != balance.StatusNotSent || server.Runs("a") != 0 {
-		t.Fatalf("%+v", result)
+		t.Fatalf("slow connection: got %+v, want StatusNotSent and no run", result)
 	}
-	// Nor is a connection waited for beyond that.
+	// An attempt doesn't wait for a connection beyond that time either.
 	silent := testserver.NewDB(t, true, func(byte, string) testserver.Act { return testserver.Act{Silent: true} })
 	lim := testLimits()
 	lim.Backend.ConnectTimeout = 20 * time.Second
 	unconnected := newTestPool(t, lim, silent.Addr)
 	if result := unconnected.attempt("a", 20*time.Millisecond); result.Status != balance.StatusNotSent {
-		t.Fatalf("%+v", result)
+		t.Fatalf("no connection: got %+v, want StatusNotSent", result)
 	}
 	if result := p.attempt("b", -time.Millisecond); result.Status != balance.StatusNotSent || server.Runs("b") != 0 {
-		t.Fatalf("%+v", result)
+		t.Fatalf("started too late: got %+v, want StatusNotSent and no run", result)
 	}
 	if result := p.attempt("c", time.Minute); result.Status != balance.StatusDone {
-		t.Fatalf("%+v", result)
+		t.Fatalf("in time: got %+v, want StatusDone", result)
 	}
 }
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -7,7 +7,7 @@
 	"limeladder/internal/pgwire"
 )
 
-// The types of the messages that an endpoint sends and that are told apart here.
+// The types of messages from an endpoint that this package handles specially.
 const (
 	typeAuthentication       = 'R'
 	typeBackendKeyData       = 'K'
@@ -21,21 +21,21 @@
 
 const (
 	authenticationOk   = "\x00\x00\x00\x00" // the body of AuthenticationOk
-	transactionIdle    = "I"                // the body of ReadyForQuery outside of a transaction
-	messageHeaderBytes = 5                  // the type and the length of a message
+	transactionIdle    = "I"                // the body of ReadyForQuery outside a transaction
+	messageHeaderBytes = 5                  // the type byte and the length of a message
 )
 
-// The ways in which an endpoint violates the protocol, apart from messages that cannot be parsed.
+// The protocol violations of an endpoint, apart from messages that cannot be parsed.
 var (
-	errResponseStalled  = errors.New("no more bytes came in the middle of a response")
+	errResponseStalled  = errors.New("response stalled before it was complete")
 	errResponseTooLong  = errors.New("response is too long")
-	errMessageTooLong   = errors.New("message is too long to be buffered and cannot be streamed")
-	errTooMuchAsyncData = errors.New("too many bytes that are not part of a response")
-	errTooManyRows      = errors.New("more rows than were asked for")
-	errRowMismatch      = errors.New("row does not fit those before it")
+	errMessageTooLong   = errors.New("message is too long to buffer and cannot be streamed")
+	errTooMuchAsyncData = errors.New("too many bytes in asynchronous messages")
+	errTooManyRows      = errors.New("more rows than requested")
+	errRowMismatch      = errors.New("row does not match the preceding messages")
 )
 
-// Data takes bytes that have come. It implements transport.Handler.
+// Data handles received bytes. It implements transport.Handler.
 func (c *connection) Data(p []byte) {
 	c.reader.Feed(p)
 	c.progressTimer.Stop()
@@ -62,13 +62,13 @@
 	c.resetProgressTimer()
 }
 
-// resetProgressTimer waits for the rest of what has begun to come. Where the length of a message does not fit, its rest
-// never comes.
+// resetProgressTimer limits the wait for the rest of a partial message or response. If the declared length of a message
+// is too large, its rest never arrives.
 func (c *connection) resetProgressTimer() {
 	limits := &c.endpoint.pool.limits.Backend
 	timeout := limits.StallTimeout
 	if c.incoming.streaming {
-		timeout = limits.StreamStallTimeout // a slow endpoint still sends it
+		timeout = limits.StreamStallTimeout // longer, because a slow endpoint may still be sending
 	}
 	c.progressTimer.Stop()
 	if !c.closed && !c.paused && c.expectsMore() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// expectsMore reports whether a message or a response has come in part and its rest should follow soon.
+// expectsMore reports whether a message or a response has been received in part and the rest should follow soon.
 func (c *connection) expectsMore() bool {
 	if c.reader.Waiting() > 0 {
 		return true
@@ -84,7 +84,7 @@
 	return c.attempt != nil && (c.incoming.streaming || c.incoming.awaitsReady())
 }
 
-// handleMessage takes one complete message.
+// handleMessage handles one complete message.
 func (c *connection) handleMessage(message pgwire.Message) {
 	switch {
 	case isAsynchronous(message.Type):
@@ -92,7 +92,7 @@
 	case !c.started:
 		c.handleStartup(message)
 	case c.attempt == nil:
-		// A late or stray response must not be taken for that of the next attempt.
+		// A late or stray response must not be taken for the response to the next attempt.
 		c.handleDisconnect()
 	case message.Type == typeReadyForQuery:
 		c.handleReady(message)
@@ -101,7 +101,7 @@
 	}
 }
 
-// isAsynchronous reports whether messages of a type may come at any time and are not part of a response.
+// isAsynchronous reports whether messages of the type may arrive at any time and are not part of a response.
 func isAsynchronous(messageType byte) bool {
 	switch messageType {
 	case typeParameterStatus, typeNoticeResponse, typeNotificationResponse, typeBackendKeyData:
@@ -110,8 +110,8 @@
 	return false
 }
 
-// handleAsynchronous takes a message that is not part of a response. Their bytes are limited, because they might come
-// without end, and no deadline ends a response of which a part has been forwarded.
+// handleAsynchronous handles a message that is not part of a response. The total bytes of such messages are limited: an
+// endpoint might send them without end, and no deadline ends a response that has been forwarded in part.
 func (c *connection) handleAsynchronous(message pgwire.Message) {
 	c.incoming.asyncBytes += messageHeaderBytes + len(message.Body)
 	if c.incoming.asyncBytes > c.endpoint.pool.limits.Backend.ResponseBytes {
@@ -124,12 +124,12 @@
 	}
 }
 
-// handleStartup takes a message that comes before the first ReadyForQuery.
+// handleStartup handles a message that arrives before the first ReadyForQuery.
 func (c *connection) handleStartup(message pgwire.Message) {
 	switch message.Type {
 	case typeAuthentication:
 		if string(message.Body) != authenticationOk {
-			c.handleDisconnect() // it asks for a password, which the platform does not use
+			c.handleDisconnect() // the endpoint requests a password, which the platform does not use
 		}
 	case typeErrorResponse:
 		c.incoming.recordError(message)
@@ -144,12 +144,12 @@
 	}
 }
 
-// handleReady ends the attempt with the response that has come.
+// handleReady ends the attempt with the response received so far, at its ReadyForQuery.
 func (c *connection) handleReady(message pgwire.Message) {
 	result := c.result()
-	c.attempt.SetPaused(false) // the end of a long response may have come while its client took no more
+	c.attempt.SetPaused(false) // the end of a long response may have been received while reading was paused
 	a := c.detachAttempt()
-	// In an open transaction, or with bytes that belong to no request, the connection is not used again.
+	// The connection is not reused if a transaction is still open or bytes follow the response.
 	reusable := string(message.Body) == transactionIdle && c.reader.Waiting() == 0 && !c.incoming.invalid
 	if reusable {
 		c.delayReuse()
@@ -159,7 +159,7 @@
 	a.finish(result)
 }
 
-// appendToResponse adds a message to the response, or forwards it where the response is streamed.
+// appendToResponse adds a message to the response; a data row of a streamed response is forwarded instead.
 func (c *connection) appendToResponse(message pgwire.Message) {
 	in := &c.incoming
 	if message.Type == typeErrorResponse {
@@ -175,7 +175,7 @@
 	}
 	if in.streaming && message.Type == typeDataRow {
 		if !c.attempt.job.StartsResponse(in.response) {
-			c.handleViolation(errTooManyRows) // and they might never end
+			c.handleViolation(errTooManyRows) // there might be no end to them
 			return
 		}
 		c.attempt.onResponsePart(pgwire.Append(nil, message.Type, message.Body))
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -11,48 +11,50 @@
 	"limeladder/internal/router"
 )
 
-// Job is what a frontend wants to be written to an endpoint. Each router.Job that reaches a Pool must be one.
+// Job is the part of a request that is written to an endpoint, with the rules for its response. Each router.Job passed
+// to a Pool must implement it.
 type Job interface {
-	// Messages returns the messages to write, up to and including the one that is answered with ReadyForQuery.
+	// Messages returns the messages to write, up to and including the one that the endpoint answers with ReadyForQuery.
+	// left is the time until the client's deadline.
 	Messages(left time.Duration) []byte
-	// Complete reports whether a response, each of whose messages is well-formed, is complete and belongs to this job.
+	// Complete reports whether a response of well-formed messages is complete and belongs to this job.
 	Complete(response *Response) bool
-	// StartsResponse reports whether a response may be the start of such a one, with a long row to follow.
+	// StartsResponse reports whether the messages so far may start a response of this job, with a long row to follow.
 	StartsResponse(response *Response) bool
 }
 
-// Response is what an endpoint sent before ReadyForQuery, as it came, without the messages that concern only the
-// connection.
+// Response contains the messages that an endpoint sent before ReadyForQuery, unchanged, without the asynchronous
+// messages, which concern only the connection.
 type Response struct {
 	Messages []byte
-	Types    []byte       // one letter a message, in order
-	Shape    pgwire.Shape // the form of the messages so far
-	Code     string       // the SQLSTATE of an error that concerns the statement, "" = none
+	Types    []byte       // the type of each message, in order
+	Shape    pgwire.Shape // the structure of the messages so far
+	Code     string       // the SQLSTATE of an error caused by the statement, "" = none
 }
 
 // incomingResponse is a response that is being received.
 type incomingResponse struct {
 	response    *Response
-	startedAt   time.Duration     // when its first byte was looked at, 0 = none has come
-	streaming   bool              // it is forwarded as it comes
+	startedAt   time.Duration     // when its first byte was read, 0 = none has been received
+	streaming   bool              // it is forwarded while it is being received
 	streamedRow *pgwire.RowStream // the row that is being streamed, nil = none
-	asyncBytes  int               // of messages that are not part of the response
+	asyncBytes  int               // total bytes of asynchronous messages
 	sqlState    string            // of an ErrorResponse, "" = none
-	invalid     bool              // the connection must not be used again
-	role        balance.Role      // of the endpoint, as the response says
-	position    time.Duration     // the endpoint's replication position, as the response says
+	invalid     bool              // the connection must not be reused
+	role        balance.Role      // of the endpoint, as reported with the response
+	position    time.Duration     // the endpoint's replication position, as reported with the response
 }
 
 func newIncomingResponse() incomingResponse {
 	return incomingResponse{response: &Response{Shape: pgwire.NewShape()}, role: balance.RoleUnknown}
 }
 
-// awaitsReady reports whether only ReadyForQuery is missing.
+// awaitsReady reports whether the response is complete except for ReadyForQuery.
 func (in *incomingResponse) awaitsReady() bool {
 	return in.sqlState != "" || in.response.Shape.Tag != ""
 }
 
-// recordError notes the SQLSTATE of an ErrorResponse.
+// recordError stores the SQLSTATE of an ErrorResponse. An unreadable one counts as an internal error.
 func (in *incomingResponse) recordError(message pgwire.Message) {
 	in.sqlState = pgwire.InternalError
 	if fields, err := pgwire.Fields(message.Body); err == nil && len(fields['C']) == 5 {
@@ -60,11 +62,11 @@
 	}
 }
 
-// maxPositionMillis bounds the replication positions that are believed, in milliseconds since the Unix epoch: the
-// year 2109.
+// maxPositionMillis is the upper bound of valid replication positions, in milliseconds since the Unix epoch. It is in
+// the year 2109.
 const maxPositionMillis = 1 << 42
 
-// recordParameter notes what a ParameterStatus tells of the endpoint: its role and its replication position.
+// recordParameter stores the endpoint's role or replication position from a ParameterStatus message.
 func (in *incomingResponse) recordParameter(name, value string) {
 	switch name {
 	case "mode":
@@ -82,12 +84,12 @@
 	}
 }
 
-// statementErrorClasses are the classes of SQLSTATE that concern the statement itself: every endpoint would answer like
-// this.
+// statementErrorClasses lists the SQLSTATE classes of errors caused by the statement itself: every endpoint would
+// return the same error.
 const statementErrorClasses = "21 22 23 26 34 42 44 0A"
 
-// result says how the attempt ended. Errors that concern the statement go back to the client as they came; the other
-// codes of the protocol page's table are outcomes for the balancer.
+// result returns the outcome of the attempt. Errors caused by the statement are returned to the client unchanged; the
+// other SQLSTATE codes in the protocol documentation's table are outcomes for the balancer.
 func (c *connection) result() router.Result {
 	in := &c.incoming
 	result := router.Result{Role: in.role, Position: in.position, ResponseStartedAt: in.startedAt}
@@ -96,7 +98,7 @@
 		result.Status = balance.StatusDone
 		result.Response = in.response
 	case in.sqlState == "", bytes.ContainsAny(in.response.Types, "DC"):
-		// What an invalid response claims of role and position is not believed.
+		// The role and position reported with an invalid response are discarded.
 		in.invalid = true
 		return router.Result{Status: balance.StatusError}
 	case in.sqlState == pgwire.TooManyConnections:
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -31,16 +31,16 @@
 			})
 			result := newTestPool(t, testLimits(), server.Addr).attempt("a", 0)
 			if result.Status != want || server.Runs("a") != 0 {
-				t.Errorf("%s, fatal %v: %+v", code, fatal, result)
+				t.Errorf("%s, fatal %v: unexpected status or run: %+v", code, fatal, result)
 			}
 			if code == "23505" && result.Response.(*Response).Code != code {
-				t.Errorf("%s, fatal %v: %+v", code, fatal, result)
+				t.Errorf("%s, fatal %v: the response does not have the code: %+v", code, fatal, result)
 			}
 		}
 	}
 }
 
-// When a response began to come is told apart from its end.
+// The result contains the time at which the response started to arrive, not the time of its end.
 func TestResponseStartIsReported(t *testing.T) {
 	server := testserver.NewDB(t, true, func(typ byte, _ string) (act testserver.Act) {
 		if typ == 'Q' {
@@ -62,11 +62,13 @@
 	})
 	result := p.await(done)
 	if result.Status != balance.StatusDone || end-result.ResponseStartedAt < 90*time.Millisecond {
-		t.Fatalf("%v: began %v before its end", result.Status, end-result.ResponseStartedAt)
+		t.Fatalf("status %v, started %v before its end; want StatusDone and at least 90 ms",
+			result.Status, end-result.ResponseStartedAt)
 	}
 }
 
-// An invalid response is an attempt that may have run. Its connection is closed and nothing that it claims is believed.
+// After an invalid response the attempt counts as one that may have run. The connection is closed, and the role and
+// position reported with the response are discarded.
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	column := rowDescription()
 	value := pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x01v"))
@@ -100,7 +102,7 @@
 	}
 }
 
-// checkInvalidResponse sends an invalid response to an attempt and looks at that and the next one.
+// checkInvalidResponse sends an invalid response to one attempt and checks the result of that attempt and the next one.
 func checkInvalidResponse(t *testing.T, response []byte) {
 	t.Helper()
 	var dials atomic.Int32
@@ -117,14 +119,14 @@
 	lim.Backend.StallTimeout = 30 * time.Millisecond
 	p := newTestPool(t, lim, server.Addr)
 	if result := p.attempt("invalid", 0); result != (router.Result{Status: balance.StatusError}) {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v, want StatusError alone", result)
 	}
 	if result := p.attempt("next", 0); result.Status != balance.StatusDone || dials.Load() != 2 {
-		t.Errorf("the next: %+v, %d connections", result, dials.Load())
+		t.Errorf("next attempt: got %+v after %d connections, want StatusDone after 2", result, dials.Load())
 	}
 }
 
-// A value of several hundred KB is a response like any other; one beyond the limit is not read to its end.
+// A value of several hundred KB is accepted; one beyond the limit for responses is an error and is not read completely.
 func TestLargeResponses(t *testing.T) {
 	lim := testLimits()
 	for size, want := range map[int]balance.Status{
@@ -143,7 +145,7 @@
 			return act
 		})
 		if result := newTestPool(t, lim, server.Addr).attempt("a", 0); result.Status != want {
-			t.Errorf("%d bytes: %+v", size, result.Status)
+			t.Errorf("%d bytes: unexpected status %+v", size, result.Status)
 		}
 	}
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -6,9 +6,9 @@
 	"limeladder/internal/pgwire"
 )
 
-// startStreaming begins to forward a response that is too long to be buffered, once enough of its long row has come and
-// the lengths in it fit so far; until then a failed attempt can be retried. It reports whether a row is being streamed
-// now.
+// startStreaming begins to forward a row that is too long to be buffered, once enough of it has been received and the
+// lengths in it are consistent so far. Until the first such row a failed attempt can be retried. It reports whether it
+// has begun to stream a row.
 func (c *connection) startStreaming() bool {
 	in := &c.incoming
 	limits := &c.endpoint.pool.limits.Backend
@@ -42,7 +42,7 @@
 	return true
 }
 
-// canStream reports whether the attempt takes a response in parts and the messages so far may start it.
+// canStream reports whether the attempt accepts a response in parts and the messages so far may start such a response.
 func (c *connection) canStream() bool {
 	a := c.attempt
 	if a == nil || a.onResponseStarted == nil {
@@ -51,7 +51,7 @@
 	return a.job.StartsResponse(c.incoming.response)
 }
 
-// streamRow forwards what has come of a long row, and reports whether that was the end of the row.
+// streamRow forwards the received part of a long row, and reports whether the row is now complete.
 func (c *connection) streamRow() bool {
 	in := &c.incoming
 	p := c.reader.NextBytes(min(in.streamedRow.Left, c.reader.Waiting()))
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -12,8 +12,8 @@
 	"limeladder/internal/testserver"
 )
 
-// streamClient takes a response that is streamed, and pauses it for a while once a megabyte has come. Its methods
-// belong to the loop's goroutine.
+// streamClient receives a streamed response, and pauses it once for a while after the first MiB. Its methods must be
+// called on the loop's goroutine.
 type streamClient struct {
 	t       *testing.T
 	pool    *testPool
@@ -39,21 +39,21 @@
 	c.flow.SetPaused(true)
 	c.pool.loop.AfterFunc(c.pause, func() {
 		if len(c.got) > 1<<20+256<<10 {
-			c.t.Errorf("%d bytes came while it was paused", len(c.got))
+			c.t.Errorf("%d bytes received by the end of the pause, want at most 1 MiB and 256 KiB", len(c.got))
 		}
 		c.flow.SetPaused(false)
 	})
 }
 
-// A response of megabytes is forwarded as it comes, to the byte, and stops while its client pauses it; one that is
-// cut or invalid has failed, and the connection goes; one that is invalid at its start, or too long, is not forwarded
-// at all.
+// A response of several MiB is forwarded unchanged while it is being received, and stops while its client pauses it. A
+// response that is cut off or turns out to be invalid fails the attempt and closes the connection. One that is invalid
+// at its start, or too long, is not forwarded at all.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	const n = 3 << 20
 	for _, test := range []struct {
 		name     string
 		response []byte
-		cut      int // the server leaves after so many bytes, 0 = it does not
+		cut      int // the server closes the connection after this many bytes, 0 = it does not
 		want     balance.Status
 		streamed bool
 	}{
@@ -83,24 +83,24 @@
 			client := &streamClient{t: t, pool: p, pause: 2 * lim.Backend.StreamStallTimeout}
 			result := p.stream(client)
 			if result.Status != test.want || client.started != test.streamed {
-				t.Errorf("%v, streamed %v", result.Status, client.started)
+				t.Errorf("unexpected status %v, or streamed %v", result.Status, client.started)
 			}
 			if result.Status == balance.StatusDone {
 				got := append(client.got, result.Response.(*Response).Messages...)
 				want := test.response[:len(test.response)-len(pgwire.AppendReady(nil))]
 				if !bytes.Equal(got, want) {
-					t.Errorf("%d bytes, not %d", len(got), len(want))
+					t.Errorf("got %d bytes, want the %d bytes of the response unchanged", len(got), len(want))
 				}
 			}
 			next := p.attempt("b", 0)
 			if test.streamed && test.want == balance.StatusDone && next.Status != balance.StatusDone {
-				t.Errorf("then %+v", next.Status)
+				t.Errorf("next attempt: got status %+v, want StatusDone", next.Status)
 			}
 		})
 	}
 }
 
-// stream makes an attempt whose response is streamed to a client, and waits for its end.
+// stream makes an attempt whose response is streamed to the client, and returns its result.
 func (p *testPool) stream(client *streamClient) router.Result {
 	p.t.Helper()
 	done := make(chan router.Result, 9)
@@ -117,8 +117,8 @@
 	return p.await(done)
 }
 
-// startEndlessServer starts a server that answers with a long row and goes on with more of something for as long as
-// it is read.
+// startEndlessServer starts a server that responds with a long row and then repeats the message more until a write
+// fails.
 func startEndlessServer(t *testing.T, more []byte) (addr string) {
 	t.Helper()
 	response := longResponse(1<<20, 0)
@@ -131,7 +131,7 @@
 				return
 			}
 			if _, err := c.Write(p); err != nil {
-				return // the router has given up, which the test sees
+				return // the router has closed the connection; the result of the attempt shows it
 			}
 		}
 		var err error
@@ -141,8 +141,9 @@
 	})
 }
 
-// A response of which a part has been forwarded, and which does not end, is ended: no deadline does that any more.
-func TestEndlessResponseIsEnded(t *testing.T) {
+// Guards against a response that has been forwarded in part and never ends: no deadline applies to it any more, so the
+// limits on rows and on asynchronous messages must abort it.
+func TestEndlessResponseIsAborted(t *testing.T) {
 	for name, more := range map[string][]byte{
 		"rows":    pgwire.Append(nil, 'D', []byte{0, 1, 0, 0, 0, 1, 'x'}),
 		"notices": pgwire.Append(nil, 'N', make([]byte, 100)),
@@ -163,7 +164,7 @@
 				p.pool.Start(requested, func(result router.Result) { done <- result })
 			})
 			if result := p.await(done); result.Status != balance.StatusError || len(started) != 1 {
-				t.Fatalf("%+v, started %d times", result, len(started))
+				t.Fatalf("got %+v, started %d times; want StatusError, started once", result, len(started))
 			}
 		})
 	}
--- a/internal/backend/testpool_test.go
+++ b/internal/backend/testpool_test.go
@@ -20,7 +20,7 @@
 	"limeladder/internal/transport"
 )
 
-// testJob is a Job with a request id, which is answered with one row of one column.
+// testJob is a Job with a request ID. The response to it is one row of one column.
 type testJob string
 
 func (j testJob) Messages(left time.Duration) []byte {
@@ -34,7 +34,7 @@
 	return string(response.Types) == "TDC" && response.Shape.Columns == 1
 }
 
-// testPool is a Pool that knows one endpoint, n, and its loop.
+// testPool is a Pool with one endpoint, n, and its own event loop.
 type testPool struct {
 	t    *testing.T
 	loop *eventloop.Loop
@@ -63,7 +63,7 @@
 	return limits.New(192, 1024, 250*time.Millisecond, 15*time.Second, 3*time.Second)
 }
 
-// attempt makes one attempt, to be written within notAfter (0 = at any time), and waits for its end.
+// attempt makes one attempt, to be written within notAfter (0 = no limit), and returns its result.
 func (p *testPool) attempt(id string, notAfter time.Duration) router.Result {
 	p.t.Helper()
 	done := make(chan router.Result, 9)
@@ -78,25 +78,26 @@
 	return p.await(done)
 }
 
-// start begins an attempt; it belongs to the loop's goroutine.
+// start begins an attempt. It must be called on the loop's goroutine.
 func (p *testPool) start(id string, within time.Duration, done chan router.Result) router.AttemptHandle {
 	requested := router.Attempt{Endpoint: "n", Job: testJob(id), Deadline: p.loop.Now() + within}
 	return p.pool.Start(requested, func(result router.Result) { done <- result })
 }
 
-// await waits for the end of an attempt.
+// await waits for the result of an attempt.
 func (p *testPool) await(done chan router.Result) router.Result {
 	p.t.Helper()
 	select {
 	case result := <-done:
 		return result
 	case <-time.After(20 * time.Second):
-		p.t.Fatal("no end")
+		p.t.Fatal("the attempt reported no result within 20 s")
 		panic("")
 	}
 }
 
-// awaitZero waits until count, which is called in the loop, returns 0.
+// awaitZero waits until count, which it calls in the loop, returns 0. If that takes too long, the test fails with the
+// failure message.
 func (p *testPool) awaitZero(within time.Duration, failure string, count func() int) {
 	p.t.Helper()
 	counted := make(chan int)
@@ -111,8 +112,9 @@
 	}
 }
 
-// newSlowStartServer is a fake server that tells of each startup and completes none before release is called.
-func newSlowStartServer(t *testing.T) (server *testserver.DB, dialed chan bool, release func()) {
+// newPausedStartupServer starts a fake server that sends to dialed at each startup and completes none before release is
+// called.
+func newPausedStartupServer(t *testing.T) (server *testserver.DB, dialed chan bool, release func()) {
 	t.Helper()
 	dialed = make(chan bool, 9)
 	released := make(chan bool)
@@ -124,11 +126,11 @@
 		}
 		return testserver.Act{}
 	})
-	t.Cleanup(release) // before the fake server is stopped, which waits for it
+	t.Cleanup(release) // runs before the fake server stops, which waits for its startups
 	return server, dialed, release
 }
 
-// serveConnections calls serve with each connection to an address that it returns.
+// serveConnections listens on a loopback address, which it returns, and calls serve with each connection.
 func serveConnections(t *testing.T, serve func(c net.Conn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,25 +151,25 @@
 	return listener.Addr().String()
 }
 
-// rowDescription describes one column of type bytea, data.
+// rowDescription returns a RowDescription message with one column, named data, of type bytea.
 func rowDescription() []byte {
 	const oneColumn = "\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 	return pgwire.Append(nil, 'T', []byte(oneColumn))
 }
 
-// longResponse is a response with one value of n bytes; its declared length is off by some.
-func longResponse(n, off int) []byte {
+// longResponse returns a response with one value of n bytes. The declared length of the value is n plus lengthError.
+func longResponse(n, lengthError int) []byte {
 	value := make([]byte, n)
 	for i := range value {
 		value[i] = byte(i % 251)
 	}
 	p := rowDescription()
-	p = pgwire.Append(p, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(n+off)), value)
+	p = pgwire.Append(p, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(n+lengthError)), value)
 	p = pgwire.Append(p, 'C', []byte("INSERT 0 1\x00"))
 	return pgwire.AppendReady(p)
 }
 
-// isServed reports whether an attempt was answered by the primary, with a position.
+// isServed reports whether an attempt was served by the primary and its result has a replication position.
 func isServed(result router.Result) bool {
 	return result.Status == balance.StatusDone && result.Role == balance.RolePrimary && result.Position > 0
 }
