--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,6 @@
-// Package eventloop runs the one goroutine that owns the state of requests and connections. Other goroutines hand it
-// functions; it owns the clock and all timers. It never blocks, and knows nothing of what the functions do.
+// Package eventloop runs the single goroutine that owns the state of requests and connections. Other goroutines post
+// functions to it. The package owns the clock and all timers. It never blocks, and does not depend on what the posted
+// functions do.
 package eventloop
 
 import (
@@ -8,37 +9,39 @@
 	"time"
 )
 
-// maxIdle is how long Run waits where nothing is due.
+// maxIdle is how long Run waits when no timer is pending.
 const maxIdle = time.Hour
 
-// Loop calls functions one after the other, in the order of Post, and timers when they are due. Run, or RunOnce, is the
-// goroutine of the loop; Post, PostUrgent, Now and Stop may be called from any goroutine.
+// Loop calls posted functions one after the other, in the order in which they were posted, and timers when they are
+// due. The goroutine that calls Run or RunOnce is the loop's goroutine. Post, PostUrgent, Now and Stop may be called
+// from any goroutine.
 type Loop struct {
-	startTime time.Time            // its monotonic part is the program's one clock
-	clock     func() time.Duration // used in its place, nil = none
+	startTime time.Time            // its monotonic reading is the clock of the whole process
+	clock     func() time.Duration // replaces the system's clock, nil = it does not
 	wake      chan struct{}
-	timers    timerHeap // belongs to the goroutine of the loop
+	timers    timerHeap // used on the loop's goroutine only
 
-	mutex   sync.Mutex // guards what follows
+	mutex   sync.Mutex // guards the fields below
 	queue   []func()
 	urgent  []func()
-	stopped bool // written by the loop itself
+	stopped bool // written on the loop's goroutine
 
-	hasUrgent atomic.Bool // urgent is not empty
+	hasUrgent atomic.Bool // whether urgent is not empty
 }
 
-// New reads the system's clock once; Now goes on from there without steps.
+// New returns a Loop on the system's clock. It reads the wall clock once; Now continues from there on the monotonic
+// clock, without jumps.
 func New() *Loop {
 	return &Loop{startTime: time.Now(), wake: make(chan struct{}, 1)}
 }
 
-// NewWithClock returns a Loop that goes by another clock. Nothing runs it but RunOnce: it is for simulations in virtual
-// time.
+// NewWithClock returns a Loop that uses the given clock. It is for simulations in virtual time and must be run with
+// RunOnce.
 func NewWithClock(clock func() time.Duration) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
-// Now is the time since the Unix epoch on the monotonic clock.
+// Now returns the time since the Unix epoch, on the monotonic clock or the clock given to NewWithClock.
 func (l *Loop) Now() time.Duration {
 	if l.clock != nil {
 		return l.clock()
@@ -46,7 +49,7 @@
 	return time.Duration(l.startTime.UnixNano()) + time.Since(l.startTime)
 }
 
-// Post hands a function to the loop; any goroutine may call it.
+// Post queues a function to be called in the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
 	l.mutex.Lock()
 	l.queue = append(l.queue, f)
@@ -54,8 +57,8 @@
 	l.signal()
 }
 
-// PostUrgent hands the loop a function that does not wait for what Post has queued; any goroutine may call it. With a
-// full queue an ordinary turn may be seconds away, and operators must not wait for the load that they want to end.
+// PostUrgent queues a function to be called before those queued by Post. Any goroutine may call it. With a long queue,
+// a function queued by Post may wait for seconds, and operators must not wait behind the load that they want to stop.
 func (l *Loop) PostUrgent(f func()) {
 	l.mutex.Lock()
 	l.urgent = append(l.urgent, f)
@@ -72,7 +75,7 @@
 	}
 }
 
-// runUrgent calls the urgent functions; it is called between any two other functions.
+// runUrgent calls the urgent functions. The loop calls it before each other function.
 func (l *Loop) runUrgent() {
 	for l.hasUrgent.Load() {
 		l.mutex.Lock()
@@ -86,23 +89,23 @@
 	}
 }
 
-// Stop ends Run once the functions in hand are done; any goroutine may call it.
+// Stop ends Run once the functions that were posted before it have run. Any goroutine may call it.
 func (l *Loop) Stop() {
 	l.Post(func() { l.stopped = true })
 }
 
-// RunOnce calls the functions that were posted and the timers that are due, and afterStep behind them, until nothing is
-// left to do now. It returns when the next timer is due, 0 = there is none.
+// RunOnce calls the posted functions and the due timers, and then afterStep, and repeats that until nothing is left to
+// do now. It returns the time at which the next timer is due, 0 if there is none.
 func (l *Loop) RunOnce(afterStep func()) (next time.Duration) {
 	var spare []func()
 	for {
 		spare = l.runQueued(spare)
 		afterStep()
-		more, _ := l.state()
+		more, _ := l.pendingAndStopped()
 		if more {
 			continue
 		}
-		due, ok := l.timers.next()
+		due, ok := l.timers.firstDue()
 		if !ok {
 			return 0
 		}
@@ -112,8 +115,8 @@
 	}
 }
 
-// runQueued calls the functions that were posted, then the timers that are due. It returns a slice to be used for the
-// next queue.
+// runQueued calls the posted functions, then the due timers. The slice spare is reused for the new queue; the slice
+// returned is the spare one for the next call.
 func (l *Loop) runQueued(spare []func()) []func() {
 	l.mutex.Lock()
 	batch := l.queue
@@ -126,7 +129,7 @@
 	}
 	now := l.Now()
 	for l.timers.isDue(now) {
-		t := l.timers.take()
+		t := l.timers.popFirst()
 		l.runUrgent()
 		t.callback()
 	}
@@ -134,14 +137,14 @@
 	return batch
 }
 
-// state reports whether functions wait to be called, and whether the loop was stopped.
-func (l *Loop) state() (more, stopped bool) {
+// pendingAndStopped reports whether posted functions are pending, and whether the loop was stopped.
+func (l *Loop) pendingAndStopped() (more, stopped bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.queue)+len(l.urgent) > 0, l.stopped
 }
 
-// Run works until Stop. It calls afterStep each time all that had come is done.
+// Run runs the loop until Stop. It calls afterStep each time it has called the queued functions and the due timers.
 func (l *Loop) Run(afterStep func()) {
 	var spare []func()
 	idle := time.NewTimer(maxIdle)
@@ -149,7 +152,7 @@
 	for {
 		spare = l.runQueued(spare)
 		afterStep()
-		more, stopped := l.state()
+		more, stopped := l.pendingAndStopped()
 		if stopped {
 			return
 		}
@@ -164,9 +167,9 @@
 	}
 }
 
-// untilNextTimer is how long Run may wait.
+// untilNextTimer returns how long Run may wait before the next timer is due.
 func (l *Loop) untilNextTimer() time.Duration {
-	due, ok := l.timers.next()
+	due, ok := l.timers.firstDue()
 	if !ok {
 		return maxIdle
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -26,7 +26,7 @@
 	steps := 0
 	l.Run(func() { steps++ })
 	if !slices.Equal(got, []int{1, 2, 3, 4, 5}) || steps < 3 {
-		t.Fatalf("%v in %d steps", got, steps)
+		t.Fatalf("calls %v in %d steps, want 1 to 5 in order and at least 3 steps", got, steps)
 	}
 }
 
@@ -47,12 +47,12 @@
 	}()
 	l.Run(func() {})
 	if n != 8000 {
-		t.Fatalf("%d calls", n)
+		t.Fatalf("%d calls, want 8000", n)
 	}
 }
 
-// What is urgent waits for one function at most, not for all that is queued.
-func TestUrgentComesFirst(t *testing.T) {
+// An urgent function waits for at most one queued function, not for the whole queue.
+func TestUrgentFunctionsRunFirst(t *testing.T) {
 	l := New()
 	n := 0
 	at := -1
@@ -67,11 +67,12 @@
 	l.Stop()
 	l.Run(func() {})
 	if n != 100 || at != 4 {
-		t.Fatalf("after %d of %d", at, n)
+		t.Fatalf("urgent function called after %d of %d functions, want after 4 of 100", at, n)
 	}
 }
 
-// By another clock nothing moves unless RunOnce is called, and what a function posts is called in the same turn.
+// With a given clock, functions and timers run only in RunOnce, and a function that is posted during RunOnce is called
+// before it returns.
 func TestRunOnce(t *testing.T) {
 	now := time.Second
 	l := NewWithClock(func() time.Duration { return now })
@@ -84,11 +85,11 @@
 	steps := 0
 	next := l.RunOnce(func() { steps++ })
 	if next != now+10*time.Millisecond || !slices.Equal(got, []int{1, 2}) || steps != 2 {
-		t.Fatalf("%v, next %v, %d steps", got, next, steps)
+		t.Fatalf("calls %v, next timer at %v, %d steps; want 1 and 2, a timer in 10 ms, 2 steps", got, next, steps)
 	}
 	now += 10 * time.Millisecond
 	next = l.RunOnce(func() { steps++ })
 	if next != 0 || !slices.Equal(got, []int{1, 2, 3}) {
-		t.Fatalf("%v, next %v", got, next)
+		t.Fatalf("calls %v, next timer at %v; want 1 to 3 and no timer", got, next)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Timer is a call to come. Its methods belong to the loop's goroutine.
+// Timer is a scheduled call. Its methods must be called on the loop's goroutine.
 type Timer struct {
 	due      time.Duration
 	sequence uint64 // orders timers that are due at the same time
 	callback func()
-	index    int // in the heap, negative once it is no longer there
+	index    int // in the heap, negative once the timer was removed
 	loop     *Loop
 }
 
-// AfterFunc calls f in the loop once d has passed. Only the loop's goroutine may call it.
+// AfterFunc calls f in the loop after d has elapsed. It must be called on the loop's goroutine.
 func (l *Loop) AfterFunc(d time.Duration, f func()) *Timer {
 	l.timers.sequence++
 	t := &Timer{due: l.Now() + d, sequence: l.timers.sequence, callback: f, loop: l}
@@ -22,24 +22,24 @@
 	return t
 }
 
-// Due is when the timer is due, or was, on the loop's clock.
+// Due returns the time, on the loop's clock, at which the timer is or was due.
 func (t *Timer) Due() time.Duration { return t.due }
 
-// Stop forgets the call; it may be called on nil and again.
+// Stop cancels the call if it is still pending. It may be called on a nil Timer, and more than once.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// timerHeap holds timers, the one that is due first on top. It implements heap.Interface.
+// timerHeap is a heap of timers with the earliest on top. It implements heap.Interface.
 type timerHeap struct {
 	timers   []*Timer
 	sequence uint64 // of the newest timer
 }
 
-// next is when the first timer is due; ok is false where there is none.
-func (h *timerHeap) next() (due time.Duration, ok bool) {
+// firstDue returns when the first timer is due. ok is false if there is no timer.
+func (h *timerHeap) firstDue() (due time.Duration, ok bool) {
 	if len(h.timers) == 0 {
 		return 0, false
 	}
@@ -48,17 +48,17 @@
 
 // isDue reports whether the first timer is due.
 func (h *timerHeap) isDue(now time.Duration) bool {
-	due, ok := h.next()
+	due, ok := h.firstDue()
 	return ok && due <= now
 }
 
-// take removes the first timer, which must exist.
-func (h *timerHeap) take() *Timer { return heap.Pop(h).(*Timer) }
+// popFirst removes and returns the first timer. There must be one.
+func (h *timerHeap) popFirst() *Timer { return heap.Pop(h).(*Timer) }
 
-// Len is the number of timers.
+// Len implements sort.Interface.
 func (h *timerHeap) Len() int { return len(h.timers) }
 
-// Less orders timers by when they are due, and by their sequence.
+// Less orders timers by due time, and those due at the same time by their sequence.
 func (h *timerHeap) Less(i, j int) bool {
 	a, b := h.timers[i], h.timers[j]
 	if a.due != b.due {
@@ -67,21 +67,21 @@
 	return a.sequence < b.sequence
 }
 
-// Swap exchanges two timers.
+// Swap implements sort.Interface.
 func (h *timerHeap) Swap(i, j int) {
 	h.timers[i], h.timers[j] = h.timers[j], h.timers[i]
 	h.timers[i].index = i
 	h.timers[j].index = j
 }
 
-// Push adds a timer at the end.
+// Push implements heap.Interface: it appends a timer.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(h.timers)
 	h.timers = append(h.timers, t)
 }
 
-// Pop removes the timer at the end.
+// Pop implements heap.Interface: it removes the last timer.
 func (h *timerHeap) Pop() any {
 	last := len(h.timers) - 1
 	t := h.timers[last]
--- a/internal/transport/arrivals.go
+++ b/internal/transport/arrivals.go
@@ -6,29 +6,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrivalLog tells when the bytes of a stream arrived. The time of a request runs from then, however long its bytes
-// wait behind others to be looked at.
+// arrivalLog records when the bytes of a stream arrived. The time limit of a request starts when its bytes arrive,
+// however long they wait to be processed.
 //
-// It is a list of marks, each the moment by which so many bytes of the stream had arrived. It is bounded: bytes that
-// came within arrivalResolution share a mark, and where there would be more than maxArrivalMarks each two are merged.
-// The earlier moment is kept then, so that no request gets time that its client does not have.
+// It is a list of marks, each with the time by which a number of bytes of the stream had arrived. The list is bounded:
+// bytes that arrive within arrivalResolution share a mark, and when there are more than maxArrivalMarks, each two
+// adjacent marks are merged. A merged mark keeps the earlier time, so that no request gets more time than its client
+// allows.
 type arrivalLog struct {
-	marks     []arrivalMark
-	forgotten int64 // bytes that came before the first mark: they have been asked for
+	marks    []arrivalMark
+	lookedUp int64 // bytes before the first mark, whose arrival was looked up already
 }
 
-// arrivalMark says that the first upTo bytes of the stream had arrived by a moment.
+// arrivalMark records that the first upTo bytes of the stream had arrived by arrivedAt.
 type arrivalMark struct {
 	upTo      int64
 	arrivedAt time.Duration
 }
 
 const (
-	arrivalResolution = time.Millisecond // finer than any deadline, which the protocol gives in milliseconds
+	arrivalResolution = time.Millisecond // the protocol has deadlines in milliseconds, so none is finer
 	maxArrivalMarks   = 64
 )
 
-// record notes that the first upTo bytes of the stream have arrived by now.
+// record records that the first upTo bytes of the stream have arrived by now.
 func (l *arrivalLog) record(upTo int64, now time.Duration) {
 	if upTo <= l.recorded() {
 		return
@@ -44,15 +45,15 @@
 	}
 }
 
-// recorded is the number of bytes whose arrival has been noted.
+// recorded returns the number of bytes whose arrival has been recorded.
 func (l *arrivalLog) recorded() int64 {
 	if len(l.marks) == 0 {
-		return l.forgotten
+		return l.lookedUp
 	}
 	return l.marks[len(l.marks)-1].upTo
 }
 
-// merge makes one mark of each two; an odd one at the end stays.
+// merge merges each two adjacent marks into one. If their number is odd, the last one stays as it is.
 func (l *arrivalLog) merge() {
 	count := len(l.marks)
 	pairs := count / 2
@@ -67,11 +68,11 @@
 	l.marks = l.marks[:pairs+1]
 }
 
-// lookup is when the byte at a place of the stream had arrived, the first being 1; what came before it is not asked
-// for any more. ok is false where that is not known.
-func (l *arrivalLog) lookup(place int64) (arrivedAt time.Duration, ok bool) {
-	for len(l.marks) > 0 && l.marks[0].upTo < place {
-		l.forgotten = l.marks[0].upTo
+// lookup returns the time by which the byte at a position of the stream had arrived; the first byte has position 1.
+// Marks before it are dropped, so positions must be looked up in order. ok is false if the arrival is not recorded.
+func (l *arrivalLog) lookup(position int64) (arrivedAt time.Duration, ok bool) {
+	for len(l.marks) > 0 && l.marks[0].upTo < position {
+		l.lookedUp = l.marks[0].upTo
 		l.marks = l.marks[1:]
 	}
 	if len(l.marks) == 0 {
@@ -80,19 +81,19 @@
 	return l.marks[0].arrivedAt, true
 }
 
-// ArrivedAt is when the byte at a place of the stream arrived at this machine, on the loop's clock, though it may have
-// been looked at much later; the first byte's place is 1. Places are asked for in order. It is known of connections
-// that were accepted.
-func (c *Conn) ArrivedAt(place int64) time.Duration {
+// ArrivedAt returns when the byte at a position of the stream arrived at this machine, on the loop's clock, even if it
+// was read much later. The first byte has position 1, and positions must be looked up in order. Arrivals are recorded
+// for accepted connections only; where none is recorded, ArrivedAt returns the current time.
+func (c *Conn) ArrivedAt(position int64) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if arrivedAt, ok := c.arrivals.lookup(place); ok {
+	if arrivedAt, ok := c.arrivals.lookup(position); ok {
 		return arrivedAt
 	}
 	return c.engine.loop.Now()
 }
 
-// recordArrival notes that n more bytes were read; c.mutex is held.
+// recordArrival records that n more bytes were read. The caller holds c.mutex.
 func (c *Conn) recordArrival(n int) {
 	c.bytesRead += int64(n)
 	if c.recordsArrivals {
@@ -100,7 +101,7 @@
 	}
 }
 
-// recordUnreadArrivals notes what the system holds of a connection that is not read for now.
+// recordUnreadArrivals records the arrival of the bytes in the system's buffer while the connection is not being read.
 func (c *Conn) recordUnreadArrivals() {
 	if !c.recordsArrivals {
 		return
@@ -114,10 +115,10 @@
 	})
 }
 
-// recordEarlyArrivals notes what came of a connection before it was accepted. While it waited for a slot the system
-// told nobody of its bytes; it does know how long ago the last of them came. Where it does not say, they count from
-// now.
-func (c *Conn) recordEarlyArrivals() {
+// recordArrivalsBeforeAccept records the arrival of the bytes that were received before the connection was accepted.
+// While the connection waited for a slot nobody was notified of them, but TCP_INFO has the time since the last of them
+// arrived. If TCP_INFO is not available, the current time is recorded.
+func (c *Conn) recordArrivalsBeforeAccept() {
 	if !c.recordsArrivals {
 		return
 	}
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -9,44 +9,44 @@
 	"limeladder/internal/eventloop"
 )
 
-// However many marks are asked for, few are kept, the moment reported is never later than the true one, and exact while
-// there is room.
+// However many arrivals are recorded, at most maxArrivalMarks marks are kept. The time returned is never later than the
+// true arrival, and exact as long as no marks were merged.
 func TestArrivals(t *testing.T) {
 	for _, pieces := range []int{1, maxArrivalMarks, 10 * maxArrivalMarks, 5000} {
 		r := rand.New(rand.NewPCG(1, uint64(pieces)))
 		var a arrivalLog
-		came := []time.Duration{0}
+		arrivals := []time.Duration{0}
 		now := time.Second
 		for range pieces {
 			now += time.Duration(1+r.IntN(5)) * arrivalResolution
 			for range 1 + r.IntN(9) {
-				came = append(came, now)
+				arrivals = append(arrivals, now)
 			}
-			a.record(int64(len(came)-1), now)
-			a.record(int64(r.IntN(len(came))), now+time.Second) // known already
+			a.record(int64(len(arrivals)-1), now)
+			a.record(int64(r.IntN(len(arrivals))), now+time.Second) // recorded already, so ignored
 			if len(a.marks) > maxArrivalMarks {
-				t.Fatalf("%d marks", len(a.marks))
+				t.Fatalf("%d marks, want at most maxArrivalMarks", len(a.marks))
 			}
 		}
-		for place := int64(1); place < int64(len(came)); place += 1 + int64(r.IntN(3)) {
+		for place := int64(1); place < int64(len(arrivals)); place += 1 + int64(r.IntN(3)) {
 			at, ok := a.lookup(place)
-			if !ok || at > came[place] || pieces <= maxArrivalMarks && at != came[place] {
-				t.Fatalf("byte %d of %d pieces came at %v, reported %v %v", place, pieces, came[place], at, ok)
+			if !ok || at > arrivals[place] || pieces <= maxArrivalMarks && at != arrivals[place] {
+				t.Fatalf("byte %d of %d pieces arrived at %v, lookup returned %v, %v", place, pieces, arrivals[place], at, ok)
 			}
 		}
-		if _, ok := a.lookup(int64(len(came))); ok {
-			t.Fatal("the moment of what has not come")
+		if _, ok := a.lookup(int64(len(arrivals))); ok {
+			t.Fatal("lookup found the arrival of a byte that has not arrived")
 		}
-		a.record(int64(len(came)-1), now+time.Second)
+		a.record(int64(len(arrivals)-1), now+time.Second)
 		if len(a.marks) > 0 {
-			t.Fatal("what was asked for is noted again")
+			t.Fatal("the arrival of bytes that were looked up already was recorded again")
 		}
 	}
 }
 
-// Bytes that wait, at the loop or in the system's buffer because the connection is read no further, have the moment
-// at which they came, not that at which they are looked at.
-func TestArrivalOfBytesThatAreNotRead(t *testing.T) {
+// Bytes that wait in the inbox, or in the system's buffer while the connection is not being read, have the time of
+// their arrival, not the time at which they are processed.
+func TestArrivalTimeOfUnreadBytes(t *testing.T) {
 	l := eventloop.New()
 	e, err := New(l, 1024, 1)
 	if err != nil {
@@ -60,14 +60,14 @@
 	s := &collector{want: 3, done: make(chan string, 9)}
 	conn, c := newPair(t, e, s)
 	runInLoop(l, func() { conn.SetPaused(true) })
-	send(t, c, "a") // it fills the inbox
-	waitUntil(t, "the first has come", func() bool {
+	send(t, c, "a") // fills the inbox
+	waitUntil(t, "the first byte is in the inbox", func() bool {
 		conn.mutex.Lock()
 		defer conn.mutex.Unlock()
 		return len(conn.inbox) == 1
 	})
 	send(t, c, "bc")
-	waitUntil(t, "the rest is noted in the system's buffer", func() bool {
+	waitUntil(t, "the arrival of the other bytes in the system's buffer is recorded", func() bool {
 		conn.mutex.Lock()
 		defer conn.mutex.Unlock()
 		n := len(conn.arrivals.marks)
@@ -79,13 +79,14 @@
 	expectEvent(t, s.done, "got")
 	runInLoop(l, func() {
 		if first, last := conn.ArrivedAt(1), conn.ArrivedAt(3); first > last || last > noted {
-			t.Errorf("came at %v and %v, noted at %v", first, last, noted)
+			t.Errorf("arrived at %v and %v, want them in order and not after %v", first, last, noted)
 		}
 	})
 }
 
-// What came while its connection waited for a slot counts from when it came, not from when there was room.
-func TestArrivalOfBytesBeforeAccept(t *testing.T) {
+// Bytes that arrive while their connection waits for a slot have the time of their arrival, not the time at which the
+// connection was accepted.
+func TestArrivalTimeOfBytesBeforeAccept(t *testing.T) {
 	l, e := newTestEngine(t)
 	opened := make(chan *Conn, 2)
 	s := &collector{want: 3, done: make(chan string, 9)}
@@ -102,7 +103,7 @@
 		return c
 	}
 	dial()
-	first := <-opened // it has the only slot
+	first := <-opened // uses the only slot
 	waits := dial()
 	sent := l.Now()
 	if _, err := waits.Write([]byte("abc")); err != nil {
@@ -111,15 +112,15 @@
 	const waited = 100 * time.Millisecond
 	waitUntil(t, "time has passed", func() bool { return l.Now() > sent+waited })
 	if len(opened) > 0 {
-		t.Fatal("it was accepted beyond the limit")
+		t.Fatal("a connection was accepted beyond the limit")
 	}
 	runInLoop(l, first.Close)
 	second := <-opened
 	expectEvent(t, s.done, "got")
 	runInLoop(l, func() {
-		// The system counts in its own ticks, of 10 ms at the most.
+		// The system's clock has ticks of at most 10 ms.
 		if at := second.ArrivedAt(3); at < sent-10*time.Millisecond || at > sent+waited/2 {
-			t.Errorf("sent at %v, reported %v later", sent, at-sent)
+			t.Errorf("sent at %v, arrival reported %v later, want -10 ms to 50 ms", sent, at-sent)
 		}
 	})
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -11,74 +11,76 @@
 	"limeladder/internal/eventloop"
 )
 
-// Handler is told what happens on a connection. After Closed nothing more is reported.
+// Handler handles the events of a connection. It is not called again after Closed.
 type Handler interface {
-	// Data hands over bytes that have come. p is valid until it returns.
+	// Data is called with received bytes. p is valid only until Data returns.
 	Data(p []byte)
-	// Closed says that the connection has ended, and why.
+	// Closed is called when the connection has ended, with the reason.
 	Closed(err error)
 }
 
-// WriteObserver is a Handler that is told when its peer has taken most of what was written.
+// WriteObserver is implemented by a Handler that is notified when most of the written bytes have been sent.
 type WriteObserver interface {
-	// WriteDrained says that no more bytes are left to take than Await has named.
+	// WriteDrained is called once the number of unsent bytes is at most the one given to NotifyWhenUnsentBelow.
 	WriteDrained()
 }
 
-// Conn is one connection. Its exported methods belong to the loop's goroutine.
+// Conn is one connection. Its exported methods must be called on the loop's goroutine.
 type Conn struct {
 	engine  *Engine
 	socket  *nbio.Conn
 	handler Handler
-	closed  bool // the handler is told nothing more
+	closed  bool // the handler is not called any more
 
-	post        func(func()) // hands the loop what happens on the connection
-	releaseSlot func()       // gives the listener's slot back, nil = the connection was dialed
+	post        func(func()) // posts events of the connection to the loop
+	releaseSlot func()       // releases the listener's slot, nil = the connection was dialed
 
 	// Writing.
-	bytesQueued  atomic.Int64 // handed to Write
-	bytesSent    atomic.Int64 // taken by the system
-	lowWaterMark atomic.Int64 // Taken is called once fewer bytes than this are left to take; 0 = it is not
+	bytesQueued  atomic.Int64 // passed to Write
+	bytesSent    atomic.Int64 // accepted by the system
+	lowWaterMark atomic.Int64 // WriteDrained is called once fewer bytes than this are unsent; 0 = no call is due
 
 	// Reading.
-	readMutex    sync.Mutex  // held by whoever reads the socket: the poller, or the loop
-	paused       bool        // the loop wants nothing more for now; written under mutex
-	pendingClose error       // the connection ended while it was paused, nil = it has not
-	promptClose  bool        // its end is reported at once, and what came before it is dropped
-	readsToEnd   atomic.Bool // it is read until nothing is left, so that a reset behind data is seen
+	readMutex         sync.Mutex  // held while the socket is read, by the poller or the loop
+	paused            bool        // the loop has paused reading; written under mutex
+	pendingClose      error       // the connection ended while it was paused, nil = it has not
+	reportCloseAtOnce bool        // the end is reported without delay, and unprocessed bytes before it are dropped
+	readsToEnd        atomic.Bool // each read continues until no data is left, so that a reset after data is detected
 
 	// Closing.
 	finish finishState
-	ended  atomic.Bool // by the peer, or because it was closed here
+	ended  atomic.Bool // by the peer, or closed by this process
 
-	descriptorMutex    sync.Mutex // held while the descriptor is used other than by nbio
-	descriptorReleased bool       // it must not be used any more
+	descriptorMutex    sync.Mutex // held while code other than nbio uses the descriptor
+	descriptorReleased bool       // the descriptor must not be used any more
 
-	mutex           sync.Mutex // guards what follows
-	inbox           []byte     // received and not looked at by the loop
-	inboxFull       bool       // the system may hold more, which is not read for now
-	dataPosted      bool       // the loop has been told of the inbox
+	mutex           sync.Mutex // guards the fields below
+	inbox           []byte     // received and not yet processed by the loop
+	inboxFull       bool       // reading has stopped; the system may hold more bytes
+	dataPosted      bool       // a call of deliver has been posted to the loop
 	recordsArrivals bool       // set before anything is received
 	bytesRead       int64
 	arrivals        arrivalLog
 }
 
-// finishState belongs to a connection that is being finished. Only the loop uses it.
+// finishState is the state of a connection that is being closed in order by Finish. Only the loop uses it.
 type finishState struct {
 	active       bool
-	timeout      time.Duration // for the peer to take more of what was written
-	lastProgress int64         // what it had taken when that was looked at last
+	timeout      time.Duration // how long the peer may accept none of the written bytes
+	lastProgress int64         // the value of bytesSent at the last check
 	timer        *eventloop.Timer
 }
 
-// RemoteAddr is the address of the peer.
+// RemoteAddr returns the address of the peer.
 func (c *Conn) RemoteAddr() string { return c.socket.RemoteAddr().String() }
 
-// PeerClosed reports whether the peer has ended the connection, though the handler may not have been told yet. With
-// look it asks the system too, which knows before the poller's goroutine has had its turn.
-func (c *Conn) PeerClosed(look bool) bool { return c.ended.Load() || look && c.peerHasEnded() }
+// PeerClosed reports whether the peer has ended the connection, even if the handler was not called yet. With askSystem
+// it also checks the socket, which shows the end before the poller's goroutine has processed it.
+func (c *Conn) PeerClosed(askSystem bool) bool {
+	return c.ended.Load() || askSystem && c.peerHasEnded()
+}
 
-// Close ends the connection; the handler is told nothing more.
+// Close closes the connection. The handler is not called any more.
 func (c *Conn) Close() {
 	if !c.closed || c.finish.active {
 		c.closed = true
@@ -88,13 +90,13 @@
 
 func (c *Conn) closeSocket() {
 	c.releaseDescriptor()
-	_ = c.socket.Close() // its only error is that it is closed already
+	_ = c.socket.Close() // the only error is that it is closed already
 }
 
-// handleClosed reports the end of the connection to its handler, later if it is paused.
+// handleClosed reports the end of the connection to its handler. If the connection is paused, the report is deferred.
 func (c *Conn) handleClosed(err error) {
 	c.stopFinishing()
-	if c.paused && !c.promptClose {
+	if c.paused && !c.reportCloseAtOnce {
 		c.deferClose(err)
 		return
 	}
@@ -104,7 +106,7 @@
 	}
 }
 
-// releaseDescriptor notes that the connection has ended, or is about to be closed: its descriptor is not used any more.
+// releaseDescriptor marks the connection as ended, or about to be closed: its descriptor must not be used any more.
 func (c *Conn) releaseDescriptor() {
 	c.descriptorMutex.Lock()
 	c.descriptorReleased = true
@@ -112,10 +114,12 @@
 	c.ended.Store(true)
 }
 
-// withDescriptor calls f with the descriptor, and reports whether it did: not once the descriptor is given back, or
-// is about to be, because another connection may have got the same number meanwhile. nbio's poller closes connections
-// in a goroutine of its own. Before that it reads, and where a connection is read until nothing is left (Exact) its
-// end is found by the read; elsewhere f may only look.
+// withDescriptor calls f with the descriptor and reports whether it did. It does not once the descriptor has been
+// released or is about to be, because another connection may have got the same number in the meantime.
+//
+// nbio's poller closes connections in a goroutine of its own. It reads first, and where a connection is read until no
+// data is left (readsToEnd), that read finds the end of the connection and releases the descriptor. On other
+// connections f must not modify the socket.
 func (c *Conn) withDescriptor(f func(descriptor int)) (ok bool) {
 	c.descriptorMutex.Lock()
 	defer c.descriptorMutex.Unlock()
@@ -125,7 +129,7 @@
 	return !c.descriptorReleased
 }
 
-// peerHasEnded asks the system whether the peer has ended the connection.
+// peerHasEnded checks the socket and reports whether the peer has ended the connection.
 func (c *Conn) peerHasEnded() (ended bool) {
 	ok := c.withDescriptor(func(descriptor int) {
 		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
@@ -135,11 +139,11 @@
 	return !ok || ended
 }
 
-// discardHandler ignores a connection that was turned away.
+// discardHandler is the Handler of a connection that was rejected. It ignores all events.
 type discardHandler struct{}
 
-// Data drops what has come.
+// Data implements Handler.
 func (discardHandler) Data([]byte) {}
 
-// Closed does nothing.
+// Closed implements Handler.
 func (discardHandler) Closed(error) {}
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -12,20 +12,20 @@
 	"limeladder/internal/eventloop"
 )
 
-func TestEchoOfMoreThanSocketsBuffer(t *testing.T) {
+func TestEchoExceedingTheSocketBuffer(t *testing.T) {
 	l, e := newTestEngine(t)
 	ln := listen(t, e, 64, func(c *Conn) Handler { return echoHandler{c} })
 	text := bytes.Repeat([]byte("limeladder"), 50_000)
-	for range 20 { // a dial that comes up at once must stay up, beyond its own time limit too
+	for range 20 { // an established connection must stay open after the timeout of its dial has passed
 		s := &collector{want: len(text), done: make(chan string, 9)}
 		dialCollector(l, e, ln.Addr().String(), 50*time.Millisecond, text, s)
 		expectEvent(t, s.done, "got")
 		if !bytes.Equal(s.got, text) {
-			t.Fatal("other bytes came back")
+			t.Fatal("the echoed bytes differ from those sent")
 		}
 		select {
 		case what := <-s.done:
-			t.Fatalf("%s by itself", what)
+			t.Fatalf("unexpected event %q after the echo", what)
 		case <-time.After(70 * time.Millisecond):
 		}
 	}
@@ -40,7 +40,7 @@
 	expectEvent(t, s.done, "failed")
 }
 
-// Stop ends although a connection comes up in the middle of it.
+// Guards against an Engine.Stop that hangs because nbio waits for a connection that is established meanwhile.
 func TestStopDoesNotHang(t *testing.T) {
 	l := eventloop.New()
 	e, err := New(l, 1024, 1<<20)
@@ -52,7 +52,7 @@
 	ln := listen(t, e, 64, func(c *Conn) Handler {
 		return echoHandler{c}
 	})
-	e.poller.OnClose(func(*nbio.Conn, error) { select {} }) // nbio never learns that one has closed
+	e.poller.OnClose(func(*nbio.Conn, error) { select {} }) // nbio's shutdown never sees a connection as closed
 	s := &collector{want: 1, done: make(chan string, 9)}
 	dialCollector(l, e, ln.Addr().String(), time.Second, []byte("x"), s)
 	expectEvent(t, s.done, "got")
@@ -64,7 +64,7 @@
 	expectEvent(t, stopped, "stopped")
 }
 
-// What is beyond the limit waits for a slot: it is not closed.
+// A connection beyond the limit waits for a slot: it is not closed.
 func TestConnectionsBeyondTheLimitWait(t *testing.T) {
 	l, e := newTestEngine(t)
 	ln := listen(t, e, 1, func(c *Conn) Handler { return echoHandler{c} })
@@ -91,7 +91,7 @@
 	open(&collector{want: 1, done: other}, make(chan *Conn, 1))
 	select {
 	case got := <-other:
-		t.Fatal(got, "without a slot")
+		t.Fatal("the second connection was served without a slot: ", got)
 	case <-time.After(50 * time.Millisecond):
 	}
 	conn := <-first
@@ -99,8 +99,9 @@
 	expectEvent(t, other, "got")
 }
 
-// A peer that sends faster than the loop reads has to wait: little of it is kept, and all of it comes, in order, though
-// the peer ends the connection behind it. So does one whose connection is paused.
+// A peer that sends faster than the loop processes its data, or while its connection is paused, is slowed down: only a
+// limited number of bytes is buffered, and all bytes are reported in order even if the peer closes the connection after
+// them.
 func TestFastSenderIsSlowedDown(t *testing.T) {
 	const inbox, total = 64 << 10, 6 << 20
 	l := eventloop.New()
@@ -127,7 +128,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectEvent(t, s.done, "accepted") // the loop has the connection before it is kept busy
+		expectEvent(t, s.done, "accepted") // the connection must be accepted before the loop is kept busy
 		resume := stopLoopOrConn(l, conn, pause)
 		wrote := make(chan error)
 		go func() {
@@ -140,7 +141,7 @@
 			n, full := len(conn.inbox), conn.inboxFull
 			conn.mutex.Unlock()
 			if n > inbox+readBufferBytes {
-				t.Fatalf("%d bytes kept", n)
+				t.Fatalf("%d bytes in the inbox, want at most its limit and one read", n)
 			}
 			return full
 		})
@@ -150,7 +151,7 @@
 		}
 		expectEvent(t, s.done, "closed")
 		if !bytes.Equal(s.got, sent) {
-			t.Fatalf("%d bytes came, or other ones", len(s.got))
+			t.Fatalf("received %d bytes that are not those sent", len(s.got))
 		}
 	}
 }
@@ -171,7 +172,7 @@
 	return func() { close(free) }
 }
 
-// A connection that is to be closed is not cut while its peer goes on taking, however long that takes.
+// Finish does not cut off a connection while its peer keeps reading, however long that takes.
 func TestFinishWaitsForASlowReader(t *testing.T) {
 	l, e := newTestEngine(t)
 	const total = 7 << 20
@@ -196,7 +197,7 @@
 		time.Sleep(15 * time.Millisecond)
 	}
 	if got != total {
-		t.Fatalf("%d bytes, %v", got, err)
+		t.Fatalf("received %d bytes, want all of them; read error: %v", got, err)
 	}
 	l.Post(func() {})
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,17 +8,18 @@
 	"github.com/lesismal/nbio"
 )
 
-// dialedReadBuffer is what the system keeps of a dialed connection that is paused, and what comes at once with its end.
+// dialedReadBuffer is the size in bytes of the system's receive buffer for a dialed connection. It bounds what is
+// buffered while the connection is paused, and what is read in one go when the connection ends.
 const dialedReadBuffer = 4 * readBufferBytes
 
-// Dial opens a connection within the given time. done is called in the loop, once; the handler it returns is told what
-// happens on the connection.
+// Dial opens a connection within the given timeout. done is called once, in the loop, with the connection or an error.
+// The Handler that it returns handles the events of the connection.
 //
-// nbio's own dial cuts the first four bytes of the sixteen that an IPv4 address has in net.IP, so whatever it is
-// given it connects to 0.0.0.0. The system's dialer connects instead and nbio takes over from there.
-func (e *Engine) Dial(addr string, within time.Duration, done func(c *Conn, err error) Handler) {
+// nbio's own dial function uses the first four of the sixteen bytes that net.IP has for an IPv4 address, so it connects
+// to 0.0.0.0 whatever the address. The dialer of package net is used instead, and nbio takes over the connection.
+func (e *Engine) Dial(addr string, timeout time.Duration, done func(c *Conn, err error) Handler) {
 	go func() {
-		dialed, err := net.DialTimeout("tcp", addr, within)
+		dialed, err := net.DialTimeout("tcp", addr, timeout)
 		e.loop.Post(func() {
 			if err == nil {
 				dialed.(*net.TCPConn).SetReadBuffer(dialedReadBuffer)
@@ -31,9 +32,9 @@
 	}()
 }
 
-// adopt hands a connection to the poller, in the loop: what the poller reports of it comes after open, which returns
-// nil to turn it away. releaseSlot is nil for a connection that was dialed; otherwise it is called once, when the
-// connection needs no slot any more.
+// adopt adds a connection to the poller. It runs in the loop, so open is called before the first event of the
+// connection; open returns nil to reject the connection. releaseSlot is nil for a connection that was dialed. Otherwise
+// it is called once, when the connection no longer needs its slot.
 func (e *Engine) adopt(
 	conn net.Conn, releaseSlot func(), post func(func()), open func(c *Conn) Handler,
 ) error {
@@ -51,8 +52,8 @@
 	}
 	c := &Conn{engine: e, socket: socket, releaseSlot: releaseSlot, post: post}
 	c.recordsArrivals = accepted
-	c.readsToEnd.Store(accepted) // accepted connections are finished: their end has to be seen before nbio closes them
-	c.recordEarlyArrivals()
+	c.readsToEnd.Store(accepted) // for Finish, the end of an accepted connection must be detected before nbio closes it
+	c.recordArrivalsBeforeAccept()
 	socket.SetSession(c)
 	e.connectionCount.Add(1)
 	if _, err := e.poller.AddConn(socket); err != nil {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -16,28 +16,29 @@
 type Engine struct {
 	loop       *eventloop.Loop
 	poller     *nbio.Engine
-	inboxBytes int // of one connection that may wait for the loop
+	inboxBytes int // maximum unprocessed bytes of one connection before reading stops
 
-	// These belong to the loop.
-	finishing    int     // connections that are being finished
-	lingering    []*Conn // those whose peer has yet to end its side, the oldest first; they have no slot any more
+	// Only the loop uses these.
+	finishing    int     // connections that are being closed by Finish
+	lingering    []*Conn // those that wait for the peer to close its side, oldest first; they no longer have a slot
 	maxLingering int
 	loopBuffer   []byte // for reads by the loop
 
-	// connectionCount orders memory: what was written to a connection before it was counted here is seen by the poller's
-	// goroutine, which reads the count before it looks at a connection.
+	// connectionCount provides memory ordering: writes to a Conn before it is counted here are visible to the poller's
+	// goroutine, which loads the count before it uses a Conn.
 	connectionCount atomic.Int64
 }
 
 const (
-	spareFiles         = 64      // entries of nbio's table beyond the descriptors that connections may have
-	unusedBufferBytes  = 1 << 10 // nbio's own read buffer, which is not used
-	maxUnsentBytes     = 8 << 20 // of one connection; what a peer may leave unread is bounded by its owner, at less
+	spareFiles         = 64      // entries of nbio's table in addition to the descriptors that connections may have
+	unusedBufferBytes  = 1 << 10 // size of nbio's own read buffer, which is not used
+	maxUnsentBytes     = 8 << 20 // of one connection; the connection's owner sets a lower limit
 	pollerShutdownTime = time.Second
 )
 
-// New starts the poller. maxFiles bounds the descriptors it has room for, inboxBytes the bytes of one connection that
-// may wait for the loop: beyond them it is not read until the loop has looked at them.
+// New returns an Engine with a running poller. maxFiles is the number of descriptors that the poller has room for.
+// inboxBytes bounds the bytes of one connection that wait for the loop: beyond it the connection is not read until the
+// loop has processed them.
 func New(loop *eventloop.Loop, maxFiles, inboxBytes int) (*Engine, error) {
 	logging.SetLevel(logging.LevelNone)
 	// nbio keeps a table of this many entries; its default follows the hard limit and may take 16 MB.
@@ -49,8 +50,8 @@
 		inboxBytes:   inboxBytes,
 		maxLingering: MaxLingering(maxFiles),
 		loopBuffer:   make([]byte, readBufferBytes),
-		// Edge-triggered, with reads of our own: nbio cannot leave a connection unread, and its level-triggered poller
-		// would spin on one that is.
+		// Edge-triggered, with reads by this package: nbio itself cannot stop reading a connection, and its
+		// level-triggered poller would spin on a connection that is not read.
 		poller: nbio.NewEngine(nbio.Config{
 			NPoller:            1,
 			ReadBufferSize:     unusedBufferBytes,
@@ -65,7 +66,7 @@
 	return e, nil
 }
 
-// registerCallbacks lets the poller report to the connections.
+// registerCallbacks registers the callbacks with which the poller reports events to the connections.
 func (e *Engine) registerCallbacks() {
 	pollerBuffer := make([]byte, readBufferBytes)
 	e.poller.OnRead(func(socket *nbio.Conn) {
@@ -78,7 +79,7 @@
 			c.handleSent(int64(n))
 		}
 	})
-	// nbio calls this one in a goroutine of its own: the descriptor may have been given back already.
+	// nbio calls this one in a goroutine of its own: the descriptor may have been closed already.
 	e.poller.OnClose(func(socket *nbio.Conn, err error) {
 		c, ok := e.connOf(socket)
 		if !ok {
@@ -92,7 +93,7 @@
 	})
 }
 
-// connOf is the connection of a socket. ok is false for a socket that is not set up yet.
+// connOf returns the connection of a socket. ok is false for a socket that is not set up yet.
 func (e *Engine) connOf(socket *nbio.Conn) (c *Conn, ok bool) {
 	c, ok = socket.Session().(*Conn)
 	if ok {
@@ -101,10 +102,10 @@
 	return c, ok
 }
 
-// Stop closes all connections and ends the poller. nbio waits for ever for a connection that comes up while it looks
-// through those it has, so its time is limited: the end of the program must not hang on it.
+// Stop closes all connections and stops the poller. nbio's shutdown never returns if a connection is established while
+// it iterates over the existing ones, so it runs with a timeout: the end of the process must not hang on it.
 func (e *Engine) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), pollerShutdownTime)
 	defer cancel()
-	_ = e.poller.Shutdown(ctx) // its only error is that the time is over
+	_ = e.poller.Shutdown(ctx) // the only error is that the timeout has passed
 }
--- a/internal/transport/finish.go
+++ b/internal/transport/finish.go
@@ -7,36 +7,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// LingerTimeout is how long a connection that is finished waits for its peer to end its side. A peer that is there
-// needs a round trip and a turn of its own; one that is not there must not hold a descriptor for longer.
+// LingerTimeout is how long a connection closed by Finish waits for the peer to close its side. A reachable peer needs
+// a round trip and some time to process the end; an unreachable one must not hold a descriptor for longer.
 const LingerTimeout = time.Second
 
-// MaxLingering is how many connections may wait for their peer to end its side, of so many descriptors.
+// MaxLingering returns how many connections may wait for their peer to close its side, given the number of descriptors.
 func MaxLingering(maxFiles int) int { return max(1, maxFiles/32) }
 
-// Finishing is the number of connections that are being finished: their last bytes are not taken yet, or their peer has
-// yet to end its side.
+// Finishing returns the number of connections that are being closed by Finish: their last bytes are not sent yet, or
+// their peer has not closed its side yet.
 func (e *Engine) Finishing() int { return e.finishing }
 
-// Finish ends the connection in order; the handler is told nothing more. Once the system has taken all that was
-// written, the sending side is shut: the peer reads all of it and then the end. What the peer still sends is read and
-// dropped until it ends its side, for Linger at most. A peer that takes nothing for the given time is given up.
+// Finish closes the connection in order; the handler is not called any more. Once the system has accepted all written
+// bytes, the sending side is shut down, so that the peer reads all of them and then the end. Data that the peer still
+// sends is read and dropped until the peer closes its side, for LingerTimeout at most. If the peer accepts no bytes
+// during the given timeout, the connection is closed.
 //
-// A close while bytes lie unread would reset the connection, and what the peer has not read by then, the last response,
-// may be lost to it. A request that crosses the end is not accepted, and the peer, which reads an end in place of a
-// response, can tell.
+// Closing a socket with unread bytes would reset the connection, and the peer might lose what it has not read by then,
+// which is the last response. A request that the peer sends at the same time is not accepted. The peer can tell,
+// because it reads the end of the connection instead of a response.
 func (c *Conn) Finish(timeout time.Duration) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	if c.pendingClose != nil {
-		return // its end has been reported here
+		return // the poller has reported the end already
 	}
 	c.finish.active = true
 	c.engine.finishing++
 	if c.ended.Load() {
-		return // the poller has closed it, and the report of its end is on its way here
+		return // the poller has closed the connection; its report of the end has been or will be posted
 	}
 	c.finish.timeout = timeout
 	c.finish.lastProgress = c.bytesSent.Load()
@@ -49,7 +50,7 @@
 	c.resumeToFinish()
 }
 
-// resumeToFinish goes on with a connection that was paused: what is left unread would make a reset of its close.
+// resumeToFinish resumes the reading of a paused connection: closing it with unread bytes would reset it.
 func (c *Conn) resumeToFinish() {
 	c.mutex.Lock()
 	paused := c.paused
@@ -62,7 +63,7 @@
 	}
 }
 
-// checkProgress gives up a peer that has taken nothing since the last check.
+// checkProgress closes the connection if the system has accepted no bytes since the last check.
 func (c *Conn) checkProgress() {
 	sent := c.bytesSent.Load()
 	if sent > c.finish.lastProgress {
@@ -73,19 +74,19 @@
 	c.closeSocket()
 }
 
-// shutdownWrite ends the sending side and waits for the peer to end its own.
+// shutdownWrite shuts down the sending side and waits for the peer to close its own.
 func (c *Conn) shutdownWrite() {
-	// It fails where the peer has reset the connection, the report of whose end is on its way here then.
+	// It fails if the peer has reset the connection; the end is reported separately in that case.
 	c.withDescriptor(func(descriptor int) { _ = unix.Shutdown(descriptor, unix.SHUT_WR) })
 	if c.releaseSlot != nil {
-		c.releaseSlot() // connections that linger have a limit of their own
+		c.releaseSlot() // lingering connections have a limit of their own
 	}
 	c.finish.timer.Stop()
 	c.finish.timer = c.engine.loop.AfterFunc(LingerTimeout, c.closeSocket)
 	c.engine.addLingering(c)
 }
 
-// stopFinishing stops counting the connection among those that are being finished.
+// stopFinishing ends the orderly close of a connection that has ended, if one is in progress.
 func (c *Conn) stopFinishing() {
 	if !c.finish.active {
 		return
@@ -96,8 +97,8 @@
 	c.engine.lingering = slices.DeleteFunc(c.engine.lingering, func(other *Conn) bool { return other == c })
 }
 
-// addLingering keeps a connection until its peer ends its side. Peers that never do must not take the descriptors that
-// others need, so beyond the limit the oldest one is closed.
+// addLingering keeps a connection open until the peer closes its side. Peers that never do must not use up the
+// descriptors, so beyond the limit the oldest lingering connection is closed.
 func (e *Engine) addLingering(c *Conn) {
 	e.lingering = append(e.lingering, c)
 	if len(e.lingering) > e.maxLingering {
--- a/internal/transport/finish_test.go
+++ b/internal/transport/finish_test.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// A connection is finished while bytes of its peer lie unread in the system: the peer still gets all that was
-// written, and then the end, not a reset. So it does where the connection was paused.
-func TestFinishOverUnreadBytesIsNoReset(t *testing.T) {
+// If bytes of the peer are unread in the system's buffer when a connection is finished, the peer still receives all
+// written bytes and then the end, not a reset. The same applies to a connection that was paused.
+func TestFinishWithUnreadBytesDoesNotReset(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		l, e := newTestEngine(t)
-		e.inboxBytes = 1 // what comes behind the first byte stays in the system
+		e.inboxBytes = 1 // reading stops after the first read, and later bytes stay in the system's buffer
 		conn, c := newPair(t, e, &collector{want: 1 << 40, done: make(chan string, 9)})
 		busy, free := make(chan bool), make(chan bool)
 		l.Post(func() {
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 		}
-		waitUntil(t, "bytes lie unread", func() bool {
+		waitUntil(t, "bytes are unread in the system's buffer", func() bool {
 			n := 0
 			conn.withDescriptor(func(fd int) { n, _ = unix.IoctlGetInt(fd, unix.TIOCINQ) })
 			return n > 0
@@ -50,32 +50,32 @@
 				break
 			}
 			if err != nil {
-				t.Fatalf("paused %v: %q, %v", paused, got, err)
+				t.Fatalf("paused %v: received %q, then %v, want EOF", paused, got, err)
 			}
 		}
 		if string(got) != "the last answer" {
-			t.Fatalf("paused %v: %q", paused, got)
+			t.Fatalf("paused %v: received %q, want the last answer", paused, got)
 		}
-		// What crosses the end is read and dropped, and the peer's own end ends it.
+		// Data that the peer sends meanwhile is read and dropped, and the connection ends when the peer closes it.
 		send(t, c, "one more request")
 		c.Close()
-		waitUntil(t, "its end", func() (over bool) {
+		waitUntil(t, "the connection has ended", func() (over bool) {
 			runInLoop(l, func() { over = e.Finishing() == 0 })
 			return over
 		})
 	}
 }
 
-// Peers that never end their side hold no slot of the listener, and no more descriptors than are meant for them.
+// Peers that never close their side hold no slot of the listener, and at most MaxLingering descriptors.
 func TestLingeringIsBounded(t *testing.T) {
 	l, e := newTestEngine(t)
-	most := MaxLingering(1024)
-	for range most + 20 {
+	maxLingering := MaxLingering(1024)
+	for range maxLingering + 20 {
 		conn, _ := newPair(t, e, &collector{want: 1, done: make(chan string, 9)})
 		runInLoop(l, func() {
 			conn.Finish(time.Second)
-			if len(e.lingering) > most {
-				t.Errorf("%d linger, %d may", len(e.lingering), most)
+			if len(e.lingering) > maxLingering {
+				t.Errorf("%d lingering connections, want at most %d", len(e.lingering), maxLingering)
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	})
 }
 
-// A connection that is finished gives back its listener's slot at once, whether or not its peer ends its side.
+// Finish releases the listener's slot without waiting for the peer to close its side.
 func TestFinishReleasesTheSlot(t *testing.T) {
 	l, e := newTestEngine(t)
 	accepted := make(chan *Conn, 9)
@@ -98,19 +98,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close() // not before the end
+		defer c.Close() // only at the end of the test
 		select {
 		case conn := <-accepted:
 			runInLoop(l, func() { conn.Finish(time.Second) })
 		case <-time.After(LingerTimeout / 2):
-			t.Fatal("no slot")
+			t.Fatal("no slot was released within half of LingerTimeout")
 		}
 	}
 }
 
-// The end of a connection that is paused is reported at once where its peer's end says that it wants nothing more,
-// and what lay before it is dropped.
-func TestPromptCloseOfAPausedConnection(t *testing.T) {
+// After ReportCloseAtOnce the end of a paused connection is reported without delay, and unprocessed data before it is
+// dropped.
+func TestReportCloseAtOnceWhilePaused(t *testing.T) {
 	l, e := newTestEngine(t)
 	s := &collector{want: 1, done: make(chan string, 9)}
 	conn, c := newPair(t, e, s)
@@ -119,7 +119,7 @@
 		conn.SetPaused(true)
 	})
 	send(t, c, "asked ahead")
-	waitUntil(t, "it has come", func() bool {
+	waitUntil(t, "the data is in the inbox", func() bool {
 		conn.mutex.Lock()
 		defer conn.mutex.Unlock()
 		return len(conn.inbox) > 0
@@ -128,18 +128,19 @@
 	expectEvent(t, s.done, "closed")
 }
 
-// A reset right behind data is reported as a reset, and an end as an end, though the poller finds both at once.
-func TestResetBehindDataIsReported(t *testing.T) {
+// A reset immediately after data is reported as a reset, and an orderly end as EOF, even if the poller finds both in
+// one turn.
+func TestResetAfterDataIsReported(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		_, e := newTestEngine(t)
 		s := endRecorder{make(chan string, 9), make(chan error, 9)}
 		conn, c := newPair(t, e, s)
 		conn.DetectResets()
-		// The poller is kept at another connection until all has come here, and then finds it at once.
+		// The poller is blocked at another connection until the data and the end have arrived here.
 		other, o := newPair(t, e, endRecorder{make(chan string, 9), make(chan error, 9)})
 		other.readMutex.Lock()
 		send(t, o, "x")
-		waitUntil(t, "the poller is kept", func() bool {
+		waitUntil(t, "the poller is blocked", func() bool {
 			return strings.Contains(goroutineStacks(), "transport.(*Conn).read(")
 		})
 		send(t, c, "{}")
@@ -147,23 +148,23 @@
 			c.SetLinger(0)
 		}
 		c.Close()
-		waitUntil(t, "its end has come", conn.peerHasEnded)
+		waitUntil(t, "the end has arrived", conn.peerHasEnded)
 		other.readMutex.Unlock()
 		if got := <-s.data; got != "{}" {
-			t.Errorf("%q", got)
+			t.Errorf("received %q, want {}", got)
 		}
 		select {
 		case err := <-s.err:
 			if errors.Is(err, io.EOF) == reset {
-				t.Errorf("reset %v: %v", reset, err)
+				t.Errorf("reset %v: the connection ended with %v", reset, err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("no end")
+			t.Fatal("the end was not reported within 20 s")
 		}
 	}
 }
 
-// The descriptor is not used once it is given back: another connection may have it.
+// The descriptor is not used after it was released: another connection may have the same number.
 func TestClosedDescriptorIsNotUsed(t *testing.T) {
 	l, e := newTestEngine(t)
 	s := &collector{want: 1, done: make(chan string, 9)}
@@ -171,28 +172,28 @@
 	c.Close()
 	expectEvent(t, s.done, "closed")
 	runInLoop(l, func() {
-		used := conn.withDescriptor(func(int) { t.Error("used") })
+		used := conn.withDescriptor(func(int) { t.Error("the released descriptor was used") })
 		ended := conn.peerHasEnded() && conn.PeerClosed(false)
 		if used || !ended || conn.Quiet() {
-			t.Error("a connection that has ended is taken for one that has not")
+			t.Error("an ended connection is treated as open")
 		}
 	})
 }
 
-// nbio has closed a connection and has yet to report it, in a goroutine of its own: its descriptor is not used any more
-// all the same.
+// The descriptor is not used either after nbio has closed the connection but has not reported that yet, which it does
+// in a goroutine of its own.
 func TestReleasedDescriptorIsNotUsed(t *testing.T) {
 	_, e := newTestEngine(t)
-	told := make(chan bool)
-	e.poller.OnClose(func(*nbio.Conn, error) { <-told })
-	defer close(told)
+	reported := make(chan bool)
+	e.poller.OnClose(func(*nbio.Conn, error) { <-reported })
+	defer close(reported)
 	conn, c := newPair(t, e, &collector{want: 1, done: make(chan string, 9)})
 	c.Close()
-	waitUntil(t, "nbio has closed it", func() bool {
+	waitUntil(t, "nbio has closed the connection", func() bool {
 		closed, _ := conn.socket.IsClosed()
 		return closed
 	})
 	if conn.withDescriptor(func(int) {}) {
-		t.Fatal("its descriptor is used")
+		t.Fatal("the released descriptor was used")
 	}
 }
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -8,33 +8,33 @@
 	"syscall"
 )
 
-// inheritedListener accepts on a socket that other processes hold too. Whether it blocks is shared by all of them: one
-// that passes the socket on may make it blocking at any time. An accept that blocks in the system would hold up the
-// close of the listener and with it the end of the process, so each accept makes the socket non-blocking first.
+// inheritedListener accepts connections on a socket that other processes hold too. All of them share its blocking mode,
+// and a process that passes the socket on may make it blocking at any time. An accept that blocks in the system call
+// would delay the close of the listener and the end of the process, so each accept makes the socket non-blocking first.
 type inheritedListener struct {
 	file *os.File
 	raw  syscall.RawConn
 	addr net.Addr
 }
 
-// Inherit makes a listener of a socket that this process was given and that others hold too. addr is where it should
-// listen.
+// Inherit returns a listener for a socket that this process inherited and that other processes hold too. It returns an
+// error if the descriptor is not a listening socket or the socket does not listen at addr.
 func Inherit(descriptor int, addr string) (net.Listener, error) {
 	listens, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
-		return nil, fmt.Errorf("descriptor %d is no socket that listens", descriptor)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket", descriptor)
 	}
-	// A file that does not block is waited for by the runtime's poller.
+	// The runtime's poller only handles files that are non-blocking.
 	if err := syscall.SetNonblock(descriptor, true); err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
 	}
 	file := os.NewFile(uintptr(descriptor), "listener")
 	if file == nil {
-		return nil, fmt.Errorf("%d is no descriptor", descriptor)
+		return nil, fmt.Errorf("%d is not a valid descriptor", descriptor)
 	}
 	listener, err := newInheritedListener(file, addr)
 	if err != nil {
-		_ = file.Close() // it is not used
+		_ = file.Close() // the file is not used
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
 	}
 	return listener, nil
@@ -51,14 +51,14 @@
 	}
 	want, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil || !listensAt(address, want) {
-		return nil, fmt.Errorf("listens at %s, not at %s", address, addr)
+		return nil, fmt.Errorf("socket listens at %s, not at %s", address, addr)
 	}
 	return &inheritedListener{file: file, raw: raw, addr: address}, nil
 }
 
-// listeningAddress returns where a socket listens. The socket stays open.
+// listeningAddress returns the address that a socket listens at. The socket stays open.
 func listeningAddress(file *os.File) (net.Addr, error) {
-	listener, err := net.FileListener(file) // on a descriptor of its own
+	listener, err := net.FileListener(file) // uses a duplicate of the descriptor
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	return address, nil
 }
 
-// listensAt reports whether a listener has the address and port that are wanted, as far as they are given.
+// listensAt reports whether a listener has the wanted IP address and port. An unset IP or a port of 0 matches any.
 func listensAt(address net.Addr, want *net.TCPAddr) bool {
 	got, ok := address.(*net.TCPAddr)
 	if !ok {
@@ -96,11 +96,11 @@
 		return nil, os.NewSyscallError("accept4", acceptErr)
 	}
 	file := os.NewFile(uintptr(descriptor), "connection")
-	defer func() { _ = file.Close() }() // the connection has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
 
-// acceptWithoutBlocking accepts a connection, or returns EAGAIN where there is none.
+// acceptWithoutBlocking accepts a connection, or returns EAGAIN if none is pending.
 func acceptWithoutBlocking(socket int) (descriptor int, err error) {
 	for {
 		if err := syscall.SetNonblock(socket, true); err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Close implements net.Listener. The socket goes on listening for the other processes.
+// Close implements net.Listener. The socket keeps listening for the other processes that hold it.
 func (l *inheritedListener) Close() error { return l.file.Close() }
 
 // Addr implements net.Listener.
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -21,15 +21,15 @@
 	closed    bool
 }
 
-// The pauses after an accept has failed, which grow.
+// The bounds of the delay after a failed accept, which doubles with each failure.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 500 * time.Millisecond
 )
 
-// Listen accepts at addr, at most maxOpen connections at a time: further ones wait in the system's queue until there is
-// room, rather than being closed on what they have sent. accept is called in the loop; it returns nil to turn the
-// connection away.
+// Listen listens at addr and accepts connections while fewer than maxOpen are open. Further ones wait in the system's
+// queue for a slot: accepting and closing them would lose what they have sent. accept is called in the loop with each
+// connection; it returns nil to reject the connection.
 func (e *Engine) Listen(
 	addr string, maxOpen int, log *slog.Logger, accept func(c *Conn) Handler,
 ) (*Listener, error) {
@@ -40,8 +40,8 @@
 	return e.Serve(listener, maxOpen, e.loop.Post, log, accept), nil
 }
 
-// Serve is Listen on a socket that is bound already. What happens on its connections enters the loop by post, which is
-// Loop.Post or Loop.PostUrgent.
+// Serve is like Listen, on a listener that exists already. The events of its connections are posted to the loop with
+// post, which is Loop.Post or Loop.PostUrgent.
 func (e *Engine) Serve(
 	listener net.Listener, maxOpen int, post func(func()), log *slog.Logger, accept func(c *Conn) Handler,
 ) *Listener {
@@ -62,7 +62,8 @@
 			if !isTemporary(err) {
 				return
 			}
-			// Without a pause this loop would be all that runs, and all that is logged, while no descriptor is free.
+			// Without a delay, and a log record for the first failure only, this loop would use all of a core and flood the
+			// log while no descriptor is free.
 			if backoff == minAcceptBackoff {
 				log.Warn("accept failed", "error", err)
 			}
@@ -73,13 +74,13 @@
 		backoff = minAcceptBackoff
 		post(func() {
 			if err := e.adopt(conn, l.releaseSlot, post, accept); err != nil {
-				log.Warn("connection lost", "error", err)
+				log.Warn("accepted connection could not be added to the poller", "error", err)
 			}
 		})
 	}
 }
 
-// pause waits for a time, or until the listener is closed: Close, which the event loop calls, waits for this goroutine.
+// pause waits for the given time, or until the listener is closed, because Close waits for this goroutine.
 func (l *Listener) pause(backoff time.Duration) {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
@@ -89,21 +90,21 @@
 	}
 }
 
-// isTemporary reports whether a later accept may succeed: all errors but that of a closed listener are.
+// isTemporary reports whether a later accept may succeed, which is so for all errors except that of a closed listener.
 func isTemporary(err error) bool {
 	var netErr net.Error
 	timeout := errors.As(err, &netErr) && netErr.Timeout()
 	return timeout || !errors.Is(err, net.ErrClosed)
 }
 
-// Addr is the address that it listens at.
+// Addr returns the address that the listener listens at.
 func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
 
-// Close stops accepting. What waits in the system's queue is left to whoever else holds the socket. It waits for an
-// accept that is under way, so it is not for the loop's goroutine. All connections that were accepted are posted to the
-// loop before it returns.
+// Close stops accepting. Connections that wait in the system's queue are left to the other processes that hold the
+// socket. Close waits for an accept that is in progress, so it must not be called on the loop's goroutine. All accepted
+// connections have been posted to the loop when it returns.
 func (l *Listener) Close() {
-	l.listener.Close() // never a shutdown, which would end it for the other process too
+	l.listener.Close() // not a shutdown, which would stop the other processes from accepting too
 	l.update(func() {
 		if !l.closed {
 			close(l.closing)
@@ -113,10 +114,10 @@
 	<-l.done
 }
 
-// Resize sets how many connections may be open at a time. Those that exceed it stay.
+// Resize sets how many connections may be open at a time. Open connections beyond the new limit are not closed.
 func (l *Listener) Resize(maxOpen int) { l.update(func() { l.maxOpen = maxOpen }) }
 
-// update changes what acquireSlot waits for.
+// update changes the state that acquireSlot waits for, under the mutex, and wakes it.
 func (l *Listener) update(change func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -126,7 +127,7 @@
 
 func (l *Listener) releaseSlot() { l.update(func() { l.open-- }) }
 
-// acquireSlot waits until one more connection may be open; false says that the listener is closed.
+// acquireSlot waits until one more connection may be opened. It returns false if the listener is closed.
 func (l *Listener) acquireSlot() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -30,16 +30,16 @@
 	return nil
 }
 
-// Guards against an event loop that waits, when it closes a listener, for the pause after a failed accept.
+// Guards against a Close of a listener that waits for the delay after a failed accept.
 func TestCloseDoesNotWaitForTheAcceptBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &Engine{}
 		listener := engine.Serve(&failingListener{}, 1, func(func()) {}, slog.New(slog.DiscardHandler), nil)
-		time.Sleep(10 * maxAcceptBackoff) // in the longest pause by now
+		time.Sleep(10 * maxAcceptBackoff) // the backoff has reached its maximum by now
 		closedAt := time.Now()
 		listener.Close()
 		if waited := time.Since(closedAt); waited > 0 {
-			t.Errorf("Close waited for %v", waited)
+			t.Errorf("Close waited for %v, want no wait", waited)
 		}
 	})
 }
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -7,17 +7,19 @@
 	"syscall"
 )
 
-// readBufferBytes is the size of one read.
+// readBufferBytes is the size of the buffer for one read, in bytes.
 const readBufferBytes = 32 << 10
 
-// read keeps what has come for the loop. A peer that sends faster than the loop looks at it must not fill the memory:
-// beyond the inbox the socket is left unread until deliver reads on, and the peer finds its window closed.
+// read reads from the socket into the inbox. A peer that sends faster than the loop processes its data must not exhaust
+// the memory: once the inbox is full, the socket is not read until deliver resumes it, and TCP flow control stops the
+// peer.
 func (c *Conn) read(buf []byte) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
 	for {
-		// The poller closes a connection as soon as its peer has ended it. What was sent before must not be lost.
-		if c.noteInboxFull() && !c.peerHasEnded() {
+		// The poller closes a connection as soon as its peer has ended it. Data sent before the end must not be lost, so
+		// it is read even beyond the limit of the inbox.
+		if c.updateInboxFull() && !c.peerHasEnded() {
 			c.recordUnreadArrivals()
 			return
 		}
@@ -31,26 +33,26 @@
 		if n <= 0 || err != nil {
 			c.releaseDescriptor() // nbio closes it next
 			if err != nil {
-				_ = c.socket.CloseWithError(err) // the handler is told by OnClose, whatever this returns
+				_ = c.socket.CloseWithError(err) // OnClose reports the end, whatever this returns
 			}
 			return
 		}
 		c.receive(buf[:n])
 		if n < len(buf) && !c.readsToEnd.Load() {
-			return // the poller reports what comes from now on
+			return // the poller reports data that arrives later
 		}
 	}
 }
 
-// noteInboxFull notes and reports whether the inbox is full.
-func (c *Conn) noteInboxFull() bool {
+// updateInboxFull updates inboxFull and returns it.
+func (c *Conn) updateInboxFull() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.inboxFull = len(c.inbox) >= c.engine.inboxBytes
 	return c.inboxFull
 }
 
-// receive puts bytes into the inbox and tells the loop unless it has been told.
+// receive appends bytes to the inbox and posts deliver unless it has been posted already.
 func (c *Conn) receive(p []byte) {
 	c.mutex.Lock()
 	c.inbox = append(c.inbox, p...)
@@ -63,7 +65,8 @@
 	}
 }
 
-// deliver hands the inbox to the handler, in the loop, and reads on where the socket was left unread.
+// deliver passes the inbox to the handler, in the loop, and resumes reading if it had stopped because the inbox was
+// full.
 func (c *Conn) deliver() {
 	c.mutex.Lock()
 	if c.paused {
@@ -77,7 +80,7 @@
 	c.dataPosted = false
 	c.inboxFull = false
 	c.mutex.Unlock()
-	dropped := c.promptClose && c.ended.Load()
+	dropped := c.reportCloseAtOnce && c.ended.Load()
 	wanted := !c.closed && !dropped
 	if wanted && len(p) > 0 {
 		c.handler.Data(p)
@@ -87,7 +90,8 @@
 	}
 }
 
-// SetPaused stops the reading of the connection, or goes on with it. What has come before its end is still reported.
+// SetPaused pauses or resumes the connection. While it is paused no data is reported, and reading stops once the inbox
+// is full. If the connection ends meanwhile, the data received before the end is still reported after the pause.
 func (c *Conn) SetPaused(paused bool) {
 	if c.closed || c.paused == paused {
 		return
@@ -105,19 +109,20 @@
 	}
 }
 
-// deferClose keeps the end of a connection that is paused until it goes on.
+// deferClose stores the end of a paused connection until the connection is resumed.
 func (c *Conn) deferClose(err error) { c.pendingClose = cmp.Or(err, net.ErrClosed) }
 
-// ReportCloseAtOnce lets the end of the connection be reported at once, also while it is paused: what came before it
-// and was not looked at is dropped. It is for peers whose end says that they want nothing more.
-func (c *Conn) ReportCloseAtOnce() { c.promptClose = true }
+// ReportCloseAtOnce sets that the end of the connection is reported without delay, even while it is paused. Unprocessed
+// data received before the end is dropped. It is for peers that no longer want a response once they close the
+// connection.
+func (c *Conn) ReportCloseAtOnce() { c.reportCloseAtOnce = true }
 
-// DetectResets lets the handler tell a reset from an end also where data came right before it, at the price of one
-// more read behind all that comes.
+// DetectResets makes a reset distinguishable from an orderly end even if it follows data immediately. The cost is one
+// more read after each batch of data.
 func (c *Conn) DetectResets() { c.readsToEnd.Store(true) }
 
-// Quiet reports whether nothing has come that the handler was not told, not even the end of the connection. It looks at
-// the socket itself, because the poller may be behind.
+// Quiet reports whether nothing is left to report to the handler: neither received data nor the end of the connection.
+// It checks the socket itself, because the poller may not have processed the latest events.
 func (c *Conn) Quiet() bool {
 	c.mutex.Lock()
 	waiting := len(c.inbox) > 0
--- a/internal/transport/testengine_test.go
+++ b/internal/transport/testengine_test.go
@@ -11,15 +11,16 @@
 	"limeladder/internal/eventloop"
 )
 
-// echoHandler sends back what comes.
+// echoHandler is a Handler that sends back all data received.
 type echoHandler struct{ conn *Conn }
 
 func (e echoHandler) Data(p []byte) {
-	_ = e.conn.Write(p) // what is not sent does not come back, which the test sees
+	_ = e.conn.Write(p) // if it fails, the test misses the bytes
 }
 func (echoHandler) Closed(error) {}
 
-// collector collects what comes.
+// collector is a Handler that collects the received data. It sends "got" to done once it has at least want bytes, and
+// "closed" when the connection ends.
 type collector struct {
 	got  []byte
 	want int
@@ -54,15 +55,15 @@
 	select {
 	case got := <-done:
 		if got != want {
-			t.Fatalf("%s, not %s", got, want)
+			t.Fatalf("got event %q, want %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("no %s", want)
+		t.Fatalf("no event within 10 s, want %q", want)
 	}
 }
 
-// listen lets an engine accept connections until the test ends. The address is not 127.0.0.1: a dial that loses it
-// would come up there all the same.
+// listen makes an engine accept connections until the test ends. The address is not 127.0.0.1, because a dial that
+// loses its address and connects to 0.0.0.0 would succeed there.
 func listen(t *testing.T, e *Engine, maxOpen int, accept func(c *Conn) Handler) *Listener {
 	t.Helper()
 	ln, err := e.Listen("127.0.0.2:0", maxOpen, slog.New(slog.NewTextHandler(io.Discard, nil)), accept)
@@ -73,7 +74,8 @@
 	return ln
 }
 
-// dialCollector dials from the loop, writes what is given and collects what comes back.
+// dialCollector dials from the loop, writes text and collects the received data in s. If the dial or the write fails,
+// it sends "failed" to s.done.
 func dialCollector(loop *eventloop.Loop, e *Engine, addr string, within time.Duration, text []byte, s *collector) {
 	loop.Post(func() {
 		e.Dial(addr, within, func(c *Conn, err error) Handler {
@@ -85,7 +87,7 @@
 	})
 }
 
-// newPair is a connection that the engine has accepted, and its other end.
+// newPair returns a connection that the engine has accepted, and the peer's end of it.
 func newPair(t *testing.T, e *Engine, h Handler) (*Conn, *net.TCPConn) {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
@@ -102,7 +104,7 @@
 	return <-accepted, c.(*net.TCPConn)
 }
 
-// send writes to the engine from the other end.
+// send writes text to a connection from the peer's end.
 func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -110,17 +112,17 @@
 	}
 }
 
-// waitUntil waits for what the test has set in motion.
+// waitUntil waits until ok returns true, and fails the test after 20 s. what names the awaited condition.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// runInLoop runs f in the loop.
+// runInLoop runs f in the loop and waits until it has returned.
 func runInLoop(l interface{ Post(func()) }, f func()) {
 	done := make(chan bool)
 	l.Post(func() {
@@ -130,7 +132,7 @@
 	<-done
 }
 
-// endRecorder tells how a connection ended.
+// endRecorder is a Handler that records the received data and the error with which the connection ended.
 type endRecorder struct {
 	data chan string
 	err  chan error
@@ -139,7 +141,7 @@
 func (s endRecorder) Data(p []byte)    { s.data <- string(p) }
 func (s endRecorder) Closed(err error) { s.err <- err }
 
-// goroutineStacks is the stacks of all goroutines.
+// goroutineStacks returns the stacks of all goroutines.
 func goroutineStacks() string {
 	buf := make([]byte, 1<<20)
 	return string(buf[:runtime.Stack(buf, true)])
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// Write sends p, or keeps it until the peer takes it. An error says that the connection is broken; the handler is told
-// nothing more.
+// Write sends p, or buffers it until it can be sent. If it returns an error, the connection is broken and the handler
+// is not called any more.
 func (c *Conn) Write(p []byte) error {
 	if c.closed {
 		return net.ErrClosed
@@ -17,28 +17,28 @@
 	return nil
 }
 
-// SetWriteBuffer bounds, in bytes, what the system keeps of what was written and not taken. Behind megabytes of it a
-// slow peer would seem to take nothing for seconds.
+// SetWriteBuffer sets the size of the system's send buffer, in bytes. With a buffer of several megabytes, a slow peer
+// would seem to accept nothing for seconds.
 func (c *Conn) SetWriteBuffer(n int) {
-	_ = c.socket.SetWriteBuffer(n) // it fails on a connection that is closed, which keeps nothing
+	_ = c.socket.SetWriteBuffer(n) // it fails on a closed connection, which buffers nothing
 }
 
-// Flushed reports whether the system has taken all that was written. Once the connection is closed it does not change.
+// Flushed reports whether the system has accepted all written bytes. It does not change once the connection is closed.
 func (c *Conn) Flushed() bool { return c.bytesSent.Load() == c.bytesQueued.Load() }
 
-// BytesSent is the number of bytes that the system has taken so far.
+// BytesSent returns the number of written bytes that the system has accepted so far.
 func (c *Conn) BytesSent() int64 { return c.bytesSent.Load() }
 
-// BytesUnsent is the number of bytes handed to Write that the system has not taken yet.
+// BytesUnsent returns the number of bytes passed to Write that the system has not accepted yet.
 func (c *Conn) BytesUnsent() int { return int(c.bytesQueued.Load() - c.bytesSent.Load()) }
 
-// NotifyWhenUnsentBelow asks for one call of Taken, once no more than low bytes are left to take.
+// NotifyWhenUnsentBelow requests one call of WriteDrained, once at most low bytes are unsent.
 func (c *Conn) NotifyWhenUnsentBelow(low int) {
 	c.lowWaterMark.Store(int64(low) + 1)
 	c.handleSent(0)
 }
 
-// handleSent notes that the system has taken n more bytes. The poller's goroutine calls it, or the loop's.
+// handleSent records that the system has accepted n more bytes. It is called by the poller's goroutine or the loop's.
 func (c *Conn) handleSent(n int64) {
 	sent := c.bytesSent.Add(n)
 	mark := c.lowWaterMark.Load()
@@ -50,11 +50,11 @@
 	}
 }
 
-// handleLowWater tells the handler, in the loop, that little is left to take, or shuts the sending side of a connection
-// that is being finished.
+// handleLowWater runs in the loop when few bytes are unsent. It notifies the handler, or shuts down the sending side of
+// a connection that is being closed by Finish.
 func (c *Conn) handleLowWater() {
-	if taker, ok := c.handler.(WriteObserver); ok && !c.closed {
-		taker.WriteDrained()
+	if observer, ok := c.handler.(WriteObserver); ok && !c.closed {
+		observer.WriteDrained()
 	} else if c.finish.active && c.Flushed() {
 		c.shutdownWrite()
 	}
