--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -199,7 +199,7 @@
 			return
 		}
 	}
-	if !e.keepsIdle() {
+	if !e.canKeepIdle() {
 		c.close()
 		return
 	}
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -122,7 +122,7 @@
 	for i := range 5 {
 		id := fmt.Sprint(i)
 		if result := p.attempt(id, 0); result.Status != balance.StatusDone || server.Runs(id) != 1 {
-			t.Fatalf("attempt %s: got %+v, want StatusDone after one run", id, result)
+			t.Fatalf("later attempt: got %+v, want StatusDone after one run", result)
 		}
 	}
 	p.loop.Post(func() { written <- handle.Cancel() })
--- a/internal/backend/endpoint.go
+++ b/internal/backend/endpoint.go
@@ -41,8 +41,8 @@
 	return e.state == stateRemoved && e.open == 0 && len(e.waiting) == 0
 }
 
-// keepsIdle reports whether the endpoint may have one more idle connection.
-func (e *endpoint) keepsIdle() bool {
+// canKeepIdle reports whether the endpoint may have one more idle connection.
+func (e *endpoint) canKeepIdle() bool {
 	if e.pool.closed || e.suspended || e.state != stateReady {
 		return false
 	}
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -26,7 +26,7 @@
 			time.Sleep(3 * lim.Backend.ReuseDelay)
 			id := fmt.Sprint(i)
 			if result := p.attempt(id, 0); !isServed(result) || server.Runs(id) != 1 {
-				t.Fatalf("idle timeout %v: unexpected result or number of runs: %+v", idle, result)
+				t.Fatalf("got %+v, want the attempt served after one run", result)
 			}
 		}
 		if dials.Load() != want {
--- a/internal/discovery/previous_test.go
+++ b/internal/discovery/previous_test.go
@@ -20,10 +20,10 @@
 }
 
 // await returns the next value of a channel that a handler sends to. what names the awaited event in the failure.
-func await[T any](t *testing.T, what string, noted <-chan T) T {
+func await[T any](t *testing.T, what string, values <-chan T) T {
 	t.Helper()
 	select {
-	case value := <-noted:
+	case value := <-values:
 		return value
 	case <-time.After(testTimeout):
 		t.Fatalf("timed out waiting until %s", what)
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -73,13 +73,13 @@
 		n := len(conn.arrivals.marks)
 		return n > 0 && conn.arrivals.marks[n-1].upTo == 3
 	})
-	noted := l.Now()
-	waitUntil(t, "time has passed", func() bool { return l.Now() > noted+20*time.Millisecond })
+	recordedBy := l.Now()
+	waitUntil(t, "time has passed", func() bool { return l.Now() > recordedBy+20*time.Millisecond })
 	runInLoop(l, func() { conn.SetPaused(false) })
 	expectEvent(t, s.done, "got")
 	runInLoop(l, func() {
-		if first, last := conn.ArrivedAt(1), conn.ArrivedAt(3); first > last || last > noted {
-			t.Errorf("arrived at %v and %v, want them in order and not after %v", first, last, noted)
+		if first, last := conn.ArrivedAt(1), conn.ArrivedAt(3); first > last || last > recordedBy {
+			t.Errorf("arrived at %v and %v, want them in order and not after %v", first, last, recordedBy)
 		}
 	})
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -91,7 +91,7 @@
 	open(&collector{want: 1, done: other}, make(chan *Conn, 1))
 	select {
 	case got := <-other:
-		t.Fatal("the second connection was served without a slot: ", got)
+		t.Fatal(got, "was reported by the second connection, want no event before a slot is free")
 	case <-time.After(50 * time.Millisecond):
 	}
 	conn := <-first
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -112,9 +112,9 @@
 // deferClose stores the end of a paused connection until the connection is resumed.
 func (c *Conn) deferClose(err error) { c.pendingClose = cmp.Or(err, net.ErrClosed) }
 
-// ReportCloseAtOnce sets that the end of the connection is reported without delay, even while it is paused. Unprocessed
-// data received before the end is dropped. It is for peers that no longer want a response once they close the
-// connection.
+// ReportCloseAtOnce requests that the end of the connection be reported without delay, even while it is paused.
+// Unprocessed data received before the end is dropped. It is for peers that no longer want a response once they close
+// the connection.
 func (c *Conn) ReportCloseAtOnce() { c.reportCloseAtOnce = true }
 
 // DetectResets makes a reset distinguishable from an orderly end even if it follows data immediately. The cost is one
