--- a/internal/frontend/accounting.go
+++ b/internal/frontend/accounting.go
@@ -1,24 +1,24 @@
 package frontend
 
-// memoryUse is how many bytes are kept for the clients of all connections together.
+// memoryUse is the number of bytes that are kept for the clients of all connections together.
 type memoryUse struct {
-	bufferedBytes  int // kept for clients, or come of what they may ask next
-	pipelinedBytes int // sent ahead by clients that are owed a response
+	bufferedBytes  int // reserved for clients, or received and not parsed yet
+	pipelinedBytes int // received from clients that still have a response pending
 }
 
-// used returns how much of the limit is taken. What clients send ahead takes half of the limit at the most, so that
-// it can't displace those that ask one thing at a time.
+// used returns how many bytes count towards the limit. Pipelined bytes count for at most half of the limit, so that
+// they can't displace clients that send one request at a time.
 func (m *memoryUse) used(limit int) int { return m.bufferedBytes + min(m.pipelinedBytes, limit/2) }
 
-// byteAccount is the share of one connection in the memory that is in use.
+// byteAccount is the memory in use by one connection.
 type byteAccount struct {
 	total              *memoryUse
 	unparsedBytes      int  // received and not parsed yet
-	countedAsPipelined bool // unparsedBytes are among the pipelined bytes, not the buffered ones
-	reservedBytes      int  // kept for the handler, for requests in flight and for responses that wait
+	countedAsPipelined bool // unparsedBytes count as pipelined bytes, not as buffered ones
+	reservedBytes      int  // reserved by the handler, for requests in flight and for buffered responses
 }
 
-// setUnparsed counts the bytes that are not parsed yet.
+// setUnparsed sets the number of bytes that are not parsed yet.
 func (b *byteAccount) setUnparsed(bytes int, pipelined bool) {
 	*b.unparsedTotal() -= b.unparsedBytes
 	b.unparsedBytes = bytes
@@ -33,19 +33,19 @@
 	return &b.total.bufferedBytes
 }
 
-// add counts bytes that are kept whatever the limit is. A negative number gives them back.
+// add counts bytes that are kept whatever the limit is. A negative number releases them.
 func (b *byteAccount) add(bytes int) {
 	b.reservedBytes += bytes
 	b.total.bufferedBytes += bytes
 }
 
-// releaseAll gives back everything.
+// releaseAll releases all memory of the connection.
 func (b *byteAccount) releaseAll() {
 	b.setUnparsed(0, false)
 	b.add(-b.reservedBytes)
 }
 
-// Reserve counts bytes that are to be kept for the client, and reports whether there is room for them.
+// Reserve counts bytes to be kept for the client, and reports whether the memory limit permits them.
 func (c *Conn) Reserve(bytes int) bool {
 	limit := c.frontend.limits.Frontend.BufferedBytes
 	if c.lifetime.closed || c.frontend.memory.used(limit)+bytes > limit {
@@ -55,16 +55,16 @@
 	return true
 }
 
-// Release gives back bytes that Reserve has counted.
+// Release releases bytes that were counted by Reserve.
 func (c *Conn) Release(bytes int) {
 	if !c.lifetime.closed {
 		c.memory.add(-bytes)
 	}
 }
 
-// accountInput counts what waits to be parsed, and pauses the reading of what is too much. It bounds the memory
-// against clients that send on and on without reading responses, and against all clients together: they wait until
-// there is room.
+// accountInput counts the bytes that are not parsed yet, and pauses reading when they are too many. It limits the
+// memory for clients that keep sending without reading responses, and for all clients together: they wait until memory
+// is available.
 func (c *Conn) accountInput() {
 	if c.lifetime.closed {
 		return
@@ -74,17 +74,17 @@
 	c.trackPartialMessage(pipelined)
 	full := c.memoryExhausted(pipelined)
 	if full && c.input.partial() {
-		c.input.lastDataAt = c.frontend.eventLoop.Now() // it is not the client's fault that nothing more comes
+		c.input.lastDataAt = c.frontend.eventLoop.Now() // reading is paused, so the client has not stalled
 	}
 	tooFarAhead := pipelined && c.memory.unparsedBytes > c.frontend.limits.Frontend.PipelinedBytes
 	c.socket.SetPaused(full || tooFarAhead)
 	if full {
-		c.frontend.hastenSweep() // the sweep looks whether there is room again
+		c.frontend.sweepSoon() // the sweep checks whether memory is available again
 	}
 }
 
-// trackPartialMessage notes since when a part of a message waits for its rest. The time spent behind an earlier
-// response is no stall of the client's.
+// trackPartialMessage records when the first part of an incomplete message arrived. Time spent waiting for an earlier
+// response does not count as a stall of the client.
 func (c *Conn) trackPartialMessage(pipelined bool) {
 	switch {
 	case pipelined || c.memory.unparsedBytes == 0:
@@ -94,7 +94,7 @@
 	}
 }
 
-// memoryExhausted reports whether no more is read of the client because the memory is taken.
+// memoryExhausted reports whether reading from the client has to stop because the memory limit is reached.
 func (c *Conn) memoryExhausted(pipelined bool) bool {
 	if c.memory.unparsedBytes == 0 {
 		return false
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -24,45 +24,47 @@
 	commits   sessionCommits
 }
 
-// clientIdentity says whose the connection is. It is empty unless requests have to carry it.
+// clientIdentity identifies the client of a connection. It is empty unless requests have to carry the identity.
 type clientIdentity struct {
 	user    string
 	address string
 }
 
-// lifetime is how far a connection has come between its start and its end.
+// lifetime is the state of a connection between its accept and its close.
 type lifetime struct {
 	started           bool // the startup message was accepted
-	commandSeen       bool // a message has come since then
+	commandSeen       bool // a message has arrived since then
 	lastInvalid       bool // the last message was invalid
-	closeWhenAnswered bool // nothing more is read, and the last response that is owed ends the connection
+	closeWhenAnswered bool // nothing more is read, and the connection is closed after the last pending response
 	closed            bool
 
 	openedAt     time.Duration // when the connection was accepted
-	lastActiveAt time.Duration // when a message became complete or a response was written last
+	lastActiveAt time.Duration // when the last message became complete or the last response was written
 }
 
 // Limits returns the limits of the program.
 func (c *Conn) Limits() limits.Limits { return c.frontend.limits }
 
-// MarkInvalid notes that the last message was invalid: the connection is among the first to be evicted.
+// MarkInvalid records that the last message was invalid, which makes the connection one of the first to be evicted.
 func (c *Conn) MarkInvalid() { c.lifetime.lastInvalid = true }
 
 // Disconnected implements the method of router.Client for the protocol handlers.
-func (c *Conn) Disconnected(look bool) bool { return c.lifetime.closed || c.socket.PeerClosed(look) }
+func (c *Conn) Disconnected(askSystem bool) bool {
+	return c.lifetime.closed || c.socket.PeerClosed(askSystem)
+}
 
-// Close closes the connection. Requests in flight are given up.
+// Close closes the connection, and reports it to the router as disconnected for each request in flight.
 func (c *Conn) Close() {
 	if c.lifetime.closed {
 		return
 	}
 	c.lifetime.closed = true
-	// A response of which the system has taken only a part must not be cut off.
+	// A response that the operating system has accepted only in part must not be cut off.
 	c.socket.Finish(c.frontend.limits.Frontend.FlushTimeout)
 	c.releaseAll()
 }
 
-// CloseWhenAnswered closes the connection once the requests before it are answered.
+// CloseWhenAnswered closes the connection once all earlier requests are answered.
 func (c *Conn) CloseWhenAnswered() {
 	c.lifetime.closeWhenAnswered = true
 	if !c.owesResponse() {
@@ -78,12 +80,13 @@
 	}
 }
 
-// releaseAll gives back what the connection holds, and gives up its requests.
+// releaseAll releases the memory of the connection, and tells the router that the client of its requests has
+// disconnected.
 func (c *Conn) releaseAll() {
 	delete(c.frontend.connections, c)
 	c.memory.releaseAll()
 	if c.output.flow != nil {
-		c.output.flow.SetPaused(false) // the rest of the response is still read from the endpoint, and dropped
+		c.output.flow.SetPaused(false) // the rest of the response is still read from the endpoint, and discarded
 		c.output.flow = nil
 	}
 	if c.exclusive.inFlight() {
@@ -104,13 +107,13 @@
 func (c *Conn) closeWithError(err *ProtocolError) {
 	c.frontend.logger.Debug("client rejected",
 		"sqlstate", err.SQLSTATE, "error", err.Reason, "command_seen", c.lifetime.commandSeen)
-	if c.output.flow == nil { // within a row the bytes of the error would be taken for those of the value
+	if c.output.flow == nil { // within a row the client would read the error as part of the value
 		c.write(err.appendFatal())
 	}
 	c.Close()
 }
 
-// closeWithErrorInOrder sends a fatal error behind the responses that are owed, and closes the connection then.
+// closeWithErrorInOrder sends a fatal error after the pending responses, and then closes the connection.
 func (c *Conn) closeWithErrorInOrder(err *ProtocolError) {
 	if !c.owesResponse() {
 		c.closeWithError(err)
@@ -122,10 +125,10 @@
 	c.lifetime.closeWhenAnswered = true
 }
 
-// owesResponse reports whether a request of the client is not answered yet.
+// owesResponse reports whether a request of the client has not been answered yet.
 func (c *Conn) owesResponse() bool { return c.exclusive.inFlight() || !c.pipeline.empty() }
 
-// RespondToEmptyQuery answers an empty query, by which the platform asks whether it may send clients.
+// RespondToEmptyQuery answers an empty query, which the platform uses as a readiness check.
 func (c *Conn) RespondToEmptyQuery() {
 	c.Respond(c.frontend.emptyQueryResponse())
 	c.closeIfDraining()
--- a/internal/frontend/connection_end_test.go
+++ b/internal/frontend/connection_end_test.go
@@ -10,13 +10,13 @@
 	"limeladder/internal/testserver"
 )
 
-// The request of a client that disconnects is given up.
-func TestDisconnectGivesUpTheRequest(t *testing.T) {
+// Tests that the request of a client that disconnects is cancelled.
+func TestDisconnectCancelsRequest(t *testing.T) {
 	_, fake, _, addr := start(t)
 	client := testserver.Dial(t, addr)
 	client.Send(pgwire.AppendQuery(pgwire.AppendQuery(nil, statement("served")), statement("held")))
-	if answer := client.Until('Z'); answer.Types != "TDCZ" { // the held one is accepted in the same round of the loop
-		t.Fatalf("%+v", answer)
+	if answer := client.Until('Z'); answer.Types != "TDCZ" { // both are accepted in one loop iteration
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 	client.Close()
 	if id := <-fake.disconnects; id != "i-held" {
@@ -24,41 +24,41 @@
 	}
 }
 
-// A client that disconnects has gone at once, however much it has sent ahead: its request is given up, and nothing of
-// the rest is accepted.
-func TestDisconnectBehindPipelinedBytes(t *testing.T) {
+// Tests that the disconnect of a client is noticed at once, however much it has sent ahead: its request is cancelled,
+// and none of the pipelined ones is accepted.
+func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(pgwire.AppendQuery(nil, statement("waits")))
-	waitUntil(t, "it is accepted", func() bool { return fake.accepted() == 1 })
+	client.Send(pgwire.AppendQuery(nil, statement("write")))
+	waitUntil(t, "the request is accepted", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	ahead := pgwire.AppendQuery(nil, statement("served"))
 	client.Send(bytes.Repeat(ahead, 2*frontend.limits.Frontend.PipelinedBytes/len(ahead)))
-	waitUntil(t, "it is read no further", func() (held bool) {
+	waitUntil(t, "reading from the client has stopped", func() (held bool) {
 		runInLoop(loop, func() { held = conn.memory.unparsedBytes > frontend.limits.Frontend.PipelinedBytes })
 		return held
 	})
 	client.Close()
 	select {
 	case id := <-fake.disconnects:
-		if id != "i-waits" {
+		if id != "i-write" {
 			t.Fatal(id)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("its request is not given up")
+		t.Fatal("the request of a disconnected client is not cancelled within 20 s")
 	}
 	if fake.accepted() != 1 {
-		t.Fatalf("%d requests accepted", fake.accepted())
+		t.Fatalf("%d requests accepted, want 1", fake.accepted())
 	}
 }
 
-// The response to a request crosses the disconnect of its client, which had sent another request ahead. That one is
-// not begun, although the handler has yet to be told of the disconnect.
-func TestNoPipelinedRequestBeginsAfterDisconnect(t *testing.T) {
+// Tests a response that is sent while its client disconnects with another request pipelined. That request must not be
+// started, although the handler has not been notified of the disconnect yet.
+func TestNoPipelinedRequestStartsAfterDisconnect(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(append(pgwire.AppendQuery(nil, statement("waits")), pgwire.AppendQuery(nil, statement("served"))...))
-	waitUntil(t, "it is accepted", func() bool { return fake.accepted() == 1 })
+	client.Send(append(pgwire.AppendQuery(nil, statement("write")), pgwire.AppendQuery(nil, statement("served"))...))
+	waitUntil(t, "the request is accepted", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	waitForSlots(t, loop, conn, 2)
 	busy, free, answered := make(chan bool), make(chan bool), make(chan bool)
@@ -66,77 +66,80 @@
 		close(busy)
 		<-free
 	})
-	loop.Post(func() { // the response is in the queue before the disconnect is
+	loop.Post(func() { // the response is in the queue before the disconnect
 		fake.clients[0].Served(&backend.Response{})
 		close(answered)
 	})
 	<-busy
 	client.Close()
-	waitUntil(t, "it has gone", func() bool { return conn.socket.PeerClosed(true) })
+	waitUntil(t, "the client has disconnected", func() bool { return conn.socket.PeerClosed(true) })
 	close(free)
 	<-answered
 	if fake.accepted() != 1 {
-		t.Fatal("a request of a client that has gone is accepted")
+		t.Fatal("a request of a disconnected client is accepted")
 	}
 }
 
-// A client that disconnects takes with it all that it has in flight, and what waits is not begun.
-func TestDisconnectGivesUpPipelinedRequests(t *testing.T) {
+// Tests that all requests in flight of a client that disconnects are cancelled, and that its queued request is not
+// started.
+func TestDisconnectCancelsPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("w", "waits"), labelled("c", "free")))
+	client.Send(concat(
+		queryWithID("a", "any"), queryWithID("b", "any"), queryWithID("w", "write"), queryWithID("c", "any")))
 	conn := onlyConnection(t, frontend, loop)
-	waitForSlots(t, loop, conn, 3) // the write waits
+	waitForSlots(t, loop, conn, 3) // the write is queued
 	fake.serve("b")
 	client.Close()
 	select {
 	case id := <-fake.disconnects:
 		if id != "a" {
-			t.Fatalf("%s is given up", id)
+			t.Fatalf("request %s is cancelled, want a", id)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("its request is not given up")
+		t.Fatal("the request of a disconnected client is not cancelled within 20 s")
 	}
 	runInLoop(loop, func() { fake.client("a").Served(valueResponse("a")) }) // too late
 	expectAccepted(t, fake, "a", "b")
-	waitUntil(t, "nothing of it is counted", func() (none bool) {
+	waitUntil(t, "all memory is released", func() (none bool) {
 		runInLoop(loop, func() { none = frontend.memory.bufferedBytes == 0 && frontend.memory.pipelinedBytes == 0 })
 		return none
 	})
 }
 
-// An invalid message ends the connection in order: the requests before it are answered, then comes the error, and
-// nothing behind it is accepted.
-func TestInvalidMessageBehindPipelinedRequests(t *testing.T) {
+// Tests that an invalid message ends the connection in order: the earlier requests are answered, then the error is
+// sent, and no later request is accepted.
+func TestInvalidMessageAfterPipelinedRequests(t *testing.T) {
 	for name, bad := range invalidMessages {
 		_, fake, loop, addr := start(t)
 		client := testserver.Dial(t, addr)
-		client.Send(concat(labelled("a", "free"), labelled("b", "free"), bad, labelled("c", "free")))
+		client.Send(concat(queryWithID("a", "any"), queryWithID("b", "any"), bad, queryWithID("c", "any")))
 		expectAccepted(t, fake, "a", "b")
 		fake.serve("b")
 		fake.serve("a")
-		expectAnswers(t, client, "a", "b")
+		expectResponses(t, client, "a", "b")
 		if answer := client.Until('Z'); !answer.Ended || answer.Types != "E" || answer.Code != pgwire.ProtocolViolation {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: response %+v, want error 08P01 and the end of the connection", name, answer)
 		}
 		runInLoop(loop, func() {
 			if len(fake.requests) != 2 {
-				t.Errorf("%s: %d accepted", name, len(fake.requests))
+				t.Errorf("%s: %d requests accepted, want 2", name, len(fake.requests))
 			}
 		})
 	}
 }
 
-// A client that sends Terminate behind its requests still gets their responses, and then the end.
-func TestTerminateBehindPipelinedRequests(t *testing.T) {
+// Tests that a client that sends Terminate after its requests still gets their responses before the connection is
+// closed.
+func TestTerminateAfterPipelinedRequests(t *testing.T) {
 	_, fake, _, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("b", "free"), pgwire.Append(nil, 'X'), labelled("c", "free")))
+	client.Send(concat(queryWithID("a", "any"), queryWithID("b", "any"), pgwire.Append(nil, 'X'), queryWithID("c", "any")))
 	expectAccepted(t, fake, "a", "b")
 	fake.serve("b", "a")
-	expectAnswers(t, client, "a", "b")
+	expectResponses(t, client, "a", "b")
 	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want the end of the connection", answer)
 	}
 	expectAccepted(t, fake, "a", "b")
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// drainState says why and how connections are being closed.
+// drainState is the reason and the manner in which connections are being closed.
 type drainState struct {
 	shuttingDown bool // the process is about to end
-	graceful     bool // another process serves on, so there is time to let each client finish
+	graceful     bool // another process continues to serve, so there is time to let each client finish
 	byOperator   bool // an operator has drained the router
 
-	closesIdle      bool // connections without a request are closed too
+	closesIdle      bool // connections without a request in flight are closed too
 	closesIdleSince time.Duration
 }
 
-// begun reports whether clients are to go elsewhere.
+// begun reports whether clients have to move to another router.
 func (d *drainState) begun() bool { return d.byOperator || d.shuttingDown }
 
-// closesQuietConnections reports whether a connection without a request is closed once it was idle for a while.
-func (d *drainState) closesQuietConnections() bool { return d.byOperator || d.graceful }
+// closesAfterIdleTime reports whether connections without a request are closed after DrainedIdle.
+func (d *drainState) closesAfterIdleTime() bool { return d.byOperator || d.graceful }
 
-// SetDrained begins or ends a drain by an operator: the platform is told to send no more clients, new connections are
-// served what they bring, and each connection is closed right behind a response, or when it has been idle for a
-// while. A close at any other moment may cross a request.
+// SetDrained starts or ends a drain by an operator: the readiness check fails, new connections are still served, and
+// each connection is closed immediately after a response, or after it has been idle for DrainedIdle. A close at any
+// other moment might coincide with a request that the client is sending.
 func (f *Frontend) SetDrained(on bool) {
 	f.drain.byOperator = on
-	f.hastenSweep()
+	f.sweepSoon()
 }
 
-// Shutdown closes each connection as soon as it is between requests, because the process ends. New connections are
-// served what they bring. A graceful drain closes right behind responses, and idle connections only once they were
-// quiet for a while: a close at any other moment may cross a request.
+// Shutdown closes each connection as soon as it is between requests, because the process is about to exit. New
+// connections are still served. A graceful shutdown closes connections immediately after responses, and idle ones only
+// after DrainedIdle: a close at any other moment might coincide with a request that the client is sending.
 func (f *Frontend) Shutdown(graceful bool) {
 	f.drain.shuttingDown = true
 	f.drain.graceful = graceful
-	f.hastenSweep()
+	f.sweepSoon()
 	if graceful {
 		return
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-// CloseIdleConnections closes also the connections that have not sent a request; requests in flight still get their
-// responses. A connection that has only just come may bring its first command, and a message that has come in part
-// may become complete, within UnusedIdle: a close would cross it.
+// CloseIdleConnections also closes the connections that have not sent a request; requests in flight still get their
+// responses. A new connection may still send its first command, and an incomplete message may become complete, within
+// UnusedIdle: a close would lose them.
 func (f *Frontend) CloseIdleConnections() {
 	f.drain.closesIdle = true
 	f.drain.closesIdleSince = f.eventLoop.Now()
@@ -57,17 +57,17 @@
 		if c.owesResponse() {
 			continue
 		}
-		if expired || !c.mayBringRequest(now) {
+		if expired || !c.requestMayArrive(now) {
 			c.Close()
 		}
 	}
 }
 
-// closeDrained closes the connections that a drain has found idle.
+// closeDrained closes the connections that a drain finds idle.
 func (f *Frontend) closeDrained(now time.Duration) {
 	for c := range f.connections {
 		switch {
-		case f.drain.closesQuietConnections() && c.idleWhileDrained(now):
+		case f.drain.closesAfterIdleTime() && c.idleWhileDrained(now):
 			c.Close()
 		case f.drain.shuttingDown && !f.drain.graceful:
 			c.closeIfDraining()
@@ -75,38 +75,38 @@
 	}
 }
 
-// idleWhileDrained reports whether the connection was idle for as long as a drain waits.
+// idleWhileDrained reports whether the connection has been idle for DrainedIdle.
 func (c *Conn) idleWhileDrained(now time.Duration) bool {
 	idle := c.frontend.limits.Frontend.DrainedIdle
 	return now-c.lifetime.openedAt > idle && c.evictable(now, idle)
 }
 
-// closeIfDraining closes a connection that is between requests while clients are to go elsewhere. One that has only
-// just come is left to bring its first command: usual clients send it at once, and the close would cross it.
+// closeIfDraining closes a connection that is between requests if a drain has begun. A new connection keeps the chance
+// to send its first command: most clients send it immediately, and it would arrive at a closed connection.
 func (c *Conn) closeIfDraining() {
-	if !c.frontend.drain.begun() || !c.atRest() {
+	if !c.frontend.drain.begun() || !c.fullyAnswered() {
 		return
 	}
-	if c.mayBringFirstCommand(c.frontend.eventLoop.Now()) || !c.socket.Quiet() {
+	if c.firstCommandMayArrive(c.frontend.eventLoop.Now()) || !c.socket.Quiet() {
 		return
 	}
 	c.Close()
 }
 
-// atRest reports whether the session was started and everything that the client sent was answered.
-func (c *Conn) atRest() bool {
+// fullyAnswered reports whether the session was started and everything that the client sent was answered.
+func (c *Conn) fullyAnswered() bool {
 	if !c.lifetime.started || c.lifetime.closed {
 		return false
 	}
 	return !c.owesResponse() && c.input.reader.Waiting() == 0 && c.handler.Idle()
 }
 
-// mayBringFirstCommand reports whether a client has sent no command yet and still has time for it.
-func (c *Conn) mayBringFirstCommand(now time.Duration) bool {
+// firstCommandMayArrive reports whether the client has not sent a command yet and still has time to.
+func (c *Conn) firstCommandMayArrive(now time.Duration) bool {
 	return !c.lifetime.commandSeen && now-c.lifetime.openedAt <= c.frontend.limits.Frontend.UnusedIdle
 }
 
-// mayBringRequest reports whether a request may be on its way, or has come in part.
-func (c *Conn) mayBringRequest(now time.Duration) bool {
-	return c.mayBringFirstCommand(now) || c.input.reader.Waiting() > 0 || !c.socket.Quiet()
+// requestMayArrive reports whether a request may still arrive, or has arrived in part.
+func (c *Conn) requestMayArrive(now time.Duration) bool {
+	return c.firstCommandMayArrive(now) || c.input.reader.Waiting() > 0 || !c.socket.Quiet()
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,43 +11,43 @@
 	"limeladder/internal/testserver"
 )
 
-// During a shutdown an idle connection is closed, and a new one is closed behind its first response.
+// Tests that a shutdown closes idle connections, and a new one after its first response.
 func TestShutdownClosesIdleAndAnsweredConnections(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	loop.Post(func() { frontend.Shutdown(false) })
 	if answer := idle.Until('Z'); !answer.Ended {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v on the first idle connection, want its end", answer)
 	}
 	if answer := busy.Until('Z'); !answer.Ended {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v on the second idle connection, want its end", answer)
 	}
 	late := testserver.Dial(t, addr)
 	late.Send(pgwire.AppendQuery(nil, statement("served")))
 	if answer := late.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v on a new connection, want types TDCZ", answer)
 	}
 	if answer := late.Until('Z'); !answer.Ended {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v after the first response of a new connection, want its end", answer)
 	}
 }
 
-// When idle connections are closed, a message that has come in part becomes complete and is answered, and a new
-// connection may bring its first request. A connection at rest is closed, and a request that crosses the close is not
-// accepted.
-func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
+// Tests that closing idle connections loses no request: an incomplete message becomes complete and is answered, and a
+// new connection may send its first request. A connection that is between requests is closed, and a request that the
+// client sends at the same moment is not accepted.
+func TestClosingIdleConnectionsLosesNoRequest(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	runInLoop(loop, frontend.SetReady)
-	part, fresh, rests := testserver.Dial(t, addr), testserver.Dial(t, addr), testserver.Dial(t, addr)
-	rests.Send(pgwire.AppendQuery(nil, statement("served")))
-	rests.Until('Z')
+	partial, fresh, idle := testserver.Dial(t, addr), testserver.Dial(t, addr), testserver.Dial(t, addr)
+	idle.Send(pgwire.AppendQuery(nil, statement("served")))
+	idle.Until('Z')
 	fresh.Send(pgwire.AppendQuery(nil, statement("served")))
 	fresh.Until('Z')
 	message := pgwire.AppendQuery(nil, statement("served"))
-	part.Send(message) // so that the connection is not a new one
-	part.Until('Z')
-	part.Send(message[:20])
-	waitUntil(t, "a part has come", func() (came bool) {
+	partial.Send(message) // so that the connection counts as used
+	partial.Until('Z')
+	partial.Send(message[:20])
+	waitUntil(t, "part of the message has arrived", func() (came bool) {
 		runInLoop(loop, func() {
 			for c := range frontend.connections {
 				came = came || c.input.reader.Waiting() > 0
@@ -60,31 +60,31 @@
 		frontend.Shutdown(false)
 		frontend.CloseIdleConnections()
 	})
-	part.Send(message[20:])
+	partial.Send(message[20:])
 	fresh.Send(pgwire.AppendQuery(nil, statement("served")))
-	for name, client := range map[string]*testserver.Client{"in part": part, "fresh": fresh} {
+	for name, client := range map[string]*testserver.Client{"incomplete message": partial, "new connection": fresh} {
 		if answer := client.Until('Z'); answer.Types != "TDCZ" {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: response %+v, want types TDCZ", name, answer)
 		}
 		if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: response %+v, want the end of the connection", name, answer)
 		}
 	}
 	accepted := fake.accepted()
-	_ = rests.Write(pgwire.AppendQuery(nil, statement("served"))) // it crosses the close, and may fail
-	if answer := rests.Until('Z'); !answer.Ended || answer.Truncated {
-		t.Errorf("rests: %+v", answer)
+	_ = idle.Write(pgwire.AppendQuery(nil, statement("served"))) // sent after the close, so the write may fail
+	if answer := idle.Until('Z'); !answer.Ended || answer.Truncated {
+		t.Errorf("idle connection: response %+v, want its end", answer)
 	}
 	if fake.accepted() != accepted {
-		t.Error("a request behind the close is accepted")
+		t.Error("a request sent after the close is accepted")
 	}
-	waitUntil(t, "all are ended", func() (none bool) {
+	waitUntil(t, "all connections are closed", func() (none bool) {
 		runInLoop(loop, func() { none = frontend.ConnectionCount() == 0 })
 		return none
 	})
 }
 
-// Connections that bring nothing do not hold up the shutdown.
+// Tests that connections without a complete request do not delay the shutdown for longer than UnusedIdle.
 func TestClosingIdleConnectionsIsBounded(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.UnusedIdle = 100 * time.Millisecond
@@ -97,7 +97,7 @@
 	defer c.Close()
 	half := testserver.Dial(t, addr)
 	half.Send(pgwire.AppendQuery(nil, statement("served"))[:20])
-	waitUntil(t, "both are there", func() (ok bool) {
+	waitUntil(t, "both connections are accepted", func() (ok bool) {
 		runInLoop(loop, func() { ok = frontend.ConnectionCount() == 2 })
 		return ok
 	})
@@ -110,43 +110,43 @@
 		t.Fatal(err)
 	}
 	if answer := half.Until('Z'); !answer.Ended {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v on the connection with an incomplete message, want its end", answer)
 	}
 }
 
-// During a shutdown everything that was sent ahead is answered, and then the connection is closed.
+// Tests that during a shutdown all pipelined requests are answered before the connection is closed.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("w", "waits"), labelled("b", "free")))
+	client.Send(concat(queryWithID("a", "any"), queryWithID("w", "write"), queryWithID("b", "any")))
 	expectAccepted(t, fake, "a")
 	runInLoop(loop, func() {
 		frontend.Shutdown(false)
 		frontend.CloseIdleConnections()
 	})
-	client.Send(labelled("c", "free"))
+	client.Send(queryWithID("c", "any"))
 	fake.serve("a")
 	expectAccepted(t, fake, "a", "w", "b", "c")
 	fake.serve("c", "b", "w")
-	expectAnswers(t, client, "a", "w", "b", "c")
+	expectResponses(t, client, "a", "w", "b", "c")
 	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want the end of the connection", answer)
 	}
 }
 
-// A connection that has requests in flight and nothing else on its way is not cut off either.
+// Tests that a connection that only has requests in flight is not cut off either.
 func TestClosingIdleConnectionsSparesRequestsInFlight(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("b", "free")))
+	client.Send(concat(queryWithID("a", "any"), queryWithID("b", "any")))
 	expectAccepted(t, fake, "a", "b")
 	runInLoop(loop, func() {
 		frontend.Shutdown(false)
 		frontend.CloseIdleConnections()
 	})
 	fake.serve("b", "a")
-	expectAnswers(t, client, "a", "b")
+	expectResponses(t, client, "a", "b")
 	if answer := client.Until('Z'); !answer.Ended || answer.Truncated {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want the end of the connection", answer)
 	}
 }
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -7,10 +7,10 @@
 	"limeladder/internal/pgwire"
 )
 
-// ProtocolError is a fault of the client's that is answered with an ErrorResponse.
+// ProtocolError is a client error that is answered with an ErrorResponse.
 type ProtocolError struct {
-	SQLSTATE string // the code of the ErrorResponse
-	Reason   string // its message
+	SQLSTATE string // code of the ErrorResponse
+	Reason   string // message of the ErrorResponse
 }
 
 // Error returns the message of the ErrorResponse.
@@ -20,8 +20,8 @@
 	return pgwire.AppendError(nil, pgwire.Error{Fatal: true, Code: e.SQLSTATE, Message: e.Reason})
 }
 
-// protocolErrorOf returns the ProtocolError in err. Any other error is a violation of the protocol, with its text.
-func protocolErrorOf(err error) *ProtocolError {
+// asProtocolError returns the ProtocolError in err. Any other error becomes a protocol violation with its text.
+func asProtocolError(err error) *ProtocolError {
 	var typed *ProtocolError
 	if errors.As(err, &typed) {
 		return typed
@@ -29,7 +29,7 @@
 	return &ProtocolError{pgwire.ProtocolViolation, err.Error()}
 }
 
-// The faults of clients that are told to them.
+// Client errors that are reported to the client.
 var (
 	errResponsesUnread   = &ProtocolError{pgwire.ProtocolViolation, "answers are not read"}
 	errStartupTimeout    = &ProtocolError{pgwire.ProtocolViolation, "no startup message in time"}
@@ -37,17 +37,17 @@
 	errMessageTimeout    = &ProtocolError{pgwire.ProtocolViolation, "a message does not end"}
 	errUnitTimeout       = &ProtocolError{pgwire.ProtocolViolation, "a unit of work does not go on"}
 	errStartupMessage    = &ProtocolError{pgwire.ProtocolViolation, "unsupported startup message"}
-	errTooMuchUnread     = &ProtocolError{pgwire.TooLarge, "too much is left unread"}
+	errUnreadLimit       = &ProtocolError{pgwire.ProgramLimitExceeded, "too much is left unread"}
 	errSimpleQueriesOnly = &ProtocolError{pgwire.NotSupported, "simple queries only"}
 )
 
-// errNoCapacity says that the memory for a statement is missing. It is no fault of the client, which may retry.
+// errNoCapacity is returned when there is no memory to keep a statement. The client did nothing wrong and may retry.
 var errNoCapacity = errors.New("no room to keep the statement")
 
-// Times after which a client may come again.
+// Times after which a client may retry.
 const (
 	capacityRetryAfter = 100 * time.Millisecond // after errNoCapacity
-	notReadyRetryAfter = 100 * time.Millisecond // after an empty query that was answered with a no
+	notReadyRetryAfter = 100 * time.Millisecond // after an empty query that was answered with an error
 )
 
 // RejectionError returns the error of a request that has not run and may be retried after the given time.
@@ -69,5 +69,5 @@
 	if errors.Is(err, errNoCapacity) {
 		return RejectionError(capacityRetryAfter)
 	}
-	return pgwire.Error{Code: pgwire.BadStatement, Message: err.Error()}
+	return pgwire.Error{Code: pgwire.SyntaxError, Message: err.Error()}
 }
--- a/internal/frontend/errors_test.go
+++ b/internal/frontend/errors_test.go
@@ -8,13 +8,13 @@
 	"limeladder/internal/pgwire"
 )
 
-// Errors keep the SQLSTATE that they carry, and others violate the protocol.
-func TestProtocolErrorOf(t *testing.T) {
-	if got := protocolErrorOf(fmt.Errorf("at sweep: %w", errTooMuchUnread)); got != errTooMuchUnread {
-		t.Errorf("%+v", got)
+// Tests that errors keep the SQLSTATE that they carry, and that other errors become protocol violations.
+func TestAsProtocolError(t *testing.T) {
+	if got := asProtocolError(fmt.Errorf("at sweep: %w", errUnreadLimit)); got != errUnreadLimit {
+		t.Errorf("asProtocolError of a wrapped errUnreadLimit = %+v, want errUnreadLimit itself", got)
 	}
 	want := ProtocolError{pgwire.ProtocolViolation, "other"}
-	if got := protocolErrorOf(errors.New("other")); *got != want {
-		t.Errorf("%+v", got)
+	if got := asProtocolError(errors.New("other")); *got != want {
+		t.Errorf("asProtocolError of an untyped error = %+v, want a protocol violation with its text", got)
 	}
 }
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sweep closes connections that are overdue or drained, evicts idle ones, and sets the time of the next sweep.
+// sweep closes connections that are overdue or drained, evicts idle ones, and schedules the next sweep.
 func (f *Frontend) sweep() {
 	now := f.eventLoop.Now()
 	unreadBytes := f.closeOverdue(now)
@@ -19,8 +19,8 @@
 	f.nextSweep = f.eventLoop.AfterFunc(f.sweepInterval(unreadBytes > 0), f.sweep)
 }
 
-// closeOverdue closes the connections that have overstayed a timeout, and returns how many bytes of responses the
-// others have not read.
+// closeOverdue closes the connections that have exceeded a timeout, and returns how many bytes of responses the other
+// clients have not read.
 func (f *Frontend) closeOverdue(now time.Duration) (unreadBytes int) {
 	lim := &f.limits.Frontend
 	for c := range f.connections {
@@ -32,19 +32,19 @@
 		unreadBytes += c.output.unsentBytes
 		switch {
 		case unreadBytes > lim.BufferedBytes && c.hasUnreadResponse():
-			// Many clients that do not read their responses exhaust the memory where each alone does not.
-			c.closeWithError(errTooMuchUnread)
+			// Many clients that do not read their responses exhaust the memory where one alone does not.
+			c.closeWithError(errUnreadLimit)
 		case c.memory.unparsedBytes > 0:
-			c.accountInput() // there may be capacity again
+			c.accountInput() // memory may be available again
 		}
 	}
 	return unreadBytes
 }
 
-// sweepInterval returns the time to the next sweep. With a fixed short interval every router of a fleet would wake
-// twenty times a second for nothing, which is expensive on a small share of a core. Where no connection waits for
-// capacity and nothing drains, the first timeout that a sweep enforces lies seconds ahead: a quarter of the shortest
-// one is soon enough. Unread responses need the short interval, since all of them together are bounded at each sweep.
+// sweepInterval returns the time to the next sweep. With a fixed short interval every idle router of a fleet would wake
+// twenty times a second, which is expensive on a small share of a core. When no connection waits for capacity and no
+// drain has begun, the first timeout that a sweep enforces is seconds away: a quarter of the shortest one is soon
+// enough. Unread responses need the short interval, since their total is limited at each sweep.
 func (f *Frontend) sweepInterval(unread bool) time.Duration {
 	lim := &f.limits.Frontend
 	if unread || f.needsFrequentSweeps() {
@@ -60,8 +60,8 @@
 	return max(lim.SweepInterval, shortest/4)
 }
 
-// needsFrequentSweeps reports whether connections wait for memory, are drained, or are more than may stay idle. Bytes
-// that are kept for requests in flight are no shortage of memory.
+// needsFrequentSweeps reports whether connections wait for memory, are being drained, or exceed the number that may
+// stay idle. Bytes that are kept for requests in flight are not a shortage of memory.
 func (f *Frontend) needsFrequentSweeps() bool {
 	lim := &f.limits.Frontend
 	if f.memory.used(lim.BufferedBytes) > lim.BufferedBytes || f.drain.begun() {
@@ -70,8 +70,8 @@
 	return len(f.connections) > min(lim.SoftLimit, lim.HardLimit)
 }
 
-// hastenSweep moves the next sweep to the short interval, because something has happened that needs it.
-func (f *Frontend) hastenSweep() {
+// sweepSoon moves the next sweep forward to the short interval, because an event has occurred that needs it.
+func (f *Frontend) sweepSoon() {
 	interval := f.limits.Frontend.SweepInterval
 	if f.nextSweep != nil && f.eventLoop.Now()+interval < f.nextSweep.Due() {
 		f.nextSweep.Stop()
@@ -79,14 +79,15 @@
 	}
 }
 
-// evictIdle closes the connections that have asked for nothing for the longest time, so that clients which ask once
-// and stay, or say nothing, leave places for others. One that has a request, or has just come, is left alone.
+// evictIdle closes the connections that have been idle for the longest time, so that clients that never send a request,
+// or send one and stay connected, leave capacity for others. A connection that has a request in flight or is new is not
+// closed.
 func (f *Frontend) evictIdle(now time.Duration) {
 	lim := &f.limits.Frontend
 	f.evictDownTo(now, lim.SoftLimit, lim.SoftLimitIdle)
-	// Above the hard limit the idle time is short: more clients may come, ask once and stay than there are places for
-	// SoftLimitIdle, and others would wait for a place until their deadline. A client whose connection is closed
-	// between two requests connects again.
+	// Above the hard limit the idle time is short: more clients may connect, send one request and stay than there is
+	// capacity for during SoftLimitIdle, and others would wait for capacity until their deadline. A client whose
+	// connection is closed between two requests connects again.
 	f.evictDownTo(now, lim.HardLimit, lim.HardLimitIdle)
 }
 
@@ -109,8 +110,8 @@
 	}
 }
 
-// evictable reports whether the connection may be closed to make room for others. A usual connection may be after it
-// was idle for the given time. What has come and was not read yet counts as activity.
+// evictable reports whether the connection may be closed to free capacity. In the normal case this is so after it has
+// been idle for the given time. Data that has arrived and was not read yet counts as activity.
 func (c *Conn) evictable(now, idle time.Duration) bool {
 	lim := &c.frontend.limits.Frontend
 	if !c.lifetime.started {
@@ -119,18 +120,18 @@
 	switch {
 	case c.lifetime.lastInvalid:
 		idle = min(idle, lim.UnstartedIdle)
-	case !c.lifetime.commandSeen: // usual clients send a command at once
+	case !c.lifetime.commandSeen: // most clients send a command immediately
 		idle = lim.UnusedIdle
 	}
 	return c.betweenRequests() && now-c.lifetime.lastActiveAt > idle && c.socket.Quiet()
 }
 
-// betweenRequests reports whether the client is owed nothing and has begun nothing.
+// betweenRequests reports whether no response is pending and the client has not started a message or a unit of work.
 func (c *Conn) betweenRequests() bool {
 	return !c.owesResponse() && !c.input.partial() && c.handler.Idle()
 }
 
-// hasUnreadResponse reports whether all that the connection waits for is that its client reads a response.
+// hasUnreadResponse reports whether the connection only waits for its client to read a response.
 func (c *Conn) hasUnreadResponse() bool {
 	return c.output.unsentBytes > 0 && c.output.flow == nil && !c.owesResponse()
 }
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -13,8 +13,8 @@
 	"limeladder/internal/testserver"
 )
 
-// A table full of clients that say nothing, or have asked once and stay, has a place for one that asks. Neither that
-// one nor one whose request is in flight is closed for it.
+// Tests that a frontend that is full of idle clients, with and without an earlier request, still accepts a client with
+// a request. Neither that client nor one with a request in flight is closed.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.Connections = 6
@@ -22,7 +22,7 @@
 	lim.Frontend.HardLimit = 6
 	lim.Frontend.SoftLimitIdle = 200 * time.Millisecond
 	testEviction(t, lim)
-	// Newcomers need not wait out the long idle time: places are taken much faster than that.
+	// New clients need not wait for the long idle time: above the hard limit a shorter one applies.
 	lim.Frontend.HardLimit = 5
 	lim.Frontend.SoftLimitIdle = time.Hour
 	testEviction(t, lim)
@@ -37,7 +37,7 @@
 		client := testserver.Dial(t, addr)
 		client.Send(pgwire.AppendQuery(nil, statement("served")))
 		if answer := client.Until('Z'); answer.Types != "TDCZ" {
-			t.Fatalf("%+v", answer)
+			t.Fatalf("response %+v, want types TDCZ", answer)
 		}
 	}
 	for range 20 {
@@ -50,14 +50,14 @@
 	client := testserver.Dial(t, addr)
 	client.Send(pgwire.AppendQuery(nil, statement("served")))
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 	if len(fake.disconnects) > 0 {
 		t.Fatal("a connection with a request in flight was closed")
 	}
 }
 
-// countSweeps counts the sweeps within a time.
+// countSweeps counts the sweeps during d.
 func countSweeps(loop *eventloop.Loop, frontend *Frontend, d time.Duration) int {
 	at := func() int {
 		got := make(chan int)
@@ -69,18 +69,19 @@
 	return at() - from
 }
 
-// An idle frontend sweeps a few times a second, not at the short interval: eighty routers that each wake twenty times
-// a second for nothing spend their share of a core on it. A client that says nothing is still closed within its time.
+// Tests that an idle frontend sweeps a few times per second, and not at the short interval: eighty routers that each
+// wake twenty times per second without need use up their share of a core. A client that sends nothing is still closed
+// in time.
 func TestIdleFrontendSweepsRarely(t *testing.T) {
 	lim := defaultLimits()
 	frontend, _, loop, addr := startWith(t, lim)
 	client := testserver.Dial(t, addr)
 	client.Send(pgwire.AppendQuery(nil, statement("served")))
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 	if count := countSweeps(loop, frontend, time.Second); count > 4 {
-		t.Errorf("an idle frontend swept %d times in a second, at most 4 wanted", count)
+		t.Errorf("an idle frontend swept %d times in one second, want at most 4", count)
 	}
 	silent, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -89,11 +90,11 @@
 	defer silent.Close()
 	silent.SetDeadline(time.Now().Add(lim.Frontend.StartupTimeout + time.Second))
 	if got, err := io.ReadAll(silent); err != nil || !strings.Contains(string(got), "C"+pgwire.ProtocolViolation+"\x00") {
-		t.Errorf("a silent client: %q %v", got, err)
+		t.Errorf("a client that sends nothing received %q, error %v, want error 08P01", got, err)
 	}
 }
 
-// Where there are more connections than may stay idle, the sweeps come at the short interval at once.
+// Tests that sweeps come at the short interval as soon as there are more connections than may stay idle.
 func TestFullFrontendSweepsOften(t *testing.T) {
 	tight := defaultLimits()
 	tight.Frontend.SoftLimit = 1
@@ -105,19 +106,19 @@
 		client.Until('Z')
 	}
 	if count := countSweeps(loop, frontend, 500*time.Millisecond); count < 6 {
-		t.Errorf("a full frontend swept %d times in half a second, 6 or more wanted", count)
+		t.Errorf("a full frontend swept %d times in 500 ms, want at least 6", count)
 	}
 }
 
-// Responses that are not read count against the bound of all clients together, which needs the short interval.
+// Tests that unread responses cause sweeps at the short interval, since they count towards the limit of all clients.
 func TestUnreadResponsesMakeFrontendSweepOften(t *testing.T) {
 	frontend, _, loop, addr := start(t)
-	slow := dialSlow(t, addr, pgwire.AppendStartup(nil, "user", "x"))
+	slow := dialSlowReader(t, addr, pgwire.AppendStartup(nil, "user", "x"))
 	defer slow.Close()
-	time.Sleep(50 * time.Millisecond) // so that the query is read apart, and nothing of it waits
+	time.Sleep(50 * time.Millisecond) // so that the query is read separately, and no part of it waits
 	write(t, slow, pgwire.AppendQuery(nil, statement("long")))
 	time.Sleep(100 * time.Millisecond)
 	if count := countSweeps(loop, frontend, 500*time.Millisecond); count < 6 {
-		t.Errorf("with unread responses the frontend swept %d times in half a second, 6 or more wanted", count)
+		t.Errorf("a frontend with unread responses swept %d times in 500 ms, want at least 6", count)
 	}
 }
--- a/internal/frontend/exclusive_request.go
+++ b/internal/frontend/exclusive_request.go
@@ -6,9 +6,9 @@
 	"limeladder/internal/router"
 )
 
-// exclusiveRequest is the request of a connection behind which nothing is read until it is answered.
+// exclusiveRequest is a request that stops its connection from reading further messages until it is answered.
 type exclusiveRequest struct {
-	id             string // the router's name for it, "" = none is in flight
+	id             string // the router's id of the request, "" = none is in flight
 	statementBytes int
 	session        string
 	group          int64
@@ -16,8 +16,8 @@
 
 func (r *exclusiveRequest) inFlight() bool { return r.id != "" }
 
-// Submit hands a request to the router; no further message is read until CompleteRequest. An error says that the
-// request is invalid, and that nothing was accepted.
+// Submit submits a request to the router; no further message is read until CompleteRequest. An error means that the
+// request was not accepted.
 func (c *Conn) Submit(request router.Request, client router.Client) (err error) {
 	request.Tenant = c.identity.user
 	request.ClientAddress = c.identity.address
@@ -40,14 +40,13 @@
 	return nil
 }
 
-// Committed notes the position of the write in flight, so that reads which its client sent before it knew the
-// position see the write.
+// Committed records the position of the write in flight, so that reads that the client sent before it knew the position
+// see the write.
 func (c *Conn) Committed(position time.Duration) {
 	c.commits.record(c.exclusive.session, c.exclusive.group, position)
 }
 
-// CompleteRequest ends the request in flight. The function next is called before what was sent behind the request is
-// read.
+// CompleteRequest ends the request in flight. It calls next before it reads messages that were sent after the request.
 func (c *Conn) CompleteRequest(next func() error) {
 	c.exclusive.id = ""
 	c.output.flow = nil
@@ -56,11 +55,11 @@
 	c.exclusive.session = ""
 	if c.input.reader.Waiting() > 0 && c.socket.PeerClosed(true) {
 		c.lifetime.lastActiveAt = c.frontend.eventLoop.Now()
-		return // the client has gone: nothing of what it sent ahead is begun
+		return // the client has disconnected: its pipelined requests are not started
 	}
 	if !c.lifetime.closed {
 		if err := next(); err != nil {
-			c.closeWithError(protocolErrorOf(err))
+			c.closeWithError(asProtocolError(err))
 		}
 	}
 	c.resume()
--- a/internal/frontend/extendedquery/errors.go
+++ b/internal/frontend/extendedquery/errors.go
@@ -5,13 +5,13 @@
 	"limeladder/internal/pgwire"
 )
 
-// SQLSTATEs that only this protocol needs.
+// SQLSTATEs that are used by this protocol only.
 const (
 	duplicatePreparedStatement = "42P05"
 	duplicateCursor            = "42P03"
 )
 
-// The statements that are rejected.
+// Errors of statements that are rejected.
 var (
 	errMultipleStatements   = unsupported("one statement at a time")
 	errUnsupportedStatement = unsupported(
@@ -20,12 +20,12 @@
 	errUnterminated     = unsupported("a quote or comment is not closed")
 )
 
-// The messages that are rejected.
+// Errors of messages that are rejected.
 var (
-	errWriteWithoutSync  = unsupported("a write must be followed by Sync")
-	errFunctionCall      = unsupported("function calls are not supported")
-	errPortalExecuted    = unsupported("a portal can be executed once only")
-	errTooMuchIsPrepared = &frontend.ProtocolError{SQLSTATE: pgwire.TooLarge, Reason: "too much is prepared"}
+	errWriteWithoutSync = unsupported("a write must be followed by Sync")
+	errFunctionCall     = unsupported("function calls are not supported")
+	errPortalExecuted   = unsupported("a portal can be executed once only")
+	errPreparedLimit    = &frontend.ProtocolError{SQLSTATE: pgwire.ProgramLimitExceeded, Reason: "too much is prepared"}
 )
 
 func unsupported(reason string) *frontend.ProtocolError {
@@ -33,7 +33,7 @@
 }
 
 func invalidComment(err error) *frontend.ProtocolError {
-	return &frontend.ProtocolError{SQLSTATE: pgwire.BadStatement, Reason: err.Error()}
+	return &frontend.ProtocolError{SQLSTATE: pgwire.SyntaxError, Reason: err.Error()}
 }
 
 func statementExists(name string) *frontend.ProtocolError {
--- a/internal/frontend/extendedquery/message_order_test.go
+++ b/internal/frontend/extendedquery/message_order_test.go
@@ -10,23 +10,23 @@
 	"limeladder/internal/testserver"
 )
 
-// Any messages in any order, split anywhere, leave the connection in step: what is asked behind them is answered, and
-// no write runs more often than it was executed.
+// Tests that any messages in any order, split at any point, leave the connection in sync: a query after them is
+// answered, and no write runs more often than it was executed.
 func TestMessagesInRandomOrder(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
 	rng := rand.New(rand.NewPCG(11, 12))
 	for round := range 150 {
-		id := fmt.Sprintf("job%d", round)
+		id := fmt.Sprintf("write%d", round)
 		executes := 0
 		var messages []byte
 		for range 1 + rng.IntN(14) {
 			name := []string{"", "s", "t"}[rng.IntN(3)]
 			switch rng.IntN(9) {
 			case 0:
-				messages = append(messages, prepare(name, statementText(id, "job", 2500))...)
+				messages = append(messages, prepare(name, statementText(id, "write", 2500))...)
 			case 1, 2:
-				messages = append(messages, prepare(name, statementText("look"+id, "look", 2500))...)
+				messages = append(messages, prepare(name, statementText("read"+id, "read", 2500))...)
 			case 3, 4:
 				messages = pgwire.AppendBind(messages, pgwire.BindMessage{Portal: name, Statement: name, Rest: bindValues})
 			case 5:
@@ -50,15 +50,15 @@
 			if strings.Count(answer.Types, "E") > 1 {
 				t.Fatalf("round %d: more than one error in a unit: %+v", round, answer)
 			}
-			if answer.Code == pgwire.BadStatement {
+			if answer.Code == pgwire.SyntaxError {
 				break
 			}
 			if answer.Ended || answer.Code == pgwire.UnknownOutcome || answer.Code == pgwire.TooManyConnections {
-				t.Fatalf("round %d: %+v", round, answer)
+				t.Fatalf("round %d: response %+v, want a served request or a rejection of a message", round, answer)
 			}
 		}
 		if runs := db.Runs(id); runs > executes {
-			t.Fatalf("round %d: %d runs for %d executions", round, runs, executes)
+			t.Fatalf("round %d: write ran %d times for %d Execute messages", round, runs, executes)
 		}
 		client.Close()
 	}
--- a/internal/frontend/extendedquery/operation.go
+++ b/internal/frontend/extendedquery/operation.go
@@ -9,25 +9,25 @@
 	"limeladder/internal/pgwire"
 )
 
-// operation is what one request does at an endpoint: the description of a statement, or that of a portal and its
-// execution. It implements backend.Job.
+// operation is the job of one request: to describe a statement, or to describe a portal, execute it, or both. It
+// implements backend.Job.
 type operation struct {
-	statement      *preparedStatement // nil: a simple query, which has a job of its own
-	portal         *portal            // nil: describe the statement
+	statement      *preparedStatement // nil = a simple query, which has its own job
+	portal         *portal            // nil = describe the statement
 	describe       bool
 	execute        bool
 	maxRows        uint32 // 0 = all
 	receivedAt     time.Duration
-	closeResponses []byte // responses to the Close messages that came behind it
-	syncReceived   bool   // Sync has come behind it
+	closeResponses []byte // responses to the Close messages that arrived after the operation
+	syncReceived   bool   // Sync has arrived after the operation
 }
 
-// Messages implements backend.Job: the statement is prepared anew on whichever endpoint the attempt goes to, and Sync
-// stands behind it, so that nothing of it outlives the attempt.
-func (o *operation) Messages(left time.Duration) []byte {
+// Messages implements backend.Job. The statement is prepared again at the endpoint of each attempt, and Sync follows
+// it, so that the attempt leaves no state at the endpoint.
+func (o *operation) Messages(timeLeft time.Duration) []byte {
 	parse := o.statement.ParseMessage
 	parse.Name = ""
-	parse.Query = o.statement.comment.WithDeadline(parse.Query, left)
+	parse.Query = o.statement.comment.WithDeadline(parse.Query, timeLeft)
 	out := pgwire.AppendParse(nil, parse)
 	if o.portal == nil {
 		out = pgwire.AppendTarget(out, 'D', 'S', "")
@@ -52,7 +52,7 @@
 	return size
 }
 
-// Complete implements backend.Job: the types of the messages have to be those that answer Messages.
+// Complete implements backend.Job. The types of the response messages must be those that answer Messages.
 func (o *operation) Complete(response *backend.Response) bool {
 	types, ok := strings.CutPrefix(string(response.Types), "1")
 	if !ok {
@@ -77,7 +77,7 @@
 	return endsExecution(strings.TrimLeft(types, "D"))
 }
 
-// cutDescription cuts RowDescription or NoData off the front of a list of message types.
+// cutDescription removes a leading RowDescription or NoData from a list of message types.
 func cutDescription(types string) (rest string, ok bool) {
 	if types == "" || types[0] != 'T' && types[0] != 'n' {
 		return types, false
--- a/internal/frontend/extendedquery/rejection_test.go
+++ b/internal/frontend/extendedquery/rejection_test.go
@@ -10,11 +10,11 @@
 	"limeladder/internal/testserver"
 )
 
-// A statement that leaves state at an endpoint, or writes in a class that does not, is rejected.
+// Tests that a statement that leaves state at an endpoint, or writes in a class that does not, is rejected.
 func TestUnsupportedStatementsAreRejected(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
-	head := "/* id=x,c=look,d=900,cluster=7 */ "
+	head := "/* id=x,c=read,d=900,cluster=7 */ "
 	for _, text := range []string{
 		"BEGIN", "COPY facts FROM STDIN", "SET x = 1", "SELECT 1; SELECT 2", "INSERT INTO facts VALUES (1)",
 		"WITH a AS (DELETE FROM facts RETURNING 1) SELECT 1", "SELECT 1 INTO t", "SELECT 'a", "SELECT $a$ x", "/* x",
@@ -23,46 +23,46 @@
 		client := testserver.Dial(t, server.addr)
 		client.Send(append(prepare("", head+text), runStatement("")...))
 		if answer := client.Until('Z'); answer.Types != "EZ" || answer.Code != pgwire.NotSupported {
-			t.Errorf("%s: %+v", text, answer)
+			t.Errorf("%s as an extended query: response %+v, want error 0A000", text, answer)
 		}
 		client.Send(pgwire.AppendQuery(nil, head+text))
 		if answer := client.Until('Z'); answer.Types != "EZ" || answer.Code != pgwire.NotSupported {
-			t.Errorf("%s: %+v", text, answer)
+			t.Errorf("%s as a simple query: response %+v, want error 0A000", text, answer)
 		}
 	}
 	if db.Runs("x") != 0 {
-		t.Errorf("%d runs", db.Runs("x"))
+		t.Errorf("rejected statements ran %d times, want 0", db.Runs("x"))
 	}
 }
 
-// A write is the last message of its unit before Sync, and nothing of it is run otherwise.
+// Tests that a write that is not the last operation of its unit before Sync is rejected and not run.
 func TestWriteMustBeFollowedBySync(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
 	client := testserver.Dial(t, server.addr)
 	bind := pgwire.AppendBind(nil, pgwire.BindMessage{Statement: "j", Rest: bindValues})
-	for _, behind := range [][]byte{
-		bind, pgwire.Append(nil, 'H'), pgwire.AppendExecute(nil, "", 0), prepare("k", statementText("k", "look", 900)),
+	for _, next := range [][]byte{
+		bind, pgwire.Append(nil, 'H'), pgwire.AppendExecute(nil, "", 0), prepare("k", statementText("k", "read", 900)),
 	} {
-		client.Send(pgwire.Append(slices.Concat(writeWithoutSync(), behind), 'S'))
+		client.Send(pgwire.Append(slices.Concat(writeWithoutSync(), next), 'S'))
 		if answer := client.Until('Z'); answer.Code != pgwire.NotSupported || strings.Count(answer.Types, "E") != 1 {
-			t.Errorf("behind a job %q: %+v", behind[0], answer)
+			t.Errorf("message %q after a write: response %+v, want one error 0A000", next[0], answer)
 		}
 		client.Send(pgwire.Append(pgwire.AppendTarget(nil, 'C', 'S', "j"), 'S'))
 		client.Until('Z')
 	}
 	if db.Runs("j") != 0 {
-		t.Errorf("%d runs", db.Runs("j"))
+		t.Errorf("rejected writes ran %d times, want 0", db.Runs("j"))
 	}
 }
 
-// writeWithoutSync returns Parse, Bind and Execute of a write with the label j.
+// writeWithoutSync returns Parse, Bind and Execute of a write with the id j.
 func writeWithoutSync() []byte {
 	bind := pgwire.AppendBind(nil, pgwire.BindMessage{Statement: "j", Rest: bindValues})
-	return pgwire.AppendExecute(append(prepare("j", statementText("j", "job", 900)), bind...), "", 0)
+	return pgwire.AppendExecute(append(prepare("j", statementText("j", "write", 900)), bind...), "", 0)
 }
 
-// What names no statement or portal, or has no request comment, gets an error of its own.
+// Tests the errors for an undefined statement, an undefined portal and a missing request comment.
 func TestUndefinedNamesAreRejected(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	client := testserver.Dial(t, server.addr)
@@ -73,34 +73,34 @@
 	} {
 		client.Send(messages)
 		if answer := client.Until('Z'); answer.Code != want || answer.Types != "EZ" {
-			t.Errorf("%s: %+v", want, answer)
+			t.Errorf("want error %s, got response %+v", want, answer)
 		}
 	}
 }
 
-// What is prepared is bounded, and the connection stays in step.
+// Tests that the number of prepared statements is limited, and that the connection is in sync after the error.
 func TestPreparedStatementsAreBounded(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	client := testserver.Dial(t, server.addr)
 	var messages []byte
 	for i := range 1100 {
-		messages = append(messages, prepare(fmt.Sprint("s", i), statementText("x", "look", 900))...)
+		messages = append(messages, prepare(fmt.Sprint("s", i), statementText("x", "read", 900))...)
 	}
 	client.Send(pgwire.Append(messages, 'S'))
-	if answer := client.Until('Z'); answer.Code != pgwire.TooLarge || strings.Count(answer.Types, "E") != 1 {
-		t.Errorf("%s", answer.Code)
+	if answer := client.Until('Z'); answer.Code != pgwire.ProgramLimitExceeded || strings.Count(answer.Types, "E") != 1 {
+		t.Errorf("error %q, want 54000 exactly once", answer.Code)
 	}
 	client.Send(pgwire.AppendQuery(nil, ""))
 	if answer := client.Until('Z'); answer.Types != "IZ" {
-		t.Errorf("then %+v", answer)
+		t.Errorf("response %+v to an empty query after the error, want types IZ", answer)
 	}
 }
 
-// What waits for Sync is bounded: it is sent before that, and nothing of it is lost.
+// Tests that responses that wait for Sync are limited: above the limit they are sent before it, and none is lost.
 func TestResponsesThatAwaitSyncAreBounded(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	bind := pgwire.AppendBind(nil, pgwire.BindMessage{Rest: bindValues})
-	messages := append(prepare("", statementText("x2", "look", 2500)), bind...)
+	messages := append(prepare("", statementText("x2", "read", 2500)), bind...)
 	messages = pgwire.AppendExecute(messages, "", 0)
 	const closes = 2 * maxBufferedBytes / 5
 	client := testserver.Dial(t, server.addr)
@@ -110,13 +110,14 @@
 	client.Send(pgwire.Append(messages, 'S'))
 	answer := client.Until('Z')
 	if strings.Count(answer.Types, "3") != closes || !strings.HasPrefix(answer.Types, "12DC3") {
-		t.Errorf("%.20s of %d", answer.Types, len(answer.Types))
+		t.Errorf("response has types %.20s... (%d messages), want 12DC and all CloseComplete messages",
+			answer.Types, len(answer.Types))
 	}
 }
 
-// A client that disconnects before Sync has run nothing, nor has one that sends Terminate. One that breaks the protocol
-// is told so and closed.
-func TestEndBeforeSyncRunsNothing(t *testing.T) {
+// Tests that a write has not run if its client disconnects or sends Terminate before Sync, and that a client that
+// violates the protocol gets an error and is closed.
+func TestConnectionEndBeforeSyncRunsNothing(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
 	client := testserver.Dial(t, server.addr)
@@ -125,14 +126,14 @@
 	client = testserver.Dial(t, server.addr)
 	client.Send(pgwire.Append(writeWithoutSync(), 'X'))
 	if answer := client.Until('Z'); !answer.Ended {
-		t.Errorf("%+v", answer)
+		t.Errorf("response %+v to Terminate, want the end of the connection", answer)
 	}
 	client = testserver.Dial(t, server.addr)
 	client.Send([]byte{'B', 0, 0, 0, 5, 9})
 	if answer := client.Until('Z'); !answer.Ended || answer.Code != pgwire.ProtocolViolation {
-		t.Errorf("%+v", answer)
+		t.Errorf("response %+v to an invalid message, want error 08P01 and the end of the connection", answer)
 	}
 	if db.Runs("j") != 0 {
-		t.Errorf("%d runs", db.Runs("j"))
+		t.Errorf("writes without Sync ran %d times, want 0", db.Runs("j"))
 	}
 }
--- a/internal/frontend/extendedquery/response.go
+++ b/internal/frontend/extendedquery/response.go
@@ -10,7 +10,7 @@
 )
 
 // Disconnected implements router.Client.
-func (s *session) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
+func (s *session) Disconnected(askSystem bool) bool { return s.conn.Disconnected(askSystem) }
 
 // Committed implements router.Committer.
 func (s *session) Committed(position time.Duration) { s.conn.Committed(position) }
@@ -44,13 +44,13 @@
 }
 
 // Failed implements router.Client.
-func (s *session) Failed(why string) {
-	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.FailureError(why))
+func (s *session) Failed(reason string) {
+	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.FailureError(reason))
 	s.completeRunning(true)
 }
 
-// appendResponse adds an endpoint's response for the client. ParseComplete and BindComplete are left out: the client
-// got its own when it asked, and these answer the messages that the attempt has added.
+// appendResponse adds an endpoint's response to the data for the client. ParseComplete and BindComplete are left out:
+// the client has received its own, and those of the endpoint answer messages that were added by the attempt.
 func (s *session) appendResponse(response *backend.Response) {
 	reader := pgwire.NewReader(len(response.Messages)+messageHeaderBytes, 0)
 	reader.Feed(response.Messages)
--- a/internal/frontend/extendedquery/session.go
+++ b/internal/frontend/extendedquery/session.go
@@ -7,17 +7,17 @@
 	"limeladder/internal/pgwire"
 )
 
-// Classes tells which request classes write.
+// Classes reports which request classes write.
 type Classes interface {
 	// IsWrite reports whether requests of the class may change data.
 	IsWrite(class string) bool
 }
 
-// maxBufferedBytes is how many bytes of responses may wait for Flush or Sync. It bounds the memory against a client
-// that asks on and on without either.
+// maxBufferedBytes limits the responses that wait for Flush or Sync. It bounds the memory for a client that keeps
+// sending messages without either.
 const maxBufferedBytes = 16 << 10
 
-// NewHandler returns the function that makes the protocol handler of a connection.
+// NewHandler returns the function that creates the protocol handler of a connection.
 func NewHandler(classes Classes) func(*frontend.Conn) frontend.ProtocolHandler {
 	return func(c *frontend.Conn) frontend.ProtocolHandler {
 		return &session{
@@ -36,11 +36,11 @@
 	statements map[string]*preparedStatement
 	portals    map[string]*portal
 
-	bufferedResponses []byte          // wait for Flush or Sync
-	skipToSync        bool            // an error ended the unit of work: everything up to Sync is passed over
-	pending           *operation      // asked for and not submitted yet, since more may belong to it
+	bufferedResponses []byte          // responses that wait for Flush or Sync
+	skipToSync        bool            // an error ended the unit of work: everything up to Sync is skipped
+	pending           *operation      // received and not submitted yet, since further messages may belong to it
 	running           *operation      // submitted to the router
-	deferredMessage   *pgwire.Message // came behind the pending operation, which had to run first
+	deferredMessage   *pgwire.Message // arrived after the pending operation, which has to run first
 }
 
 // Idle implements frontend.ProtocolHandler.
@@ -53,7 +53,7 @@
 
 // HandleMessage implements frontend.ProtocolHandler.
 func (s *session) HandleMessage(message pgwire.Message) error {
-	if message.Type == 'X' { // what is pending is no longer wanted, and nothing of it was sent
+	if message.Type == 'X' { // the pending operation is not needed any more, and no part of it was sent
 		s.conn.Close()
 		return nil
 	}
@@ -91,15 +91,15 @@
 	case 'F':
 		s.reject(errFunctionCall)
 		s.sync()
-	case 'd', 'c', 'f': // PostgreSQL passes over what is left of a COPY that failed
+	case 'd', 'c', 'f': // PostgreSQL ignores the remaining messages of a failed COPY
 	default:
 		return pgwire.ErrFormat
 	}
 	return nil
 }
 
-// belongsToPending reports whether a message belongs to the pending operation: the execution of the portal that it
-// describes, or a Close.
+// belongsToPending reports whether a message belongs to the pending operation: the Execute of the portal that the
+// operation describes, or a Close.
 func (s *session) belongsToPending(message pgwire.Message) bool {
 	switch message.Type {
 	case 'C':
@@ -114,9 +114,9 @@
 	return false
 }
 
-// endPending submits the pending operation, behind which a message has come that does not belong to it. A write is
-// submitted only with Sync, so that it is run once at the most: nothing of its unit stands behind it, and a client
-// that is lost before Sync has run nothing.
+// endPending submits the pending operation after a message has arrived that does not belong to it. A write is submitted
+// only on Sync, so that it runs at most once: no operation of its unit follows it, and if the client disconnects before
+// Sync, nothing has run.
 func (s *session) endPending(message pgwire.Message) {
 	isSync := message.Type == 'S'
 	if s.isWrite(s.pending) && !isSync {
@@ -139,7 +139,7 @@
 	return o.execute && s.classes.IsWrite(o.statement.comment.Class)
 }
 
-// reject answers a message with an error. Everything up to Sync is passed over.
+// reject answers a message with an error. Everything up to Sync is skipped.
 func (s *session) reject(err *frontend.ProtocolError) {
 	s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, pgwire.Error{Code: err.SQLSTATE, Message: err.Reason})
 	s.skipToSync = true
@@ -152,7 +152,7 @@
 	}
 }
 
-// sync ends the unit of work, and its portals with it.
+// sync ends the unit of work and drops its portals.
 func (s *session) sync() {
 	s.skipToSync = false
 	s.dropAllPortals()
--- a/internal/frontend/extendedquery/statement_check.go
+++ b/internal/frontend/extendedquery/statement_check.go
@@ -6,7 +6,7 @@
 	"limeladder/internal/frontend"
 )
 
-// checkStatement returns why sql can't be run, nil if it can: it has to be one statement that runs alone on any
+// checkStatement returns why sql can't be run, or nil if it can. It must be one statement that runs on its own on any
 // connection. The router may retry a statement of a class that does not write, so such a statement must not write.
 func checkStatement(sql string, mayWrite bool) *frontend.ProtocolError {
 	words, multiple, err := scanWords(sql)
@@ -31,8 +31,8 @@
 	return false
 }
 
-// containsWrite reports whether any word of a statement makes it one that writes. SELECT ... FOR UPDATE counts, since
-// it takes locks, which a replica refuses too. So does SELECT ... INTO, which creates a table.
+// containsWrite reports whether any word of a statement makes it a write. SELECT ... FOR UPDATE is a write, since it
+// takes locks, which a replica refuses too. So is SELECT ... INTO, which creates a table.
 func containsWrite(words []string) bool {
 	for i, word := range words {
 		switch word {
@@ -47,8 +47,8 @@
 	return false
 }
 
-// scanWords returns the words of sql that stand outside quotes and comments, in upper case, and whether anything
-// stands behind a semicolon.
+// scanWords returns the words of sql outside quotes and comments, in upper case, and whether anything follows a
+// semicolon.
 func scanWords(sql string) (words []string, multiple bool, err *frontend.ProtocolError) {
 	ended := false
 	for position := 0; position < len(sql); {
@@ -76,8 +76,8 @@
 	return words, multiple, nil
 }
 
-// blankLength returns the length of the comment or white space that s starts with: 0 if there is none, -1 if a comment
-// is not closed.
+// blankLength returns the length in bytes of the comment or white space that s starts with: 0 if there is none, -1 if a
+// comment is not closed.
 func blankLength(s string) int {
 	switch {
 	case strings.HasPrefix(s, "--"):
@@ -93,8 +93,8 @@
 	return 0
 }
 
-// tokenLength returns the length of the word, quoted text or other character at a position of sql, -1 if a quote is
-// not closed.
+// tokenLength returns the length in bytes of the word, quoted text or other character at a position of sql, or -1 if a
+// quote is not closed.
 func tokenLength(sql string, position int) int {
 	rest := sql[position:]
 	first := rest[0]
@@ -111,7 +111,7 @@
 	return 1
 }
 
-// followsEscapePrefix reports whether the E of an escape string, E'...', stands before a position.
+// followsEscapePrefix reports whether a position follows the E of an escape string, E'...'.
 func followsEscapePrefix(sql string, position int) bool {
 	if position == 0 || sql[position-1] != 'e' && sql[position-1] != 'E' {
 		return false
@@ -138,7 +138,8 @@
 	return false
 }
 
-// commentLength returns the length of the comment that s starts with, -1 if it is not closed. Comments nest.
+// commentLength returns the length in bytes of the comment that s starts with, or -1 if it is not closed. Comments
+// nest.
 func commentLength(s string) int {
 	depth := 0
 	for i := 0; i+1 < len(s); i++ {
@@ -157,14 +158,14 @@
 	return -1
 }
 
-// quotedLength returns the length of the quoted text that s starts with, -1 if it is not closed.
+// quotedLength returns the length in bytes of the quoted text that s starts with, or -1 if it is not closed.
 func quotedLength(s string, quote byte, escapes bool) int {
 	for i := 1; i < len(s); i++ {
 		switch {
 		case escapes && s[i] == '\\':
 			i++
 		case s[i] != quote:
-		case i+1 < len(s) && s[i+1] == quote: // a doubled quote stands for itself
+		case i+1 < len(s) && s[i+1] == quote: // a doubled quote represents one quote
 			i++
 		default:
 			return i + 1
@@ -173,8 +174,8 @@
 	return -1
 }
 
-// dollarQuotedLength returns the length of the dollar-quoted text that s starts with, -1 if it is not closed, or 1
-// where s starts with a parameter such as $1.
+// dollarQuotedLength returns the length in bytes of the dollar-quoted text that s starts with, -1 if it is not closed,
+// or 1 if s starts with a parameter such as $1.
 func dollarQuotedLength(s string) int {
 	end := strings.IndexByte(s[1:], '$')
 	if end < 0 {
--- a/internal/frontend/extendedquery/statements.go
+++ b/internal/frontend/extendedquery/statements.go
@@ -16,7 +16,7 @@
 // portal is a prepared statement with its parameters.
 type portal struct {
 	statement *preparedStatement
-	bindRest  []byte // what stands in Bind behind the names
+	bindRest  []byte // body of Bind after the names
 	executed  bool
 }
 
@@ -86,12 +86,12 @@
 	return nil
 }
 
-// reserve counts the bytes of a statement or portal, and rejects it if there is no room: what a client may have
-// prepared is bounded in number, and what all clients have prepared is bounded in bytes.
+// reserve counts the bytes of a statement or portal, and rejects the message if a limit is reached: the number of
+// statements and portals of a client is limited, and so is the memory for those of all clients.
 func (s *session) reserve(bytes int) bool {
 	count := len(s.statements) + len(s.portals)
 	if count >= s.conn.Limits().Frontend.PreparedStatements || !s.conn.Reserve(bytes) {
-		s.reject(errTooMuchIsPrepared)
+		s.reject(errPreparedLimit)
 		return false
 	}
 	return true
--- a/internal/frontend/extendedquery/test_router_test.go
+++ b/internal/frontend/extendedquery/test_router_test.go
@@ -25,7 +25,7 @@
 // Poll implements the discovery of router.Router.
 func (noDiscovery) Poll() {}
 
-// testRouter is the whole path from a client to endpoints.
+// testRouter is the complete path from a client to endpoints.
 type testRouter struct {
 	addr      string
 	eventLoop *eventloop.Loop
@@ -61,8 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	job := class("job", balance.ConsistencyWrite)
-	job.Idempotency = balance.NonIdempotent
+	writeClass := class("write", balance.ConsistencyWrite)
+	writeClass.Idempotency = balance.NonIdempotent
 	core, err := router.New(loop, lim, logger, balance.Config{
 		Instances:           1,
 		Zone:                "a",
@@ -72,9 +72,9 @@
 		SlowStartFrom:       0.2,
 		ClientSessionTokens: true,
 		Classes: []balance.Class{
-			class("own", balance.ConsistencySession),
-			class("look", balance.ConsistencyAny),
-			job,
+			class("session", balance.ConsistencySession),
+			class("read", balance.ConsistencyAny),
+			writeClass,
 		},
 	}, 1, nil)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return server
 }
 
-// updateEndpoints tells the router of endpoints, named by their addresses. The first of a full list is the primary.
+// updateEndpoints gives endpoints, identified by their addresses, to the router. The first one of a full list is the
+// primary.
 func (server *testRouter) updateEndpoints(full bool, state string, endpoints ...*testserver.DB) {
 	list := config.EndpointList{Full: full}
 	decisions := balance.EndpointList{Kind: balance.ListDelta}
@@ -125,7 +126,7 @@
 
 func statementText(id, class string, ms int) string {
 	verb := "SELECT data FROM facts WHERE code = $1"
-	if class == "job" {
+	if class == "write" {
 		verb = "INSERT INTO facts (code, data) VALUES ($1, '\\x00') RETURNING data"
 	}
 	return fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=7 */ %s", id, class, ms, verb)
@@ -137,14 +138,14 @@
 
 var bindValues = []byte("\x00\x00\x00\x01\x00\x00\x00\x01x\x00\x01\x00\x01")
 
-// runStatement returns Bind, Describe, Execute and Sync.
+// runStatement returns Bind, Describe, Execute and Sync of a prepared statement.
 func runStatement(name string) []byte {
 	messages := pgwire.AppendBind(nil, pgwire.BindMessage{Statement: name, Rest: bindValues})
 	messages = pgwire.AppendTarget(messages, 'D', 'P', "")
 	return pgwire.Append(pgwire.AppendExecute(messages, "", 0), 'S')
 }
 
-// parseAndRun returns Parse and a run of the statement.
+// parseAndRun returns Parse, Bind, Describe, Execute and Sync of a statement.
 func parseAndRun(id, class string, ms int) []byte {
 	return append(prepare("", statementText(id, class, ms)), runStatement("")...)
 }
--- a/internal/frontend/extendedquery/unit_of_work.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -81,26 +81,26 @@
 	}
 	s.running = &operation{syncReceived: true}
 	s.flush()
-	request := requestOf(comment)
+	request := newRequest(comment)
 	request.ReceivedAt = s.conn.ReceivedAt()
 	request.Job = simpleQueryJob{query}
 	s.submit(request)
 	return nil
 }
 
-// submitPending submits the pending operation. What came before it is answered first.
+// submitPending submits the pending operation. The responses to earlier messages are sent first.
 func (s *session) submitPending() {
 	s.flush()
 	s.running = s.pending
 	s.pending = nil
-	request := requestOf(s.running.statement.comment)
+	request := newRequest(s.running.statement.comment)
 	request.ReceivedAt = s.running.receivedAt
 	request.Job = s.running
 	s.submit(request)
 }
 
-// requestOf returns what a request comment says of a request.
-func requestOf(comment requestcomment.Head) router.Request {
+// newRequest returns the request that a request comment describes.
+func newRequest(comment requestcomment.Head) router.Request {
 	return router.Request{
 		ClientRequestID: comment.ID,
 		Class:           comment.Class,
@@ -112,17 +112,17 @@
 	}
 }
 
-// submit hands a request to the router, and answers one that is invalid.
+// submit submits a request to the router, and sends an error if it is invalid.
 func (s *session) submit(request router.Request) {
 	if err := s.conn.Submit(request, s); err != nil {
 		s.conn.MarkInvalid()
 		s.bufferedResponses = pgwire.AppendError(s.bufferedResponses, frontend.InvalidRequestError(err))
 		s.finishRunning(true)
-		s.deferredMessage = nil // it is passed over, like everything up to Sync
+		s.deferredMessage = nil // skipped, like everything up to Sync
 	}
 }
 
-// finishRunning ends the operation that ran, and the unit of work if Sync stood behind it.
+// finishRunning ends the running operation, and the unit of work if Sync followed the operation.
 func (s *session) finishRunning(failed bool) {
 	finished := s.running
 	s.running = nil
@@ -136,7 +136,7 @@
 	}
 }
 
-// completeRunning goes on behind the response to the operation that ran.
+// completeRunning ends the running operation after its response, and continues with the deferred message.
 func (s *session) completeRunning(failed bool) {
 	s.finishRunning(failed)
 	message := s.deferredMessage
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -21,9 +21,10 @@
 	"limeladder/internal/transport"
 )
 
-// fakeRouter answers requests by their class, on the event loop. The classes "served", "refused", "failed", "long"
-// and "cut" are answered at once, "odd" is unknown, and the tests answer the others: "free" reads wait for nothing,
-// "sees" reads wait for all writes, "own" reads wait for those of their session, and "waits" writes.
+// fakeRouter answers requests by their class, on the event loop. The classes "served", "rejected", "failed", "long" and
+// "truncated" are answered at once, and "unknown" is not accepted. Tests answer the other classes themselves: "any"
+// reads wait for nothing, "latest" reads wait for all writes, "session" reads wait for the writes of their session, and
+// "write" is a class of writes.
 type fakeRouter struct {
 	loop          *eventloop.Loop
 	acceptedCount atomic.Int32
@@ -42,9 +43,9 @@
 // OrderingOf implements Router.
 func (fake *fakeRouter) OrderingOf(class string) router.Ordering {
 	return router.Ordering{
-		Writes:         class == "waits",
-		ReadsOwnWrites: class == "own",
-		ReadsAllWrites: class != "free" && class != "own",
+		Writes:         class == "write",
+		ReadsOwnWrites: class == "session",
+		ReadsAllWrites: class != "any" && class != "session",
 	}
 }
 
@@ -53,7 +54,7 @@
 
 // Accept implements Router.
 func (fake *fakeRouter) Accept(request router.Request, client router.Client) (string, error) {
-	if request.Class == "odd" {
+	if request.Class == "unknown" {
 		if fake.onUnknownClass != nil {
 			fake.onUnknownClass()
 		}
@@ -70,12 +71,13 @@
 			message := pgwire.Append(nil, 'T', []byte{0, 0})
 			message = pgwire.Append(message, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
 			client.Served(&backend.Response{Messages: pgwire.Append(message, 'C', []byte("SELECT 1\x00"))})
-		case "refused":
+		case "rejected":
 			client.Rejected(1500 * time.Millisecond)
 		case "failed":
 			client.Failed("it may have run")
-		case "long", "cut":
-			fake.source = &fakeSource{router: fake, client: client, remaining: longRowBytes, truncates: request.Class == "cut"}
+		case "long", "truncated":
+			fake.source = &fakeSource{router: fake, client: client, remaining: longRowBytes,
+				truncates: request.Class == "truncated"}
 			client.ResponseStarted(&backend.Response{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, fake.source)
 			client.ResponsePart(binary.BigEndian.AppendUint32([]byte{'D'}, longRowBytes+4))
 			fake.source.send()
@@ -89,8 +91,8 @@
 
 func (fake *fakeRouter) accepted() int { return int(fake.acceptedCount.Load()) }
 
-// labels returns the labels of the requests that were accepted so far, in order.
-func (fake *fakeRouter) labels() (ids []string) {
+// acceptedIDs returns the ids of the requests accepted so far, in order.
+func (fake *fakeRouter) acceptedIDs() (ids []string) {
 	runInLoop(fake.loop, func() {
 		for _, q := range fake.requests {
 			ids = append(ids, q.ClientRequestID)
@@ -99,7 +101,7 @@
 	return ids
 }
 
-// client returns the client of the request with the label, nil if there is none.
+// client returns the client of the request with the id, or nil if there is none.
 func (fake *fakeRouter) client(id string) (c router.Client) {
 	for i, q := range fake.requests {
 		if q.ClientRequestID == id {
@@ -109,7 +111,7 @@
 	return c
 }
 
-// serve answers requests, each with its label as the value.
+// serve answers requests, each with its id as the value.
 func (fake *fakeRouter) serve(ids ...string) {
 	runInLoop(fake.loop, func() {
 		for _, id := range ids {
@@ -120,13 +122,13 @@
 
 const longRowBytes = 6 << 20
 
-// fakeSource streams a long row as fast as it may.
+// fakeSource streams a long row as fast as its flow control permits.
 type fakeSource struct {
 	router         *fakeRouter
 	client         router.Client
 	remaining      int
 	paused         bool
-	truncates      bool // it breaks off half way
+	truncates      bool // the response ends after half of the row
 	maxUnsentBytes int
 }
 
@@ -158,7 +160,7 @@
 	}
 }
 
-// pauseRecorder is a router.Flow that only notes when it is paused.
+// pauseRecorder is a router.Flow that only records the calls.
 type pauseRecorder struct{ calls []bool }
 
 // SetPaused implements router.Flow.
@@ -200,13 +202,13 @@
 	return frontend, fake, loop, listener.Addr().String()
 }
 
-// statement returns a statement of the class.
+// statement returns a statement of the class, whose id is derived from the class.
 func statement(class string) string {
 	return fmt.Sprintf("/* id=i-%s,c=%s,d=900,cluster=1 */ SELECT 1", class, class)
 }
 
-// labelled returns the query of a request with a label and a class.
-func labelled(id, class string) []byte {
+// queryWithID returns a query message with the given id and class.
+func queryWithID(id, class string) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=%s,c=%s,d=900,cluster=1 */ SELECT 1", id, class))
 }
 
@@ -219,8 +221,8 @@
 
 func concat(parts ...[]byte) []byte { return slices.Concat(parts...) }
 
-// dialSlow connects a client that reads what it is sent only by and by, and sends data.
-func dialSlow(t *testing.T, addr string, data []byte) net.Conn {
+// dialSlowReader connects a client with a small receive buffer and sends data.
+func dialSlowReader(t *testing.T, addr string, data []byte) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -239,12 +241,12 @@
 	}
 }
 
-// waitUntil waits for what the test has set in motion.
+// waitUntil waits until ok returns true. The text what completes the sentence "timed out waiting until ...".
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
@@ -259,10 +261,10 @@
 	<-done
 }
 
-// onlyConnection waits for the one connection, and returns it.
+// onlyConnection waits until a connection exists, and returns it. Tests use it with a single client.
 func onlyConnection(t *testing.T, frontend *Frontend, loop *eventloop.Loop) (c *Conn) {
 	t.Helper()
-	waitUntil(t, "one connection", func() bool {
+	waitUntil(t, "a connection exists", func() bool {
 		runInLoop(loop, func() {
 			for conn := range frontend.connections {
 				c = conn
@@ -273,34 +275,36 @@
 	return c
 }
 
-// waitForSlots waits until so many responses are owed on the connection.
+// waitForSlots waits until the connection has exactly count pending responses.
 func waitForSlots(t *testing.T, loop *eventloop.Loop, conn *Conn, count int) {
 	t.Helper()
-	waitUntil(t, fmt.Sprintf("%d responses are owed", count), func() (owed bool) {
+	waitUntil(t, fmt.Sprintf("%d responses are pending", count), func() (owed bool) {
 		runInLoop(loop, func() { owed = len(conn.pipeline.slots) == count })
 		return owed
 	})
 }
 
-// expectAccepted waits until just these requests were accepted, in any order.
+// expectAccepted waits until as many requests as want were accepted, and checks that they are the ones in want, in any
+// order.
 func expectAccepted(t *testing.T, fake *fakeRouter, want ...string) {
 	t.Helper()
 	slices.Sort(want)
-	waitUntil(t, "taken: "+strings.Join(want, " "), func() bool { return len(fake.labels()) >= len(want) })
-	if got := fake.labels(); !slices.Equal(slices.Sorted(slices.Values(got)), want) {
-		t.Fatalf("taken %v, not %v", got, want)
+	waitUntil(t, "these requests are accepted: "+strings.Join(want, " "),
+		func() bool { return len(fake.acceptedIDs()) >= len(want) })
+	if got := fake.acceptedIDs(); !slices.Equal(slices.Sorted(slices.Values(got)), want) {
+		t.Fatalf("accepted requests %v, want %v", got, want)
 	}
 }
 
-// expectAnswers reads the responses that come: their values, or the codes of errors.
-func expectAnswers(t *testing.T, client *testserver.Client, want ...string) {
+// expectResponses reads the next responses and compares their values, or the codes of errors.
+func expectResponses(t *testing.T, client *testserver.Client, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		answer := client.Until('Z')
 		got := answer.Code + strings.Map(dropControlCharacters, answer.Value)
 		if got != w {
 			answer.Value = answer.Value[:min(len(answer.Value), 20)]
-			t.Fatalf("answer %d of %d, wanted %.20s, is %+v", i, len(want), w, answer)
+			t.Fatalf("response %d of %d: want %.20s, got %+v", i, len(want), w, answer)
 		}
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -13,22 +13,23 @@
 
 // Router accepts the requests of clients.
 type Router interface {
-	// Accept fails for a request that must not reach an endpoint. The id stands for the request until its response.
+	// Accept returns an error for a request that must not reach an endpoint. The id identifies the request until its
+	// response.
 	Accept(request router.Request, client router.Client) (id string, err error)
-	// Disconnect says that the client of a request has gone.
+	// Disconnect reports that the client of a request has disconnected.
 	Disconnect(id string)
-	// OrderingOf tells which earlier requests of its connection a request of the class has to wait for.
+	// OrderingOf returns which earlier requests of its connection a request of the class has to wait for.
 	OrderingOf(class string) router.Ordering
-	// RecordRejection records a request that was rejected for want of memory.
+	// RecordRejection records a request that was rejected because memory was short.
 	RecordRejection(request router.Request, after time.Duration)
 }
 
-// ProtocolHandler gives the messages of one connection their meaning.
+// ProtocolHandler interprets the messages of one connection.
 type ProtocolHandler interface {
-	// HandleMessage handles the next message. It is not called while a request given to Conn.Submit is in flight.
-	// An error ends the connection.
+	// HandleMessage handles the next message. It is not called while a request passed to Conn.Submit is in flight. An
+	// error ends the connection.
 	HandleMessage(message pgwire.Message) error
-	// Idle reports whether the client has asked for nothing that is still to be answered.
+	// Idle reports whether every request of the client has been answered and no unit of work is open.
 	Idle() bool
 }
 
@@ -50,8 +51,8 @@
 	sweepCount int
 }
 
-// New returns a Frontend that is not ready yet. The function newHandler makes the handler of each connection. New is
-// called before the event loop runs.
+// New returns a Frontend that is not ready yet. newHandler creates the handler of each connection. New must be called
+// before the event loop runs.
 func New(
 	loop *eventloop.Loop,
 	lim limits.Limits,
@@ -71,11 +72,11 @@
 	return f
 }
 
-// IdentifyClients makes requests carry the user name and the address of their client, for the audit record. It is
-// called before the first connection.
+// IdentifyClients makes requests carry the user name and the address of their client, for the audit record. It must be
+// called before the first connection is accepted.
 func (f *Frontend) IdentifyClients() { f.identifiesClients = true }
 
-// SetReady makes empty queries succeed from now on: the platform sends clients after that.
+// SetReady makes empty queries succeed from now on. The platform sends clients once they do.
 func (f *Frontend) SetReady() { f.ready = true }
 
 // AcceptsClients reports whether the platform may send clients.
@@ -87,7 +88,7 @@
 // ConnectionCount returns the number of connections.
 func (f *Frontend) ConnectionCount() int { return len(f.connections) }
 
-// Accept adds a new connection. The listener bounds how many there are.
+// Accept adds a new connection. The listener limits their number.
 func (f *Frontend) Accept(socket *transport.Conn) transport.Handler {
 	lim := &f.limits.Frontend
 	now := f.eventLoop.Now()
@@ -101,10 +102,10 @@
 	}
 	c.handler = f.newHandler(c)
 	socket.SetWriteBuffer(lim.SendBufferBytes)
-	socket.ReportCloseAtOnce() // a client that has gone wants nothing of what it sent ahead
+	socket.ReportCloseAtOnce() // a client that disconnects no longer needs responses to its pipelined requests
 	f.connections[c] = struct{}{}
 	if f.needsFrequentSweeps() {
-		f.hastenSweep()
+		f.sweepSoon()
 	}
 	return c
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -12,18 +12,18 @@
 	"limeladder/internal/testserver"
 )
 
-// Each kind of query, all sent at once, gets its own response in order.
+// Tests that queries of each kind, all sent at once, get their own responses in order.
 func TestEachKindOfQueryGetsItsResponse(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
 	client.Send(pgwire.AppendQuery(nil, ""))
 	if answer := client.Until('Z'); answer.Code != pgwire.CannotConnectNow || answer.Types != "EZ" {
-		t.Fatalf("%+v before it is ready", answer)
+		t.Fatalf("response %+v before the router is ready, want error 57P03", answer)
 	}
 	runInLoop(loop, frontend.SetReady)
 	var message []byte
 	for _, text := range []string{
-		"", statement("served"), statement("refused"), "SELECT 1", statement("odd"), statement("failed"),
+		"", statement("served"), statement("rejected"), "SELECT 1", statement("unknown"), statement("failed"),
 	} {
 		message = pgwire.AppendQuery(message, text)
 	}
@@ -38,21 +38,21 @@
 	} {
 		answer := client.Until('Z')
 		if i == 1 && !strings.Contains(answer.Value, "id=i-served,c=served,d=900,cluster=1") {
-			t.Errorf("passed on %q", answer.Value)
+			t.Errorf("statement at the endpoint is %q, want it to keep its request comment", answer.Value)
 		}
 		answer.Value = ""
 		if answer != want {
-			t.Errorf("answer %d: %+v", i, answer)
+			t.Errorf("unexpected response %d: %+v", i, answer)
 		}
 	}
 	client.Send(pgwire.Append(pgwire.AppendParse(nil, pgwire.ParseMessage{}), 'S'))
 	if answer := client.Until('Z'); answer.Types != "EZ" || answer.Code != pgwire.NotSupported {
-		t.Errorf("%+v", answer)
+		t.Errorf("response %+v, want error 0A000", answer)
 	}
 }
 
-// A client may ask for encryption first, and send its query right behind the startup message.
-func TestQueryRightBehindStartup(t *testing.T) {
+// Tests that a client may request encryption first, and send its query immediately after the startup message.
+func TestQueryImmediatelyAfterStartup(t *testing.T) {
 	_, _, _, addr := start(t)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -65,14 +65,14 @@
 	write(t, c, message)
 	refusal := make([]byte, 1)
 	if _, err := io.ReadFull(c, refusal); err != nil || refusal[0] != 'N' {
-		t.Fatalf("%q %v", refusal, err)
+		t.Fatalf("response to SSLRequest is %q, error %v, want N", refusal, err)
 	}
 	reader := pgwire.NewReader(1<<16, 0)
 	types := ""
 	for buf := make([]byte, 1000); !strings.HasSuffix(types, "TDCZ"); {
 		count, err := c.Read(buf)
 		if err != nil {
-			t.Fatalf("%v after %q", err, types)
+			t.Fatalf("connection ended with %v after messages %q", err, types)
 		}
 		reader.Feed(buf[:count])
 		for {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Invalid messages end their own connection at most, and the others go on.
+// Tests that invalid messages end at most their own connection, and that other connections still work.
 func TestInvalidMessagesEndOnlyTheirConnection(t *testing.T) {
 	_, _, _, addr := start(t)
 	random := rand.New(rand.NewPCG(9, 9))
@@ -101,7 +101,7 @@
 		if i%2 == 0 {
 			message = append(pgwire.AppendStartup(nil, "user", "x"), message...)
 		}
-		_, _ = c.Write(message) // it fails where the connection was closed for the first of the bytes
+		_, _ = c.Write(message) // fails where the connection was closed after the first bytes
 		if i%3 == 0 {
 			c.(*net.TCPConn).CloseWrite()
 		}
@@ -110,25 +110,25 @@
 	client := testserver.Dial(t, addr)
 	client.Send(pgwire.AppendQuery(nil, statement("served")))
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 	for name, message := range invalidMessages {
 		client := testserver.Dial(t, addr)
 		client.Send(message)
 		if answer := client.Until('Z'); !answer.Ended || answer.Code != pgwire.ProtocolViolation {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: response %+v, want error 08P01 and the end of the connection", name, answer)
 		}
 	}
 }
 
-// invalidMessages are messages that no client may send, by what is wrong with them.
+// invalidMessages are messages that violate the protocol, by the part that is invalid.
 var invalidMessages = map[string][]byte{
 	"type":   {'?', 0, 0, 0, 4},
 	"length": {'Q', 0x7f, 0, 0, 0},
 	"body":   {'Q', 0, 0, 0, 5, 'x'},
 }
 
-// The statements of all requests in flight are bounded in bytes, and given back.
+// Tests that the total size of the statements in flight is limited, and that their memory is released.
 func TestBytesInFlightAreBounded(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.BufferedBytes = 100_000
@@ -139,7 +139,7 @@
 	held, client := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	client.Send(large("served"))
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 	held.Send(append(large("held"), pgwire.AppendQuery(nil, statement("served"))...))
 	for fake.accepted() < 2 {
@@ -147,12 +147,12 @@
 	}
 	client.Send(large("served"))
 	if answer := client.Until('Z'); answer.Code != pgwire.TooManyConnections || answer.Detail == "" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v above the memory limit, want error 53300 with a detail", answer)
 	}
 	held.Close()
 	<-fake.disconnects
 	client.Send(large("served"))
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v after the memory was released, want types TDCZ", answer)
 	}
 }
--- a/internal/frontend/message_reading.go
+++ b/internal/frontend/message_reading.go
@@ -7,20 +7,20 @@
 	"limeladder/internal/pgwire"
 )
 
-// messageInput is what has come from the client and is not handled yet.
+// messageInput is the state of the input from the client that has not been handled yet.
 type messageInput struct {
 	reader       *pgwire.Reader
 	reading      bool          // readMessages is running
 	messageBytes int           // length of the newest message's body
-	fedBytes     int64         // that the reader was given since the start
-	partialSince time.Duration // since when a part of a message waits, 0 = none does
-	lastDataAt   time.Duration // when anything came last
+	fedBytes     int64         // bytes given to the reader since the connection was accepted
+	partialSince time.Duration // when the first part of an incomplete message arrived, 0 = no message is incomplete
+	lastDataAt   time.Duration // when data last arrived
 }
 
-// partial reports whether a message has come in part and its rest is awaited.
+// partial reports whether a message has arrived only in part.
 func (in *messageInput) partial() bool { return in.partialSince > 0 }
 
-// maxUserNameBytes bounds what is kept of a user's name.
+// maxUserNameBytes limits the length of the user name that is kept.
 const maxUserNameBytes = 64
 
 // Data implements transport.Handler.
@@ -35,44 +35,44 @@
 	c.accountInput()
 }
 
-// ReceivedAt returns when the last byte of the newest message came to this machine. The client's deadline runs from
-// its send, whatever its message has waited behind.
+// ReceivedAt returns when the last byte of the newest message arrived at this machine. The client's deadline starts
+// then, however long the message has waited for earlier ones.
 func (c *Conn) ReceivedAt() time.Duration {
 	return c.socket.ArrivedAt(c.input.fedBytes - int64(c.input.reader.Waiting()))
 }
 
-// readMessages handles the messages that have come, until a request has to wait.
+// readMessages handles the messages that have arrived, until a request has to wait.
 func (c *Conn) readMessages() {
 	if c.input.reading {
-		return // a request was answered at once: the loop below goes on behind it
+		return // a request was answered synchronously: the loop below continues after it
 	}
 	c.input.reading = true
 	defer func() { c.input.reading = false }()
 	for c.mayReadMessage() {
 		message, ok, err := c.input.reader.Next()
 		if err != nil {
-			c.closeWithErrorInOrder(protocolErrorOf(err))
+			c.closeWithErrorInOrder(asProtocolError(err))
 			return
 		}
 		if !ok {
 			return
 		}
 		if err := c.handleMessage(message); err != nil {
-			c.closeWithErrorInOrder(protocolErrorOf(err))
+			c.closeWithErrorInOrder(asProtocolError(err))
 		}
 	}
 }
 
-// mayReadMessage reports whether the next message may be handled. Nothing is begun for a client that has gone.
+// mayReadMessage reports whether the next message may be handled. No request is started for a disconnected client.
 func (c *Conn) mayReadMessage() bool {
-	if c.lifetime.closed || c.mustNotRead() || c.socket.PeerClosed(false) {
+	if c.lifetime.closed || c.waitsForResponse() || c.socket.PeerClosed(false) {
 		return false
 	}
 	return !c.applyBackpressure()
 }
 
-// mustNotRead reports whether the connection waits for a response before it handles another message.
-func (c *Conn) mustNotRead() bool {
+// waitsForResponse reports whether the connection waits for a response before it handles another message.
+func (c *Conn) waitsForResponse() bool {
 	if c.exclusive.inFlight() || c.lifetime.closeWhenAnswered {
 		return true
 	}
@@ -91,7 +91,7 @@
 	return c.handler.HandleMessage(message)
 }
 
-// handleStartup handles what stands at the start of a connection: the startup message, or a request in place of it.
+// handleStartup handles the first message of a connection: the startup message, or an encryption or cancel request.
 func (c *Conn) handleStartup(body []byte) error {
 	code, params, err := pgwire.Startup(body)
 	switch {
@@ -101,7 +101,7 @@
 		c.Respond([]byte{'N'}) // plain TCP only
 		return nil
 	case code == pgwire.CancelRequest:
-		c.Close() // no cancel keys are given out
+		c.Close() // cancel keys are not supported
 		return nil
 	case code>>16 != protocolMajorVersion:
 		return errStartupMessage
@@ -117,5 +117,5 @@
 	return nil
 }
 
-// protocolMajorVersion is the version of PostgreSQL's wire protocol that a startup message has to ask for.
+// protocolMajorVersion is the major version of the PostgreSQL wire protocol that a startup message must request.
 const protocolMajorVersion = 3
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -6,23 +6,22 @@
 	"limeladder/internal/router"
 )
 
-// pipeline holds the responses that are owed on one connection, in the order of their requests.
+// pipeline holds the pending responses of one connection, in the order of their requests.
 //
-// Requests that a client sends without waiting for responses are in flight concurrently, and their responses leave in
-// the order of the requests. A slow one delays the responses behind it, as the protocol demands, but not the work:
-// each request is decided within its own client's deadline.
+// Requests that a client sends without waiting for responses are in flight concurrently, and their responses are sent
+// in the order of the requests. A slow request delays the responses after it, as the protocol requires, but not their
+// processing: each request is decided within its own client's deadline.
 //
-// The effect is that of requests run one after the other. A write begins once all requests before it on the
-// connection are answered, and a read that has to see what was written before it waits for those writes. Other reads
-// wait for nothing.
+// The result is the same as if the requests ran one after another. A write starts once all earlier requests on the
+// connection are answered, and a read that must see earlier writes waits for those writes. Other reads do not wait.
 type pipeline struct {
 	slots        []*slot
-	backlogBytes int // of responses that wait for others
+	backlogBytes int // size of the buffered responses that wait for earlier ones
 }
 
 func (p *pipeline) empty() bool { return len(p.slots) == 0 }
 
-// newest returns the last slot, nil if there is none.
+// newest returns the last slot, or nil if there is none.
 func (p *pipeline) newest() *slot {
 	if p.empty() {
 		return nil
@@ -30,8 +29,8 @@
 	return p.slots[len(p.slots)-1]
 }
 
-// newestQueued reports whether the last request waits for others. At most the last one does, since nothing is read
-// behind it.
+// newestQueued reports whether the last request waits for earlier ones. Only the last one can, since nothing is read
+// after a queued request.
 func (p *pipeline) newestQueued() bool {
 	return !p.empty() && p.newest().state == slotQueued
 }
@@ -63,44 +62,44 @@
 	return unanswered, true
 }
 
-// slot is the place of one response in a connection's pipeline.
+// slot holds the place of one response in a connection's pipeline.
 type slot struct {
-	conn      *Conn
-	request   router.Request
-	responder responder
-	ordering  router.Ordering
-	state     slotState
-	textOnly  bool   // it answers no request
-	requestID string // the router's name for the request, "" = the router doesn't have it
-
-	statementBytes int    // of the request
-	reservedBytes  int    // for the response, as others stand before it
-	buffered       []byte // the response, or the part that has come, while others stand before it
-	bufferedBytes  int    // what is counted for it
+	conn           *Conn
+	request        router.Request
+	responder      responder
+	ordering       router.Ordering
+	state          slotState
+	withoutRequest bool   // the data answers no request, for example a readiness check or a protocol error
+	requestID      string // the router's id of the request, "" = not submitted, or already answered
+
+	statementBytes int    // memory reserved for the statement
+	reservedBytes  int    // memory reserved for the response while earlier ones are pending
+	buffered       []byte // the response, or the part that has arrived, while earlier ones are pending
+	bufferedBytes  int    // memory counted for buffered, including slotOverheadBytes
 
 	flow    router.Flow // source of a streamed response
-	started bool        // a part of the response has been sent
+	started bool        // part of the response has been sent
 }
 
 type slotState int
 
 const (
-	slotQueued slotState = iota // for other requests of its connection
+	slotQueued slotState = iota // waits for earlier requests of its connection
 	slotInFlight
 	slotAnswered
 )
 
-// responder is the client of a request who can also be told that the request is invalid.
+// responder is the client of a request that can also be rejected as invalid.
 type responder interface {
 	router.Client
 	rejectInvalid(err error)
 }
 
-// slotOverheadBytes is what a slot with a buffered response costs beside its bytes.
+// slotOverheadBytes is the memory that a slot with a buffered response takes in addition to the response.
 const slotOverheadBytes = 256
 
-// enqueue adds a request to the pipeline, with s as the place of its response, and hands it to the router as soon as
-// the requests before it let it.
+// enqueue adds a request to the pipeline, with s as the slot of its response, and submits it to the router as soon as
+// the earlier requests permit it.
 func (c *Conn) enqueue(s *slot, request router.Request, client responder) {
 	request.Tenant = c.identity.user
 	request.ClientAddress = c.identity.address
@@ -121,13 +120,13 @@
 	c.acceptNewest()
 }
 
-// acceptNewest hands the newest request to the router if it waits and no longer has to.
+// acceptNewest submits the newest request to the router if it is queued and no longer has to wait.
 func (c *Conn) acceptNewest() {
 	if !c.pipeline.newestQueued() {
 		return
 	}
 	s := c.pipeline.newest()
-	if !c.mayBegin(s) {
+	if !c.mayStart(s) {
 		return
 	}
 	s.state = slotInFlight
@@ -142,8 +141,9 @@
 	s.requestID = id
 }
 
-// mayBegin reports whether a request may be in flight beside those before it, and reserves memory for its response.
-func (c *Conn) mayBegin(s *slot) bool {
+// mayStart reports whether a request may be in flight concurrently with the earlier ones, and reserves memory for its
+// response.
+func (c *Conn) mayStart(s *slot) bool {
 	before, ok := c.pipeline.concurrentWith(s)
 	if !ok || before == 0 {
 		return ok
@@ -152,8 +152,8 @@
 	if before >= lim.Frontend.ConcurrentRequests {
 		return false
 	}
-	// With half of the memory taken, a request that was sent ahead waits until it is the first, so that pipelined
-	// requests leave memory, and places for requests, to other connections.
+	// When half of the memory is in use, a pipelined request waits until it is the first, so that pipelined requests
+	// leave memory, and capacity for requests, to other connections.
 	limit := lim.Frontend.BufferedBytes
 	responseBytes := lim.Backend.StreamThresholdBytes
 	if c.frontend.memory.used(limit)+responseBytes > limit/2 || !c.Reserve(responseBytes) {
@@ -163,12 +163,12 @@
 	return true
 }
 
-// dependsOn reports whether the request may not begin before an earlier one is answered.
+// dependsOn reports whether the request may not start before an earlier one is answered.
 func (s *slot) dependsOn(earlier *slot) bool {
 	if s.ordering.Writes || earlier.ordering.Writes && s.mustSeeWritesOf(earlier) {
 		return true
 	}
-	// The router takes one request at a time under one label.
+	// The router accepts one request at a time under one client request ID.
 	return s.request.ClientRequestID != "" && s.request.ClientRequestID == earlier.request.ClientRequestID
 }
 
@@ -179,10 +179,10 @@
 	return s.ordering.ReadsOwnWrites && s.request.Session == earlier.request.Session
 }
 
-// isFirst reports whether no response stands before this one.
+// isFirst reports whether no earlier response is pending.
 func (s *slot) isFirst() bool { return !s.conn.pipeline.empty() && s.conn.pipeline.slots[0] == s }
 
-// buffer adds to what waits for the responses before it.
+// buffer appends data to the response while earlier responses are pending.
 func (s *slot) buffer(data []byte) {
 	bytes := len(data)
 	if len(s.buffered) == 0 {
@@ -194,7 +194,7 @@
 	s.conn.memory.add(bytes)
 }
 
-// takeBuffered returns what was buffered and gives its memory back.
+// takeBuffered returns the buffered data and releases its memory.
 func (s *slot) takeBuffered() []byte {
 	data := s.buffered
 	s.buffered = nil
@@ -205,14 +205,14 @@
 }
 
 // Disconnected implements router.Client.
-func (s *slot) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
+func (s *slot) Disconnected(askSystem bool) bool { return s.conn.Disconnected(askSystem) }
 
 // Committed implements router.Committer.
 func (s *slot) Committed(position time.Duration) {
 	s.conn.commits.record(s.request.Session, s.request.Group, position)
 }
 
-// complete ends the response with data, which is the whole of it unless a part was sent before.
+// complete ends the response with data, which is the whole response unless part of it was sent before.
 func (s *slot) complete(data []byte) {
 	c := s.conn
 	c.Release(s.statementBytes + s.reservedBytes)
@@ -235,13 +235,14 @@
 	c.resume()
 }
 
-// mustBuffer reports whether the response can't be sent now. One of which a part was sent is not held up at its end.
+// mustBuffer reports whether the response can't be sent now. The end of a response that was sent in part is not
+// delayed.
 func (s *slot) mustBuffer() bool {
 	return !s.isFirst() || !s.started && s.conn.applyBackpressure()
 }
 
-// startResponse begins a response that is streamed as it comes. Its source is paused while other responses stand
-// before it, and while the client has much to read.
+// startResponse starts a streamed response. Its source is paused while earlier responses are pending, and while the
+// client has too much unread data.
 func (s *slot) startResponse(data []byte, flow router.Flow) {
 	s.flow = flow
 	if s.isFirst() && !s.conn.applyBackpressure() {
@@ -252,13 +253,13 @@
 	s.buffer(data)
 }
 
-// send sends what has come of a streamed response once it is the first.
+// send sends the part of a streamed response that has arrived, once the response is the first.
 func (s *slot) send(data []byte) {
 	s.started = true
 	s.conn.StartResponse(data, s.flow)
 }
 
-// ResponsePart implements router.Client. What the source had under way when it was paused is buffered.
+// ResponsePart implements router.Client. Data that was in transit when the source was paused is buffered.
 func (s *slot) ResponsePart(data []byte) {
 	switch {
 	case s.conn.lifetime.closed:
@@ -269,8 +270,8 @@
 	}
 }
 
-// truncate ends a streamed response that will not become complete. Only the end of the connection can say so, unless
-// nothing of the response was sent yet: then the given error takes its place.
+// truncate ends a streamed response that will not be completed. It closes the connection, since nothing else can tell
+// the client. If nothing of the response has been sent yet, the given error replaces it instead.
 func (s *slot) truncate(replacement []byte) {
 	s.requestID = ""
 	if s.conn.lifetime.closed || s.started {
@@ -281,8 +282,9 @@
 	s.complete(replacement)
 }
 
-// writeAnswered sends the responses that no other one stands before. It stops while the client has much to read, since
-// many responses that became ready at once would exceed UnreadBytes: a client that reads them slowly gets them all.
+// writeAnswered sends the responses that have no pending response before them. It stops while the client has too much
+// unread data: many responses that become ready at once would exceed UnreadBytes, and a client that reads them slowly
+// must still get all of them.
 func (c *Conn) writeAnswered() {
 	for c.mayWriteFirst() {
 		s := c.pipeline.slots[0]
@@ -300,7 +302,7 @@
 	return !c.pipeline.empty() && !c.lifetime.closed && !c.applyBackpressure()
 }
 
-// sendUnanswered sends what has come of the first response, if it is a streamed one that waited for others.
+// sendUnanswered sends the part that has arrived of the first response, if it is a streamed one that waited for others.
 func (c *Conn) sendUnanswered(s *slot, data []byte) {
 	c.Release(s.reservedBytes)
 	s.reservedBytes = 0
@@ -313,7 +315,7 @@
 	}
 }
 
-// resume goes on behind a response: with the requests that waited for it, and with what was sent ahead.
+// resume continues after a response: with the requests that waited for it, and with pipelined messages.
 func (c *Conn) resume() {
 	if c.lifetime.closed {
 		return
@@ -325,7 +327,7 @@
 	}
 	sentAhead := c.pipeline.newestQueued() || c.input.reader.Waiting() > 0
 	if sentAhead && c.socket.PeerClosed(true) {
-		return // the client has gone: nothing of what it sent ahead is begun
+		return // the client has disconnected: its pipelined requests are not started
 	}
 	c.acceptNewest()
 	c.readMessages()
--- a/internal/frontend/pipeline_fuzz_test.go
+++ b/internal/frontend/pipeline_fuzz_test.go
@@ -13,8 +13,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Whatever is sent ahead, split wherever, and in whatever order it is answered: each request gets one response, in
-// order, and its deadline runs from when it came.
+// FuzzPipeline tests pipelined messages in any order, split at any point and answered in any order: each request gets
+// one response, in order, and its deadline runs from its arrival.
 func FuzzPipeline(f *testing.F) {
 	f.Add(uint64(1), []byte("wwff"))
 	f.Add(uint64(2), []byte("fffwsfoBSfxf"))
@@ -26,39 +26,40 @@
 		}
 		frontend, fake, loop, addr := start(t)
 		runInLoop(loop, frontend.SetReady)
-		before := loop.Now() // pieces may share the time of one before them
+		before := loop.Now() // one piece may share the arrival time of an earlier one
 		client := testserver.Dial(t, addr)
 		messages, want, requestCount := pipelinedMessages(kinds)
 		go writeInPieces(client, messages, rand.New(rand.NewPCG(seed, 1)))
 		answered := make(chan error, 1)
 		go func() { answered <- serveOneByOne(fake, rand.New(rand.NewPCG(seed, 2)), requestCount) }()
-		expectAnswers(t, client, want...)
+		expectResponses(t, client, want...)
 		if err := <-answered; err != nil {
 			t.Fatal(err)
 		}
 		runInLoop(loop, func() {
 			for _, request := range fake.requests {
 				if request.ReceivedAt < before || request.ReceivedAt > loop.Now() {
-					t.Errorf("%s came at %v", request.ClientRequestID, request.ReceivedAt)
+					t.Errorf("request %s has arrival time %v, before the connection or in the future",
+						request.ClientRequestID, request.ReceivedAt)
 				}
 			}
 		})
 	})
 }
 
-// pipelinedMessages returns the messages that the kinds stand for, the responses to expect, and how many of them are
-// requests that the router accepts.
+// pipelinedMessages returns the messages that the kinds encode, the responses to expect, and how many of the messages
+// are requests that the router accepts.
 func pipelinedMessages(kinds []byte) (messages []byte, want []string, requestCount int) {
-	classes := map[byte]string{'f': "free", 'w': "waits", 's': "sees"}
+	classes := map[byte]string{'f': "any", 'w': "write", 's': "latest"}
 	for i, kind := range kinds {
 		id := fmt.Sprintf("r%03d", i)
 		switch kind {
 		case 'f', 'w', 's':
-			messages = append(messages, labelled(id, classes[kind])...)
+			messages = append(messages, queryWithID(id, classes[kind])...)
 			want = append(want, id)
 			requestCount++
 		case 'o':
-			messages = append(messages, labelled(id, "odd")...)
+			messages = append(messages, queryWithID(id, "unknown")...)
 			want = append(want, "42601")
 		case 'S':
 			messages = append(messages, pgwire.AppendQuery(nil, "SET a = 1")...)
@@ -81,14 +82,14 @@
 	}
 }
 
-// serveOneByOne serves so many requests, each time one of those that are open.
+// serveOneByOne serves requestCount requests, each time a random one of those that are open.
 func serveOneByOne(fake *fakeRouter, random *rand.Rand, requestCount int) error {
 	var open []string
 	seen := 0
 	for served := 0; served < requestCount; {
-		labels := fake.labels()
-		open = append(open, labels[seen:]...)
-		seen = len(labels)
+		ids := fake.acceptedIDs()
+		open = append(open, ids[seen:]...)
+		seen = len(ids)
 		if seen > requestCount {
 			return errors.New("a request was accepted twice")
 		}
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -16,52 +16,54 @@
 	"limeladder/internal/testserver"
 )
 
-// A request that waited behind another one was received when its last byte came: its deadline runs from then, and not
-// from when it was accepted.
+// Tests that the deadline of a request that was queued after another one runs from the arrival of its last byte, and
+// not from its acceptance.
 func TestDeadlineOfQueuedRequestRunsFromItsArrival(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(append(pgwire.AppendQuery(nil, statement("waits")), pgwire.AppendQuery(nil, statement("served"))...))
-	waitUntil(t, "the first one is accepted", func() bool { return fake.accepted() == 1 })
+	client.Send(append(pgwire.AppendQuery(nil, statement("write")), pgwire.AppendQuery(nil, statement("served"))...))
+	waitUntil(t, "the first request is accepted", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	waitForSlots(t, loop, conn, 2)
 	came := loop.Now()
-	waitUntil(t, "time has passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > came+50*time.Millisecond })
 	runInLoop(loop, func() { fake.clients[0].Served(&backend.Response{}) })
 	client.Until('Z')
 	if request := fake.newestRequest.Load(); request.Class != "served" || request.ReceivedAt > came {
-		t.Fatalf("%s counts from %v behind its arrival", request.Class, request.ReceivedAt-came)
+		t.Fatalf("deadline of request %s starts %v after its arrival, want no later than its arrival",
+			request.Class, request.ReceivedAt-came)
 	}
 }
 
-// The same holds for a request that was not parsed yet, because the one before it waits.
+// Tests the same for a request that was not parsed yet because an earlier one waits.
 func TestDeadlineOfUnparsedRequestRunsFromItsArrival(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("b", "waits"), labelled("c", "free")))
+	client.Send(concat(queryWithID("a", "any"), queryWithID("b", "write"), queryWithID("c", "any")))
 	expectAccepted(t, fake, "a")
 	conn := onlyConnection(t, frontend, loop)
-	waitUntil(t, "all has come", func() (came bool) {
+	waitUntil(t, "all messages have arrived", func() (came bool) {
 		runInLoop(loop, func() {
-			came = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(labelled("c", "free"))
+			came = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(queryWithID("c", "any"))
 		})
 		return came
 	})
 	came := loop.Now()
-	waitUntil(t, "time has passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > came+50*time.Millisecond })
 	fake.serve("a")
 	expectAccepted(t, fake, "a", "b", "c")
 	runInLoop(loop, func() {
 		for _, request := range fake.requests {
 			if request.ReceivedAt > came {
-				t.Errorf("%s counts from %v behind its arrival", request.ClientRequestID, request.ReceivedAt-came)
+				t.Errorf("deadline of request %s starts %v after its arrival, want no later than its arrival",
+					request.ClientRequestID, request.ReceivedAt-came)
 			}
 		}
 	})
 }
 
-// Reads that were sent in one write are in flight concurrently, and their responses leave in order, whatever the
-// order in which they are answered.
+// Tests that reads sent in one write are in flight concurrently, and that their responses are sent in the order of the
+// requests, whatever the order in which they are answered.
 func TestPipelinedReadsRunConcurrently(t *testing.T) {
 	for _, count := range []int{10, 100} {
 		_, fake, loop, addr := start(t)
@@ -70,53 +72,53 @@
 		var ids []string
 		for i := range count {
 			ids = append(ids, fmt.Sprintf("r%02d", i))
-			all = append(all, labelled(ids[i], "free")...)
+			all = append(all, queryWithID(ids[i], "any")...)
 		}
 		client.Send(all)
 		concurrent := min(count, defaultLimits().Frontend.ConcurrentRequests)
 		expectAccepted(t, fake, ids[:concurrent]...)
 		go serveInRandomOrder(fake, rand.New(rand.NewPCG(1, uint64(count))), count)
-		expectAnswers(t, client, ids...)
+		expectResponses(t, client, ids...)
 		runInLoop(loop, func() {
 			if len(fake.requests) != count {
-				t.Errorf("%d accepted of %d", len(fake.requests), count)
+				t.Errorf("%d requests accepted, want %d", len(fake.requests), count)
 			}
 		})
 	}
 }
 
-// serveInRandomOrder serves so many requests as they are accepted, each time half of those that are open.
+// serveInRandomOrder serves count requests as they are accepted, each time half of those that are open.
 func serveInRandomOrder(fake *fakeRouter, random *rand.Rand, count int) {
 	served := map[string]bool{}
 	for len(served) < count {
 		var open []string
-		for _, label := range fake.labels() {
-			if !served[label] {
-				open = append(open, label)
+		for _, id := range fake.acceptedIDs() {
+			if !served[id] {
+				open = append(open, id)
 			}
 		}
 		slices.Sort(open)
 		random.Shuffle(len(open), func(i, j int) { open[i], open[j] = open[j], open[i] })
-		for _, label := range open[:(len(open)+1)/2] {
-			served[label] = true
-			fake.serve(label)
+		for _, id := range open[:(len(open)+1)/2] {
+			served[id] = true
+			fake.serve(id)
 		}
 	}
 }
 
-// The effect is that of requests run one after the other: a write waits for all requests before it, and reads that
-// have to see it wait for it. Other reads go on beside it.
+// Tests that pipelined requests have the same result as if they ran one after another: a write waits for all earlier
+// requests, and reads that must see it wait for it. Other reads run concurrently with it.
 func TestPipelinedWritesKeepTheirOrder(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
 	client.Send(concat(
-		labelled("a", "free"), labelled("b", "free"), labelled("w", "waits"),
-		labelled("d", "free"), labelled("s", "sees"), labelled("e", "free"),
+		queryWithID("a", "any"), queryWithID("b", "any"), queryWithID("w", "write"),
+		queryWithID("d", "any"), queryWithID("s", "latest"), queryWithID("e", "any"),
 	))
 	conn := onlyConnection(t, frontend, loop)
 	waits := func(what string) {
 		t.Helper()
-		waitUntil(t, what+" waits", func() (is bool) {
+		waitUntil(t, what+" is queued", func() (is bool) {
 			runInLoop(loop, func() {
 				is = conn.pipeline.newestQueued() && conn.pipeline.newest().request.ClientRequestID == what
 			})
@@ -137,37 +139,37 @@
 	fake.serve("w")
 	expectAccepted(t, fake, "a", "b", "w", "d", "s", "e")
 	fake.serve("e", "s")
-	expectAnswers(t, client, "a", "b", "w", "d", "s", "e")
+	expectResponses(t, client, "a", "b", "w", "d", "s", "e")
 }
 
-// A request that is rejected, invalid or failed, an empty query and a SET are answered in their places, and spoil
-// none behind them.
+// Tests that a rejected, an invalid and a failed request, an empty query and a SET are answered in order, and that the
+// requests after them are not affected.
 func TestErrorsAmongPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	runInLoop(loop, frontend.SetReady)
 	client := testserver.Dial(t, addr)
 	client.Send(concat(
-		labelled("a", "free"), labelled("x", "odd"), pgwire.AppendQuery(nil, ""), labelled("b", "free"),
-		pgwire.AppendQuery(nil, "SET a = 1"), labelled("c", "free"), labelled("d", "free"), labelled("e", "waits"),
+		queryWithID("a", "any"), queryWithID("x", "unknown"), pgwire.AppendQuery(nil, ""), queryWithID("b", "any"),
+		pgwire.AppendQuery(nil, "SET a = 1"), queryWithID("c", "any"), queryWithID("d", "any"), queryWithID("e", "write"),
 	))
 	expectAccepted(t, fake, "a", "b", "c", "d")
 	runInLoop(loop, func() {
 		fake.client("c").Rejected(time.Second)
-		fake.client("b").Failed("why")
+		fake.client("b").Failed("timed out")
 	})
 	fake.serve("d", "a")
 	for i, want := range []string{"TDCZ", "EZ42601", "IZ", "EZ08007", "EZ42601", "EZ53300", "TDCZ"} {
 		if answer := client.Until('Z'); answer.Types+answer.Code != want {
-			t.Fatalf("answer %d: %+v", i, answer)
+			t.Fatalf("unexpected response %d: %+v", i, answer)
 		}
 	}
 	expectAccepted(t, fake, "a", "b", "c", "d", "e")
 	fake.serve("e")
-	expectAnswers(t, client, "e")
+	expectResponses(t, client, "e")
 }
 
-// Requests that are answered at once are handled one behind the other, however many come in one write: the stack does
-// not grow with them.
+// Tests that requests that are answered synchronously are handled in a loop: the depth of the stack does not grow with
+// the number of requests in one write.
 func TestManyInvalidRequestsInOneWrite(t *testing.T) {
 	_, fake, loop, addr := start(t)
 	deepest := 0
@@ -180,33 +182,33 @@
 	for range count {
 		want = append(want, "42601")
 	}
-	client.Send(bytes.Repeat(labelled("x", "odd"), count))
-	expectAnswers(t, client, want...)
+	client.Send(bytes.Repeat(queryWithID("x", "unknown"), count))
+	expectResponses(t, client, want...)
 	runInLoop(loop, func() {
 		if deepest == 0 || deepest > 60 {
-			t.Errorf("%d calls deep", deepest)
+			t.Errorf("stack is %d calls deep, want 1 to 60", deepest)
 		}
 	})
 }
 
-// Where there is no memory for responses that wait for others, a request waits until it is the first, and everything
-// is given back.
+// Tests that a request waits until it is the first when there is no memory for the responses of later ones, and that
+// all memory is released in the end.
 func TestPipelinedRequestsWaitForMemory(t *testing.T) {
 	lim := defaultLimits()
-	lim.Frontend.BufferedBytes = 2*lim.Backend.StreamThresholdBytes + 4000 // for the response of one beside the first
+	lim.Frontend.BufferedBytes = 2*lim.Backend.StreamThresholdBytes + 4000 // one response after the first
 	frontend, fake, loop, addr := startWith(t, lim)
 	client := testserver.Dial(t, addr)
-	client.Send(concat(labelled("a", "free"), labelled("b", "free"), labelled("c", "free"), labelled("d", "free")))
+	client.Send(concat(queryWithID("a", "any"), queryWithID("b", "any"), queryWithID("c", "any"), queryWithID("d", "any")))
 	conn := onlyConnection(t, frontend, loop)
-	waitForSlots(t, loop, conn, 3) // the third waits
+	waitForSlots(t, loop, conn, 3) // the third one is queued
 	expectAccepted(t, fake, "a", "b")
 	fake.serve("a")
 	expectAccepted(t, fake, "a", "b", "c")
 	fake.serve("b", "c")
 	expectAccepted(t, fake, "a", "b", "c", "d")
 	fake.serve("d")
-	expectAnswers(t, client, "a", "b", "c", "d")
-	waitUntil(t, "nothing is counted", func() (none bool) {
+	expectResponses(t, client, "a", "b", "c", "d")
+	waitUntil(t, "all memory is released", func() (none bool) {
 		runInLoop(loop, func() {
 			none = frontend.memory == memoryUse{} && conn.pipeline.backlogBytes == 0
 		})
@@ -214,7 +216,7 @@
 	})
 }
 
-// However many clients send ahead however much, there is memory for those that ask one thing at a time.
+// Tests that clients that send many requests ahead leave memory for clients that send one request at a time.
 func TestPipelinedFloodLeavesMemoryForOthers(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.BufferedBytes = 400_000
@@ -225,14 +227,14 @@
 	var all []*testserver.Client
 	for range floods {
 		client := testserver.Dial(t, addr)
-		client.Send(pgwire.AppendQuery(nil, statement("waits")))
+		client.Send(pgwire.AppendQuery(nil, statement("write")))
 		all = append(all, client)
 	}
 	waitUntil(t, "all have a request in flight", func() bool { return fake.accepted() == floods })
 	for _, client := range all {
 		client.Send(ahead)
 	}
-	waitUntil(t, "more has come than there is memory for", func() (is bool) {
+	waitUntil(t, "the pipelined bytes exceed the memory limit", func() (is bool) {
 		runInLoop(loop, func() { is = frontend.memory.pipelinedBytes > lim.Frontend.BufferedBytes })
 		return is
 	})
@@ -242,17 +244,18 @@
 		client.Send(message[:30_000])
 		client.Send(message[30_000:])
 		if answer := client.Until('Z'); answer.Types != "TDCZ" {
-			t.Fatalf("%+v", answer)
+			t.Fatalf("response %+v, want types TDCZ", answer)
 		}
 	}
 }
 
-// The responses that wait for others are bounded: beyond that no further request of the connection is begun.
+// Tests that responses that wait for earlier ones are limited: above the limit no further request of the connection is
+// started.
 func TestResponseBacklogIsBounded(t *testing.T) {
 	lim := defaultLimits()
 	frontend, fake, loop, addr := startWith(t, lim)
 	client := testserver.Dial(t, addr)
-	client.Send(labelled("a", "free"))
+	client.Send(queryWithID("a", "any"))
 	expectAccepted(t, fake, "a")
 	conn := onlyConnection(t, frontend, loop)
 	long := strings.Repeat("x", 60_000)
@@ -260,8 +263,8 @@
 	for range 4 {
 		count++
 		id := fmt.Sprint("r", count)
-		client.Send(labelled(id, "free"))
-		waitUntil(t, "it has come", func() (is bool) {
+		client.Send(queryWithID(id, "any"))
+		waitUntil(t, "the request is accepted or waits to be parsed", func() (is bool) {
 			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.input.reader.Waiting() > 0 })
 			return is
 		})
@@ -269,21 +272,22 @@
 			if q := fake.client(id); q != nil {
 				q.Served(valueResponse(long))
 			} else if conn.pipeline.backlogBytes <= lim.Frontend.HighWaterBytes {
-				t.Errorf("%s is not begun with %d bytes waiting", id, conn.pipeline.backlogBytes)
+				t.Errorf("request %s is not started with a backlog of %d bytes, which is within the limit",
+					id, conn.pipeline.backlogBytes)
 			} else {
-				count-- // nor are those behind it
+				count-- // neither are the requests after it
 			}
 		})
 	}
 	if count != 3 {
-		t.Fatalf("%d begun", count)
+		t.Fatalf("%d requests started before the backlog limit, want 3", count)
 	}
 	fake.serve("a")
-	expectAnswers(t, client, "a", long, long, long)
+	expectResponses(t, client, "a", long, long, long)
 	expectAccepted(t, fake, "a", "r1", "r2", "r3", "r4")
 }
 
-// A request waits for those before it that it must not overtake, and for no others.
+// Tests which earlier requests a request waits for.
 func TestPipelineOrdering(t *testing.T) {
 	write := router.Ordering{Writes: true}
 	readsOwn := router.Ordering{ReadsOwnWrites: true}
@@ -292,16 +296,16 @@
 		earlier, newest slot
 		want            bool
 	}{
-		"write behind a read":                     {slot{}, slot{ordering: write}, false},
-		"write behind an answered read":           {slot{state: slotAnswered}, slot{ordering: write}, true},
-		"read behind a read":                      {slot{}, slot{ordering: readsAll}, true},
-		"read behind a write":                     {slot{ordering: write}, slot{}, true},
-		"read of all writes behind a write":       {slot{ordering: write}, slot{ordering: readsAll}, false},
-		"read of own writes behind its session's": {slot{ordering: write}, slot{ordering: readsOwn}, false},
-		"read of own writes behind another session's": {
+		"write after a read":                                        {slot{}, slot{ordering: write}, false},
+		"write after an answered read":                              {slot{state: slotAnswered}, slot{ordering: write}, true},
+		"read after a read":                                         {slot{}, slot{ordering: readsAll}, true},
+		"read after a write":                                        {slot{ordering: write}, slot{}, true},
+		"read of all writes after a write":                          {slot{ordering: write}, slot{ordering: readsAll}, false},
+		"read of its session's writes after a write of its session": {slot{ordering: write}, slot{ordering: readsOwn}, false},
+		"read of its session's writes after a write of another session": {
 			slot{ordering: write, request: router.Request{Session: "other"}}, slot{ordering: readsOwn}, true,
 		},
-		"read with the label of another read": {
+		"read with the id of another read": {
 			slot{request: router.Request{ClientRequestID: "a"}}, slot{request: router.Request{ClientRequestID: "a"}}, false,
 		},
 	} {
@@ -310,7 +314,7 @@
 			owed.add(&test.earlier)
 			owed.add(&test.newest)
 			if _, ok := owed.concurrentWith(&test.newest); ok != test.want {
-				t.Errorf("may begin: %t", ok)
+				t.Errorf("may start = %t, want the opposite", ok)
 			}
 		})
 	}
--- a/internal/frontend/response_stream.go
+++ b/internal/frontend/response_stream.go
@@ -6,32 +6,32 @@
 	"limeladder/internal/router"
 )
 
-// outputState is how the client takes what it is sent.
+// outputState tracks how the client reads the data that is sent to it.
 type outputState struct {
-	flow          router.Flow // source of the response that is streamed now, nil = none is
-	backpressured bool        // no further message or response is begun until the client has read more
+	flow          router.Flow // source of the response that is being streamed, nil = none
+	backpressured bool        // no further message or response is started until the client has read more
 
-	unsentBytes    int           // that the client had not taken at the last sweep
-	progressBytes  int64         // that it had taken by then
-	lastProgressAt time.Duration // when it had taken everything, or more than before
+	unsentBytes    int           // bytes that the client had not accepted at the last sweep
+	progressBytes  int64         // bytes that it had accepted by then
+	lastProgressAt time.Duration // when everything was last accepted, or more than at the sweep before
 }
 
-// Respond sends data behind the responses that are owed.
+// Respond sends data after the pending responses.
 func (c *Conn) Respond(data []byte) {
 	newest := c.pipeline.newest()
 	if newest == nil || c.lifetime.closed {
 		c.write(data)
 		return
 	}
-	if !newest.textOnly {
-		newest = &slot{conn: c, state: slotAnswered, textOnly: true}
+	if !newest.withoutRequest {
+		newest = &slot{conn: c, state: slotAnswered, withoutRequest: true}
 		c.pipeline.add(newest)
 	}
 	newest.buffer(data)
 }
 
-// write sends data now. A broken connection means that the client has gone. A client that leaves too much unread is
-// given up, which bounds the memory against one that asks and does not read.
+// write sends data immediately. A write error means that the client has disconnected. A client that leaves more than
+// UnreadBytes unread is disconnected, which limits the memory for clients that send requests and do not read responses.
 func (c *Conn) write(data []byte) {
 	if c.lifetime.closed {
 		return
@@ -41,18 +41,18 @@
 		return
 	}
 	if c.socket.BytesUnsent() > 0 {
-		c.frontend.hastenSweep()
+		c.frontend.sweepSoon()
 	}
 }
 
-// StartResponse begins a response that is streamed as it comes from the flow.
+// StartResponse starts a response that is streamed from flow.
 func (c *Conn) StartResponse(data []byte, flow router.Flow) {
 	c.output.flow = flow
 	c.WriteResponsePart(data)
 }
 
-// WriteResponsePart sends the next part of a streamed response. What a client has not taken is bounded: beyond that
-// its endpoint has to wait, and the event loop does not.
+// WriteResponsePart sends the next part of a streamed response. The amount of unsent data is limited: above the limit
+// the endpoint has to wait, and the event loop does not.
 func (c *Conn) WriteResponsePart(data []byte) {
 	if c.lifetime.closed {
 		return
@@ -62,7 +62,7 @@
 		return
 	}
 	if c.socket.BytesUnsent() > 0 {
-		c.frontend.hastenSweep() // what is not taken counts against the bound of all clients
+		c.frontend.sweepSoon() // unsent data counts towards the limit of all clients
 	}
 	lim := &c.frontend.limits.Frontend
 	if c.output.flow != nil && c.socket.BytesUnsent() > lim.HighWaterBytes {
@@ -71,16 +71,16 @@
 	}
 }
 
-// TruncateResponse ends a streamed response that will not become complete. Within a row only the end of the
-// connection can say so.
+// TruncateResponse ends a streamed response that will not be completed. Within a row only closing the connection can
+// tell the client.
 func (c *Conn) TruncateResponse() {
 	c.output.flow = nil
 	c.exclusive.id = ""
 	c.Close()
 }
 
-// applyBackpressure reports whether the client has so much to read that nothing more is written or read for now. Taken
-// goes on once the client has read.
+// applyBackpressure reports whether the client has so much unread data that nothing more is written or read for now.
+// WriteDrained continues once the client has read most of it.
 func (c *Conn) applyBackpressure() bool {
 	lim := &c.frontend.limits.Frontend
 	if !c.output.backpressured && c.socket.BytesUnsent() > lim.HighWaterBytes {
@@ -90,7 +90,7 @@
 	return c.output.backpressured
 }
 
-// WriteDrained implements transport.WriteObserver: the client has read most of what it was sent.
+// WriteDrained implements transport.WriteObserver: the client has read most of the data sent to it.
 func (c *Conn) WriteDrained() {
 	if c.output.backpressured {
 		c.output.backpressured = false
--- a/internal/frontend/response_stream_test.go
+++ b/internal/frontend/response_stream_test.go
@@ -14,20 +14,21 @@
 	"limeladder/internal/testserver"
 )
 
-// A client that reads a long response slowly gets all of it, and little of it waits in the router. One that reads
-// nothing is closed in time. One whose response breaks off sees the end and no byte that is not of the response.
+// Tests that a client that reads a long response slowly gets all of it while the router buffers little of it, that a
+// client that reads nothing is closed in time, and that a client whose response is truncated sees the end of the
+// connection and no byte that is not part of the response.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.UnreadTimeout = 400 * time.Millisecond
-	for name, want := range map[string]int{"long": longRowBytes, "cut": longRowBytes / 2, "unread": 0} {
+	for name, want := range map[string]int{"long": longRowBytes, "truncated": longRowBytes / 2, "unread": 0} {
 		_, fake, loop, addr := startWith(t, lim)
 		class := strings.Replace(name, "unread", "long", 1)
-		c := dialSlow(t, addr, pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "x"), statement(class)))
+		c := dialSlowReader(t, addr, pgwire.AppendQuery(pgwire.AppendStartup(nil, "user", "x"), statement(class)))
 		if name == "unread" {
 			select {
 			case <-fake.disconnects:
 			case <-time.After(20 * time.Second):
-				t.Fatal("a client that reads nothing keeps its response waiting")
+				t.Fatal("a client that reads nothing is not disconnected within 20 s")
 			}
 		}
 		pause := time.Duration(0)
@@ -42,18 +43,18 @@
 		body := strings.TrimSuffix(string(row), "C\x00\x00\x00\x0dSELECT 1\x00Z\x00\x00\x00\x05I")
 		wrongLength := name != "unread" && (len(body) < want-10_000 || len(body) > want+10_000)
 		if wrongLength || strings.Trim(body, "\x00") != "" {
-			t.Errorf("%s: %d bytes of the row", name, len(body))
+			t.Errorf("%s: the row has %d bytes or bytes that are not part of it", name, len(body))
 		}
 		runInLoop(loop, func() {
 			if fake.source.maxUnsentBytes > lim.Frontend.HighWaterBytes+20_000 {
-				t.Errorf("%s: %d bytes waited", name, fake.source.maxUnsentBytes)
+				t.Errorf("%s: %d bytes were unsent, more than the high-water mark permits", name, fake.source.maxUnsentBytes)
 			}
 		})
 		c.Close()
 	}
 }
 
-// readLongResponse reads up to ReadyForQuery or the end of the connection, with a pause behind each read.
+// readLongResponse reads up to ReadyForQuery or the end of the connection, with a pause after each read.
 func readLongResponse(conn net.Conn, pause time.Duration) []byte {
 	var got []byte
 	var err error
@@ -67,8 +68,8 @@
 	return got
 }
 
-// A client that has many requests in flight and reads nothing until all are answered gets each complete response,
-// although together they are more than it may leave unread.
+// Tests that a client that has many requests in flight and reads nothing until all are answered gets every complete
+// response, although their total size is more than it may leave unread.
 func TestSlowReaderGetsManyResponses(t *testing.T) {
 	lim := defaultLimits()
 	for _, inOrder := range []bool{true, false} {
@@ -77,14 +78,14 @@
 		long := strings.Repeat("x", 60_000)
 		count := lim.Frontend.ConcurrentRequests
 		if count*len(long) < lim.Frontend.UnreadBytes+lim.Frontend.SendBufferBytes {
-			t.Fatal("they are not more than it may leave unread")
+			t.Fatal("the responses are not larger than what a client may leave unread")
 		}
 		var all []byte
 		var ids, want []string
 		for i := range count {
 			ids = append(ids, fmt.Sprintf("r%02d", i))
 			want = append(want, long)
-			all = append(all, labelled(ids[i], "free")...)
+			all = append(all, queryWithID(ids[i], "any")...)
 		}
 		client.Send(all)
 		expectAccepted(t, fake, ids...)
@@ -97,26 +98,27 @@
 		conn := onlyConnection(t, frontend, loop)
 		runInLoop(loop, func() {
 			if unsent := conn.socket.BytesUnsent(); unsent > lim.Frontend.HighWaterBytes+2*len(long) {
-				t.Errorf("%d bytes unsent", unsent)
+				t.Errorf("%d bytes unsent, more than the high-water mark permits", unsent)
 			}
 		})
-		expectAnswers(t, client, want...)
-		client.Send(labelled("more", "free"))
-		waitUntil(t, "it goes on", func() bool { return len(fake.labels()) == count+1 })
-		waitUntil(t, "nothing is counted", func() (none bool) {
+		expectResponses(t, client, want...)
+		client.Send(queryWithID("more", "any"))
+		waitUntil(t, "the connection accepts another request", func() bool { return len(fake.acceptedIDs()) == count+1 })
+		waitUntil(t, "all memory is released", func() (none bool) {
 			runInLoop(loop, func() { none = conn.pipeline.backlogBytes == 0 && frontend.memory.pipelinedBytes == 0 })
 			return none
 		})
 	}
 }
 
-// A streamed response behind another one is paused at its endpoint until it is the first, and sent from there. One
-// that breaks off before that is an error in its place; one that does later ends the connection.
-func TestStreamedResponseBehindAnother(t *testing.T) {
-	for _, when := range []string{"whole", "cut before it is the first", "cut after it"} {
+// Tests that a streamed response after another one is paused at its endpoint until it is the first, and is sent from
+// then on. If it is truncated before that, the client gets an error in its place; if it is truncated later, the
+// connection is closed.
+func TestStreamedResponseAfterAnother(t *testing.T) {
+	for _, when := range []string{"complete", "truncated before it is the first", "truncated while it is the first"} {
 		_, fake, loop, addr := start(t)
 		client := testserver.Dial(t, addr)
-		client.Send(concat(labelled("a", "free"), labelled("long", "free"), labelled("c", "free")))
+		client.Send(concat(queryWithID("a", "any"), queryWithID("long", "any"), queryWithID("c", "any")))
 		expectAccepted(t, fake, "a", "long", "c")
 		fake.serve("c")
 		pauses := &pauseRecorder{}
@@ -126,22 +128,22 @@
 			long.ResponseStarted(&backend.Response{Messages: message[:7]}, pauses)
 			long.ResponsePart(message[7:12])
 			if !slices.Equal(pauses.calls, []bool{true}) {
-				t.Errorf("paused: %v", pauses.calls)
+				t.Errorf("calls of SetPaused are %v, want [true]", pauses.calls)
 			}
-			if when == "cut before it is the first" {
+			if when == "truncated before it is the first" {
 				long.ResponseTruncated()
 			}
 		})
 		fake.serve("a")
 		runInLoop(loop, func() {
 			long := fake.client("long")
-			if when == "cut before it is the first" {
+			if when == "truncated before it is the first" {
 				return
 			}
 			if !slices.Equal(pauses.calls, []bool{true, false}) {
-				t.Errorf("paused: %v", pauses.calls)
+				t.Errorf("calls of SetPaused are %v, want [true false]", pauses.calls)
 			}
-			if when == "cut after it" {
+			if when == "truncated while it is the first" {
 				long.ResponseTruncated()
 				return
 			}
@@ -150,27 +152,27 @@
 			long.Served(&backend.Response{Messages: message[end:]})
 		})
 		switch when {
-		case "whole":
-			expectAnswers(t, client, "a", "long", "c")
-		case "cut before it is the first":
-			expectAnswers(t, client, "a", pgwire.UnknownOutcome, "c")
+		case "complete":
+			expectResponses(t, client, "a", "long", "c")
+		case "truncated before it is the first":
+			expectResponses(t, client, "a", pgwire.UnknownOutcome, "c")
 		default:
-			expectAnswers(t, client, "a")
+			expectResponses(t, client, "a")
 			if answer := client.Until('Z'); !answer.Ended || strings.Contains(answer.Types, "Z") {
-				t.Errorf("%+v", answer)
+				t.Errorf("response %+v, want the end of the connection without ReadyForQuery", answer)
 			}
 		}
 	}
 }
 
-// A streamed response is paused behind another one, which is answered while the client has so much to read that the
-// streamed one can not begin. What came of it leaves in order all the same, and if it breaks off at that moment it is
-// an error in its place.
-func TestStreamedResponseBehindAnotherOfSlowReader(t *testing.T) {
-	for _, when := range []string{"whole", "cut", "begun then", "begun then and cut"} {
+// Tests a streamed response that is paused after another one when that one is answered while the client has too much
+// unread data, so that the streamed one can't start. The part that has arrived is still sent in order, and if the
+// response is truncated at that moment the client gets an error in its place.
+func TestStreamedResponseAfterAnotherOfSlowReader(t *testing.T) {
+	for _, when := range []string{"complete", "truncated", "started late", "started late and truncated"} {
 		frontend, fake, loop, addr := start(t)
 		client := testserver.Dial(t, addr)
-		client.Send(concat(labelled("a", "free"), labelled("long", "free"), labelled("c", "free")))
+		client.Send(concat(queryWithID("a", "any"), queryWithID("long", "any"), queryWithID("c", "any")))
 		expectAccepted(t, fake, "a", "long", "c")
 		fake.serve("c")
 		pauses := &pauseRecorder{}
@@ -181,41 +183,42 @@
 			long.ResponseStarted(&backend.Response{Messages: message[:7]}, pauses)
 			long.ResponsePart(message[7:12])
 		}
-		// These rows are more than the client and the system take unread.
+		// These rows are more than the client and the operating system accept while nothing is read.
 		rows := bytes.Repeat(valueResponse(strings.Repeat("x", 60_000)).Messages, 15)
 		runInLoop(loop, func() {
-			if !strings.HasPrefix(when, "begun then") {
+			if !strings.HasPrefix(when, "started late") {
 				begin()
 			}
 			fake.client("a").Served(&backend.Response{Messages: rows})
 			if len(conn.pipeline.slots) != 2 || !conn.output.backpressured {
-				t.Errorf("%d responses are owed, backpressured: %t", len(conn.pipeline.slots), conn.output.backpressured)
+				t.Errorf("%d responses are pending, backpressured is %t, want 2 and true",
+					len(conn.pipeline.slots), conn.output.backpressured)
 			}
-			if strings.HasPrefix(when, "begun then") {
+			if strings.HasPrefix(when, "started late") {
 				begin()
 			}
 			long := fake.client("long")
 			if !slices.Equal(pauses.calls, []bool{true}) {
-				t.Errorf("%s, paused: %v", when, pauses.calls)
+				t.Errorf("%s: calls of SetPaused are %v, want [true]", when, pauses.calls)
 			}
-			if strings.HasSuffix(when, "cut") {
+			if strings.HasSuffix(when, "truncated") {
 				long.ResponseTruncated()
 				return
 			}
-			long.ResponsePart(message[12:20]) // was under way
+			long.ResponsePart(message[12:20]) // was in transit
 			end := bytes.IndexByte(message, 'C')
 			long.ResponsePart(message[20:end])
 			long.Served(&backend.Response{Messages: message[end:]})
 		})
 		if answer := client.Until('Z'); answer.Types != strings.Repeat("TDC", 15)+"Z" {
-			t.Fatalf("%s: %s", when, answer.Types)
+			t.Fatalf("%s: unexpected message types %s in the first response", when, answer.Types)
 		}
-		if strings.HasSuffix(when, "cut") {
-			expectAnswers(t, client, pgwire.UnknownOutcome, "c")
+		if strings.HasSuffix(when, "truncated") {
+			expectResponses(t, client, pgwire.UnknownOutcome, "c")
 		} else {
-			expectAnswers(t, client, "long", "c")
+			expectResponses(t, client, "long", "c")
 		}
-		waitUntil(t, "nothing is counted", func() (none bool) {
+		waitUntil(t, "all memory is released", func() (none bool) {
 			runInLoop(loop, func() {
 				none = conn.pipeline.backlogBytes == 0 && frontend.memory.pipelinedBytes == 0 &&
 					conn.memory.reservedBytes == 0
@@ -225,44 +228,44 @@
 	}
 }
 
-// A client that reads a streamed response slowly, with other requests sent ahead, gets all responses complete and in
-// order.
+// Tests that a client that reads a streamed response slowly, with other requests pipelined, gets all responses complete
+// and in order.
 func TestSlowReaderOfStreamedResponseWithPipelinedRequests(t *testing.T) {
 	_, fake, loop, addr := start(t)
 	startup := pgwire.AppendStartup(nil, "user", "x")
-	c := dialSlow(t, addr, concat(startup, labelled("l", "long"), labelled("a", "free")))
+	c := dialSlowReader(t, addr, concat(startup, queryWithID("l", "long"), queryWithID("a", "any")))
 	defer c.Close()
 	expectAccepted(t, fake, "l", "a")
-	waitUntil(t, "its source is paused", func() (paused bool) {
+	waitUntil(t, "the source of the response is paused", func() (paused bool) {
 		runInLoop(loop, func() { paused = fake.source.paused })
 		return paused
 	})
-	write(t, c, concat(labelled("b", "free"), labelled("c", "free"))) // while the response is not read
+	write(t, c, concat(queryWithID("b", "any"), queryWithID("c", "any"))) // sent while the response is not read
 	fake.serve("a")
 	go func() {
-		for len(fake.labels()) < 4 {
+		for len(fake.acceptedIDs()) < 4 {
 			time.Sleep(time.Millisecond)
 		}
 		fake.serve("c", "b")
 	}()
 	var got []byte
 	ready := []byte("Z\x00\x00\x00\x05I")
-	for buf := make([]byte, 64<<10); bytes.Count(got, ready) < 5; { // the welcome has one
+	for buf := make([]byte, 64<<10); bytes.Count(got, ready) < 5; { // the response to the startup message has one
 		count, err := c.Read(buf)
 		got = append(got, buf[:count]...)
 		if err != nil {
-			t.Fatalf("%v after %d bytes", err, len(got))
+			t.Fatalf("read failed with %v after %d bytes", err, len(got))
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		message := append(valueResponse(id).Messages, ready...)
 		at := bytes.Index(got, message)
 		if at < longRowBytes {
-			t.Fatalf("the response to %s stands at %d", id, at)
+			t.Fatalf("the response to %s starts at byte %d, before the end of the long response", id, at)
 		}
 		got = append(make([]byte, longRowBytes), got[at+len(message):]...)
 	}
 	if len(got) != longRowBytes {
-		t.Fatalf("%d bytes behind them", len(got)-longRowBytes)
+		t.Fatalf("%d bytes follow the last response, want 0", len(got)-longRowBytes)
 	}
 }
--- a/internal/frontend/session_commits.go
+++ b/internal/frontend/session_commits.go
@@ -8,23 +8,24 @@
 	"limeladder/internal/router"
 )
 
-// sessionCommits are the positions of the writes that were made on one connection, as far as its client has not shown
-// that it knows them. A read carries the last position that its client had read when it sent the read: one that
-// crossed the response to a write, or was sent behind the write, can't carry that write's position. That a response
-// has left proves nothing; a read of the session that carries the position does.
+// sessionCommits holds the positions of the writes that were made on one connection, for as long as its client has not
+// shown that it knows them. A read carries the last position that its client knew when it sent the read: a read that
+// was sent before the client had received the response to a write can't carry the position of that write. A response
+// that was sent does not prove that the client knows the position; a read of the session that carries the position
+// does.
 type sessionCommits struct {
 	seed     maphash.Seed
 	sessions []commit // by session, the oldest first
-	groups   []commit // of sessions that no longer have an entry, by replica group: other reads of the group see them
+	groups   []commit // of sessions that no longer have an entry, by replica group: all other reads of the group see them
 }
 
 type commit struct {
-	session  uint64 // a hash, since the name would keep the whole statement in memory
+	session  uint64 // hash of the session, since keeping the name would keep the whole statement in memory
 	group    int64
 	position time.Duration
 }
 
-// maxTrackedSessions bounds the sessions of one connection whose writes are told apart, at 24 bytes each.
+// maxTrackedSessions limits the sessions of one connection whose writes are tracked separately, at 24 bytes each.
 const maxTrackedSessions = 64
 
 // record adds a write.
@@ -45,20 +46,20 @@
 	s.sessions = append(s.sessions, write)
 }
 
-// mergeOldest moves the oldest session's write to those of its replica group.
+// mergeOldest moves the oldest session's write to the entry of its replica group.
 func (s *sessionCommits) mergeOldest() {
 	oldest := s.sessions[0]
 	oldest.session = 0
 	s.sessions = slices.Delete(s.sessions, 0, 1)
 	i := oldest.indexIn(s.groups)
 	if i < 0 {
-		s.groups = append(s.groups, oldest) // bounded by the number of groups that take writes
+		s.groups = append(s.groups, oldest) // limited by the number of replica groups with writes
 		return
 	}
 	s.groups[i].position = max(s.groups[i].position, oldest.position)
 }
 
-// positionFor returns the position that a read has to see. It forgets a write that the read proves to be known.
+// positionFor returns the position that a read has to see. It drops a write whose position the read already carries.
 func (s *sessionCommits) positionFor(request *router.Request) time.Duration {
 	position := request.MinPosition
 	if len(s.sessions)+len(s.groups) == 0 {
@@ -79,7 +80,7 @@
 	return position
 }
 
-// indexIn returns the index of the commit of the same session and group, -1 if there is none.
+// indexIn returns the index of the commit of the same session and group, or -1 if there is none.
 func (c commit) indexIn(commits []commit) int {
 	return slices.IndexFunc(commits, func(other commit) bool {
 		return other.session == c.session && other.group == c.group
--- a/internal/frontend/simple_query.go
+++ b/internal/frontend/simple_query.go
@@ -13,7 +13,7 @@
 
 type simpleQueryHandler struct {
 	*Conn
-	skipToSync bool // an extended-query message was rejected: everything up to Sync is passed over
+	skipToSync bool // an extended-query message was rejected: everything up to Sync is skipped
 }
 
 // Idle implements ProtocolHandler.
@@ -48,7 +48,7 @@
 	return h.skipToSync && messageType != 'S' && messageType != 'X'
 }
 
-// rejectUnsupported answers an extended-query message or a function call. The latter is followed by no Sync.
+// rejectUnsupported answers an extended-query message or a function call. A function call is not followed by Sync.
 func (h *simpleQueryHandler) rejectUnsupported(messageType byte) {
 	h.MarkInvalid()
 	isFunctionCall := messageType == 'F'
@@ -89,7 +89,7 @@
 	}, responder)
 }
 
-// simpleQueryResponder words the response to one simple query.
+// simpleQueryResponder encodes the response to one simple query.
 type simpleQueryResponder struct{ slot }
 
 // Served implements router.Client.
@@ -113,7 +113,7 @@
 }
 
 // Failed implements router.Client.
-func (r *simpleQueryResponder) Failed(why string) { r.respondWithError(FailureError(why)) }
+func (r *simpleQueryResponder) Failed(reason string) { r.respondWithError(FailureError(reason)) }
 
 func (r *simpleQueryResponder) rejectInvalid(err error) {
 	r.conn.MarkInvalid()
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// trackProgress notes whether the client goes on reading what it was sent. A client may take seconds over a long
-// response, as long as it reads some of it.
+// trackProgress records whether the client continues to read its responses. A client may take seconds for a long
+// response as long as it reads some of it.
 func (c *Conn) trackProgress(now time.Duration) {
 	c.output.unsentBytes = c.socket.BytesUnsent()
 	if c.output.unsentBytes == 0 || c.socket.BytesSent() > c.output.progressBytes {
@@ -12,8 +12,8 @@
 	}
 }
 
-// overdue returns the error of the timeout that the client has overstayed, nil if there is none. While a response is
-// owed only its reading has a time limit.
+// overdue returns the error of the timeout that the client has exceeded, or nil. While a response is pending only the
+// time without reading is limited.
 func (c *Conn) overdue(now time.Duration) *ProtocolError {
 	switch {
 	case now-c.output.lastProgressAt > c.frontend.limits.Frontend.UnreadTimeout:
@@ -43,7 +43,7 @@
 	return !c.input.partial() && now-c.lifetime.openedAt > c.frontend.limits.Frontend.FirstCommandTimeout
 }
 
-// messageOverdue reports whether a message that has come in part stalls, or takes too long altogether.
+// messageOverdue reports whether an incomplete message has stalled or has taken too long in total.
 func (c *Conn) messageOverdue(now time.Duration) bool {
 	if !c.input.partial() {
 		return false
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -12,8 +12,8 @@
 	"limeladder/internal/testserver"
 )
 
-// A message that comes slowly is awaited as long as more of it comes.
-func TestSlowMessageIsAwaited(t *testing.T) {
+// Tests that a message that arrives slowly is read to its end as long as more of it arrives.
+func TestSlowMessageIsReadToItsEnd(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.FirstCommandTimeout = 200 * time.Millisecond
 	lim.Frontend.PartialMessageTimeout = 200 * time.Millisecond
@@ -27,12 +27,12 @@
 		time.Sleep(60 * time.Millisecond)
 	}
 	if answer := client.Until('Z'); answer.Types != "TDCZ" {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("response %+v, want types TDCZ", answer)
 	}
 }
 
-// A client that does not go on is told so and closed, however it has begun.
-func TestOverdueClientsAreToldAndClosed(t *testing.T) {
+// Tests that a client that does not continue gets an error and is closed, whatever it has sent before.
+func TestOverdueClientsGetErrorAndAreClosed(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.StartupTimeout = 100 * time.Millisecond
 	lim.Frontend.FirstCommandTimeout = 150 * time.Millisecond
@@ -41,11 +41,11 @@
 	start := pgwire.AppendStartup(nil, "user", "x")
 	complete := pgwire.AppendQuery(nil, statement("served"))
 	for name, message := range map[string][]byte{
-		"silent":                nil,
-		"half a start":          start[:9],
-		"no command":            start,
-		"half a command":        slices.Concat(start, complete[:20]),
-		"half a second command": slices.Concat(start, complete, complete[:3]),
+		"nothing sent":               nil,
+		"incomplete startup message": start[:9],
+		"no command":                 start,
+		"incomplete command":         slices.Concat(start, complete[:20]),
+		"incomplete second command":  slices.Concat(start, complete, complete[:3]),
 	} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -54,7 +54,7 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		write(t, c, message)
 		if got, err := io.ReadAll(c); err != nil || !strings.Contains(string(got), "C"+pgwire.ProtocolViolation+"\x00") {
-			t.Errorf("%s: %q %v", name, got, err)
+			t.Errorf("%s: received %q, error %v, want error 08P01", name, got, err)
 		}
 	}
 }
--- a/internal/pgwire/decode.go
+++ b/internal/pgwire/decode.go
@@ -1,6 +1,6 @@
 package pgwire
 
-// Codes of untyped messages.
+// Request codes of untyped messages.
 const (
 	ProtocolVersion = 3 << 16
 	CancelRequest   = 1234<<16 | 5678
@@ -8,10 +8,12 @@
 	GSSENCRequest   = 1234<<16 | 5680
 )
 
-// majorVersion is the version of the protocol whose startup messages carry parameters that are read here.
+// majorVersion is the major version of the protocol. Startup reads parameters only from startup messages of this
+// version.
 const majorVersion = ProtocolVersion >> 16
 
-// Startup decodes an untyped message: its code, and the parameters where the code is a protocol version.
+// Startup decodes an untyped message. It returns the request code, and the parameters if the code is a protocol
+// version.
 func Startup(body []byte) (code uint32, params map[string]string, err error) {
 	const message = "StartupMessage"
 	d := newDecoder(body)
@@ -91,13 +93,13 @@
 	return m, d.end("Parse")
 }
 
-// BindMessage is the content of Bind. Rest holds formats, values and result formats as they came.
+// BindMessage is the content of Bind. Rest holds the parameter formats, values and result formats, not decoded.
 type BindMessage struct {
 	Portal, Statement string
 	Rest              []byte
 }
 
-// Bind decodes Bind and checks its form to the end.
+// Bind decodes Bind and checks that its whole body is well formed.
 func Bind(body []byte) (BindMessage, error) {
 	d := newDecoder(body)
 	m := BindMessage{Portal: d.text(), Statement: d.text()}
@@ -108,7 +110,7 @@
 	return m, d.end("Bind")
 }
 
-// Target decodes Describe and Close: 'S' and a statement's name, or 'P' and a portal's.
+// Target decodes Describe and Close. The kind is 'S' with the name of a statement, or 'P' with the name of a portal.
 func Target(body []byte) (kind byte, name string, err error) {
 	const message = "Describe or Close"
 	d := newDecoder(body)
--- a/internal/pgwire/decoder.go
+++ b/internal/pgwire/decoder.go
@@ -2,20 +2,20 @@
 
 import "encoding/binary"
 
-// nullLength is the length of a NULL, which has no bytes.
+// nullLength is the length field of a NULL, which is followed by no bytes.
 const nullLength = -1
 
-// decoder reads the fields of a body in their order. After the first field that does not fit it returns zero values,
-// and end reports the fault, so that a caller need not check each field.
+// decoder reads the fields of a message body in order. After the first malformed field it returns zero values, and end
+// reports the error, so that a caller need not check each field.
 type decoder struct {
 	rest   []byte
-	size   int // of the whole body
+	size   int // bytes of the whole body
 	failed bool
 }
 
 func newDecoder(body []byte) decoder { return decoder{rest: body, size: len(body)} }
 
-func (d *decoder) take(n int) []byte {
+func (d *decoder) next(n int) []byte {
 	if d.failed || n < 0 || n > len(d.rest) {
 		d.failed = true
 		return nil
@@ -26,27 +26,27 @@
 }
 
 func (d *decoder) byte() byte {
-	if b := d.take(1); b != nil {
+	if b := d.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
 func (d *decoder) uint16() uint16 {
-	if b := d.take(2); b != nil {
+	if b := d.next(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
 func (d *decoder) uint32() uint32 {
-	if b := d.take(4); b != nil {
+	if b := d.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-// text takes a string that ends with a zero byte.
+// text reads a string that ends with a zero byte.
 func (d *decoder) text() string {
 	for i, b := range d.rest {
 		if b == 0 && !d.failed {
@@ -59,30 +59,30 @@
 	return ""
 }
 
-// value takes a length and so many bytes. A NULL is nil.
+// value reads a length and as many bytes. It returns nil for NULL.
 func (d *decoder) value() []byte {
 	length := int32(d.uint32())
 	if length == nullLength {
 		return nil
 	}
-	return d.take(int(length))
+	return d.next(int(length))
 }
 
-// formats takes a list of format codes.
+// formats skips a list of format codes.
 func (d *decoder) formats() {
 	for n := int(d.uint16()); n > 0 && !d.failed; n-- {
 		d.uint16()
 	}
 }
 
-// values takes a list of values.
+// values skips a list of values.
 func (d *decoder) values() {
 	for n := int(d.uint16()); n > 0 && !d.failed; n-- {
 		d.value()
 	}
 }
 
-// end checks that every field fitted and that nothing is left.
+// end returns an error if a field was malformed or bytes are left over.
 func (d *decoder) end(message string) error {
 	if d.failed || len(d.rest) != 0 {
 		return d.malformed(message)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// malformed reports a fault at the current offset.
+// malformed returns an error at the current offset.
 func (d *decoder) malformed(message string) error {
 	return &FormatError{Message: message, Offset: d.size - len(d.rest)}
 }
--- a/internal/pgwire/message_types.go
+++ b/internal/pgwire/message_types.go
@@ -1,6 +1,6 @@
 package pgwire
 
-// Message is one message; Type is 0 for a startup message. Body is valid until the next Feed.
+// Message is one message. Type is 0 for a startup message. Body is valid until the next call of Reader.Feed.
 type Message struct {
 	Type byte
 	Body []byte
@@ -35,18 +35,18 @@
 
 // Fields of an ErrorResponse.
 const (
-	fieldSeverity    = 'S'
-	fieldUnlocalized = 'V' // the severity again, never translated
-	fieldSQLState    = 'C'
-	fieldMessage     = 'M'
-	fieldDetail      = 'D'
+	fieldSeverity            = 'S'
+	fieldSeverityUnlocalized = 'V' // the severity again, never localized
+	fieldSQLState            = 'C'
+	fieldMessage             = 'M'
+	fieldDetail              = 'D'
 )
 
-// What Describe and Close name.
+// Kinds of objects in Describe and Close.
 const (
 	kindStatement = 'S'
 	kindPortal    = 'P'
 )
 
-// statusIdle is what ReadyForQuery says outside a transaction.
+// statusIdle is the transaction status of ReadyForQuery outside a transaction.
 const statusIdle = 'I'
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// valid is one of each message, in an order that a connection might carry.
-func valid() []byte {
+// validMessages returns one message of each type, in an order that could occur on a connection.
+func validMessages() []byte {
 	p := AppendWelcome(nil)
 	p = AppendQuery(p, "SELECT 1")
 	p = AppendParse(p, ParseMessage{Name: "s", Query: "SELECT $1", Types: []uint32{25, 17}})
@@ -24,8 +24,8 @@
 	return AppendReady(p)
 }
 
-// read cuts p into messages, fed in pieces whose sizes next gives, and decodes them all.
-func read(p []byte, next func(left int) int) (out []Message, err error) {
+// readMessages cuts p into messages and decodes them all. The bytes are fed in pieces whose sizes are returned by next.
+func readMessages(p []byte, next func(left int) int) (out []Message, err error) {
 	r := NewReader(1<<16, 0)
 	for len(p) > 0 {
 		n := next(len(p))
@@ -39,15 +39,15 @@
 			if !ok {
 				break
 			}
-			decode(m.Body)
+			decodeWithAll(m.Body)
 			out = append(out, Message{m.Type, bytes.Clone(m.Body)})
 		}
 	}
 	return out, nil
 }
 
-// decode gives a body to every decoder; none may panic, whatever it is.
-func decode(b []byte) {
+// decodeWithAll passes a body to every decoder. No decoder may panic, whatever the body is.
+func decodeWithAll(b []byte) {
 	_, _, _ = Startup(b)
 	_, _ = Query(b)
 	_, _, _ = Pair(b)
@@ -59,7 +59,7 @@
 	_, _, _ = Execute(b)
 }
 
-func same(a, b []Message) bool {
+func equalMessages(a, b []Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -71,16 +71,16 @@
 	return true
 }
 
-func TestRandomCuts(t *testing.T) {
+func TestRandomSplits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	want, err := read(valid(), func(left int) int { return left })
+	want, err := readMessages(validMessages(), func(left int) int { return left })
 	if err != nil || len(want) != 17 {
-		t.Fatalf("%d messages, %v", len(want), err)
+		t.Fatalf("%d messages in one piece, error %v, want 17 and no error", len(want), err)
 	}
 	for range 500 {
-		got, err := read(valid(), func(left int) int { return 1 + rng.IntN(min(left, 40)) })
-		if err != nil || !same(got, want) {
-			t.Fatalf("%d messages, %v", len(got), err)
+		got, err := readMessages(validMessages(), func(left int) int { return 1 + rng.IntN(min(left, 40)) })
+		if err != nil || !equalMessages(got, want) {
+			t.Fatalf("%d messages in random pieces, error %v, want the same as in one piece", len(got), err)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 func TestRandomGarbage(_ *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 2000 {
-		p := valid()
+		p := validMessages()
 		for range 1 + rng.IntN(8) {
 			p[rng.IntN(len(p))] = byte(rng.Uint32())
 		}
@@ -97,36 +97,37 @@
 				p[i] = byte(rng.Uint32())
 			}
 		}
-		_, _ = read(p, func(left int) int { return 1 + rng.IntN(left) }) // it may fail; it must not panic
+		_, _ = readMessages(p, func(left int) int { return 1 + rng.IntN(left) }) // an error is permitted, a panic is not
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(valid(), uint8(3))
+	f.Add(validMessages(), uint8(3))
 	f.Add([]byte{'Q', 0, 0, 0, 4}, uint8(1))
 	f.Add([]byte{'D', 0, 0, 0, 6, 0xff, 0xff}, uint8(2))
 	f.Fuzz(func(t *testing.T, p []byte, step uint8) {
-		whole, err1 := read(p, func(left int) int { return left })
-		cut, err2 := read(p, func(left int) int { return min(left, 1+int(step)) })
-		if !same(whole, cut) || (err1 == nil) != (err2 == nil) {
-			t.Fatalf("%d and %d messages, %v and %v", len(whole), len(cut), err1, err2)
+		whole, err1 := readMessages(p, func(left int) int { return left })
+		cut, err2 := readMessages(p, func(left int) int { return min(left, 1+int(step)) })
+		if !equalMessages(whole, cut) || (err1 == nil) != (err2 == nil) {
+			t.Fatalf("in one piece and in several: %d and %d messages, errors %v and %v, want the same",
+				len(whole), len(cut), err1, err2)
 		}
 	})
 }
 
-// A length is refused as soon as it is there: nothing of that size is waited for.
-func TestSizesAreCheckedFirst(t *testing.T) {
+// Tests that an invalid length is rejected as soon as it has arrived, without waiting for as many bytes.
+func TestLengthIsCheckedBeforeBody(t *testing.T) {
 	refused := map[uint32]bool{0: true, 3: true, 4: false, 100: false, 101: true, 1 << 31: true, 1<<32 - 1: true}
 	for n, bad := range refused {
 		r := NewReader(100, 0)
 		r.Feed(binary.BigEndian.AppendUint32([]byte{'Q'}, n))
 		if _, _, err := r.Next(); errors.Is(err, ErrSize) != bad {
-			t.Errorf("length %d: %v", n, err)
+			t.Errorf("length %d: unexpected error %v", n, err)
 		}
 		r = NewReader(10, 100)
 		r.Feed(binary.BigEndian.AppendUint32(nil, n))
 		if _, _, err := r.Next(); errors.Is(err, ErrSize) != bad {
-			t.Errorf("startup length %d: %v", n, err)
+			t.Errorf("startup length %d: unexpected error %v", n, err)
 		}
 	}
 }
@@ -137,34 +138,35 @@
 	m, ok, err := r.Next()
 	code, params, err2 := Startup(m.Body)
 	if !ok || err != nil || err2 != nil || code != ProtocolVersion {
-		t.Fatalf("%v %v %v %d", ok, err, err2, code)
+		t.Fatalf("startup message: ok %v, errors %v and %v, code %d", ok, err, err2, code)
 	}
 	if params["user"] != "portal" || params["database"] != "crm" {
-		t.Fatalf("%v %v %v %v", ok, err, err2, params)
+		t.Fatalf("startup message: ok %v, errors %v and %v, parameters %v, want user portal and database crm",
+			ok, err, err2, params)
 	}
 	r.Started()
 	r.Feed(AppendError(nil, Error{Fatal: true, Code: "57P03", Message: "m", RetryAfter: 1500 * time.Millisecond}))
 	m, _, _ = r.Next()
 	f, err := Fields(m.Body)
 	if err != nil || f['C'] != "57P03" || f['D'] != "1500" || f['S'] != "FATAL" {
-		t.Fatalf("%v %v", f, err)
+		t.Fatalf("error response has fields %v, error %v, want C 57P03, D 1500 and S FATAL", f, err)
 	}
 	r.Feed(AppendExecute(nil, "p", 9))
 	m, _, _ = r.Next()
 	if portal, rows, err := Execute(m.Body); portal != "p" || rows != 9 || err != nil {
-		t.Fatalf("%q %d %v", portal, rows, err)
+		t.Fatalf("Execute has portal %q and %d rows, error %v, want p and 9", portal, rows, err)
 	}
 }
 
-// A long message does not hold its memory once it is read.
-func TestReaderGivesBack(t *testing.T) {
+// Tests that a long message does not keep its memory after it is read.
+func TestReaderReleasesLongBuffer(t *testing.T) {
 	r := NewReader(1<<20, 0)
 	r.Feed(AppendQuery(nil, string(make([]byte, 100_000))))
 	if _, ok, err := r.Next(); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	if _, ok, _ := r.Next(); ok || cap(r.buf) > 0 {
-		t.Fatalf("%d bytes are kept", cap(r.buf))
+		t.Fatalf("buffer has a capacity of %d bytes after the message was read, want 0", cap(r.buf))
 	}
 }
 
@@ -176,13 +178,14 @@
 		for _, typ := range []byte("TDCtE12nsI?") {
 			s := NewShape()
 			if s.Add(Message{Type: typ, Body: body}) == nil && (s.Columns > len(body) || strings.Contains(s.Tag, "\x00")) {
-				t.Fatalf("%c: %+v", typ, s)
+				t.Fatalf("message type %c: invalid body accepted as %+v", typ, s)
 			}
 		}
 	})
 }
 
-// A row that is followed as it comes is judged as a whole one is, wherever it is cut.
+// FuzzRowStream tests that a row that is checked while it arrives gives the same result as the whole row, at whatever
+// points it is split.
 func FuzzRowStream(f *testing.F) {
 	f.Add([]byte("\x00\x01\x00\x00\x00\x01v"), uint8(1))
 	f.Add([]byte("\x00\x03\xff\xff\xff\xff\x00\x00\x00\x00\x00\x00\x00\x02xy"), uint8(3))
@@ -202,12 +205,12 @@
 			return
 		}
 		if (err == nil) != (cut == nil) || cut == nil && (s.Left != 0 || s.Columns != whole.Columns) {
-			t.Fatalf("whole %v, in pieces %v: %+v", err, cut, s)
+			t.Fatalf("whole row has error %v, row in pieces has error %v and state %+v, want the same result", err, cut, s)
 		}
 	})
 }
 
-// A fault says which message does not have its form and where, while its text, which clients see, stays the same.
+// Tests that an error contains the malformed message and the offset, while its text, which clients see, stays the same.
 func TestFormatErrorsNameMessageAndOffset(t *testing.T) {
 	decode := func(f func(body []byte) error, body string) error { return f([]byte(body)) }
 	query := func(body []byte) error { _, err := Query(body); return err }
@@ -218,21 +221,21 @@
 		message string
 		offset  int
 	}{
-		"query without its end":  {decode(query, "SELECT 1"), "Query", 0},
-		"query with more behind": {decode(query, "SELECT 1\x00x"), "Query", 9},
-		"bind with a long value": {decode(bind, "p\x00s\x00\x00\x00\x00\x01\x00\x00\x00\x09x"), "Bind", 12},
-		"describe of nothing":    {decode(target, "Xs\x00"), "Describe or Close", 0},
+		"query without a final zero byte": {decode(query, "SELECT 1"), "Query", 0},
+		"query with trailing bytes":       {decode(query, "SELECT 1\x00x"), "Query", 9},
+		"bind with a long value":          {decode(bind, "p\x00s\x00\x00\x00\x00\x01\x00\x00\x00\x09x"), "Bind", 12},
+		"describe of an unknown kind":     {decode(target, "Xs\x00"), "Describe or Close", 0},
 	} {
 		var format *FormatError
 		if !errors.As(c.err, &format) || !errors.Is(c.err, ErrFormat) {
-			t.Errorf("%s: %v", name, c.err)
+			t.Errorf("%s: error %v, want a *FormatError", name, c.err)
 			continue
 		}
 		if format.Message != c.message || format.Offset != c.offset || format.SQLState() != ProtocolViolation {
-			t.Errorf("%s: %+v", name, format)
+			t.Errorf("%s: unexpected error %+v", name, format)
 		}
 		if c.err.Error() != "malformed message" {
-			t.Errorf("%s: text %q", name, c.err)
+			t.Errorf("%s: error text %q, want malformed message", name, c.err)
 		}
 	}
 	r := NewReader(100, 0)
@@ -240,14 +243,14 @@
 	_, _, err := r.Next()
 	var size *SizeError
 	if !errors.As(err, &size) || size.Length != 101 || size.Limit != 100 || size.SQLState() != ProtocolViolation {
-		t.Fatalf("%+v", err)
+		t.Fatalf("error %+v, want a *SizeError of length 101 and limit 100", err)
 	}
 	if err.Error() != "message length out of bounds: 101 bytes" {
-		t.Fatalf("text %q", err)
+		t.Fatalf("error text %q, want the length in bytes", err)
 	}
 }
 
-// A response of rows passes the request path without an allocation for each row.
+// Tests that reading and checking the rows of a response needs no allocation per row.
 func TestRowsAreCheckedWithoutAllocation(t *testing.T) {
 	row := Message{Type: 'D', Body: []byte("\x00\x02\x00\x00\x00\x01v\xff\xff\xff\xff")}
 	wire := Append(nil, row.Type, row.Body)
@@ -257,10 +260,10 @@
 		r.Feed(wire)
 		m, ok, err := r.Next()
 		if !ok || err != nil || shape.Add(m) != nil {
-			t.Error("the row was not taken")
+			t.Error("the row was not read or not valid")
 		}
 	})
 	if n != 0 {
-		t.Fatalf("%v allocations a row", n)
+		t.Fatalf("%v allocations per row, want 0", n)
 	}
 }
--- a/internal/pgwire/reader.go
+++ b/internal/pgwire/reader.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	lengthBytes = 4               // the length field, which counts itself
+	lengthBytes = 4               // size of the length field, which counts itself
 	headerBytes = 1 + lengthBytes // type and length of a typed message
-	// maxIdleBuffer is the largest buffer that an idle reader keeps.
+	// maxIdleBuffer is the capacity in bytes of the largest buffer that an idle reader keeps.
 	maxIdleBuffer = 16 << 10
-	// growFraction is the part of a message that must have come before room for all of it is made, so that a peer
-	// that announces a long message and sends none costs no memory.
+	// growFraction delays the growth of the buffer to the size of an incomplete message until more than one part in
+	// growFraction of it has arrived, so that a peer that announces a long message and sends none costs no memory.
 	growFraction = 4
 )
 
-// Reader cuts a stream of bytes into messages. The zero value is not ready: use NewReader.
+// Reader cuts a stream of bytes into messages. The zero value is not usable: use NewReader.
 type Reader struct {
 	buf   []byte
-	start int // where the bytes that are not yet cut begin in buf
-	// incomplete is how many bytes the message that is coming has, with its header; 0 = not known.
+	start int // index in buf of the first byte that is not yet cut
+	// incomplete is the size in bytes of the incomplete message, with its header; 0 = not known.
 	incomplete   int
-	limit        int // bytes of a message
-	startupLimit int // bytes of a startup message, 0 once it has come
+	limit        int // maximum length of a message in bytes
+	startupLimit int // maximum length of a startup message in bytes, 0 after the startup
 }
 
-// NewReader expects typed messages of at most limit bytes. With startupLimit above 0 the first message is an untyped
-// one of at most that size.
+// NewReader returns a Reader of typed messages of at most limit bytes. If startupLimit is above 0, the first message is
+// an untyped one of at most that many bytes.
 func NewReader(limit, startupLimit int) *Reader {
 	return &Reader{limit: limit, startupLimit: startupLimit}
 }
 
-// Feed adds bytes that have come.
+// Feed adds bytes that have arrived.
 func (r *Reader) Feed(p []byte) {
 	r.reclaim()
 	have := r.Waiting() + len(p)
 	if r.incomplete > have && have > r.incomplete/growFraction {
-		// A long message is copied once, not at each growth. Its length was checked when it came.
+		// A long message is copied once, and not each time the buffer grows. Its length was checked when it arrived.
 		r.buf = slices.Grow(r.buf, r.incomplete-r.Waiting())
 	}
 	r.buf = append(r.buf, p...)
 }
 
-// reclaim makes the room of bytes that were cut usable again.
+// reclaim makes the space of bytes that were cut available again.
 func (r *Reader) reclaim() {
 	switch {
 	case r.start == len(r.buf):
@@ -55,14 +55,14 @@
 	r.start = 0
 }
 
-// Waiting is the number of bytes that are not yet cut.
+// Waiting returns the number of bytes that are not yet cut.
 func (r *Reader) Waiting() int { return len(r.buf) - r.start }
 
-// Next returns the next complete message; ok is false when it has not come yet. The length is checked as soon as it
-// is there, before anything of that size is kept. The error is a *SizeError.
+// Next returns the next complete message. ok is false if none has arrived yet. The length is checked as soon as it has
+// arrived, before the buffer grows to that size. The error is a *SizeError.
 func (r *Reader) Next() (m Message, ok bool, err error) {
 	if r.start == len(r.buf) && cap(r.buf) > maxIdleBuffer {
-		// One long message must not hold its memory for the rest of the connection.
+		// One long message must not occupy its memory for the rest of the connection.
 		r.buf = nil
 		r.start = 0
 	}
@@ -95,8 +95,8 @@
 	return m, true, nil
 }
 
-// Incomplete returns what is known of a message that has begun to come and is not complete: its type, the length of its
-// body, and the bytes of the body that are there. ok is false when there is none, or less than its length has come.
+// Incomplete returns the type of an incomplete message, the length of its body in bytes, and the part of the body that
+// has arrived. ok is false if there is no incomplete message, or if its length has not arrived yet.
 func (r *Reader) Incomplete() (typ byte, length int, have []byte, ok bool) {
 	p := r.buf[r.start:]
 	if r.startupLimit > 0 || len(p) < headerBytes || r.incomplete == 0 {
@@ -105,8 +105,8 @@
 	return p[0], r.incomplete - headerBytes, p[headerBytes:], true
 }
 
-// NextBytes takes the next n bytes as they are, whatever they belong to; it is for a message that is forwarded as it
-// comes. They are valid until the next Feed.
+// NextBytes returns the next n bytes, without regard to message boundaries. It is used for a message that is forwarded
+// while it arrives. The bytes are valid until the next call of Feed.
 func (r *Reader) NextBytes(n int) []byte {
 	end := r.start + n
 	p := r.buf[r.start:end:end]
@@ -115,6 +115,6 @@
 	return p
 }
 
-// Started says that the untyped message has come and typed ones follow. It isn't called after SSLRequest and
-// GSSENCRequest, which another untyped message follows.
+// Started ends the startup: typed messages follow. It isn't called after SSLRequest and GSSENCRequest, which are
+// followed by another untyped message.
 func (r *Reader) Started() { r.startupLimit = 0 }
--- a/internal/pgwire/row_stream.go
+++ b/internal/pgwire/row_stream.go
@@ -7,23 +7,22 @@
 	valueLengthBytes = 4
 )
 
-// RowStream follows a DataRow's body as it comes, and says whether the lengths of its values fit the length of the
-// body.
+// RowStream checks the body of a DataRow while it arrives: the lengths of the values must match the length of the body.
 type RowStream struct {
 	Columns int // -1 = not known yet
-	Left    int // bytes that have not come
+	Left    int // bytes of the body that have not arrived
 
-	valuesLeft int    // values whose length has not come
-	valueLeft  int    // bytes of the current value that have not come
-	number     []byte // what has come of the number of columns or of a value's length
+	valuesLeft int    // values whose length has not arrived
+	valueLeft  int    // bytes of the current value that have not arrived
+	number     []byte // bytes that have arrived of the column count or of a value's length
 }
 
-// NewRowStream expects a body of that length.
+// NewRowStream returns a RowStream for a body of the given length in bytes.
 func NewRowStream(length int) *RowStream {
 	return &RowStream{Columns: columnsUnknown, Left: length}
 }
 
-// Feed takes the next bytes, no more than are Left. The error is a *FormatError: the row can't be used from there on.
+// Feed checks the next bytes, at most as many as Left. After an error, which is a *FormatError, the row can't be used.
 func (s *RowStream) Feed(p []byte) error {
 	offset := 0
 	for offset < len(p) {
@@ -37,7 +36,7 @@
 		s.number = append(s.number, p[offset])
 		s.Left--
 		offset++
-		if s.numberComplete() && !s.useNumber() {
+		if s.numberComplete() && !s.applyNumber() {
 			return s.malformed(offset)
 		}
 	}
@@ -47,7 +46,7 @@
 	return nil
 }
 
-// numberComplete says whether the number that is coming has all its bytes.
+// numberComplete reports whether all bytes of the current number have arrived.
 func (s *RowStream) numberComplete() bool {
 	if s.Columns < 0 {
 		return len(s.number) == columnCountBytes
@@ -55,8 +54,9 @@
 	return len(s.number) == valueLengthBytes
 }
 
-// useNumber takes the number of columns or a value's length, and says whether what it announces fits in the body.
-func (s *RowStream) useNumber() bool {
+// applyNumber applies the column count or a value's length, and reports whether the values that it announces fit in the
+// body.
+func (s *RowStream) applyNumber() bool {
 	if s.Columns < 0 {
 		s.Columns = int(binary.BigEndian.Uint16(s.number))
 		s.valuesLeft = s.Columns
@@ -75,7 +75,7 @@
 	return s.valueLeft+valueLengthBytes*s.valuesLeft <= s.Left
 }
 
-// malformed reports a fault. The offset is counted in the bytes of the last call to Feed.
+// malformed returns an error. The offset is relative to the bytes of the last call of Feed.
 func (s *RowStream) malformed(offset int) error {
 	return &FormatError{Message: "DataRow", Offset: offset}
 }
--- a/internal/pgwire/shape.go
+++ b/internal/pgwire/shape.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// columnsUnknown is the number of columns before a RowDescription or a row has told it.
+// columnsUnknown is the number of columns before a RowDescription or a row has arrived.
 const columnsUnknown = -1
 
-// columnDescriptionBytes are those of a column's table, attribute, type, size and modifier in a RowDescription.
+// columnDescriptionBytes is the size in a RowDescription of a column's table, attribute, type, type size and modifier.
 const columnDescriptionBytes = 16
 
 const (
@@ -17,18 +17,18 @@
 	sqlStateLength = 5
 )
 
-// Shape follows the messages of one response and says whether each has its type's form and fits those before it. The
-// order of the types is for the caller to judge.
+// Shape checks the messages of one response: each must be well formed and consistent with the earlier ones. The order
+// of the message types is for the caller to check.
 type Shape struct {
-	Columns int    // of the rows, -1 = not known yet
-	Rows    int    // DataRows so far
-	Tag     string // of CommandComplete, "" = it has not come
+	Columns int    // number of columns of the rows, -1 = not known yet
+	Rows    int    // number of DataRows so far
+	Tag     string // tag of CommandComplete, "" = not received yet
 }
 
-// NewShape starts a response.
+// NewShape returns the Shape of a response of which no message has arrived.
 func NewShape() Shape { return Shape{Columns: columnsUnknown} }
 
-// Add takes the next message. The error is a *FormatError: the response can't be used from there on.
+// Add checks the next message. After an error, which is a *FormatError, the response can't be used.
 func (s *Shape) Add(m Message) error {
 	switch m.Type {
 	case typeDataRow:
@@ -54,7 +54,7 @@
 	n := int(d.uint16())
 	for i := 0; i < n && !d.failed; i++ {
 		d.text()
-		d.take(columnDescriptionBytes)
+		d.next(columnDescriptionBytes)
 		if format := d.uint16(); format > 1 { // 0 is text and 1 is binary
 			return d.malformed(message)
 		}
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// Row takes a row of which only the number of columns is known, and says whether it fits those before it.
+// Row adds a row of which only the number of columns is known, and reports whether it is consistent with the earlier
+// rows.
 func (s *Shape) Row(columns int) bool {
 	if s.Tag != "" {
 		return false
@@ -128,13 +129,13 @@
 	return true
 }
 
-// tagFits says whether tag is one such as SELECT 1, INSERT 0 1 or SHOW, and counts the rows that have come.
+// tagFits reports whether tag is a command tag such as SELECT 1, INSERT 0 1 or SHOW, with the number of rows received.
 func (s *Shape) tagFits(tag string) bool {
 	words := strings.Split(tag, " ")
 	if words[0] == "" || strings.Trim(words[0], uppercase) != "" {
 		return false
 	}
-	if s.Rows == 0 || len(words) == 1 { // SHOW counts nothing
+	if s.Rows == 0 || len(words) == 1 { // SHOW has no row count
 		return strings.Trim(tag, uppercase+digits+" ") == ""
 	}
 	if words[0] == "INSERT" {
--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Append adds a message of the given type with the parts as its body.
+// Append appends a message of the given type with the concatenated parts as its body. Type 0 is an untyped message.
 func Append(dst []byte, typ byte, parts ...[]byte) []byte {
 	length := lengthBytes
 	for _, p := range parts {
@@ -22,7 +22,7 @@
 	return dst
 }
 
-// AppendStartup adds a startup message with these parameters, name and value in turn.
+// AppendStartup appends a startup message with parameters, given as alternating names and values.
 func AppendStartup(dst []byte, pairs ...string) []byte {
 	body := binary.BigEndian.AppendUint32(nil, ProtocolVersion)
 	for _, text := range pairs {
@@ -32,10 +32,10 @@
 	return Append(dst, 0, append(body, 0))
 }
 
-// AppendQuery adds a simple query.
+// AppendQuery appends a simple query.
 func AppendQuery(dst []byte, sql string) []byte { return Append(dst, typeQuery, cstring(sql)) }
 
-// AppendParse adds Parse.
+// AppendParse appends Parse.
 func AppendParse(dst []byte, m ParseMessage) []byte {
 	body := append(cstring(m.Name), cstring(m.Query)...)
 	body = binary.BigEndian.AppendUint16(body, uint16(len(m.Types)))
@@ -45,30 +45,30 @@
 	return Append(dst, typeParse, body)
 }
 
-// AppendBind adds Bind.
+// AppendBind appends Bind.
 func AppendBind(dst []byte, m BindMessage) []byte {
 	return Append(dst, typeBind, cstring(m.Portal), cstring(m.Statement), m.Rest)
 }
 
-// AppendTarget adds Describe ('D') or Close ('C') of a statement ('S') or portal ('P').
+// AppendTarget appends Describe ('D') or Close ('C') of a statement ('S') or portal ('P').
 func AppendTarget(dst []byte, typ, kind byte, name string) []byte {
 	return Append(dst, typ, []byte{kind}, cstring(name))
 }
 
-// AppendExecute adds Execute.
+// AppendExecute appends Execute.
 func AppendExecute(dst []byte, portal string, rows uint32) []byte {
 	return Append(dst, typeExecute, cstring(portal), binary.BigEndian.AppendUint32(nil, rows))
 }
 
-// AppendReady adds ReadyForQuery outside a transaction.
+// AppendReady appends ReadyForQuery outside a transaction.
 func AppendReady(dst []byte) []byte { return Append(dst, typeReadyForQuery, []byte{statusIdle}) }
 
-// AppendPair adds ParameterStatus.
+// AppendPair appends ParameterStatus.
 func AppendPair(dst []byte, name, value string) []byte {
 	return Append(dst, typeParameterStatus, cstring(name), cstring(value))
 }
 
-// AppendWelcome adds what a server answers to a startup message that it accepts.
+// AppendWelcome appends the response of a server that accepts a startup message.
 func AppendWelcome(dst []byte) []byte {
 	dst = Append(dst, typeAuthentication, []byte{0, 0, 0, 0})
 	for _, parameter := range []struct{ name, value string }{
@@ -81,19 +81,19 @@
 	} {
 		dst = AppendPair(dst, parameter.name, parameter.value)
 	}
-	dst = Append(dst, typeBackendKeyData, make([]byte, 8)) // no cancel key: a cancel request is not served
+	dst = Append(dst, typeBackendKeyData, make([]byte, 8)) // no usable cancel key, since cancel requests are not supported
 	return AppendReady(dst)
 }
 
-// Error is what an ErrorResponse says.
+// Error is the content of an ErrorResponse.
 type Error struct {
 	Fatal      bool
 	Code       string
 	Message    string
-	RetryAfter time.Duration // a client may retry after this: the field D, in milliseconds
+	RetryAfter time.Duration // the client may retry after this time, sent in the detail field (D) in milliseconds
 }
 
-// AppendError adds an ErrorResponse.
+// AppendError appends an ErrorResponse.
 func AppendError(dst []byte, e Error) []byte {
 	severity := "ERROR"
 	if e.Fatal {
@@ -106,7 +106,7 @@
 		body = append(body, 0)
 	}
 	add(fieldSeverity, severity)
-	add(fieldUnlocalized, severity)
+	add(fieldSeverityUnlocalized, severity)
 	add(fieldSQLState, e.Code)
 	add(fieldMessage, e.Message)
 	if e.RetryAfter > 0 {
@@ -117,5 +117,5 @@
 	return Append(dst, typeErrorResponse, append(body, 0))
 }
 
-// cstring is a text as the protocol writes it, with a zero byte behind it.
+// cstring returns s with the terminating zero byte of a string on the wire.
 func cstring(s string) []byte { return append([]byte(s), 0) }
