--- a/internal/frontend/accounting_test.go
+++ b/internal/frontend/accounting_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Tests that pipelined bytes count for at most half of the limit.
+// Pipelined bytes count for at most half of the limit.
 func TestPipelinedBytesAreLimitedToHalfOfMemory(t *testing.T) {
 	memory := memoryUse{bufferedBytes: 30, pipelinedBytes: 40}
 	if got := memory.used(100); got != 70 {
@@ -14,8 +14,8 @@
 	}
 }
 
-// Tests that a connection releases its bytes from the total that they were counted in, also when unparsed bytes have
-// become pipelined ones in between.
+// A connection releases its bytes from the total that they were counted in, also when unparsed bytes have become
+// pipelined ones in between.
 func TestByteAccountReleasesAllBytes(t *testing.T) {
 	var total memoryUse
 	account := byteAccount{total: &total}
--- a/internal/frontend/connection_end_test.go
+++ b/internal/frontend/connection_end_test.go
@@ -10,7 +10,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that the request of a client that disconnects is cancelled.
+// The request of a client that disconnects is cancelled.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	_, fake, _, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -24,8 +24,8 @@
 	}
 }
 
-// Tests that the disconnect of a client is noticed at once, however much it has sent ahead: its request is cancelled,
-// and none of the pipelined ones is accepted.
+// The disconnect of a client is noticed at once, however much it has sent ahead: its request is cancelled, and none of
+// the pipelined ones is accepted.
 func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Tests a response that is sent while its client disconnects with another request pipelined. That request must not be
-// started, although the handler has not been notified of the disconnect yet.
+// A response is sent while its client disconnects with another request pipelined. That request must not be started,
+// although the handler has not been notified of the disconnect yet.
 func TestNoPipelinedRequestStartsAfterDisconnect(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -80,8 +80,7 @@
 	}
 }
 
-// Tests that all requests in flight of a client that disconnects are cancelled, and that its queued request is not
-// started.
+// All requests in flight of a client that disconnects are cancelled, and its queued request is not started.
 func TestDisconnectCancelsPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -107,8 +106,8 @@
 	})
 }
 
-// Tests that an invalid message ends the connection in order: the earlier requests are answered, then the error is
-// sent, and no later request is accepted.
+// An invalid message ends the connection in order: the earlier requests are answered, then the error is sent, and no
+// later request is accepted.
 func TestInvalidMessageAfterPipelinedRequests(t *testing.T) {
 	for name, bad := range invalidMessages {
 		_, fake, loop, addr := start(t)
@@ -129,8 +128,7 @@
 	}
 }
 
-// Tests that a client that sends Terminate after its requests still gets their responses before the connection is
-// closed.
+// A client that sends Terminate after its requests still gets their responses before the connection is closed.
 func TestTerminateAfterPipelinedRequests(t *testing.T) {
 	_, fake, _, addr := start(t)
 	client := testserver.Dial(t, addr)
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,7 +11,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a shutdown closes idle connections, and a new one after its first response.
+// A shutdown closes idle connections at once, and new ones after their first response.
 func TestShutdownClosesIdleAndAnsweredConnections(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
@@ -32,9 +32,9 @@
 	}
 }
 
-// Tests that closing idle connections loses no request: an incomplete message becomes complete and is answered, and a
-// new connection may send its first request. A connection that is between requests is closed, and a request that the
-// client sends at the same moment is not accepted.
+// Closing idle connections loses no request: an incomplete message becomes complete and is answered, and a new
+// connection may send its first request. A connection that is between requests is closed, and a request that the client
+// sends at the same moment is not accepted.
 func TestClosingIdleConnectionsLosesNoRequest(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	runInLoop(loop, frontend.SetReady)
@@ -47,13 +47,13 @@
 	partial.Send(message) // so that the connection counts as used
 	partial.Until('Z')
 	partial.Send(message[:20])
-	waitUntil(t, "part of the message has arrived", func() (came bool) {
+	waitUntil(t, "part of the message has arrived", func() (arrived bool) {
 		runInLoop(loop, func() {
 			for c := range frontend.connections {
-				came = came || c.input.reader.Waiting() > 0
+				arrived = arrived || c.input.reader.Waiting() > 0
 			}
 		})
-		return came
+		return arrived
 	})
 	fresh = testserver.Dial(t, addr)
 	runInLoop(loop, func() {
@@ -84,7 +84,7 @@
 	})
 }
 
-// Tests that connections without a complete request do not delay the shutdown for longer than UnusedIdle.
+// Connections without a complete request do not delay the shutdown for longer than UnusedIdle.
 func TestClosingIdleConnectionsIsBounded(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.UnusedIdle = 100 * time.Millisecond
@@ -114,7 +114,7 @@
 	}
 }
 
-// Tests that during a shutdown all pipelined requests are answered before the connection is closed.
+// During a shutdown all pipelined requests are answered before the connection is closed.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -134,7 +134,7 @@
 	}
 }
 
-// Tests that a connection that only has requests in flight is not cut off either.
+// A connection that only has requests in flight is not cut off either.
 func TestClosingIdleConnectionsSparesRequestsInFlight(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
--- a/internal/frontend/errors_test.go
+++ b/internal/frontend/errors_test.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/pgwire"
 )
 
-// Tests that errors keep the SQLSTATE that they carry, and that other errors become protocol violations.
+// Errors keep the SQLSTATE that they carry, and other errors become protocol violations.
 func TestAsProtocolError(t *testing.T) {
 	if got := asProtocolError(fmt.Errorf("at sweep: %w", errUnreadLimit)); got != errUnreadLimit {
 		t.Errorf("asProtocolError of a wrapped errUnreadLimit = %+v, want errUnreadLimit itself", got)
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -13,8 +13,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a frontend that is full of idle clients, with and without an earlier request, still accepts a client with
-// a request. Neither that client nor one with a request in flight is closed.
+// A frontend that is full of idle clients, with and without an earlier request, still accepts a client with a request.
+// Neither that client nor one with a request in flight is closed.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.Connections = 6
@@ -69,9 +69,8 @@
 	return at() - from
 }
 
-// Tests that an idle frontend sweeps a few times per second, and not at the short interval: eighty routers that each
-// wake twenty times per second without need use up their share of a core. A client that sends nothing is still closed
-// in time.
+// An idle frontend sweeps a few times per second, and not at the short interval: eighty routers that each wake twenty
+// times per second without need use up their share of a core. A client that sends nothing is still closed in time.
 func TestIdleFrontendSweepsRarely(t *testing.T) {
 	lim := defaultLimits()
 	frontend, _, loop, addr := startWith(t, lim)
@@ -94,7 +93,7 @@
 	}
 }
 
-// Tests that sweeps come at the short interval as soon as there are more connections than may stay idle.
+// Sweeps come at the short interval as soon as there are more connections than may stay idle.
 func TestFullFrontendSweepsOften(t *testing.T) {
 	tight := defaultLimits()
 	tight.Frontend.SoftLimit = 1
@@ -110,7 +109,7 @@
 	}
 }
 
-// Tests that unread responses cause sweeps at the short interval, since they count towards the limit of all clients.
+// Unread responses cause sweeps at the short interval, since they count towards the limit of all clients.
 func TestUnreadResponsesMakeFrontendSweepOften(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	slow := dialSlowReader(t, addr, pgwire.AppendStartup(nil, "user", "x"))
--- a/internal/frontend/extendedquery/message_order_test.go
+++ b/internal/frontend/extendedquery/message_order_test.go
@@ -10,8 +10,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that any messages in any order, split at any point, leave the connection in sync: a query after them is
-// answered, and no write runs more often than it was executed.
+// Any messages in any order, split at any point, leave the connection in sync: a query after them is answered, and no
+// write runs more often than it was executed.
 func TestMessagesInRandomOrder(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -11,8 +11,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a unit of work that waited for another one until its deadline is rejected and not run, since its deadline
-// runs from its arrival, and that the unit after it is served.
+// A unit of work that waited for another one until its deadline is rejected and not run, since its deadline runs from
+// its arrival. The unit after it is served.
 func TestExpiredUnitOfWorkIsNotRun(t *testing.T) {
 	received, proceed := make(chan bool, 9), make(chan bool)
 	release := sync.OnceFunc(func() { close(proceed) })
@@ -51,9 +51,8 @@
 	}
 }
 
-// Tests that a read of a session sees the session's write although it was sent before its client had received the
-// response to the write, and so carries the earlier position: in the same bytes as the write, or while the response was
-// on its way.
+// A read of a session sees the session's write although it was sent before its client had received the response to the
+// write, and so carries the earlier position: in the same bytes as the write, or while the response was on its way.
 func TestReadSentBeforeWriteResponseSeesWrite(t *testing.T) {
 	first, second := testserver.NewDB(t, true, nil), testserver.NewDB(t, false, nil)
 	second.SetLag(time.Minute)
--- a/internal/frontend/extendedquery/rejection_test.go
+++ b/internal/frontend/extendedquery/rejection_test.go
@@ -10,7 +10,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a statement that leaves state at an endpoint, or writes in a class that does not, is rejected.
+// A statement that leaves state at an endpoint, or writes in a class that does not, is rejected.
 func TestUnsupportedStatementsAreRejected(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Tests that a write that is not the last operation of its unit before Sync is rejected and not run.
+// A write that is not the last operation of its unit before Sync is rejected and not run.
 func TestWriteMustBeFollowedBySync(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
@@ -62,7 +62,7 @@
 	return pgwire.AppendExecute(append(prepare("j", statementText("j", "write", 900)), bind...), "", 0)
 }
 
-// Tests the errors for an undefined statement, an undefined portal and a missing request comment.
+// An undefined statement, an undefined portal and a missing request comment each have their own error.
 func TestUndefinedNamesAreRejected(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	client := testserver.Dial(t, server.addr)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Tests that the number of prepared statements is limited, and that the connection is in sync after the error.
+// The number of prepared statements is limited, and the connection is in sync after the error.
 func TestPreparedStatementsAreBounded(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	client := testserver.Dial(t, server.addr)
@@ -96,7 +96,7 @@
 	}
 }
 
-// Tests that responses that wait for Sync are limited: above the limit they are sent before it, and none is lost.
+// Responses that wait for Sync are limited: above the limit they are sent before it, and none is lost.
 func TestResponsesThatAwaitSyncAreBounded(t *testing.T) {
 	server := start(t, testserver.NewDB(t, true, nil))
 	bind := pgwire.AppendBind(nil, pgwire.BindMessage{Rest: bindValues})
@@ -115,8 +115,8 @@
 	}
 }
 
-// Tests that a write has not run if its client disconnects or sends Terminate before Sync, and that a client that
-// violates the protocol gets an error and is closed.
+// A write has not run if its client disconnects or sends Terminate before Sync, and a client that violates the protocol
+// gets an error and is closed.
 func TestConnectionEndBeforeSyncRunsNothing(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -11,7 +11,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests units of work that arrive whole or in parts, and units with several reads.
+// Units of work may arrive whole or in parts, and may contain several reads.
 func TestUnitOfWork(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	server := start(t, db)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Tests that a write runs at most once, wherever the connection to its endpoint is lost, and that its client gets
-// exactly one response. A read is retried.
+// A write runs at most once, wherever the connection to its endpoint is lost, and its client gets exactly one response.
+// A read is retried.
 func TestConnectionLossAtEachMessage(t *testing.T) {
 	for _, class := range []string{"write", "read"} {
 		for _, at := range []byte{0, 'P', 'B', 'D', 'E', 'S'} {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Tests that an endpoint's error is retried elsewhere if it means that nothing was run, is forwarded if it concerns the
-// statement, and fails a write otherwise.
+// An endpoint's error is retried elsewhere if it means that nothing was run, is forwarded if it concerns the statement,
+// and fails a write otherwise.
 func TestEndpointErrors(t *testing.T) {
 	for code, want := range map[string]string{
 		"53300": "",
@@ -145,7 +145,7 @@
 	}
 }
 
-// Tests requests whose deadline passes at an endpoint that sends nothing: a write fails, a read is rejected.
+// A request whose deadline passes at an endpoint that sends nothing is answered: a write fails, a read is rejected.
 func TestDeadline(t *testing.T) {
 	silent := func(messageType byte, _ string) testserver.Act {
 		return testserver.Act{Silent: messageType == 'E'}
@@ -166,7 +166,7 @@
 	}
 }
 
-// Tests that a statement that was prepared while one replica served runs at another one once the first is draining.
+// A statement that was prepared while one replica served runs at another one once the first is draining.
 func TestDrainedReplica(t *testing.T) {
 	primary := testserver.NewDB(t, true, nil)
 	one := testserver.NewDB(t, false, nil)
@@ -198,7 +198,7 @@
 	}
 }
 
-// Tests that a request that is invalid, or has the id of another open request, gets an error and reaches no endpoint.
+// A request that is invalid, or has the id of another open request, gets an error and reaches no endpoint.
 func TestInvalidRequests(t *testing.T) {
 	received, proceed := make(chan bool, 9), make(chan bool)
 	db := testserver.NewDB(t, true, func(messageType byte, _ string) testserver.Act {
@@ -228,8 +228,7 @@
 	}
 }
 
-// Tests that a unit of work that does not continue ends its connection, whatever was sent of it, and that no write of
-// it has run.
+// A unit of work that does not continue ends its connection, whatever was sent of it, and no write of it has run.
 func TestStalledUnitOfWork(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	lim := defaultLimits()
@@ -254,7 +253,7 @@
 	}
 }
 
-// Tests that a malformed response counts as a lost one: a read is retried elsewhere, and a write fails and runs once.
+// A malformed response counts as a lost one: a read is retried elsewhere, and a write fails and runs once.
 func TestMalformedResponses(t *testing.T) {
 	calls := 0
 	db := testserver.NewDB(t, true, func(messageType byte, id string) (act testserver.Act) {
@@ -281,8 +280,8 @@
 	}
 }
 
-// Tests that a drained router answers an empty query with an error, serves the request of a new connection, closes the
-// connection after the response, and serves normally once the drain has ended. A suspended endpoint gets no request.
+// A drained router answers an empty query with an error, serves the request of a new connection, closes the connection
+// after the response, and serves normally once the drain has ended. A suspended endpoint gets no request.
 func TestDrainedAndSuspended(t *testing.T) {
 	used := testserver.NewDB(t, true, nil)
 	suspended := testserver.NewDB(t, false, nil)
@@ -336,7 +335,7 @@
 	t.Fatal("the resumed endpoint served none of 50 reads")
 }
 
-// Tests that a long value is streamed for each kind of request, and that the connection stays in sync.
+// A long value is streamed for each kind of request, and the connection stays in sync.
 func TestLongValue(t *testing.T) {
 	value := strings.Repeat("v", 2<<20)
 	db := testserver.NewDB(t, true, func(messageType byte, id string) (act testserver.Act) {
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -76,8 +76,9 @@
 		case "failed":
 			client.Failed("it may have run")
 		case "long", "truncated":
-			fake.source = &fakeSource{router: fake, client: client, remaining: longRowBytes,
-				truncates: request.Class == "truncated"}
+			fake.source = &fakeSource{
+				router: fake, client: client, remaining: longRowBytes, truncates: request.Class == "truncated",
+			}
 			client.ResponseStarted(&backend.Response{Messages: pgwire.Append(nil, 'T', []byte{0, 0})}, fake.source)
 			client.ResponsePart(binary.BigEndian.AppendUint32([]byte{'D'}, longRowBytes+4))
 			fake.source.send()
@@ -278,9 +279,9 @@
 // waitForSlots waits until the connection has exactly count pending responses.
 func waitForSlots(t *testing.T, loop *eventloop.Loop, conn *Conn, count int) {
 	t.Helper()
-	waitUntil(t, fmt.Sprintf("%d responses are pending", count), func() (owed bool) {
-		runInLoop(loop, func() { owed = len(conn.pipeline.slots) == count })
-		return owed
+	waitUntil(t, fmt.Sprintf("%d responses are pending", count), func() (pending bool) {
+		runInLoop(loop, func() { pending = len(conn.pipeline.slots) == count })
+		return pending
 	})
 }
 
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -12,7 +12,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that queries of each kind, all sent at once, get their own responses in order.
+// Queries of each kind, all sent at once, get their own responses in order.
 func TestEachKindOfQueryGetsItsResponse(t *testing.T) {
 	frontend, _, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Tests that a client may request encryption first, and send its query immediately after the startup message.
+// A client may request encryption first, and send its query immediately after the startup message.
 func TestQueryImmediatelyAfterStartup(t *testing.T) {
 	_, _, _, addr := start(t)
 	c, err := net.Dial("tcp", addr)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Tests that invalid messages end at most their own connection, and that other connections still work.
+// Invalid messages end at most their own connection, and other connections still work.
 func TestInvalidMessagesEndOnlyTheirConnection(t *testing.T) {
 	_, _, _, addr := start(t)
 	random := rand.New(rand.NewPCG(9, 9))
@@ -128,7 +128,7 @@
 	"body":   {'Q', 0, 0, 0, 5, 'x'},
 }
 
-// Tests that the total size of the statements in flight is limited, and that their memory is released.
+// The total size of the statements in flight is limited, and their memory is released.
 func TestBytesInFlightAreBounded(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.BufferedBytes = 100_000
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -16,8 +16,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that the deadline of a request that was queued after another one runs from the arrival of its last byte, and
-// not from its acceptance.
+// The deadline of a request that was queued after another one runs from the arrival of its last byte, and not from its
+// acceptance.
 func TestDeadlineOfQueuedRequestRunsFromItsArrival(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -25,45 +25,45 @@
 	waitUntil(t, "the first request is accepted", func() bool { return fake.accepted() == 1 })
 	conn := onlyConnection(t, frontend, loop)
 	waitForSlots(t, loop, conn, 2)
-	came := loop.Now()
-	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	arrived := loop.Now()
+	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > arrived+50*time.Millisecond })
 	runInLoop(loop, func() { fake.clients[0].Served(&backend.Response{}) })
 	client.Until('Z')
-	if request := fake.newestRequest.Load(); request.Class != "served" || request.ReceivedAt > came {
+	if request := fake.newestRequest.Load(); request.Class != "served" || request.ReceivedAt > arrived {
 		t.Fatalf("deadline of request %s starts %v after its arrival, want no later than its arrival",
-			request.Class, request.ReceivedAt-came)
+			request.Class, request.ReceivedAt-arrived)
 	}
 }
 
-// Tests the same for a request that was not parsed yet because an earlier one waits.
+// The deadline of a request that was not parsed yet, because an earlier one waits, runs from its arrival too.
 func TestDeadlineOfUnparsedRequestRunsFromItsArrival(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
 	client.Send(concat(queryWithID("a", "any"), queryWithID("b", "write"), queryWithID("c", "any")))
 	expectAccepted(t, fake, "a")
 	conn := onlyConnection(t, frontend, loop)
-	waitUntil(t, "all messages have arrived", func() (came bool) {
+	waitUntil(t, "all messages have arrived", func() (arrived bool) {
 		runInLoop(loop, func() {
-			came = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(queryWithID("c", "any"))
+			arrived = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(queryWithID("c", "any"))
 		})
-		return came
+		return arrived
 	})
-	came := loop.Now()
-	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > came+50*time.Millisecond })
+	arrived := loop.Now()
+	waitUntil(t, "50 ms have passed", func() bool { return loop.Now() > arrived+50*time.Millisecond })
 	fake.serve("a")
 	expectAccepted(t, fake, "a", "b", "c")
 	runInLoop(loop, func() {
 		for _, request := range fake.requests {
-			if request.ReceivedAt > came {
+			if request.ReceivedAt > arrived {
 				t.Errorf("deadline of request %s starts %v after its arrival, want no later than its arrival",
-					request.ClientRequestID, request.ReceivedAt-came)
+					request.ClientRequestID, request.ReceivedAt-arrived)
 			}
 		}
 	})
 }
 
-// Tests that reads sent in one write are in flight concurrently, and that their responses are sent in the order of the
-// requests, whatever the order in which they are answered.
+// Reads sent in one write are in flight concurrently, and their responses are sent in the order of the requests,
+// whatever the order in which they are answered.
 func TestPipelinedReadsRunConcurrently(t *testing.T) {
 	for _, count := range []int{10, 100} {
 		_, fake, loop, addr := start(t)
@@ -106,8 +106,8 @@
 	}
 }
 
-// Tests that pipelined requests have the same result as if they ran one after another: a write waits for all earlier
-// requests, and reads that must see it wait for it. Other reads run concurrently with it.
+// Pipelined requests have the same result as if they ran one after another: a write waits for all earlier requests, and
+// reads that must see it wait for it. Other reads run concurrently with it.
 func TestPipelinedWritesKeepTheirOrder(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -142,8 +142,8 @@
 	expectResponses(t, client, "a", "b", "w", "d", "s", "e")
 }
 
-// Tests that a rejected, an invalid and a failed request, an empty query and a SET are answered in order, and that the
-// requests after them are not affected.
+// A rejected, an invalid and a failed request, an empty query and a SET are answered in order, and the requests after
+// them are not affected.
 func TestErrorsAmongPipelinedRequests(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	runInLoop(loop, frontend.SetReady)
@@ -168,8 +168,8 @@
 	expectResponses(t, client, "e")
 }
 
-// Tests that requests that are answered synchronously are handled in a loop: the depth of the stack does not grow with
-// the number of requests in one write.
+// Requests that are answered synchronously are handled in a loop: the depth of the stack does not grow with the number
+// of requests in one write.
 func TestManyInvalidRequestsInOneWrite(t *testing.T) {
 	_, fake, loop, addr := start(t)
 	deepest := 0
@@ -191,8 +191,8 @@
 	})
 }
 
-// Tests that a request waits until it is the first when there is no memory for the responses of later ones, and that
-// all memory is released in the end.
+// A request waits until it is the first when there is no memory for the responses of later ones, and all memory is
+// released in the end.
 func TestPipelinedRequestsWaitForMemory(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.BufferedBytes = 2*lim.Backend.StreamThresholdBytes + 4000 // one response after the first
@@ -216,7 +216,7 @@
 	})
 }
 
-// Tests that clients that send many requests ahead leave memory for clients that send one request at a time.
+// Clients that send many requests ahead leave memory for clients that send one request at a time.
 func TestPipelinedFloodLeavesMemoryForOthers(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.BufferedBytes = 400_000
@@ -249,8 +249,7 @@
 	}
 }
 
-// Tests that responses that wait for earlier ones are limited: above the limit no further request of the connection is
-// started.
+// Responses that wait for earlier ones are limited: above the limit no further request of the connection is started.
 func TestResponseBacklogIsBounded(t *testing.T) {
 	lim := defaultLimits()
 	frontend, fake, loop, addr := startWith(t, lim)
@@ -287,7 +286,7 @@
 	expectAccepted(t, fake, "a", "r1", "r2", "r3", "r4")
 }
 
-// Tests which earlier requests a request waits for.
+// A request waits for exactly the earlier requests that its ordering requires.
 func TestPipelineOrdering(t *testing.T) {
 	write := router.Ordering{Writes: true}
 	readsOwn := router.Ordering{ReadsOwnWrites: true}
--- a/internal/frontend/response_stream_test.go
+++ b/internal/frontend/response_stream_test.go
@@ -14,9 +14,9 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a client that reads a long response slowly gets all of it while the router buffers little of it, that a
-// client that reads nothing is closed in time, and that a client whose response is truncated sees the end of the
-// connection and no byte that is not part of the response.
+// A client that reads a long response slowly gets all of it while the router buffers little of it. A client that reads
+// nothing is closed in time. A client whose response is truncated sees the end of the connection and no byte that is
+// not part of the response.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.UnreadTimeout = 400 * time.Millisecond
@@ -68,8 +68,8 @@
 	return got
 }
 
-// Tests that a client that has many requests in flight and reads nothing until all are answered gets every complete
-// response, although their total size is more than it may leave unread.
+// A client that has many requests in flight and reads nothing until all are answered gets every complete response,
+// although their total size is more than it may leave unread.
 func TestSlowReaderGetsManyResponses(t *testing.T) {
 	lim := defaultLimits()
 	for _, inOrder := range []bool{true, false} {
@@ -111,9 +111,9 @@
 	}
 }
 
-// Tests that a streamed response after another one is paused at its endpoint until it is the first, and is sent from
-// then on. If it is truncated before that, the client gets an error in its place; if it is truncated later, the
-// connection is closed.
+// A streamed response after another one is paused at its endpoint until it is the first, and is sent from then on. If
+// it is truncated before that, the client gets an error in its place; if it is truncated later, the connection is
+// closed.
 func TestStreamedResponseAfterAnother(t *testing.T) {
 	for _, when := range []string{"complete", "truncated before it is the first", "truncated while it is the first"} {
 		_, fake, loop, addr := start(t)
@@ -165,9 +165,9 @@
 	}
 }
 
-// Tests a streamed response that is paused after another one when that one is answered while the client has too much
-// unread data, so that the streamed one can't start. The part that has arrived is still sent in order, and if the
-// response is truncated at that moment the client gets an error in its place.
+// A streamed response is paused after another one, which is answered while the client has too much unread data, so that
+// the streamed one can't start. The part that has arrived is still sent in order, and if the response is truncated at
+// that moment the client gets an error in its place.
 func TestStreamedResponseAfterAnotherOfSlowReader(t *testing.T) {
 	for _, when := range []string{"complete", "truncated", "started late", "started late and truncated"} {
 		frontend, fake, loop, addr := start(t)
@@ -228,8 +228,8 @@
 	}
 }
 
-// Tests that a client that reads a streamed response slowly, with other requests pipelined, gets all responses complete
-// and in order.
+// A client that reads a streamed response slowly, with other requests pipelined, gets all responses complete and in
+// order.
 func TestSlowReaderOfStreamedResponseWithPipelinedRequests(t *testing.T) {
 	_, fake, loop, addr := start(t)
 	startup := pgwire.AppendStartup(nil, "user", "x")
--- a/internal/frontend/session_commits_test.go
+++ b/internal/frontend/session_commits_test.go
@@ -10,8 +10,8 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a read that was sent after a write of its session gets the position of the write, which its client can't
-// know yet. Reads of other sessions do not get it.
+// A read that was sent after a write of its session gets the position of the write, which its client can't know yet.
+// Reads of other sessions do not get it.
 func TestPipelinedReadSeesItsSessionsWrite(t *testing.T) {
 	_, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
@@ -73,8 +73,8 @@
 	}
 }
 
-// Tests that the writes of more sessions on one connection than are tracked separately are still seen, each by the
-// reads of its replica group, and that the memory for them is limited.
+// The writes of more sessions on one connection than are tracked separately are still seen, each by the reads of its
+// replica group, and the memory for them is limited.
 func TestWritesOfManySessionsAreSeen(t *testing.T) {
 	var commits sessionCommits
 	const count = 40 * maxTrackedSessions
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -12,7 +12,7 @@
 	"limeladder/internal/testserver"
 )
 
-// Tests that a message that arrives slowly is read to its end as long as more of it arrives.
+// A message that arrives slowly is read to its end as long as more of it arrives.
 func TestSlowMessageIsReadToItsEnd(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.FirstCommandTimeout = 200 * time.Millisecond
@@ -31,7 +31,7 @@
 	}
 }
 
-// Tests that a client that does not continue gets an error and is closed, whatever it has sent before.
+// A client that does not continue gets an error and is closed, whatever it has sent before.
 func TestOverdueClientsGetErrorAndAreClosed(t *testing.T) {
 	lim := defaultLimits()
 	lim.Frontend.StartupTimeout = 100 * time.Millisecond
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -115,7 +115,7 @@
 	})
 }
 
-// Tests that an invalid length is rejected as soon as it has arrived, without waiting for as many bytes.
+// An invalid length is rejected as soon as it has arrived, without waiting for as many bytes.
 func TestLengthIsCheckedBeforeBody(t *testing.T) {
 	refused := map[uint32]bool{0: true, 3: true, 4: false, 100: false, 101: true, 1 << 31: true, 1<<32 - 1: true}
 	for n, bad := range refused {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Tests that a long message does not keep its memory after it is read.
+// A long message does not keep its memory after it is read.
 func TestReaderReleasesLongBuffer(t *testing.T) {
 	r := NewReader(1<<20, 0)
 	r.Feed(AppendQuery(nil, string(make([]byte, 100_000))))
@@ -210,7 +210,7 @@
 	})
 }
 
-// Tests that an error contains the malformed message and the offset, while its text, which clients see, stays the same.
+// An error contains the malformed message and the offset, while its text, which clients see, stays the same.
 func TestFormatErrorsNameMessageAndOffset(t *testing.T) {
 	decode := func(f func(body []byte) error, body string) error { return f([]byte(body)) }
 	query := func(body []byte) error { _, err := Query(body); return err }
@@ -250,7 +250,7 @@
 	}
 }
 
-// Tests that reading and checking the rows of a response needs no allocation per row.
+// Reading and checking the rows of a response needs no allocation per row.
 func TestRowsAreCheckedWithoutAllocation(t *testing.T) {
 	row := Message{Type: 'D', Body: []byte("\x00\x02\x00\x00\x00\x01v\xff\xff\xff\xff")}
 	wire := Append(nil, row.Type, row.Body)
