--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -17,12 +17,12 @@
 	commitRetryInterval = 100 * time.Millisecond
 )
 
-// ErrNoLeader says that this member knows of no majority.
+// ErrNoLeader is returned when this member knows of no elected leader.
 var ErrNoLeader = errors.New("no leader")
 
 var errNoResult = errors.New("no result")
 
-// Put queues a write and says whether there was room. It never waits.
+// Put queues a write and reports whether the queue had room for it. It never blocks.
 func (s *Store) Put(key string, value []byte) bool {
 	change := fsm.Change{
 		Author:     s.cfg.Name,
@@ -38,7 +38,7 @@
 	}
 }
 
-// Dropped returns the number of writes that found no room.
+// Dropped returns the number of writes that were dropped because the queue was full.
 func (s *Store) Dropped() uint64 { return s.dropped.Load() }
 
 // replicateQueue commits the queued writes in order until the store is closed.
@@ -50,13 +50,13 @@
 			return
 		case change := <-s.queue:
 			change.ID = s.newChangeID()
-			s.commitUntilKnown(change)
+			s.commitUntilOutcomeKnown(change)
 		}
 	}
 }
 
-// commitUntilKnown commits a queued write again until its outcome is known or the store is closed.
-func (s *Store) commitUntilKnown(change fsm.Change) {
+// commitUntilOutcomeKnown retries the commit of a queued write until its outcome is known or the store is closed.
+func (s *Store) commitUntilOutcomeKnown(change fsm.Change) {
 	for {
 		result, err := s.Commit(change)
 		if err == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// newChangeID returns an id that no other change has: the member, the time, and a count.
+// newChangeID returns a unique change id made of the member's name, the time and a counter.
 func (s *Store) newChangeID() string {
 	return fmt.Sprintf("%s.%x.%x", s.cfg.Name, time.Now().UnixNano(), s.changeIDs.Add(1))
 }
@@ -81,9 +81,9 @@
 // now returns the time since the Unix epoch.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Commit replicates a change and returns its result once a majority has it. An error says that the outcome is not
-// known: the same change, with the same id, may be committed again and is applied once. Commit blocks, and is not for
-// the path of a request.
+// Commit replicates a change and returns its result once a majority has it. An error means that the outcome is
+// unknown: the same change may be committed again under the same id and is applied only once. Commit blocks and must
+// not be called while a request waits.
 func (s *Store) Commit(change fsm.Change) (fsm.Result, error) {
 	if change.ID == "" {
 		change.ID = s.newChangeID()
@@ -101,7 +101,7 @@
 	return result, err
 }
 
-// replicate appends an entry to the log, here or at the leader, and returns its encoded result.
+// replicate appends an entry to the log, through the leader if that is another member, and returns its encoded result.
 func (s *Store) replicate(entry []byte) ([]byte, error) {
 	if s.raft.State() == raft.Leader {
 		return s.applyAsLeader(entry)
@@ -113,7 +113,7 @@
 	return s.stream.forward(string(leader), entry)
 }
 
-// applyForwarded appends an entry that another member has forwarded. While this member starts it knows of no majority.
+// applyForwarded appends an entry that another member has forwarded. It returns ErrNoLeader until raft has started.
 func (s *Store) applyForwarded(entry []byte) ([]byte, error) {
 	select {
 	case <-s.started:
@@ -123,7 +123,7 @@
 	}
 }
 
-// applyAsLeader appends an entry to the log and returns its encoded result. It fails where this member does not lead.
+// applyAsLeader appends an entry to the log and returns its encoded result. It fails if this member is not the leader.
 func (s *Store) applyAsLeader(entry []byte) ([]byte, error) {
 	future := s.raft.Apply(entry, applyTimeout)
 	if err := future.Error(); err != nil {
@@ -138,7 +138,8 @@
 	return nil, errNoResult
 }
 
-// Rollback restores the configuration that a key had at a revision, unless the record changes before that is committed.
+// Rollback restores the configuration that a key had at a revision. The change is rejected if the record changes before
+// it is committed.
 func (s *Store) Rollback(key string, revision uint64, author string) (fsm.Result, error) {
 	change, err := s.machine.rollback(key, revision)
 	if err != nil {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -10,24 +10,24 @@
 	"limeladder/internal/store/fsm"
 )
 
-// snapshotFolder is where raft's store of snapshots keeps them, in the folder of the member.
+// snapshotFolder is the folder, inside the member's folder, in which raft.FileSnapshotStore keeps the snapshots.
 const snapshotFolder = "snapshots"
 
-// Holds says whether the log or a snapshot on this member's disk has a value that matches, also one that was replaced
-// since. It reads all of both, and is not for the path of a request.
-func (s *Store) Holds(match func(key string, value []byte) bool) (bool, error) {
-	inLog, err := s.wal.holds(func(change fsm.Change) bool { return changeMatches(change, match) })
-	if inLog || err != nil {
-		return inLog, err
+// DiskContains reports whether the log or a snapshot on this member's disk contains a matching value, including values
+// that were replaced since. It reads the whole log and all snapshots and must not be called while a request waits.
+func (s *Store) DiskContains(match func(key string, value []byte) bool) (bool, error) {
+	found, err := s.wal.containsChange(func(change fsm.Change) bool { return changeMatches(change, match) })
+	if found || err != nil {
+		return found, err
 	}
 	snapshots, err := s.snapshots.List()
 	if err != nil {
 		return false, err
 	}
 	for _, snapshot := range snapshots {
-		held, err := s.snapshotHolds(snapshot.ID, match)
-		if held || err != nil {
-			return held, err
+		found, err := s.snapshotContains(snapshot.ID, match)
+		if found || err != nil {
+			return found, err
 		}
 	}
 	return false, nil
@@ -42,13 +42,13 @@
 	return false
 }
 
-// snapshotHolds says whether a snapshot has a value that matches, among its records or their history.
-func (s *Store) snapshotHolds(id string, match func(key string, value []byte) bool) (bool, error) {
+// snapshotContains reports whether a snapshot contains a matching value in its records or their history.
+func (s *Store) snapshotContains(id string, match func(key string, value []byte) bool) (bool, error) {
 	_, source, err := s.snapshots.Open(id)
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = source.Close() }() // it was only read
+	defer func() { _ = source.Close() }() // opened only for reading
 	encoded, err := io.ReadAll(io.LimitReader(source, maxSnapshotBytes))
 	if err != nil {
 		return false, err
@@ -72,8 +72,8 @@
 	return false, nil
 }
 
-// Compact takes a snapshot and drops from this member's disk all that stands before it: log entries, what a deletion
-// has left in the file of the log, and older snapshots. The other members keep theirs.
+// Compact takes a snapshot and removes everything older from this member's disk: log entries, deleted entries that are
+// still in the log file, and earlier snapshots. It does not affect the other members.
 func (s *Store) Compact() error {
 	if err := s.snapshotWithoutTrailingLogs(); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	if err := s.wal.compactNow(); err != nil {
 		return err
 	}
-	snapshots, err := s.snapshots.List() // the newest one first
+	snapshots, err := s.snapshots.List() // newest first
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// snapshotWithoutTrailingLogs takes a snapshot and keeps no log entry that it covers.
+// snapshotWithoutTrailingLogs takes a snapshot and deletes all log entries that it covers.
 func (s *Store) snapshotWithoutTrailingLogs() error {
 	before := s.raft.ReloadableConfig()
 	without := before
@@ -108,15 +108,15 @@
 	return err
 }
 
-// holds says whether the file has a change that matches, also one that does not count any more.
-func (w *wal) holds(match func(fsm.Change) bool) (bool, error) {
+// containsChange reports whether the log file contains a matching change, including changes in deleted entries.
+func (w *wal) containsChange(match func(fsm.Change) bool) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	file, err := w.files.OpenFile(w.path, os.O_RDONLY)
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	content, err := io.ReadAll(file)
 	if err != nil {
 		return false, err
@@ -138,7 +138,7 @@
 	return false, nil
 }
 
-// matches says whether one of the record's entries is a change that matches.
+// matches reports whether one of the record's entries is a matching change.
 func (r walRecord) matches(match func(fsm.Change) bool) bool {
 	for _, entry := range r.Entries {
 		if entry.Type != raft.LogCommand {
@@ -151,7 +151,7 @@
 	return false
 }
 
-// compactNow rewrites the file of the log whatever its size.
+// compactNow rewrites the log file regardless of its size.
 func (w *wal) compactNow() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/store/disk_fault_test.go
+++ b/internal/store/disk_fault_test.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// faultyDisk is the machine's file system with faults that a test turns on and off.
+// faultyDisk is the operating system's file system with faults that a test turns on and off.
 type faultyDisk struct {
 	osFileSystem
 	full      atomic.Bool // writes fail
@@ -43,36 +43,36 @@
 	return f.logFile.Sync()
 }
 
-// stopAndRestart ends a member and starts it again, so that the members elect a leader anew where it led.
+// stopAndRestart stops a member and starts it again. If it was the leader, the members elect a new one.
 func (c *cluster) stopAndRestart(t *testing.T, name string) {
 	t.Helper()
 	c.stop(t, name)
 	c.start(t, name, TLSFiles{})
 }
 
-// Guards against a full disk that ends the whole program: raft panics where it can't save its term.
-func TestMemberOutlivesAFullDisk(t *testing.T) {
+// Guards against a full disk that ends the whole program because raft panics if it can't save its term.
+func TestMemberSurvivesFullDisk(t *testing.T) {
 	disk := &faultyDisk{}
 	c := newClusterOnDisks(t, 3, 8, map[string]fileSystem{"m0": disk})
 	mustPut(t, c.members["m1"], "before", "full")
 	eventuallyHas(t, "m0", c.members["m0"], "before", "full")
 	disk.full.Store(true)
 	termBefore := c.members["m0"].raft.CurrentTerm()
-	mustPut(t, c.members["m0"], "step", "down") // a leader steps down with the first entry that it can't write
+	mustPut(t, c.members["m0"], "step", "down") // a leader steps down at the first entry that it can't write
 	eventually(t, "another leader", func() bool { return c.leader(t).cfg.Name != "m0" })
 	c.stopAndRestart(t, c.leader(t).cfg.Name)
 	eventually(t, "a later term", func() bool { return c.leader(t).raft.CurrentTerm() > termBefore })
 	mustPut(t, c.members["m1"], "while", "full")
 	eventuallyHas(t, "m2", c.members["m2"], "while", "full")
 	if !hasValue(c.members["m0"], "before", "full") {
-		t.Error("m0 no longer has what it had")
+		t.Error("m0 lost the value of \"before\", want full")
 	}
 	disk.full.Store(false)
 	eventuallyHas(t, "m0", c.members["m0"], "while", "full")
 }
 
-// Guards against a member that goes on promising what its disk may have dropped, once a sync has failed.
-func TestMemberStopsAfterAFailedSync(t *testing.T) {
+// Guards against a member that continues to acknowledge entries after a failed sync, which may have dropped some.
+func TestMemberStopsAfterFailedSync(t *testing.T) {
 	disk := &faultyDisk{}
 	c := newClusterOnDisks(t, 3, 8, map[string]fileSystem{"m0": disk})
 	mustPut(t, c.members["m1"], "before", "fault")
@@ -82,25 +82,25 @@
 	disk.failsSync.Store(true)
 	mustPut(t, c.members["m1"], "with", "fault")
 	eventuallyHas(t, "m2", c.members["m2"], "with", "fault")
-	eventually(t, "m0 stops", func() bool { return c.members["m0"].raft.State() == raft.Shutdown })
+	eventually(t, "raft of m0 stops", func() bool { return c.members["m0"].raft.State() == raft.Shutdown })
 	disk.failsSync.Store(false)
 	for i := range 10 {
-		mustPut(t, c.members["m1"], "behind", fmt.Sprint(i))
+		mustPut(t, c.members["m1"], "after", fmt.Sprint(i))
 	}
-	eventuallyHas(t, "m2", c.members["m2"], "behind", "9")
-	if hasValue(c.members["m0"], "behind", "9") || !hasValue(c.members["m0"], "before", "fault") {
-		t.Error("m0 does not stand where it was")
+	eventuallyHas(t, "m2", c.members["m2"], "after", "9")
+	if hasValue(c.members["m0"], "after", "9") || !hasValue(c.members["m0"], "before", "fault") {
+		t.Error("m0 has after=9 or lacks before=fault, want its state at the failed sync")
 	}
 	c.stopAndRestart(t, "m0")
-	eventuallyHas(t, "m0", c.members["m0"], "behind", "9")
+	eventuallyHas(t, "m0", c.members["m0"], "after", "9")
 }
 
 // Guards against a start on a full disk that panics or hangs.
-func TestStartOnAFullDiskIsAnError(t *testing.T) {
+func TestStartOnFullDiskReturnsError(t *testing.T) {
 	disk := &faultyDisk{}
 	disk.full.Store(true)
 	_, err := Open(Config{Name: "m0", Folder: t.TempDir(), Peers: peers(t, 1), files: disk}, discardLog)
 	if err == nil {
-		t.Fatal("started")
+		t.Fatal("the member started on a full disk, want an error")
 	}
 }
--- a/internal/store/failed_start_test.go
+++ b/internal/store/failed_start_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// Guards against raft that goes on running, with the member's address and a closed log, where a start fails half way.
+// Guards against raft still running after a failed start, with the member's address in use and its log closed.
 func TestFailedStartLeavesNothingRunning(t *testing.T) {
 	addresses := peers(t, 1)
-	addresses["m1"] = addresses["m0"] // two members at one address: raft refuses to begin with them
+	addresses["m1"] = addresses["m0"] // raft rejects an initial configuration with two members at one address
 	if _, err := Open(Config{Name: "m0", Folder: t.TempDir(), Peers: addresses}, discardLog); err == nil {
-		t.Fatal("started")
+		t.Fatal("the member started with two members at one address, want an error")
 	}
 	listener, err := net.Listen("tcp", addresses["m0"])
 	if err != nil {
-		t.Fatalf("the address is still taken: %v", err)
+		t.Fatalf("the address is still in use: %v", err)
 	}
 	if err := listener.Close(); err != nil {
 		t.Error(err)
--- a/internal/store/fault_files_test.go
+++ b/internal/store/fault_files_test.go
@@ -11,72 +11,72 @@
 
 var errInjected = errors.New("injected fault")
 
-// byteState is what a sync would do with a byte of a file.
+// byteState says what the next sync does with a byte of a file.
 type byteState byte
 
 const (
-	clean byteState = iota // the disk has it
-	dirty                  // the next sync writes it
-	lost                   // a failed sync has dropped it: the next one succeeds without it
+	clean byteState = iota // the byte is on the disk
+	dirty                  // the next sync writes the byte
+	lost                   // a failed sync has dropped the byte, and the next one succeeds without writing it
 )
 
-// memoryFile is the content of a file as its readers see it and as the disk has it.
+// memoryFile is a file in memory: its content as readers see it, and as it is on the simulated disk.
 type memoryFile struct {
 	content []byte
 	states  []byteState // of each byte of content
 	onDisk  []byte
 }
 
-// faultyFiles is a file system in memory whose calls can fail, and that can crash.
-type faultyFiles struct {
-	random      *rand.Rand // chooses what is left of a crash
+// faultyFileSystem is a file system in memory that can crash and whose calls can fail.
+type faultyFileSystem struct {
+	random      *rand.Rand // chooses which unsynced data survives a crash
 	plan        faultPlan
 	names       map[string]*memoryFile
 	namesOnDisk map[string]*memoryFile
-	faults      []string // what has failed, in order
+	faults      []string // the calls that have failed, in order
 }
 
 // faultPlan chooses which calls fail.
 type faultPlan interface {
 	fails() bool
-	// partOf returns how many bytes of a write that fails are written.
-	partOf(length int) int
+	// bytesWritten returns how many bytes a failing write of the given length writes.
+	bytesWritten(length int) int
 }
 
-// noFaults is the faultPlan of a machine that works.
+// noFaults is a faultPlan in which no call fails.
 type noFaults struct{}
 
-func (noFaults) fails() bool    { return false }
-func (noFaults) partOf(int) int { return 0 }
+func (noFaults) fails() bool          { return false }
+func (noFaults) bytesWritten(int) int { return 0 }
 
-// randomFaults makes a part of the calls fail.
+// randomFaults makes each call fail with probability rate.
 type randomFaults struct {
 	random *rand.Rand
 	rate   float64
 }
 
-func (r randomFaults) fails() bool           { return r.random.Float64() < r.rate }
-func (r randomFaults) partOf(length int) int { return r.random.IntN(length) }
+func (r randomFaults) fails() bool                 { return r.random.Float64() < r.rate }
+func (r randomFaults) bytesWritten(length int) int { return r.random.IntN(length) }
 
-// oneFault makes one call fail, the first one being 0. A write has written so many bytes by then.
-type oneFault struct {
-	call, bytes int
-	calls       int // made so far
-	writeLength int // of the write that failed, 0 if it was another call
+// singleFault makes one call fail. Calls are numbered from 0. A failing write writes at most maxBytesWritten bytes.
+type singleFault struct {
+	failingCall, maxBytesWritten int
+	calls                        int // number of calls so far
+	writeLength                  int // length of the write that failed, or 0 if another call failed
 }
 
-func (o *oneFault) fails() bool {
+func (o *singleFault) fails() bool {
 	o.calls++
-	return o.calls-1 == o.call
+	return o.calls-1 == o.failingCall
 }
 
-func (o *oneFault) partOf(length int) int {
+func (o *singleFault) bytesWritten(length int) int {
 	o.writeLength = length
-	return min(o.bytes, length)
+	return min(o.maxBytesWritten, length)
 }
 
-func newFaultyFiles(random *rand.Rand) *faultyFiles {
-	return &faultyFiles{
+func newFaultyFileSystem(random *rand.Rand) *faultyFileSystem {
+	return &faultyFileSystem{
 		random:      random,
 		plan:        noFaults{},
 		names:       map[string]*memoryFile{},
@@ -84,7 +84,7 @@
 	}
 }
 
-func (f *faultyFiles) fails(call string) bool {
+func (f *faultyFileSystem) fails(call string) bool {
 	if !f.plan.fails() {
 		return false
 	}
@@ -93,7 +93,7 @@
 }
 
 // OpenFile implements fileSystem.
-func (f *faultyFiles) OpenFile(path string, flag int) (logFile, error) {
+func (f *faultyFileSystem) OpenFile(path string, flag int) (logFile, error) {
 	if f.fails("open") {
 		return nil, fmt.Errorf("open: %w", errInjected)
 	}
@@ -109,7 +109,7 @@
 }
 
 // Rename implements fileSystem.
-func (f *faultyFiles) Rename(from, to string) error {
+func (f *faultyFileSystem) Rename(from, to string) error {
 	if f.fails("rename") {
 		return fmt.Errorf("rename: %w", errInjected)
 	}
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// SyncFolder implements fileSystem. The names of all files are on the disk behind it.
-func (f *faultyFiles) SyncFolder(string) error {
+// SyncFolder implements fileSystem. It syncs the names of all files.
+func (f *faultyFileSystem) SyncFolder(string) error {
 	if f.fails("sync folder") {
 		return fmt.Errorf("sync folder: %w", errInjected)
 	}
@@ -127,23 +127,23 @@
 	return nil
 }
 
-func (f *faultyFiles) syncNames() {
+func (f *faultyFileSystem) syncNames() {
 	clear(f.namesOnDisk)
 	for name, file := range f.names {
 		f.namesOnDisk[name] = file
 	}
 }
 
-// crash leaves what the disk has. Of what was not synced it has a part that the seed chooses.
-func (f *faultyFiles) crash() {
+// crash discards everything that is not on the disk. Of the data that was not synced a random part survives.
+func (f *faultyFileSystem) crash() {
 	if f.random.IntN(2) == 0 {
 		f.syncNames()
 	}
 	clear(f.names)
 	for name, file := range f.namesOnDisk {
 		content := slices.Clone(file.onDisk)
-		if pending := file.pendingEnd(); len(pending) > 0 && len(file.content)-len(pending) == len(content) {
-			content = append(content, pending[:f.random.IntN(len(pending)+1)]...)
+		if tail := file.dirtyTail(); len(tail) > 0 && len(file.content)-len(tail) == len(content) {
+			content = append(content, tail[:f.random.IntN(len(tail)+1)]...)
 		}
 		after := &memoryFile{content: content, onDisk: slices.Clone(content), states: make([]byteState, len(content))}
 		f.names[name] = after
@@ -151,8 +151,8 @@
 	}
 }
 
-// pendingEnd returns the dirty bytes at the end of the file.
-func (m *memoryFile) pendingEnd() []byte {
+// dirtyTail returns the contiguous dirty bytes at the end of the file.
+func (m *memoryFile) dirtyTail() []byte {
 	start := len(m.content)
 	for start > 0 && m.states[start-1] == dirty {
 		start--
@@ -177,7 +177,7 @@
 	}
 }
 
-// sync brings the dirty bytes to the disk. Of lost bytes the disk has what it had before, or zeros.
+// sync writes the dirty bytes to the disk. In place of lost bytes the disk keeps its previous content, or zeros.
 func (m *memoryFile) sync() {
 	onDisk := make([]byte, len(m.content))
 	for i, state := range m.states {
@@ -192,7 +192,7 @@
 	m.onDisk = onDisk
 }
 
-// loseDirtyBytes does what some systems do where a sync has failed.
+// loseDirtyBytes drops the dirty bytes, as some operating systems do when a sync fails.
 func (m *memoryFile) loseDirtyBytes() {
 	for i, state := range m.states {
 		if state == dirty {
@@ -203,7 +203,7 @@
 
 // openFile is a logFile of faultyFiles.
 type openFile struct {
-	files  *faultyFiles
+	files  *faultyFileSystem
 	file   *memoryFile
 	offset int64
 }
@@ -218,12 +218,12 @@
 	return n, nil
 }
 
-// Write implements io.Writer. One that fails has written a part.
+// Write implements io.Writer. A failing write writes part of the data.
 func (o *openFile) Write(data []byte) (int, error) {
 	n := len(data)
 	var err error
 	if o.files.fails("write") {
-		n = o.files.plan.partOf(len(data))
+		n = o.files.plan.bytesWritten(len(data))
 		err = fmt.Errorf("write: %w", errInjected)
 	}
 	o.file.writeAt(data[:n], o.offset)
@@ -231,7 +231,7 @@
 	return n, err
 }
 
-// Seek implements io.Seeker, from the start of the file.
+// Seek implements io.Seeker for offsets from the start of the file.
 func (o *openFile) Seek(offset int64, _ int) (int64, error) {
 	if o.files.fails("seek") {
 		return 0, fmt.Errorf("seek: %w", errInjected)
--- a/internal/store/forward_test.go
+++ b/internal/store/forward_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a member that dies of a write that another one forwards while it starts.
+// Guards against a member that crashes when another member forwards a write to it during its start.
 func TestForwardedWriteWhileStarting(t *testing.T) {
 	c := newCluster(t, 2, 8)
 	c.leader(t)
@@ -19,7 +19,7 @@
 			case <-stopForwarding:
 				return
 			default:
-				_, _ = c.members["m1"].stream.forward(c.addresses["m0"], []byte("{}")) // no answer is wanted
+				_, _ = c.members["m1"].stream.forward(c.addresses["m0"], []byte("{}")) // the response is irrelevant
 			}
 		}
 	}()
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -22,12 +22,12 @@
 )
 
 // The golden files under testdata were written by the program at commit 4e3d53a: wal.log by the log store alone, and
-// the folder member by a member that took a snapshot and was closed. Members that were stopped with that version have
-// such a folder, and have to come back with all that it holds.
+// the folder member by a member that took a snapshot and was closed. Members that were stopped at that version have
+// such a folder, and must restore all of its content when they start again.
 
 var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// goldenLogs are entries that set every field of raft's log.
+// goldenLogs returns log entries that together set every field of raft.Log.
 func goldenLogs() []*raft.Log {
 	at := time.Date(2027, 1, 15, 8, 0, 0, 123456789, time.UTC)
 	return []*raft.Log{
@@ -40,8 +40,8 @@
 	}
 }
 
-// writeLog writes the golden log: all entries, one and then five at once, raft's stable values, one of them twice, and
-// two ranges that are dropped, at the end and at the beginning.
+// writeLog writes the golden log: the first entry and then the other five at once, raft's stable values, one of them
+// twice, and the deletion of a range at the end and of one at the beginning.
 func writeLog(t *testing.T, path string) {
 	t.Helper()
 	w, err := openWAL(path)
@@ -84,11 +84,12 @@
 		}
 	}
 	if stored := readFile(t, "testdata/wal.log"); !bytes.Equal(written, stored) {
-		t.Errorf("written as\n%q, want\n%q", written, stored)
+		t.Errorf("the log is written as\n%q, want\n%q", written, stored)
 	}
 }
 
-// A record is its length, the CRC-32C of its body, and the body as JSON. This is read without the package's own code.
+// A record consists of the length of its body, the CRC-32C of the body, and the body as JSON. The test parses the
+// golden log without the package's own code.
 func TestGoldenLogRecords(t *testing.T) {
 	rest := readFile(t, "testdata/wal.log")
 	for i, fields := range [][]string{
@@ -101,7 +102,7 @@
 		body := rest[8 : 8+size]
 		rest = rest[8+size:]
 		if crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)) != sum {
-			t.Errorf("record %d has another checksum", i)
+			t.Errorf("record %d does not match its checksum", i)
 		}
 		var got map[string]any
 		if err := json.Unmarshal(body, &got); err != nil {
@@ -117,7 +118,7 @@
 		}
 	}
 	if len(rest) > 0 {
-		t.Errorf("%d bytes stand behind the last record", len(rest))
+		t.Errorf("%d bytes follow the last record, want none", len(rest))
 	}
 }
 
@@ -134,14 +135,14 @@
 	first, _ := w.FirstIndex()
 	last, _ := w.LastIndex()
 	if first != 2 || last != 5 {
-		t.Errorf("the log goes from %d to %d, want 2 to 5", first, last)
+		t.Errorf("the log has the entries %d to %d, want 2 to 5", first, last)
 	}
 	for _, want := range goldenLogs() {
 		var got raft.Log
 		err := w.GetLog(want.Index, &got)
 		if want.Index < first || want.Index > last {
 			if !errors.Is(err, raft.ErrLogNotFound) {
-				t.Errorf("entry %d, which was dropped, gives %v", want.Index, err)
+				t.Errorf("reading the deleted entry %d returns %v, want raft.ErrLogNotFound", want.Index, err)
 			}
 			continue
 		}
@@ -160,7 +161,7 @@
 	}
 }
 
-// openMember starts the only member of a store and waits until it leads.
+// openMember starts the only member of a store and waits until it is ready.
 func openMember(t *testing.T, folder string) *Store {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -177,13 +178,13 @@
 	}
 	for end := time.Now().Add(time.Minute); !s.Ready(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the member has not become ready within a minute")
+			t.Fatal("the member is not ready after a minute")
 		}
 	}
 	return s
 }
 
-// goldenChanges are what the golden member was asked for: six before its snapshot, two behind it.
+// goldenChanges returns the changes that the golden member committed: six before its snapshot and two after it.
 func goldenChanges() []fsm.Change {
 	absent, first := uint64(0), uint64(1)
 	set := func(id, key, value string) fsm.Change {
@@ -207,8 +208,8 @@
 
 const changesBeforeSnapshot = 6
 
-// writeMember makes the golden folder with a real member. It waits for the member's own snapshot, which takes some
-// seconds, and is only run with -update.
+// writeMember creates the golden folder with a real member. It waits several seconds for raft to take a snapshot, and
+// runs only with -update.
 func writeMember(t *testing.T, folder string) {
 	t.Helper()
 	s := openMember(t, folder)
@@ -261,7 +262,7 @@
 		}
 	}()
 	if s.TornBytes() != 0 {
-		t.Errorf("%d bytes of the log were dropped", s.TornBytes())
+		t.Errorf("%d bytes of the log were dropped, want none", s.TornBytes())
 	}
 	records, revision := s.Range("")
 	if want := goldenRecords(); revision != 8 || !reflect.DeepEqual(records, want) {
@@ -274,12 +275,12 @@
 	for i, change := range goldenChanges() {
 		want := fsm.Result{Revision: uint64(i) + 1, Duplicate: true}
 		if got, err := s.Commit(change); err != nil || got != want {
-			t.Errorf("change %s once more gives %+v, %v, want %+v", change.ID, got, err, want)
+			t.Errorf("committing change %s again returns %+v, %v, want %+v", change.ID, got, err, want)
 		}
 	}
 }
 
-// checkMemberFiles makes sure that a start needs the snapshot and the log: neither holds all changes.
+// checkMemberFiles checks that a start needs both the snapshot and the log: neither of them contains all changes.
 func checkMemberFiles(t *testing.T, folder string) {
 	t.Helper()
 	snapshots, err := filepath.Glob(filepath.Join(folder, "snapshots", "*", "state.bin"))
@@ -291,11 +292,11 @@
 		t.Fatal(err)
 	}
 	if state.Revision() != changesBeforeSnapshot {
-		t.Errorf("the snapshot is of revision %d, want %d", state.Revision(), changesBeforeSnapshot)
+		t.Errorf("the snapshot has revision %d, want %d", state.Revision(), changesBeforeSnapshot)
 	}
 	log := readFile(t, filepath.Join(folder, "log"))
 	if !bytes.Contains(log, []byte(`{"Min":1,"Max":`)) {
-		t.Error("the log has not dropped what the snapshot holds")
+		t.Error("the log has no deletion of the entries that the snapshot covers")
 	}
 }
 
--- a/internal/store/member_tls.go
+++ b/internal/store/member_tls.go
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// reloadInterval is the shortest time between two checks whether the files have changed.
+// reloadInterval is the minimum interval between two checks for changed files.
 const reloadInterval = time.Second
 
-// TLSFiles name what members authenticate each other with, all in PEM. Without any of them they talk in the clear.
+// TLSFiles holds the paths of the PEM files with which members authenticate each other. If all of them are empty,
+// connections between members are not encrypted.
 type TLSFiles struct {
-	CA   string // the authorities that members trust; several while they are replaced
-	Cert string // the certificate of this member, with its name among the DNS names
-	Key  string
+	CA   string // certificate authorities that members trust; several while one replaces another
+	Cert string // certificate of this member, whose DNS names include the member's name
+	Key  string // private key of Cert
 }
 
-// configured says whether there are any.
+// configured reports whether any file is set.
 func (f TLSFiles) configured() bool { return f != TLSFiles{} }
 
-// settingFile is a file and the setting that names it.
+// settingFile is the path of a file and the setting that contains it.
 type settingFile struct {
 	setting string
 	path    string
@@ -36,20 +37,20 @@
 	return [...]settingFile{{"store.ca", f.CA}, {"store.cert", f.Cert}, {"store.key", f.Key}}
 }
 
-// credentials are what the files hold.
+// credentials are the parsed contents of the files.
 type credentials struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
 }
 
-// fileVersion tells a file from the one that takes its place.
+// fileVersion identifies a version of a file, to detect that the file was replaced.
 type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// memberTLS authenticates members by their certificates. It reads the files again where they have changed; connections
-// that are established stay as they are. A nil *memberTLS leaves connections in the clear.
+// memberTLS authenticates members by their certificates. It reloads the files when they change; established connections
+// keep the credentials that they were opened with. A nil *memberTLS leaves connections unencrypted.
 type memberTLS struct {
 	files TLSFiles
 	self  string
@@ -60,7 +61,7 @@
 	checkedAt time.Time
 	versions  [3]fileVersion
 	current   credentials
-	lastError string // of reading the files again; logged once
+	lastError string // of the last reload; the same error is logged only once
 }
 
 func newMemberTLS(files TLSFiles, self string, peers map[string]string, log *slog.Logger) (*memberTLS, error) {
@@ -74,7 +75,8 @@
 	return m, nil
 }
 
-// load takes all of what the files hold or nothing: a certificate that is replaced before its key changes nothing yet.
+// load reads all files and replaces the credentials only if they fit together: a certificate that was replaced before
+// its key has no effect yet.
 func (m *memberTLS) load() error {
 	var versions [3]fileVersion
 	var contents [3][]byte
@@ -92,21 +94,22 @@
 	authorities, certificate, key := contents[0], contents[1], contents[2]
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorities) {
-		return errors.New("store.ca: no certificate in it")
+		return errors.New("store.ca: no certificate found in file")
 	}
 	cert, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
 		return fmt.Errorf("store.cert: %w", err)
 	}
 	if !slices.Contains(cert.Leaf.DNSNames, m.self) {
-		return fmt.Errorf("store.cert: it is not for %s", m.self)
+		return fmt.Errorf("store.cert: DNS names of the certificate do not include %s", m.self)
 	}
 	m.current = credentials{cert: &cert, pool: pool}
 	m.versions = versions
 	return nil
 }
 
-// credentials returns what is in force, after reading files that have changed. Files that can't be used change nothing.
+// credentials returns the current credentials, after reloading files that have changed. If they can't be loaded, the
+// previous credentials stay in use.
 func (m *memberTLS) credentials() credentials {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +133,7 @@
 	return m.current
 }
 
-// filesChanged says whether a file is missing or another one than the one that was read.
+// filesChanged reports whether a file is missing or differs from the version that was loaded.
 func (m *memberTLS) filesChanged() bool {
 	for i, file := range m.files.settings() {
 		info, err := os.Stat(file.path)
@@ -154,16 +157,16 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("store: %q is no member's certificate", cert.DNSNames)
+	return fmt.Errorf("store: certificate for %q does not belong to the expected member", cert.DNSNames)
 }
 
-// verifier returns the check of the certificate that the other side shows.
+// verifier returns a function that verifies the certificate of the other member, for tls.Config.VerifyConnection.
 func (m *memberTLS) verifier(
 	pool *x509.CertPool, usage x509.ExtKeyUsage, address string,
 ) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return errors.New("store: no certificate")
+			return errors.New("store: peer sent no certificate")
 		}
 		leaf := state.PeerCertificates[0]
 		intermediates := x509.NewCertPool()
@@ -182,7 +185,8 @@
 	}
 }
 
-// server returns the connection over which a member that has connected is authenticated by the first read.
+// server wraps an accepted connection in TLS. The first read performs the handshake, which authenticates the other
+// member.
 func (m *memberTLS) server(conn net.Conn) net.Conn {
 	if m == nil {
 		return conn
@@ -197,7 +201,8 @@
 	})
 }
 
-// client authenticates the member that was dialed at address. It closes the connection if that fails.
+// client performs the TLS handshake with the member that was dialed at address, and closes the connection if the member
+// can't be authenticated.
 func (m *memberTLS) client(conn net.Conn, address string, timeout time.Duration) (net.Conn, error) {
 	if m == nil {
 		return conn, nil
@@ -206,7 +211,8 @@
 	secured := tls.Client(conn, &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*current.cert},
-		// Members are known by their names, not by where they listen: the verifier checks what a host name would.
+		// Certificates name members, not hosts, so the standard verification of the host name is off. The verifier below
+		// checks the certificate chain and the member's name instead.
 		InsecureSkipVerify: true,
 		VerifyConnection:   m.verifier(current.pool, x509.ExtKeyUsageServerAuth, address),
 	})
--- a/internal/store/member_tls_test.go
+++ b/internal/store/member_tls_test.go
@@ -14,8 +14,8 @@
 	"limeladder/internal/testserver/collector"
 )
 
-// issue writes the files of a member: a certificate for a DNS name, its key, and the authorities that are trusted.
-func issue(
+// issueFiles writes the TLS files of a member: a certificate for dnsName, its key, and the trusted authorities.
+func issueFiles(
 	t *testing.T, dir, member, dnsName string, issuer *collector.Authority, trusted ...*collector.Authority,
 ) TLSFiles {
 	t.Helper()
@@ -50,10 +50,10 @@
 	return authority
 }
 
-// issueCertificate returns a certificate with its key.
+// issueCertificate returns a certificate for dnsName and its key.
 func issueCertificate(t *testing.T, dir, name, dnsName string, issuer *collector.Authority) tls.Certificate {
 	t.Helper()
-	files := issue(t, dir, name, dnsName, issuer, issuer)
+	files := issueFiles(t, dir, name, dnsName, issuer, issuer)
 	cert, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	return cert
 }
 
-// checkCommits commits a new value at each member and checks that all of them get it.
+// checkCommits commits a new value at each member and checks that all members receive it.
 func checkCommits(t *testing.T, c *cluster, value string) {
 	t.Helper()
 	for name, s := range c.members {
@@ -76,8 +76,8 @@
 	}
 }
 
-// isAnswered says whether a member answers a forwarded write with success.
-func isAnswered(t *testing.T, conn net.Conn) bool {
+// acceptsForward reports whether the member at the other end of conn accepts a forwarded write.
+func acceptsForward(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(3 * time.Second))
@@ -91,21 +91,22 @@
 	return len(answer) > 0 && answer[0] == forwardAccepted
 }
 
-// waitForReload waits until members look at their files again.
+// waitForReload waits until the members check their files for changes again.
 func waitForReload() { time.Sleep(reloadInterval + 100*time.Millisecond) }
 
-// checkStrangersRejected checks that whoever is no member of a cluster, whose authority is trusted, gets no answer.
-func checkStrangersRejected(t *testing.T, c *cluster, dir string, trusted *collector.Authority) {
+// checkNonMembersRejected checks that the cluster does not respond to clients that are not members. trusted is the
+// authority that the cluster trusts.
+func checkNonMembersRejected(t *testing.T, c *cluster, dir string, trusted *collector.Authority) {
 	t.Helper()
 	for _, test := range []struct {
 		name  string
 		certs []tls.Certificate
 	}{
-		{"without a certificate", nil},
-		{"with a certificate of another authority", []tls.Certificate{
+		{"no certificate", nil},
+		{"certificate of another authority", []tls.Certificate{
 			issueCertificate(t, dir, "x", "m1", newAuthority(t)),
 		}},
-		{"with a certificate of no member", []tls.Certificate{
+		{"certificate for a name that is not a member's", []tls.Certificate{
 			issueCertificate(t, dir, "y", "stranger", trusted),
 		}},
 	} {
@@ -118,26 +119,26 @@
 			secured := tls.Client(conn, config)
 			defer secured.Close()
 			secured.SetDeadline(time.Now().Add(3 * time.Second))
-			// The write may succeed: the member's refusal comes after the client's side of the handshake.
+			// The write may succeed, because the member rejects the certificate after the client has finished its handshake.
 			_, _ = secured.Write([]byte{protocolForward, 0, 0, 0, 2, '{', '}'})
 			if _, err := io.ReadFull(secured, make([]byte, 1)); err == nil {
-				t.Error("it is answered")
+				t.Error("the member responded, want the connection to be rejected")
 			}
 		})
 	}
-	t.Run("in the clear", func(t *testing.T) {
+	t.Run("unencrypted connection", func(t *testing.T) {
 		conn, err := net.Dial("tcp", c.addresses["m0"])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if isAnswered(t, conn) {
-			t.Error("it is answered")
+		if acceptsForward(t, conn) {
+			t.Error("the member accepted a write over an unencrypted connection")
 		}
 	})
 }
 
-// Members that authenticate each other work, and go on while authority and certificates are replaced under them, one
-// after the other and without a restart. Whoever is no member gets nowhere.
+// Members that authenticate each other commit changes, also while the authority and the certificates are replaced one
+// after the other without a restart. Connections from non-members are rejected.
 func TestMembersAuthenticateEachOther(t *testing.T) {
 	dir := t.TempDir()
 	old := newAuthority(t)
@@ -145,50 +146,49 @@
 	c := newCluster(t, 0, 64)
 	c.addresses = peers(t, 3)
 	for name := range c.addresses {
-		c.start(t, name, issue(t, dir, name, name, old, old))
+		c.start(t, name, issueFiles(t, dir, name, name, old, old))
 	}
-	checkCommits(t, c, "at first")
+	checkCommits(t, c, "with the old authority")
 
-	t.Run("strangers", func(t *testing.T) { checkStrangersRejected(t, c, dir, old) })
+	t.Run("non-members", func(t *testing.T) { checkNonMembersRejected(t, c, dir, old) })
 
-	// Both authorities are trusted everywhere, then each member gets its new certificate, then the old authority goes.
+	// First all members trust both authorities, then each gets its new certificate, then the old authority is removed.
 	for name := range c.addresses {
-		issue(t, dir, name, name, old, old, next)
+		issueFiles(t, dir, name, name, old, old, next)
 	}
 	waitForReload()
 	checkCommits(t, c, "with both authorities")
 	for name := range c.addresses {
-		issue(t, dir, name, name, next, old, next)
+		issueFiles(t, dir, name, name, next, old, next)
 		waitForReload()
 		checkCommits(t, c, "with a new certificate for "+name)
 	}
 	for name := range c.addresses {
-		issue(t, dir, name, name, next, next)
+		issueFiles(t, dir, name, name, next, next)
 	}
 	waitForReload()
-	checkCommits(t, c, "with the new authority alone")
+	checkCommits(t, c, "with only the new authority")
 
 	otherMember := issueCertificate(t, dir, "z", "m2", next).Leaf
 	if otherMember == nil {
-		t.Fatal("no leaf")
+		t.Fatal("the certificate of m2 has no leaf")
 	}
 	if err := c.members["m1"].stream.tls.checkMember(otherMember, c.addresses["m1"]); err == nil {
-		t.Error("one member is taken for another")
+		t.Error("the certificate of m2 is accepted at the address of m1, want an error")
 	}
 
 	writeFile(t, filepath.Join(dir, "m1.key"), []byte("half"))
 	waitForReload()
-	checkCommits(t, c, "with a file that can't be used")
+	checkCommits(t, c, "with an invalid key file")
 }
 
-// The files that members authenticate each other with are checked at the start, each fault in one line that names the
-// setting.
-func TestBadFiles(t *testing.T) {
+// The TLS files are checked at the start, and each fault is reported in one line that names the setting.
+func TestInvalidTLSFiles(t *testing.T) {
 	addresses := peers(t, 1)
 	dir := t.TempDir()
 	authority := newAuthority(t)
-	good := issue(t, dir, "good", "m0", authority, authority)
-	otherMember := issue(t, dir, "wrong", "m7", authority, authority)
+	good := issueFiles(t, dir, "good", "m0", authority, authority)
+	otherMember := issueFiles(t, dir, "wrong", "m7", authority, authority)
 	missing := filepath.Join(dir, "none")
 	for _, test := range []struct {
 		name  string
@@ -200,7 +200,7 @@
 		{"key is missing", TLSFiles{CA: good.CA, Cert: good.Cert, Key: missing}, "store.key: "},
 		{"authority is a key", TLSFiles{CA: good.Key, Cert: good.Cert, Key: good.Key}, "store.ca: no certificate"},
 		{"key of another certificate", TLSFiles{CA: good.CA, Cert: good.Cert, Key: otherMember.Key}, "store.cert: tls"},
-		{"certificate of another member", otherMember, "store.cert: it is not for m0"},
+		{"certificate of another member", otherMember, "store.cert: DNS names of the certificate do not include m0"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			config := Config{
@@ -208,7 +208,7 @@
 			}
 			_, err := Open(config, discardLog)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s", err, test.want)
+				t.Errorf("got error %v, want one line that contains %q", err, test.want)
 			}
 		})
 	}
--- a/internal/store/purge.go
+++ b/internal/store/purge.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// purgeInterval is the pause between two looks at whether the disk still holds what has to be purged.
+// purgeInterval is the pause between two checks whether the disk still contains values to purge.
 const purgeInterval = time.Second
 
-// purge compacts this member's disk until neither the log nor a snapshot holds a value that has to be purged. A value
-// that is still a record, here or of another member that has not replaced it yet, is waited for.
+// purge compacts this member's disk until neither the log nor a snapshot contains a value to purge. It waits while a
+// record still has such a value, for example because the member that wrote the record has not replaced it yet.
 func (s *Store) purge() {
 	defer s.done.Done()
 	for reported := false; ; {
-		held, err := s.Holds(s.cfg.Purge)
-		if err == nil && !held {
+		found, err := s.DiskContains(s.cfg.Purge)
+		if err == nil && !found {
 			return
 		}
 		if err == nil && s.Ready() {
@@ -29,11 +29,11 @@
 	}
 }
 
-// purgeOnce compacts the disk unless a record still has a value that has to be purged. That is logged once.
+// purgeOnce compacts the disk, unless a record or its history still contains a value to purge. It logs the latter once.
 func (s *Store) purgeOnce(reported *bool) error {
 	if key, found := s.recordToPurge(); found {
 		if !*reported {
-			s.log.Warn("store not compacted: a record has to be replaced first", "key", key)
+			s.log.Warn("store not compacted: a record or its history still contains a value to purge", "key", key)
 			*reported = true
 		}
 		return nil
@@ -41,11 +41,11 @@
 	if err := s.Compact(); err != nil {
 		return err
 	}
-	s.log.Info("store compacted: values that had to be purged are gone")
+	s.log.Info("store compacted to purge values")
 	return nil
 }
 
-// recordToPurge returns the key of a record with a value that has to be purged, now or in its history.
+// recordToPurge returns the key of a record that contains a value to purge, as its current value or in its history.
 func (s *Store) recordToPurge() (key string, found bool) {
 	records, _ := s.Range("")
 	for _, record := range records {
--- a/internal/store/purge_test.go
+++ b/internal/store/purge_test.go
@@ -12,20 +12,20 @@
 	"limeladder/internal/testserver/check"
 )
 
-// filesHolding returns the files below a folder that hold a text, in the clear or in base64 of once or twice.
-func filesHolding(t *testing.T, folder, text string) []string {
+// filesContaining returns the files below a folder that contain a text as it is, or encoded in base64 once or twice.
+func filesContaining(t *testing.T, folder, text string) []string {
 	t.Helper()
 	var found []string
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a folder that was removed meanwhile
+			return nil // the folder was removed during the walk
 		}
 		if err != nil || entry.IsDir() {
 			return err
 		}
 		content, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // a snapshot that was removed meanwhile
+			return nil // the file was removed during the walk
 		}
 		if err == nil && check.HoldsText(content, text, 2) {
 			found = append(found, path)
@@ -38,8 +38,8 @@
 	return found
 }
 
-// Guards against a value that must not be on the disk and stays in the log and in snapshots after it was replaced.
-func TestPurgedValuesLeaveTheDisk(t *testing.T) {
+// Guards against a secret that remains in the log and in snapshots after its record was replaced.
+func TestPurgedValuesAreRemovedFromDisk(t *testing.T) {
 	const secret = "a secret that earlier versions of the program have stored"
 	c := newCluster(t, 3, 8)
 	mustPut(t, c.members["m0"], "config/m0", secret)
@@ -48,8 +48,8 @@
 		if err := s.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
-		if len(filesHolding(t, filepath.Join(c.folder, name), secret)) < 2 {
-			t.Fatal("the test finds no secret in the log and the snapshot")
+		if len(filesContaining(t, filepath.Join(c.folder, name), secret)) < 2 {
+			t.Fatal("the secret is in fewer than 2 files, want it in the log and the snapshot")
 		}
 	}
 	c.purge = func(_ string, value []byte) bool { return bytes.Contains(value, []byte(secret)) }
@@ -57,13 +57,13 @@
 		c.stopAndRestart(t, name)
 	}
 	for name, s := range c.members {
-		eventuallyHas(t, name, s, "config/m0", secret) // it is a record still, and not lost
+		eventuallyHas(t, name, s, "config/m0", secret) // purging must not drop a current record
 	}
 	mustPut(t, c.members["m0"], "config/m0", "no secret")
 	mustPut(t, c.members["m0"], "other", "value")
 	for name, s := range c.members {
 		eventually(t, fmt.Sprintf("%s has no secret on its disk", name), func() bool {
-			return len(filesHolding(t, filepath.Join(c.folder, name), secret)) == 0
+			return len(filesContaining(t, filepath.Join(c.folder, name), secret)) == 0
 		})
 		eventuallyHas(t, name, s, "other", "value")
 	}
--- a/internal/store/stable_store.go
+++ b/internal/store/stable_store.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// stableRetryInterval is the pause before a term that the disk did not take is written again.
+// stableRetryInterval is the pause before a failed write of the term is retried.
 const stableRetryInterval = 100 * time.Millisecond
 
-// stableStore gives raft its stable values out of the log. raft panics where it can't save its term, so a disk that is
-// full would end the whole program. Here raft's goroutine waits instead until the disk takes the term: meanwhile the
-// member promises nothing, and the others go on without it.
+// stableStore implements raft.StableStore on top of the log. Raft panics if it can't save its term, so a full disk
+// would end the whole program. SetUint64 therefore blocks raft's goroutine until the write succeeds: meanwhile the
+// member acknowledges nothing, and the other members continue without it.
 type stableStore struct {
 	*wal
 	log      *slog.Logger
@@ -24,18 +24,18 @@
 	return &stableStore{wal: w, log: log, stopped: make(chan struct{})}
 }
 
-// stop ends the goroutines that wait in SetUint64.
+// stop ends the goroutines that are blocked in SetUint64.
 func (s *stableStore) stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
 
-// SetUint64 implements raft.StableStore. It returns once the value is on the disk. Where that can't be before the store
-// stops, it ends the calling goroutine, which is one of raft's: raft must neither go on with a term that the disk does
-// not have nor panic.
+// SetUint64 implements raft.StableStore. It returns once the value is on the disk. If the store stops first, it ends
+// the calling goroutine, which belongs to raft: raft must neither panic nor continue with a term that is not on the
+// disk.
 func (s *stableStore) SetUint64(key []byte, value uint64) error {
 	err := s.wal.SetUint64(key, value)
 	if err == nil {
 		return nil
 	}
-	s.log.Warn("store log not written, retrying", "error", err)
+	s.log.Warn("store log write failed, retrying", "error", err)
 	for {
 		select {
 		case <-s.stopped:
@@ -43,7 +43,7 @@
 		case <-time.After(stableRetryInterval):
 		}
 		if s.wal.SetUint64(key, value) == nil {
-			s.log.Info("store log written again")
+			s.log.Info("store log write succeeded after retries")
 			return nil
 		}
 	}
--- a/internal/store/state_machine.go
+++ b/internal/store/state_machine.go
@@ -10,10 +10,10 @@
 	"limeladder/internal/store/fsm"
 )
 
-// maxSnapshotBytes bounds the memory that a snapshot from another member may take.
+// maxSnapshotBytes limits how much of a snapshot is read into memory; snapshots may come from other members.
 const maxSnapshotBytes = 512 << 20
 
-// stateMachine guards the replicated state with a lock, and implements raft.FSM.
+// stateMachine guards the replicated state with a lock and implements raft.FSM.
 type stateMachine struct {
 	mu    sync.RWMutex
 	state *fsm.State
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// snapshot is an encoded state that raft writes while changes go on.
+// snapshot is an encoded state. Raft writes it while further changes are applied.
 type snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -17,7 +17,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// peers reserves addresses that the kernel picks.
+// peers returns n members, m0 and so on, with free addresses that the kernel has picked.
 func peers(t *testing.T, n int) map[string]string {
 	t.Helper()
 	addresses := map[string]string{}
@@ -53,23 +53,23 @@
 	eventually(t, fmt.Sprintf("%s has %s=%s", name, key, want), func() bool { return hasValue(s, key, want) })
 }
 
-// cluster is a store with all its members in one process.
+// cluster runs all members of a store in one process.
 type cluster struct {
 	addresses map[string]string
 	folder    string
 	entries   int
 	members   map[string]*Store
-	disks     map[string]fileSystem // by member; the machine's where there is none
+	disks     map[string]fileSystem // by member; members without an entry use the operating system's
 	purge     func(key string, value []byte) bool
 }
 
-// newCluster starts n members. They are closed at the end of the test.
+// newCluster starts n members, whose logs keep the given number of entries. They are closed at the end of the test.
 func newCluster(t *testing.T, n, entries int) *cluster {
 	t.Helper()
 	return newClusterOnDisks(t, n, entries, nil)
 }
 
-// newClusterOnDisks is newCluster with disks of their own for some members.
+// newClusterOnDisks is like newCluster, but some members use the given file systems.
 func newClusterOnDisks(t *testing.T, n, entries int, disks map[string]fileSystem) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -110,11 +110,11 @@
 	delete(c.members, name)
 }
 
-// commit proposes a change at a member until its outcome is known.
+// commit commits a change at a member, and retries until its outcome is known.
 func (c *cluster) commit(t *testing.T, name string, change fsm.Change) fsm.Result {
 	t.Helper()
 	var result fsm.Result
-	eventually(t, name+" knows of a majority", func() bool {
+	eventually(t, name+" commits", func() bool {
 		var err error
 		result, err = c.members[name].Commit(change)
 		return err == nil
@@ -139,7 +139,7 @@
 func mustPut(t *testing.T, s *Store, key, value string) {
 	t.Helper()
 	if !s.Put(key, []byte(value)) {
-		t.Fatalf("no room for %s", key)
+		t.Fatalf("the queue has no room for %s", key)
 	}
 }
 
@@ -153,7 +153,7 @@
 			eventuallyHas(t, name, s, "from/"+author, author)
 		}
 	}
-	// One member is away while the others go on, then comes back and catches up.
+	// One member is stopped while the others continue, then restarts and catches up.
 	c.stop(t, "m0")
 	for i := range 30 {
 		mustPut(t, c.members["m1"], "count", fmt.Sprint(i))
@@ -161,8 +161,8 @@
 	eventuallyHas(t, "m2", c.members["m2"], "count", "29")
 	c.start(t, "m0", TLSFiles{})
 	eventuallyHas(t, "m0", c.members["m0"], "count", "29")
-	// All members stop and start again: nothing is lost. None may stop again before all have caught up, because a member
-	// learns from a majority what it has.
+	// All members stop and restart without losing anything. None may stop before all have caught up, because a member
+	// needs a majority to learn which entries are committed.
 	for name := range c.addresses {
 		c.stop(t, name)
 	}
@@ -180,12 +180,12 @@
 		s.Put("k", nil)
 	}
 	if s.Dropped() != 3 {
-		t.Fatalf("%d dropped", s.Dropped())
+		t.Fatalf("%d writes dropped, want 3", s.Dropped())
 	}
 }
 
-// Of members that each want to be the first, one is.
-func checkOneFirst(t *testing.T, c *cluster) {
+// checkOneCreates checks that exactly one member succeeds if each tries to create the same record.
+func checkOneCreates(t *testing.T, c *cluster) {
 	t.Helper()
 	applied := 0
 	for name := range c.addresses {
@@ -200,16 +200,16 @@
 		}
 		var conflict *fsm.ConflictError
 		if !errors.As(result.Err(), &conflict) || conflict.Key != "lock" {
-			t.Errorf("%+v", result)
+			t.Errorf("got %+v, want a conflict on lock", result)
 		}
 	}
 	if applied != 1 {
-		t.Fatalf("%d are the first", applied)
+		t.Fatalf("%d members created the record, want 1", applied)
 	}
 }
 
-// Changes proposed at any member hold completely or not at all, once, and are the same everywhere. An entry of the
-// first version of the program is applied.
+// Changes committed at any member are applied completely or not at all, exactly once, and equally on all members. An
+// entry of the first version of the program is applied too.
 func TestCommit(t *testing.T) {
 	c := newCluster(t, 3, 8)
 	leader := c.leader(t)
@@ -217,19 +217,19 @@
 	if err := leader.raft.Apply(firstVersion, time.Second).Error(); err != nil {
 		t.Fatal(err)
 	}
-	checkOneFirst(t, c)
+	checkOneCreates(t, c)
 	first, _ := leader.GetRecord("lock")
-	// A change whose answer was lost is committed again, with the same id.
+	// A change whose response was lost is committed again under the same id.
 	for range 3 {
 		result := c.commit(t, "m1", fsm.Change{ID: "same", Ops: []fsm.Op{
 			{Key: "lock", Kind: fsm.KindConfig, Value: []byte("x"), IfRevision: &first.ModRevision},
 		}})
 		if !result.Applied() {
-			t.Fatalf("%+v", result)
+			t.Fatalf("change rejected: %+v", result)
 		}
 	}
 	if history := leader.History("lock"); len(history) != 2 || string(history[1].Value) != "x" {
-		t.Fatalf("%+v", history)
+		t.Fatalf("history of lock: %+v, want 2 entries, the last one x", history)
 	}
 	if result, err := leader.Rollback("lock", first.ModRevision, "op"); err != nil || !result.Applied() {
 		t.Fatal(result, err)
@@ -237,19 +237,19 @@
 	for name, s := range c.members {
 		eventuallyHas(t, name, s, "lock", string(first.Value))
 		if history := s.History("lock"); !hasValue(s, "old", "x") || len(history) != 3 {
-			t.Errorf("%s: %+v", name, history)
+			t.Errorf("%s: history of lock %+v, want 3 entries and the record old=x", name, history)
 		}
 		if records, revision := s.Range("l"); len(records) != 1 || revision != records[0].ModRevision {
-			t.Errorf("%s: %+v at %d", name, records, revision)
+			t.Errorf("%s: %+v at revision %d, want one record with that revision", name, records, revision)
 		}
 	}
 	if events, err := leader.EventsSince(first.ModRevision); err != nil || len(events) != 2 {
-		t.Errorf("%+v %v", events, err)
+		t.Errorf("events %+v, error %v, want 2 events", events, err)
 	}
 }
 
-// A member that restarts has all of it, also beyond a snapshot. Without a majority changes are refused while reads go
-// on.
+// A restarted member has all records and their history, also those from before a snapshot. Without a majority changes
+// fail while reads continue to work.
 func TestNoLeader(t *testing.T) {
 	c := newCluster(t, 3, 8)
 	for range 3 {
@@ -270,6 +270,6 @@
 		return errors.Is(err, ErrNoLeader)
 	})
 	if !hasValue(m0, "n", "\x13") {
-		t.Error("reads need a majority")
+		t.Error("m0 does not return n without a majority")
 	}
 }
--- a/internal/store/stream_layer.go
+++ b/internal/store/stream_layer.go
@@ -11,30 +11,30 @@
 	"github.com/hashicorp/raft"
 )
 
-// The first byte of a connection between members says what it carries.
+// The first byte of a connection between members selects its protocol.
 const (
 	protocolRaft    = 'R'
-	protocolForward = 'W'
+	protocolForward = 'W' // a forwarded write
 )
 
 const (
 	maxForwardBytes = 1 << 20
 	forwardTimeout  = 5 * time.Second
-	// acceptRetryInterval is the pause after a failed accept, as while no descriptor is free.
+	// acceptRetryInterval is the pause after a failed accept, for example because no file descriptor is free.
 	acceptRetryInterval = 10 * time.Millisecond
 
 	frameLengthBytes = 4
-	// forwardAccepted precedes the frame with the result. In the first version of the program it was the whole answer.
+	// forwardAccepted precedes the frame with the result. In the first version of the program it was the whole response.
 	forwardAccepted = 1
 )
 
 var errForwardTooLong = errors.New("write too long")
 
-// streamLayer shares one address between the connections of raft and the writes that members forward to the leader. It
+// streamLayer listens on one address for both raft's connections and the writes that members forward to the leader. It
 // implements raft.StreamLayer.
 type streamLayer struct {
 	net.Listener
-	tls       *memberTLS // nil if members talk in the clear
+	tls       *memberTLS // nil if connections between members are not encrypted
 	apply     func(entry []byte) ([]byte, error)
 	raftConns chan net.Conn
 	quit      chan struct{}
@@ -64,7 +64,7 @@
 	for {
 		conn, err := s.Listener.Accept()
 		if err == nil {
-			go s.handle(conn)
+			go s.handleConn(conn)
 			continue
 		}
 		select {
@@ -75,8 +75,8 @@
 	}
 }
 
-// handle reads the first byte of a connection and passes it on.
-func (s *streamLayer) handle(plain net.Conn) {
+// handleConn reads the first byte of a connection and dispatches the connection by its protocol.
+func (s *streamLayer) handleConn(plain net.Conn) {
 	conn := s.tls.server(plain)
 	conn.SetDeadline(time.Now().Add(forwardTimeout))
 	var protocol [1]byte
@@ -86,15 +86,15 @@
 	}
 	switch protocol[0] {
 	case protocolRaft:
-		s.handToRaft(conn)
+		s.passToRaft(conn)
 	case protocolForward:
-		s.answerForward(conn)
+		s.handleForward(conn)
 	default:
 		conn.Close()
 	}
 }
 
-func (s *streamLayer) handToRaft(conn net.Conn) {
+func (s *streamLayer) passToRaft(conn net.Conn) {
 	conn.SetDeadline(time.Time{})
 	select {
 	case s.raftConns <- conn:
@@ -103,9 +103,9 @@
 	}
 }
 
-// answerForward applies one write of another member and answers with its result. A write that failed gets no answer:
-// the other member takes its outcome for unknown, and commits it again.
-func (s *streamLayer) answerForward(conn net.Conn) {
+// handleForward applies one write of another member and responds with its result. A failed write gets no response: the
+// other member treats its outcome as unknown and commits it again.
+func (s *streamLayer) handleForward(conn net.Conn) {
 	defer conn.Close()
 	entry, err := readFrame(conn)
 	if err != nil {
@@ -115,7 +115,7 @@
 	if err != nil {
 		return
 	}
-	_, _ = conn.Write(appendFrame([]byte{forwardAccepted}, result)) // a member that does not hear of it asks again
+	_, _ = conn.Write(appendFrame([]byte{forwardAccepted}, result)) // a member that gets no response retries
 }
 
 // forward sends a write to the leader, waits until it is replicated, and returns its encoded result.
@@ -136,7 +136,7 @@
 	return readFrame(conn)
 }
 
-// appendFrame appends the length of a payload and the payload.
+// appendFrame appends the length of a payload as 4 bytes, and then the payload.
 func appendFrame(b, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
 	return append(b, payload...)
@@ -156,7 +156,7 @@
 	return payload, err
 }
 
-// dial connects to a member and authenticates it.
+// dial connects to a member and authenticates it if TLS is configured.
 func (s *streamLayer) dial(address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -10,30 +10,30 @@
 	"github.com/hashicorp/raft"
 )
 
-// wal keeps the log of raft and its few stable values in one file of checksummed records. The content of the file is
-// also held in memory; snapshots keep it short. It implements raft.LogStore and raft.StableStore.
+// wal is a write-ahead log: it keeps raft's log and its few stable values in one file of checksummed records, and a
+// copy in memory. Snapshots limit its length. It implements raft.LogStore and raft.StableStore.
 type wal struct {
 	mu         sync.Mutex
 	path       string
 	files      fileSystem
 	file       logFile
-	size       int64                // of the file
+	size       int64                // of the file in bytes
 	entries    map[uint64]*raft.Log // by index, without gaps
 	firstIndex uint64               // 0 if there are no entries
 	lastIndex  uint64
 	stable     map[string][]byte
-	tornBytes  int64 // of an unfinished record that were cut off at the start
+	tornBytes  int64 // size of the torn record that was cut off when the log was opened
 
-	compactionThreshold int64 // size of the file in bytes from which a deletion of entries rewrites it
+	compactionThreshold int64 // size of the file in bytes above which a deletion of entries compacts it
 
-	failure error         // why nothing is written any more; nil while records are written
+	failure error         // why the log accepts no more writes; nil while it works
 	failed  chan struct{} // closed once failure is set
 }
 
-// openWAL opens the log at path, or creates it.
+// openWAL opens the log at path and creates it if it does not exist.
 func openWAL(path string) (*wal, error) { return openWALIn(osFileSystem{}, path) }
 
-// openWALIn is openWAL in a given file system.
+// openWALIn is like openWAL, but uses the given file system.
 func openWALIn(files fileSystem, path string) (*wal, error) {
 	file, err := files.OpenFile(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
@@ -53,15 +53,15 @@
 	if err == nil {
 		return w, nil
 	}
-	_ = file.Close() // the caller needs the reason of the failed start
+	_ = file.Close() // the caller needs the error of the failed start
 	var damaged *DamagedError
 	if errors.As(err, &damaged) {
-		return nil, err // it names the file
+		return nil, err // names the file already
 	}
 	return nil, fmt.Errorf("%s: %w", path, err)
 }
 
-// apply carries out a record in memory.
+// apply applies a record to the copy in memory.
 func (w *wal) apply(record walRecord) {
 	for _, entry := range record.Entries {
 		w.entries[entry.Index] = entry
@@ -78,7 +78,7 @@
 	}
 }
 
-// deleteEntries drops the entries of a range, which reaches to one of the ends of the log.
+// deleteEntries deletes a range of entries, which must include the first or the last entry of the log.
 func (w *wal) deleteEntries(first, last uint64) {
 	for index := max(first, w.firstIndex); index <= min(last, w.lastIndex); index++ {
 		delete(w.entries, index)
@@ -125,7 +125,7 @@
 // StoreLog implements raft.LogStore.
 func (w *wal) StoreLog(log *raft.Log) error { return w.StoreLogs([]*raft.Log{log}) }
 
-// StoreLogs implements raft.LogStore. It copies the entries, because raft goes on using its own.
+// StoreLogs implements raft.LogStore. It copies the entries because raft keeps using the ones that it passed.
 func (w *wal) StoreLogs(logs []*raft.Log) error {
 	entries := make([]*raft.Log, len(logs))
 	for i, log := range logs {
@@ -143,7 +143,7 @@
 // Set implements raft.StableStore.
 func (w *wal) Set(key, value []byte) error { return w.add(walRecord{Key: string(key), Value: value}) }
 
-// errKeyNotFound has the text by which raft knows that a stable value was never set.
+// errKeyNotFound has the text by which raft recognizes that a stable value was never set.
 var errKeyNotFound = errors.New("not found")
 
 // Get implements raft.StableStore.
--- a/internal/store/wal_append.go
+++ b/internal/store/wal_append.go
@@ -10,14 +10,15 @@
 	"github.com/hashicorp/raft"
 )
 
-// defaultCompactionThreshold is the size in bytes from which a deletion of entries rewrites a member's log.
+// defaultCompactionThreshold is the size in bytes above which a deletion of entries compacts the log file.
 const defaultCompactionThreshold = 1 << 20
 
-// errRecordTooLong says that one entry would make a record that is longer than the file may hold.
+// errRecordTooLong is returned for an entry that does not fit into a record of maxRecordBytes.
 var errRecordTooLong = errors.New("record too long")
 
-// FailedError says that the system may not have kept what was written to the log, or that it may have kept part of
-// what was not acknowledged. Nothing more is written until the next start, which reads what the disk has.
+// FailedError reports a failed operation after which the content of the log on the disk is unknown: it may lack data
+// that was written, or contain part of a record that was not acknowledged. Nothing more is written until the next
+// start, which reads the log from the disk.
 type FailedError struct {
 	File string
 	Err  error
@@ -25,13 +26,13 @@
 
 // Error implements error.
 func (e *FailedError) Error() string {
-	return fmt.Sprintf("%s: not written any more: %v", e.File, e.Err)
+	return fmt.Sprintf("%s: log failed and accepts no more writes: %v", e.File, e.Err)
 }
 
-// Unwrap returns what the system said.
+// Unwrap returns the error of the failed operation.
 func (e *FailedError) Unwrap() error { return e.Err }
 
-// add writes a record through to the disk before it counts.
+// add writes a record, syncs it to the disk, and then applies it to the copy in memory.
 func (w *wal) add(record walRecord) error {
 	encoded, err := record.encode()
 	if err != nil {
@@ -40,7 +41,7 @@
 	return w.addEncoded(encoded, record)
 }
 
-// addEntries writes entries through to the disk before they count, in as many records as their size needs.
+// addEntries is like add for entries. It splits them into several records if one would exceed maxRecordBytes.
 func (w *wal) addEntries(entries []*raft.Log) error {
 	encoded, records, err := encodeEntries(entries)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return w.addEncoded(encoded, records...)
 }
 
-// encodeEntries returns records that hold the entries, each no longer than maxRecordBytes.
+// encodeEntries returns the entries as records, encoded and not, with bodies of at most maxRecordBytes.
 func encodeEntries(entries []*raft.Log) (encoded []byte, records []walRecord, err error) {
 	record := walRecord{Entries: entries}
 	encoded, err = record.encode()
@@ -74,7 +75,7 @@
 	return append(first, second...), append(firstRecords, secondRecords...), nil
 }
 
-// addEncoded writes records that are already encoded.
+// addEncoded writes and syncs encoded records, applies them, and compacts the log if a deletion leaves it too long.
 func (w *wal) addEncoded(encoded []byte, records ...walRecord) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,24 +97,24 @@
 	return nil
 }
 
-// appendSynced appends to the file and waits for the disk.
+// appendSynced appends to the file and syncs it.
 func (w *wal) appendSynced(encoded []byte) error {
 	if _, err := w.file.Write(encoded); err != nil {
-		if cutErr := w.discardPartialRecord(); cutErr != nil {
-			return w.fail(errors.Join(err, cutErr))
+		if truncateErr := w.discardPartialRecord(); truncateErr != nil {
+			return w.fail(errors.Join(err, truncateErr))
 		}
 		return err
 	}
-	// A sync that has failed can't be tried again: the system may have dropped what it could not write, and the next
-	// sync would succeed without it.
+	// A failed sync must not be retried: the operating system may have dropped the data that it could not write, and the
+	// next sync would succeed without that data.
 	if err := w.file.Sync(); err != nil {
 		return w.fail(err)
 	}
 	return nil
 }
 
-// discardPartialRecord cuts off what a failed write has left: a record behind half of another one would be lost with
-// it.
+// discardPartialRecord truncates what a failed write has left. A record written after a partial one would be lost at
+// the next start.
 func (w *wal) discardPartialRecord() error {
 	if err := w.file.Truncate(w.size); err != nil {
 		return err
@@ -122,21 +123,21 @@
 	return err
 }
 
-// fail makes every later write fail, and returns the error that says so.
+// fail makes every later write fail, and returns the error that those writes return.
 func (w *wal) fail(err error) error {
 	w.failure = &FailedError{File: w.path, Err: err}
 	close(w.failed)
 	return w.failure
 }
 
-// writeFailure returns why nothing is written any more, or nil.
+// writeFailure returns the error that made the log fail, or nil while it works.
 func (w *wal) writeFailure() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failure
 }
 
-// compact writes what still counts to a new file that takes the place of the old one.
+// compact writes the copy in memory to a new file, which replaces the old one.
 func (w *wal) compact() error {
 	content, err := w.encodeAll()
 	if err != nil {
@@ -145,14 +146,14 @@
 	newPath := w.path + ".new"
 	file, err := w.writeNewFile(newPath, content)
 	if err != nil {
-		return err // the old file stays
+		return err // the old file stays in use
 	}
-	// From here on a failure leaves open which of both files the next start finds.
+	// After a failure from here on, it is unknown which of the two files the next start finds.
 	if err := w.files.Rename(newPath, w.path); err != nil {
-		_ = file.Close() // the old file is used until the end
+		_ = file.Close() // the old file stays open until close
 		return w.fail(err)
 	}
-	_ = w.file.Close() // nothing more is written to it, and it has no name any more
+	_ = w.file.Close() // all its data is synced, and the rename has unlinked it
 	w.file = file
 	w.size = int64(len(content))
 	if err := w.files.SyncFolder(filepath.Dir(w.path)); err != nil {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// encodeAll returns records that amount to what is held in memory.
+// encodeAll encodes the copy in memory as records.
 func (w *wal) encodeAll() ([]byte, error) {
 	var content []byte
 	appendRecord := func(record walRecord) error {
@@ -182,7 +183,7 @@
 	return content, nil
 }
 
-// writeNewFile writes content to a new file through to the disk, and returns it open behind the content.
+// writeNewFile creates a file, writes content to it and syncs it. The returned file is positioned at its end.
 func (w *wal) writeNewFile(path string, content []byte) (logFile, error) {
 	file, err := w.files.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 	if err != nil {
@@ -193,7 +194,7 @@
 		err = file.Sync()
 	}
 	if err != nil {
-		_ = file.Close() // the file is given up
+		_ = file.Close() // the file is not used
 		return nil, err
 	}
 	return file, nil
--- a/internal/store/wal_fault_test.go
+++ b/internal/store/wal_fault_test.go
@@ -15,14 +15,14 @@
 	faultCompactionThreshold = 2 << 10
 )
 
-// logContent is what a log amounts to.
+// logContent is the content of a log: its entries and stable values.
 type logContent struct {
 	firstIndex, lastIndex uint64
 	data                  map[uint64]string
 	stable                map[string]string
 }
 
-// contentOf returns what a log holds in memory.
+// contentOf returns the content that a log has in memory.
 func contentOf(w *wal) logContent {
 	content := logContent{
 		firstIndex: w.firstIndex,
@@ -44,7 +44,7 @@
 		maps.Equal(c.data, other.data) && maps.Equal(c.stable, other.stable)
 }
 
-// randomWrite makes one write as raft does, to a log and to one in memory that never fails.
+// randomWrite performs one random write of the kinds that raft does, on the log w and on the model, which never fails.
 func randomWrite(random *rand.Rand, number int, w, model *wal) error {
 	var write func(*wal) error
 	value := fmt.Sprintf("value %d", number)
@@ -73,10 +73,10 @@
 	return err
 }
 
-// newModel returns a log that never fails, with the content of another one.
+// newModel returns a copy of a log whose calls never fail.
 func newModel(t *testing.T, w *wal) *wal {
 	t.Helper()
-	model, err := openWALIn(newFaultyFiles(rand.New(rand.NewPCG(0, 0))), faultLogPath)
+	model, err := openWALIn(newFaultyFileSystem(rand.New(rand.NewPCG(0, 0))), faultLogPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,15 +91,15 @@
 	return model
 }
 
-// faultPlay writes to a log whose file system fails, and knows what may be found after a crash.
-type faultPlay struct {
-	test    *testing.T
-	files   *faultyFiles
-	log     *wal
-	allowed []logContent
+// faultRun writes to a log on a faulty file system, and keeps track of the contents that a crash may leave.
+type faultRun struct {
+	test              *testing.T
+	files             *faultyFileSystem
+	log               *wal
+	allowedAfterCrash []logContent
 }
 
-func startFaultPlay(t *testing.T, files *faultyFiles, plan faultPlan) *faultPlay {
+func startFaultRun(t *testing.T, files *faultyFileSystem, plan faultPlan) *faultRun {
 	t.Helper()
 	files.plan = noFaults{}
 	w, err := openWALIn(files, faultLogPath)
@@ -108,30 +108,30 @@
 	}
 	w.compactionThreshold = faultCompactionThreshold
 	files.plan = plan
-	return &faultPlay{test: t, files: files, log: w, allowed: []logContent{contentOf(w)}}
+	return &faultRun{test: t, files: files, log: w, allowedAfterCrash: []logContent{contentOf(w)}}
 }
 
-// write makes one random write. Nothing may be acknowledged once the log has failed.
-func (p *faultPlay) write(random *rand.Rand, number int) {
+// write performs one random write. Once the log has failed, no write may be acknowledged.
+func (p *faultRun) write(random *rand.Rand, number int) {
 	p.test.Helper()
 	model := newModel(p.test, p.log)
 	failedBefore := p.log.failure != nil
 	err := randomWrite(random, number, p.log, model)
 	switch {
 	case err == nil && failedBefore:
-		p.test.Fatalf("acknowledged behind %v", p.log.failure)
+		p.test.Fatalf("a write was acknowledged after the log failed: %v", p.log.failure)
 	case err == nil:
-		p.allowed = []logContent{contentOf(p.log)}
+		p.allowedAfterCrash = []logContent{contentOf(p.log)}
 	case !errors.Is(err, errInjected):
 		p.test.Fatal(err)
 	case !failedBefore:
-		p.allowed = append(p.allowed, contentOf(model), contentOf(p.log))
+		p.allowedAfterCrash = append(p.allowedAfterCrash, contentOf(model), contentOf(p.log))
 	}
 }
 
-// crash fails the test unless the next start finds all that was acknowledged and nothing else but, at most, what has
-// failed since.
-func (p *faultPlay) crash() {
+// crash crashes the file system and checks that the next start finds all acknowledged writes, and beyond them at most
+// those that have failed since.
+func (p *faultRun) crash() {
 	p.test.Helper()
 	p.files.plan = noFaults{}
 	p.files.crash()
@@ -139,54 +139,54 @@
 	if err != nil {
 		p.test.Fatalf("after %v: %v", p.files.faults, err)
 	}
-	for _, content := range p.allowed {
+	for _, content := range p.allowedAfterCrash {
 		if contentOf(after).equals(content) {
 			return
 		}
 	}
-	p.test.Fatalf("after %v:\nfound %+v\nof    %+v", p.files.faults, contentOf(after), p.allowed)
+	p.test.Fatalf("after %v:\nfound       %+v\nwant one of %+v", p.files.faults, contentOf(after), p.allowedAfterCrash)
 }
 
-// Guards against acknowledged records that are gone after a crash because an earlier write, sync, cut or rename had
-// failed.
+// Guards against acknowledged records that a crash loses because an earlier write, sync, truncate or rename had failed.
 func TestAcknowledgedRecordsSurviveFaults(t *testing.T) {
 	const (
 		seeds   = 500
-		crashes = 4 // of one seed
-		writes  = 60
+		crashes = 4  // per seed
+		writes  = 60 // before each crash
 	)
 	rates := []float64{0, 0.01, 0.05, 0.2}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
-			files := newFaultyFiles(random)
+			files := newFaultyFileSystem(random)
 			for range crashes {
 				plan := randomFaults{random: random, rate: rates[random.IntN(len(rates))]}
-				play := startFaultPlay(t, files, plan)
+				run := startFaultRun(t, files, plan)
 				for number := range writes {
-					play.write(random, number)
+					run.write(random, number)
 				}
-				play.crash()
+				run.crash()
 			}
 		})
 	}
 }
 
-// Guards against the same: each call of the file system fails once, and each write at each of its bytes.
+// Guards against the same, exhaustively: each call of the file system fails once, and each write after each number of
+// bytes.
 func TestAcknowledgedRecordsSurviveEachFault(t *testing.T) {
 	const writes = 30
-	for call, more := 0, true; more; call++ {
+	for call, callsRemain := 0, true; callsRemain; call++ {
 		for bytes, writeLength := 0, 0; bytes <= writeLength; bytes++ {
-			plan := &oneFault{call: call, bytes: bytes}
+			plan := &singleFault{failingCall: call, maxBytesWritten: bytes}
 			random := rand.New(rand.NewPCG(1, 0))
-			files := newFaultyFiles(rand.New(rand.NewPCG(uint64(call), uint64(bytes))))
-			play := startFaultPlay(t, files, plan)
+			files := newFaultyFileSystem(rand.New(rand.NewPCG(uint64(call), uint64(bytes))))
+			run := startFaultRun(t, files, plan)
 			for number := range writes {
-				play.write(random, number)
+				run.write(random, number)
 			}
-			play.crash()
+			run.crash()
 			writeLength = plan.writeLength - 1
-			more = call < plan.calls
+			callsRemain = call < plan.calls
 		}
 	}
 }
--- a/internal/store/wal_file.go
+++ b/internal/store/wal_file.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// logFile is an open file of the log, as *os.File.
+// logFile is an open log file. *os.File implements it.
 type logFile interface {
 	io.ReadWriteCloser
 	io.Seeker
@@ -13,16 +13,16 @@
 	Sync() error
 }
 
-// fileSystem is what the log needs of the system. Tests put one in its place that fails.
+// fileSystem is the part of the operating system's file system that the log uses. Tests replace it to inject faults.
 type fileSystem interface {
-	// OpenFile opens a file that nobody but the owner may read; flag is one of os.OpenFile.
+	// OpenFile opens a file, or creates one that only its owner may access; flag is that of os.OpenFile.
 	OpenFile(path string, flag int) (logFile, error)
 	Rename(from, to string) error
-	// SyncFolder makes the names of the files in a folder survive a crash.
+	// SyncFolder syncs a folder, so that the names of its files survive a crash.
 	SyncFolder(path string) error
 }
 
-// osFileSystem is the fileSystem of the machine.
+// osFileSystem is the fileSystem of the operating system.
 type osFileSystem struct{}
 
 // OpenFile implements fileSystem.
@@ -45,6 +45,6 @@
 		return err
 	}
 	err = folder.Sync()
-	_ = folder.Close() // it was only read
+	_ = folder.Close() // opened only for reading
 	return err
 }
--- a/internal/store/wal_load.go
+++ b/internal/store/wal_load.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// load reads the file. A record that a crash has cut short was never acknowledged: it is cut off and reported. After
-// any other record that can't be read the file is left as it is.
+// load reads the file into memory. A last record that a crash has torn was never acknowledged: load truncates it and
+// sets tornBytes. If any other record can't be read, load returns a *DamagedError and does not change the file.
 func (w *wal) load() error {
 	content, err := io.ReadAll(w.file)
 	if err != nil {
@@ -32,11 +32,12 @@
 		w.size += int64(length)
 	}
 	w.tornBytes = int64(len(content)) - w.size
-	return w.cutTornRecord()
+	return w.truncateTornRecord()
 }
 
-// cutTornRecord leaves the file open behind its last complete record, and its name where a crash does not lose it.
-func (w *wal) cutTornRecord() error {
+// truncateTornRecord truncates the file after its last complete record and positions it there. It also syncs the
+// folder, so that the name of a new log survives a crash.
+func (w *wal) truncateTornRecord() error {
 	if w.tornBytes > 0 {
 		if err := w.file.Truncate(w.size); err != nil {
 			return err
@@ -52,9 +53,9 @@
 	return err
 }
 
-// isTorn says whether a crash in the middle of a write explains why the record that rest begins with can't be read. A
-// crash leaves the beginning of one record, in which parts may be zero that had not reached the disk. It leaves
-// nothing valid behind that, no body that is complete, and no byte that was never written.
+// isTorn reports whether the unreadable record at the start of rest can be the result of a crash during its write. A
+// crash leaves the beginning of one record, in which the parts that did not reach the disk may be zeros. It never
+// leaves a complete body, a valid record after the torn one, or bytes other than those written and zeros.
 func isTorn(rest []byte) bool {
 	if len(rest) <= recordHeaderBytes {
 		return true
@@ -66,12 +67,12 @@
 	if !complete {
 		return true
 	}
-	hasGap := bytes.IndexByte(rest[recordHeaderBytes:length], 0) >= 0 // JSON has no zero bytes
+	hasGap := bytes.IndexByte(rest[recordHeaderBytes:length], 0) >= 0 // JSON contains no zero bytes
 	return length == len(rest) && hasGap
 }
 
-// hasCompleteBody says whether some length other than the one in the header makes the record valid: only the length
-// is wrong then.
+// hasCompleteBody reports whether the record is valid with a length other than the one in its header, which means that
+// only the length is wrong.
 func hasCompleteBody(rest []byte) bool {
 	want := binary.BigEndian.Uint32(rest[recordLengthBytes:])
 	checksum := uint32(0)
@@ -84,7 +85,7 @@
 	return false
 }
 
-// isFollowedByRecord says whether a valid record begins somewhere behind the start of rest.
+// isFollowedByRecord reports whether a valid record begins anywhere after the first byte of rest.
 func isFollowedByRecord(rest []byte) bool {
 	for start := 1; start+recordHeaderBytes < len(rest); start++ {
 		length, complete := recordLength(rest[start:])
@@ -99,7 +100,7 @@
 	return false
 }
 
-// isRecordBody says whether a body decodes as a record.
+// isRecordBody reports whether a body can be decoded as a record.
 func isRecordBody(body []byte) bool {
 	_, err := decodeRecord(body)
 	return err == nil
--- a/internal/store/wal_record.go
+++ b/internal/store/wal_record.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// A record in the file is the length of its body as 4 bytes, the CRC-32C of the body, and the body as JSON. Records of
-// more than maxRecordBytes are not written; earlier versions wrote them, so they are read.
+// A record in the file consists of the length of its body as 4 bytes, the CRC-32C of the body as 4 bytes, and the body
+// as JSON. Bodies longer than maxRecordBytes are not written, but are read, because earlier versions wrote them.
 const (
 	recordLengthBytes = 4
 	recordHeaderBytes = 8
@@ -19,7 +19,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// walRecord is one change of the log or of the stable values: exactly one of its parts is set.
+// walRecord is one change to the log. It contains either appended entries, or a stable value, or a range of entries to
+// delete.
 type walRecord struct {
 	Entries []*raft.Log `json:"Logs,omitempty"`
 
@@ -27,12 +28,12 @@
 	Value []byte `json:",omitempty"`
 
 	FirstDeleted uint64 `json:"Min,omitempty"`
-	LastDeleted  uint64 `json:"Max,omitempty"` // the entries from FirstDeleted to this one are dropped
+	LastDeleted  uint64 `json:"Max,omitempty"` // inclusive
 }
 
 func (r walRecord) deletesEntries() bool { return r.LastDeleted > 0 }
 
-// encode returns the record as the file holds it.
+// encode returns the record in the form that it has in the file.
 func (r walRecord) encode() ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -43,13 +44,13 @@
 	return append(encoded, body...), nil
 }
 
-// decodeRecord reads the body of a record.
+// decodeRecord decodes the body of a record.
 func decodeRecord(body []byte) (record walRecord, err error) {
 	err = json.Unmarshal(body, &record)
 	return record, err
 }
 
-// recordLength returns the length of the first record of content, and whether content holds all of it.
+// recordLength returns the length in bytes of the first record of content, and whether content contains all of it.
 func recordLength(content []byte) (length int, complete bool) {
 	if len(content) < recordHeaderBytes {
 		return 0, false
@@ -61,18 +62,18 @@
 	return length, true
 }
 
-// hasValidChecksum says whether the body of a complete record is what was written.
+// hasValidChecksum reports whether the body of a complete record matches its checksum.
 func hasValidChecksum(record []byte) bool {
 	want := binary.BigEndian.Uint32(record[recordLengthBytes:])
 	return crc32.Checksum(record[recordHeaderBytes:], castagnoli) == want
 }
 
-// DamagedError says that the log has a record that is not what was written. What stands behind it was promised to the
-// other members, so the file is not used.
+// DamagedError reports a log record that differs from what was written. The entries after it were acknowledged to the
+// other members, so the log is rejected instead of truncated.
 type DamagedError struct {
 	File   string
 	Offset int64 // of the record, in bytes
-	Err    error // of decoding the record; nil if its checksum is wrong
+	Err    error // of decoding the record; nil if its length or checksum is wrong
 }
 
 // Error implements error.
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// writeEntries writes a log of n entries and returns its content and the offset behind each record, with 0 first.
+// writeEntries writes a log of n entries. It returns its content and the end offsets of its records, preceded by 0.
 func writeEntries(t *testing.T, path string, n uint64) (content []byte, ends []int64) {
 	t.Helper()
 	w := mustOpenWAL(t, path)
@@ -53,7 +53,7 @@
 	return content, ends
 }
 
-// Wherever a crash cuts the file, what was acknowledged before is there and the rest is reported.
+// Wherever a crash truncates the file, the complete records are read and the size of the torn one is reported.
 func TestTornRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	content, ends := writeEntries(t, path, 5)
@@ -61,7 +61,7 @@
 		writeFile(t, path, content[:n])
 		w, err := openWAL(path)
 		if err != nil {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
 		complete := 0
 		for ends[complete+1] <= int64(n) {
@@ -69,7 +69,7 @@
 		}
 		end := ends[complete]
 		if w.lastIndex != uint64(complete) || w.tornBytes != int64(n)-end || w.size != end {
-			t.Fatalf("cut at %d: %d entries, %d bytes torn", n, w.lastIndex, w.tornBytes)
+			t.Fatalf("truncated at %d: %d entries, %d torn bytes, want only the complete records", n, w.lastIndex, w.tornBytes)
 		}
 		mustClose(t, w)
 	}
@@ -85,10 +85,10 @@
 		_, err := openWAL(path)
 		var damage *DamagedError
 		if !errors.As(err, &damage) {
-			t.Fatalf("the record at %d: %v", offset, err)
+			t.Fatalf("damaged record at %d: got error %v, want a *DamagedError", offset, err)
 		}
 		if damage.File != path || damage.Offset != offset {
-			t.Fatalf("%+v, want the record at %d of %s", damage, offset, path)
+			t.Fatalf("got %+v, want the record at %d of %s", damage, offset, path)
 		}
 		return damage
 	}
@@ -104,11 +104,11 @@
 			}
 		}
 	})
-	t.Run("valid checksum of a body that is no record", func(t *testing.T) {
+	t.Run("valid checksum of a body that is not a record", func(t *testing.T) {
 		notJSON := []byte{0, 0, 0, 0, 0, 0, 0, 0}
 		damage := checkDamaged(t, append(content[:ends[2]:ends[2]], notJSON...), ends[2])
 		if damage.Err == nil || !strings.HasSuffix(damage.Error(), ": "+damage.Err.Error()) {
-			t.Fatalf("%v does not say what is wrong with the record", damage)
+			t.Fatalf("got error %v, want one that ends with the decoding error", damage)
 		}
 	})
 	t.Run("the store does not open", func(t *testing.T) {
@@ -116,7 +116,7 @@
 		_, err := Open(Config{Name: "m0", Folder: folder, Peers: peers(t, 1)}, discardLog)
 		var damage *DamagedError
 		if !errors.As(err, &damage) || err.Error() != "store: "+damage.Error() {
-			t.Errorf("%v is no damage", err)
+			t.Errorf("got error %v, want a *DamagedError after \"store: \"", err)
 		}
 	})
 }
@@ -140,10 +140,10 @@
 	defer mustClose(t, w)
 	term, err := w.GetUint64([]byte("term"))
 	if term != 7 || err != nil {
-		t.Errorf("term %d, %v", term, err)
+		t.Errorf("term %d, error %v, want term 7", term, err)
 	}
 	if w.firstIndex != 19 || w.lastIndex != 20 || w.size > 400<<10 {
-		t.Errorf("entries %d to %d, %d bytes", w.firstIndex, w.lastIndex, w.size)
+		t.Errorf("entries %d to %d, %d bytes, want 19 to 20 in at most 400 KiB", w.firstIndex, w.lastIndex, w.size)
 	}
 }
 
@@ -162,7 +162,7 @@
 			return
 		}
 		if w.size+w.tornBytes != int64(len(content)) {
-			t.Fatalf("%d bytes read, %d torn, of %d", w.size, w.tornBytes, len(content))
+			t.Fatalf("%d bytes read and %d torn, want %d in total", w.size, w.tornBytes, len(content))
 		}
 		mustClose(t, w)
 	})
