--- a/internal/store/fsm/change.go
+++ b/internal/store/fsm/change.go
@@ -9,14 +9,14 @@
 // KindConfig is the kind of the records whose history is kept.
 const KindConfig = "config"
 
-// Record is a value under its key.
+// Record is a key with its value.
 type Record struct {
 	Key            string
-	Kind           string // what the value is; empty if nobody said
-	Schema         int    // version of the form that values of this kind have
+	Kind           string // kind of the value; empty if the change did not set one
+	Schema         int    // version of the format of values of this kind
 	Value          []byte
-	CreateRevision uint64 `json:"Created"`  // of the change that created the record
-	ModRevision    uint64 `json:"Revision"` // of the change that set it last
+	CreateRevision uint64 `json:"Created"`  // revision of the change that created the record
+	ModRevision    uint64 `json:"Revision"` // revision of the last change that set the record
 }
 
 // Op sets or deletes a record.
@@ -26,45 +26,45 @@
 	Schema int    `json:",omitempty"`
 	Value  []byte `json:",omitempty"`
 	Delete bool   `json:",omitempty"`
-	// IfRevision is the revision that the record must have for the change to be applied; 0 means that there must be no
-	// such record, nil that any is accepted.
+	// IfRevision is the revision that the record must have for the change to be applied. 0 means that the record must not
+	// exist, and nil that the operation is unconditional.
 	IfRevision *uint64 `json:"If,omitempty"`
 }
 
 // Change is a set of operations that is applied completely or not at all.
 type Change struct {
-	// ID makes the change idempotent: of the changes with one id only the first is applied. Empty means none.
+	// ID makes the change idempotent: of several changes with the same id only the first is applied. It is optional.
 	ID     string `json:",omitempty"`
 	Author string `json:",omitempty"`
-	// ProposedAt is the time since the Unix epoch by the clock of the proposer.
+	// ProposedAt is the time since the Unix epoch, by the proposer's clock.
 	ProposedAt time.Duration `json:"At,omitempty"`
 	Ops        []Op
 }
 
-// Reason says why a change was rejected.
+// Reason is the reason why a change was rejected.
 type Reason string
 
-// The reasons of a rejection. They are stored, and sent between members.
+// Reasons for a rejection. They are stored on disk and sent between members.
 const (
 	ReasonConflict      Reason = "conflict" // a record does not have the revision that the change requires
 	ReasonLimitExceeded Reason = "too much" // the change would exceed one of the limits
-	ReasonInvalid       Reason = "bad"      // no operation, an operation without a key, or two on the same key
+	ReasonInvalid       Reason = "bad"      // no operation, an empty or repeated key, or a deletion with a value
 )
 
 // Result is the outcome of a change.
 type Result struct {
-	Revision        uint64 // that the change made; 0 if it was rejected
-	Reason          Reason `json:"Fault,omitempty"` // of the rejection; empty if the change was applied
-	Key             string `json:",omitempty"`      // the record that the change was rejected for
-	CurrentRevision uint64 `json:"Have,omitempty"`  // of that record
-	Duplicate       bool   `json:"Again,omitempty"` // an earlier change with this id had this result
+	Revision        uint64 // revision of the state after the change; 0 if it was rejected
+	Reason          Reason `json:"Fault,omitempty"` // reason of the rejection; empty if the change was applied
+	Key             string `json:",omitempty"`      // key of the operation that caused the rejection
+	CurrentRevision uint64 `json:"Have,omitempty"`  // revision of the record with that key; 0 if there is none
+	Duplicate       bool   `json:"Again,omitempty"` // whether this is the result of an earlier change with the same id
 }
 
-// Applied says whether the change was applied, now or as an earlier one with the same id.
+// Applied reports whether the change was applied, now or earlier under the same id.
 func (r Result) Applied() bool { return r.Reason == "" }
 
-// Err returns nil for a change that was applied, a *ConflictError where another change came first, and a *RejectedError
-// for any other reason.
+// Err returns nil if the change was applied, a *ConflictError if a record had another revision than required, and a
+// *RejectedError for any other reason.
 func (r Result) Err() error {
 	rejected := RejectedError{Reason: r.Reason, Key: r.Key, Revision: r.CurrentRevision}
 	switch r.Reason {
@@ -77,11 +77,11 @@
 	}
 }
 
-// RejectedError says that a change was rejected.
+// RejectedError reports that a change was rejected.
 type RejectedError struct {
 	Reason   Reason
-	Key      string // the record that the change was rejected for
-	Revision uint64 // of that record
+	Key      string // key of the operation that caused the rejection
+	Revision uint64 // current revision of the record with that key
 }
 
 // Error implements error.
@@ -89,17 +89,17 @@
 	return fmt.Sprintf("%s: %s has revision %d", e.Reason, e.Key, e.Revision)
 }
 
-// ConflictError says that a record does not have the revision that the change requires: the caller reads it again and
-// decides anew.
+// ConflictError reports that a record does not have the revision that the change requires. The caller should read the
+// record again before it proposes another change.
 type ConflictError struct{ RejectedError }
 
-// Unwrap lets errors.As find the rejection too.
+// Unwrap returns the rejection, so that errors.As finds it too.
 func (e *ConflictError) Unwrap() error { return &e.RejectedError }
 
-// Encode writes a change as an entry of the log.
+// Encode returns the change encoded as a log entry.
 func (c Change) Encode() ([]byte, error) { return json.Marshal(c) }
 
-// Decode reads a change from an entry of the log. Entries of the first version of the program set one key.
+// Decode decodes a change from a log entry. Entries of the first version of the program set a single key.
 func Decode(entry []byte) (Change, error) {
 	var decoded struct {
 		Change
--- a/internal/store/fsm/change_test.go
+++ b/internal/store/fsm/change_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Callers tell a conflict, after which they read again, from a change that will always be rejected.
+// Callers can distinguish a conflict, after which they read the record again, from other rejections.
 func TestResultErrors(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -27,15 +27,15 @@
 				return
 			}
 			if err == nil || err.Error() != test.text {
-				t.Fatalf("%v, want %s", err, test.text)
+				t.Fatalf("got error %v, want %s", err, test.text)
 			}
 			var conflict *ConflictError
 			if errors.As(err, &conflict) != test.conflict {
-				t.Errorf("%v is taken for a conflict: %v", err, !test.conflict)
+				t.Errorf("error %v is a *ConflictError: %v, want the opposite", err, !test.conflict)
 			}
 			var rejected *RejectedError
 			if !errors.As(err, &rejected) || rejected.Key != test.result.Key {
-				t.Errorf("%v is no rejection of %q", err, test.result.Key)
+				t.Errorf("error %v is not a *RejectedError for the key %q", err, test.result.Key)
 			}
 		})
 	}
--- a/internal/store/fsm/event.go
+++ b/internal/store/fsm/event.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// Event says that a record has changed.
+// Event records that a record was set or deleted.
 type Event struct {
 	Revision uint64
 	Key      string
 	Deleted  bool
 }
 
-// ErrCompacted says that a watch is so far behind that the events it asks for are dropped: it has to read all records.
-var ErrCompacted = errors.New("older than what is kept")
+// ErrCompacted is returned for a revision whose following events were already dropped. The watch has to read all
+// records instead.
+var ErrCompacted = errors.New("events after this revision are no longer kept")
 
 // EventsSince returns the events after a revision, oldest first.
 func (s *State) EventsSince(revision uint64) ([]Event, error) {
@@ -26,7 +27,7 @@
 	return slices.Clone(s.events[first:]), nil
 }
 
-// appendEvent keeps an event, and drops the oldest ones beyond the limit.
+// appendEvent appends an event and drops the oldest ones beyond the limit.
 func (s *State) appendEvent(event Event) {
 	s.events = append(s.events, event)
 	excess := len(s.events) - s.limits.Events
@@ -34,6 +35,6 @@
 		return
 	}
 	s.compacted = s.events[excess-1].Revision
-	// The memory of the dropped events is released when append next allocates.
+	// The memory of the dropped events is released when append allocates the next time.
 	s.events = s.events[excess:]
 }
--- a/internal/store/fsm/event_test.go
+++ b/internal/store/fsm/event_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A watch that is too far behind is told so.
+// A watch that asks for events that were already dropped gets ErrCompacted.
 func TestEventsSince(t *testing.T) {
 	s := New(smallLimits())
 	for i := range 8 {
@@ -18,17 +18,17 @@
 		first    uint64
 		want     error
 	}{
-		{"behind the oldest event", 2, 0, 0, ErrCompacted},
+		{"a later event was dropped", 2, 0, 0, ErrCompacted},
 		{"just before the oldest event", 3, 5, 4, nil},
 		{"up to date", 8, 0, 0, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			events, err := s.EventsSince(test.revision)
 			if !errors.Is(err, test.want) || len(events) != test.events {
-				t.Fatalf("%+v %v", events, err)
+				t.Fatalf("got events %+v and error %v", events, err)
 			}
 			if len(events) > 0 && events[0].Revision != test.first {
-				t.Errorf("the first event is of revision %d, want %d", events[0].Revision, test.first)
+				t.Errorf("the first event has revision %d, want %d", events[0].Revision, test.first)
 			}
 		})
 	}
--- a/internal/store/fsm/golden_test.go
+++ b/internal/store/fsm/golden_test.go
@@ -14,13 +14,13 @@
 	"limeladder/internal/store/fsm"
 )
 
-// The golden files under testdata were written by the program at commit 4e3d53a. Members that were stopped with that
-// version hold such bytes on disk, so every later version has to read them, and has to write the same: a member that
-// has not been upgraded yet reads the entries and snapshots of the others.
+// The golden files under testdata were written by the program at commit 4e3d53a. Members that were stopped at that
+// version have such data on disk, so every later version has to read it. Later versions also have to write the same
+// bytes, because members that are not upgraded yet read the entries and snapshots of the others.
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// golden returns the content of a golden file. With -update it writes content there first.
+// golden returns the content of a golden file. With -update it first overwrites the file with content.
 func golden(t *testing.T, name string, content []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,7 +36,8 @@
 	return text
 }
 
-// goldenLines splits a golden file whose lines are the given ones.
+// goldenLines returns the lines of a golden file, and checks that it has as many lines as given. With -update it first
+// overwrites the file with the given lines.
 func goldenLines(t *testing.T, name string, lines [][]byte) [][]byte {
 	t.Helper()
 	text := golden(t, name, append(bytes.Join(lines, []byte("\n")), '\n'))
@@ -58,7 +59,7 @@
 
 const writtenAt = 1_800_000_000 * time.Second
 
-// goldenChanges are the log entries of the golden state, in order. Between them they set every field.
+// goldenChanges returns the changes that make the golden state, in order. Together they set every field.
 func goldenChanges() []fsm.Change {
 	return []fsm.Change{
 		{ID: "site-a.1.1", Author: "site-a", ProposedAt: writtenAt, Ops: []fsm.Op{
@@ -79,7 +80,7 @@
 	}
 }
 
-// goldenLimits drop the oldest event and keep the rest of the golden state.
+// goldenLimits returns limits with which the golden state drops only its oldest event.
 func goldenLimits() fsm.Limits {
 	return fsm.Limits{
 		KeyBytes: 64, ValueBytes: 256, Ops: 8, Records: 16, TotalBytes: 4096, HistoryLength: 4, RememberedIDs: 8, Events: 5,
@@ -99,7 +100,7 @@
 	for i, want := range goldenChanges() {
 		t.Run(string(lines[i]), func(t *testing.T) {
 			if !bytes.Equal(lines[i], stored[i]) {
-				t.Errorf("encoded as\n%s, want\n%s", lines[i], stored[i])
+				t.Errorf("the change is encoded as\n%s, want\n%s", lines[i], stored[i])
 			}
 			got, err := fsm.Decode(stored[i])
 			if err != nil {
@@ -110,8 +111,9 @@
 	}
 }
 
-// The first form of an entry is no longer written, but logs of members that ran an early version still hold it.
-func TestGoldenFirstForms(t *testing.T) {
+// The formats of the first version are no longer written, but the logs and snapshots of members that ran an early
+// version still contain them.
+func TestGoldenFirstVersion(t *testing.T) {
 	entry, err := os.ReadFile(filepath.Join("testdata", "first-form-change.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +139,7 @@
 	})
 }
 
-// Results pass between members, and the remembered ones are part of a snapshot.
+// Results are sent between members, and remembered results are part of snapshots.
 func TestGoldenResults(t *testing.T) {
 	results := []fsm.Result{
 		{Revision: 7},
@@ -157,7 +159,7 @@
 	for i, want := range results {
 		t.Run(string(lines[i]), func(t *testing.T) {
 			if !bytes.Equal(lines[i], stored[i]) {
-				t.Errorf("encoded as\n%s, want\n%s", lines[i], stored[i])
+				t.Errorf("the result is encoded as\n%s, want\n%s", lines[i], stored[i])
 			}
 			var got fsm.Result
 			if err := json.Unmarshal(stored[i], &got); err != nil {
@@ -185,7 +187,7 @@
 	written := encodeSnapshot(t, built)
 	stored := golden(t, "state.snapshot", written)
 	if !bytes.Equal(written, stored) {
-		t.Errorf("the same changes give the snapshot\n%q, want\n%q", written, stored)
+		t.Errorf("the golden changes give the snapshot\n%q, want\n%q", written, stored)
 	}
 	state, err := fsm.Restore(stored, goldenLimits())
 	if err != nil {
@@ -244,11 +246,11 @@
 		{Revision: 4, Key: "settings/site-b"},
 	})
 	if _, err := state.EventsSince(0); !errors.Is(err, fsm.ErrCompacted) {
-		t.Errorf("the events since revision 0 end in %v, want %v", err, fsm.ErrCompacted)
+		t.Errorf("EventsSince(0) returns the error %v, want %v", err, fsm.ErrCompacted)
 	}
 }
 
-// checkGoldenIDs proposes each change of the golden state once more: the state has to know its id and its result.
+// checkGoldenIDs applies each change id of the golden state again and checks that the state returns its first result.
 func checkGoldenIDs(t *testing.T, state *fsm.State) {
 	t.Helper()
 	results := map[string]fsm.Result{
--- a/internal/store/fsm/history.go
+++ b/internal/store/fsm/history.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// HistoryEntry is a configuration as a change left it.
+// HistoryEntry is the state of a configuration record after a change.
 type HistoryEntry struct {
 	Record
 	Author     string
@@ -16,17 +16,17 @@
 	Deleted    bool
 }
 
-// ErrNoSuchRevision says that the history does not hold the revision that a rollback asks for.
-var ErrNoSuchRevision = errors.New("no such configuration is kept")
+// ErrNoSuchRevision is returned if the history does not contain the revision of a rollback.
+var ErrNoSuchRevision = errors.New("configuration is not in the history")
 
 // History returns the configurations that a key has had, oldest first.
 func (s *State) History(key string) []HistoryEntry { return slices.Clone(s.history[key]) }
 
-// Histories returns the configurations that all keys have had.
+// Histories returns the configurations that each key has had, by key, oldest first.
 func (s *State) Histories() map[string][]HistoryEntry { return maps.Clone(s.history) }
 
-// Rollback returns the change that restores the configuration of a revision, provided that nobody changes the record
-// before it is applied.
+// Rollback returns the change that restores the configuration that a key had at a revision. The change is rejected if
+// the record changes before it is applied.
 func (s *State) Rollback(key string, revision uint64) (Change, error) {
 	for _, entry := range s.history[key] {
 		if entry.ModRevision != revision {
@@ -45,7 +45,7 @@
 	return Change{}, fmt.Errorf("%s at revision %d: %w", key, revision, ErrNoSuchRevision)
 }
 
-// appendHistory keeps a configuration, and drops the oldest ones of its key beyond the limit.
+// appendHistory appends a configuration to the history of its key and drops the oldest ones beyond the limit.
 func (s *State) appendHistory(change Change, record Record, deleted bool) {
 	entries := append(s.history[record.Key], HistoryEntry{
 		Record:     record,
--- a/internal/store/fsm/history_test.go
+++ b/internal/store/fsm/history_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The last configurations are kept with their authors and times, and one is restored unless the record has changed
-// since.
+// The latest configurations are kept with their authors and times. A rollback to one of them is applied unless the
+// record has changed since the rollback was prepared.
 func TestHistory(t *testing.T) {
 	s := New(smallLimits())
 	for i := range 5 {
@@ -20,10 +20,10 @@
 	}
 	history := s.History("c")
 	if len(history) != 3 || history[0].Author != "op2" || history[2].ProposedAt != 4 || history[2].Schema != 4 {
-		t.Fatalf("%+v", history)
+		t.Fatalf("history %+v, want the last 3 changes", history)
 	}
 	if other := s.History("s"); len(other) != 0 {
-		t.Fatalf("a record that is no configuration has the history %+v", other)
+		t.Fatalf("a record that is not a configuration has the history %+v, want none", other)
 	}
 	rollback, err := s.Rollback("c", history[0].ModRevision)
 	if err != nil {
@@ -35,18 +35,18 @@
 	}
 	mustApply(t, s, rollback)
 	if restored, _ := s.Get("c"); restored.Value[0] != 2 || restored.Schema != 2 || restored.Kind != KindConfig {
-		t.Fatalf("%+v", restored)
+		t.Fatalf("restored %+v, want value and schema 2", restored)
 	}
 	if result := s.Apply(tooLate); result.Reason != ReasonConflict {
-		t.Fatalf("%+v", result)
+		t.Fatalf("second rollback: %+v, want a conflict", result)
 	}
 	mustApply(t, s, Change{Ops: []Op{{Key: "c", Delete: true}}})
 	if history := s.History("c"); !history[len(history)-1].Deleted {
-		t.Fatalf("%+v", history)
+		t.Fatalf("history %+v, want a deletion as its last entry", history)
 	}
 }
 
-// A history that does not hold a revision is told from one that does.
+// A rollback to a revision that is not in the history returns ErrNoSuchRevision.
 func TestRollbackToUnknownRevision(t *testing.T) {
 	s := New(smallLimits())
 	for range 4 {
@@ -59,13 +59,13 @@
 		want     error
 	}{
 		{"dropped", "c", 1, ErrNoSuchRevision},
-		{"never made", "c", 9, ErrNoSuchRevision},
+		{"not reached yet", "c", 9, ErrNoSuchRevision},
 		{"unknown key", "d", 2, ErrNoSuchRevision},
 		{"kept", "c", 2, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := s.Rollback(test.key, test.revision); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/internal/store/fsm/limits.go
+++ b/internal/store/fsm/limits.go
@@ -1,18 +1,19 @@
 package fsm
 
-// Limits bound a State. All members must have the same ones, or they would disagree on which changes are rejected.
+// Limits bounds the size of a State. All members must use the same limits, because otherwise they would disagree on
+// which changes are rejected.
 type Limits struct {
-	KeyBytes      int // of a key; of a kind, an id and an author too
-	ValueBytes    int // of a value
-	Ops           int // in one change
+	KeyBytes      int // maximum length of a key, a kind, an id or an author
+	ValueBytes    int // maximum length of a value
+	Ops           int // operations in one change
 	Records       int
-	TotalBytes    int // of all keys and values
+	TotalBytes    int // total length of all keys and values
 	HistoryLength int // configurations kept for each key
-	RememberedIDs int // changes that are recognized by their ids
-	Events        int // that a watch may be behind
+	RememberedIDs int // change ids kept, with their results, to recognize duplicates
+	Events        int // events kept for watches
 }
 
-// DefaultLimits returns the limits of a member.
+// DefaultLimits returns the limits that all members use.
 func DefaultLimits() Limits {
 	return Limits{
 		KeyBytes:      256,
--- a/internal/store/fsm/snapshot.go
+++ b/internal/store/fsm/snapshot.go
@@ -10,8 +10,9 @@
 	"github.com/zeebo/blake3"
 )
 
-// A snapshot is a line that names its version, the length of the body as 8 bytes, the BLAKE3 sum of the body, and the
-// body: the state as JSON. A snapshot of the first version of the program is a bare JSON object of keys and values.
+// A snapshot consists of a line with the version of its format, the length of the body as 8 bytes, the BLAKE3 checksum
+// of the body, and the body, which is the state as JSON. A snapshot of the first version of the program is only a JSON
+// object of keys and values.
 const (
 	snapshotMagic       = "limeladder state 2\n"
 	snapshotLengthBytes = 8
@@ -19,11 +20,11 @@
 	snapshotHeaderBytes = len(snapshotMagic) + snapshotLengthBytes + snapshotSumBytes
 )
 
-// ErrSnapshotDamaged says that a snapshot is not what was written. Nothing of it is used.
+// ErrSnapshotDamaged is returned for a snapshot that differs from what was written. Nothing of it is used.
 var ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 
-// image is the body of a snapshot.
-type image struct {
+// snapshotContent is the body of a snapshot.
+type snapshotContent struct {
 	Revision   uint64
 	Compacted  uint64 `json:"Cut"`
 	Records    []*Record
@@ -32,9 +33,9 @@
 	Events     []Event
 }
 
-// Snapshot encodes the state. The same state gives the same bytes.
+// Snapshot encodes the state. Equal states are encoded as equal bytes.
 func (s *State) Snapshot() ([]byte, error) {
-	img := image{
+	content := snapshotContent{
 		Revision:   s.revision,
 		Compacted:  s.compacted,
 		History:    s.history,
@@ -42,9 +43,9 @@
 		Events:     s.events,
 	}
 	for _, key := range sortedKeys(s.records) {
-		img.Records = append(img.Records, s.records[key])
+		content.Records = append(content.Records, s.records[key])
 	}
-	body, err := json.Marshal(img)
+	body, err := json.Marshal(content)
 	if err != nil {
 		return nil, err
 	}
@@ -63,47 +64,48 @@
 	if err != nil {
 		return nil, err
 	}
-	var img image
-	if err := json.Unmarshal(body, &img); err != nil {
+	var content snapshotContent
+	if err := json.Unmarshal(body, &content); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshotDamaged, err)
 	}
 	s := New(limits)
-	s.revision = img.Revision
-	s.compacted = img.Compacted
-	s.events = img.Events
-	for _, record := range img.Records {
+	s.revision = content.Revision
+	s.compacted = content.Compacted
+	s.events = content.Events
+	for _, record := range content.Records {
 		if record == nil || s.records[record.Key] != nil {
-			return nil, fmt.Errorf("%w: a key twice", ErrSnapshotDamaged)
+			return nil, fmt.Errorf("%w: null record or duplicate key", ErrSnapshotDamaged)
 		}
 		s.records[record.Key] = record
 		s.bytes += size(record.Key, record.Value)
 	}
-	if img.History != nil {
-		s.history = img.History
+	if content.History != nil {
+		s.history = content.History
 	}
-	for _, remembered := range img.Remembered {
+	for _, remembered := range content.Remembered {
 		s.remember(remembered.ID, remembered.Result)
 	}
 	return s, nil
 }
 
-// snapshotBody checks the header of a snapshot and returns what stands behind it.
+// snapshotBody verifies the length and the checksum in the header of a snapshot and returns the body.
 func snapshotBody(snapshot []byte) ([]byte, error) {
 	if len(snapshot) < snapshotHeaderBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrSnapshotDamaged, len(snapshot))
+		return nil, fmt.Errorf("%w: %d bytes are too short for the header", ErrSnapshotDamaged, len(snapshot))
 	}
 	header := snapshot[len(snapshotMagic):snapshotHeaderBytes]
 	body := snapshot[snapshotHeaderBytes:]
 	if length := binary.BigEndian.Uint64(header); length != uint64(len(body)) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrSnapshotDamaged, len(body), length)
+		return nil, fmt.Errorf("%w: body has %d bytes, want %d", ErrSnapshotDamaged, len(body), length)
 	}
 	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], header[snapshotLengthBytes:]) {
-		return nil, fmt.Errorf("%w: its sum is another", ErrSnapshotDamaged)
+		return nil, fmt.Errorf("%w: body does not match its checksum", ErrSnapshotDamaged)
 	}
 	return body, nil
 }
 
-// restoreFirstVersion decodes a snapshot of the first version: its records have no kind, and all the first revision.
+// restoreFirstVersion decodes a snapshot of the first version. Its records have no kind and no revision; all of them
+// are given the first revision.
 func restoreFirstVersion(snapshot []byte, limits Limits) (*State, error) {
 	values := map[string][]byte{}
 	if err := json.Unmarshal(snapshot, &values); err != nil {
--- a/internal/store/fsm/state.go
+++ b/internal/store/fsm/state.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// State is the content of the store. It takes no lock; its owner does.
+// State is the replicated content of the store. It is not safe for concurrent use: its owner has to lock it.
 type State struct {
 	limits     Limits
 	revision   uint64
 	records    map[string]*Record
-	bytes      int                       // of all keys and values
+	bytes      int                       // total length of all keys and values
 	history    map[string][]HistoryEntry // by key, oldest first
 	remembered []rememberedResult        // oldest first
-	resultByID map[string]Result         // the same as a map
+	resultByID map[string]Result         // the results in remembered, by change id
 	events     []Event                   // oldest first
-	compacted  uint64                    // the events up to this revision are dropped
+	compacted  uint64                    // revision up to which events were dropped
 }
 
-// rememberedResult is the result of a change with an id. Snapshots hold it in this form.
+// rememberedResult is the result of a change with an id, in the form that snapshots contain.
 type rememberedResult struct {
 	ID     string
 	Result Result
@@ -42,10 +42,10 @@
 // Len returns the number of records.
 func (s *State) Len() int { return len(s.records) }
 
-// Bytes returns the size of all keys and values.
+// Bytes returns the total length of all keys and values.
 func (s *State) Bytes() int { return s.bytes }
 
-// Get returns a record. Its value must not be changed.
+// Get returns a record. The caller must not modify its value.
 func (s *State) Get(key string) (Record, bool) {
 	if record := s.records[key]; record != nil {
 		return *record, true
@@ -53,7 +53,7 @@
 	return Record{}, false
 }
 
-// Range returns the records whose keys begin with prefix, in the order of their keys.
+// Range returns the records whose keys begin with prefix, sorted by key.
 func (s *State) Range(prefix string) []Record {
 	var found []Record
 	for key, record := range s.records {
@@ -65,7 +65,7 @@
 	return found
 }
 
-// Apply applies a change, or rejects it and leaves the records as they are.
+// Apply applies a change, or rejects it without changing any record.
 func (s *State) Apply(change Change) Result {
 	if change.ID != "" {
 		if earlier, ok := s.resultByID[change.ID]; ok {
@@ -81,12 +81,12 @@
 			s.applyOp(change, op)
 		}
 	}
-	// A rejection is remembered too: a proposer that did not hear of it must not get another answer the second time.
+	// A rejection is remembered too: if its response was lost, the proposer must get the same result when it retries.
 	s.remember(change.ID, result)
 	return result
 }
 
-// check returns the rejection of a change, or an empty result if it can be applied.
+// check returns the rejection of a change, or a zero Result if it can be applied.
 func (s *State) check(change Change) Result {
 	if len(change.Ops) == 0 {
 		return Result{Reason: ReasonInvalid}
@@ -110,12 +110,13 @@
 	return Result{}
 }
 
-// exceededBy says whether a change is too large in anything but its operations.
+// exceededBy reports whether a change has too many operations, or an id or author that is too long.
 func (l Limits) exceededBy(change Change) bool {
 	return len(change.Ops) > l.Ops || len(change.ID) > l.KeyBytes || len(change.Author) > l.KeyBytes
 }
 
-// checkOp returns the reason to reject a change for one of its operations, or an empty one.
+// checkOp returns the reason to reject a change because of an operation, or "" if there is none. repeated is true if an
+// earlier operation of the change has the same key. current is the record's current revision.
 func (s *State) checkOp(op Op, repeated bool, current uint64) Reason {
 	deletesWithValue := op.Delete && len(op.Value) > 0
 	conflicts := op.IfRevision != nil && *op.IfRevision != current
@@ -130,12 +131,12 @@
 	return ""
 }
 
-// exceededByOp says whether a part of an operation is too long.
+// exceededByOp reports whether the key, the kind or the value of an operation is too long.
 func (l Limits) exceededByOp(op Op) bool {
 	return len(op.Key) > l.KeyBytes || len(op.Kind) > l.KeyBytes || len(op.Value) > l.ValueBytes
 }
 
-// currentRevision returns the revision of a record, or 0 if there is none.
+// currentRevision returns the revision of a record, or 0 if it does not exist.
 func (s *State) currentRevision(key string) uint64 {
 	if record := s.records[key]; record != nil {
 		return record.ModRevision
@@ -143,7 +144,7 @@
 	return 0
 }
 
-// usage is what records take of the limits.
+// usage is the part of the limits that records use.
 type usage struct {
 	records int
 	bytes   int
@@ -151,7 +152,7 @@
 
 func (s *State) usage() usage { return usage{records: len(s.records), bytes: s.bytes} }
 
-// with returns the usage after an operation on a record, which is nil if there is none.
+// with returns the usage after an operation on a record. record is nil if it does not exist yet.
 func (u usage) with(op Op, record *Record) usage {
 	if record != nil {
 		u.records--
@@ -164,8 +165,8 @@
 	return u
 }
 
-// hasCapacity says whether the limits allow that usage. A change that frees capacity is allowed however full the state
-// is: there would be no way back otherwise for a member whose limits were lowered.
+// hasCapacity reports whether the limits allow the usage after a change. A change that frees capacity is always
+// allowed, because otherwise a member whose limits were lowered could never get below them.
 func (s *State) hasCapacity(after usage) bool {
 	tooManyRecords := after.records > s.limits.Records && after.records > len(s.records)
 	tooManyBytes := after.bytes > s.limits.TotalBytes && after.bytes > s.bytes
@@ -174,7 +175,7 @@
 
 func size(key string, value []byte) int { return len(key) + len(value) }
 
-// applyOp carries out one operation of a change that was checked.
+// applyOp applies one operation of a change that check has accepted.
 func (s *State) applyOp(change Change, op Op) {
 	current := s.records[op.Key]
 	if op.Delete && current == nil {
@@ -209,7 +210,7 @@
 	s.appendEvent(Event{Revision: s.revision, Key: op.Key, Deleted: op.Delete})
 }
 
-// remember keeps the result of a change with an id, and forgets the oldest one beyond the limit.
+// remember keeps the result of a change with an id, and drops the oldest one beyond the limit.
 func (s *State) remember(id string, result Result) {
 	if id == "" {
 		return
@@ -222,5 +223,5 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in the order that all members use.
+// sortedKeys returns the keys of a map in an order that is the same on all members.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/store/fsm/state_test.go
+++ b/internal/store/fsm/state_test.go
@@ -18,10 +18,10 @@
 
 func revision(n uint64) *uint64 { return &n }
 
-// set returns the operation that gives a record a value, whatever it has.
+// set returns an operation that sets a record unconditionally.
 func set(key, value string) Op { return Op{Key: key, Value: []byte(value)} }
 
-// setIf returns the same, provided that the record has a revision.
+// setIf returns an operation that sets a record if its revision is n.
 func setIf(key, value string, n uint64) Op {
 	return Op{Key: key, Value: []byte(value), IfRevision: revision(n)}
 }
@@ -30,7 +30,7 @@
 	t.Helper()
 	result := s.Apply(change)
 	if !result.Applied() {
-		t.Fatalf("%+v is rejected: %+v", change, result)
+		t.Fatalf("change %+v rejected: %+v", change, result)
 	}
 	return result
 }
@@ -42,34 +42,34 @@
 	}
 }
 
-// A change is applied completely or not at all, and only if nothing has changed meanwhile.
+// A change is applied completely or not at all, and only if its records have the required revisions.
 func TestCompareAndSet(t *testing.T) {
 	s := New(DefaultLimits())
 	first := s.Apply(Change{Ops: []Op{setIf("a", "1", 0), set("b", "2")}})
 	if first.Revision != 1 || first.Err() != nil {
-		t.Fatalf("%+v", first)
+		t.Fatalf("got %+v, want revision 1", first)
 	}
 	conflict := s.Apply(Change{Ops: []Op{set("b", "3"), setIf("a", "3", 0)}})
 	if conflict != (Result{Reason: ReasonConflict, Key: "a", CurrentRevision: 1}) || conflict.Err() == nil {
-		t.Fatalf("%+v", conflict)
+		t.Fatalf("got %+v, want a conflict on a at revision 1", conflict)
 	}
 	checkValue(t, s, "b", "2")
 	if s.Revision() != 1 {
-		t.Fatalf("a rejected change has made revision %d", s.Revision())
+		t.Fatalf("revision %d after a rejected change, want 1", s.Revision())
 	}
 	deleted := s.Apply(Change{Ops: []Op{{Key: "a", Delete: true, IfRevision: revision(1)}, {Key: "c", Delete: true}}})
 	if deleted.Revision != 2 || s.Len() != 1 {
-		t.Fatalf("%+v, %d records", deleted, s.Len())
+		t.Fatalf("got %+v and %d records, want revision 2 and 1 record", deleted, s.Len())
 	}
 	if events, err := s.EventsSince(1); err != nil || !slices.Equal(events, []Event{{2, "a", true}}) {
-		t.Fatalf("%+v %v", events, err)
+		t.Fatalf("got events %+v and error %v, want only the deletion of a", events, err)
 	}
 	if records := s.Range("b"); len(records) != 1 || records[0].CreateRevision != 1 {
-		t.Fatalf("%+v", records)
+		t.Fatalf("got %+v, want one record that was created at revision 1", records)
 	}
 }
 
-// A change that is proposed again because its answer was lost is applied once.
+// A change that is proposed again because its response was lost is applied only once.
 func TestDuplicateChange(t *testing.T) {
 	s := New(smallLimits())
 	change := Change{ID: "x", Ops: []Op{set("a", "1")}}
@@ -77,14 +77,14 @@
 	s.Apply(Change{Ops: []Op{set("a", "2")}})
 	again := s.Apply(change)
 	if !again.Duplicate || again.Revision != first.Revision || s.Revision() != 2 {
-		t.Fatalf("%+v, then %+v", first, again)
+		t.Fatalf("first %+v, then %+v, want a duplicate of the first result", first, again)
 	}
 	checkValue(t, s, "a", "2")
 	for i := range 4 {
 		s.Apply(Change{ID: fmt.Sprint(i), Ops: []Op{{Key: "a"}}})
 	}
 	if len(s.resultByID) != 4 || s.Apply(change).Duplicate {
-		t.Error("ids are remembered without end")
+		t.Error("more than the latest 4 change ids are remembered")
 	}
 }
 
@@ -97,7 +97,7 @@
 	}{
 		{"no operation", Change{}, ReasonInvalid},
 		{"no key", Change{Ops: []Op{{}}}, ReasonInvalid},
-		{"a key twice", Change{Ops: []Op{{Key: "a"}, {Key: "a"}}}, ReasonInvalid},
+		{"repeated key", Change{Ops: []Op{{Key: "a"}, {Key: "a"}}}, ReasonInvalid},
 		{"deletion with a value", Change{Ops: []Op{{Key: "a", Delete: true, Value: []byte("x")}}}, ReasonInvalid},
 		{"long key", Change{Ops: []Op{{Key: strings.Repeat("k", 9)}}}, ReasonLimitExceeded},
 		{"long value", Change{Ops: []Op{{Key: "a", Value: make([]byte, 17)}}}, ReasonLimitExceeded},
@@ -106,13 +106,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if result := s.Apply(test.change); result.Reason != test.reason || s.Len() != 0 {
-				t.Errorf("%+v, %d records", result, s.Len())
+				t.Errorf("got %+v and %d records, want a rejection and no record", result, s.Len())
 			}
 		})
 	}
 }
 
-// Beyond a limit nothing is added, but what frees capacity is applied.
+// Beyond a limit no record is added, but changes that free capacity are applied.
 func TestLimits(t *testing.T) {
 	s := New(smallLimits())
 	for i := range 3 {
@@ -120,17 +120,17 @@
 	}
 	result := s.Apply(Change{Ops: []Op{{Key: "3", Value: make([]byte, 16)}}})
 	if result.Reason != ReasonLimitExceeded || s.Bytes() != 51 {
-		t.Errorf("%+v, %d bytes", result, s.Bytes())
+		t.Errorf("got %+v and %d bytes, want a rejection and 51 bytes", result, s.Bytes())
 	}
-	// A member whose limits were lowered holds more than they allow.
+	// A member whose limits were lowered contains more than they allow.
 	s.limits.Records = 1
 	s.limits.TotalBytes = 10
 	if result := s.Apply(Change{Ops: []Op{{Key: "0", Delete: true}}}); !result.Applied() || s.Len() != 2 {
-		t.Errorf("%+v, %d records", result, s.Len())
+		t.Errorf("got %+v and %d records, want the deletion applied and 2 records", result, s.Len())
 	}
 }
 
-// drawChange returns any change, valid or not.
+// drawChange draws a change that may be valid or not.
 func drawChange(t *rapid.T, revisions uint64) Change {
 	change := Change{ID: rapid.SampledFrom([]string{"", "", "i", "j", "k", "l", "m"}).Draw(t, "id")}
 	for range rapid.IntRange(0, 4).Draw(t, "ops") {
@@ -164,14 +164,14 @@
 	return decoded
 }
 
-// checkRevision checks that exactly a change that was applied just now has made one revision.
+// checkRevision checks that the revision has grown by 1 if the change was applied just now, and not otherwise.
 func checkRevision(t *rapid.T, result Result, before, after uint64) {
 	want := before
 	if result.Applied() && !result.Duplicate {
 		want++
 	}
 	if after != want {
-		t.Fatalf("%+v from %d to %d", result, before, after)
+		t.Fatalf("result %+v at revision %d, then revision %d", result, before, after)
 	}
 }
 
@@ -181,7 +181,7 @@
 		counted += size(record.Key, record.Value)
 	}
 	if counted != s.Bytes() || s.Len() > 4 || counted > 60 {
-		t.Fatalf("%d records, %d bytes, counted %d", s.Len(), s.Bytes(), counted)
+		t.Fatalf("%d records with %d bytes, counted %d, want at most 4 records and 60 bytes", s.Len(), s.Bytes(), counted)
 	}
 }
 
@@ -197,9 +197,9 @@
 	return restored
 }
 
-// Whatever changes come, in whatever order: a member that restarts from a snapshot ends in the same bytes as one that
-// has applied all of them, the usage is counted correctly, and revisions only grow.
-func TestMembersEndInTheSameState(t *testing.T) {
+// After any sequence of changes, a member that was restarted from snapshots has the same encoded state as one that has
+// applied all changes without a restart. The usage is counted correctly, and revisions never decrease.
+func TestMembersReachSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New(smallLimits())
 		b := New(smallLimits())
@@ -210,7 +210,7 @@
 			resultA := a.Apply(change)
 			resultB := b.Apply(decoded)
 			if resultA != resultB {
-				t.Fatalf("%+v and %+v", resultA, resultB)
+				t.Fatalf("results differ: %+v and %+v", resultA, resultB)
 			}
 			checkRevision(t, resultA, before, a.Revision())
 			checkUsage(t, a)
@@ -221,7 +221,7 @@
 		snapshotA, errA := a.Snapshot()
 		snapshotB, errB := b.Snapshot()
 		if errA != nil || errB != nil || !bytes.Equal(snapshotA, snapshotB) {
-			t.Fatalf("%q %v\n%q %v", snapshotA, errA, snapshotB, errB)
+			t.Fatalf("snapshots differ:\n%q, error %v\n%q, error %v", snapshotA, errA, snapshotB, errB)
 		}
 	})
 }
