--- a/internal/hotrestart/bounded_file.go
+++ b/internal/hotrestart/bounded_file.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// The most that the files of the folder may hold, in bytes. Anybody who may write to the folder can put larger ones
+// Limits on the files of the folder that are read. Anyone with write access to the folder can put larger or more files
 // there, and a router has little memory.
 const (
-	maxSuspendedFileBytes  = 16 << 10 // one id, which an operator's call has brought
+	maxSuspendedFileBytes  = 16 << 10 // the id of one endpoint, from an operator's call
 	maxKnownEndpointsBytes = 2 << 20
-	maxEndpointListBytes   = 2 << 20 // discovery's own lists have at most half of that
+	maxEndpointListBytes   = 2 << 20 // lists from discovery are at most half as long
 	maxSuspendedFiles      = 10_000
 )
 
-// UnusableFileError says that a file of the folder is passed over.
+// UnusableFileError reports that a file of the folder is skipped, and why.
 type UnusableFileError struct {
 	File   string
 	Reason string
@@ -25,14 +25,14 @@
 // Error implements error.
 func (e *UnusableFileError) Error() string { return e.File + ": " + e.Reason }
 
-// readBounded reads a file of at most so many bytes. A longer one, and what is no file, is an *UnusableFileError:
-// nothing of it is read, and a named pipe without a writer is not waited for.
+// readBounded reads a file of at most maxBytes bytes. If the file is longer or is not a regular file, it returns an
+// *UnusableFileError and no content. It does not block on a named pipe without a writer.
 func readBounded(path string, maxBytes int64) ([]byte, error) {
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	info, err := file.Stat()
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(content)) > maxBytes { // it has grown meanwhile
+	if int64(len(content)) > maxBytes { // the file has grown since Stat
 		return nil, tooLong
 	}
 	return content, nil
--- a/internal/hotrestart/bounded_file_test.go
+++ b/internal/hotrestart/bounded_file_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// Guards against files that take memory without bound, or that are waited for without end.
+// Guards against files that take unbounded memory, and against named pipes that block the reader forever.
 func TestReadBounded(t *testing.T) {
 	const limit = 1000
 	folder := t.TempDir()
@@ -45,7 +45,7 @@
 			content, err := readBounded(test.path, limit)
 			var unusable *UnusableFileError
 			if errors.As(err, &unusable) != test.unusable || errors.Is(err, fs.ErrNotExist) != test.none {
-				t.Errorf("%v", err)
+				t.Errorf("got error %v", err)
 			}
 			if len(content) != test.size {
 				t.Errorf("%d bytes, want %d", len(content), test.size)
@@ -54,8 +54,8 @@
 	}
 }
 
-// A file that can't be used is passed over, the others are read, and the log says so once.
-func TestUnusableFilesArePassedOver(t *testing.T) {
+// An unusable file is skipped and logged once, and the other files are read.
+func TestUnusableFilesAreSkipped(t *testing.T) {
 	root := t.TempDir()
 	f, err := createFolder(root, testAddress)
 	if err != nil {
@@ -79,26 +79,26 @@
 		now := f.read(before, 10)
 		suspended := now.Suspended["s1"] && !now.Suspended["s2"]
 		if !suspended || !slices.Equal(now.KnownEndpoints, before.KnownEndpoints) || string(now.EndpointList) != "{}" {
-			t.Fatalf("%+v", now)
+			t.Fatalf("got %+v, want only s1 suspended and the rest as before", now)
 		}
 	}
 	if got := strings.Count(logged.String(), "shared state not read"); got != 3 {
-		t.Errorf("%d lines, want one for each of 3 files:\n%s", got, &logged)
+		t.Errorf("%d lines logged, want one for each of 3 files:\n%s", got, &logged)
 	}
 }
 
-// What is written can be read again, however long the ids are.
-func TestKnownEndpointsAreWrittenWithinTheBound(t *testing.T) {
+// The file of known endpoints never exceeds the size that can be read again, even with long ids.
+func TestKnownEndpointsFileStaysWithinLimit(t *testing.T) {
 	var ids []string
 	for i := range 300 {
 		ids = append(ids, strings.Repeat(string(rune('a'+i%26)), 10_000+i))
 	}
 	content, err := encodeKnownEndpoints(ids)
 	if err != nil || len(content) > maxKnownEndpointsBytes {
-		t.Fatalf("%d bytes, %v", len(content), err)
+		t.Fatalf("encoded %d bytes with error %v, want at most 2 MiB", len(content), err)
 	}
 	var kept []string
 	if err := json.Unmarshal(content, &kept); err != nil || len(kept) == 0 || kept[len(kept)-1] != ids[len(ids)-1] {
-		t.Errorf("%d ids, %v", len(kept), err)
+		t.Errorf("kept %d ids, error %v, want at least the last id", len(kept), err)
 	}
 }
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,9 +1,9 @@
-// Package hotrestart shares state between the process of a router and the one that replaces it, while both serve: which
-// endpoints operators have suspended, whether the router is drained, which endpoints were ever listed, the endpoint
-// list as discovery sent it last, and whether the other process still runs.
+// Package hotrestart shares state between a router's process and the process that replaces it, while both serve: which
+// endpoints operators have suspended, whether the router is drained, which endpoints discovery has ever listed, the
+// latest endpoint list from discovery, and whether the other process still runs.
 //
-// SharedState owns a folder of the router's own under $TMPDIR, and locks in it that the system releases when a process
-// ends, however it does. One goroutine of its own does all file access after Open; the methods only queue work for it,
-// and what the other process has changed is passed to a Listener on a goroutine that the caller chooses. The package
-// never fails a process for what another one has left in the folder: files that can't be read are passed over.
+// SharedState owns a folder below $TMPDIR, one for each listen address, and file locks in it, which the operating
+// system releases when a process ends in any way. After Open, one goroutine does all file access: the methods only
+// queue jobs for it. Changes by the other process are passed to a Listener on a goroutine that the caller chooses. What
+// another process has left in the folder never causes an error: files that can't be used are skipped.
 package hotrestart
--- a/internal/hotrestart/folder.go
+++ b/internal/hotrestart/folder.go
@@ -13,33 +13,33 @@
 	"path/filepath"
 )
 
-// The files of the folder. A process of another version of the program uses the same folder, so names and contents
-// stay.
+// Files of the folder. During an upgrade, processes of two versions of the program use the same folder, so the names
+// and formats of the files must not change.
 const (
-	suspendedFolder    = "suspended" // a file for each suspended endpoint
-	drainedFile        = "drained"   // is there while the router is drained
+	suspendedFolder    = "suspended" // contains a file for each suspended endpoint
+	drainedFile        = "drained"   // exists while the router is drained
 	knownEndpointsFile = "listed"    // ids as a JSON array
 	endpointListFile   = "list"
 	servingLockFile    = "serves"
 	successorLockFile  = "next"
 	editLockFile       = "edit"
-	temporaryPattern   = "part.*" // files that are not renamed into place yet
+	temporaryPattern   = "part.*" // files that were not renamed into place yet
 )
 
-// folder reads and writes the files. One goroutine uses it at a time.
+// folder reads and writes the files of the shared folder. It is not safe for concurrent use.
 type folder struct {
 	path               string
 	log                *slog.Logger
 	reported           map[string]bool // files that were logged as unusable
-	knownEndpointsInfo fs.FileInfo     // of the file that was read last; nil if none was
-	endpointListInfo   fs.FileInfo
+	knownEndpointsInfo fs.FileInfo     // version of the file that was read last; nil if none was
+	endpointListInfo   fs.FileInfo     // likewise
 }
 
 func folderPath(root, listen string) string {
 	return filepath.Join(root, "limeladder-"+url.PathEscape(listen))
 }
 
-// createFolder makes the folder of the router that listens at the given address.
+// createFolder creates the folder of the router that listens at the given address, unless it exists.
 func createFolder(root, listen string) (*folder, error) {
 	path := folderPath(root, listen)
 	if err := os.MkdirAll(filepath.Join(path, suspendedFolder), 0o700); err != nil {
@@ -48,7 +48,7 @@
 	return &folder{path: path, log: slog.New(slog.DiscardHandler), reported: map[string]bool{}}, nil
 }
 
-// readFile reads a file of the folder. One that can't be used is logged once.
+// readFile reads a file of the folder. It logs an unusable file once.
 func (f *folder) readFile(name string, maxBytes int64) ([]byte, error) {
 	content, err := readBounded(f.file(name), maxBytes)
 	var unusable *UnusableFileError
@@ -61,7 +61,8 @@
 
 func (f *folder) file(name string) string { return filepath.Join(f.path, name) }
 
-// read returns what the folder says now, given what it said before. Files that are stale or broken are passed over.
+// read returns the state in the folder, given the state that was read before. Files that have not changed are not read
+// again, and files that can't be read are skipped.
 func (f *folder) read(before State, maxKnown int) State {
 	suspended, ok := f.readSuspended()
 	if !ok {
@@ -84,7 +85,7 @@
 	return now
 }
 
-// readSuspended returns the ids of the suspended endpoints, and whether their folder can be read.
+// readSuspended returns the ids of the suspended endpoints, and whether the folder with their files could be read.
 func (f *folder) readSuspended() (ids map[string]bool, ok bool) {
 	entries, err := f.suspendedFiles()
 	if err != nil {
@@ -110,9 +111,9 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = directory.Close() }() // it was only read
+	defer func() { _ = directory.Close() }() // opened only for reading
 	entries, err := directory.ReadDir(maxSuspendedFiles)
-	if errors.Is(err, io.EOF) { // there is none
+	if errors.Is(err, io.EOF) { // the folder is empty
 		return nil, nil
 	}
 	return entries, err
@@ -135,8 +136,8 @@
 	return ids
 }
 
-// encodeKnownEndpoints encodes ids for the file of the known endpoints. The oldest are left out where there are more
-// than can be read again.
+// encodeKnownEndpoints encodes ids for the file of known endpoints. It omits the oldest ids if the file would be too
+// long to be read again.
 func encodeKnownEndpoints(ids []string) ([]byte, error) {
 	for {
 		content, err := json.Marshal(ids)
@@ -147,7 +148,7 @@
 	}
 }
 
-// changed says whether a file is another one than when it was last asked.
+// changed reports whether a file exists and differs from the version in last. If so, it updates last.
 func (f *folder) changed(name string, last *fs.FileInfo) bool {
 	info, err := os.Stat(f.file(name))
 	if err != nil {
@@ -160,20 +161,20 @@
 	return true
 }
 
-// isSameVersion compares more than the times: they would hide the second of two changes within one tick of the clock of
-// the file system.
+// isSameVersion reports whether two infos describe the same version of a file. The modification times alone would hide
+// the second of two changes within one tick of the file system's clock.
 func isSameVersion(a, b fs.FileInfo) bool {
 	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
 
-// suspendedFileName returns the name of the file of an endpoint. The id itself, which may hold anything, is its
-// content.
+// suspendedFileName returns the name of the file for a suspended endpoint. The id may contain characters that are not
+// allowed in a file name, so the name is a hash of it and the content is the id.
 func suspendedFileName(id string) string {
 	sum := sha256.Sum256([]byte(id))
 	return hex.EncodeToString(sum[:])
 }
 
-// write renames a complete file into place: the other process never reads half of it.
+// write writes a temporary file and renames it into place, so that the other process never reads a partial file.
 func (f *folder) write(name string, content []byte) error {
 	temporary, err := os.CreateTemp(f.path, temporaryPattern)
 	if err != nil {
@@ -187,7 +188,7 @@
 	return os.Rename(temporary.Name(), f.file(name))
 }
 
-// remove removes a file if it is there.
+// remove removes a file if it exists.
 func (f *folder) remove(name string) error {
 	err := os.Remove(f.file(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -196,18 +197,19 @@
 	return err
 }
 
-// removeTemporaryFiles removes what a process left that was killed while it wrote.
+// removeTemporaryFiles removes temporary files of processes that were killed during a write.
 func (f *folder) removeTemporaryFiles() {
 	paths, err := filepath.Glob(f.file(temporaryPattern))
 	if err != nil {
 		return
 	}
 	for _, path := range paths {
-		_ = os.Remove(path) // it takes a little room; the next start tries again
+		_ = os.Remove(path) // the file is small, and the next start retries
 	}
 }
 
-// union adds to ids those of more that are new, and drops the oldest beyond a limit.
+// union returns ids followed by those of more that are not among them, without duplicates. Beyond the limit it drops
+// the oldest ones, which come first.
 func union(ids, more []string, limit int) []string {
 	seen := map[string]bool{}
 	all := make([]string, 0, len(ids)+len(more))
--- a/internal/hotrestart/folder_test.go
+++ b/internal/hotrestart/folder_test.go
@@ -17,18 +17,18 @@
 		{"empty", nil, nil, 3, nil},
 		{"new ids come last", []string{"a"}, []string{"b", "c"}, 3, []string{"a", "b", "c"}},
 		{"known ids keep their place", []string{"a", "b"}, []string{"a", "c"}, 3, []string{"a", "b", "c"}},
-		{"an id twice", []string{"a", "a"}, []string{"b", "b"}, 3, []string{"a", "b"}},
+		{"repeated ids", []string{"a", "a"}, []string{"b", "b"}, 3, []string{"a", "b"}},
 		{"the oldest are dropped", []string{"a", "b"}, []string{"c", "d"}, 3, []string{"b", "c", "d"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := union(test.ids, test.more, test.limit); !slices.Equal(got, test.want) {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// A file is read again when it was replaced, and not otherwise.
+// A file counts as changed only after it was written again.
 func TestFolderChanged(t *testing.T) {
 	f, err := createFolder(t.TempDir(), testAddress)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	checkChanged("removed", false)
 	if err := f.remove(endpointListFile); err != nil {
-		t.Errorf("removing a file that is not there: %v", err)
+		t.Errorf("removing a file that does not exist: %v", err)
 	}
 }
 
@@ -68,6 +68,6 @@
 	}
 	f.removeTemporaryFiles()
 	if _, err := os.Stat(leftOver); !os.IsNotExist(err) {
-		t.Errorf("%s is still there: %v", leftOver, err)
+		t.Errorf("%s still exists, stat returns %v", leftOver, err)
 	}
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -16,37 +16,37 @@
 	"limeladder/internal/hotrestart"
 )
 
-// The golden folder testdata/shared was written by the program at commit 4e3d53a. During an upgrade in place a process
-// of that version and its successor use one folder together, so names and contents of its files have to stay.
+// The golden folder testdata/shared was written by the program at commit 4e3d53a. During an in-place upgrade a process
+// of that version shares a folder with its successor, so the names and formats of its files must not change.
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 // goldenFolder is the shared folder under testdata.
 const goldenFolder = "testdata/shared"
 
-// goldenListed bounds the ids of endpoints that are kept.
-const goldenListed = 3
+// goldenMaxKnown is the maximum number of known endpoints.
+const goldenMaxKnown = 3
 
-// goldenList is a whole list of endpoints, as the program passes it on.
-const goldenList = `{"version":41,"full":true,"servers":[{"id":"endpoint-1","addr":"127.0.0.1:6001","zone":"site-a",` +
+// sharedList is a complete endpoint list in the form in which the program shares it.
+const sharedList = `{"version":41,"full":true,"servers":[{"id":"endpoint-1","addr":"127.0.0.1:6001","zone":"site-a",` +
 	`"cell":3,"state":"draining","weight":1.5,"started_ms":1800000000000,"mode":"read-write"}]}`
 
-// listens are addresses and the names of the folders that belong to them.
-var listens = map[string]string{
+// folderNames maps listen addresses to the names of their folders.
+var folderNames = map[string]string{
 	"127.0.0.1:6432":  "limeladder-127.0.0.1:6432",
 	"[::1]:6432":      "limeladder-%5B::1%5D:6432",
 	"/run/site-a/sql": "limeladder-%2Frun%2Fsite-a%2Fsql",
 }
 
-// start opens a folder as a process does that never looks at it by itself.
+// start opens a folder as a process does, with a poll interval that the test does not reach.
 func start(t *testing.T, root, listen string) (*hotrestart.SharedState, hotrestart.State) {
 	t.Helper()
-	shared, state := hotrestart.Open(root, listen, goldenListed, slog.New(slog.DiscardHandler))
+	shared, state := hotrestart.Open(root, listen, goldenMaxKnown, slog.New(slog.DiscardHandler))
 	shared.Watch(time.Hour, func(f func()) { f() }, nil)
 	return shared, state
 }
 
-// writeShared does all that a process notes in the folder, and ends it.
+// writeShared opens a folder, makes every kind of change that a process writes to it, and closes it.
 func writeShared(t *testing.T, root, listen string) {
 	t.Helper()
 	shared, _ := start(t, root, listen)
@@ -57,11 +57,11 @@
 	shared.SetDrained(true, func() {})
 	shared.AddKnownEndpoints([]string{"endpoint-0", "endpoint-1"})
 	shared.AddKnownEndpoints([]string{"site-a/endpoint 2", "endpoint-1", "endpoint-4"})
-	shared.ShareEndpointList([]byte(goldenList))
+	shared.ShareEndpointList([]byte(sharedList))
 	shared.Close()
 }
 
-// readFolder returns the files of a folder by name.
+// readFolder returns the contents of the files below a folder, by name.
 func readFolder(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	files := map[string][]byte{}
@@ -88,7 +88,7 @@
 }
 
 func TestGoldenFolderIsWritten(t *testing.T) {
-	for listen, name := range listens {
+	for listen, name := range folderNames {
 		t.Run(listen, func(t *testing.T) {
 			root := t.TempDir()
 			writeShared(t, root, listen)
@@ -103,7 +103,7 @@
 			}
 			written, stored := readFolder(t, folder), readFolder(t, goldenFolder)
 			if got, want := fileNames(written), fileNames(stored); !slices.Equal(got, want) {
-				t.Errorf("the folder holds %q, want %q", got, want)
+				t.Errorf("the folder contains %q, want %q", got, want)
 			}
 			for file, want := range stored {
 				if !bytes.Equal(written[file], want) {
@@ -114,10 +114,10 @@
 	}
 }
 
-// copyGolden puts the golden folder where a process that listens there looks for it, and returns its path.
+// copyGolden copies the golden folder to where a process that listens at the address expects it, and returns its path.
 func copyGolden(t *testing.T, root, listen string) string {
 	t.Helper()
-	folder := filepath.Join(root, listens[listen])
+	folder := filepath.Join(root, folderNames[listen])
 	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 }
 
 func TestGoldenFolderIsRead(t *testing.T) {
-	for listen := range listens {
+	for listen := range folderNames {
 		t.Run(listen, func(t *testing.T) {
 			root := t.TempDir()
 			copyGolden(t, root, listen)
@@ -135,19 +135,19 @@
 				Suspended:      map[string]bool{"endpoint-1": true, "site-a/endpoint 2": true},
 				Drained:        true,
 				KnownEndpoints: []string{"endpoint-1", "site-a/endpoint 2", "endpoint-4"},
-				EndpointList:   []byte(goldenList),
+				EndpointList:   []byte(sharedList),
 			}
 			if !reflect.DeepEqual(state, want) {
-				t.Errorf("the folder says %+v, want %+v", state, want)
+				t.Errorf("the state in the folder is %+v, want %+v", state, want)
 			}
 			if !shared.StartedAlone() {
-				t.Error("nobody serves, and the process is not the first")
+				t.Error("StartedAlone is false although no other process serves")
 			}
 		})
 	}
 }
 
-// lockFile holds the lock of a file, as a process of the old version does, and returns what lets go of it.
+// lockFile locks a file, as a process of the old version does, and returns a function that unlocks it.
 func lockFile(t *testing.T, path string) (unlock func()) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -164,7 +164,7 @@
 	}
 }
 
-// isLocked says whether another open file holds the lock of a file.
+// isLocked reports whether a file is locked through another open file.
 func isLocked(t *testing.T, path string) bool {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -178,22 +178,23 @@
 	return locked
 }
 
-// The process that serves holds the lock of one file, the one that is to replace it holds that of another.
+// The serving process and its successor hold the locks of different files, and known endpoints are only written under
+// the edit lock.
 func TestGoldenLocks(t *testing.T) {
 	const listen = "127.0.0.1:6432"
-	t.Run("a process that serves alone", func(t *testing.T) {
+	t.Run("process that serves alone", func(t *testing.T) {
 		root := t.TempDir()
 		folder := copyGolden(t, root, listen)
 		shared, _ := start(t, root, listen)
 		defer shared.Close()
 		if !isLocked(t, filepath.Join(folder, "serves")) {
-			t.Error("it does not hold the lock of the process that serves")
+			t.Error("the process does not hold the serving lock")
 		}
 		if isLocked(t, filepath.Join(folder, "next")) {
-			t.Error("it holds the lock of the successor")
+			t.Error("the process holds the successor lock")
 		}
 	})
-	t.Run("a successor", func(t *testing.T) {
+	t.Run("successor", func(t *testing.T) {
 		root := t.TempDir()
 		folder := copyGolden(t, root, listen)
 		unlock := lockFile(t, filepath.Join(folder, "serves"))
@@ -201,13 +202,13 @@
 		shared, _ := start(t, root, listen)
 		defer shared.Close()
 		if shared.StartedAlone() {
-			t.Error("a process of the old version serves, and the successor takes itself for the first")
+			t.Error("StartedAlone is true although a process of the old version serves")
 		}
 		if !isLocked(t, filepath.Join(folder, "next")) {
-			t.Error("it does not hold the lock of the successor")
+			t.Error("the successor does not hold the successor lock")
 		}
 	})
-	t.Run("the ids of endpoints", func(t *testing.T) {
+	t.Run("known endpoints while another process edits them", func(t *testing.T) {
 		root := t.TempDir()
 		folder := copyGolden(t, root, listen)
 		before := readFolder(t, folder)
@@ -215,10 +216,10 @@
 		shared, _ := start(t, root, listen)
 		shared.AddKnownEndpoints([]string{"endpoint-5"})
 		written := make(chan struct{})
-		shared.SetDrained(true, func() { close(written) }) // it is done behind the first try at the ids
+		shared.SetDrained(true, func() { close(written) }) // runs after the first attempt to add the id
 		<-written
 		if after := readFolder(t, folder); !bytes.Equal(after["listed"], before["listed"]) {
-			t.Errorf("the ids were changed to %q while another process held their lock", after["listed"])
+			t.Errorf("the known endpoints were changed to %q while another process held the edit lock", after["listed"])
 		}
 		shared.Close()
 		unlock()
--- a/internal/hotrestart/lock.go
+++ b/internal/hotrestart/lock.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// fileLock is an advisory lock on a file. The system releases it when the process ends.
+// fileLock is an advisory lock on a file. The operating system releases it when the process ends.
 type fileLock struct{ file *os.File }
 
 func openLock(path string) (*fileLock, error) {
@@ -17,26 +17,27 @@
 	return &fileLock{file: file}, nil
 }
 
-// tryAcquire says whether this process holds the lock now. It may have held it before.
+// tryAcquire tries to acquire the lock without waiting, and reports whether this process holds it now. It also returns
+// true if the process held the lock before.
 func (l *fileLock) tryAcquire() bool {
 	return syscall.Flock(int(l.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
 }
 
-// release gives the lock up. On an open file that can't fail.
+// release releases the lock, which can't fail on an open file.
 func (l *fileLock) release() { _ = syscall.Flock(int(l.file.Fd()), syscall.LOCK_UN) }
 
-// close releases the lock and closes its file. On nil it does nothing.
+// close releases the lock and closes its file. On a nil *fileLock it does nothing.
 func (l *fileLock) close() {
 	if l != nil {
 		_ = l.file.Close() // nothing was written to it
 	}
 }
 
-// locks are those of the folder.
+// locks are the locks in the folder.
 type locks struct {
-	serving   *fileLock // held by the process that serves
-	successor *fileLock // held by the process that is to replace it, for as long as the other one serves
-	edit      *fileLock // held while the known endpoints are read and written again
+	serving   *fileLock // held by the process that was serving first
+	successor *fileLock // held by the process that will replace it, while both serve
+	edit      *fileLock // held while the known endpoints are read and written back
 }
 
 func openLocks(folder string) (locks, error) {
@@ -60,8 +61,8 @@
 	l.edit.close()
 }
 
-// hasSuccessor says whether another process waits to serve alone. Only such a process holds the lock of the successor
-// for long; the one that serves tries it in passing.
+// hasSuccessor reports whether a process that will replace this one runs. Only such a process holds the successor lock
+// permanently; the process that holds the serving lock acquires it just to test it.
 func (l locks) hasSuccessor() bool {
 	if !l.successor.tryAcquire() {
 		return true
@@ -70,8 +71,9 @@
 	return false
 }
 
-// alone says whether no other process runs, and leaves this one as the process that serves if so.
-func (l locks) alone() bool {
+// tryServeAlone reports whether no other process runs. If so, this process holds the serving lock afterwards, and has
+// released the successor lock.
+func (l locks) tryServeAlone() bool {
 	serving := l.serving.tryAcquire()
 	successor := l.successor.tryAcquire()
 	if serving && successor {
--- a/internal/hotrestart/lock_test.go
+++ b/internal/hotrestart/lock_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// openTestLocks opens the locks of a folder as a process does. Two calls stand for two processes: a lock belongs to the
-// open file.
+// openTestLocks opens the locks of a folder as a process does. Two calls simulate two processes, because a lock belongs
+// to the open file.
 func openTestLocks(t *testing.T, folder string) locks {
 	t.Helper()
 	l, err := openLocks(folder)
@@ -44,30 +44,30 @@
 	}
 	first.release()
 	if !second.tryAcquire() {
-		t.Error("a lock that was released is still held")
+		t.Error("the second process can't acquire the lock after the first has released it")
 	}
 	second.close()
 	if !first.tryAcquire() {
-		t.Error("the lock of a process that has ended is still held")
+		t.Error("the first process can't acquire the lock after the second has closed it")
 	}
 }
 
-// The process that serves finds its successor, and the successor finds that it is alone once the other one has ended.
+// The serving process detects its successor, and the successor detects that it is alone once the other has ended.
 func TestLocksOfTwoProcesses(t *testing.T) {
 	folder := t.TempDir()
 	serving := openTestLocks(t, folder)
-	if !serving.alone() || serving.hasSuccessor() {
-		t.Fatal("the first process is not alone")
+	if !serving.tryServeAlone() || serving.hasSuccessor() {
+		t.Fatal("the first process finds another process, want it alone")
 	}
 	successor := openTestLocks(t, folder)
-	if successor.alone() {
-		t.Error("the successor is alone beside the process that serves")
+	if successor.tryServeAlone() {
+		t.Error("the successor finds itself alone while the first process serves")
 	}
-	if serving.alone() || !serving.hasSuccessor() {
-		t.Error("the process that serves does not find its successor")
+	if serving.tryServeAlone() || !serving.hasSuccessor() {
+		t.Error("the first process does not detect its successor")
 	}
 	serving.close()
-	if !successor.alone() || successor.hasSuccessor() {
-		t.Error("the successor is not alone after the other process has ended")
+	if !successor.tryServeAlone() || successor.hasSuccessor() {
+		t.Error("the successor is not alone after the first process has ended")
 	}
 }
--- a/internal/hotrestart/shared_state.go
+++ b/internal/hotrestart/shared_state.go
@@ -9,22 +9,22 @@
 
 const (
 	queuedJobs = 256
-	// editRetryInterval is the pause before the known endpoints are added again while the other process adds some.
+	// editRetryInterval is the pause before adding known endpoints is retried because the other process held the lock.
 	editRetryInterval = 10 * time.Millisecond
 )
 
-// State is what the folder holds.
+// State is the state in the shared folder.
 type State struct {
-	Suspended      map[string]bool // by the ids of endpoints
+	Suspended      map[string]bool // set of the ids of suspended endpoints
 	Drained        bool
-	KnownEndpoints []string // ids, oldest first
-	EndpointList   []byte   // that a process last had from discovery while another one was there; it may be old
+	KnownEndpoints []string // ids of all endpoints that were ever listed, oldest first
+	EndpointList   []byte   // last list from discovery that one process shared with another; may be outdated
 }
 
-// SharedState is the folder that two processes of one router share.
+// SharedState is the state that two processes of one router share through a folder.
 type SharedState struct {
 	log          *slog.Logger
-	maxKnown     int     // ids of known endpoints
+	maxKnown     int     // maximum number of known endpoints
 	folder       *folder // nil if nothing is shared
 	locks        locks
 	startedAlone bool
@@ -32,14 +32,15 @@
 	stop         chan struct{}
 	done         chan struct{}
 
-	// These belong to the goroutine of Watch.
-	seen  State // what the folder said last
-	alone bool  // no other process runs
-	reads int   // of the folder
+	// The fields below are used only by the goroutine of Watch.
+	lastState State // what the folder said last
+	alone     bool  // no other process runs
+	reads     int   // of the folder
 }
 
-// Open reads the folder of the router that listens at the given address. Without a root, or where the folder can't be
-// written, nothing is shared. maxKnown bounds the ids of known endpoints.
+// Open opens the folder of the router that listens at the given address, creates it below root if needed, and returns
+// the state in it. If root is empty or the folder can't be written, nothing is shared. maxKnown is the maximum number
+// of known endpoints.
 func Open(root, listen string, maxKnown int, log *slog.Logger) (*SharedState, State) {
 	s := &SharedState{
 		log:          log,
@@ -51,7 +52,7 @@
 		alone:        true,
 	}
 	if root == "" {
-		return s, s.seen
+		return s, s.lastState
 	}
 	opened, err := createFolder(root, listen)
 	if err == nil {
@@ -59,7 +60,7 @@
 	}
 	if err != nil {
 		log.Warn("shared folder unavailable", "error", err)
-		return s, s.seen
+		return s, s.lastState
 	}
 	s.folder = opened
 	s.folder.log = log
@@ -68,29 +69,30 @@
 		s.folder.removeTemporaryFiles()
 	} else {
 		s.alone = false
-		s.locks.successor.tryAcquire() // a second successor goes on without: only one of the two can follow
+		s.locks.successor.tryAcquire() // a second successor continues without the lock: only one can take over
 	}
 	s.read()
-	return s, s.seen
+	return s, s.lastState
 }
 
-// StartedAlone says whether no other process served when this one started.
+// StartedAlone reports whether no other process was serving when this one started.
 func (s *SharedState) StartedAlone() bool { return s.startedAlone }
 
-// Close stops the goroutine of Watch, which must have been called, after the queued work is done.
+// Close finishes the queued jobs and stops the goroutine of Watch. Watch must have been called before.
 func (s *SharedState) Close() {
 	close(s.stop)
 	<-s.done
 	s.locks.close()
 }
 
-// read reads the folder.
+// read updates lastState from the folder.
 func (s *SharedState) read() {
 	s.reads++
-	s.seen = s.folder.read(s.seen, s.maxKnown)
+	s.lastState = s.folder.read(s.lastState, s.maxKnown)
 }
 
-// SetSuspended notes that operators have suspended an endpoint, or resumed it. done is called once the file says so.
+// SetSuspended records that operators have suspended or resumed an endpoint. done is called after the file was written
+// or removed, also if that failed.
 func (s *SharedState) SetSuspended(id string, suspended bool, done func()) {
 	s.enqueue(func() {
 		defer done()
@@ -98,37 +100,38 @@
 		if !s.setFile(file, []byte(id), suspended) {
 			return
 		}
-		// The map is copied: the listener may still read the old one.
-		seen := maps.Clone(s.seen.Suspended)
-		if seen == nil {
-			seen = map[string]bool{}
+		// The map is copied because the listener may still read the old one.
+		ids := maps.Clone(s.lastState.Suspended)
+		if ids == nil {
+			ids = map[string]bool{}
 		}
 		if suspended {
-			seen[id] = true
+			ids[id] = true
 		} else {
-			delete(seen, id)
+			delete(ids, id)
 		}
-		s.seen.Suspended = seen
+		s.lastState.Suspended = ids
 	})
 }
 
-// SetDrained notes that operators have drained the router, or activated it. done is called once the file says so.
+// SetDrained records that operators have drained or activated the router. done is called after the file was written or
+// removed, also if that failed.
 func (s *SharedState) SetDrained(drained bool, done func()) {
 	s.enqueue(func() {
 		defer done()
 		if s.setFile(drainedFile, nil, drained) {
-			s.seen.Drained = drained
+			s.lastState.Drained = drained
 		}
 	})
 }
 
-// AddKnownEndpoints notes endpoints that discovery has listed.
+// AddKnownEndpoints adds the ids of endpoints that discovery has listed to the known endpoints.
 func (s *SharedState) AddKnownEndpoints(ids []string) {
 	s.enqueue(func() {
 		if s.folder == nil {
 			return
 		}
-		// Without the lock the ids that the other process adds at the same time would be lost.
+		// Without the lock, ids that the other process adds at the same time would be lost.
 		if !s.locks.edit.tryAcquire() {
 			time.AfterFunc(editRetryInterval, func() { s.AddKnownEndpoints(ids) })
 			return
@@ -137,25 +140,25 @@
 		all := union(s.folder.readKnownEndpoints(), ids, s.maxKnown)
 		content, err := encodeKnownEndpoints(all)
 		if err == nil && s.setFile(knownEndpointsFile, content, true) {
-			s.seen.KnownEndpoints = union(s.seen.KnownEndpoints, ids, s.maxKnown)
+			s.lastState.KnownEndpoints = union(s.lastState.KnownEndpoints, ids, s.maxKnown)
 		}
 	})
 }
 
-// ShareEndpointList notes the complete list as this process has it from discovery. The other process uses it where it
-// can't reach discovery itself, and would go by a list from before its start otherwise.
+// ShareEndpointList writes the complete endpoint list that this process has received from discovery. The other process
+// uses it if it can't reach discovery itself and would otherwise have only a list from before its start.
 func (s *SharedState) ShareEndpointList(list []byte) {
 	s.enqueue(func() {
 		if s.setFile(endpointListFile, list, true) {
-			s.seen.EndpointList = list
+			s.lastState.EndpointList = list
 		}
 	})
 }
 
-// enqueue leaves work to the goroutine of Watch. The caller never waits for a file.
+// enqueue queues a job for the goroutine of Watch. It never blocks, so the caller never waits for a file.
 func (s *SharedState) enqueue(job func()) {
 	if s.folder == nil {
-		go job() // nothing is written, and the caller still expects to be called back later
+		go job() // nothing is written, but the job has to call the caller back
 		return
 	}
 	select {
@@ -165,7 +168,7 @@
 	}
 }
 
-// setFile writes a file, or removes it, and says whether the folder has it so now.
+// setFile writes a file, or removes it if it should not exist, and reports whether that succeeded.
 func (s *SharedState) setFile(name string, content []byte, exists bool) bool {
 	if s.folder == nil {
 		return false
--- a/internal/hotrestart/shared_state_test.go
+++ b/internal/hotrestart/shared_state_test.go
@@ -15,7 +15,7 @@
 
 const testAddress = "127.0.0.1:1"
 
-// recorder keeps what a listener was notified of last.
+// recorder is a Listener that records its notifications. Each waits in posted until wait runs it.
 type recorder struct {
 	suspended map[string]bool
 	drained   bool
@@ -51,22 +51,22 @@
 	r.last = "alone"
 }
 
-// wait waits for the next notification and checks what it is of.
+// wait waits for the next notification, runs it, and checks its subject.
 func (r *recorder) wait(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case notify := <-r.posted:
 		notify()
 		if r.last != want {
-			t.Fatalf("notified of %s, not of %s", r.last, want)
+			t.Fatalf("notified of %s, want %s", r.last, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("not notified of %s", want)
+		t.Fatalf("not notified of %s within 20 seconds", want)
 	}
 }
 
-// open starts a process of the router.
-func open(t *testing.T, root string) (*SharedState, State, *recorder) {
+// openProcess starts a process of the router.
+func openProcess(t *testing.T, root string) (*SharedState, State, *recorder) {
 	t.Helper()
 	s, state := Open(root, testAddress, 3, discardLog)
 	r := &recorder{suspended: map[string]bool{}, posted: make(chan func(), 99)}
@@ -74,24 +74,24 @@
 	return s, state, r
 }
 
-// suspendAndWait suspends an endpoint and waits until that is done.
+// suspendAndWait suspends an endpoint and waits until done is called.
 func suspendAndWait(s *SharedState, id string) {
 	done := make(chan struct{})
 	s.SetSuspended(id, true, func() { close(done) })
 	<-done
 }
 
-// What one process is asked holds in the other, whichever it is, a third one finds all of it, and the one that is left
-// serves alone.
+// Each of two processes is notified of the changes of the other, a process that starts later finds all of them, and the
+// process that remains is notified that it is alone.
 func TestTwoProcesses(t *testing.T) {
 	root := t.TempDir()
-	a, _, notifiedA := open(t, root)
+	a, _, notifiedA := openProcess(t, root)
 	if !a.StartedAlone() {
-		t.Fatal("not alone")
+		t.Fatal("the first process did not start alone")
 	}
-	b, _, notifiedB := open(t, root)
+	b, _, notifiedB := openProcess(t, root)
 	if b.StartedAlone() {
-		t.Fatal("alone beside another")
+		t.Fatal("the second process started alone, want it to find the first")
 	}
 	notifiedA.wait(t, "alone")
 	calls := make(chan bool, 9)
@@ -108,7 +108,7 @@
 		<-calls
 	}
 	if notifiedA.alone || notifiedA.suspended["s/1"] || !notifiedA.suspended["s-2"] || !notifiedB.drained {
-		t.Fatalf("%+v %+v", notifiedA, notifiedB)
+		t.Fatalf("got %+v and %+v, want only s-2 suspended in the first and the second drained", notifiedA, notifiedB)
 	}
 	a.AddKnownEndpoints([]string{"x", "y"})
 	notifiedB.wait(t, "known endpoints")
@@ -120,30 +120,30 @@
 	notifiedB.wait(t, "alone")
 	b.Close()
 	if !notifiedB.alone {
-		t.Fatalf("the process that is left is not alone: %+v", notifiedB)
+		t.Fatalf("the remaining process is not alone: %+v", notifiedB)
 	}
 	checkThirdProcess(t, root, notifiedB.known)
 }
 
-// checkThirdProcess checks that a process finds what two others have left.
+// checkThirdProcess checks that a process finds the state that two earlier processes have left.
 func checkThirdProcess(t *testing.T, root string, known []string) {
 	t.Helper()
-	s, state, _ := open(t, root)
+	s, state, _ := openProcess(t, root)
 	defer s.Close()
 	if !s.StartedAlone() || !state.Drained || !state.Suspended["s-2"] || state.Suspended["s/1"] {
-		t.Fatalf("%+v", state)
+		t.Fatalf("got %+v, want a drained router with only s-2 suspended", state)
 	}
 	want := []string{"y", "z", "u"}
 	if !slices.Equal(state.KnownEndpoints, known) || !slices.Equal(state.KnownEndpoints, want) {
-		t.Fatalf("%q, notified of %q, want %q", state.KnownEndpoints, known, want)
+		t.Fatalf("known endpoints %q, last notified of %q, want %q", state.KnownEndpoints, known, want)
 	}
 }
 
-// Garbage in any file, and files of no use, are passed over.
-func TestBrokenFiles(t *testing.T) {
+// Files with random content and unknown files are skipped.
+func TestCorruptFilesAreSkipped(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 9))
 	root := t.TempDir()
-	s, _, _ := open(t, root)
+	s, _, _ := openProcess(t, root)
 	suspendAndWait(s, "s-1")
 	path := s.folder.path
 	s.Close()
@@ -160,15 +160,15 @@
 				t.Fatal(err)
 			}
 		}
-		s, state, _ := open(t, root)
+		s, state, _ := openProcess(t, root)
 		if !state.Suspended["s-1"] || len(state.Suspended) != 1 || len(state.KnownEndpoints) > 0 {
-			t.Fatalf("round %d: %+v", round, state)
+			t.Fatalf("round %d: got %+v, want only s-1 suspended and no known endpoints", round, state)
 		}
 		s.Close()
 	}
 }
 
-// Where nothing can be written, all stays in the process, and callers are still called back.
+// If the folder can't be written, nothing is shared, and done is still called.
 func TestFolderUnavailable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -184,17 +184,17 @@
 			s.Watch(time.Millisecond, func(notify func()) { notify() }, &recorder{})
 			suspendAndWait(s, "s-1")
 			if !s.StartedAlone() || len(state.Suspended) > 0 {
-				t.Fatalf("%+v", state)
+				t.Fatalf("got %+v, want to start alone with nothing suspended", state)
 			}
 			s.Close()
 		})
 	}
 }
 
-// A process that serves alone does not read the folder at each interval, and still hears of a new process at once.
-func TestAloneReadsNothing(t *testing.T) {
+// A process that serves alone does not read the folder at each interval, but still detects a new process.
+func TestLoneProcessDoesNotReadFolder(t *testing.T) {
 	root := t.TempDir()
-	a, _, notified := open(t, root)
+	a, _, notified := openProcess(t, root)
 	defer a.Close()
 	reads := func() int {
 		count := make(chan int)
@@ -204,45 +204,45 @@
 	before := reads()
 	time.Sleep(100 * time.Millisecond) // a hundred intervals
 	if n := reads() - before; n > 0 {
-		t.Fatalf("read the folder %d times alone", n)
+		t.Fatalf("read the folder %d times while alone, want 0", n)
 	}
-	b, _, _ := open(t, root)
+	b, _, _ := openProcess(t, root)
 	defer b.Close()
 	notified.wait(t, "alone")
 	if notified.alone || reads() == before {
-		t.Fatalf("the new process is not seen: alone %v", notified.alone)
+		t.Fatalf("the new process is not detected: alone %v", notified.alone)
 	}
 }
 
-// The endpoint list that one process shares reaches the other one and does not come back; one left from before is no
-// change.
+// An endpoint list that one process shares reaches the other process and is not notified to the first one. A list that
+// an earlier process has left does not count as a change.
 func TestEndpointListIsShared(t *testing.T) {
 	root := t.TempDir()
-	before, _, _ := open(t, root)
+	before, _, _ := openProcess(t, root)
 	before.ShareEndpointList([]byte("left over"))
 	before.Close()
-	a, state, notifiedA := open(t, root)
+	a, state, notifiedA := openProcess(t, root)
 	if string(state.EndpointList) != "left over" {
-		t.Fatalf("%q", state.EndpointList)
+		t.Fatalf("got the endpoint list %q, want the one left over", state.EndpointList)
 	}
-	b, _, notifiedB := open(t, root)
+	b, _, notifiedB := openProcess(t, root)
 	notifiedA.wait(t, "alone")
 	for _, list := range []string{"one", "two"} {
 		a.ShareEndpointList([]byte(list))
 		notifiedB.wait(t, "endpoint list")
 		if notifiedB.list != list {
-			t.Fatalf("%q", notifiedB.list)
+			t.Fatalf("the second process got the endpoint list %q, want the one shared last", notifiedB.list)
 		}
 	}
 	b.ShareEndpointList([]byte("three"))
 	notifiedA.wait(t, "endpoint list")
 	if notifiedA.list != "three" {
-		t.Fatalf("%q", notifiedA.list)
+		t.Fatalf("the first process got the endpoint list %q, want three", notifiedA.list)
 	}
 	a.Close()
 	notifiedB.wait(t, "alone")
 	if len(notifiedA.posted)+len(notifiedB.posted) > 0 {
-		t.Fatal("something is notified twice")
+		t.Fatal("more notifications than expected")
 	}
 	b.Close()
 }
--- a/internal/hotrestart/watcher.go
+++ b/internal/hotrestart/watcher.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Listener is notified of what the other process has changed.
+// Listener is notified of changes by the other process.
 type Listener interface {
-	// Suspended says that operators have suspended an endpoint, or resumed it.
+	// Suspended is called when operators have suspended or resumed an endpoint.
 	Suspended(id string, suspended bool)
-	// Drained says that operators have drained the router, or activated it.
+	// Drained is called when operators have drained or activated the router.
 	Drained(drained bool)
-	// KnownEndpointsAdded brings the ids of all endpoints that were ever listed.
+	// KnownEndpointsAdded is called with the ids of all known endpoints when some were added.
 	KnownEndpointsAdded(ids []string)
-	// EndpointListShared brings the complete list as the other process has it from discovery.
+	// EndpointListShared is called with the complete endpoint list that the other process has received from discovery.
 	EndpointListShared(list []byte)
-	// AloneChanged says whether this is the only process from now on.
+	// AloneChanged is called when the other process has started or ended; alone is true if this is the only process now.
 	AloneChanged(alone bool)
 }
 
-// Watch starts the goroutine that does the queued work and compares the folder at each interval with what it was. The
-// listener is called by post.
+// Watch starts the goroutine that runs the queued jobs and checks the folder for changes at each interval. Each call of
+// the listener is passed to post, which runs it on a goroutine of the caller's choice.
 func (s *SharedState) Watch(interval time.Duration, post func(func()), listener Listener) {
 	go s.watch(interval, func(notify func(Listener)) {
 		post(func() { notify(listener) })
@@ -45,7 +45,7 @@
 	}
 }
 
-// finishJobs does what is queued and waits for nothing else.
+// finishJobs runs the jobs that are queued, without waiting for further ones.
 func (s *SharedState) finishJobs() {
 	for len(s.jobs) > 0 {
 		job := <-s.jobs
@@ -53,10 +53,10 @@
 	}
 }
 
-// poll compares the folder with what it was.
+// poll notifies the listener of changes in the folder.
 //
-// While this process serves alone, only a new process changes the folder, and that one holds the lock of the successor.
-// To read the folder all the same would cost ten system calls at each interval, half of what an idle router spends.
+// While this process serves alone, only a new process can change the folder, and that process holds the successor lock.
+// Reading the folder nevertheless would cost ten system calls at each interval, half of what an idle router makes.
 func (s *SharedState) poll(notify func(func(Listener))) {
 	if s.folder == nil {
 		return
@@ -64,17 +64,17 @@
 	if s.alone && !s.locks.hasSuccessor() {
 		return
 	}
-	before := s.seen
+	before := s.lastState
 	s.read()
-	notifyChanges(before, s.seen, notify)
-	alone := s.locks.alone()
+	notifyChanges(before, s.lastState, notify)
+	alone := s.locks.tryServeAlone()
 	if alone != s.alone {
 		s.alone = alone
 		notify(func(l Listener) { l.AloneChanged(alone) })
 	}
 }
 
-// notifyChanges passes on what differs between two states.
+// notifyChanges notifies the listener of the differences between two states.
 func notifyChanges(before, now State, notify func(func(Listener))) {
 	for id := range now.Suspended {
 		if !before.Suspended[id] {
