--- a/internal/hotrestart/bounded_file_test.go
+++ b/internal/hotrestart/bounded_file_test.go
@@ -48,7 +48,7 @@
 				t.Errorf("got error %v", err)
 			}
 			if len(content) != test.size {
-				t.Errorf("%d bytes, want %d", len(content), test.size)
+				t.Errorf("got %d bytes, want %d", len(content), test.size)
 			}
 		})
 	}
--- a/internal/hotrestart/shared_state.go
+++ b/internal/hotrestart/shared_state.go
@@ -33,9 +33,9 @@
 	done         chan struct{}
 
 	// The fields below are used only by the goroutine of Watch.
-	lastState State // what the folder said last
-	alone     bool  // no other process runs
-	reads     int   // of the folder
+	lastState State // state that was last read from the folder or written to it
+	alone     bool  // whether no other process runs
+	reads     int   // how often the folder was read
 }
 
 // Open opens the folder of the router that listens at the given address, creates it below root if needed, and returns
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -218,7 +218,7 @@
 			waitForSnapshot(t, folder)
 		}
 		if result, err := s.Commit(change); err != nil || result.Err() != nil {
-			t.Fatalf("%+v, %v", result, err)
+			t.Fatalf("committing a golden change returns %+v, %v", result, err)
 		}
 	}
 	if err := s.Close(); err != nil {
