--- a/internal/config/audit.go
+++ b/internal/config/audit.go
@@ -10,21 +10,21 @@
 	"limeladder/internal/audit"
 )
 
-// Audit says what is recorded.
+// Audit is the section [audit] of the deploy file: which events and requests are recorded, and how records are chained.
 type Audit struct {
-	Kinds     []string      `toml:"kinds"`                   // of events; empty = all
-	Outcomes  []string      `toml:"outcomes"`                // of requests; empty = all
-	Reads     *float64      `toml:"reads"`                   // the share of the served reads, 0 to 1; nil = all
-	Keys      string        `toml:"keys"`                    // the key file; empty = records do not chain
-	Heads     int           `toml:"heads"`                   // messages from one head of the chain to the next; 0 = 256
-	HeadsTime time.Duration `toml:"heads_time" json:"Every"` // the longest time between two heads; 0 = 10 s
+	Kinds     []string      `toml:"kinds"`                   // event kinds to record; empty = all
+	Outcomes  []string      `toml:"outcomes"`                // request outcomes to record; empty = all
+	Reads     *float64      `toml:"reads"`                   // fraction of the served reads to record, 0 to 1; nil = all
+	Keys      string        `toml:"keys"`                    // path of the key file; empty = records are not chained
+	Heads     int           `toml:"heads"`                   // messages between two chain heads; 0 = 256
+	HeadsTime time.Duration `toml:"heads_time" json:"Every"` // maximum time between two chain heads; 0 = 10 s
 
-	// LoadedKeys and Rules are what the fields above amount to.
+	// LoadedKeys and Rules are derived from the fields above when the file is loaded.
 	LoadedKeys audit.Keys  `toml:"-" json:"Loaded"`
 	Rules      audit.Rules `toml:"-"`
 }
 
-// check checks the fields and reads the key file.
+// check validates the fields and reads the key file.
 func (a *Audit) check() error {
 	const (
 		maxHeads     = 1 << 20
@@ -61,13 +61,13 @@
 	return nil
 }
 
-// policyError names the field that an error of audit.NewPolicy starts with.
+// policyError converts an error of audit.NewPolicy, whose text starts with the name of a field, to a *FieldError.
 func policyError(err error) error {
 	field, reason, _ := strings.Cut(err.Error(), ": ")
 	return &FieldError{Field: "audit." + field, Reason: errors.New(reason)}
 }
 
-// Policy returns a policy that follows the rules. Each has a state of its own.
+// Policy returns a new policy for the rules. Policies do not share state.
 func (a *Audit) Policy() (*audit.Policy, error) {
 	var secret *audit.Secret
 	if len(a.LoadedKeys) > 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
 // Package config reads EDGE_CONFIG, which the platform writes, and deploy/limeladder.toml, which the operators write,
-// and translates their words once into the terms of the code.
+// and translates their keywords into the types of the code.
 //
-// The package owns the names and ranges of all fields, and reads the files that they name: keys and certificates. It
-// does not watch files and starts no goroutine; the caller reads anew when it is told to. An error about a field is a
-// *FieldError, one line that names the field.
+// The package defines the names and ranges of all fields, and reads the key and certificate files that they name. It
+// does not watch files and starts no goroutine; the caller loads the files again on a reload. An error about a field is
+// a *FieldError, whose text is one line that names the field.
 package config
 
 import (
@@ -20,19 +20,19 @@
 	edgeConfig      = "EDGE_CONFIG"
 	edgeInheritedFD = "EDGE_INHERITED_FD"
 
-	// firstInheritedFD is the first descriptor behind the standard streams.
+	// firstInheritedFD is the first file descriptor after standard input, output and error.
 	firstInheritedFD = 3
 
 	minMemoryMB = 32
 	minSockets  = 64
 
-	// lateRejectCost is what it costs to reject or fail, after half of its client's timeout, a request that was never
-	// forwarded. It holds on sockets; the protocol of the simulator has no such cost, so the settings have no field for
-	// it.
+	// lateRejectCost is the cost of rejecting or failing a request that was never forwarded once half of its client
+	// timeout has passed, as a fraction of the request's weight. It applies to a router with real connections only: the
+	// simulator's protocol has no such cost, so the settings have no field for it.
 	lateRejectCost = 0.3
 )
 
-// Config is what a router is told when it starts.
+// Config is the startup configuration of a router.
 type Config struct {
 	Name      string        `json:"name"`
 	Listen    string        `json:"listen"`
@@ -45,18 +45,18 @@
 	Settings Settings `json:"settings"`
 
 	SeedValue   uint64         `json:"-"`
-	InheritedFD int            `json:"-"` // descriptor of the socket where clients connect; 0 if it has to be bound
+	InheritedFD int            `json:"-"` // descriptor of the inherited client listener; 0 if there is none
 	Balance     balance.Config `json:"-"`
 }
 
-// Limits are what the platform grants.
+// Limits are the resources that the platform grants to the router.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads the file that EDGE_CONFIG names, and the environment; see Parse.
+// Load reads the file that EDGE_CONFIG names and applies the environment as Parse does.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(edgeConfig)
 	if path == "" {
@@ -69,8 +69,8 @@
 	return Parse(text, getenv)
 }
 
-// Parse reads and checks the text of a configuration. EDGE_NAME, EDGE_LISTEN and EDGE_OPERATOR override it;
-// EDGE_DISCOVERY is used if it names no discovery.
+// Parse decodes and validates a configuration. The variables EDGE_NAME, EDGE_LISTEN and EDGE_OPERATOR override its
+// fields; EDGE_DISCOVERY applies only if the configuration sets no discovery address.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(text, c); err != nil {
@@ -93,11 +93,12 @@
 	return c, nil
 }
 
-// decodeError names the field of a value of the wrong type, or the whole configuration if it is not JSON.
+// decodeError converts an error of json.Unmarshal to a *FieldError. It names the field for a value of the wrong type,
+// and EDGE_CONFIG for invalid JSON.
 func decodeError(err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return fieldErrorf(typeErr.Field, "a %s does not fit", typeErr.Value)
+		return fieldErrorf(typeErr.Field, "wrong type: JSON %s", typeErr.Value)
 	}
 	return &FieldError{Field: edgeConfig, Reason: err}
 }
@@ -111,7 +112,8 @@
 	override(&c.Name, "EDGE_NAME")
 	override(&c.Listen, "EDGE_LISTEN")
 	override(&c.Operator, "EDGE_OPERATOR")
-	// The environment stays as it was at the start while the file is replaced: the file is the newer of the two.
+	// The file may be replaced while the process runs, but its environment stays as it was at startup. A discovery address
+	// in the file is therefore the more recent one.
 	if c.Discovery == "" {
 		c.Discovery = getenv("EDGE_DISCOVERY")
 	}
@@ -136,7 +138,7 @@
 	}
 	descriptor, err := strconv.Atoi(text)
 	if err != nil || descriptor < firstInheritedFD {
-		return fieldErrorf(edgeInheritedFD, "%q is no descriptor", text)
+		return fieldErrorf(edgeInheritedFD, "%q is not an inheritable file descriptor", text)
 	}
 	c.InheritedFD = descriptor
 	return nil
@@ -145,7 +147,7 @@
 func (c *Config) readSeed() error {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return fieldErrorf("seed", "%q is no hexadecimal number of 64 bits", c.Seed)
+		return fieldErrorf("seed", "%q is not a 64-bit hexadecimal number", c.Seed)
 	}
 	c.SeedValue = seed
 	return nil
@@ -155,16 +157,16 @@
 	hasCores := l.Cores > 0 // false for NaN too
 	switch {
 	case !hasCores:
-		return fieldErrorf("limits.cores", "%v is not above 0", l.Cores)
+		return fieldErrorf("limits.cores", "%v is not greater than 0", l.Cores)
 	case l.MemoryMB < minMemoryMB:
-		return fieldErrorf("limits.memory_mb", "%d, at least %d needed", l.MemoryMB, minMemoryMB)
+		return fieldErrorf("limits.memory_mb", "%d is too small, the minimum is %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return fieldErrorf("limits.sockets", "%d, at least %d needed", l.Sockets, minSockets)
+		return fieldErrorf("limits.sockets", "%d is too small, the minimum is %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// readBalance translates the settings for the decision module, and has it check them.
+// readBalance translates the settings for the decision module and validates them by creating a balancer from them.
 func (c *Config) readBalance() error {
 	translated, err := c.Settings.Balance()
 	if err != nil {
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -9,9 +9,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Deploy is what the operators set in deploy/limeladder.toml. What is left empty is off.
+// Deploy is the content of deploy/limeladder.toml, which the operators write. A feature that is not configured is off.
 //
-// The daemon keeps it in the store as JSON. A field that is renamed keeps its old name there by a json tag.
+// The daemon keeps it in the store as JSON. A field whose Go name differs from its stored name has a json tag with the
+// stored name.
 type Deploy struct {
 	ExtendedQuery ExtendedQuery `toml:"extended" json:"Extended"`
 	Failover      Failover      `toml:"changeover" json:"Changeover"`
@@ -21,36 +22,36 @@
 	Store         Store         `toml:"store"`
 }
 
-// ExtendedQuery turns the extended-query frontend on.
+// ExtendedQuery is the section [extended], which enables the extended-query frontend.
 type ExtendedQuery struct {
-	Listen string `toml:"listen"` // its address
+	Listen string `toml:"listen"` // listen address; empty = off
 }
 
-// Failover says which requests wait through a failover, and how many.
+// Failover is the section [changeover]: which requests are queued during a failover, and the bounds of that queue.
 type Failover struct {
-	Classes []string      `toml:"classes"` // whose requests wait; empty = off
-	Count   int           `toml:"count"`   // of requests that wait; 0 = by memory
-	Bytes   int           `toml:"bytes"`   // of their statements; 0 = by memory
-	Time    time.Duration `toml:"time"`    // the longest that one waits; 0 = until its own deadline
+	Classes []string      `toml:"classes"` // classes whose requests are queued; empty = off
+	Count   int           `toml:"count"`   // maximum number of queued requests; 0 = derived from the memory limit
+	Bytes   int           `toml:"bytes"`   // maximum total size of their statements; 0 = derived from the memory limit
+	Time    time.Duration `toml:"time"`    // maximum wait of a request; 0 = until its deadline
 }
 
-// SiteFailover says what is done about the loss of a site.
+// SiteFailover is the section [sites]: how the router handles the loss of a site.
 type SiteFailover struct {
-	Watch bool `toml:"watch"` // sites are observed, and capacity is forecast for the loss of each
-	Act   bool `toml:"act"`   // while one is lost, excess load is shed, and its recovery is ramped
+	Watch bool `toml:"watch"` // monitor sites, and forecast the capacity that is left after the loss of each
+	Act   bool `toml:"act"`   // shed excess load while a site is lost, and ramp up its load when it recovers
 }
 
-// Store says who this member of the replicated store is and where all of them are reached.
+// Store is the section [store]: the name of this member of the replicated store and the addresses of all members.
 type Store struct {
-	Name   string            `toml:"name"`   // of this member, among the peers
-	Folder string            `toml:"folder"` // of its log
-	Peers  map[string]string `toml:"peers"`  // addresses by name, this member's too
-	CA     string            `toml:"ca"`     // PEM file of the authorities that members trust; empty = no encryption
-	Cert   string            `toml:"cert"`   // PEM file of this member's certificate, with its name among the DNS names
-	Key    string            `toml:"key"`
+	Name   string            `toml:"name"`   // name of this member, a key of Peers
+	Folder string            `toml:"folder"` // folder of the member's log
+	Peers  map[string]string `toml:"peers"`  // addresses by member name, including this member
+	CA     string            `toml:"ca"`     // PEM file of the trusted certificate authorities; empty = no encryption
+	Cert   string            `toml:"cert"`   // PEM file of this member's certificate, whose DNS names include Name
+	Key    string            `toml:"key"`    // PEM file of the certificate's private key
 }
 
-// LoadDeploy reads the file at path. If there is none, all of it is off.
+// LoadDeploy reads the file at path. If the file does not exist, every feature is off.
 func LoadDeploy(path string) (Deploy, error) {
 	var d Deploy
 	text, err := os.ReadFile(path)
@@ -65,7 +66,7 @@
 		return d, &FieldError{File: path, Reason: err}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return d, &FieldError{File: path, Field: unknown[0].String(), Reason: errors.New("no such field")}
+		return d, &FieldError{File: path, Field: unknown[0].String(), Reason: errors.New("unknown field")}
 	}
 	if err := d.check(); err != nil {
 		return d, inFile(path, err)
@@ -73,7 +74,7 @@
 	return d, nil
 }
 
-// check checks the fields and reads what they name.
+// check validates the fields and reads the files that they name.
 func (d *Deploy) check() error {
 	for _, check := range []func() error{
 		d.SiteFailover.check,
@@ -92,7 +93,7 @@
 
 func (s *SiteFailover) check() error {
 	if s.Act && !s.Watch {
-		return fieldErrorf("sites.act", "nothing is known of sites without sites.watch")
+		return fieldErrorf("sites.act", "requires sites.watch")
 	}
 	return nil
 }
@@ -117,13 +118,13 @@
 	)
 }
 
-// isSet says whether any field of the store is set.
+// isSet reports whether any field of the section is set.
 func (s *Store) isSet() bool {
 	return s.Name+s.Folder != "" || len(s.Peers) > 0 || s.CA+s.Cert+s.Key != ""
 }
 
-// hasSomeFiles says whether some but not all files for encryption are named.
-func (s *Store) hasSomeFiles() bool {
+// hasIncompleteTLS reports whether some, but not all, of CA, Cert and Key are set.
+func (s *Store) hasIncompleteTLS() bool {
 	hasCA := s.CA != ""
 	return hasCA != (s.Cert != "") || hasCA != (s.Key != "")
 }
@@ -133,12 +134,12 @@
 		return nil
 	}
 	switch {
-	case s.hasSomeFiles():
-		return fieldErrorf("store.ca", "ca, cert and key go together")
+	case s.hasIncompleteTLS():
+		return fieldErrorf("store.ca", "ca, cert and key must be set together")
 	case s.Folder == "":
 		return &FieldError{Field: "store.folder", Reason: errMissing}
 	case s.Peers[s.Name] == "":
-		return fieldErrorf("store.name", "%q is none of store.peers", s.Name)
+		return fieldErrorf("store.name", "%q is not in store.peers", s.Name)
 	}
 	for name, address := range s.Peers {
 		if err := checkAddress("store.peers."+name, address); err != nil {
--- a/internal/config/deploy_test.go
+++ b/internal/config/deploy_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// On the platform all of the deploy file is off.
+// On the platform every feature of the deploy file is off.
 func TestDeployedFile(t *testing.T) {
 	d, err := LoadDeploy("../../deploy/limeladder.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d.ExtendedQuery.Listen != "" || d.Syslog.Enabled() || len(d.Store.Peers) > 0 {
-		t.Errorf("%+v", d)
+		t.Errorf("got %+v, want the extended-query frontend, syslog and the store off", d)
 	}
 }
 
--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -6,33 +6,33 @@
 	"limeladder/balance"
 )
 
-// EndpointEntry is an endpoint as discovery describes it.
+// EndpointEntry describes an endpoint in the format of discovery.
 type EndpointEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
-	Cell      int64   `json:"cell"` // the replica group
+	Cell      int64   `json:"cell"` // replica group
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
 	StartedMs int64   `json:"started_ms"`
 	Mode      string  `json:"mode"`
 }
 
-// EndpointList is the endpoint list, or a change of it, as discovery sends it.
+// EndpointList is a complete endpoint list, or a change to one, in the format of discovery.
 type EndpointList struct {
 	Version   int64           `json:"version"`
-	Full      bool            `json:"full"`
+	Full      bool            `json:"full"` // complete list rather than a change
 	Endpoints []EndpointEntry `json:"servers"`
 }
 
-// endpointStates translates the states of discovery.
+// endpointStates maps the states of discovery to those of the decision module.
 var endpointStates = map[string]balance.EndpointState{
 	"ready":    balance.EndpointReady,
 	"draining": balance.EndpointDraining,
 	"gone":     balance.EndpointRemoved,
 }
 
-// Balance returns the entry in the terms of the decision module.
+// Balance converts the entry to the type of the decision module.
 func (e EndpointEntry) Balance() (balance.EndpointEntry, error) {
 	entry := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
 	if e.StartedMs > 0 {
@@ -40,7 +40,7 @@
 	}
 	state, ok := endpointStates[e.State]
 	if !ok {
-		return entry, fieldErrorf("state", "unknown word %q", e.State)
+		return entry, fieldErrorf("state", "unknown state %q", e.State)
 	}
 	entry.State = state
 	if e.ID == "" {
--- a/internal/config/field_error.go
+++ b/internal/config/field_error.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// FieldError says which field of a configuration can't be used, and why, in one line.
+// FieldError is an error about a field of a configuration. Its text is one line.
 type FieldError struct {
-	File   string // empty for EDGE_CONFIG, whose path the platform sets
-	Field  string // as the file or the environment names it; empty if the file as a whole can't be read
+	File   string // path of the file; empty for EDGE_CONFIG, whose path the platform sets
+	Field  string // name in the file or the environment; empty if the error is about the whole file
 	Reason error
 }
 
@@ -32,12 +32,12 @@
 
 var errMissing = errors.New("missing")
 
-// fieldErrorf returns a *FieldError for a field with a reason of the given format.
+// fieldErrorf returns a *FieldError with a formatted reason.
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Errorf(format, args...)}
 }
 
-// inFile returns an error about a field as one about the same field of a file.
+// inFile adds the path of the file to a *FieldError. Any other error becomes the reason of one about the whole file.
 func inFile(path string, err error) error {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
@@ -46,7 +46,8 @@
 	return &FieldError{File: path, Reason: err}
 }
 
-// inObject returns an error about a field as one about the same field of the object at parent.
+// inObject prefixes the field of a *FieldError with parent, the path of the object that contains the field. Any other
+// error becomes the reason of one about parent.
 func inObject(parent string, err error) error {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
@@ -65,15 +66,15 @@
 	return nil
 }
 
-// checkRange returns an error if a number does not lie between lowest and highest.
+// checkRange returns an error if value is not between lowest and highest, both inclusive.
 func checkRange[T int | int64](field string, value, lowest, highest T) error {
 	if value < lowest || value > highest {
-		return fieldErrorf(field, "%d does not lie between %d and %d", value, lowest, highest)
+		return fieldErrorf(field, "%d is not between %d and %d", value, lowest, highest)
 	}
 	return nil
 }
 
-// checkOptionalRange does the same where 0 stands for the default.
+// checkOptionalRange is like checkRange, but accepts 0, which selects the default.
 func checkOptionalRange(field string, value, lowest, highest int) error {
 	if value == 0 {
 		return nil
@@ -81,10 +82,11 @@
 	return checkRange(field, value, lowest, highest)
 }
 
-// checkDuration returns an error if a time is negative or longer than highest, which operators read as highestText.
+// checkDuration returns an error if value is negative or longer than highest. highestText is highest as the error text
+// shows it.
 func checkDuration(field string, value, highest time.Duration, highestText string) error {
 	if value < 0 || value > highest {
-		return fieldErrorf(field, "%v does not lie between 0s and %s", value, highestText)
+		return fieldErrorf(field, "%v is not between 0s and %s", value, highestText)
 	}
 	return nil
 }
@@ -99,7 +101,7 @@
 		return &FieldError{Field: field, Reason: err}
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fieldErrorf(field, "%q is no port", port)
+		return fieldErrorf(field, "%q is not a port number", port)
 	}
 	return nil
 }
--- a/internal/config/field_error_test.go
+++ b/internal/config/field_error_test.go
@@ -17,25 +17,25 @@
 		{"EDGE_CONFIG as a whole", &FieldError{Reason: reason}, ": missing"},
 		{"field of a file", &FieldError{File: "d.toml", Field: "listen", Reason: reason}, "d.toml: listen: missing"},
 		{"file as a whole", &FieldError{File: "d.toml", Reason: reason}, "d.toml: missing"},
-		{"put into a file", inFile("d.toml", &FieldError{Field: "a", Reason: reason}), "d.toml: a: missing"},
-		{"put into an object", inObject("settings", &FieldError{Field: "a", Reason: reason}), "settings.a: missing"},
-		{"another error of an object", inObject("settings", reason), "settings: missing"},
+		{"inFile", inFile("d.toml", &FieldError{Field: "a", Reason: reason}), "d.toml: a: missing"},
+		{"inObject", inObject("settings", &FieldError{Field: "a", Reason: reason}), "settings.a: missing"},
+		{"inObject with another error", inObject("settings", reason), "settings: missing"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.err.Error(); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 			if !errors.Is(test.err, reason) {
-				t.Errorf("%v does not wrap its reason", test.err)
+				t.Errorf("got error %v, want one that wraps its reason", test.err)
 			}
 		})
 	}
 }
 
-// A caller tells a file that is missing from one that holds something else.
+// Callers distinguish a missing file from an invalid one by errors.Is.
 func TestFieldErrorWrapsItsReason(t *testing.T) {
 	getenv := func(name string) string { return map[string]string{"EDGE_CONFIG": "none.json"}[name] }
 	if _, err := Load(getenv); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v is not taken for a missing file", err)
+		t.Errorf("got error %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -27,10 +27,10 @@
 	"limeladder/internal/syslog"
 )
 
-// The files under testdata set every key that the program at commit 4e3d53a knows. Operators and the platform keep such
-// files, so each key keeps its name and its meaning. Decoding alone would not show that a key of JSON has changed its
-// case, and neither form would show that a new key stands nowhere in the golden files: each file is also encoded again
-// from what was read and compared key by key.
+// The files under testdata set every key that the program knew at commit 4e3d53a. Operators and the platform keep such
+// files, so each key must keep its name and its meaning. Decoding alone would not detect a JSON key whose case changed,
+// nor a new key that the golden files lack. Each file is therefore also encoded again from the decoded values and
+// compared key by key.
 
 var update = flag.Bool("update", false, "write testdata/edge-config.compact.json instead of comparing with it")
 
@@ -43,18 +43,18 @@
 	return text
 }
 
-// value is what a key of a file was read as.
-type value struct {
+// decodedValue is the value that a key of a file was decoded to, and the expected one.
+type decodedValue struct {
 	key       string
 	got, want any
 }
 
-func checkValues(t *testing.T, values []value) {
+func checkValues(t *testing.T, values []decodedValue) {
 	t.Helper()
 	for _, v := range values {
 		t.Run(v.key, func(t *testing.T) {
 			if !reflect.DeepEqual(v.got, v.want) {
-				t.Errorf("%s was read as %#v, want %#v", v.key, v.got, v.want)
+				t.Errorf("%s: got %#v, want %#v", v.key, v.got, v.want)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 	return text
 }
 
-// decodeTree reads JSON by its keys alone; numbers stay text.
+// decodeTree decodes a JSON object without a schema. Numbers keep their text.
 func decodeTree(t *testing.T, text []byte) (tree map[string]any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -80,11 +80,11 @@
 	return tree
 }
 
-func noEnvironment(string) string { return "" }
+func emptyEnvironment(string) string { return "" }
 
 func parseGolden(t *testing.T) *config.Config {
 	t.Helper()
-	parsed, err := config.Parse(readGolden(t, "edge-config.json"), noEnvironment)
+	parsed, err := config.Parse(readGolden(t, "edge-config.json"), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,18 +105,18 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("encoded as\n%v, want\n%v", got, want)
 	}
-	reread, err := config.Parse(readGolden(t, "edge-config.compact.json"), noEnvironment)
+	reread, err := config.Parse(readGolden(t, "edge-config.compact.json"), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(reread, parseGolden(t)) {
-		t.Error("what was encoded is read as something else")
+		t.Error("edge-config.compact.json does not decode to the same configuration as edge-config.json")
 	}
 }
 
 func TestGoldenEdgeConfigValues(t *testing.T) {
 	c := parseGolden(t)
-	checkValues(t, []value{
+	checkValues(t, []decodedValue{
 		{"name", c.Name, "router-1"},
 		{"listen", c.Listen, "127.0.0.1:6432"},
 		{"discovery", c.Discovery, "127.0.0.1:8500"},
@@ -154,7 +154,7 @@
 	}
 }
 
-// goldenBalance is what the settings of the golden file mean to the decision module.
+// goldenBalance returns the configuration of the decision module that the golden settings translate to.
 func goldenBalance() balance.Config {
 	return balance.Config{
 		Instances: 3, Zone: "site-a", OverQuotaWeight: 0.125, TimerResolution: 1_000_001, PollDiscovery: true,
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestGoldenServersMeaning(t *testing.T) {
+func TestGoldenServersBalance(t *testing.T) {
 	want := []balance.EndpointEntry{
 		{
 			Endpoint: "endpoint-1", Zone: "site-a", Group: 3, State: balance.EndpointReady, Primary: true,
@@ -221,21 +221,21 @@
 				t.Fatal(err)
 			}
 			if got != want[i] {
-				t.Errorf("read as %+v, want %+v", got, want[i])
+				t.Errorf("got %+v, want %+v", got, want[i])
 			}
 		})
 	}
 }
 
-// Words that the golden file has no room for, each in the place of another one.
-func TestGoldenEdgeConfigWords(t *testing.T) {
+// The golden file can set each keyword field to one keyword only. This test replaces it by the other keywords.
+func TestGoldenEdgeConfigEnumValues(t *testing.T) {
 	text := string(readGolden(t, "edge-config.json"))
 	freshness := func(c balance.Config) any { return c.FreshnessCheck }
 	scope := func(c balance.Config) any { return c.Classes[0].IdempotencyScope }
 	for _, test := range []struct {
-		old, word string
-		got       func(balance.Config) any
-		want      any
+		old, replacement string
+		got              func(balance.Config) any
+		want             any
 	}{
 		{`"Discovery": "ask"`, `"Discovery": "push"`, func(c balance.Config) any { return c.PollDiscovery }, false},
 		{`"Guards": "reject"`, `"Guards": "silent"`, freshness, balance.FreshnessCheckNone},
@@ -244,23 +244,24 @@
 		{`"TokenMode": "client"`, `"TokenMode": ""`, func(c balance.Config) any { return c.ClientSessionTokens }, false},
 		{`"Group": "cell"`, `"Group": ""`, scope, balance.ScopeAll},
 	} {
-		t.Run(test.word, func(t *testing.T) {
-			changed := strings.Replace(text, test.old, test.word, 1)
+		t.Run(test.replacement, func(t *testing.T) {
+			changed := strings.Replace(text, test.old, test.replacement, 1)
 			if changed == text {
-				t.Fatalf("the golden file does not hold %s", test.old)
+				t.Fatalf("the golden file does not contain %s", test.old)
 			}
-			c, err := config.Parse([]byte(changed), noEnvironment)
+			c, err := config.Parse([]byte(changed), emptyEnvironment)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got := test.got(c.Balance); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("read as %v, want %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// The environment names the file, and stands above or behind what the file says.
+// EDGE_CONFIG names the file. EDGE_DISCOVERY applies only if the file sets no address; the other variables take
+// precedence over the file.
 func TestGoldenEnvironment(t *testing.T) {
 	environment := map[string]string{
 		"EDGE_CONFIG":       filepath.Join("testdata", "edge-config.json"),
@@ -276,21 +277,21 @@
 		t.Fatal(err)
 	}
 	text := bytes.Replace(readGolden(t, "edge-config.json"), []byte(`"127.0.0.1:8500"`), []byte(`""`), 1)
-	behind, err := config.Parse(text, getenv)
+	withoutDiscovery, err := config.Parse(text, getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkValues(t, []value{
+	checkValues(t, []decodedValue{
 		{"EDGE_NAME", c.Name, "router-2"},
 		{"EDGE_LISTEN", c.Listen, "127.0.0.1:6433"},
 		{"EDGE_OPERATOR", c.Operator, "127.0.0.1:8601"},
 		{"EDGE_INHERITED_FD", c.InheritedFD, 7},
 		{"discovery of the file", c.Discovery, "127.0.0.1:8500"},
-		{"EDGE_DISCOVERY", behind.Discovery, "127.0.0.1:8501"},
+		{"EDGE_DISCOVERY", withoutDiscovery.Discovery, "127.0.0.1:8501"},
 	})
 }
 
-// writeCertificate makes a certificate that vouches for itself, and its key.
+// writeCertificate writes a self-signed certificate and its key.
 func writeCertificate(t *testing.T, certFile, keyFile string) *x509.Certificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -324,8 +325,8 @@
 	return parsed
 }
 
-// loadGolden reads the golden deploy file beside the files that it names.
-func loadGolden(t *testing.T) (deploy config.Deploy, authority, router *x509.Certificate) {
+// loadGoldenDeploy loads the golden deploy file from a temporary folder that has the files it names.
+func loadGoldenDeploy(t *testing.T) (deploy config.Deploy, authority, router *x509.Certificate) {
 	t.Helper()
 	files := map[string][]byte{}
 	for _, name := range []string{"limeladder.toml", "keys.toml"} {
@@ -368,10 +369,10 @@
 	_, deployedKeys := decodeTOML(t, deployed)
 	isPeer := func(key string) bool { return strings.HasPrefix(key, "store.peers.") }
 	if goldenKeys = slices.DeleteFunc(goldenKeys, isPeer); !slices.Equal(goldenKeys, deployedKeys) {
-		t.Errorf("the golden file has the keys\n%q, the deployed one\n%q", goldenKeys, deployedKeys)
+		t.Errorf("the golden file has the keys\n%q, the deployed file has\n%q", goldenKeys, deployedKeys)
 	}
 
-	deploy, _, _ := loadGolden(t)
+	deploy, _, _ := loadGoldenDeploy(t)
 	var encoded bytes.Buffer
 	if err := toml.NewEncoder(&encoded).Encode(deploy); err != nil {
 		t.Fatal(err)
@@ -379,7 +380,7 @@
 	got, _ := decodeTOML(t, encoded.Bytes())
 	collectors := got["syslog"].(map[string]any)
 	if address, ok := collectors["address"]; !ok || address != "" {
-		t.Errorf("syslog.address is %v, want it empty beside syslog.collectors", address)
+		t.Errorf("syslog.address is %v, want it empty because syslog.collectors is set", address)
 	}
 	delete(collectors, "address")
 	if !reflect.DeepEqual(got, want) {
@@ -388,10 +389,10 @@
 }
 
 func TestGoldenDeployValues(t *testing.T) {
-	d, authority, router := loadGolden(t)
+	d, authority, router := loadGoldenDeploy(t)
 	pool := x509.NewCertPool()
 	pool.AddCert(authority)
-	checkValues(t, []value{
+	checkValues(t, []decodedValue{
 		{"extended.listen", d.ExtendedQuery.Listen, "127.0.0.1:5432"},
 		{"changeover.classes", d.Failover.Classes, []string{"job", "order"}},
 		{"changeover.count", d.Failover.Count, 64},
@@ -413,7 +414,7 @@
 		{"syslog.ca", d.Syslog.TLS.RootCAs.Equal(pool), true},
 		{"syslog.cert", d.Syslog.TLS.Certificates[0].Certificate, [][]byte{router.Raw}},
 		{"syslog.server_name", d.Syslog.TLS.ServerName, "collector.example"},
-		{"the oldest version of TLS", d.Syslog.TLS.MinVersion, uint16(tls.VersionTLS12)},
+		{"minimum TLS version", d.Syslog.TLS.MinVersion, uint16(tls.VersionTLS12)},
 		{"syslog.queue.records", d.Syslog.Queue.Records, 512},
 		{"syslog.queue.bytes", d.Syslog.Queue.Bytes, 131072},
 		{"syslog.queue.flush", d.Syslog.Queue.Flush, 2 * time.Second},
@@ -448,11 +449,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkValues(t, []value{
+	checkValues(t, []decodedValue{
 		{"syslog.address", d.Syslog.ParsedCollectors, []syslog.Collector{{Network: "udp", Address: "127.0.0.1:5514"}}},
-		{"the usual facility", d.Syslog.FacilityCode, uint8(3)},
-		{"the usual enterprise number", d.Syslog.Enterprise, int64(32473)},
-		{"the usual bytes", d.Syslog.Bytes, 2048},
-		{"the usual share of reads", d.Audit.Rules.Reads, 1.0},
+		{"default facility", d.Syslog.FacilityCode, uint8(3)},
+		{"default enterprise number", d.Syslog.Enterprise, int64(32473)},
+		{"default message bytes", d.Syslog.Bytes, 2048},
+		{"default share of reads", d.Audit.Rules.Reads, 1.0},
 	})
 }
--- a/internal/config/secrets_test.go
+++ b/internal/config/secrets_test.go
@@ -17,8 +17,8 @@
 	"limeladder/internal/testserver/check"
 )
 
-// secretsOf walks all settings and returns the secrets that they lead to, by the path of each.
-func secretsOf(t *testing.T, settings any) map[string][]byte {
+// findSecrets returns all secrets that can be reached from settings, by field path.
+func findSecrets(t *testing.T, settings any) map[string][]byte {
 	t.Helper()
 	secrets := map[string][]byte{}
 	walkSettings(reflect.ValueOf(settings), "", secrets)
@@ -32,7 +32,7 @@
 			secrets[path] = bytes.Clone(found[:])
 			return
 		case *ecdsa.PrivateKey:
-			key, _ := found.Bytes() // the test's keys are of a known curve
+			key, _ := found.Bytes() // cannot fail: the test's keys use a standard curve
 			secrets[path] = key
 			return
 		}
@@ -53,13 +53,13 @@
 	}
 }
 
-// Guards against secrets of key files in what is stored, printed or logged of the settings.
+// Guards against secrets from key files in settings that are stored, printed or logged.
 func TestSecretsAreNeverWritten(t *testing.T) {
-	deploy, _, _ := loadGolden(t)
-	secrets := secretsOf(t, &deploy)
+	deploy, _, _ := loadGoldenDeploy(t)
+	secrets := findSecrets(t, &deploy)
 	const auditKeys, privateKeys = 2, 1
 	if len(secrets) != auditKeys+privateKeys {
-		t.Fatalf("%d secrets are reached, want %d", len(secrets), auditKeys+privateKeys)
+		t.Fatalf("found %d secrets in the settings, want %d", len(secrets), auditKeys+privateKeys)
 	}
 	written := map[string][]byte{}
 	parts := []any{
@@ -67,21 +67,21 @@
 		deploy.Audit.LoadedKeys[0].Secret, deploy.Syslog, &deploy.Syslog, deploy.Syslog.TLS, &deploy.Syslog.TLS,
 	}
 	for _, part := range parts {
-		for name, text := range writtenForms(t, part) {
+		for name, text := range encodedForms(t, part) {
 			written[fmt.Sprintf("%T %s", part, name)] = text
 		}
 	}
 	for path, secret := range secrets {
 		for name, text := range written {
 			if check.HoldsSecret(text, secret) {
-				t.Errorf("%s is in %s: %s", path, name, text)
+				t.Errorf("secret %s appears in %s: %s", path, name, text)
 			}
 		}
 	}
 }
 
-// writtenForms is what Go's packages write of a value.
-func writtenForms(t *testing.T, value any) map[string][]byte {
+// encodedForms returns a value as printed, logged and encoded by the standard library and the TOML package.
+func encodedForms(t *testing.T, value any) map[string][]byte {
 	t.Helper()
 	forms := map[string][]byte{}
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s", "%q", "%x", "%X", "%d"} {
@@ -93,20 +93,20 @@
 	}
 	forms["JSON"] = encoded
 	var text, lines, objects, binary bytes.Buffer
-	_ = toml.NewEncoder(&text).Encode(value) // not each part of the settings is a table
+	_ = toml.NewEncoder(&text).Encode(value) // fails for parts that are not tables
 	forms["TOML"] = text.Bytes()
 	slog.New(slog.NewTextHandler(&lines, nil)).Info("settings", "value", value)
 	forms["log line"] = lines.Bytes()
 	slog.New(slog.NewJSONHandler(&objects, nil)).Info("settings", "value", value)
 	forms["log object"] = objects.Bytes()
-	_ = gob.NewEncoder(&binary).Encode(value) // functions of the configuration of TLS can't be encoded
+	_ = gob.NewEncoder(&binary).Encode(value) // fails for the functions in tls.Config
 	forms["gob"] = binary.Bytes()
 	return forms
 }
 
-// The stored form of settings with secrets is that without them.
+// Settings are stored without their secrets, and otherwise unchanged.
 func TestSettingsWithSecretsAreStored(t *testing.T) {
-	deploy, _, _ := loadGolden(t)
+	deploy, _, _ := loadGoldenDeploy(t)
 	stored := encodeJSON(t, deploy)
 	deploy.Audit.LoadedKeys = nil
 	deploy.Syslog.TLS = config.TLSConfig{}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,12 +6,12 @@
 	"limeladder/balance"
 )
 
-// Settings is the object that a router is given at its start, by the protocol of the simulator and in EDGE_CONFIG. Its
-// names are those of that protocol; Balance translates them.
+// Settings is the settings object of EDGE_CONFIG and of the simulator's start event. Its keys are those of the
+// simulator's protocol; Balance translates the settings for the decision module.
 type Settings struct {
 	Instances      int
 	Locality       string
-	Discovery      string // how the endpoint list comes: "ask" or "push"
+	Discovery      string // how the endpoint list is obtained: polled ("ask") or pushed ("push")
 	ResolutionNs   int64
 	OverShareWorth float64
 	Lanes          []Lane
@@ -22,7 +22,7 @@
 	Contract       Contract
 }
 
-// Lane is a class of requests.
+// Lane is a class of requests. Its times are in nanoseconds.
 type Lane struct {
 	Name       string
 	AimNs      int64
@@ -31,26 +31,26 @@
 	AimStretch float64
 	Importance float64
 	LateShare  float64
-	Effect     string // one of idempotencies
-	Group      string // one of idempotencyScopes
+	Effect     string // a key of idempotencies
+	Group      string // a key of idempotencyScopes
 }
 
-// Tenant is a client that has a share of the capacity.
+// Tenant is a customer and its quota.
 type Tenant struct {
 	Name          string
-	AllowancePerS float64
+	AllowancePerS float64 // requests per second
 }
 
-// ExtraSettings are about the freshness of responses.
+// ExtraSettings are the settings for the freshness of responses.
 type ExtraSettings struct {
-	Guards       string // one of freshnessChecks
-	TokenMode    string
-	LagAllowedNs []int64  // by lane; empty if no lane has a bound
-	NeedsByClass []string // by lane, each one of consistencies
-	OriginTimeNs *int64
+	Guards       string   // a key of freshnessChecks
+	TokenMode    string   // clientTokenMode if clients send session tokens
+	LagAllowedNs []int64  // maximum staleness in ns, by class; empty if no class has a bound
+	NeedsByClass []string // by class, each a key of consistencies
+	OriginTimeNs *int64   // start of the replication positions
 }
 
-// AttemptLimits bound the attempts of a request and the connections for them.
+// AttemptLimits are the settings for the attempts of a request and for backend connections.
 type AttemptLimits struct {
 	Cancelling       bool
 	Probes           bool
@@ -62,12 +62,12 @@
 	MostTries        int
 }
 
-// Prices are what the router pays for its own calls.
+// Prices are the costs of calls that the router makes on its own account.
 type Prices struct {
-	Probe float64
+	Probe float64 // cost of a health check, as a fraction of the weight of a request
 }
 
-// Contract is what endpoints and discovery promise.
+// Contract describes the behavior that endpoints and discovery guarantee.
 type Contract struct {
 	AskWithinNs  int64
 	DrainGraceNs int64
@@ -78,7 +78,7 @@
 	SoftRemoval  bool
 }
 
-// The words of the settings, in the terms of the decision module.
+// The keywords of the settings and their values in the decision module.
 var (
 	consistencies = map[string]balance.Consistency{
 		"loose":      balance.ConsistencyAny,
@@ -104,16 +104,17 @@
 		"reject": balance.FreshnessCheckReject,
 		"hold":   balance.FreshnessCheckHold,
 	}
-	// discoveryPolls says for each kind of discovery whether the router polls it.
-	discoveryPolls = map[string]bool{
+	// pollsByDiscoveryMode reports for each value of Settings.Discovery whether the router polls for the endpoint list.
+	pollsByDiscoveryMode = map[string]bool{
 		"ask":  true,
 		"push": false,
 	}
 )
 
-const clientTokens = "client"
+// clientTokenMode is the value of TokenMode with which clients send session tokens.
+const clientTokenMode = "client"
 
-// translate returns what a word means, or an error that names the field.
+// translate returns the value of a keyword, or a *FieldError if the keyword is unknown.
 func translate[T any](words map[string]T, field, word string) (T, error) {
 	meaning, ok := words[word]
 	if !ok {
@@ -122,12 +123,12 @@
 	return meaning, nil
 }
 
-// Balance returns the settings in the terms of the decision module. Simulator and real router share it.
+// Balance converts the settings to the configuration of the decision module. The simulator and the router both use it.
 func (s *Settings) Balance() (balance.Config, error) {
-	c := s.withoutWords()
+	c := s.baseBalanceConfig()
 	var err error
-	// A kind of discovery that is not known must not pass: the router would neither poll nor follow the list.
-	c.PollDiscovery, err = translate(discoveryPolls, "Discovery", s.Discovery)
+	// An unknown discovery mode must be rejected: the router would neither poll nor receive the list.
+	c.PollDiscovery, err = translate(pollsByDiscoveryMode, "Discovery", s.Discovery)
 	if err != nil {
 		return c, err
 	}
@@ -151,8 +152,8 @@
 	return c, nil
 }
 
-// withoutWords returns all that needs no translation of words and no check.
-func (s *Settings) withoutWords() balance.Config {
+// baseBalanceConfig returns the part of the configuration that needs no keyword translation and no check.
+func (s *Settings) baseBalanceConfig() balance.Config {
 	return balance.Config{
 		Instances:       s.Instances,
 		Zone:            s.Locality,
@@ -163,7 +164,7 @@
 		DrainGrace:  time.Duration(s.Contract.DrainGraceNs),
 		SoftRemoval: s.Contract.SoftRemoval,
 
-		ClientSessionTokens: s.Extra.TokenMode == clientTokens,
+		ClientSessionTokens: s.Extra.TokenMode == clientTokenMode,
 
 		HealthChecks:    s.Limits.Probes,
 		HealthCheckCost: s.Prices.Probe,
@@ -180,7 +181,7 @@
 	}
 }
 
-// checkExtra checks that what is given by lane is given for each of them.
+// checkExtra checks that OriginTimeNs is set and that the lists by class have a value for each class.
 func (s *Settings) checkExtra() error {
 	if s.Extra.OriginTimeNs == nil {
 		return &FieldError{Field: "Extra.OriginTimeNs", Reason: errMissing}
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// class translates a lane. The slices that are given by lane have been checked.
+// class converts the class at index i. It requires that checkExtra has passed.
 func (s *Settings) class(i int) (balance.Class, error) {
 	lane := s.Lanes[i]
 	class := balance.Class{
@@ -225,7 +226,7 @@
 	return class, nil
 }
 
-// checkTimeouts checks what a router on sockets needs; the simulator goes without.
+// checkTimeouts checks the timeouts that a router with real connections needs. The simulator does not set them.
 func (s *Settings) checkTimeouts() error {
 	if s.Limits.ConnectTimeoutNs <= 0 {
 		return &FieldError{Field: "settings.Limits.ConnectTimeoutNs", Reason: errMissing}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -11,8 +11,8 @@
 	"limeladder/internal/syslog"
 )
 
-// The daemon keeps the deploy file in the store as JSON. testdata/deploy-stored.json is what the program at commit
-// 4e3d53a writes: the names in it stay whatever the fields are called.
+// The daemon keeps the deploy file in the store as JSON. testdata/deploy-stored.json is the output of the program at
+// commit 4e3d53a: the stored names must stay the same even if the Go fields are renamed.
 func TestGoldenStoredDeploy(t *testing.T) {
 	half := 0.5
 	var d config.Deploy
--- a/internal/config/syslog.go
+++ b/internal/config/syslog.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// exampleEnterprise is the number that RFC 5612 sets aside for documentation.
+	// exampleEnterprise is the private enterprise number that RFC 5612 reserves for documentation.
 	exampleEnterprise = 32473
 	maxEnterprise     = 1<<32 - 1
 
 	defaultFacility     = "daemon"
 	defaultMessageBytes = 2048
 	maxMessageBytes     = 64 << 10
-	// maxDatagramBytes is the payload of the largest UDP datagram over IPv4.
+	// maxDatagramBytes is the largest payload of a UDP datagram over IPv4.
 	maxDatagramBytes = 65_507
 )
 
-// Syslog says where the records go, and how. It is off if it names no collector.
+// Syslog is the section [syslog]: the collectors that records are sent to, and how. It is off without a collector.
 type Syslog struct {
-	Address    string   `toml:"address"`    // one collector over UDP, as host:port; the same as collectors = ["udp://..."]
-	Collectors []string `toml:"collectors"` // udp://, tcp:// or tls://, the preferred one first
-	Anywhere   bool     `toml:"anywhere"`   // they need not be on this machine
+	Address    string   `toml:"address"`    // one UDP collector as host:port, short for collectors = ["udp://..."]
+	Collectors []string `toml:"collectors"` // URLs with udp://, tcp:// or tls://, in order of preference
+	Anywhere   bool     `toml:"anywhere"`   // allow collectors on addresses other than loopback
 	Facility   string   `toml:"facility"`   // empty = daemon
-	Enterprise int64    `toml:"enterprise"` // the operator's private enterprise number; 0 = the one for examples
-	Host       string   `toml:"host"`       // HOSTNAME; empty = the name of the machine
-	Bytes      int      `toml:"bytes"`      // of one message; 0 = 2048
-	Repeat     int      `toml:"repeat"`     // bytes that are sent again after a connection broke
+	Enterprise int64    `toml:"enterprise"` // private enterprise number; 0 = exampleEnterprise
+	Host       string   `toml:"host"`       // HOSTNAME of the messages; empty = the name of the machine
+	Bytes      int      `toml:"bytes"`      // maximum size of a message; 0 = 2048
+	Repeat     int      `toml:"repeat"`     // bytes that are sent again after a connection is lost
 
-	CA     string `toml:"ca"`          // PEM file of the authorities that vouch for collectors; empty = the system's
+	CA     string `toml:"ca"`          // PEM file of the certificate authorities for collectors; empty = the system's
 	Cert   string `toml:"cert"`        // PEM file of the router's own certificate
-	Key    string `toml:"key"`         // PEM file of its key
-	Server string `toml:"server_name"` // the name in the collector's certificate; empty = the host of its address
+	Key    string `toml:"key"`         // PEM file of the certificate's private key
+	Server string `toml:"server_name"` // expected name in the collector's certificate; empty = the host of its address
 
 	Queue SyslogQueue `toml:"queue"`
 	Spool SyslogSpool `toml:"spool"`
 
-	// These are what the fields above amount to.
+	// The following fields are derived from the fields above when the file is loaded.
 	ParsedCollectors []syslog.Collector `toml:"-" json:"Parsed"`
 	FacilityCode     uint8              `toml:"-"`
 	TLS              TLSConfig          `toml:"-"`
 }
 
-// TLSConfig is what collectors are reached with; its Config is nil where none is reached over TLS. It may hold the
-// private key of the router's certificate, so it is never printed nor encoded.
+// TLSConfig is the TLS configuration for collectors. Config is nil if no collector uses TLS. It may contain the private
+// key of the router's certificate, so it is never printed or encoded.
 type TLSConfig struct{ *tls.Config }
 
-// Format implements fmt.Formatter, for every verb.
+// Format implements fmt.Formatter. It writes the same text for every verb.
 func (TLSConfig) Format(state fmt.State, _ rune) { _, _ = io.WriteString(state, "redacted") }
 
 // LogValue implements slog.LogValuer.
@@ -62,24 +62,24 @@
 // MarshalJSON implements json.Marshaler.
 func (TLSConfig) MarshalJSON() ([]byte, error) { return []byte("null"), nil }
 
-// SyslogQueue bounds the records that wait to be sent.
+// SyslogQueue bounds the queue of records to be sent.
 type SyslogQueue struct {
-	Records int           `toml:"records"` // 0 = by memory
-	Bytes   int           `toml:"bytes"`   // 0 = by memory
-	Flush   time.Duration `toml:"flush"`   // the exit of the program waits for them this long; 0 = 1 s
+	Records int           `toml:"records"` // maximum number of records; 0 = derived from the memory limit
+	Bytes   int           `toml:"bytes"`   // maximum size of the records; 0 = derived from the memory limit
+	Flush   time.Duration `toml:"flush"`   // maximum time that the program waits for the queue at exit; 0 = 1 s
 }
 
-// SyslogSpool says where messages wait on disk while no collector accepts them.
+// SyslogSpool configures the spool, which stores messages on disk while no collector accepts them.
 type SyslogSpool struct {
-	Folder string `toml:"folder"` // empty = none
-	Bytes  int64  `toml:"bytes"`  // 0 = 64 MiB
-	Replay int    `toml:"replay"` // messages a second from it; 0 = as fast as they are accepted
+	Folder string `toml:"folder"` // empty = no spool
+	Bytes  int64  `toml:"bytes"`  // maximum size; 0 = 64 MiB
+	Replay int    `toml:"replay"` // messages per second sent from the spool; 0 = no limit
 }
 
-// Enabled says whether there is a collector to send to.
+// Enabled reports whether a collector is configured.
 func (s *Syslog) Enabled() bool { return len(s.ParsedCollectors) > 0 }
 
-// check checks the fields, fills in defaults and reads the files for TLS.
+// check validates the fields, fills in defaults and reads the TLS files.
 func (s *Syslog) check() error {
 	if err := s.readCollectors(); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if err := s.checkRanges(); err != nil {
 		return err
 	}
-	if !s.uses("tls") {
+	if !s.usesNetwork("tls") {
 		return nil
 	}
 	return s.readTLS()
@@ -114,7 +114,7 @@
 	}
 	const field = "syslog.address"
 	if len(s.Collectors) > 0 {
-		return fieldErrorf(field, "collectors are named too")
+		return fieldErrorf(field, "cannot be combined with syslog.collectors")
 	}
 	if err := checkAddress(field, s.Address); err != nil {
 		return err
@@ -128,7 +128,7 @@
 		return &FieldError{Field: field, Reason: err}
 	}
 	if !s.Anywhere && !collector.Loopback() {
-		return fieldErrorf(field, "%q is no loopback address", collector.Address)
+		return fieldErrorf(field, "%q is not a loopback address, and syslog.anywhere is off", collector.Address)
 	}
 	s.ParsedCollectors = append(s.ParsedCollectors, collector)
 	return nil
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// uses says whether a collector is reached over a network.
-func (s *Syslog) uses(network string) bool {
+// usesNetwork reports whether a collector uses the given network: "udp", "tcp" or "tls".
+func (s *Syslog) usesNetwork(network string) bool {
 	for _, collector := range s.ParsedCollectors {
 		if collector.Network == network {
 			return true
@@ -157,11 +157,12 @@
 	return false
 }
 
-// checkRanges checks all that needs no file. The defaults of Enterprise and Bytes are filled in.
+// checkRanges validates the fields without reading files. It requires that the defaults of Enterprise and Bytes are
+// filled in.
 func (s *Syslog) checkRanges() error {
 	const maxRepeat = 16 << 20
 	maxBytes := maxMessageBytes
-	if s.uses("udp") {
+	if s.usesNetwork("udp") {
 		maxBytes = maxDatagramBytes
 	}
 	return firstError(
@@ -177,21 +178,21 @@
 
 func (s *Syslog) checkEnterprise() error {
 	if s.Enterprise < 1 || s.Enterprise > maxEnterprise {
-		return fieldErrorf("syslog.enterprise", "%d is no enterprise number", s.Enterprise)
+		return fieldErrorf("syslog.enterprise", "%d is not an enterprise number", s.Enterprise)
 	}
 	return nil
 }
 
 func (s *Syslog) checkHost() error {
 	if s.Host != "" && s.Host != syslog.Printable(s.Host, syslog.HostMost) {
-		return fieldErrorf("syslog.host", "not of 1 to %d printable ASCII characters", syslog.HostMost)
+		return fieldErrorf("syslog.host", "must consist of 1 to %d printable ASCII characters", syslog.HostMost)
 	}
 	return nil
 }
 
 func (s *Syslog) checkCertificate() error {
 	if (s.Cert == "") != (s.Key == "") {
-		return fieldErrorf("syslog.cert", "cert and key belong together")
+		return fieldErrorf("syslog.cert", "cert and key must be set together")
 	}
 	return nil
 }
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// readTLS reads the files for TLS. RFC 5425, section 5.2: the certificate of the collector is always checked.
+// readTLS reads the TLS files. The collector's certificate is always verified, as RFC 5425, section 5.2 requires.
 func (s *Syslog) readTLS() error {
 	s.TLS.Config = &tls.Config{MinVersion: tls.VersionTLS12, ServerName: s.Server}
 	if s.CA != "" {
@@ -235,7 +236,7 @@
 		}
 		s.TLS.RootCAs = x509.NewCertPool()
 		if !s.TLS.RootCAs.AppendCertsFromPEM(text) {
-			return fieldErrorf("syslog.ca", "%s holds no certificate", s.CA)
+			return fieldErrorf("syslog.ca", "%s contains no certificate", s.CA)
 		}
 	}
 	if s.Cert != "" {
