--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -108,7 +108,7 @@
 	t.Run("class that the decision module rejects", func(t *testing.T) {
 		_, err := Parse([]byte(strings.Replace(validConfig, `"GiveUpNs":2`, `"GiveUpNs":0`, 1)), emptyEnvironment)
 		if err == nil || !strings.HasPrefix(err.Error(), "settings: Classes: GiveUp") {
-			t.Errorf("got error %v, want one that starts with settings: Classes: GiveUp", err)
+			t.Error(err)
 		}
 	})
 	t.Run("EDGE_INHERITED_FD", func(t *testing.T) {
