--- a/internal/limits/compute.go
+++ b/internal/limits/compute.go
@@ -6,24 +6,26 @@
 	kib = 1 << 10
 	mib = 1 << 20
 
-	operatorConnections = 16
-	// reservedDescriptors belong to the runtime, pollers, listeners, discovery and syslog.
+	adminConnections = 16
+	// reservedDescriptors is the number of descriptors reserved for the Go runtime, pollers, listeners, discovery and
+	// syslog.
 	reservedDescriptors = 32
 
-	// maxStatementBytes and maxRowBytes: values of several hundred KiB come in responses and in statements, single values
-	// have up to 4 MiB. Those are more than memory holds at once, so beyond the stream threshold they are not kept.
+	// maxStatementBytes and maxRowBytes allow for values of several hundred KiB in statements and responses, and for
+	// single values of up to 4 MiB. Several of the latter do not fit into memory at once, so rows above the stream
+	// threshold are streamed rather than buffered.
 	maxStatementBytes = 1 * mib
 	maxRowBytes       = 4*mib + 64*kib
 
-	// shutdownMargin is kept between the last deadline and the end of the process.
+	// shutdownMargin is the time from the last request deadline to the exit of the process.
 	shutdownMargin = 600 * time.Millisecond
-	// guaranteedShutdown is the shortest time that the platform lets a process run after SIGTERM.
+	// guaranteedShutdown is the minimum time that the platform lets a process run after SIGTERM.
 	guaranteedShutdown = 3 * time.Second
 )
 
-// New computes the limits from what the platform grants (memory in MiB, file descriptors) and what the settings say:
-// the time in which a connection to an endpoint comes up, the time after which an idle one is dropped by its endpoint,
-// and the longest time that a client waits for an answer.
+// New computes the limits from the memory in MiB and the number of file descriptors that the platform grants, and from
+// the settings: the timeout for connecting to an endpoint, the time after which endpoints close an idle connection, and
+// the longest client timeout of all classes.
 func New(memoryMiB, descriptors int, connectTimeout, connectionIdle, longestRequest time.Duration) Limits {
 	return Limits{
 		Memory:     memory(memoryMiB),
@@ -32,7 +34,7 @@
 		Router:     router(memoryMiB, descriptors),
 		Backend:    backend(memoryMiB, descriptors, connectTimeout, connectionIdle),
 		Discovery:  discovery(connectTimeout),
-		AdminAPI:   AdminAPI{Connections: operatorConnections, CallBytes: 16 * kib, CallTimeout: 2 * time.Second},
+		AdminAPI:   AdminAPI{Connections: adminConnections, CallBytes: 16 * kib, CallTimeout: 2 * time.Second},
 		Shutdown:   shutdown(longestRequest),
 		HotRestart: HotRestart{PollInterval: 100 * time.Millisecond},
 		Audit:      audit(memoryMiB),
@@ -41,24 +43,24 @@
 	}
 }
 
-// connectionDescriptors is what is left of the descriptors for connections of clients and to endpoints. Connections
-// that are closed and wait for their peer to close its side (transport.Lingering) are counted apart.
+// connectionDescriptors returns the number of descriptors for client and backend connections. Connections that are
+// closed here and wait for their peer to close its side (transport.MaxLingering) have descriptors of their own.
 func connectionDescriptors(descriptors int) int {
 	lingering := max(1, descriptors/32)
-	return descriptors - reservedDescriptors - operatorConnections - lingering
+	return descriptors - reservedDescriptors - adminConnections - lingering
 }
 
-// largestMessage is the most that one buffered message may have, in bytes.
+// largestMessage returns the maximum length of a buffered message in bytes.
 func largestMessage(memoryMiB int) int {
 	return min(maxStatementBytes, memoryMiB*mib/64)
 }
 
 func memory(memoryMiB int) Memory {
 	return Memory{
-		// The rest is for what the collector does not see, and for its being late.
+		// The rest is for memory outside the garbage collector's control, and for garbage that it has not collected yet.
 		TargetBytes: int64(memoryMiB) * mib * 3 / 5,
-		// A few MiB are in use while responses of several hundred KiB pass: at the usual 100 the collector would run at every
-		// few of them, on a part of a core.
+		// The live heap is a few MiB, and responses have several hundred KiB each. With Go's default of 100 the garbage
+		// collector would run once per few responses, which is expensive with a fraction of a core.
 		GCPercent: 400,
 	}
 }
@@ -67,8 +69,9 @@
 	free := connectionDescriptors(descriptors)
 	return Frontend{
 		Connections: free * 7 / 10,
-		// Clients hold a third of the descriptors at most for their requests, and those that ask once and stay connected hold
-		// theirs too: with a third in use, ordinary clients have none left to ask with, whatever the router has.
+		// Clients use at most a third of the descriptors for their requests, including clients that send one request and
+		// stay connected. Once such connections use up that third, other clients can't connect, even if the router has
+		// descriptors left. Idle connections are therefore closed well before that.
 		SoftLimit:          descriptors / 8,
 		HardLimit:          descriptors / 5,
 		ConcurrentRequests: max(4, free/16),
@@ -83,7 +86,8 @@
 		LowWaterBytes:   32 * kib,
 		SendBufferBytes: 64 * kib,
 
-		// A client that can't be served is owed an error or a close within 3 s of connecting. A message head may take 2 s.
+		// A client that can't be served must get an error or a closed connection within 3 s of connecting. The header of a
+		// message may take 2 s to arrive.
 		StartupTimeout:        2300 * time.Millisecond,
 		FirstCommandTimeout:   2100 * time.Millisecond,
 		PartialMessageTimeout: 2300 * time.Millisecond,
@@ -131,14 +135,15 @@
 		ReuseDelay:         2 * time.Millisecond,
 		StallTimeout:       connectTimeout,
 		StreamStallTimeout: 10 * time.Second,
-		// Well inside the time after which the endpoint drops it, so that no request crosses the end of an idle connection.
+		// Well below the endpoint's own idle timeout, so that the endpoint does not close a connection just as a request is
+		// sent on it.
 		IdleTimeout:   connectionIdle * 3 / 4,
 		SweepInterval: time.Second,
 	}
 }
 
 func discovery(connectTimeout time.Duration) Discovery {
-	// Discovery drops a call that has waited 2 s for its turn, and the response that says so needs its time on the way.
+	// Discovery rejects a call that has waited for 2 s in its queue, and the response needs time to arrive.
 	const queueTimeout = 2 * time.Second
 	return Discovery{
 		KnownEndpoints: 10_000,
@@ -147,9 +152,9 @@
 
 		LongPollTimeout: 5 * time.Second,
 		CallTimeout:     queueTimeout + connectTimeout,
-		// What a watch had to bring counts as notified by twice this time after its wait.
+		// Changes that a watch has to deliver count as notified once twice this time has passed since the end of its wait.
 		WatchSlack: time.Second,
-		// Discovery takes a call for the same watch if it comes within 200 ms.
+		// Discovery treats a call as the continuation of a watch if it arrives within 200 ms.
 		WatchInterval:    50 * time.Millisecond,
 		FirstListTimeout: time.Second,
 	}
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,6 +1,6 @@
-// Package limits computes every size, count and time that bounds the program, from what the platform grants and the
-// settings say.
+// Package limits computes every size, count and timeout that bounds the program, from the resources that the platform
+// grants and from the settings.
 //
-// Limits is filled once at the start and handed down by value, grouped by the part of the program that heeds it. The
-// package does no input or output, keeps no state and starts no goroutine.
+// Limits is computed once at startup and passed by value. Its fields are grouped by the part of the program that
+// enforces them. The package does no input or output, keeps no state and starts no goroutine.
 package limits
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Limits bounds what the program holds and how long it waits, by the part of the program that heeds it.
+// Limits bounds the resources that the program uses and the time that it waits. It has a field for each part of the
+// program that enforces limits.
 type Limits struct {
 	Memory     Memory
 	Transport  Transport
@@ -18,140 +19,140 @@
 	Store      Store
 }
 
-// Memory is what the Go runtime is told.
+// Memory configures the Go runtime.
 type Memory struct {
-	TargetBytes int64 // the runtime aims to stay under this
-	GCPercent   int   // it collects once garbage is this many hundredths of what is in use
+	TargetBytes int64 // soft memory limit, as for debug.SetMemoryLimit
+	GCPercent   int   // garbage collection target percentage, as for debug.SetGCPercent
 }
 
-// Transport bounds every connection, whoever its peer is.
+// Transport bounds every connection, whether to a client, an endpoint or an operator.
 type Transport struct {
-	InboxBytes int // received and not processed yet; beyond it the connection is not read
+	InboxBytes int // received but unprocessed bytes of a connection; above this, reading from it pauses
 }
 
-// Frontend bounds the connections of clients.
+// Frontend bounds client connections.
 type Frontend struct {
-	Connections        int // open at a time
+	Connections        int // open connections
 	SoftLimit          int // with more connections than this, idle ones are closed after SoftLimitIdle
 	HardLimit          int // with more connections than this, idle ones are closed after HardLimitIdle
-	ConcurrentRequests int // of one connection
-	PreparedStatements int // and portals, of one connection
-
-	StartupBytes    int // of a startup message
-	MessageBytes    int // of any other message
-	PipelinedBytes  int // that a client may send ahead while its request is in flight
-	BufferedBytes   int // of waiting, prepared or running statements and of responses, of all connections together
-	UnreadBytes     int // of responses that one client may leave unread
-	HighWaterBytes  int // with this much unread, a streamed response pauses and the client is not read
-	LowWaterBytes   int // with no more than this unread, both go on
-	SendBufferBytes int // of the system's send buffer of a connection
-
-	StartupTimeout        time.Duration // until the startup message has come
+	ConcurrentRequests int // requests in flight on one connection
+	PreparedStatements int // prepared statements and portals of one connection
+
+	StartupBytes    int // length of a startup message
+	MessageBytes    int // length of any other message
+	PipelinedBytes  int // bytes that a client may send ahead while its request is in flight
+	BufferedBytes   int // statements (waiting, prepared or running) and responses of all connections together
+	UnreadBytes     int // response bytes that one client may leave unread
+	HighWaterBytes  int // with more unread bytes, a streamed response and reading from the client pause
+	LowWaterBytes   int // with no more unread bytes than this, both resume
+	SendBufferBytes int // size of a connection's send buffer in the operating system
+
+	StartupTimeout        time.Duration // until the startup message is complete
 	FirstCommandTimeout   time.Duration // from the startup message to the first command
-	PartialMessageTimeout time.Duration // until more comes of a message that has begun
-	MessageTimeout        time.Duration // until a message that has begun is complete
-	UnitTimeout           time.Duration // until a unit of work that has begun goes on
-	UnreadTimeout         time.Duration // until a client reads some of what it was sent
-	UnstartedIdle         time.Duration // a connection without startup, or whose last message was invalid, may be evicted
-	HardLimitIdle         time.Duration // above HardLimit, a connection without a request may be evicted
-	UnusedIdle            time.Duration // a started connection that never sent a command may be evicted
-	SoftLimitIdle         time.Duration // above SoftLimit, a connection without a request may be evicted
-	SweepInterval         time.Duration // between two checks of all connections
-	FlushTimeout          time.Duration // until a connection that is being closed takes more of its last response
-	DrainedIdle           time.Duration // while the router is drained, a connection idle for this long is closed
+	PartialMessageTimeout time.Duration // maximum gap in the arrival of a message
+	MessageTimeout        time.Duration // from the beginning of a message to its end
+	UnitTimeout           time.Duration // maximum time that a client leaves a unit of work unfinished without activity
+	UnreadTimeout         time.Duration // until a client reads some of its unread responses
+	UnstartedIdle         time.Duration // minimum idle time to evict one without startup or whose last message was invalid
+	HardLimitIdle         time.Duration // above HardLimit, minimum idle time to evict a connection without a request
+	UnusedIdle            time.Duration // minimum idle time to evict a started connection that never sent a command
+	SoftLimitIdle         time.Duration // above SoftLimit, minimum idle time to evict a connection without a request
+	SweepInterval         time.Duration // interval of the checks of all connections
+	FlushTimeout          time.Duration // until a peer reads more of the last response before its connection is closed
+	DrainedIdle           time.Duration // while the router is draining, a connection that is idle for this long is closed
 }
 
 // Router bounds the requests in flight.
 type Router struct {
-	InFlightRequests  int           // owed an answer
-	PendingWrites     int           // that wait through a failover
-	PendingWriteBytes int           // of their statements
-	LogTextBytes      int           // of a log line of the decision module
-	DeadlineMargin    time.Duration // the final answer is sent this long before the client gives up
-	DefaultRetryAfter time.Duration // told with a rejection for which the decision module gives no time
-	ReportInterval    time.Duration // between two log lines of the counters
+	InFlightRequests  int           // admitted requests without a response
+	PendingWrites     int           // writes queued during a failover
+	PendingWriteBytes int           // total size of their statements
+	LogTextBytes      int           // length of a log text of the decision module; longer texts are cut
+	DeadlineMargin    time.Duration // the final response is sent this long before the client timeout
+	DefaultRetryAfter time.Duration // Retry-After of a rejection for which the decision module gives none
+	ReportInterval    time.Duration // interval of the log lines with the counters
 }
 
-// Backend bounds the connections to the endpoints.
+// Backend bounds the connections to endpoints.
 type Backend struct {
-	Connections            int // those being opened included
-	ConnectionsPerEndpoint int // the same for one endpoint
-	IdlePerEndpoint        int // idle connections kept to one endpoint
+	Connections            int // connections to all endpoints, including those being opened
+	ConnectionsPerEndpoint int // connections to one endpoint, including those being opened
+	IdlePerEndpoint        int // idle connections kept open to one endpoint
 
-	ResponseBytes        int // of a response that is buffered until it is complete
-	RowBytes             int // of one row that is streamed
+	ResponseBytes        int // length of a response that is buffered until it is complete
+	RowBytes             int // length of a streamed row
 	StreamThresholdBytes int // a longer row is streamed rather than buffered
-	StreamStartBytes     int // streaming begins once so much of the row has come
+	StreamStartBytes     int // streaming of a row begins once this much of it has arrived
 
 	ConnectTimeout     time.Duration // until an endpoint has accepted the startup of a connection
-	RedialAfter        time.Duration // a connection that is not up by then is dialed once more
-	HealthCheckTimeout time.Duration // until a health check is answered
-	ReuseDelay         time.Duration // after a response a connection carries nothing for this long
-	StallTimeout       time.Duration // until a message that has begun to come goes on
-	StreamStallTimeout time.Duration // until a response that is being streamed goes on
-	IdleTimeout        time.Duration // a connection that was idle for longer is not used
-	SweepInterval      time.Duration // between two checks of the idle connections
+	RedialAfter        time.Duration // a second connection is dialed if the first is not established by then
+	HealthCheckTimeout time.Duration // until the response to a health check
+	ReuseDelay         time.Duration // pause of a connection after a response, before the next attempt
+	StallTimeout       time.Duration // maximum gap in the arrival of a buffered response
+	StreamStallTimeout time.Duration // maximum gap in the arrival of a streamed response
+	IdleTimeout        time.Duration // a connection that has been idle for longer is not used
+	SweepInterval      time.Duration // interval of the checks of idle connections
 }
 
-// Discovery bounds the calls to discovery and what they bring.
+// Discovery bounds the calls to discovery and their responses.
 type Discovery struct {
-	KnownEndpoints int // that were ever listed
-	ListBytes      int // of the body of a response
-	HeaderBytes    int // of its header
-
-	LongPollTimeout  time.Duration // what a watch asks discovery to wait
-	CallTimeout      time.Duration // until a call that does not wait has failed
-	WatchSlack       time.Duration // a watch has failed this long after its wait
-	WatchInterval    time.Duration // from a call that brought nothing, and did not wait, to the next
-	MaxRetryInterval time.Duration // after a failed call where the watch retries by itself; 0 = it does not
-	FirstListTimeout time.Duration // the router is ready without a list after this
-	ResumeFromKnown  bool          // the known list is the start: only what changed since is asked for
+	KnownEndpoints int // endpoints that are remembered as having been listed
+	ListBytes      int // length of a response body
+	HeaderBytes    int // length of a response header
+
+	LongPollTimeout  time.Duration // how long a watch asks discovery to wait for a change
+	CallTimeout      time.Duration // timeout of a call other than a watch
+	WatchSlack       time.Duration // a watch times out this long after LongPollTimeout
+	WatchInterval    time.Duration // delay before the next call if a watch returned no change without waiting
+	MaxRetryInterval time.Duration // maximum delay before the watch retries a failed call; 0 = the watch does not retry
+	FirstListTimeout time.Duration // the router becomes ready without a list after this time
+	ResumeFromKnown  bool          // start from the known list, and ask only for changes to it
 }
 
-// AdminAPI bounds the calls of operators.
+// AdminAPI bounds the HTTP requests of operators.
 type AdminAPI struct {
-	Connections int
-	CallBytes   int
-	CallTimeout time.Duration // until a call has come completely
+	Connections int           // open connections
+	CallBytes   int           // length of a request, including its body
+	CallTimeout time.Duration // until a request is complete
 }
 
-// Shutdown is the time after SIGTERM.
+// Shutdown is the schedule of a graceful shutdown. All times count from SIGTERM.
 type Shutdown struct {
-	AcceptTime     time.Duration // connections are still accepted
-	GuaranteedTime time.Duration // the platform grants at least this long; late requests are answered by then
-	MaxTime        time.Duration // the program exits
+	AcceptTime     time.Duration // until connections are no longer accepted
+	GuaranteedTime time.Duration // time that the platform guarantees; requests in flight are answered by then
+	MaxTime        time.Duration // until the program exits
 }
 
-// HotRestart bounds the exchange with the other process of the same router.
+// HotRestart bounds the communication with the other process of the same router.
 type HotRestart struct {
-	PollInterval time.Duration // between two looks at the shared folder
+	PollInterval time.Duration // interval of the checks of the shared folder
 }
 
-// Audit bounds the records that wait to become messages.
+// Audit bounds the queue of records that are not yet encoded as messages.
 type Audit struct {
-	QueueRecords       int
-	QueueBytes         int
-	ChainHeadMessages  int           // from one head of the chain to the next
-	ChainHeadInterval  time.Duration // the same as a time
-	GatherInterval     time.Duration // between two looks at the queue
-	LossReportInterval time.Duration // between two reports of dropped records
+	QueueRecords       int           // records in the queue
+	QueueBytes         int           // total size of these records
+	ChainHeadMessages  int           // messages between two chain heads
+	ChainHeadInterval  time.Duration // maximum time between two chain heads
+	GatherInterval     time.Duration // interval at which the queue is emptied
+	LossReportInterval time.Duration // interval of the reports of dropped records
 }
 
-// Syslog bounds the delivery to collectors.
+// Syslog bounds the delivery of messages to collectors.
 type Syslog struct {
-	WindowBytes       int           // of messages that wait in memory, or are not acknowledged
-	SpoolSegmentBytes int           // of one segment of the spool
-	SpoolBytes        int           // of all of it
-	ConnectTimeout    time.Duration // until a collector is connected
-	StallTimeout      time.Duration // until it takes more
-	MinBackoff        time.Duration // after the first failure
-	MaxBackoff        time.Duration // after repeated failures
-	FailbackInterval  time.Duration // between two attempts to return to a preferred collector
-	FlushTimeout      time.Duration // the exit of the program waits for collectors this long
+	WindowBytes       int           // messages that wait in memory or are unacknowledged
+	SpoolSegmentBytes int           // size of a spool segment
+	SpoolBytes        int           // size of the whole spool
+	ConnectTimeout    time.Duration // until a connection to a collector is established
+	StallTimeout      time.Duration // until a collector accepts more data
+	MinBackoff        time.Duration // backoff after the first failure
+	MaxBackoff        time.Duration // upper bound of the backoff after repeated failures
+	FailbackInterval  time.Duration // interval of the attempts to return to a preferred collector
+	FlushTimeout      time.Duration // maximum time that the program waits for collectors at exit
 }
 
 // Store bounds the replicated store.
 type Store struct {
-	QueuedWrites int
-	LogEntries   int // kept before a snapshot takes their place
+	QueuedWrites int // writes that wait to be committed
+	LogEntries   int // log entries before a snapshot replaces them
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// grant is what the platform gives a router.
+// grant is the resources that the platform grants to a router.
 type grant struct {
 	memoryMiB   int
 	descriptors int
@@ -20,7 +20,7 @@
 	return New(g.memoryMiB, g.descriptors, 250*time.Millisecond, 15*time.Second, 10*time.Second)
 }
 
-// grants returns all sizes of routers, the smallest one too.
+// grants returns grants of all sizes, including the smallest one.
 func grants() []grant {
 	var all []grant
 	for _, memoryMiB := range []int{32, 48, 64, 128, 192} {
@@ -31,15 +31,15 @@
 	return all
 }
 
-// checkAtMost checks that a number does not exceed another one.
+// checkAtMost checks that got does not exceed highest.
 func checkAtMost[T int | int64](t *testing.T, what string, got, highest T) {
 	t.Helper()
 	if got > highest {
-		t.Errorf("%s: %d, want at most %d", what, got, highest)
+		t.Errorf("%s: got %d, want at most %d", what, got, highest)
 	}
 }
 
-// The connections fit into the descriptors, and clients get enough of them.
+// All connections fit into the granted descriptors, and clients get enough of them.
 func TestDescriptors(t *testing.T) {
 	for _, g := range grants() {
 		t.Run(g.String(), func(t *testing.T) {
@@ -52,34 +52,34 @@
 	}
 }
 
-// Two processes at once fit into what one is granted. Clients hold a third of the descriptors for requests, in
-// whichever process they are.
+// Two processes together fit into the grant of one router. Clients use a third of the descriptors for their requests,
+// whichever of the processes they are connected to.
 func TestDuringHotRestart(t *testing.T) {
 	for _, g := range grants() {
 		t.Run(g.String(), func(t *testing.T) {
 			l := g.limits()
-			lean := l.DuringHotRestart()
+			halved := l.DuringHotRestart()
 			clients := g.descriptors / 3
 			others := g.descriptors - l.Frontend.Connections - l.Backend.Connections
-			checkAtMost(t, "descriptors for requests", clients, lean.Frontend.Connections)
-			checkAtMost(t, "descriptors", 2*lean.Backend.Connections+clients+2*others, g.descriptors)
-			checkAtMost(t, "memory", 2*lean.Memory.TargetBytes, l.Memory.TargetBytes)
+			checkAtMost(t, "descriptors for requests", clients, halved.Frontend.Connections)
+			checkAtMost(t, "descriptors", 2*halved.Backend.Connections+clients+2*others, g.descriptors)
+			checkAtMost(t, "memory", 2*halved.Memory.TargetBytes, l.Memory.TargetBytes)
 		})
 	}
 }
 
-// The buffers fit into the memory, and the usual values of several hundred KiB fit into the buffers.
+// The buffers fit into the granted memory, and common values of several hundred KiB fit into the buffers.
 func TestMemory(t *testing.T) {
 	for _, g := range grants() {
 		t.Run(g.String(), func(t *testing.T) {
 			l := g.limits()
 			memory := int64(g.memoryMiB) << 20
-			checkAtMost(t, "target", l.Memory.TargetBytes, memory*2/3)
-			checkAtMost(t, "buffers of clients", int64(l.Frontend.BufferedBytes), memory/8)
+			checkAtMost(t, "memory target", l.Memory.TargetBytes, memory*2/3)
+			checkAtMost(t, "client buffers", int64(l.Frontend.BufferedBytes), memory/8)
 			checkAtMost(t, "inbox", int64(l.Transport.InboxBytes), memory/16)
-			checkAtMost(t, "a response", l.Backend.ResponseBytes, l.Frontend.UnreadBytes)
-			checkAtMost(t, "a usual value", 400<<10, l.Backend.ResponseBytes)
-			checkAtMost(t, "the usual percentage of garbage", 101, l.Memory.GCPercent)
+			checkAtMost(t, "response bytes", l.Backend.ResponseBytes, l.Frontend.UnreadBytes)
+			checkAtMost(t, "400 KiB value", 400<<10, l.Backend.ResponseBytes)
+			checkAtMost(t, "Go's default GC percentage plus one", 101, l.Memory.GCPercent)
 		})
 	}
 }
--- a/internal/limits/variants.go
+++ b/internal/limits/variants.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// ForFleet returns the limits of one router among so many that share one discovery service.
+// ForFleet returns the limits of one of the given number of routers that share a discovery service.
 //
-// Where many routers start at once, discovery has the time of a complete list for a few of them only. A watch from the
-// version that is known costs it a fraction of a complete list followed by a watch.
+// If many routers start at once, discovery can serve a complete list in time to a few of them only. A watch from the
+// known version costs discovery a fraction of a complete list followed by a watch.
 func (l Limits) ForFleet(routers int) Limits {
 	const (
-		mayAskForCompleteList = 4
-		mayWatchOften         = 10
+		maxRoutersForCompleteList = 4
+		maxRoutersForShortPolls   = 10
 	)
-	l.Discovery.ResumeFromKnown = routers > mayAskForCompleteList
-	if routers <= mayWatchOften {
-		// A watch that has fallen silent is found when its wait is over, and what it missed counts as notified 6 s after it
-		// fell silent. A few routers can ask this often, and still have the time for one more call that is late.
+	l.Discovery.ResumeFromKnown = routers > maxRoutersForCompleteList
+	if routers <= maxRoutersForShortPolls {
+		// A broken watch is detected only at the end of its wait, and the changes that it missed count as notified 6 s after
+		// it broke. With a wait of 3 s there is time left for one more call, even a slow one. Only a small fleet may poll
+		// this often.
 		l.Discovery.LongPollTimeout = 3 * time.Second
 	}
 	return l
 }
 
-// ForPushedLists returns the limits for a list that is pushed to an agent on the router's own machine, where a call
-// costs nobody anything.
+// ForPushedLists returns the limits for an endpoint list that is pushed to an agent on the router's own machine, where
+// calls are cheap.
 //
-// What the agent has counts as notified, received or not, and sends must end within the drain grace: a call that is not
-// answered is found and repeated within three quarters of it, however it failed. Without a grace (0) the shortest one
-// is assumed.
+// Changes that the agent has count as notified even if the router has not received them, and sends to a draining
+// endpoint must end within drainGrace. An unanswered call is therefore detected and repeated within three quarters of
+// drainGrace, however it failed. If drainGrace is 0, the shortest supported grace is assumed.
 func (l Limits) ForPushedLists(drainGrace time.Duration) Limits {
-	const shortest, longest = 200 * time.Millisecond, 2 * time.Second
-	quarter := min(max(drainGrace, shortest), longest) / 4
+	const shortestGrace, longestGrace = 200 * time.Millisecond, 2 * time.Second
+	quarter := min(max(drainGrace, shortestGrace), longestGrace) / 4
 	l.Discovery.LongPollTimeout = quarter
 	l.Discovery.WatchSlack = quarter
 	l.Discovery.CallTimeout = 2 * quarter
 	l.Discovery.MaxRetryInterval = quarter
 	l.Discovery.ResumeFromKnown = false
-	// The list counts as notified from the first moment: what is known without it may be old.
+	// The pushed list counts as notified from the start, and the known list may be outdated: wait longer for the former.
 	l.Discovery.FirstListTimeout = 3 * time.Second
 	return l
 }
 
-// DuringHotRestart returns what a process may use while another process of the same router is alive: the platform
-// counts them as one. All clients come over to the new process before the old one has exited, and have no more
-// connections than before: the frontend keeps more than a half.
+// DuringHotRestart returns the limits of a process while another process of the same router is running, because the
+// platform's grant applies to both together. All clients move to the new process before the old one has exited, without
+// more connections than before, so the frontend keeps more than half of its connections.
 func (l Limits) DuringHotRestart() Limits {
 	l.Memory.TargetBytes /= 2
 	l.Memory.GCPercent = 100
