--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,12 +1,12 @@
-// Package adminapi serves the calls of operators: HTTP/1.1, one request to a connection, without passwords.
+// Package adminapi serves the HTTP/1.1 API for operators: one request per connection, without authentication.
 //
-// The package owns the connections of operators, reads their requests, and hands each to the Router that it is given.
-// It holds no state of the router and decides nothing itself. The paths, methods, statuses and texts are an interface
-// that operators' scripts rely on; docs/operators.md, docs/failover.md and docs/site-failover.md describe it.
+// The package owns the connections of operators, parses their requests, and calls the Router that it is given. It keeps
+// no state of the router and makes no decisions. Operators' scripts rely on the paths, methods, statuses and response
+// texts; docs/operators.md, docs/failover.md and docs/site-failover.md describe them.
 //
-// Everything runs on the goroutine of the event loop. The connections enter the loop by Loop.PostUrgent and have slots
-// of their own, so that a router which is busy with the requests of its clients still answers its operators.
+// Everything runs on the event loop's goroutine. Connections enter the loop by Loop.PostUrgent and have slots of their
+// own, so that a router that is busy with client requests still responds to its operators.
 //
-// request.go parses a request, routes.go finds its handler, handlers.go and site_handlers.go carry it out, server.go
-// keeps the connections.
+// request.go parses requests, routes.go maps them to handlers, handlers.go and site_handlers.go implement the handlers,
+// server.go manages the connections.
 package adminapi
--- a/internal/adminapi/handlers.go
+++ b/internal/adminapi/handlers.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// How long writes are held for an announced change of primary.
+// How long writes are queued for an announced failover.
 const (
-	defaultFailoverLimit = 5 * time.Second // where the call names no limit
+	defaultFailoverLimit = 5 * time.Second // if the request has no limit parameter
 	maxFailoverLimit     = time.Minute
 )
 
@@ -16,9 +16,9 @@
 
 func (c *connection) handleReadiness(request) {
 	if c.server.router.AcceptsClients() {
-		c.answer(http.StatusOK, "ready")
+		c.respondText(http.StatusOK, "ready")
 	} else {
-		c.answer(http.StatusServiceUnavailable, "takes no clients")
+		c.respondText(http.StatusServiceUnavailable, "takes no clients")
 	}
 }
 
@@ -34,9 +34,9 @@
 	c.server.router.SetSuspended(endpoint, suspended, func(known bool) {
 		c.server.log.Info("operator call", "call", call, "endpoint", endpoint, "known", known)
 		if known {
-			c.answer(http.StatusOK, call+"ed")
+			c.respondText(http.StatusOK, call+"ed")
 		} else {
-			c.answer(http.StatusNotFound, "no db machine of that id was ever listed")
+			c.respondText(http.StatusNotFound, "no db machine of that id was ever listed")
 		}
 	})
 }
@@ -48,51 +48,52 @@
 func (c *connection) setDrained(drained bool, call string) {
 	c.server.router.SetDrained(drained, func() {
 		c.server.log.Info("operator call", "call", call)
-		c.answer(http.StatusOK, call+" begun")
+		c.respondText(http.StatusOK, call+" begun")
 	})
 }
 
-// handleGroups answers with the failover state of all replica groups.
+// handleGroups responds with the failover state of all replica groups.
 func (c *connection) handleGroups(request) {
 	body, off := c.server.router.FailoverState()
 	if off {
-		c.answer(http.StatusNotFound, failoverOffText)
+		c.respondText(http.StatusNotFound, failoverOffText)
 		return
 	}
-	c.answerJSON(string(body))
+	c.respondJSON(string(body))
 }
 
-// handleAnnouncedFailover takes an operator's announcement that the primary of a replica group is about to change.
+// handleAnnouncedFailover handles the announcement that the primary of a replica group is about to change.
 func (c *connection) handleAnnouncedFailover(req request) {
 	group, err := strconv.ParseInt(req.path[nameSegment], 10, 64)
 	if err != nil {
-		c.answer(http.StatusNotFound, "no cell of that number")
+		c.respondText(http.StatusNotFound, "no cell of that number")
 		return
 	}
 	limit, ok := parseLimit(req.query.Get("limit"), defaultFailoverLimit, maxFailoverLimit)
 	if !ok {
-		c.answer(http.StatusBadRequest, "limit: a time such as 5s, one minute at most")
+		c.respondText(http.StatusBadRequest, "limit: a time such as 5s, one minute at most")
 		return
 	}
 	known, off := c.server.router.AnnounceFailover(group, limit)
 	c.server.log.Info("operator call", "call", "changeover", "group", group, "limit", limit, "known", known)
 	switch {
 	case off:
-		c.answer(http.StatusNotFound, failoverOffText)
+		c.respondText(http.StatusNotFound, failoverOffText)
 	case !known:
-		c.answer(http.StatusNotFound, "no cell of that number is known")
+		c.respondText(http.StatusNotFound, "no cell of that number is known")
 	default:
-		c.answer(http.StatusOK, "writes are held")
+		c.respondText(http.StatusOK, "writes are held")
 	}
 }
 
-// parseLimit reads the time limit of a call. ok is false if the text is not a time up to maximum.
-func parseLimit(text string, byDefault, maximum time.Duration) (limit time.Duration, ok bool) {
+// parseLimit parses the limit parameter of a request, and returns defaultLimit if text is empty. ok is false if text is
+// not a positive duration of at most maxLimit.
+func parseLimit(text string, defaultLimit, maxLimit time.Duration) (limit time.Duration, ok bool) {
 	if text == "" {
-		return byDefault, true
+		return defaultLimit, true
 	}
 	limit, err := time.ParseDuration(text)
-	if err != nil || limit <= 0 || limit > maximum {
+	if err != nil || limit <= 0 || limit > maxLimit {
 		return 0, false
 	}
 	return limit, true
--- a/internal/adminapi/request.go
+++ b/internal/adminapi/request.go
@@ -9,23 +9,23 @@
 	"strings"
 )
 
-// request is one call of an operator. Its headers and body mean nothing here.
+// request is an operator's HTTP request. Its headers and body are not used.
 type request struct {
 	method string
-	path   []string // the segments, decoded
+	path   []string // decoded segments
 	query  url.Values
 }
 
-// requestError is why a request cannot be read, with the status that answers it.
+// requestError is an error about an invalid request, with the status code of the response.
 type requestError struct {
 	status int
 	text   string
 }
 
-// Error returns the text that operators read.
+// Error returns the text of the response.
 func (e *requestError) Error() string { return e.text }
 
-// The errors of a request that cannot be read.
+// Errors about invalid requests.
 var (
 	errMalformed          = &requestError{http.StatusBadRequest, "malformed request"}
 	errTooLong            = &requestError{http.StatusRequestEntityTooLarge, "request too long"}
@@ -33,7 +33,7 @@
 	errLengthRequired     = &requestError{http.StatusLengthRequired, "a body needs a Content-Length"}
 )
 
-// statusOf returns the status that answers a request which cannot be read.
+// statusOf returns the status code of the response to an invalid request.
 func statusOf(err error) int {
 	var unreadable *requestError
 	if errors.As(err, &unreadable) {
@@ -42,14 +42,14 @@
 	return http.StatusBadRequest
 }
 
-// endOfHead separates the head of a request from its body.
+// endOfHead separates the request line and headers from the body.
 const endOfHead = "\r\n\r\n"
 
-// parseRequest reads a request from what has arrived so far; complete is false while more has to arrive. The body is
-// ignored but must have arrived too, because closing a connection with unread bytes would cut the answer off. maxBytes
-// bounds head and body together.
+// parseRequest parses a request from the data received so far. complete is false while more data is needed. The body is
+// ignored but must be complete too: closing a connection with unread bytes would reset it and cut off the response.
+// maxBytes bounds the whole request, including its body.
 func parseRequest(data []byte, maxBytes int) (req request, complete bool, err error) {
-	data = bytes.TrimLeft(data, "\r\n") // some clients end the request before with a line too many
+	data = bytes.TrimLeft(data, "\r\n") // some clients send an extra line break before the request line
 	head, _, found := bytes.Cut(data, []byte(endOfHead))
 	if !found {
 		return request{}, false, checkIncompleteHead(data, maxBytes)
@@ -70,8 +70,8 @@
 	return req, len(data) >= total, nil
 }
 
-// checkIncompleteHead rejects what cannot become a request. A caller that does not speak HTTP is answered after its
-// first line, not when its time is up.
+// checkIncompleteHead returns an error if the data cannot become a valid request. A client that does not speak HTTP
+// gets its response after the first line rather than at the timeout.
 func checkIncompleteHead(data []byte, maxBytes int) error {
 	if len(data) >= maxBytes {
 		return errTooLong
@@ -84,7 +84,7 @@
 	return err
 }
 
-// parseContentLength reads the header lines and returns the length of the body.
+// parseContentLength parses the header lines and returns the length of the body in bytes.
 func parseContentLength(headers string) (int, error) {
 	if headers == "" {
 		return 0, nil
@@ -113,7 +113,7 @@
 	return max(0, length), nil
 }
 
-// parseRequestLine reads the method, the target and the version.
+// parseRequestLine parses the method, target and version.
 func parseRequestLine(line string) (request, error) {
 	fields := strings.Split(line, " ")
 	if len(fields) != 3 {
@@ -138,7 +138,7 @@
 	return request{method: method, path: path, query: query}, nil
 }
 
-// isMethod reports whether a word consists of capital letters.
+// isMethod reports whether word is not empty and consists of capital ASCII letters.
 func isMethod(word string) bool {
 	return word != "" && strings.Trim(word, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") == ""
 }
@@ -153,7 +153,7 @@
 	return errMalformed
 }
 
-// parsePath splits a target, in its origin form or its absolute form, into decoded segments.
+// parsePath splits a target in origin form or absolute form into decoded path segments.
 func parsePath(target string) ([]string, error) {
 	if afterScheme, absolute := strings.CutPrefix(target, "http://"); absolute {
 		_, path, _ := strings.Cut(afterScheme, "/")
--- a/internal/adminapi/request_test.go
+++ b/internal/adminapi/request_test.go
@@ -13,18 +13,18 @@
 	"\r\nPOST http://r:9600/v1/router/drain?x=1 HTTP/1.0\r\n\r\n",
 }
 
-// Only the last byte makes a request complete, wherever it is cut; garbage neither crashes the parser nor is kept
-// beyond the limit.
+// A truncated request is incomplete at every length but never invalid, and a corrupted request does not crash the
+// parser.
 func TestParseRequest(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for _, text := range validRequests {
 		for length := range len(text) {
 			if _, complete, err := parseRequest([]byte(text[:length]), 4096); complete || err != nil {
-				t.Fatalf("%q: complete %v, %v", text[:length], complete, err)
+				t.Fatalf("%q: got complete %v and error %v, want an incomplete request", text[:length], complete, err)
 			}
 		}
 		if _, complete, err := parseRequest([]byte(text), 4096); !complete || err != nil {
-			t.Fatalf("%q: complete %v, %v", text, complete, err)
+			t.Fatalf("%q: got complete %v and error %v, want a complete request", text, complete, err)
 		}
 		for range 2000 {
 			garbled := []byte(text)
@@ -34,7 +34,7 @@
 	}
 }
 
-// What cannot be read is told apart.
+// Each kind of invalid request has its own error.
 func TestParseRequestErrors(t *testing.T) {
 	for text, want := range map[string]error{
 		"nonsense\r\n":                                  errMalformed,
@@ -49,7 +49,7 @@
 		"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\nx": errMalformed,
 	} {
 		if _, _, err := parseRequest([]byte(text), 4096); !errors.Is(err, want) {
-			t.Errorf("%.60q: %v, want %v", text, err, want)
+			t.Errorf("%.60q: got error %v, want %v", text, err, want)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 			return
 		}
 		if err != nil || req.method == "" || len(req.path) == 0 {
-			t.Fatalf("%+v %v", req, err)
+			t.Fatalf("got the complete request %+v and error %v, want a method, a path and no error", req, err)
 		}
 	})
 }
--- a/internal/adminapi/routes.go
+++ b/internal/adminapi/routes.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// route is one path that operators call.
+// route maps a method and a path to a handler.
 type route struct {
 	method  string
 	pattern []string
 	handle  func(*connection, request)
 }
 
-// Wildcards of a pattern; other words stand for themselves.
+// Wildcards of a pattern. Other words match themselves only.
 const (
 	anySegment      = "*"
 	nonEmptySegment = "+"
@@ -18,7 +18,7 @@
 // nameSegment is the index of the path segment that names an endpoint, a replica group or a site.
 const nameSegment = 2
 
-// routes are looked through from the first to the last. No path has more than one method.
+// routes lists all routes; the first match is used. No path has more than one method.
 var routes = []route{
 	{http.MethodGet, []string{"v1", "readyz"}, (*connection).handleReadiness},
 	{http.MethodPost, []string{"v1", "db-machines", nonEmptySegment, "suspend"}, (*connection).handleSuspend},
@@ -29,12 +29,12 @@
 	{http.MethodPost, []string{"v1", "cells", anySegment, "changeover"}, (*connection).handleAnnouncedFailover},
 	{http.MethodGet, []string{"v1", "sites"}, (*connection).handleSites},
 	{http.MethodPost, []string{"v1", "sites", anySegment, "lost"}, (*connection).handleSiteLost},
-	{http.MethodPost, []string{"v1", "sites", anySegment, "found"}, (*connection).handleSiteFound},
+	{http.MethodPost, []string{"v1", "sites", anySegment, "found"}, (*connection).handleSiteLostEnd},
 	{http.MethodPost, []string{"v1", "sites", anySegment, "pace"}, (*connection).handleSiteLimit},
 	{http.MethodPost, []string{"v1", "sites", anySegment, "free"}, (*connection).handleSiteLimitEnd},
 }
 
-// findRoute returns the route of a path.
+// findRoute returns the first route whose pattern matches the path.
 func findRoute(path []string) (found route, ok bool) {
 	for _, candidate := range routes {
 		if candidate.matches(path) {
@@ -66,11 +66,11 @@
 	return segment == want
 }
 
-// serve carries out a request.
+// serve calls the handler of a request, or responds with an error if there is none.
 func (c *connection) serve(req request) {
 	found, ok := findRoute(req.path)
 	if !ok {
-		c.answer(http.StatusNotFound, "no such path")
+		c.respondText(http.StatusNotFound, "no such path")
 		return
 	}
 	if req.method != found.method {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -12,26 +12,27 @@
 	"limeladder/internal/transport"
 )
 
-// Server answers the calls of operators. All of it runs on the event loop's goroutine.
+// Server serves the HTTP requests of operators. It runs on the event loop's goroutine.
 type Server struct {
 	loop        *eventloop.Loop
 	limits      limits.Limits
 	log         *slog.Logger
 	router      Router
-	connections []*connection // in the order of their arrival
+	connections []*connection // oldest first
 }
 
-// New returns a Server that gets its connections by Accept.
+// New returns a Server. Its connections are passed to Accept.
 func New(loop *eventloop.Loop, lim limits.Limits, log *slog.Logger, router Router) *Server {
 	return &Server{loop: loop, limits: lim, log: log, router: router}
 }
 
-// Accept takes a new connection.
+// Accept returns the handler of a new connection. If more than half of the slots are in use, it drops the oldest
+// connection without a complete request.
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
 	accepted := &connection{server: s, conn: conn}
 	s.connections = append(s.connections, accepted)
 	accepted.timeout = s.loop.AfterFunc(s.limits.AdminAPI.CallTimeout, func() {
-		accepted.answer(http.StatusRequestTimeout, "the call does not end")
+		accepted.respondText(http.StatusRequestTimeout, "the call does not end")
 	})
 	if len(s.connections) > s.limits.AdminAPI.Connections/2 {
 		s.dropOldestIncomplete()
@@ -39,8 +40,8 @@
 	return accepted
 }
 
-// dropOldestIncomplete makes room for the next caller. Callers that finish no request must not hold all connections
-// until their time is up.
+// dropOldestIncomplete frees a slot for the next connection. Clients that do not complete their requests must not
+// occupy all slots until the timeout.
 func (s *Server) dropOldestIncomplete() {
 	for _, candidate := range s.connections {
 		if !candidate.requestComplete {
@@ -50,26 +51,26 @@
 	}
 }
 
-// connection is one caller.
+// connection is an operator's connection.
 type connection struct {
 	server          *Server
 	conn            *transport.Conn
 	timeout         *eventloop.Timer
 	buffer          []byte
 	requestComplete bool
-	answered        bool
+	responded       bool
 	closed          bool
 }
 
 // Data implements transport.Handler.
 func (c *connection) Data(data []byte) {
 	if c.requestComplete || c.closed {
-		return // one request to a connection
+		return // one request per connection
 	}
 	c.buffer = append(c.buffer, data...)
 	req, complete, err := parseRequest(c.buffer, c.server.limits.AdminAPI.CallBytes)
 	if err != nil {
-		c.answer(statusOf(err), err.Error())
+		c.respondText(statusOf(err), err.Error())
 		return
 	}
 	if complete {
@@ -82,21 +83,21 @@
 // Closed implements transport.Handler.
 func (c *connection) Closed(error) { c.drop() }
 
-// The content types of an answer.
+// Content types of responses.
 const (
 	contentTypeText = "text/plain; charset=utf-8"
 	contentTypeJSON = "application/json"
 )
 
-// response is what a caller is answered.
+// response is an HTTP response.
 type response struct {
 	status      int
-	text        string // without the line feed at its end
-	contentType string // contentTypeText where it is empty
-	allow       string // the method that the path has, if the request has another
+	text        string // body without the final line feed
+	contentType string // empty = contentTypeText
+	allow       string // Allow header; empty = none
 }
 
-// encode returns the response's bytes.
+// encode returns the response in wire format.
 func (r *response) encode(now time.Time) []byte {
 	const lineFeed = "\n"
 	encoded := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status))
@@ -115,36 +116,36 @@
 	return append(encoded, lineFeed...)
 }
 
-func (c *connection) answer(status int, text string) {
+func (c *connection) respondText(status int, text string) {
 	c.respond(response{status: status, text: text})
 }
 
-func (c *connection) answerJSON(text string) {
+func (c *connection) respondJSON(text string) {
 	c.respond(response{status: http.StatusOK, text: text, contentType: contentTypeJSON})
 }
 
-// respond ends the call and the connection.
+// respond sends the response and closes the connection.
 func (c *connection) respond(r response) {
 	if c.closed {
 		return
 	}
-	// An error says that the caller has gone, and then there is nobody left to answer.
+	// An error means that the client has disconnected, so there is nothing left to do.
 	_ = c.conn.Write(r.encode(time.Now()))
-	c.answered = true
+	c.responded = true
 	c.drop()
 }
 
-// drop closes the connection, after an answer once the caller has taken it.
+// drop closes the connection. If there is a response, the client first gets time to read it.
 func (c *connection) drop() {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.timeout.Stop()
-	if c.answered {
+	if c.responded {
 		c.conn.Finish(c.server.limits.Frontend.FlushTimeout)
 	} else {
-		c.conn.Close() // nothing is owed to it, and others wait for its slot
+		c.conn.Close() // without a response to flush, free the slot at once
 	}
 	c.server.connections = slices.DeleteFunc(c.server.connections, func(other *connection) bool { return other == c })
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -13,10 +13,11 @@
 	"limeladder/internal/transport"
 )
 
-// fakeRouter knows the endpoint s-1, the replica group 7 and the site n.
+// fakeRouter is a Router with the endpoint s-1, the replica group 7 and the sites n and s. Calls on a site succeed for
+// n only.
 type fakeRouter struct {
 	drained bool
-	off     bool // neither failover nor sites are configured
+	off     bool // neither failover nor site failover is configured
 }
 
 func (r *fakeRouter) AcceptsClients() bool { return !r.drained }
@@ -53,7 +54,7 @@
 	return group == 7 && limit > 0, r.off
 }
 
-// startServer serves the calls of operators on a port of its own until the test ends.
+// startServer starts a server on a free port, which runs until the test ends.
 func startServer(t *testing.T, router Router) (loop *eventloop.Loop, address string) {
 	t.Helper()
 	loop = eventloop.New()
@@ -78,8 +79,8 @@
 	return loop, listener.Addr().String()
 }
 
-// send opens a connection and sends the beginning of a request.
-func send(t *testing.T, address, text string) net.Conn {
+// dialAndSend opens a connection and sends text, which may be part of a request.
+func dialAndSend(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -92,10 +93,10 @@
 	return conn
 }
 
-// call makes a call and returns the status of its answer.
+// call sends a request and returns the status code of the response.
 func call(t *testing.T, address, methodAndTarget string) (status int) {
 	t.Helper()
-	conn := send(t, address, methodAndTarget+" HTTP/1.1\r\n\r\n")
+	conn := dialAndSend(t, address, methodAndTarget+" HTTP/1.1\r\n\r\n")
 	defer conn.Close() // frees the server's slot before the next call
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
@@ -110,7 +111,7 @@
 	return status
 }
 
-// statusCase is a call and the status that answers it.
+// statusCase is a request, as method and target, and the expected status code.
 type statusCase struct {
 	call string
 	want int
@@ -120,7 +121,7 @@
 	t.Helper()
 	for _, test := range cases {
 		if got := call(t, address, test.call); got != test.want {
-			t.Errorf("%s: %d, want %d", test.call, got, test.want)
+			t.Errorf("%s: got status %d, want %d", test.call, got, test.want)
 		}
 	}
 }
@@ -195,8 +196,8 @@
 	})
 }
 
-// Calls on what is not configured are answered as such.
-func TestCallsOnWhatIsOff(t *testing.T) {
+// Requests for features that are not configured get the status 404.
+func TestCallsWithFeaturesOff(t *testing.T) {
 	_, address := startServer(t, &fakeRouter{off: true})
 	expectStatuses(t, address, []statusCase{
 		{"GET /v1/readyz", 200},
@@ -208,15 +209,16 @@
 	})
 }
 
-// Neither callers that finish no request nor a loop with much to do keep an operator from an answer.
-func TestNothingDelaysACall(t *testing.T) {
+// Guards against a router that does not respond to an operator while other callers stall in the middle of their
+// requests and the event loop has a long backlog.
+func TestStalledCallersAndBusyLoopDoNotDelayCalls(t *testing.T) {
 	loop, address := startServer(t, &fakeRouter{})
 	for range 40 {
-		send(t, address, "POST /v1/rou")
+		dialAndSend(t, address, "POST /v1/rou")
 	}
 	stop := make(chan bool)
 	defer close(stop)
-	for range 2000 { // a backlog that takes far longer than the test may, were it waited for
+	for range 2000 { // would take 40 s if the call had to wait for this backlog
 		loop.Post(func() {
 			select {
 			case <-stop:
@@ -225,6 +227,6 @@
 		})
 	}
 	if got := call(t, address, "GET /v1/readyz"); got != 200 {
-		t.Fatalf("status %d, want 200", got)
+		t.Fatalf("got status %d, want 200", got)
 	}
 }
