--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -15,14 +15,14 @@
 
 var errOutput = errors.New("output failed")
 
-// fakeOutput is an output that hangs or fails as a test says.
+// fakeOutput is an io.Writer that hangs or fails on demand.
 type fakeOutput struct {
-	gate chan struct{} // each write waits until it can receive; nil is no wait
+	gate chan struct{} // each write first receives from gate; nil = writes do not wait
 
-	mutex    sync.Mutex
-	text     bytes.Buffer
-	failing  bool
-	takeOnly int // bytes of a write that fails
+	mutex              sync.Mutex
+	text               bytes.Buffer
+	failing            bool
+	bytesBeforeFailure int // bytes that a failing write accepts
 }
 
 func (f *fakeOutput) Write(line []byte) (int, error) {
@@ -32,9 +32,9 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.failing {
-		taken := min(f.takeOnly, len(line))
-		f.text.Write(line[:taken])
-		return taken, errOutput
+		accepted := min(f.bytesBeforeFailure, len(line))
+		f.text.Write(line[:accepted])
+		return accepted, errOutput
 	}
 	return f.text.Write(line)
 }
@@ -54,7 +54,7 @@
 func requireClosed(t *testing.T, o *Output) {
 	t.Helper()
 	if !o.Close(testTimeout) {
-		t.Fatal("not written in time")
+		t.Fatal("Close timed out before all lines were written")
 	}
 }
 
@@ -69,7 +69,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("lines still wait")
+			t.Fatal("lines are still queued after the timeout")
 		}
 	}
 }
@@ -90,16 +90,17 @@
 	requireClosed(t, o)
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	if len(lines) != 101 || lines[100] != "the end" {
-		t.Fatalf("%d lines: %v", len(lines), lines)
+		t.Fatalf("got %d lines, want 101 that end with \"the end\": %v", len(lines), lines)
 	}
 	for i, line := range lines[:100] {
 		if want := fmt.Sprintf("msg=line router=n1 g.number=%d", i); !strings.HasSuffix(line, want) {
-			t.Fatalf("line %d is %q", i, line)
+			t.Fatalf("line %d does not have the expected message and attributes: %q", i, line)
 		}
 	}
 }
 
-// Guards against log lines without bound behind an output that hangs, and against warnings that debug lines push out.
+// Guards against an unbounded number of queued lines while the output hangs, and against warnings that are lost because
+// debug lines fill the queue.
 func TestFullQueueKeepsRoomForWarnings(t *testing.T) {
 	const queueBytes = 16 << 10
 	output := &fakeOutput{gate: make(chan struct{})}
@@ -117,27 +118,27 @@
 	lost := o.queue.lost.queueFull
 	o.queue.mutex.Unlock()
 	if waiting > queueBytes {
-		t.Errorf("%d bytes wait, the bound is %d", waiting, queueBytes)
+		t.Errorf("%d bytes are queued, want at most %d", waiting, queueBytes)
 	}
 	close(output.gate)
 	requireClosed(t, o)
 	text := output.String()
 	written := strings.Count(text, "debug line")
 	if lost == 0 || written+int(lost) != debugLines {
-		t.Errorf("%d debug lines written and %d counted as lost, of %d", written, lost, debugLines)
+		t.Errorf("%d debug lines written and %d counted as lost, want some lost and a sum of %d", written, lost, debugLines)
 	}
 	if got := strings.Count(text, "msg=warning"); got != 10 {
-		t.Errorf("%d warnings of 10", got)
+		t.Errorf("%d warnings written, want 10", got)
 	}
 	want := fmt.Sprintf("level=WARN msg=\"log lines lost\" queue_full=%d write_failed=0\n", lost)
 	if strings.Count(text, want) != 1 || strings.Count(text, "log lines lost") != 1 {
-		t.Errorf("losses are not logged once as %q:\n%s", want, text)
+		t.Errorf("want the losses logged exactly once as %q, got the output:\n%s", want, text)
 	}
 }
 
-// Guards against losses that nobody is told of once the output takes lines again.
+// Guards against losses that are never reported once the output accepts lines again.
 func TestFailedWritesAreCounted(t *testing.T) {
-	output := &fakeOutput{failing: true, takeOnly: 3}
+	output := &fakeOutput{failing: true, bytesBeforeFailure: 3}
 	o := New(output, Options{QueueBytes: 1 << 20})
 	log := slog.New(o.Handler())
 	for range 5 {
@@ -150,22 +151,22 @@
 	requireClosed(t, o)
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	if len(lines) < 2 {
-		t.Fatalf("lines: %q", lines)
+		t.Fatalf("got the lines %q, want at least 2", lines)
 	}
 	last := lines[len(lines)-2:]
 	if !strings.HasSuffix(last[0], "queue_full=0 write_failed=5") || !strings.HasSuffix(last[1], "msg=written") {
-		t.Errorf("last lines %q", last)
+		t.Errorf("got the last lines %q, want the report of 5 failed writes and then the written line", last)
 	}
 }
 
-// Guards against an end of the program that waits for an output that hangs.
+// Guards against a program that does not exit because its log output hangs.
 func TestCloseWaitsForABoundedTime(t *testing.T) {
 	output := &fakeOutput{gate: make(chan struct{})}
 	defer close(output.gate)
 	o := New(output, Options{QueueBytes: 1 << 20})
 	slog.New(o.Handler()).Info("hangs")
 	if o.Close(20 * time.Millisecond) {
-		t.Error("said to be written")
+		t.Error("Close reported that all lines were written, want a timeout")
 	}
-	slog.New(o.Handler()).Info("after the end") // must not panic or wait
+	slog.New(o.Handler()).Info("after the end") // must not panic or block
 }
--- a/internal/asynclog/handler.go
+++ b/internal/asynclog/handler.go
@@ -13,19 +13,20 @@
 	}
 }
 
-// lineWriter puts what a slog.TextHandler writes, one line a call, into the queue.
+// lineWriter puts the lines that a slog.TextHandler writes, one per call, into the queue.
 type lineWriter struct {
 	queue      *lineQueue
 	importance importance
 }
 
-// Write implements io.Writer. It never fails: a line that is lost is counted by the queue.
+// Write implements io.Writer. It never fails; the queue counts lost lines.
 func (w lineWriter) Write(line []byte) (int, error) {
 	w.queue.put(line, w.importance)
 	return len(line), nil
 }
 
-// handler formats a record with the handler of its importance. Both have the same attributes and groups.
+// handler passes each record to one of two handlers, by the importance of its level. Both have the same attributes and
+// groups.
 type handler struct {
 	routine   slog.Handler
 	important slog.Handler
--- a/internal/asynclog/output.go
+++ b/internal/asynclog/output.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Options says what is logged and how much may wait.
+// Options are the options of an Output.
 type Options struct {
-	Level      slog.Leveler // the least level that is logged; nil is slog.LevelInfo
-	QueueBytes int          // of the lines that may wait to be written
+	Level      slog.Leveler // minimum level that is logged; nil = slog.LevelInfo
+	QueueBytes int          // maximum size of the queued lines
 }
 
-// Output writes lines to an io.Writer on a goroutine of its own. Its methods may be called from any goroutine, and only
-// Close waits.
+// Output writes lines to an io.Writer on a separate goroutine. Its methods may be called from any goroutine. Only Close
+// blocks.
 type Output struct {
 	queue    *lineQueue
 	options  slog.HandlerOptions
-	finished chan struct{} // closed once nothing is written any more
+	finished chan struct{} // closed when the writing goroutine has ended
 
-	// What follows belongs to the writing goroutine.
+	// The following fields are used by the writing goroutine only.
 	writer   io.Writer
-	midLine  bool         // the last write ended within a line
-	lossText bytes.Buffer // what lossLog has formatted
+	midLine  bool         // the last write failed after part of a line
+	lossText bytes.Buffer // output of lossLog
 	lossLog  *slog.Logger
 }
 
@@ -40,11 +40,11 @@
 	return o
 }
 
-// Print queues a line of plain text that says why the program ends.
+// Print queues an unformatted line as important. It is meant for the reason why the program exits.
 func (o *Output) Print(text string) { o.queue.put([]byte(text+"\n"), important) }
 
-// Close waits until all queued lines are written, or for the timeout, and says whether they are. Lines that are logged
-// after Close may be lost.
+// Close waits until all queued lines have been processed, or until the timeout, and reports whether they have been.
+// Lines that are logged after Close may be lost.
 func (o *Output) Close(timeout time.Duration) (written bool) {
 	o.queue.close()
 	timer := time.NewTimer(timeout)
@@ -73,7 +73,7 @@
 	}
 }
 
-// writeLosses logs how many lines were lost, if any were. It returns false where the output does not take that line.
+// writeLosses logs the number of lost lines, if there are any. It returns false if the output fails to write that line.
 func (o *Output) writeLosses() (ok bool) {
 	lost := o.queue.takeLosses()
 	if !lost.any() {
@@ -88,7 +88,7 @@
 	return false
 }
 
-// write writes a line, on a new line where a failed write has left part of another one.
+// write writes a line. If the previous write left an incomplete line, it ends that line first.
 func (o *Output) write(line []byte) (ok bool) {
 	if o.midLine {
 		if _, err := o.writer.Write([]byte("\n")); err != nil {
--- a/internal/asynclog/queue.go
+++ b/internal/asynclog/queue.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// importance says which part of the queue a line may use.
+// importance determines how much of the queue a line may use.
 type importance int
 
 const (
-	routine   importance = iota // debug and information
-	important                   // warnings, errors, and why the program ends
+	routine   importance = iota // debug and info levels
+	important                   // warnings, errors, and the reason why the program exits
 )
 
-// reservedFraction is the part of the queue that only important lines may use: one in so many bytes.
+// reservedFraction is the divisor of the queue size that gives the part reserved for important lines: 4 is a quarter.
 const reservedFraction = 4
 
-// losses counts lines that were not written.
+// losses counts lost lines.
 type losses struct {
-	queueFull   uint64 // found no room
-	writeFailed uint64 // were not taken by the output
+	queueFull   uint64 // did not fit into the queue
+	writeFailed uint64 // failed to be written to the output
 }
 
 func (l losses) any() bool { return l.queueFull > 0 || l.writeFailed > 0 }
 
-// lineQueue holds the lines that wait to be written, up to a number of bytes. Any goroutine may call its methods.
+// lineQueue is a queue of lines, bounded by their total size. Its methods may be called from any goroutine.
 type lineQueue struct {
 	maxBytes int
 
-	mutex   sync.Mutex // guards what follows
-	changed sync.Cond  // a line has come, or the queue was closed
+	mutex   sync.Mutex // guards the fields below
+	changed sync.Cond  // signaled when a line is added or the queue is closed
 	lines   [][]byte
-	bytes   int // of the lines, including the one that is being written
+	bytes   int // size of the queued lines and of the one being written
 	lost    losses
 	closed  bool
 }
@@ -39,12 +39,12 @@
 	return q
 }
 
-// put appends a copy of a line, or counts it as lost where there is no room for one of its importance.
-func (q *lineQueue) put(line []byte, of importance) {
+// put appends a copy of line, or counts it as lost if there is no room for a line of its importance.
+func (q *lineQueue) put(line []byte, rank importance) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	room := q.maxBytes - q.bytes
-	if of == routine {
+	if rank == routine {
 		room -= q.maxBytes / reservedFraction
 	}
 	if len(line) > room {
@@ -56,7 +56,8 @@
 	q.changed.Signal()
 }
 
-// take waits for the next line. ok is false once the queue is closed and empty. The line's bytes count until release.
+// take waits for the next line and removes it. ok is false once the queue is closed and empty. The line occupies its
+// room in the queue until release.
 func (q *lineQueue) take() (line []byte, ok bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -72,27 +73,27 @@
 	return line, true
 }
 
-// release gives back the room of a line that was taken.
+// release frees the room of a line that take returned.
 func (q *lineQueue) release(line []byte) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.bytes -= len(line)
 }
 
-// takeLosses returns the lines lost so far and forgets them. While the queue is more than half full it returns none:
-// more would be lost at once, and each loss would be logged on its own.
+// takeLosses returns the losses so far and resets the counts. While the queue is more than half full it returns none:
+// more lines would be lost soon, and each loss would be logged separately.
 func (q *lineQueue) takeLosses() losses {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.bytes > q.maxBytes/2 {
 		return losses{}
 	}
-	taken := q.lost
+	lost := q.lost
 	q.lost = losses{}
-	return taken
+	return lost
 }
 
-// addLosses counts further lines as lost.
+// addLosses adds to the counts of lost lines.
 func (q *lineQueue) addLosses(more losses) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -100,7 +101,7 @@
 	q.lost.writeFailed += more.writeFailed
 }
 
-// close makes take return what is left and then end.
+// close closes the queue. take still returns the remaining lines.
 func (q *lineQueue) close() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
