--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,59 +7,60 @@
 )
 
 // Settings is the settings object of EDGE_CONFIG and of the simulator's start event. Its keys are those of the
-// simulator's protocol; Balance translates the settings for the decision module.
+// simulator's protocol; Balance translates the settings for the decision module. A field whose Go name differs from its
+// key has a json tag with the key. Fields that end in Ns are in nanoseconds.
 type Settings struct {
-	Instances      int
-	Locality       string
-	Discovery      string // how the endpoint list is obtained: polled ("ask") or pushed ("push")
-	ResolutionNs   int64
-	OverShareWorth float64
-	Lanes          []Lane
-	Tenants        []Tenant
-	Extra          ExtraSettings
-	Limits         AttemptLimits
-	Prices         Prices
-	Contract       Contract
+	Instances         int     // number of routers
+	Locality          string  // zone of this router
+	Discovery         string  // how the endpoint list is obtained: polled ("ask") or pushed ("push")
+	TimerResolutionNs int64   `json:"ResolutionNs"`
+	OverQuotaWeight   float64 `json:"OverShareWorth"`
+	Classes           []Class `json:"Lanes"`
+	Tenants           []Tenant
+	Extra             ExtraSettings
+	Limits            AttemptLimits
+	Prices            Prices
+	Contract          Contract
 }
 
-// Lane is a class of requests. Its times are in nanoseconds.
-type Lane struct {
-	Name       string
-	AimNs      int64
-	GiveUpNs   int64
-	WindowNs   int64
-	AimStretch float64
-	Importance float64
-	LateShare  float64
-	Effect     string // a key of idempotencies
-	Group      string // a key of idempotencyScopes
+// Class is a class of requests. balance.Class describes the fields.
+type Class struct {
+	Name                string
+	LatencyObjectiveNs  int64   `json:"AimNs"`
+	ClientTimeoutNs     int64   `json:"GiveUpNs"`
+	IdempotencyWindowNs int64   `json:"WindowNs"`
+	ObjectiveStretch    float64 `json:"AimStretch"`
+	PriorityWeight      float64 `json:"Importance"`
+	LateWeightShare     float64 `json:"LateShare"`
+	Idempotency         string  `json:"Effect"` // a key of idempotencies
+	IdempotencyScope    string  `json:"Group"`  // a key of idempotencyScopes
 }
 
 // Tenant is a customer and its quota.
 type Tenant struct {
 	Name          string
-	AllowancePerS float64 // requests per second
+	AllowancePerS float64 // quota in requests per second, over all routers
 }
 
 // ExtraSettings are the settings for the freshness of responses.
 type ExtraSettings struct {
-	Guards       string   // a key of freshnessChecks
-	TokenMode    string   // clientTokenMode if clients send session tokens
-	LagAllowedNs []int64  // maximum staleness in ns, by class; empty if no class has a bound
-	NeedsByClass []string // by class, each a key of consistencies
-	OriginTimeNs *int64   // start of the replication positions
+	FreshnessCheck string   `json:"Guards"` // a key of freshnessChecks
+	TokenMode      string   // clientTokenMode if clients send session tokens
+	LagAllowedNs   []int64  // maximum staleness by class; empty if no class has a bound
+	Consistencies  []string `json:"NeedsByClass"` // by class, each a key of consistencies
+	OriginTimeNs   *int64   // start of the replication positions
 }
 
 // AttemptLimits are the settings for the attempts of a request and for backend connections.
 type AttemptLimits struct {
-	Cancelling       bool
-	Probes           bool
-	RetryAfter       bool
+	Cancelling       bool // attempts can be cancelled
+	Probes           bool // endpoints respond to health checks
+	RetryAfter       bool // clients receive a Retry-After
 	MaxRetryAfterNs  int64
-	ConnIdleNs       int64
+	ConnIdleNs       int64 // endpoints close a connection that is idle for this long
 	ConnectTimeoutNs int64
 	MaxOpen          int
-	MostTries        int
+	MaxAttempts      int `json:"MostTries"` // per request; 0 = no limit
 }
 
 // Prices are the costs of calls that the router makes on its own account.
@@ -67,15 +68,15 @@
 	Probe float64 // cost of a health check, as a fraction of the weight of a request
 }
 
-// Contract describes the behavior that endpoints and discovery guarantee.
+// Contract describes the behavior that endpoints and discovery guarantee. balance.Config describes the fields.
 type Contract struct {
-	AskWithinNs  int64
-	DrainGraceNs int64
-	ColdNs       int64
-	FallNs       int64
-	ColdFrom     float64
-	FallMultiple float64
-	SoftRemoval  bool
+	PollWithinNs      int64 `json:"AskWithinNs"`
+	DrainGraceNs      int64
+	SlowStartWindowNs int64   `json:"ColdNs"`
+	OverloadWindowNs  int64   `json:"FallNs"`
+	SlowStartFrom     float64 `json:"ColdFrom"`
+	OverloadMultiple  float64 `json:"FallMultiple"`
+	SoftRemoval       bool
 }
 
 // The keywords of the settings and their values in the decision module.
@@ -132,14 +133,14 @@
 	if err != nil {
 		return c, err
 	}
-	c.FreshnessCheck, err = translate(freshnessChecks, "Extra.Guards", s.Extra.Guards)
+	c.FreshnessCheck, err = translate(freshnessChecks, "Extra.Guards", s.Extra.FreshnessCheck)
 	if err != nil {
 		return c, err
 	}
 	if err := s.checkExtra(); err != nil {
 		return c, err
 	}
-	for i := range s.Lanes {
+	for i := range s.Classes {
 		class, err := s.class(i)
 		if err != nil {
 			return c, err
@@ -157,10 +158,10 @@
 	return balance.Config{
 		Instances:       s.Instances,
 		Zone:            s.Locality,
-		OverQuotaWeight: s.OverShareWorth,
-		TimerResolution: time.Duration(s.ResolutionNs),
+		OverQuotaWeight: s.OverQuotaWeight,
+		TimerResolution: time.Duration(s.TimerResolutionNs),
 
-		PollWithin:  time.Duration(s.Contract.AskWithinNs),
+		PollWithin:  time.Duration(s.Contract.PollWithinNs),
 		DrainGrace:  time.Duration(s.Contract.DrainGraceNs),
 		SoftRemoval: s.Contract.SoftRemoval,
 
@@ -172,12 +173,12 @@
 		Cancellation:  s.Limits.Cancelling,
 		RetryAfter:    s.Limits.RetryAfter,
 		MaxRetryAfter: time.Duration(s.Limits.MaxRetryAfterNs),
-		MaxAttempts:   s.Limits.MostTries,
+		MaxAttempts:   s.Limits.MaxAttempts,
 
-		SlowStartFrom:    s.Contract.ColdFrom,
-		SlowStartWindow:  time.Duration(s.Contract.ColdNs),
-		OverloadMultiple: s.Contract.FallMultiple,
-		OverloadWindow:   time.Duration(s.Contract.FallNs),
+		SlowStartFrom:    s.Contract.SlowStartFrom,
+		SlowStartWindow:  time.Duration(s.Contract.SlowStartWindowNs),
+		OverloadMultiple: s.Contract.OverloadMultiple,
+		OverloadWindow:   time.Duration(s.Contract.OverloadWindowNs),
 	}
 }
 
@@ -186,37 +187,37 @@
 	if s.Extra.OriginTimeNs == nil {
 		return &FieldError{Field: "Extra.OriginTimeNs", Reason: errMissing}
 	}
-	if n := len(s.Extra.NeedsByClass); n != len(s.Lanes) {
-		return fieldErrorf("Extra.NeedsByClass", "%d values for %d classes", n, len(s.Lanes))
+	if n := len(s.Extra.Consistencies); n != len(s.Classes) {
+		return fieldErrorf("Extra.NeedsByClass", "%d values for %d classes", n, len(s.Classes))
 	}
-	if n := len(s.Extra.LagAllowedNs); n != len(s.Lanes) && n != 0 {
-		return fieldErrorf("Extra.LagAllowedNs", "%d values for %d classes", n, len(s.Lanes))
+	if n := len(s.Extra.LagAllowedNs); n != len(s.Classes) && n != 0 {
+		return fieldErrorf("Extra.LagAllowedNs", "%d values for %d classes", n, len(s.Classes))
 	}
 	return nil
 }
 
 // class converts the class at index i. It requires that checkExtra has passed.
 func (s *Settings) class(i int) (balance.Class, error) {
-	lane := s.Lanes[i]
+	settings := s.Classes[i]
 	class := balance.Class{
-		Name:              lane.Name,
-		LatencyObjective:  time.Duration(lane.AimNs),
-		ObjectiveStretch:  lane.AimStretch,
-		ClientTimeout:     time.Duration(lane.GiveUpNs),
-		PriorityWeight:    lane.Importance,
-		LateWeightShare:   lane.LateShare,
-		IdempotencyWindow: time.Duration(lane.WindowNs),
+		Name:              settings.Name,
+		LatencyObjective:  time.Duration(settings.LatencyObjectiveNs),
+		ObjectiveStretch:  settings.ObjectiveStretch,
+		ClientTimeout:     time.Duration(settings.ClientTimeoutNs),
+		PriorityWeight:    settings.PriorityWeight,
+		LateWeightShare:   settings.LateWeightShare,
+		IdempotencyWindow: time.Duration(settings.IdempotencyWindowNs),
 	}
 	var err error
-	class.Consistency, err = translate(consistencies, "Extra.NeedsByClass", s.Extra.NeedsByClass[i])
+	class.Consistency, err = translate(consistencies, "Extra.NeedsByClass", s.Extra.Consistencies[i])
 	if err != nil {
 		return class, err
 	}
-	class.Idempotency, err = translate(idempotencies, "Lanes.Effect", lane.Effect)
+	class.Idempotency, err = translate(idempotencies, "Lanes.Effect", settings.Idempotency)
 	if err != nil {
 		return class, err
 	}
-	class.IdempotencyScope, err = translate(idempotencyScopes, "Lanes.Group", lane.Group)
+	class.IdempotencyScope, err = translate(idempotencyScopes, "Lanes.Group", settings.IdempotencyScope)
 	if err != nil {
 		return class, err
 	}
