--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,79 +6,80 @@
 	"limeladder/balance"
 )
 
-// Settings is the object that a router is given at its start, by the protocol of the simulator and in EDGE_CONFIG. Its
-// names are those of that protocol; Balance translates them.
+// Settings is the settings object of EDGE_CONFIG and of the simulator's start event. Its keys are those of the
+// simulator's protocol; Balance translates the settings for the decision module. A field whose Go name differs from its
+// key has a json tag with the key. Fields that end in Ns are in nanoseconds.
 type Settings struct {
-	Instances      int
-	Locality       string
-	Discovery      string // how the endpoint list comes: "ask" or "push"
-	ResolutionNs   int64
-	OverShareWorth float64
-	Lanes          []Lane
-	Tenants        []Tenant
-	Extra          ExtraSettings
-	Limits         AttemptLimits
-	Prices         Prices
-	Contract       Contract
+	Instances         int     // number of routers
+	Locality          string  // zone of this router
+	Discovery         string  // how the endpoint list is obtained: polled ("ask") or pushed ("push")
+	TimerResolutionNs int64   `json:"ResolutionNs"`
+	OverQuotaWeight   float64 `json:"OverShareWorth"`
+	Classes           []Class `json:"Lanes"`
+	Tenants           []Tenant
+	Extra             ExtraSettings
+	Limits            AttemptLimits
+	Prices            Prices
+	Contract          Contract
 }
 
-// Lane is a class of requests.
-type Lane struct {
-	Name       string
-	AimNs      int64
-	GiveUpNs   int64
-	WindowNs   int64
-	AimStretch float64
-	Importance float64
-	LateShare  float64
-	Effect     string // one of idempotencies
-	Group      string // one of idempotencyScopes
+// Class is a class of requests. balance.Class describes the fields.
+type Class struct {
+	Name                string
+	LatencyObjectiveNs  int64   `json:"AimNs"`
+	ClientTimeoutNs     int64   `json:"GiveUpNs"`
+	IdempotencyWindowNs int64   `json:"WindowNs"`
+	ObjectiveStretch    float64 `json:"AimStretch"`
+	PriorityWeight      float64 `json:"Importance"`
+	LateWeightShare     float64 `json:"LateShare"`
+	Idempotency         string  `json:"Effect"` // a key of idempotencies
+	IdempotencyScope    string  `json:"Group"`  // a key of idempotencyScopes
 }
 
-// Tenant is a client that has a share of the capacity.
+// Tenant is a customer and its quota.
 type Tenant struct {
 	Name          string
-	AllowancePerS float64
+	AllowancePerS float64 // quota in requests per second, over all routers
 }
 
-// ExtraSettings are about the freshness of responses.
+// ExtraSettings are the settings for the freshness of responses.
 type ExtraSettings struct {
-	Guards       string // one of freshnessChecks
-	TokenMode    string
-	LagAllowedNs []int64  // by lane; empty if no lane has a bound
-	NeedsByClass []string // by lane, each one of consistencies
-	OriginTimeNs *int64
+	FreshnessCheck string   `json:"Guards"` // a key of freshnessChecks
+	TokenMode      string   // clientTokenMode if clients send session tokens
+	LagAllowedNs   []int64  // maximum staleness by class; empty if no class has a bound
+	Consistencies  []string `json:"NeedsByClass"` // by class, each a key of consistencies
+	OriginTimeNs   *int64   // start of the replication positions
 }
 
-// AttemptLimits bound the attempts of a request and the connections for them.
+// AttemptLimits are the settings for the attempts of a request and for backend connections.
 type AttemptLimits struct {
-	Cancelling       bool
-	Probes           bool
-	RetryAfter       bool
+	Cancelling       bool // attempts can be cancelled
+	Probes           bool // endpoints respond to health checks
+	RetryAfter       bool // clients receive a Retry-After
 	MaxRetryAfterNs  int64
-	ConnIdleNs       int64
+	ConnIdleNs       int64 // endpoints close a connection that is idle for this long
 	ConnectTimeoutNs int64
 	MaxOpen          int
-	MostTries        int
+	MaxAttempts      int `json:"MostTries"` // per request; 0 = no limit
 }
 
-// Prices are what the router pays for its own calls.
+// Prices are the costs of calls that the router makes on its own account.
 type Prices struct {
-	Probe float64
+	Probe float64 // cost of a health check, as a fraction of the weight of a request
 }
 
-// Contract is what endpoints and discovery promise.
+// Contract describes the behavior that endpoints and discovery guarantee. balance.Config describes the fields.
 type Contract struct {
-	AskWithinNs  int64
-	DrainGraceNs int64
-	ColdNs       int64
-	FallNs       int64
-	ColdFrom     float64
-	FallMultiple float64
-	SoftRemoval  bool
+	PollWithinNs      int64 `json:"AskWithinNs"`
+	DrainGraceNs      int64
+	SlowStartWindowNs int64   `json:"ColdNs"`
+	OverloadWindowNs  int64   `json:"FallNs"`
+	SlowStartFrom     float64 `json:"ColdFrom"`
+	OverloadMultiple  float64 `json:"FallMultiple"`
+	SoftRemoval       bool
 }
 
-// The words of the settings, in the terms of the decision module.
+// The keywords of the settings and their values in the decision module.
 var (
 	consistencies = map[string]balance.Consistency{
 		"loose":      balance.ConsistencyAny,
@@ -104,16 +105,17 @@
 		"reject": balance.FreshnessCheckReject,
 		"hold":   balance.FreshnessCheckHold,
 	}
-	// discoveryPolls says for each kind of discovery whether the router polls it.
-	discoveryPolls = map[string]bool{
+	// pollsByDiscoveryMode reports for each value of Settings.Discovery whether the router polls for the endpoint list.
+	pollsByDiscoveryMode = map[string]bool{
 		"ask":  true,
 		"push": false,
 	}
 )
 
-const clientTokens = "client"
+// clientTokenMode is the value of TokenMode with which clients send session tokens.
+const clientTokenMode = "client"
 
-// translate returns what a word means, or an error that names the field.
+// translate returns the value of a keyword, or a *FieldError if the keyword is unknown.
 func translate[T any](words map[string]T, field, word string) (T, error) {
 	meaning, ok := words[word]
 	if !ok {
@@ -122,23 +124,23 @@
 	return meaning, nil
 }
 
-// Balance returns the settings in the terms of the decision module. Simulator and real router share it.
+// Balance converts the settings to the configuration of the decision module. The simulator and the router both use it.
 func (s *Settings) Balance() (balance.Config, error) {
-	c := s.withoutWords()
+	c := s.baseBalanceConfig()
 	var err error
-	// A kind of discovery that is not known must not pass: the router would neither poll nor follow the list.
-	c.PollDiscovery, err = translate(discoveryPolls, "Discovery", s.Discovery)
+	// An unknown discovery mode must be rejected: the router would neither poll nor receive the list.
+	c.PollDiscovery, err = translate(pollsByDiscoveryMode, "Discovery", s.Discovery)
 	if err != nil {
 		return c, err
 	}
-	c.FreshnessCheck, err = translate(freshnessChecks, "Extra.Guards", s.Extra.Guards)
+	c.FreshnessCheck, err = translate(freshnessChecks, "Extra.Guards", s.Extra.FreshnessCheck)
 	if err != nil {
 		return c, err
 	}
 	if err := s.checkExtra(); err != nil {
 		return c, err
 	}
-	for i := range s.Lanes {
+	for i := range s.Classes {
 		class, err := s.class(i)
 		if err != nil {
 			return c, err
@@ -151,19 +153,19 @@
 	return c, nil
 }
 
-// withoutWords returns all that needs no translation of words and no check.
-func (s *Settings) withoutWords() balance.Config {
+// baseBalanceConfig returns the part of the configuration that needs no keyword translation and no check.
+func (s *Settings) baseBalanceConfig() balance.Config {
 	return balance.Config{
 		Instances:       s.Instances,
 		Zone:            s.Locality,
-		OverQuotaWeight: s.OverShareWorth,
-		TimerResolution: time.Duration(s.ResolutionNs),
+		OverQuotaWeight: s.OverQuotaWeight,
+		TimerResolution: time.Duration(s.TimerResolutionNs),
 
-		PollWithin:  time.Duration(s.Contract.AskWithinNs),
+		PollWithin:  time.Duration(s.Contract.PollWithinNs),
 		DrainGrace:  time.Duration(s.Contract.DrainGraceNs),
 		SoftRemoval: s.Contract.SoftRemoval,
 
-		ClientSessionTokens: s.Extra.TokenMode == clientTokens,
+		ClientSessionTokens: s.Extra.TokenMode == clientTokenMode,
 
 		HealthChecks:    s.Limits.Probes,
 		HealthCheckCost: s.Prices.Probe,
@@ -171,51 +173,51 @@
 		Cancellation:  s.Limits.Cancelling,
 		RetryAfter:    s.Limits.RetryAfter,
 		MaxRetryAfter: time.Duration(s.Limits.MaxRetryAfterNs),
-		MaxAttempts:   s.Limits.MostTries,
+		MaxAttempts:   s.Limits.MaxAttempts,
 
-		SlowStartFrom:    s.Contract.ColdFrom,
-		SlowStartWindow:  time.Duration(s.Contract.ColdNs),
-		OverloadMultiple: s.Contract.FallMultiple,
-		OverloadWindow:   time.Duration(s.Contract.FallNs),
+		SlowStartFrom:    s.Contract.SlowStartFrom,
+		SlowStartWindow:  time.Duration(s.Contract.SlowStartWindowNs),
+		OverloadMultiple: s.Contract.OverloadMultiple,
+		OverloadWindow:   time.Duration(s.Contract.OverloadWindowNs),
 	}
 }
 
-// checkExtra checks that what is given by lane is given for each of them.
+// checkExtra checks that OriginTimeNs is set and that the lists by class have a value for each class.
 func (s *Settings) checkExtra() error {
 	if s.Extra.OriginTimeNs == nil {
 		return &FieldError{Field: "Extra.OriginTimeNs", Reason: errMissing}
 	}
-	if n := len(s.Extra.NeedsByClass); n != len(s.Lanes) {
-		return fieldErrorf("Extra.NeedsByClass", "%d values for %d classes", n, len(s.Lanes))
+	if n := len(s.Extra.Consistencies); n != len(s.Classes) {
+		return fieldErrorf("Extra.NeedsByClass", "%d values for %d classes", n, len(s.Classes))
 	}
-	if n := len(s.Extra.LagAllowedNs); n != len(s.Lanes) && n != 0 {
-		return fieldErrorf("Extra.LagAllowedNs", "%d values for %d classes", n, len(s.Lanes))
+	if n := len(s.Extra.LagAllowedNs); n != len(s.Classes) && n != 0 {
+		return fieldErrorf("Extra.LagAllowedNs", "%d values for %d classes", n, len(s.Classes))
 	}
 	return nil
 }
 
-// class translates a lane. The slices that are given by lane have been checked.
+// class converts the class at index i. It requires that checkExtra has passed.
 func (s *Settings) class(i int) (balance.Class, error) {
-	lane := s.Lanes[i]
+	settings := s.Classes[i]
 	class := balance.Class{
-		Name:              lane.Name,
-		LatencyObjective:  time.Duration(lane.AimNs),
-		ObjectiveStretch:  lane.AimStretch,
-		ClientTimeout:     time.Duration(lane.GiveUpNs),
-		PriorityWeight:    lane.Importance,
-		LateWeightShare:   lane.LateShare,
-		IdempotencyWindow: time.Duration(lane.WindowNs),
+		Name:              settings.Name,
+		LatencyObjective:  time.Duration(settings.LatencyObjectiveNs),
+		ObjectiveStretch:  settings.ObjectiveStretch,
+		ClientTimeout:     time.Duration(settings.ClientTimeoutNs),
+		PriorityWeight:    settings.PriorityWeight,
+		LateWeightShare:   settings.LateWeightShare,
+		IdempotencyWindow: time.Duration(settings.IdempotencyWindowNs),
 	}
 	var err error
-	class.Consistency, err = translate(consistencies, "Extra.NeedsByClass", s.Extra.NeedsByClass[i])
+	class.Consistency, err = translate(consistencies, "Extra.NeedsByClass", s.Extra.Consistencies[i])
 	if err != nil {
 		return class, err
 	}
-	class.Idempotency, err = translate(idempotencies, "Lanes.Effect", lane.Effect)
+	class.Idempotency, err = translate(idempotencies, "Lanes.Effect", settings.Idempotency)
 	if err != nil {
 		return class, err
 	}
-	class.IdempotencyScope, err = translate(idempotencyScopes, "Lanes.Group", lane.Group)
+	class.IdempotencyScope, err = translate(idempotencyScopes, "Lanes.Group", settings.IdempotencyScope)
 	if err != nil {
 		return class, err
 	}
@@ -225,7 +227,7 @@
 	return class, nil
 }
 
-// checkTimeouts checks what a router on sockets needs; the simulator goes without.
+// checkTimeouts checks the timeouts that a router with real connections needs. The simulator does not set them.
 func (s *Settings) checkTimeouts() error {
 	if s.Limits.ConnectTimeoutNs <= 0 {
 		return &FieldError{Field: "settings.Limits.ConnectTimeoutNs", Reason: errMissing}
