--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -204,7 +204,7 @@
 // needsPositionCheck reports whether a read could be sent to the endpoint now if a new report showed a recent enough
 // position.
 func (e *endpoint) needsPositionCheck(now Time) bool {
-	if e.replication.neededAt != now || e.isPrimary() {
+	if e.replication.positionNeededAt != now || e.isPrimary() {
 		return false
 	}
 	if e.health.suspect || e.check.inFlight {
--- a/balance/replica_selection.go
+++ b/balance/replica_selection.go
@@ -119,7 +119,7 @@
 		if b.reportExpected(endpoint) && b.wasRecentEnough(request, endpoint) {
 			expected = true
 		}
-		endpoint.replication.neededAt = b.now
+		endpoint.replication.positionNeededAt = b.now
 	}
 	return expected
 }
--- a/balance/replication.go
+++ b/balance/replication.go
@@ -10,10 +10,10 @@
 
 // replicationState records how far an endpoint has applied the commits of its group.
 type replicationState struct {
-	position      Time // all commits up to this position are applied
-	lag           time.Duration
-	lagObservedAt Time
-	neededAt      Time // when a read was last kept from the endpoint only because its position was too old
+	position         Time // all commits up to this position are applied
+	lag              time.Duration
+	lagObservedAt    Time
+	positionNeededAt Time // when a read was last kept from the endpoint only because its position was too old
 }
 
 // advance records a reported position. A position that is older than the known one or in the future is ignored.
