--- a/balance/action.go
+++ b/balance/action.go
@@ -6,11 +6,12 @@
 // it.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request. Attempts are numbered from 0 in the order of their sends.
+// Send starts the next attempt of a request. Attempts are numbered from 0 in the order of their sends. After NotAfter
+// the endpoint's data may be too old, a repeat may no longer be discarded, or the client had better retry elsewhere.
 type Send struct {
 	ID       string // of the request
 	Endpoint string // ID of the endpoint
-	NotAfter Time   // latest time to write the request: later, the data may be too old or the client gone; 0 = no limit
+	NotAfter Time   // latest time to write the request; 0 = no limit
 }
 
 // Reject is a final answer after which the client can safely retry: the request did not run, or running it again does
@@ -29,7 +30,7 @@
 	RejectNoEndpoint RejectReason = iota // no endpoint could take the request in useful time
 	RejectNoGroup                        // no endpoint is listed in the replica group of the request
 	RejectNoPrimary                      // the request needs the primary, which is not known or cannot be reached
-	RejectUnanswered                     // the request was sent, and no attempt returned an answer
+	RejectUnanswered                     // the request was sent to an endpoint, and no attempt served it
 )
 
 var rejectReasonTexts = [...]string{
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -14,10 +14,10 @@
 	// tickInterval is the shortest interval at which pending requests and silent endpoints are checked. It is shorter
 	// than any latency objective.
 	tickInterval = 10 * time.Millisecond
-	// pauseThreshold is the delay beyond which this instance, or an endpoint, counts as paused. Scheduling alone may
-	// delay a timer by a few ticks.
+	// pauseThreshold is the delay of a timer beyond which this instance counts as paused, and the shortest silence
+	// timeout of an endpoint. Scheduling alone may delay a timer by a few ticks.
 	pauseThreshold = 5 * tickInterval
-	// activeWindow is how long a request, a reported lag or a lost health check counts as recent.
+	// activeWindow is how long a request, a reported lag or an unanswered health check counts as recent.
 	activeWindow = 2 * time.Second
 )
 
@@ -102,7 +102,7 @@
 	return b.actions
 }
 
-// handle updates the state for one event. Pending requests and health checks are sent at the end of the step.
+// handle updates the state for one event. Pending requests and regular health checks are sent at the end of the step.
 func (b *Balancer) handle(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
--- a/balance/class.go
+++ b/balance/class.go
@@ -52,8 +52,8 @@
 const (
 	// smoothing is the weight of a new sample in moving averages, which cover about the last ten samples.
 	smoothing = 0.1
-	// decay is the share by which a recorded minimum or maximum decays with each sample, since work and endpoints
-	// change.
+	// decay is the share by which a recorded minimum rises, or a recorded maximum falls, with each sample, since work
+	// and endpoints change.
 	decay = 0.002
 	// initialLatencyDivisor determines the latency that is assumed before the first answer: the latency objective
 	// divided by it.
@@ -70,7 +70,7 @@
 type classState struct {
 	Class
 	latency        float64       // moving mean of the time an attempt takes, in seconds, including queueing
-	serviceTime    float64       // slowly decaying minimum of latency, in seconds: the work of a request at an endpoint
+	serviceTime    float64       // slowly rising minimum of latency, in seconds: the work of a request at an endpoint
 	arrivals       float64       // number of requests, slowly decaying
 	longestTimeout time.Duration // the longest Request.TimeLeft so far
 }
@@ -127,7 +127,7 @@
 	return slowest
 }
 
-// ClassCost returns the cost of a request of the class to an endpoint, in seconds: the slowly decaying minimum of
+// ClassCost returns the cost of a request of the class to an endpoint, in seconds: the slowly rising minimum of
 // latency, and its moving mean, which includes queueing.
 func (b *Balancer) ClassCost(name string) (work, mean float64) {
 	if class := b.classes[name]; class != nil {
--- a/balance/concurrency_limit.go
+++ b/balance/concurrency_limit.go
@@ -96,10 +96,10 @@
 // adaptWeakReadBackoff backs weak reads off from an endpoint, in its role as primary, after a response that took at
 // least its latency objective. The backoff doubles with each slow response and halves with each fast one.
 //
-// If no replica of a group is recent enough, hundreds of instances send their reads to its primary, each one at a time.
-// That overloads the primary, so all of these reads are late, and its writes as well. The concurrency limit can't
-// prevent this if the share of an instance is under one attempt. So each instance reacts to its own few responses, and
-// the instances whose reads were slow leave the primary to the others.
+// If no replica of a group is recent enough, hundreds of instances send their reads to its primary, each instance one
+// at a time. That overloads the primary, so all of these reads are late, and its writes as well. The concurrency limit
+// can't prevent this if the share of an instance is under one attempt. So each instance reacts to its own few
+// responses, and the instances whose reads were slow leave the primary to the others.
 func (l *concurrencyLimit) adaptWeakReadBackoff(ratio float64, now Time, rng *rand.Rand) {
 	if ratio < 1 {
 		l.weakReadBackoff /= 2
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -45,7 +45,8 @@
 	return e.discovery.state == EndpointReady && !e.discovery.suspended
 }
 
-// restart resets the state that was observed before the endpoint restarted at the given time.
+// restart records that the endpoint restarted at the given time, and resets its work credit and the attempts of its
+// concurrency limit.
 func (e *endpoint) restart(at Time, initialLimit float64) {
 	e.slowStart.startedAt = at
 	e.limit.attempts = initialLimit
--- a/balance/event.go
+++ b/balance/event.go
@@ -33,7 +33,7 @@
 
 // EndpointEntry is one endpoint in an endpoint list.
 type EndpointEntry struct {
-	Endpoint  string // the endpoint's id
+	Endpoint  string // ID of the endpoint
 	Zone      string
 	Group     int64
 	State     EndpointState
--- a/balance/expiry.go
+++ b/balance/expiry.go
@@ -14,8 +14,9 @@
 )
 
 // expire deletes state that would otherwise accumulate: removed endpoints, groups without endpoints, and session
-// commits that all endpoints of their group are known to have applied. It is called once a second. With
-// Config.SoftRemoval a removed endpoint may come back, so it is kept for longer.
+// commits that all ready endpoints of their group are known to have applied. It also decays the statistics of the
+// classes. It is called once a second. With Config.SoftRemoval a removed endpoint may come back, so it is kept for
+// longer.
 func (b *Balancer) expire() {
 	for _, class := range b.classes {
 		class.expire(b.config.hasFractionalShare())
--- a/balance/health.go
+++ b/balance/health.go
@@ -19,7 +19,7 @@
 type endpointHealth struct {
 	suspect              bool // it is silent or unreachable
 	unreachable          bool // connections to it fail
-	unreachableAgain     bool // it was unreachable once more after it had become suspect
+	unreachableAgain     bool // after it had become suspect, a health check failed or a connection was refused
 	suspectSince         Time
 	recoveryAt           Time // no recovery attempt before this time
 	recoveryBackoff      time.Duration
@@ -42,8 +42,7 @@
 	h.extendBackoff(now)
 }
 
-// extendBackoff postpones the next recovery attempt by twice the previous backoff, up to
-// maxRecoveryBackoff.
+// extendBackoff postpones the next recovery attempt by twice the previous backoff, up to maxRecoveryBackoff.
 func (h *endpointHealth) extendBackoff(now Time) {
 	h.setBackoff(min(2*h.recoveryBackoff, maxRecoveryBackoff), now)
 }
@@ -106,7 +105,8 @@
 
 // recordBrokenConnection records that an attempt's connection broke or was refused. A network path that breaks
 // connections, even several in a row, is not an outage of the endpoint. An endpoint that is down accepts no new
-// connections either, so a health check decides; until its result the endpoint may get a few more requests.
+// connections either, so a health check decides; until its result the endpoint may get a few more requests. Where
+// endpoints answer no health checks, refusalsForOutage broken connections in a row count as an outage.
 func (b *Balancer) recordBrokenConnection(endpoint *endpoint) {
 	health := &endpoint.health
 	b.recordFailure(endpoint)
@@ -122,9 +122,9 @@
 // recordRecovery clears the suspicion of an endpoint that has served a request.
 func (b *Balancer) recordRecovery(endpoint *endpoint) {
 	b.log("endpoint %s: serves again", endpoint.id)
-	// An endpoint that was down may have restarted, so it warms up. It counts as down only if it was unreachable once
-	// more after it became suspect: treating each unreachable endpoint as restarted would leave warm endpoints idle
-	// on networks that break connections often.
+	// An endpoint that was down may have restarted, so it warms up. It counts as down only if it was unreachable and,
+	// after it had become suspect, a health check failed or a connection was refused. Treating each unreachable
+	// endpoint as restarted would leave warm endpoints idle on networks that break connections often.
 	died := endpoint.health.unreachable && endpoint.health.unreachableAgain
 	if died && !endpoint.stillPrimaryForGroup() {
 		endpoint.slowStart.recoveredAt = b.now
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -233,8 +233,8 @@
 }
 
 // positionCheckInterval returns the minimum interval between position checks of the endpoint. An endpoint whose lag
-// exceeded the bound needs about the excess to catch up. If the group has no primary, positions stand still and lags
-// grow, so health checks become less frequent.
+// exceeded the bound takes about as long as the excess to catch up. If the group has no primary, positions stand still
+// and lags grow, so health checks become less frequent.
 func (b *Balancer) positionCheckInterval(endpoint *endpoint) time.Duration {
 	return max(healthCheckInterval, min(endpoint.replication.lag-b.tightestBound, 2*primarySearchInterval))
 }
--- a/balance/liveness.go
+++ b/balance/liveness.go
@@ -28,7 +28,7 @@
 }
 
 // checkProgress marks endpoints that make no progress as suspect, and cancels their attempts that can safely be
-// repeated elsewhere.
+// repeated elsewhere. Once a second it also measures the throughput.
 func (b *Balancer) checkProgress() {
 	stillBusy := b.busyEndpoints[:0]
 	for _, endpoint := range b.busyEndpoints {
@@ -92,7 +92,7 @@
 	return max(attempt.sentAt, b.wake.runningSince)
 }
 
-// rejectCancelled rejects the request of a cancelled attempt before its client disconnects, since the result of the
+// rejectCancelled rejects the request of a cancelled attempt before its client times out, since the result of the
 // attempt may arrive later than that.
 func (b *Balancer) rejectCancelled(attempt *attempt) {
 	request := attempt.request
--- a/balance/long_read.go
+++ b/balance/long_read.go
@@ -10,9 +10,10 @@
 	// applies no commits while it runs a long read.
 	longReadBoundShare = 0.33
 	// longReadFactor is the minimum cost of a long read as a multiple of the cost of a bounded read. It also sets the
-	// spacing of long reads while bounded reads are short of capacity: one per so many times its own duration, so that
-	// a replica is left to bounded reads in between. And a replica that lags by more than the staleness bound and the
-	// duration of so many long reads is not expected to be recent enough for bounded reads soon.
+	// spacing of long reads while bounded reads are short of capacity: all instances together send one long read per
+	// longReadFactor times its duration, so that a replica is left to bounded reads in between. And a replica whose lag
+	// exceeds the staleness bound plus the duration of longReadFactor long reads is not expected to be recent enough
+	// for bounded reads soon.
 	longReadFactor = 4
 )
 
--- a/balance/primary_cache.go
+++ b/balance/primary_cache.go
@@ -64,7 +64,7 @@
 func (r roleEvidence) lastObservedAt() Time { return max(r.replicaAt, r.primaryAt) }
 
 // observePrimary records that the endpoint was primary at the given time. Evidence that is older than the known
-// evidence is ignored.
+// evidence, or that concerns a suspended endpoint, is ignored.
 func (b *Balancer) observePrimary(endpoint *endpoint, at Time) {
 	if at <= endpoint.role.replicaAt || endpoint.discovery.suspended {
 		return
--- a/balance/replica_group.go
+++ b/balance/replica_group.go
@@ -38,8 +38,8 @@
 	slices.SortFunc(g.endpoints, compareIDs)
 }
 
-// idle reports whether the group needs no health check now: no request is pending, no weak read lacked a replica in
-// this step, and no endpoint is suspect.
+// idle reports whether the group needs no health check now: its first checks have been sent, no request is pending, no
+// weak read lacked a replica in this step, and no endpoint is suspect or resumed and not used yet.
 func (g *replicaGroup) idle(now Time) bool {
 	if !g.firstChecksSent || g.hasSuspects {
 		return false
--- a/balance/request.go
+++ b/balance/request.go
@@ -83,8 +83,9 @@
 	q.objectiveAt = min(q.deadline, now+class.LatencyObjective-elapsed+stretch)
 }
 
-// handleRequest queues a new request. A request whose class is not configured fails. A request whose group has no
-// endpoint is rejected: clients can name arbitrary groups, and the balancer would have to keep and check each of them.
+// handleRequest queues a new request. A request whose class is not configured fails. Once any endpoint is known, a
+// request whose group has none is rejected: clients can name arbitrary groups, and the balancer would have to keep and
+// check each of them.
 func (b *Balancer) handleRequest(event Request) {
 	class := b.classes[event.Class]
 	if class == nil {
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -49,7 +49,7 @@
 }
 
 // checkSlowStartCredit is checkCredit for an endpoint that warms up. Its capacity is estimated from the throughput of
-// warm endpoints, and as one request at a time at least.
+// warm endpoints, and as at least one request at a time.
 func (b *Balancer) checkSlowStartCredit(request *request, endpoint *endpoint, warmup float64) creditCheck {
 	rate := endpoint.limit.attempts * warmup
 	cost := request.class.latency
--- a/balance/throughput.go
+++ b/balance/throughput.go
@@ -14,6 +14,7 @@
 // measureThroughput measures, once a second, the work that warm endpoints do for this instance. The work of idle
 // endpoints doesn't show their capacity, but that of the busiest endpoint of each group comes near it. It is averaged
 // over the groups: the maximum of few samples would be high by chance, and the excesses of all instances would add up.
+// The other work that is due once a second, expire and the decay of the best rank, is done here too.
 func (b *Balancer) measureThroughput() {
 	measured := &b.throughput
 	measured.measurements++
@@ -59,7 +60,7 @@
 
 // EndpointView is the state of an endpoint as an instance sees it, for monitoring.
 type EndpointView struct {
-	Endpoint         string // its id
+	Endpoint         string // ID of the endpoint
 	Zone             string
 	Group            int64
 	Primary          bool    // it is cached as its group's primary and not suspect
@@ -70,7 +71,7 @@
 	CapacityShare    float64 // share of its capacity that may be used now, 0 to 1
 }
 
-// EndpointViews calls f for each endpoint that is not removed from the list, ordered by group and id.
+// EndpointViews calls f for each endpoint that is not removed from the list, ordered by group and ID.
 func (b *Balancer) EndpointViews(f func(EndpointView)) {
 	for _, group := range b.sortedGroups {
 		for _, endpoint := range group.endpoints {
--- a/balance/work_credit.go
+++ b/balance/work_credit.go
@@ -7,7 +7,7 @@
 	// slowRequestBurst is how many requests of the slowest class the burst covers, whichever class is checked. If each
 	// class capped the credit at its own burst, requests of fast classes would keep it too low for those of a slow one.
 	slowRequestBurst = 2
-	// reservedCreditShare is the share of the credit that low-priority requests leave to those of higher priority.
+	// reservedCreditShare is the share of the credit that requests of low rank leave to those of higher rank.
 	reservedCreditShare = 0.5
 )
 
@@ -66,8 +66,8 @@
 		credit.start(burst, b.now)
 	}
 	credit.refill(rate, burst, b.now)
-	// Few attempts are in flight at a time, so a request of less than half the best priority leaves credit for requests
-	// of the best priority.
+	// Few attempts are in flight at a time, so a request of less than half the best rank leaves credit for requests of
+	// the best rank.
 	reserve := min(burst-cost, creditBurst*b.best.latency) * reservedCreditShare * b.best.deficit(request)
 	return creditCheck{covered: credit.tokens >= cost+reserve, cost: cost, burst: burst}
 }
