--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -204,7 +204,7 @@
 // needsPositionCheck reports whether a read could be sent to the endpoint now if a new report showed a recent enough
 // position.
 func (e *endpoint) needsPositionCheck(now Time) bool {
-	if e.replication.neededAt != now || e.isPrimary() {
+	if e.replication.positionNeededAt != now || e.isPrimary() {
 		return false
 	}
 	if e.health.suspect || e.check.inFlight {
@@ -233,8 +233,8 @@
 }
 
 // positionCheckInterval returns the minimum interval between position checks of the endpoint. An endpoint whose lag
-// exceeded the bound needs about the excess to catch up. If the group has no primary, positions stand still and lags
-// grow, so health checks become less frequent.
+// exceeded the bound takes about as long as the excess to catch up. If the group has no primary, positions stand still
+// and lags grow, so health checks become less frequent.
 func (b *Balancer) positionCheckInterval(endpoint *endpoint) time.Duration {
 	return max(healthCheckInterval, min(endpoint.replication.lag-b.tightestBound, 2*primarySearchInterval))
 }
