--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -9,7 +9,7 @@
 )
 
 // attempt is an attempt of a request, or a health check. It waits for a connection, is written to it, then waits for
-// the response; it ends exactly once. It implements router.AttemptHandle, and router.Flow for its response.
+// the response; it ends exactly once. It implements router.AttemptHandle, and router.FlowController for its response.
 type attempt struct {
 	pool     *Pool
 	endpoint *endpoint // nil until the endpoint has been looked up
@@ -17,7 +17,7 @@
 	deadline time.Duration // when the client stops waiting for the response
 	notAfter time.Duration // the attempt must not be written later than this; 0 = no such limit
 
-	onResponseStarted func(router.Response, router.Flow) // nil = the response is buffered until it is complete
+	onResponseStarted func(router.Response, router.FlowController) // nil = the response is buffered until it is complete
 	onResponsePart    func(p []byte)
 	abandoned         func() bool // reports whether the client has disconnected; nil = it never does
 	done              func(router.Result)
@@ -82,7 +82,7 @@
 	return false
 }
 
-// SetPaused pauses or resumes the reading of the response. It implements router.Flow.
+// SetPaused pauses or resumes the reading of the response. It implements router.FlowController.
 func (a *attempt) SetPaused(paused bool) {
 	if a.connection != nil {
 		a.connection.setPaused(paused)
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -18,13 +18,13 @@
 	t       *testing.T
 	pool    *testPool
 	pause   time.Duration
-	flow    router.Flow
+	flow    router.FlowController
 	started bool
 	paused  bool
 	got     []byte
 }
 
-func (c *streamClient) responseStarted(response router.Response, flow router.Flow) {
+func (c *streamClient) responseStarted(response router.Response, flow router.FlowController) {
 	c.started = true
 	c.flow = flow
 	c.got = append(c.got, response.(*Response).Messages...)
@@ -158,7 +158,7 @@
 					Endpoint:          "n",
 					Job:               testJob("a"),
 					Deadline:          p.loop.Now() + time.Second,
-					OnResponseStarted: func(router.Response, router.Flow) { started <- true },
+					OnResponseStarted: func(router.Response, router.FlowController) { started <- true },
 					OnResponsePart:    func([]byte) {},
 				}
 				p.pool.Start(requested, func(result router.Result) { done <- result })
--- a/internal/frontend/extendedquery/operation.go
+++ b/internal/frontend/extendedquery/operation.go
@@ -27,7 +27,7 @@
 func (o *operation) Messages(left time.Duration) []byte {
 	parse := o.statement.ParseMessage
 	parse.Name = ""
-	parse.Query = o.statement.comment.WithDeadline(parse.Query, left)
+	parse.Query = o.statement.comment.WithTimeout(parse.Query, left)
 	out := pgwire.AppendParse(nil, parse)
 	if o.portal == nil {
 		out = pgwire.AppendTarget(out, 'D', 'S', "")
--- a/internal/frontend/extendedquery/response.go
+++ b/internal/frontend/extendedquery/response.go
@@ -12,11 +12,11 @@
 // Disconnected implements router.Client.
 func (s *session) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
 
-// Committed implements router.Committer.
+// Committed implements router.CommitObserver.
 func (s *session) Committed(position time.Duration) { s.conn.Committed(position) }
 
 // ResponseStarted implements router.Client.
-func (s *session) ResponseStarted(response router.Response, flow router.Flow) {
+func (s *session) ResponseStarted(response router.Response, flow router.FlowController) {
 	s.appendResponse(response.(*backend.Response))
 	data := s.bufferedResponses
 	s.bufferedResponses = nil
--- a/internal/frontend/extendedquery/statements.go
+++ b/internal/frontend/extendedquery/statements.go
@@ -10,7 +10,7 @@
 // preparedStatement is a statement that the client has prepared.
 type preparedStatement struct {
 	pgwire.ParseMessage
-	comment requestcomment.Head
+	comment requestcomment.Comment
 }
 
 // portal is a prepared statement with its parameters.
--- a/internal/frontend/extendedquery/unit_of_work.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -100,14 +100,14 @@
 }
 
 // requestOf returns what a request comment says of a request.
-func requestOf(comment requestcomment.Head) router.Request {
+func requestOf(comment requestcomment.Comment) router.Request {
 	return router.Request{
 		ClientRequestID: comment.ID,
 		Class:           comment.Class,
 		Group:           comment.Group,
 		Session:         comment.Session,
-		Deadline:        comment.Deadline,
-		MinPosition:     comment.After,
+		ClientTimeout:   comment.Timeout,
+		MinPosition:     comment.MinPosition,
 		Retry:           comment.Retry,
 	}
 }
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -66,7 +66,7 @@
 	fake.loop.Post(func() {
 		switch request.Class {
 		case "served":
-			text := request.Job.(*SimpleQuery).Messages(request.Deadline)
+			text := request.Job.(*SimpleQuery).Messages(request.ClientTimeout)
 			message := pgwire.Append(nil, 'T', []byte{0, 0})
 			message = pgwire.Append(message, 'D', []byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text)
 			client.Served(&backend.Response{Messages: pgwire.Append(message, 'C', []byte("SELECT 1\x00"))})
@@ -130,7 +130,7 @@
 	maxUnsentBytes int
 }
 
-// SetPaused implements router.Flow.
+// SetPaused implements router.FlowController.
 func (s *fakeSource) SetPaused(on bool) {
 	s.paused = on
 	if !on {
@@ -158,10 +158,10 @@
 	}
 }
 
-// pauseRecorder is a router.Flow that only notes when it is paused.
+// pauseRecorder is a router.FlowController that only notes when it is paused.
 type pauseRecorder struct{ calls []bool }
 
-// SetPaused implements router.Flow.
+// SetPaused implements router.FlowController.
 func (pauses *pauseRecorder) SetPaused(on bool) { pauses.calls = append(pauses.calls, on) }
 
 func defaultLimits() limits.Limits {
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -78,8 +78,8 @@
 	buffered       []byte // the response, or the part that has come, while others stand before it
 	bufferedBytes  int    // what is counted for it
 
-	flow    router.Flow // source of a streamed response
-	started bool        // a part of the response has been sent
+	flow    router.FlowController // source of a streamed response
+	started bool                  // a part of the response has been sent
 }
 
 type slotState int
@@ -207,7 +207,7 @@
 // Disconnected implements router.Client.
 func (s *slot) Disconnected(look bool) bool { return s.conn.Disconnected(look) }
 
-// Committed implements router.Committer.
+// Committed implements router.CommitObserver.
 func (s *slot) Committed(position time.Duration) {
 	s.conn.commits.record(s.request.Session, s.request.Group, position)
 }
@@ -242,7 +242,7 @@
 
 // startResponse begins a response that is streamed as it comes. Its source is paused while other responses stand
 // before it, and while the client has much to read.
-func (s *slot) startResponse(data []byte, flow router.Flow) {
+func (s *slot) startResponse(data []byte, flow router.FlowController) {
 	s.flow = flow
 	if s.isFirst() && !s.conn.applyBackpressure() {
 		s.send(data)
--- a/internal/frontend/response_stream.go
+++ b/internal/frontend/response_stream.go
@@ -8,8 +8,8 @@
 
 // outputState is how the client takes what it is sent.
 type outputState struct {
-	flow          router.Flow // source of the response that is streamed now, nil = none is
-	backpressured bool        // no further message or response is begun until the client has read more
+	flow          router.FlowController // source of the response that is streamed now, nil = none is
+	backpressured bool                  // no further message or response is begun until the client has read more
 
 	unsentBytes    int           // that the client had not taken at the last sweep
 	progressBytes  int64         // that it had taken by then
@@ -46,7 +46,7 @@
 }
 
 // StartResponse begins a response that is streamed as it comes from the flow.
-func (c *Conn) StartResponse(data []byte, flow router.Flow) {
+func (c *Conn) StartResponse(data []byte, flow router.FlowController) {
 	c.output.flow = flow
 	c.WriteResponsePart(data)
 }
--- a/internal/frontend/session_commits_test.go
+++ b/internal/frontend/session_commits_test.go
@@ -25,7 +25,7 @@
 	expectAccepted(t, fake, "w", "other")
 	runInLoop(loop, func() {
 		write := fake.client("w")
-		write.(router.Committer).Committed(7 * time.Second)
+		write.(router.CommitObserver).Committed(7 * time.Second)
 		write.Served(valueResponse("w"))
 	})
 	expectAccepted(t, fake, "w", "other", "own", "more")
--- a/internal/frontend/simple_query.go
+++ b/internal/frontend/simple_query.go
@@ -81,9 +81,9 @@
 		Class:           comment.Class,
 		Group:           comment.Group,
 		Session:         comment.Session,
-		Deadline:        comment.Deadline,
+		ClientTimeout:   comment.Timeout,
 		ReceivedAt:      h.ReceivedAt(),
-		MinPosition:     comment.After,
+		MinPosition:     comment.MinPosition,
 		Retry:           comment.Retry,
 		Job:             job,
 	}, responder)
@@ -98,7 +98,7 @@
 }
 
 // ResponseStarted implements router.Client.
-func (r *simpleQueryResponder) ResponseStarted(response router.Response, flow router.Flow) {
+func (r *simpleQueryResponder) ResponseStarted(response router.Response, flow router.FlowController) {
 	r.startResponse(response.(*backend.Response).Messages, flow)
 }
 
--- a/internal/frontend/simple_query_job.go
+++ b/internal/frontend/simple_query_job.go
@@ -13,7 +13,7 @@
 // row of one column.
 type SimpleQuery struct {
 	sql     string
-	comment requestcomment.Head
+	comment requestcomment.Comment
 }
 
 // NewSimpleQuery returns the job of a simple query, and whether the query is an empty one.
@@ -23,14 +23,14 @@
 }
 
 // ParseComment reads the request comment of the statement. It has to succeed before the job is handed to the router.
-func (q *SimpleQuery) ParseComment() (comment requestcomment.Head, err error) {
+func (q *SimpleQuery) ParseComment() (comment requestcomment.Comment, err error) {
 	q.comment, err = requestcomment.Parse(q.sql)
 	return q.comment, err
 }
 
 // Messages implements backend.Job: the statement as it came, except for the time that is left.
 func (q *SimpleQuery) Messages(left time.Duration) []byte {
-	return pgwire.AppendQuery(nil, q.comment.WithDeadline(q.sql, left))
+	return pgwire.AppendQuery(nil, q.comment.WithTimeout(q.sql, left))
 }
 
 // Size returns the number of bytes that the job keeps.
--- a/internal/requestcomment/comment.go
+++ b/internal/requestcomment/comment.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Head has the values of a request comment.
-type Head struct {
-	ID       string
-	Class    string
-	Deadline time.Duration // counted from when the client sent the statement
-	Group    int64
-	After    time.Duration // replication position to be reflected, as time since the Unix epoch; 0 = none
-	Retry    bool
-	Session  string // the first quoted string after the comment
+// Comment has the values of a request comment.
+type Comment struct {
+	ID          string
+	Class       string
+	Timeout     time.Duration // counted from when the client sent the statement
+	Group       int64
+	MinPosition time.Duration // replication position to be reflected, as time since the Unix epoch; 0 = none
+	Retry       bool
+	Session     string // the first quoted string after the comment
 
 	// Byte offsets of the deadline's value in the statement.
 	deadlineStart int
@@ -57,8 +57,8 @@
 )
 
 // Parse parses the comment at the start of sql. The error is nil, ErrMissing or ErrMalformed.
-func Parse(sql string) (Head, error) {
-	var h Head
+func Parse(sql string) (Comment, error) {
+	var h Comment
 	rest, ok := strings.CutPrefix(sql, commentStart)
 	if !ok {
 		return h, ErrMissing
@@ -92,20 +92,20 @@
 }
 
 // setField sets the field of a key. valueStart is the byte offset of the value in the statement.
-func (h *Head) setField(key, value string, valueStart int) (err error) {
+func (h *Comment) setField(key, value string, valueStart int) (err error) {
 	switch key {
 	case keyID:
 		h.ID = value
 	case keyClass:
 		h.Class = value
 	case keyDeadline:
-		h.Deadline, err = parseMilliseconds(value, maxDeadline)
+		h.Timeout, err = parseMilliseconds(value, maxDeadline)
 		h.deadlineStart = valueStart
 		h.deadlineEnd = valueStart + len(value)
 	case keyGroup:
 		h.Group, err = strconv.ParseInt(value, 10, 64)
 	case keyAfter:
-		h.After, err = parseMilliseconds(value, maxPosition)
+		h.MinPosition, err = parseMilliseconds(value, maxPosition)
 	case keyRetry:
 		h.Retry = value == "1"
 	}
@@ -128,13 +128,13 @@
 }
 
 // isComplete reports whether the comment has all keys that are required to route a request.
-func (h *Head) isComplete(seen map[string]bool) bool {
+func (h *Comment) isComplete(seen map[string]bool) bool {
 	identified := h.ID != "" && h.Class != ""
 	return identified && seen[keyDeadline] && seen[keyGroup]
 }
 
-// WithDeadline returns a copy of sql, the statement that h was parsed from, in which the deadline is replaced by the
+// WithTimeout returns a copy of sql, the statement that h was parsed from, in which the deadline is replaced by the
 // time that is left. The rest of the statement is unchanged.
-func (h Head) WithDeadline(sql string, left time.Duration) string {
+func (h Comment) WithTimeout(sql string, left time.Duration) string {
 	return sql[:h.deadlineStart] + strconv.FormatInt(max(1, left.Milliseconds()), 10) + sql[h.deadlineEnd:]
 }
--- a/internal/requestcomment/comment_test.go
+++ b/internal/requestcomment/comment_test.go
@@ -16,9 +16,9 @@
 	}
 	h.deadlineStart = 0
 	h.deadlineEnd = 0
-	wantHead := Head{
-		ID: "9b1f03aa5c7e2d41", Class: "order", Deadline: 480 * time.Millisecond, Group: 2,
-		After: 1767225600123 * time.Millisecond, Retry: true, Session: "7f3a",
+	wantHead := Comment{
+		ID: "9b1f03aa5c7e2d41", Class: "order", Timeout: 480 * time.Millisecond, Group: 2,
+		MinPosition: 1767225600123 * time.Millisecond, Retry: true, Session: "7f3a",
 	}
 	if h != wantHead {
 		t.Fatalf("got %+v, want the values of the example", h)
@@ -29,7 +29,7 @@
 	}
 	want := "/* id=9b1f03aa5c7e2d41,c=order,d=77,cluster=2,after=1767225600123,r=1,k=x */ " +
 		"INSERT INTO facts (code) VALUES ('7f3a')"
-	if got := h.WithDeadline(example, 77900*time.Microsecond); got != want {
+	if got := h.WithTimeout(example, 77900*time.Microsecond); got != want {
 		t.Fatal(got)
 	}
 	for sql, want := range map[string]error{
@@ -44,7 +44,7 @@
 	}
 }
 
-// WithDeadline changes only the value of d, whatever else a valid comment contains.
+// WithTimeout changes only the value of d, whatever else a valid comment contains.
 func FuzzParse(f *testing.F) {
 	f.Add(example)
 	f.Add("/*d=1,id=a,c=b,cluster=0*/")
@@ -54,13 +54,13 @@
 		if err != nil {
 			return
 		}
-		h2, err := Parse(h.WithDeadline(sql, h.Deadline+time.Millisecond))
-		for _, head := range []*Head{&h, &h2} {
+		h2, err := Parse(h.WithTimeout(sql, h.Timeout+time.Millisecond))
+		for _, head := range []*Comment{&h, &h2} {
 			head.deadlineStart = 0
 			head.deadlineEnd = 0
 		}
-		h.Deadline = max(h.Deadline+time.Millisecond, time.Millisecond)
-		if err != nil && h.Deadline <= maxDeadline || err == nil && h != h2 {
+		h.Timeout = max(h.Timeout+time.Millisecond, time.Millisecond)
+		if err != nil && h.Timeout <= maxDeadline || err == nil && h != h2 {
 			t.Fatalf("want %+v with the new deadline, got %+v, error %v", h, h2, err)
 		}
 	})
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -27,7 +27,7 @@
 		return "", err
 	}
 	// No client of the class waits longer than its timeout, even if the request has a later deadline.
-	received.Deadline = min(received.Deadline, r.classes[received.Class].ClientTimeout)
+	received.ClientTimeout = min(received.ClientTimeout, r.classes[received.Class].ClientTimeout)
 	if received.ClientRequestID != "" {
 		r.openClientRequestIDs[received.ClientRequestID] = true
 	}
@@ -37,10 +37,10 @@
 		// Ids assigned by clients need not be unique, and a repeated one must not match another request's attempt.
 		id:       strconv.FormatUint(r.lastRequestNumber, 36),
 		client:   client,
-		answerBy: r.answerBy(received.ReceivedAt, received.Deadline),
+		answerBy: r.answerBy(received.ReceivedAt, received.ClientTimeout),
 	}
 	r.counts.Accepted++
-	r.log.Debug("request accepted", "request", req.ClientRequestID, "class", req.Class, "deadline", req.Deadline,
+	r.log.Debug("request accepted", "request", req.ClientRequestID, "class", req.Class, "deadline", req.ClientTimeout,
 		"queued", r.age(req))
 	r.admit(req)
 	return req.id, nil
@@ -50,7 +50,7 @@
 	if _, known := r.classes[received.Class]; !known {
 		return ErrUnknownClass
 	}
-	if received.Deadline <= 0 {
+	if received.ClientTimeout <= 0 {
 		return ErrNoTimeLeft
 	}
 	if r.openClientRequestIDs[received.ClientRequestID] {
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -14,7 +14,7 @@
 	excess := &fakeClient{loop: loop}
 	runFor(router, loop, 50*time.Millisecond, func() {
 		for want, req := range map[error]Request{
-			ErrUnknownClass: {Class: "none", Deadline: time.Second},
+			ErrUnknownClass: {Class: "none", ClientTimeout: time.Second},
 			ErrNoTimeLeft:   {Class: readClass},
 		} {
 			if _, err := router.Accept(req, invalid); !errors.Is(err, want) {
@@ -22,14 +22,14 @@
 			}
 		}
 		now := loop.Now()
-		withRequestID := Request{ClientRequestID: "b", Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 2}
+		withRequestID := Request{ClientRequestID: "b", Class: readClass, ClientTimeout: time.Second, ReceivedAt: now, Job: 2}
 		accept(t, router, withRequestID, first)
 		// A second client with the same request id would get the first client's answer.
 		withRequestID.Job = 4
 		if _, err := router.Accept(withRequestID, invalid); !errors.Is(err, ErrDuplicateRequest) {
 			t.Error(err)
 		}
-		accept(t, router, Request{Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 3}, excess)
+		accept(t, router, Request{Class: readClass, ClientTimeout: time.Second, ReceivedAt: now, Job: 3}, excess)
 	})
 	if n := invalid.answers(); n != 0 {
 		t.Errorf("got %d answers to requests that were not accepted, want 0", n)
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -37,9 +37,9 @@
 	Deadline time.Duration // the router stops waiting at this time
 	NotAfter time.Duration // the attempt must not be written later than this, 0 = no limit
 
-	OnResponseStarted func(Response, Flow) // a long response begins to arrive; gets the part before its long row
-	OnResponsePart    func(part []byte)    // gets the next piece of the long row
-	Abandoned         func() bool          // reports whether the attempt must not be written any more; nil = false
+	OnResponseStarted func(Response, FlowController) // a long response begins to arrive; gets the part before its long row
+	OnResponsePart    func(part []byte)              // gets the next piece of the long row
+	Abandoned         func() bool                    // reports whether the attempt must not be written; nil = false
 }
 
 // Result is the result of an attempt or a health check.
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -13,7 +13,7 @@
 type Client interface {
 	// ResponseStarted is called when a long response is going to be forwarded while it arrives. response is the part
 	// before its long row. ResponsePart delivers the row in pieces, and Served the part after it.
-	ResponseStarted(response Response, flow Flow)
+	ResponseStarted(response Response, flow FlowController)
 
 	// ResponsePart delivers the next piece of the long row.
 	ResponsePart(part []byte)
@@ -35,14 +35,14 @@
 	Disconnected(askSystem bool) bool
 }
 
-// Committer is a Client that is notified of the replication position of its write.
-type Committer interface {
+// CommitObserver is a Client that is notified of the replication position of its write.
+type CommitObserver interface {
 	// Committed is called with the position right before the answer.
 	Committed(position time.Duration)
 }
 
-// Flow is the source of a response that is forwarded while it arrives.
-type Flow interface {
+// FlowController is the source of a response that is forwarded while it arrives.
+type FlowController interface {
 	// SetPaused pauses or resumes the source.
 	SetPaused(paused bool)
 }
@@ -53,7 +53,7 @@
 	Class           string
 	Group           int64 // the replica group
 	Session         string
-	Deadline        time.Duration // client timeout, counted from when the client sent the request
+	ClientTimeout   time.Duration // client timeout, counted from when the client sent the request
 	ReceivedAt      time.Duration // when the last byte of the request arrived
 	MinPosition     time.Duration // replication position that the response has to reflect, 0 = any
 	Retry           bool
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -16,7 +16,7 @@
 			client := &fakeClient{loop: loop}
 			runFor(router, loop, 50*time.Millisecond, func() {
 				receivedAt := loop.Now() - 195*time.Millisecond
-				req := Request{Class: class, Deadline: 200 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
+				req := Request{Class: class, ClientTimeout: 200 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
 				accept(t, router, req, client)
 			})
 			if client.rejected != 1 || client.answers() != 1 || client.retryAfter <= 0 {
@@ -38,7 +38,7 @@
 	runFor(router, loop, time.Second, func() {
 		acceptedAt = loop.Now()
 		receivedAt := acceptedAt - 200*time.Millisecond
-		req := Request{Class: readClass, Deadline: 900 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
+		req := Request{Class: readClass, ClientTimeout: 900 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
 		accept(t, router, req, client)
 	})
 	if len(peers.attempts) != 1 {
@@ -60,7 +60,7 @@
 			var receivedAt time.Duration
 			runFor(router, loop, 200*time.Millisecond, func() {
 				receivedAt = loop.Now()
-				req := Request{Class: class, Deadline: 120 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
+				req := Request{Class: class, ClientTimeout: 120 * time.Millisecond, ReceivedAt: receivedAt, Job: 1}
 				accept(t, router, req, client)
 			})
 			if len(peers.attempts) == 0 || !peers.attempts[0].ended {
@@ -89,7 +89,7 @@
 	peers.written = false
 	client := &fakeClient{loop: loop}
 	runFor(router, loop, 200*time.Millisecond, func() {
-		req := Request{Class: writeClass, Deadline: 120 * time.Millisecond, ReceivedAt: loop.Now(), Job: 1}
+		req := Request{Class: writeClass, ClientTimeout: 120 * time.Millisecond, ReceivedAt: loop.Now(), Job: 1}
 		accept(t, router, req, client)
 	})
 	if client.rejected != 1 || client.answers() != 1 {
@@ -107,7 +107,7 @@
 			late := &fakeClient{loop: loop}
 			last := &fakeClient{loop: loop}
 			send := func(job int, client Client) {
-				req := Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: job}
+				req := Request{Class: class, ClientTimeout: time.Second, ReceivedAt: loop.Now(), Job: job}
 				accept(t, router, req, client)
 			}
 			runFor(router, loop, 400*time.Millisecond, func() {
@@ -132,7 +132,7 @@
 // Each request gets one answer no later than at its answerBy time, to the nanosecond, whether it is queued for a
 // failover, queued in the balancer, or in flight at an endpoint that never answers. The test uses a virtual clock, so
 // that the load of the machine has no influence.
-func TestEachAnswerIsInTimeInVirtualTime(t *testing.T) {
+func TestAnswersAreOnTimeInVirtualTime(t *testing.T) {
 	t.Run("silent endpoints", func(t *testing.T) {
 		run := runInVirtualTime(t, true, false)
 		if len(run.peers.attempts) == 0 {
@@ -209,7 +209,7 @@
 	req := Request{
 		Class:           class,
 		ClientRequestID: fmt.Sprint("r", i),
-		Deadline:        time.Duration(20+i*37%3000) * time.Millisecond,
+		ClientTimeout:   time.Duration(20+i*37%3000) * time.Millisecond,
 		ReceivedAt:      run.clock + delay,
 		Job:             i,
 	}
@@ -218,7 +218,7 @@
 		client:     client,
 		class:      class,
 		receivedAt: req.ReceivedAt,
-		answerBy:   req.ReceivedAt + req.Deadline - run.router.answerMargin(req.Deadline),
+		answerBy:   req.ReceivedAt + req.ClientTimeout - run.router.answerMargin(req.ClientTimeout),
 	})
 	run.loop.AfterFunc(delay, func() { accept(t, run.router, req, client) })
 }
@@ -245,7 +245,7 @@
 	var elapsed time.Duration
 	runFor(router, loop, 200*time.Millisecond, func() {
 		now := loop.Now()
-		req := Request{Class: readClass, Deadline: time.Second, ReceivedAt: now, Job: 1}
+		req := Request{Class: readClass, ClientTimeout: time.Second, ReceivedAt: now, Job: 1}
 		accept(t, router, req, &fakeClient{loop: loop})
 		loop.AfterFunc(150*time.Millisecond, func() {
 			result := Result{Status: balance.StatusDone, ResponseStartedAt: now + 10*time.Millisecond}
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -14,7 +14,7 @@
 			router, peers, loop := newTestRouter(t)
 			client := &fakeClient{loop: loop}
 			runFor(router, loop, 100*time.Millisecond, func() {
-				req := Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: 1}
+				req := Request{Class: class, ClientTimeout: time.Second, ReceivedAt: loop.Now(), Job: 1}
 				id := accept(t, router, req, client)
 				loop.AfterFunc(20*time.Millisecond, func() { router.Disconnect(id) })
 			})
@@ -47,7 +47,7 @@
 	router, peers, loop := newTestRouter(t)
 	client := &fakeClient{loop: loop, disconnected: true}
 	runFor(router, loop, 100*time.Millisecond, func() {
-		accept(t, router, Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: 1}, client)
+		accept(t, router, Request{Class: class, ClientTimeout: time.Second, ReceivedAt: loop.Now(), Job: 1}, client)
 	})
 	if router.Counts().Disconnected != 1 {
 		t.Errorf("got %+v, want 1 disconnected", router.Counts())
@@ -60,7 +60,7 @@
 	router, peers, loop := newTestRouter(t)
 	client := &fakeClient{loop: loop}
 	runFor(router, loop, 200*time.Millisecond, func() {
-		accept(t, router, Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: 1}, client)
+		accept(t, router, Request{Class: class, ClientTimeout: time.Second, ReceivedAt: loop.Now(), Job: 1}, client)
 		loop.AfterFunc(20*time.Millisecond, func() {
 			client.disconnected = true
 			peers.attempts[0].end(balance.StatusBusy)
@@ -75,7 +75,7 @@
 	peers.written = false
 	client := &fakeClient{loop: loop}
 	runFor(router, loop, 100*time.Millisecond, func() {
-		req := Request{Class: class, Deadline: time.Second, ReceivedAt: loop.Now(), Job: 1}
+		req := Request{Class: class, ClientTimeout: time.Second, ReceivedAt: loop.Now(), Job: 1}
 		id := accept(t, router, req, client)
 		loop.AfterFunc(20*time.Millisecond, func() {
 			client.disconnected = true
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -59,7 +59,7 @@
 	ended  bool // set by done, which the backends may call before Start returns
 }
 
-func (c *attemptCallbacks) responseStarted(response Response, flow Flow) {
+func (c *attemptCallbacks) responseStarted(response Response, flow FlowController) {
 	c.router.forwardResponseStart(c.req, c.number, response, flow)
 }
 
--- a/internal/router/failover_queue.go
+++ b/internal/router/failover_queue.go
@@ -136,7 +136,7 @@
 		Group:    req.Group,
 		Class:    req.Class,
 		Client:   req.clientKey(),
-		Deadline: req.ReceivedAt + req.Deadline,
+		Deadline: req.ReceivedAt + req.ClientTimeout,
 		Size:     jobSize(req.Job),
 	})
 	q.scheduleTick(now + tickAfterEnqueue)
--- a/internal/router/failover_queue_test.go
+++ b/internal/router/failover_queue_test.go
@@ -55,7 +55,7 @@
 			Class:           writeClass,
 			ClientRequestID: strconv.Itoa(i),
 			ClientAddress:   strconv.Itoa(i % 500),
-			Deadline:        3 * time.Second,
+			ClientTimeout:   3 * time.Second,
 			ReceivedAt:      loop.Now(),
 		}, instantPeers{loop})
 	}
@@ -103,7 +103,7 @@
 		t.Fatal("the write was not queued")
 	}
 	tooLate := newQueuedRequest("too late", 7)
-	tooLate.Deadline = time.Millisecond
+	tooLate.ClientTimeout = time.Millisecond
 	queue.enqueue(tooLate)
 	host.requests = []*request{released, tooLate}
 	queue.performActions()
@@ -184,6 +184,6 @@
 
 // newQueuedRequest returns a queued write.
 func newQueuedRequest(id string, group int64) *request {
-	received := Request{Class: writeClass, Group: group, Deadline: time.Second, ReceivedAt: time.Hour}
+	received := Request{Class: writeClass, Group: group, ClientTimeout: time.Second, ReceivedAt: time.Hour}
 	return &request{Request: received, id: id, queueable: true, queued: true}
 }
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -97,10 +97,10 @@
 	answeredAt       time.Duration
 }
 
-func (c *fakeClient) Disconnected(bool) bool         { return c.disconnected }
-func (c *fakeClient) ResponseStarted(Response, Flow) { c.responsesStarted++ }
-func (c *fakeClient) ResponsePart(part []byte)       { c.responseBytes += len(part) }
-func (c *fakeClient) ResponseTruncated()             { c.truncated++ }
+func (c *fakeClient) Disconnected(bool) bool                   { return c.disconnected }
+func (c *fakeClient) ResponseStarted(Response, FlowController) { c.responsesStarted++ }
+func (c *fakeClient) ResponsePart(part []byte)                 { c.responseBytes += len(part) }
+func (c *fakeClient) ResponseTruncated()                       { c.truncated++ }
 
 func (c *fakeClient) Served(Response) {
 	c.served++
@@ -133,17 +133,17 @@
 func (instantPeers) HealthCheck(_ string, done func(Result)) {
 	done(Result{Status: balance.StatusTimedOut})
 }
-func (instantPeers) NotWritten() bool               { return false }
-func (instantPeers) Disconnected(bool) bool         { return false }
-func (instantPeers) Cancel() bool                   { return true }
-func (instantPeers) Suspend(string, bool)           {}
-func (instantPeers) Poll()                          {}
-func (instantPeers) ResponseStarted(Response, Flow) {}
-func (instantPeers) ResponsePart([]byte)            {}
-func (instantPeers) ResponseTruncated()             {}
-func (instantPeers) Rejected(time.Duration)         {}
-func (instantPeers) Failed(string)                  {}
-func (instantPeers) Served(Response)                {}
+func (instantPeers) NotWritten() bool                         { return false }
+func (instantPeers) Disconnected(bool) bool                   { return false }
+func (instantPeers) Cancel() bool                             { return true }
+func (instantPeers) Suspend(string, bool)                     {}
+func (instantPeers) Poll()                                    {}
+func (instantPeers) ResponseStarted(Response, FlowController) {}
+func (instantPeers) ResponsePart([]byte)                      {}
+func (instantPeers) ResponseTruncated()                       {}
+func (instantPeers) Rejected(time.Duration)                   {}
+func (instantPeers) Failed(string)                            {}
+func (instantPeers) Served(Response)                          {}
 
 // manualPeers implements Backends, with endpoints that answer when the test calls endAll.
 type manualPeers struct {
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -24,7 +24,7 @@
 
 // forwardResponseStart starts forwarding a response that has begun to arrive. From then on neither the request's
 // deadline nor the balancer ends the attempt, and no other attempt replaces it, so that the response is not truncated.
-func (r *Router) forwardResponseStart(req *request, number int, response Response, flow Flow) {
+func (r *Router) forwardResponseStart(req *request, number int, response Response, flow FlowController) {
 	req.attempts.responseStarted = true
 	req.stopTimer()
 	r.notifyBalancer(balance.FirstByte{ID: req.id, Attempt: number})
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -26,7 +26,7 @@
 			router, peers, loop := newTestRouter(t)
 			client := &fakeClient{loop: loop}
 			runFor(router, loop, 400*time.Millisecond, func() {
-				req := Request{Class: readClass, Deadline: 120 * time.Millisecond, ReceivedAt: loop.Now(), Job: 1}
+				req := Request{Class: readClass, ClientTimeout: 120 * time.Millisecond, ReceivedAt: loop.Now(), Job: 1}
 				id := accept(t, router, req, client)
 				loop.AfterFunc(20*time.Millisecond, func() {
 					peers.attempts[0].OnResponseStarted(nil, nil)
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -61,7 +61,7 @@
 	id := accept(t, run.router, Request{
 		Class:           class,
 		ClientRequestID: requestID,
-		Deadline:        time.Duration(20+run.rng.IntN(80)) * time.Millisecond,
+		ClientTimeout:   time.Duration(20+run.rng.IntN(80)) * time.Millisecond,
 		ReceivedAt:      run.loop.Now(),
 		Job:             requestID,
 	}, client)
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -62,7 +62,7 @@
 
 // notifyCommitted passes the replication position of a successful write to its client.
 func (r *Router) notifyCommitted(req *request, result *Result) {
-	committer, ok := req.client.(Committer)
+	committer, ok := req.client.(CommitObserver)
 	if !ok || req.finished {
 		return
 	}
--- a/internal/router/site_admission_test.go
+++ b/internal/router/site_admission_test.go
@@ -116,7 +116,7 @@
 	for range 8 {
 		client := &fakeClient{loop: run.loop}
 		run.clients = append(run.clients, client)
-		req := Request{Class: readClass, Deadline: 400 * time.Millisecond, ReceivedAt: run.loop.Now(), Job: client}
+		req := Request{Class: readClass, ClientTimeout: 400 * time.Millisecond, ReceivedAt: run.loop.Now(), Job: client}
 		accept(t, run.router, req, client)
 	}
 }
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -269,11 +269,11 @@
 				k = &h.cfg.Classes[i]
 			}
 		}
-		w := &model.Statement{Work: max(time.Microsecond, h.need(sql, k)), Deadline: h.clock.Now() + head.Deadline}
+		w := &model.Statement{Work: max(time.Microsecond, h.need(sql, k)), Deadline: h.clock.Now() + head.Timeout}
 		if k != nil {
 			w.Write, w.BlocksApply = fleet.Update(k), k.Long
 		}
-		see := head.After
+		see := head.MinPosition
 		if k != nil && k.Consistency == balance.ConsistencyBounded {
 			see = h.clock.Now() - k.MaxStaleness
 		}
--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -96,7 +96,7 @@
 		}
 		x := router.Request{
 			ClientRequestID: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
-			Deadline: q.until - now - f.cfg.Client, ReceivedAt: now, Retry: q.tries > 1, Job: q,
+			ClientTimeout: q.until - now - f.cfg.Client, ReceivedAt: now, Retry: q.tries > 1, Job: q,
 		}
 		if q.class.Consistency == balance.ConsistencySession {
 			x.MinPosition = q.see
@@ -159,9 +159,9 @@
 func (q *request) Disconnected(bool) bool { return q.left }
 
 // Begun, Part and Cut implement router.Client; answers of the model are short.
-func (q *request) ResponseStarted(router.Response, router.Flow) {}
-func (q *request) ResponsePart([]byte)                          {}
-func (q *request) ResponseTruncated()                           { q.Failed("cut") }
+func (q *request) ResponseStarted(router.Response, router.FlowController) {}
+func (q *request) ResponsePart([]byte)                                    {}
+func (q *request) ResponseTruncated()                                     { q.Failed("cut") }
 
 // again asks once more, as clients do.
 func (q *request) again(after time.Duration) {
--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -60,7 +60,7 @@
 )
 
 // What a busy machine may add to a client's own reading of its clock. That the router decides in time to the
-// millisecond is shown in virtual time (router.TestEachAnswerIsInTimeInVirtualTime); here the machine's stalls are
+// millisecond is shown in virtual time (router.TestAnswersAreOnTimeInVirtualTime); here the machine's stalls are
 // measured too.
 const (
 	// lateAfter is how long after its deadline an answer counts as late. One job in lateShare may be late.
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -39,7 +39,7 @@
 // statement is a message with what is known of the statement it belongs to.
 type statement struct {
 	message    pgwire.Message
-	head       requestcomment.Head
+	head       requestcomment.Comment
 	commentErr error
 	act        Act
 	primary    bool
