--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -38,7 +38,8 @@
 	return reply.Encode()
 }
 
-// apply passes each instance its events, in the order of the batch, in a single step.
+// apply starts and stops instances as the batch says, and then passes each running instance its events, in the order of
+// the batch, in a single step.
 func (h *host) apply(batch simprotocol.Batch, reply *simprotocol.Reply) {
 	events := map[string][]balance.Event{}
 	var order []string // instances in the order of their first event
--- a/internal/requestcomment/comment.go
+++ b/internal/requestcomment/comment.go
@@ -23,9 +23,9 @@
 	Retry       bool
 	Session     string // the first quoted string after the comment
 
-	// Byte offsets of the deadline's value in the statement.
-	deadlineStart int
-	deadlineEnd   int
+	// Byte offsets of the timeout's value in the statement.
+	timeoutStart int
+	timeoutEnd   int
 }
 
 // Errors returned by Parse.
@@ -42,30 +42,30 @@
 
 // Keys of the comment. Unknown keys are ignored, so that clients may add their own.
 const (
-	keyID       = "id"
-	keyClass    = "c"
-	keyDeadline = "d"
-	keyGroup    = "cluster"
-	keyAfter    = "after"
-	keyRetry    = "r"
+	keyID      = "id"
+	keyClass   = "c"
+	keyTimeout = "d"
+	keyGroup   = "cluster"
+	keyAfter   = "after"
+	keyRetry   = "r"
 )
 
 const (
-	maxDeadline = 24 * time.Hour
-	// maxPosition is far above any time since the Unix epoch and far below what overflows as a time.Duration.
+	maxTimeout = 24 * time.Hour
+	// maxPosition is in the year 2109, so no position in practice reaches it. It does not overflow a time.Duration.
 	maxPosition = (1 << 42) * time.Millisecond
 )
 
 // Parse parses the comment at the start of sql. The error is nil, ErrMissing or ErrMalformed.
 func Parse(sql string) (Comment, error) {
-	var h Comment
+	var c Comment
 	rest, ok := strings.CutPrefix(sql, commentStart)
 	if !ok {
-		return h, ErrMissing
+		return c, ErrMissing
 	}
 	text, statement, ok := strings.Cut(rest, commentEnd)
 	if !ok {
-		return h, ErrMissing
+		return c, ErrMissing
 	}
 	seen := map[string]bool{}
 	start := len(commentStart)
@@ -73,41 +73,41 @@
 		name, value, ok := strings.Cut(pair, "=")
 		key := strings.TrimLeft(name, " ")
 		if !ok || seen[key] {
-			return h, ErrMalformed
+			return c, ErrMalformed
 		}
 		seen[key] = true
 		valueStart := start + len(name) + len("=")
-		if err := h.setField(key, strings.TrimRight(value, " "), valueStart); err != nil {
-			return h, err
+		if err := c.setField(key, strings.TrimRight(value, " "), valueStart); err != nil {
+			return c, err
 		}
 		start += len(pair) + len(",")
 	}
-	if !h.isComplete(seen) {
-		return h, ErrMalformed
+	if !c.isComplete(seen) {
+		return c, ErrMalformed
 	}
 	if _, quoted, ok := strings.Cut(statement, quote); ok {
-		h.Session, _, _ = strings.Cut(quoted, quote)
+		c.Session, _, _ = strings.Cut(quoted, quote)
 	}
-	return h, nil
+	return c, nil
 }
 
 // setField sets the field of a key. valueStart is the byte offset of the value in the statement.
-func (h *Comment) setField(key, value string, valueStart int) (err error) {
+func (c *Comment) setField(key, value string, valueStart int) (err error) {
 	switch key {
 	case keyID:
-		h.ID = value
+		c.ID = value
 	case keyClass:
-		h.Class = value
-	case keyDeadline:
-		h.Timeout, err = parseMilliseconds(value, maxDeadline)
-		h.deadlineStart = valueStart
-		h.deadlineEnd = valueStart + len(value)
+		c.Class = value
+	case keyTimeout:
+		c.Timeout, err = parseMilliseconds(value, maxTimeout)
+		c.timeoutStart = valueStart
+		c.timeoutEnd = valueStart + len(value)
 	case keyGroup:
-		h.Group, err = strconv.ParseInt(value, 10, 64)
+		c.Group, err = strconv.ParseInt(value, 10, 64)
 	case keyAfter:
-		h.MinPosition, err = parseMilliseconds(value, maxPosition)
+		c.MinPosition, err = parseMilliseconds(value, maxPosition)
 	case keyRetry:
-		h.Retry = value == "1"
+		c.Retry = value == "1"
 	}
 	if err != nil {
 		return ErrMalformed
@@ -128,13 +128,13 @@
 }
 
 // isComplete reports whether the comment has all keys that are required to route a request.
-func (h *Comment) isComplete(seen map[string]bool) bool {
-	identified := h.ID != "" && h.Class != ""
-	return identified && seen[keyDeadline] && seen[keyGroup]
+func (c *Comment) isComplete(seen map[string]bool) bool {
+	identified := c.ID != "" && c.Class != ""
+	return identified && seen[keyTimeout] && seen[keyGroup]
 }
 
-// WithTimeout returns a copy of sql, the statement that h was parsed from, in which the deadline is replaced by the
-// time that is left. The rest of the statement is unchanged.
-func (h Comment) WithTimeout(sql string, left time.Duration) string {
-	return sql[:h.deadlineStart] + strconv.FormatInt(max(1, left.Milliseconds()), 10) + sql[h.deadlineEnd:]
+// WithTimeout returns a copy of sql, the statement that c was parsed from, in which the timeout is replaced by the time
+// that is left, in whole milliseconds and at least 1. The rest of the statement is unchanged.
+func (c Comment) WithTimeout(sql string, left time.Duration) string {
+	return sql[:c.timeoutStart] + strconv.FormatInt(max(1, left.Milliseconds()), 10) + sql[c.timeoutEnd:]
 }
--- a/internal/requestcomment/comment_test.go
+++ b/internal/requestcomment/comment_test.go
@@ -10,26 +10,26 @@
 	"INSERT INTO facts (code) VALUES ('7f3a')"
 
 func TestParse(t *testing.T) {
-	h, err := Parse(example)
+	parsed, err := Parse(example)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.deadlineStart = 0
-	h.deadlineEnd = 0
-	wantHead := Comment{
+	parsed.timeoutStart = 0
+	parsed.timeoutEnd = 0
+	wantComment := Comment{
 		ID: "9b1f03aa5c7e2d41", Class: "order", Timeout: 480 * time.Millisecond, Group: 2,
 		MinPosition: 1767225600123 * time.Millisecond, Retry: true, Session: "7f3a",
 	}
-	if h != wantHead {
-		t.Fatalf("got %+v, want the values of the example", h)
+	if parsed != wantComment {
+		t.Fatalf("got %+v, want the values of the example", parsed)
 	}
-	h, err = Parse(example)
+	parsed, err = Parse(example)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := "/* id=9b1f03aa5c7e2d41,c=order,d=77,cluster=2,after=1767225600123,r=1,k=x */ " +
 		"INSERT INTO facts (code) VALUES ('7f3a')"
-	if got := h.WithTimeout(example, 77900*time.Microsecond); got != want {
+	if got := parsed.WithTimeout(example, 77900*time.Microsecond); got != want {
 		t.Fatal(got)
 	}
 	for sql, want := range map[string]error{
@@ -39,7 +39,7 @@
 		"/* id=1,c=a,d=99999999999,cluster=1 */": ErrMalformed,
 	} {
 		if _, err := Parse(sql); !errors.Is(err, want) {
-			t.Errorf("Parse(%q) returned the unexpected error %v", sql, err)
+			t.Errorf("Parse(%q) returned %v, which is not the expected error", sql, err)
 		}
 	}
 }
@@ -50,18 +50,18 @@
 	f.Add("/*d=1,id=a,c=b,cluster=0*/")
 	f.Add("/* id = 1, d= 5 ,c=,cluster=1 */ '")
 	f.Fuzz(func(t *testing.T, sql string) {
-		h, err := Parse(sql)
+		parsed, err := Parse(sql)
 		if err != nil {
 			return
 		}
-		h2, err := Parse(h.WithTimeout(sql, h.Timeout+time.Millisecond))
-		for _, head := range []*Comment{&h, &h2} {
-			head.deadlineStart = 0
-			head.deadlineEnd = 0
+		changed, err := Parse(parsed.WithTimeout(sql, parsed.Timeout+time.Millisecond))
+		for _, comment := range []*Comment{&parsed, &changed} {
+			comment.timeoutStart = 0
+			comment.timeoutEnd = 0
 		}
-		h.Timeout = max(h.Timeout+time.Millisecond, time.Millisecond)
-		if err != nil && h.Timeout <= maxDeadline || err == nil && h != h2 {
-			t.Fatalf("want %+v with the new deadline, got %+v, error %v", h, h2, err)
+		parsed.Timeout = max(parsed.Timeout+time.Millisecond, time.Millisecond)
+		if err != nil && parsed.Timeout <= maxTimeout || err == nil && parsed != changed {
+			t.Fatalf("want %+v with the new timeout, got %+v, error %v", parsed, changed, err)
 		}
 	})
 }
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -26,7 +26,7 @@
 	if err := r.validate(&received); err != nil {
 		return "", err
 	}
-	// No client of the class waits longer than its timeout, even if the request has a later deadline.
+	// The client timeout of the class also applies to a request that specifies a longer one.
 	received.ClientTimeout = min(received.ClientTimeout, r.classes[received.Class].ClientTimeout)
 	if received.ClientRequestID != "" {
 		r.openClientRequestIDs[received.ClientRequestID] = true
@@ -61,17 +61,17 @@
 }
 
 // answerBy returns the latest time at which the answer to a request may be sent.
-func (r *Router) answerBy(receivedAt, deadline time.Duration) time.Duration {
-	at := receivedAt + deadline - r.answerMargin(deadline)
+func (r *Router) answerBy(receivedAt, clientTimeout time.Duration) time.Duration {
+	at := receivedAt + clientTimeout - r.answerMargin(clientTimeout)
 	if r.shutdownDeadline > 0 {
 		at = min(at, r.shutdownDeadline)
 	}
 	return at
 }
 
-// answerMargin returns how long before the client's deadline the answer has to be sent.
-func (r *Router) answerMargin(deadline time.Duration) time.Duration {
-	return min(r.limits.Router.DeadlineMargin, deadline/4)
+// answerMargin returns how long before the end of the client's timeout the answer has to be sent.
+func (r *Router) answerMargin(clientTimeout time.Duration) time.Duration {
+	return min(r.limits.Router.DeadlineMargin, clientTimeout/4)
 }
 
 // age returns the time since a request was received.
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Job is the work that a frontend requests. It is opaque to the router; only frontends and backends inspect it.
+// Job is the work that a frontend requests. It is opaque to the router, which only asks a Job that implements sizer for
+// its size; frontends and backends inspect it.
 type Job any
 
 // Response is an endpoint's response to a job. It is opaque to the router; only frontends and backends inspect it.
@@ -41,9 +42,9 @@
 	Committed(position time.Duration)
 }
 
-// FlowController is the source of a response that is forwarded while it arrives.
+// FlowController controls the flow of a response that is forwarded while it arrives.
 type FlowController interface {
-	// SetPaused pauses or resumes the source.
+	// SetPaused pauses or resumes the reading of the response.
 	SetPaused(paused bool)
 }
 
@@ -53,7 +54,7 @@
 	Class           string
 	Group           int64 // the replica group
 	Session         string
-	ClientTimeout   time.Duration // client timeout, counted from when the client sent the request
+	ClientTimeout   time.Duration // how long the client waits for the answer after it has sent the request
 	ReceivedAt      time.Duration // when the last byte of the request arrived
 	MinPosition     time.Duration // replication position that the response has to reflect, 0 = any
 	Retry           bool
--- a/internal/router/failover_queue.go
+++ b/internal/router/failover_queue.go
@@ -298,8 +298,8 @@
 	q.tracker.UpdateEndpoints(q.loop.Now(), endpoints, list.Kind != balance.ListDelta)
 }
 
-// hasEntries reports whether an endpoint list of that kind has entries. The other kinds only report that discovery has
-// nothing new.
+// hasEntries reports whether an endpoint list of that kind has entries. The other kinds report a failed poll or a
+// broken subscription.
 func hasEntries(kind balance.EndpointListKind) bool {
 	return kind != balance.ListFailed && kind != balance.ListSilent
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -62,13 +62,13 @@
 
 // notifyCommitted passes the replication position of a successful write to its client.
 func (r *Router) notifyCommitted(req *request, result *Result) {
-	committer, ok := req.client.(CommitObserver)
+	observer, ok := req.client.(CommitObserver)
 	if !ok || req.finished {
 		return
 	}
 	committed := result.Position > 0 && result.SQLState == ""
 	if committed && r.IsWrite(req.Class) {
-		committer.Committed(result.Position)
+		observer.Committed(result.Position)
 	}
 }
 
--- a/internal/router/site_check_test.go
+++ b/internal/router/site_check_test.go
@@ -68,7 +68,7 @@
 			recordState()
 			up = true
 		})
-		loop.AfterFunc(2500*time.Millisecond, func() { // the site is up for 1.5 s between two failures
+		loop.AfterFunc(2500*time.Millisecond, func() { // like a flapping site, b is up for 1.5 s
 			recordState()
 			up = false
 		})
--- a/internal/router/site_monitor.go
+++ b/internal/router/site_monitor.go
@@ -25,8 +25,12 @@
 
 // endpointStatistics has the methods of the balancer that the site monitor needs.
 type endpointStatistics interface {
+	// EndpointViews calls visit for each endpoint in the list.
 	EndpointViews(visit func(balance.EndpointView))
+	// EndpointWorkRate returns the work that an endpoint does for this router, in seconds of work per second, and
+	// whether the endpoint is warm.
 	EndpointWorkRate(endpoint string) (rate float64, warm bool)
+	// ClassCost returns the work per request of a class and the mean duration of its attempts, in seconds.
 	ClassCost(class string) (work, mean float64)
 }
 
@@ -168,9 +172,9 @@
 	}
 }
 
-// recordUtilization records the utilization from an endpoint's load report, 0 = not reported. The work rate of an
-// endpoint is a mean over seconds. While a site is lost it does not match the utilization at that time, so nothing is
-// recorded.
+// recordUtilization records the utilization from an endpoint's load report, 0 = not reported. The rate of the work that
+// an endpoint does for this router is a mean over seconds. While a site is lost it does not match the utilization at
+// that time, so nothing is recorded.
 func (m *siteMonitor) recordUtilization(endpoint string, utilization float64) {
 	if utilization <= 0 || m.monitor.AnyLost() {
 		return
--- a/internal/router/site_plan.go
+++ b/internal/router/site_plan.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// planEndpoints returns the capacity that each endpoint has for this router.
+// planEndpoints returns the capacity that each endpoint has for this router, in seconds of work per second.
 func (m *siteMonitor) planEndpoints(now time.Duration, horizon planHorizon) []sitefailover.PlanEndpoint {
 	workShare := m.attemptWorkShare(now)
 	fairCapacity, known := m.utilization.FairCapacity()
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -76,7 +76,8 @@
 	return batch, nil
 }
 
-// locateTypeError adds the index of the event with the wrong type to a type error.
+// locateTypeError adds the location of the wrong type to a type error: the index of the event, or "arrivals" if its
+// value is not a list.
 func locateTypeError(arrivals []byte, err error) error {
 	var parts []json.RawMessage
 	if json.Unmarshal(arrivals, &parts) != nil {
@@ -90,7 +91,7 @@
 	return err
 }
 
-// decodeEvent decodes one event; ok is false if the event is not for an instance.
+// decodeEvent decodes one event; ok is false if no instance needs the event.
 func (d *Decoder) decodeEvent(w *rawEvent) (event Event, ok bool, err error) {
 	if w.Cmd == commandPool {
 		d.storeEndpoints(w)
--- a/internal/simprotocol/wire_event.go
+++ b/internal/simprotocol/wire_event.go
@@ -24,7 +24,7 @@
 
 // Names of the values in the result of a health check.
 const (
-	telemetryPosition = "x0" // in seconds
+	telemetryPosition = "x0" // replication position in seconds since the origin of the instance
 	telemetryPrimary  = "x1" // 1 = the endpoint is the primary
 )
 
