--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -72,7 +72,7 @@
 				t.Fatalf("got %+v, want one answer: a rejection of the read, a failure of the write", client)
 			}
 			if elapsed := client.answeredAt - receivedAt; elapsed >= 120*time.Millisecond {
-				t.Logf("answered after %v", elapsed) // not an error: a busy machine may be late; see TestAnswersAreOnTimeInVirtualTime
+				t.Logf("answered after %v", elapsed) // no error: a busy machine may be late; see TestAnswersAreOnTimeInVirtualTime
 			}
 			if client.rejected == 1 && client.retryAfter <= 0 {
 				t.Fatal("rejection has no Retry-After")
--- a/internal/router/failover_queue_bench_test.go
+++ b/internal/router/failover_queue_bench_test.go
@@ -31,8 +31,12 @@
 			loop.Stop()
 			return
 		}
-		req := Request{Class: writeClass, ClientRequestID: strconv.Itoa(sent), ClientTimeout: time.Second,
-			ReceivedAt: loop.Now()}
+		req := Request{
+			Class:           writeClass,
+			ClientRequestID: strconv.Itoa(sent),
+			ClientTimeout:   time.Second,
+			ReceivedAt:      loop.Now(),
+		}
 		// The accept helper is not used because tb.Helper allocates, which would be part of the measurement.
 		if _, err := router.Accept(req, instantPeers{loop}); err != nil {
 			b.Fatal(err)
--- a/internal/router/rejection_log_test.go
+++ b/internal/router/rejection_log_test.go
@@ -19,8 +19,9 @@
 	router.log = slog.New(slog.NewTextHandler(&logged, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	client := &fakeClient{loop: loop}
 	runFor(router, loop, 700*time.Millisecond, func() {
-		request := Request{Class: writeClass, Group: 9, ClientTimeout: 400 * time.Millisecond,
-			ReceivedAt: loop.Now(), Job: client}
+		request := Request{
+			Class: writeClass, Group: 9, ClientTimeout: 400 * time.Millisecond, ReceivedAt: loop.Now(), Job: client,
+		}
 		accept(t, router, request, client)
 	})
 	if client.rejected != 1 || !strings.Contains(logged.String(), "request rejected") {
