--- a/internal/frontend/extendedquery/operation.go
+++ b/internal/frontend/extendedquery/operation.go
@@ -27,7 +27,7 @@
 func (o *operation) Messages(timeLeft time.Duration) []byte {
 	parse := o.statement.ParseMessage
 	parse.Name = ""
-	parse.Query = o.statement.comment.WithDeadline(parse.Query, timeLeft)
+	parse.Query = o.statement.comment.WithTimeout(parse.Query, timeLeft)
 	out := pgwire.AppendParse(nil, parse)
 	if o.portal == nil {
 		out = pgwire.AppendTarget(out, 'D', 'S', "")
--- a/internal/frontend/extendedquery/unit_of_work.go
+++ b/internal/frontend/extendedquery/unit_of_work.go
@@ -100,14 +100,14 @@
 }
 
 // newRequest returns the request that a request comment describes.
-func newRequest(comment requestcomment.Head) router.Request {
+func newRequest(comment requestcomment.Comment) router.Request {
 	return router.Request{
 		ClientRequestID: comment.ID,
 		Class:           comment.Class,
 		Group:           comment.Group,
 		Session:         comment.Session,
-		Deadline:        comment.Deadline,
-		MinPosition:     comment.After,
+		ClientTimeout:   comment.Timeout,
+		MinPosition:     comment.MinPosition,
 		Retry:           comment.Retry,
 	}
 }
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -77,8 +77,8 @@
 	buffered       []byte // the response, or the part that has arrived, while earlier ones are pending
 	bufferedBytes  int    // memory counted for buffered, including slotOverheadBytes
 
-	flow    router.Flow // source of a streamed response
-	started bool        // part of the response has been sent
+	flow    router.FlowController // source of a streamed response
+	started bool                  // part of the response has been sent
 }
 
 type slotState int
@@ -207,7 +207,7 @@
 // Disconnected implements router.Client.
 func (s *slot) Disconnected(askSystem bool) bool { return s.conn.Disconnected(askSystem) }
 
-// Committed implements router.Committer.
+// Committed implements router.CommitObserver.
 func (s *slot) Committed(position time.Duration) {
 	s.conn.commits.record(s.request.Session, s.request.Group, position)
 }
@@ -243,7 +243,7 @@
 
 // startResponse starts a streamed response. Its source is paused while earlier responses are pending, and while the
 // client has too much unread data.
-func (s *slot) startResponse(data []byte, flow router.Flow) {
+func (s *slot) startResponse(data []byte, flow router.FlowController) {
 	s.flow = flow
 	if s.isFirst() && !s.conn.applyBackpressure() {
 		s.send(data)
--- a/internal/frontend/response_stream.go
+++ b/internal/frontend/response_stream.go
@@ -8,8 +8,8 @@
 
 // outputState tracks how the client reads the data that is sent to it.
 type outputState struct {
-	flow          router.Flow // source of the response that is being streamed, nil = none
-	backpressured bool        // no further message or response is started until the client has read more
+	flow          router.FlowController // source of the response that is being streamed, nil = none
+	backpressured bool                  // no further message or response is started until the client has read more
 
 	unsentBytes    int           // bytes that the client had not accepted at the last sweep
 	progressBytes  int64         // bytes that it had accepted by then
@@ -46,7 +46,7 @@
 }
 
 // StartResponse starts a response that is streamed from flow.
-func (c *Conn) StartResponse(data []byte, flow router.Flow) {
+func (c *Conn) StartResponse(data []byte, flow router.FlowController) {
 	c.output.flow = flow
 	c.WriteResponsePart(data)
 }
--- a/internal/frontend/simple_query_job.go
+++ b/internal/frontend/simple_query_job.go
@@ -12,7 +12,7 @@
 // SimpleQuery is the job of one simple query. It implements backend.Job for a query that returns one row of one column.
 type SimpleQuery struct {
 	sql     string
-	comment requestcomment.Head
+	comment requestcomment.Comment
 }
 
 // NewSimpleQuery returns the job of a simple query, and reports whether the query is empty.
@@ -22,14 +22,14 @@
 }
 
 // ParseComment parses the request comment of the statement. It must succeed before the job is submitted to the router.
-func (q *SimpleQuery) ParseComment() (comment requestcomment.Head, err error) {
+func (q *SimpleQuery) ParseComment() (comment requestcomment.Comment, err error) {
 	q.comment, err = requestcomment.Parse(q.sql)
 	return q.comment, err
 }
 
 // Messages implements backend.Job: the statement as it was received, with the deadline replaced by the remaining time.
 func (q *SimpleQuery) Messages(timeLeft time.Duration) []byte {
-	return pgwire.AppendQuery(nil, q.comment.WithDeadline(q.sql, timeLeft))
+	return pgwire.AppendQuery(nil, q.comment.WithTimeout(q.sql, timeLeft))
 }
 
 // Size returns the number of bytes that the job keeps.
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -26,8 +26,8 @@
 	if err := r.validate(&received); err != nil {
 		return "", err
 	}
-	// No client of the class waits longer than its timeout, even if the request has a later deadline.
-	received.Deadline = min(received.Deadline, r.classes[received.Class].ClientTimeout)
+	// The client timeout of the class also applies to a request that specifies a longer one.
+	received.ClientTimeout = min(received.ClientTimeout, r.classes[received.Class].ClientTimeout)
 	if received.ClientRequestID != "" {
 		r.openClientRequestIDs[received.ClientRequestID] = true
 	}
@@ -37,10 +37,10 @@
 		// Ids assigned by clients need not be unique, and a repeated one must not match another request's attempt.
 		id:       strconv.FormatUint(r.lastRequestNumber, 36),
 		client:   client,
-		answerBy: r.answerBy(received.ReceivedAt, received.Deadline),
+		answerBy: r.answerBy(received.ReceivedAt, received.ClientTimeout),
 	}
 	r.counts.Accepted++
-	r.log.Debug("request accepted", "request", req.ClientRequestID, "class", req.Class, "deadline", req.Deadline,
+	r.log.Debug("request accepted", "request", req.ClientRequestID, "class", req.Class, "deadline", req.ClientTimeout,
 		"queued", r.age(req))
 	r.admit(req)
 	return req.id, nil
@@ -50,7 +50,7 @@
 	if _, known := r.classes[received.Class]; !known {
 		return ErrUnknownClass
 	}
-	if received.Deadline <= 0 {
+	if received.ClientTimeout <= 0 {
 		return ErrNoTimeLeft
 	}
 	if r.openClientRequestIDs[received.ClientRequestID] {
@@ -61,17 +61,17 @@
 }
 
 // answerBy returns the latest time at which the answer to a request may be sent.
-func (r *Router) answerBy(receivedAt, deadline time.Duration) time.Duration {
-	at := receivedAt + deadline - r.answerMargin(deadline)
+func (r *Router) answerBy(receivedAt, clientTimeout time.Duration) time.Duration {
+	at := receivedAt + clientTimeout - r.answerMargin(clientTimeout)
 	if r.shutdownDeadline > 0 {
 		at = min(at, r.shutdownDeadline)
 	}
 	return at
 }
 
-// answerMargin returns how long before the client's deadline the answer has to be sent.
-func (r *Router) answerMargin(deadline time.Duration) time.Duration {
-	return min(r.limits.Router.DeadlineMargin, deadline/4)
+// answerMargin returns how long before the end of the client's timeout the answer has to be sent.
+func (r *Router) answerMargin(clientTimeout time.Duration) time.Duration {
+	return min(r.limits.Router.DeadlineMargin, clientTimeout/4)
 }
 
 // age returns the time since a request was received.
