--- a/internal/failover/endpoint.go
+++ b/internal/failover/endpoint.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Suspend records that operators have suspended an endpoint, or, if suspended is false, resumed it.
-func (t *Tracker) Suspend(now time.Duration, endpointID string, suspended bool) {
+// SetSuspended records that operators have suspended an endpoint, or, if suspended is false, resumed it.
+func (t *Tracker) SetSuspended(now time.Duration, endpointID string, suspended bool) {
 	endpoint := t.endpoints[endpointID]
 	if endpoint == nil {
 		return
--- a/internal/failover/health_check_test.go
+++ b/internal/failover/health_check_test.go
@@ -120,7 +120,7 @@
 		}, []string{"n0-0", "n0-2", "n0-1"}},
 		"without suspended endpoints": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, "n0-0")
-			tracker.Suspend(1, "n0-2", true)
+			tracker.SetSuspended(1, "n0-2", true)
 		}, []string{"n0-1", "n0-0"}},
 		"without draining endpoints": {func(tracker *Tracker) {
 			tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false)
--- a/internal/failover/phase_test.go
+++ b/internal/failover/phase_test.go
@@ -76,7 +76,7 @@
 			tracker.UpdateEndpoints(1, []Endpoint{{ID: replica}, {ID: otherReplica}}, true)
 		}, PhaseSwitchover, EvidenceDraining},
 		"primary suspended by an operator": {func(tracker *Tracker) {
-			tracker.Suspend(1, primary, true)
+			tracker.SetSuspended(1, primary, true)
 		}, PhaseSwitchover, EvidenceSuspended},
 		"announced failover": {func(tracker *Tracker) {
 			tracker.Announce(1, 0, time.Second)
@@ -115,7 +115,7 @@
 		}, PhaseSuccessorSeen, EvidenceAnnouncementExpired},
 		"announcement expires with the primary suspended": {func(tracker *Tracker) {
 			tracker.Announce(1, 0, time.Second)
-			tracker.Suspend(2, primary, true)
+			tracker.SetSuspended(2, primary, true)
 			tracker.Tick(time.Second + 1)
 		}, PhasePrimaryLost, EvidenceAnnouncementExpired},
 		"successor observed": {successorObserved, PhaseSuccessorSeen, EvidencePrimaryObserved},
--- a/internal/failover/tracker_test.go
+++ b/internal/failover/tracker_test.go
@@ -238,7 +238,7 @@
 	case 9:
 		tracker.Announce(r.now, group, 200*ms)
 	case 10:
-		tracker.Suspend(r.now, r.drawEndpoint(), rapid.Bool().Draw(t, "suspended"))
+		tracker.SetSuspended(r.now, r.drawEndpoint(), rapid.Bool().Draw(t, "suspended"))
 	case 11:
 		id := r.drawEndpoint()
 		entry := Endpoint{ID: id, Group: int64(id[1] - '0')}
--- a/internal/router/failover_queue.go
+++ b/internal/router/failover_queue.go
@@ -277,7 +277,7 @@
 // endpointSuspended notifies the tracker that an operator has suspended or resumed an endpoint.
 func (q *failoverQueue) endpointSuspended(endpoint string, suspended bool) {
 	if q != nil {
-		q.tracker.Suspend(q.loop.Now(), endpoint, suspended)
+		q.tracker.SetSuspended(q.loop.Now(), endpoint, suspended)
 	}
 }
 
