--- a/internal/failover/action.go
+++ b/internal/failover/action.go
@@ -17,11 +17,13 @@
 
 // The kinds of actions.
 const (
-	ActionRelease      ActionKind = iota // pass the request to the decision module
-	ActionReject                         // reject the request immediately
-	ActionHealthCheck                    // request a load report from the endpoint
-	ActionWithdraw                       // withdraw the group's requests of Config.Classes, and enqueue them
-	ActionPhaseChanged                   // the group has entered another phase
+	ActionRelease     ActionKind = iota // pass the request to the decision module
+	ActionReject                        // reject the request immediately
+	ActionHealthCheck                   // request a load report from the endpoint
+	// ActionWithdraw requests to withdraw the group's requests of Config.Classes from the decision module, except those
+	// that may have been executed, and to pass them to Enqueue.
+	ActionWithdraw
+	ActionPhaseChanged // the group has entered another phase
 )
 
 // Reason is why a request was rejected.
--- a/internal/failover/attempt.go
+++ b/internal/failover/attempt.go
@@ -9,7 +9,7 @@
 const (
 	EndAnswered     AttemptEnd = iota // the endpoint responded
 	EndNotPrimary                     // the endpoint rejected a write because it isn't the primary
-	EndUnreachable                    // the connection was refused or broke
+	EndUnreachable                    // the connection was refused or broke; the state of the server is unknown
 	EndInconclusive                   // cancelled or timed out, which is no evidence on its own
 	EndRejected                       // the endpoint shed the request
 )
@@ -32,9 +32,9 @@
 	}
 }
 
-// AttemptEnded records the result of an attempt. position is the replication position in the response, 0 if it had
-// none. class and elapsed are the class of the request and the duration of the attempt; they are set only if the
-// request was served.
+// AttemptEnded records the result of an attempt. position is the replication position in the response, a time on the
+// caller's clock, 0 if it had none. class and elapsed are the class of the request and the duration of the attempt;
+// they are set only if the request was served.
 func (t *Tracker) AttemptEnded(now time.Duration, endpointID, requestID string, end AttemptEnd, role Role,
 	position time.Duration, class string, elapsed time.Duration,
 ) {
--- a/internal/failover/doc.go
+++ b/internal/failover/doc.go
@@ -34,7 +34,8 @@
 //	    -> successor seen  EvidenceAnswered, EvidencePrimaryObserved
 //	primary lost
 //	    -> switchover      EvidenceAnnounced
-//	    -> successor seen  EvidencePrimaryObserved, or EvidenceAnswered unless the decision module suspects the primary
+//	    -> successor seen  EvidencePrimaryObserved, EvidenceAnswered (if the primary is in service and the decision
+//	                       module doesn't suspect it)
 //	switchover
 //	    -> successor seen  EvidencePrimaryObserved, EvidenceAnnouncementExpired
 //	    -> primary lost    EvidenceAnnouncementExpired (the primary is not in service or can't be reached)
--- a/internal/failover/endpoint.go
+++ b/internal/failover/endpoint.go
@@ -13,7 +13,7 @@
 	draining  bool // draining according to the endpoint list, or no longer listed
 	suspended bool // by an operator
 
-	position   time.Duration // the highest replication position that it reported
+	position   time.Duration // the highest replication position that it reported, a time on the caller's clock
 	positionAt time.Duration // when it reported that position
 
 	silence             silenceDetector
@@ -26,7 +26,8 @@
 // inService reports whether the endpoint may be the primary.
 func (e *trackedEndpoint) inService() bool { return !e.draining && !e.suspended }
 
-// isUsable reports whether the endpoint is in service and has had no connection failure since its last response.
+// isUsable reports whether the endpoint is in service, and no connection or health check has failed since its last
+// response.
 func (e *trackedEndpoint) isUsable() bool { return e.inService() && e.consecutiveFailures == 0 }
 
 // isPrimary reports whether the endpoint is the last observed primary of its group.
--- a/internal/failover/group.go
+++ b/internal/failover/group.go
@@ -106,8 +106,9 @@
 // reported a position, and after all endpoints that have.
 const restoredPositionAt = 1
 
-// RestoreTerm restores the term and the primary of a group from an earlier process. The term is continued, and the
-// primary is the first endpoint to get a health check. RestoreTerm may also be called after a primary was observed.
+// RestoreTerm restores the term and the primary of a group from an earlier process. The term is continued. If no
+// primary was observed yet, the restored one gets a health check before the endpoints that have not reported a
+// position. RestoreTerm may also be called after a primary was observed.
 func (t *Tracker) RestoreTerm(groupID int64, term uint64, primary string) {
 	group := t.groupFor(groupID)
 	if group.primary != nil && group.primary.id != primary {
--- a/internal/failover/health_check_test.go
+++ b/internal/failover/health_check_test.go
@@ -51,7 +51,8 @@
 		budgeted := endpoints * healthCheckRoundsPerRequest
 		unbudgeted := endpoints * seconds * 6
 		if n := float64(len(checked)); n > budgeted+float64(unbudgeted) || n < budgeted {
-			t.Fatalf("%v health checks in %d s are out of bounds", n, seconds)
+			t.Fatalf("%v health checks in %d s, want at least the budgeted ones and at most 6 rounds per second more",
+				n, seconds)
 		}
 	}
 	slices.Sort(secondRounds)
--- a/internal/failover/pending_queue_test.go
+++ b/internal/failover/pending_queue_test.go
@@ -62,7 +62,8 @@
 	}
 	tracker.Enqueue(1, Request{ID: "too much", Class: "small", Deadline: time.Minute, Size: cfg.MaxPendingBytes + 1})
 	if tracker.IsPending("too much") || tracker.pending.bytes > cfg.MaxPendingBytes {
-		t.Fatalf("%d bytes are queued, which is over the bound", tracker.pending.bytes)
+		t.Fatalf("%d bytes are queued, want at most MaxPendingBytes, and the request that exceeds it rejected",
+			tracker.pending.bytes)
 	}
 }
 
@@ -71,7 +72,7 @@
 	check := func(when string, group int64, class string, want bool) {
 		t.Helper()
 		if got := tracker.ShouldQueue(group, class); got != want {
-			t.Errorf("%s: ShouldQueue(%d, %q) is %v, which is wrong", when, group, class, got)
+			t.Errorf("%s: ShouldQueue(%d, %q) is %v, want the opposite", when, group, class, got)
 		}
 	}
 	check("steady", 0, "job", false)
--- a/internal/failover/phase_test.go
+++ b/internal/failover/phase_test.go
@@ -167,7 +167,7 @@
 		ReasonQueueTimeout.String():          "too long",
 	} {
 		if got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("text is %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/failover/release_test.go
+++ b/internal/failover/release_test.go
@@ -93,7 +93,7 @@
 // Released requests whose end is never reported don't stop the release of the others.
 func TestReleaseContinuesWithoutResponses(t *testing.T) {
 	cfg := testConfig()
-	cfg.Instances = initialReleaseLimit // one request at once
+	cfg.Instances = initialReleaseLimit // so that the initial limit is one request
 	tracker := newTestTracker(cfg, 1, 1)
 	tracker.SuspectPrimary(1, 0, "n0-0")
 	for i := range 3 {
@@ -115,7 +115,7 @@
 
 func TestRequestDoneAllowsAnotherRelease(t *testing.T) {
 	cfg := testConfig()
-	cfg.Instances = initialReleaseLimit // one request at once
+	cfg.Instances = initialReleaseLimit // so that the initial limit is one request
 	tracker := newTestTracker(cfg, 1, 1)
 	tracker.SuspectPrimary(1, 0, "n0-0")
 	for _, id := range []string{"a", "b", "c"} {
--- a/internal/failover/tracker.go
+++ b/internal/failover/tracker.go
@@ -47,7 +47,7 @@
 	next time.Duration // 0 = not needed so far
 }
 
-// noLaterThan requests a call of Tick at a time, or after minTickInterval if that time has passed.
+// noLaterThan requests a call of Tick at a time, or after minTickInterval if that is later.
 func (w *wakeTime) noLaterThan(at time.Duration) {
 	if w.next == 0 || at < w.next {
 		w.next = max(at, w.now+minTickInterval)
@@ -137,12 +137,12 @@
 	t.transition(group, PhasePrimaryLost, EvidenceAnnouncementExpired, group.primaryID(), wake.now)
 }
 
-// settleTime is how long a settled group has to be without evidence to become steady. It is also how long the Tracker
-// waits for released requests whose end has not been reported.
+// settleTime is how long a settled group has to be without evidence to become steady. It is also the time between two
+// reviews of the released requests; see finishRelease.
 const settleTime = time.Second
 
-// finishRelease moves a group with an empty queue to the phase settled. It also drops released requests whose end is
-// not reported within settleTime, so that they don't stop the release of others.
+// finishRelease moves a group with an empty queue to the phase settled once no released request is in flight or a
+// review is due. A review, every settleTime, stops waiting for the released requests whose end has not been reported.
 func (t *Tracker) finishRelease(group *replicaGroup, wake *wakeTime) {
 	reviewDue := wake.now >= group.releaseReviewAt
 	queueEmpty := len(group.pending) == 0
--- a/internal/failover/tracker_test.go
+++ b/internal/failover/tracker_test.go
@@ -112,7 +112,8 @@
 	}
 	phase, _, primary, _ := r.tracker.Group(action.Group)
 	if phase != PhaseSuccessorSeen || primary == "" {
-		r.t.Fatalf("request %s is released in phase %v to primary %q", action.ID, phase, primary)
+		r.t.Fatalf("request %s is released in phase %v to primary %q, want the phase successor seen and a known primary",
+			action.ID, phase, primary)
 	}
 	r.states[action.ID] = stateReleased
 }
@@ -155,10 +156,12 @@
 	}
 	queue, cfg := &r.tracker.pending, &r.tracker.cfg
 	if expected != len(queue.byID) || expected != inGroups || expected > cfg.MaxPending {
-		r.t.Fatalf("%d requests should be pending; %d are by ID, %d in groups", expected, len(queue.byID), inGroups)
+		r.t.Fatalf("%d requests should be pending, at most MaxPending; %d are by ID, %d in groups",
+			expected, len(queue.byID), inGroups)
 	}
 	if bytes != queue.bytes || bytes > cfg.MaxPendingBytes {
-		r.t.Fatalf("%d bytes are pending, the queue counts %d", bytes, queue.bytes)
+		r.t.Fatalf("%d bytes are pending, the queue counts %d, want equal numbers of at most MaxPendingBytes",
+			bytes, queue.bytes)
 	}
 	inClientQueues := 0
 	for _, client := range queue.clients {
--- a/internal/sitefailover/admission.go
+++ b/internal/sitefailover/admission.go
@@ -15,16 +15,16 @@
 	// maxRejectedShare is the largest rejected share of a class. The requests that are still admitted show when there
 	// is capacity again.
 	maxRejectedShare = 1 - minServedShare
-	// maxClassShareFactor bounds the rejected share of a class, as a multiple of the rejected share of all work, so
-	// that the rejections are not concentrated on a single class.
+	// maxClassShareFactor bounds the rejected share of a class, as a multiple of the rejected share of all work for the
+	// same resource, so that the rejections are not concentrated on a single class.
 	maxClassShareFactor = 3.0
 	// maxShareIncrease is the largest increase of a rejected share per interval.
 	maxShareIncrease = 0.25
 	// maxShareDecrease is the largest decrease of a rejected share per interval. It is smaller than maxShareIncrease,
 	// because work that is admitted too early has to be rejected again.
 	maxShareDecrease = 0.05
-	// planUncertainty is the error of a plan, as a share of all work. That much excess work is not rejected here but
-	// left to the balancer, which sees the queue of each endpoint.
+	// planUncertainty is the error of a plan, as a share of all work for a resource. That much excess work is not
+	// rejected here but left to the balancer, which sees the queue of each endpoint.
 	planUncertainty = 0.15
 	// defaultRetrySpread is used if AdmissionConfig.RetrySpread is not set.
 	defaultRetrySpread = time.Second
--- a/internal/sitefailover/admission_test.go
+++ b/internal/sitefailover/admission_test.go
@@ -73,7 +73,8 @@
 	}
 	runUpdates(controller, &now, false, PlanInput{}, 20*time.Second)
 	if !controller.AdmitsAll() || len(controller.RejectedShares()) > 0 || controller.NextUpdate() != 0 {
-		t.Errorf("rejections are %v after the loss has ended, want none", controller.RejectedShares())
+		t.Errorf("rejections are %v after the loss has ended, want none, everything admitted and no update due",
+			controller.RejectedShares())
 	}
 	if rejected, _ := controller.ShouldReject(DemandKey{Class: "low", Group: 1}); rejected {
 		t.Error("ShouldReject returned true while the controller admits everything, want false")
--- a/internal/sitefailover/doc.go
+++ b/internal/sitefailover/doc.go
@@ -33,6 +33,7 @@
 //
 // The package does no I/O, reads no clock, logs nothing, and starts no goroutines. Times are time.Duration values on
 // the caller's clock. Only AdmissionController uses random numbers, which it draws from the seed that it is given.
-// PlanLosses and WriteTable keep no state. The other types hold state without locks: they belong to one goroutine, in
-// the router that of the event loop. The package never selects the endpoint of a request; package balance does that.
+// PlanLosses and WriteTable keep no state. The other types hold state without locks, so only one goroutine may use
+// them: in the router, that of the event loop. The package never selects the endpoint of a request; package balance
+// does that.
 package sitefailover
--- a/internal/sitefailover/endpoint_evidence.go
+++ b/internal/sitefailover/endpoint_evidence.go
@@ -17,7 +17,7 @@
 	id            string
 	site          string
 	group         int64
-	draining      bool          // by a deploy, before it failed; not evidence of a loss
+	draining      bool          // according to the list, as in a deploy; its failures are no evidence of a loss
 	delisted      bool          // removed from the list although it was not draining
 	unlistedSince time.Duration // since when it is missing from the complete lists, 0 = it is listed
 	answeredAt    time.Duration // time of the last answer, 0 = none yet
@@ -70,8 +70,8 @@
 	return e.answeredAt > 0 && now-e.answeredAt <= window
 }
 
-// evidenceCounts summarizes the evidence about several endpoints. It doesn't count draining endpoints, nor those that
-// have neither failed nor answered recently.
+// evidenceCounts summarizes the evidence about several endpoints. It doesn't count draining endpoints, nor endpoints
+// that are not down but have not answered within the evidence window.
 type evidenceCounts struct {
 	down       int
 	answering  int
--- a/internal/sitefailover/fault.go
+++ b/internal/sitefailover/fault.go
@@ -72,8 +72,9 @@
 	return false
 }
 
-// recordAppliedPosition records the position up to which a replica has applied the commits of a group. Commits later
-// than the primary's failure plus the evidence window prove nothing, because they may come from a successor.
+// recordAppliedPosition records the position up to which a replica has applied the commits of a group. Commits prove
+// that the primary is alive only if they are later than its failure by more than 1/silenceFraction of the evidence
+// window. Commits later than the failure plus the whole window prove nothing, because they may come from a successor.
 func (m *Monitor) recordAppliedPosition(group int64, position time.Duration) {
 	primary := m.endpoints[m.primaries[group]]
 	if primary == nil || primary.failingSince == 0 {
--- a/internal/sitefailover/monitor_invariants_test.go
+++ b/internal/sitefailover/monitor_invariants_test.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		if h.states[change.Site] != change.OldState || change.OldState == change.NewState {
-			h.t.Fatalf("change is %+v, want one from the last state %v", change, h.states[change.Site])
+			h.t.Fatalf("change is %+v, want one from the last state %v to another state", change, h.states[change.Site])
 		}
 		h.states[change.Site] = change.NewState
 	}
--- a/internal/sitefailover/plan.go
+++ b/internal/sitefailover/plan.go
@@ -43,7 +43,7 @@
 type GroupLoss struct {
 	Group          int64  `json:"bank"`
 	LosesPrimary   bool   `json:"loses_primary"`
-	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft reports that no request to the group can be served.
+	NoEndpointLeft bool   `json:"none_left"` // NoEndpointLeft reports that no request can be served without the site.
 	Successor      string `json:"successor"` // Successor is the likely primary without the site, "" = no endpoint left.
 
 	PrimaryUtilization        float64 `json:"primary"`
--- a/internal/sitefailover/plan_test.go
+++ b/internal/sitefailover/plan_test.go
@@ -100,9 +100,9 @@
 	expectNear(t, "weight with all sites", plan.CurrentWeightShare, 1)
 }
 
-// expectLossOfN checks the plan for the loss of n. A replica of group 1 then succeeds its primary. The other replica
-// has a capacity of 2.85 for a demand of 5 for reads, and the new primary has 0.85 left for reads in addition to the
-// writes.
+// expectLossOfN checks the plan for the loss of n. A replica of group 1 then succeeds its primary. For reads, with a
+// demand of 5 seconds of work per second, the other replica has a capacity of 2.85, and the new primary has 0.85 left
+// after the writes.
 func expectLossOfN(t *testing.T, plan SiteLossPlan) {
 	t.Helper()
 	if len(plan.Groups) != 1 || !plan.Groups[0].LosesPrimary || plan.Groups[0].Successor != "b" {
@@ -117,9 +117,10 @@
 		}
 		shifted += shift.Work
 	}
-	// Endpoint a did 2 of writes. b and c did 5 of reads with a capacity of 5.7, and take over as much as fits.
+	// Endpoint a did 2 seconds of work per second for writes. Endpoints b and c did 5 for reads with a capacity of 5.7,
+	// and take over as much as fits.
 	if shifted <= 0 || shifted > 2+1e-6 {
-		t.Errorf("%v of work shifts, want more than 0 and at most 2", shifted)
+		t.Errorf("%v seconds of work per second shift, want more than 0 and at most 2", shifted)
 	}
 }
 
@@ -253,7 +254,7 @@
 		sameResource := other.NeedsPrimary == rejected.NeedsPrimary
 		lessWeight := other.PriorityWeight/other.Work < rejected.PriorityWeight/rejected.Work
 		if sameResource && lessWeight && servedShare > minServedShare+1e-6 {
-			t.Fatalf("%s has less weight but a served share of %v while %s is rejected: %+v",
+			t.Fatalf("%s has less weight per second of work but a served share of %v while %s is rejected: %+v",
 				other.Class, servedShare, rejected.Class, plan.Rejections)
 		}
 	}
--- a/internal/sitefailover/recovery_ramp_test.go
+++ b/internal/sitefailover/recovery_ramp_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		if due <= now {
-			t.Fatalf("the next update is due at %v, now is %v", due, now)
+			t.Fatalf("the next update is due at %v, want it after now, %v", due, now)
 		}
 		now = due
 	}
@@ -79,11 +79,13 @@
 	ramp.SetLimit(RampLimit{Site: "s", Share: 0, Until: until})
 	changes, due := ramp.Update(now)
 	if len(changes) != 1 || changes[0].Share != 0 || due != until || len(ramp.Ramps()) != 1 {
-		t.Errorf("with a limit of 0: changes %v, due %v, ramps %v", changes, due, ramp.Ramps())
+		t.Errorf("with a limit of 0: changes %v, due %v, ramps %v; want a share of 0, due at the end of the limit",
+			changes, due, ramp.Ramps())
 	}
 	changes, due = ramp.Update(due)
 	if len(changes) != 1 || changes[0].Share != 1 || due != 0 || len(ramp.Ramps()) != 0 {
-		t.Errorf("after the limit: changes %v, due %v, ramps %v; want a share of 1", changes, due, ramp.Ramps())
+		t.Errorf("after the limit: changes %v, due %v, ramps %v; want a share of 1, nothing due and no ramps",
+			changes, due, ramp.Ramps())
 	}
 }
 
--- a/internal/sitefailover/site_state.go
+++ b/internal/sitefailover/site_state.go
@@ -11,7 +11,7 @@
 // The states of a site.
 const (
 	SiteHealthy    SiteState = iota // SiteHealthy: no evidence of a fault of the site.
-	SiteSuspected                   // SiteSuspected: the site is failing as a whole, but not for long enough.
+	SiteSuspected                   // SiteSuspected: the site fails as a whole, but not yet for long enough to be lost.
 	SiteLost                        // SiteLost: the site has failed for long enough, or was declared lost.
 	SiteRecovering                  // SiteRecovering: the site answers again, but may still flap.
 	SiteSettled                     // SiteSettled: the site has answered for some time; it becomes healthy next.
