--- a/internal/failover/health_check_test.go
+++ b/internal/failover/health_check_test.go
@@ -51,7 +51,8 @@
 		budgeted := endpoints * healthCheckRoundsPerRequest
 		unbudgeted := endpoints * seconds * 6
 		if n := float64(len(checked)); n > budgeted+float64(unbudgeted) || n < budgeted {
-			t.Fatalf("%v health checks in %d s are out of bounds", n, seconds)
+			t.Fatalf("%v health checks in %d s, want at least the budgeted ones and at most 6 rounds per second more",
+				n, seconds)
 		}
 	}
 	slices.Sort(secondRounds)
@@ -120,7 +121,7 @@
 		}, []string{"n0-0", "n0-2", "n0-1"}},
 		"without suspended endpoints": {func(tracker *Tracker) {
 			tracker.SuspectPrimary(1, 0, "n0-0")
-			tracker.Suspend(1, "n0-2", true)
+			tracker.SetSuspended(1, "n0-2", true)
 		}, []string{"n0-1", "n0-0"}},
 		"without draining endpoints": {func(tracker *Tracker) {
 			tracker.UpdateEndpoints(1, []Endpoint{{ID: "n0-0", Draining: true}}, false)
