--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -14,14 +14,14 @@
 // need it. An endpoint has cores, each of which processes one request at a time; a replica applies no commits while a
 // long read runs on it.
 type fleet struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     Time
-	routers []*Balancer
-	timerAt []Time // when the timer of each instance fires
-	members map[string]*member
-	jobs    schedule
-	lastSeq int
+	t         *testing.T
+	rng       *rand.Rand
+	now       Time
+	balancers []*Balancer
+	timerAt   []Time // when the timer of each instance fires
+	endpoints map[string]*fleetEndpoint
+	jobs      schedule
+	lastSeq   int
 
 	reads, onPrimary       int            // bounded reads served, in total and by primaries
 	longReadsServed        map[string]int // ConsistencyAny reads served, by endpoint
@@ -32,25 +32,25 @@
 	healthChecks, requests int
 	rejected               int // requests that were rejected or failed
 
-	busy              int            // requests out of 10,000 that go to instance 0; 0 = all instances get the same load
-	instance0Requests map[string]int // if busy > 0: requests to instance 0, by class
-	instance0Rejects  map[string]int // if busy > 0: requests rejected by instance 0, by class
+	busyInstanceShare int            // share of requests to instance 0, in parts of 10,000; 0 = same load for all instances
+	instance0Requests map[string]int // if busyInstanceShare > 0: requests to instance 0, by class
+	instance0Rejects  map[string]int // if busyInstanceShare > 0: requests rejected by instance 0, by class
 
-	times        float64           // work of each request, as a multiple of the usual work; 0 = 1
+	workMultiple float64           // work of each request, as a multiple of the usual work; 0 = 1
 	uniformReads bool              // ConsistencyAny reads take as long as bounded reads
-	classByID    map[string]string // if busy > 0: class of each request, by id
+	classByID    map[string]string // if busyInstanceShare > 0: class of each request, by id
 }
 
-// member is a simulated endpoint.
-type member struct {
+// fleetEndpoint is a simulated endpoint.
+type fleetEndpoint struct {
 	id                 string
 	group              int64
-	leads              bool   // whether it is the primary of its group
+	isPrimary          bool   // whether it is the primary of its group
 	cores              []Time // when each core is free
 	longReadUntil      Time   // a long read runs until then
 	appliedPosition    Time   // replication position of a replica
 	replicationStopped bool   // whether replication is stopped
-	startAt            Time   // when the endpoint started to warm up; 0 = warm
+	warmupStartedAt    Time   // when the endpoint started to warm up; 0 = warm
 	work               []workItem
 }
 
@@ -136,31 +136,31 @@
 // newFleet returns a fleet of eighty instances with the given number of groups, each with a primary and five replicas.
 func newFleet(t *testing.T, seed uint64, groups int) *fleet {
 	t.Helper()
-	return newFleetOf(t, seed, groups, fleetConfig())
+	return newFleetWithConfig(t, seed, groups, fleetConfig())
 }
 
-// newFleetOf is like newFleet, with a configuration.
-func newFleetOf(t *testing.T, seed uint64, groups int, c Config) *fleet {
+// newFleetWithConfig is like newFleet, but with the given configuration.
+func newFleetWithConfig(t *testing.T, seed uint64, groups int, c Config) *fleet {
 	t.Helper()
 	f := &fleet{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, members: map[string]*member{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * time.Second, endpoints: map[string]*fleetEndpoint{},
 		longReadsServed: map[string]int{}, instance0Requests: map[string]int{}, instance0Rejects: map[string]int{},
 		classByID: map[string]string{},
 	}
 	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
-			m := &member{
+			m := &fleetEndpoint{
 				id:              fmt.Sprintf("%02d%c", g, 'a'+i),
 				group:           int64(g),
-				leads:           i == 0,
+				isPrimary:       i == 0,
 				cores:           make([]Time, 3),
 				appliedPosition: f.now,
 			}
-			f.members[m.id] = m
+			f.endpoints[m.id] = m
 			l.Entries = append(
 				l.Entries,
-				EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.leads},
+				EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.isPrimary},
 			)
 		}
 	}
@@ -170,7 +170,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.routers, f.timerAt = append(f.routers, r), append(f.timerAt, 0)
+		f.balancers, f.timerAt = append(f.balancers, r), append(f.timerAt, 0)
 		f.step(i, l)
 	}
 	return f
@@ -184,17 +184,17 @@
 
 // step passes events to an instance and carries out its actions.
 func (f *fleet) step(i int, events ...Event) {
-	r := f.routers[i]
+	r := f.balancers[i]
 	for _, a := range r.Step(f.now, events) {
 		switch a := a.(type) {
 		case Send:
 			q := r.requests[a.ID]
-			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.members[a.Endpoint]) })
+			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.endpoints[a.Endpoint]) })
 		case HealthCheck:
 			f.healthChecks++
-			m := f.members[a.Endpoint]
+			m := f.endpoints[a.Endpoint]
 			f.after(2*ms, func() {
-				if f.routers[i] != r {
+				if f.balancers[i] != r {
 					return // the instance has been restarted
 				}
 				position := m.position(f.now) - 100*ms
@@ -219,16 +219,16 @@
 	}
 }
 
-func (m *member) role() Role {
-	if m.leads {
+func (m *fleetEndpoint) role() Role {
+	if m.isPrimary {
 		return RolePrimary
 	}
 	return RoleReplica
 }
 
 // position returns the replication position. A replica applies no commits while it runs a long read.
-func (m *member) position(now Time) Time {
-	if m.leads {
+func (m *fleetEndpoint) position(now Time) Time {
+	if m.isPrimary {
 		return now
 	}
 	if now >= m.longReadUntil && !m.replicationStopped {
@@ -238,16 +238,16 @@
 }
 
 // serve queues an attempt of an instance at an endpoint, and passes its result once it is done.
-func (f *fleet) serve(i int, id string, attempt int, class string, m *member) {
+func (f *fleet) serve(i int, id string, attempt int, class string, m *fleetEndpoint) {
 	work := time.Duration(float64(shortWork) * f.rng.ExpFloat64())
 	if class == "any" && !f.uniformReads {
 		work = time.Duration(float64(longWork) * (0.5 + f.rng.Float64()))
 	}
-	work = time.Duration(float64(work) * cmp.Or(f.times, 1))
+	work = time.Duration(float64(work) * cmp.Or(f.workMultiple, 1))
 	m.position(f.now)
 	m.work = append(m.work, workItem{f.now, work})
 	core := slices.Index(m.cores, slices.Min(m.cores))
-	sentAt, r := f.now, f.routers[i]
+	sentAt, r := f.now, f.balancers[i]
 	end := max(f.now, m.cores[core]) + work
 	m.cores[core] = end
 	if class == "write" {
@@ -262,11 +262,11 @@
 		f.longReadWait += end - work - f.now
 	}
 	f.after(end-f.now, func() {
-		if f.routers[i] != r {
+		if f.balancers[i] != r {
 			return // the instance has been restarted
 		}
 		switch {
-		case class == "bounded" && m.leads:
+		case class == "bounded" && m.isPrimary:
 			f.reads, f.onPrimary = f.reads+1, f.onPrimary+1
 		case class == "bounded":
 			f.reads++
@@ -309,13 +309,13 @@
 		q, i := Request{
 			ID: fmt.Sprint("r", f.requests), Class: class, Group: int64(f.rng.IntN(groups)),
 			TimeLeft: fleetConfig().Classes[0].ClientTimeout,
-		}, f.rng.IntN(len(f.routers))
-		if f.busy > 0 {
-			if i = max(1, i); f.rng.IntN(10000) < f.busy {
+		}, f.rng.IntN(len(f.balancers))
+		if f.busyInstanceShare > 0 {
+			if i = max(1, i); f.rng.IntN(10000) < f.busyInstanceShare {
 				i = 0
 				f.instance0Requests[class]++
 			}
-			f.classByID[q.ID], q.TimeLeft = class, f.routers[i].classes[class].ClientTimeout
+			f.classByID[q.ID], q.TimeLeft = class, f.balancers[i].classes[class].ClientTimeout
 		}
 		f.step(i, q)
 		f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -387,8 +387,8 @@
 		for i := range 2 {
 			c.Classes[i].LatencyObjective, c.Classes[i].ClientTimeout = time.Second, 3*time.Second
 		}
-		f := newFleetOf(t, seed, 4, c)
-		f.uniformReads, f.times = true, 8 // 200 ms: more than a third of the bound
+		f := newFleetWithConfig(t, seed, 4, c)
+		f.uniformReads, f.workMultiple = true, 8 // 200 ms: more than a third of the bound
 		f.load(150, 4, 5*time.Second)
 		clear(f.longReadsServed)
 		f.load(150, 4, 30*time.Second)
@@ -410,34 +410,34 @@
 		f := newFleet(t, uint64(seed), 4)
 		f.load(700, 4, 8*time.Second)
 		// Either the primary restarts, whose writes cannot go elsewhere, or the replica that takes all long reads.
-		m := f.members[id]
-		m.startAt, m.work = f.now, nil
-		for i := range f.routers {
+		m := f.endpoints[id]
+		m.warmupStartedAt, m.work = f.now, nil
+		for i := range f.balancers {
 			f.step(
 				i,
 				EndpointList{
-					Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now}},
+					Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.isPrimary, StartedAt: f.now}},
 				},
 			)
 			f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
 		}
 		f.load(700, 4, 6*time.Second)
 		c, got := fleetConfig(), 0.0
-		for at := m.startAt; at+c.OverloadWindow <= f.now; at += 100 * ms {
+		for at := m.warmupStartedAt; at+c.OverloadWindow <= f.now; at += 100 * ms {
 			work := time.Duration(0)
 			for _, p := range m.work {
 				if p.at >= at && p.at < at+c.OverloadWindow {
 					work += p.work
 				}
 			}
-			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-m.startAt).Seconds()/c.SlowStartWindow.Seconds()
+			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-m.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds()
 			part := work.Seconds() / (c.OverloadMultiple * warm * 3 * c.OverloadWindow.Seconds())
 			if got = max(got, part); part > 1 {
-				t.Fatalf("seed %d: %.2f of the load that makes it fail, %v after its start", seed, part, at-m.startAt)
+				t.Fatalf("seed %d: %.2f of the load that makes it fail, %v after its start", seed, part, at-m.warmupStartedAt)
 			}
 		}
 		t.Logf("seed %d: %d requests, at most %.2f of the load that makes it fail", seed, len(m.work), got)
-		if len(m.work) < 60 && m.leads {
+		if len(m.work) < 60 && m.isPrimary {
 			t.Errorf("seed %d: the primary got %d requests, want 60 at least", seed, len(m.work))
 		}
 	}
@@ -449,8 +449,8 @@
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
 		c.Instances = 300
-		f := newFleetOf(t, seed, 12, c)
-		f.busy = 200
+		f := newFleetWithConfig(t, seed, 12, c)
+		f.busyInstanceShare = 200
 		f.load(2400, 12, 16*time.Second)
 		for _, class := range []string{"bounded", "any", "write"} {
 			t.Logf("seed %d, %s: %d of %d rejected", seed, class, f.instance0Rejects[class], f.instance0Requests[class])
@@ -469,8 +469,8 @@
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
 		c.Instances = 300
-		f := newFleetOf(t, seed, 4, c)
-		for _, m := range f.members {
+		f := newFleetWithConfig(t, seed, 4, c)
+		for _, m := range f.endpoints {
 			m.replicationStopped = true
 		}
 		f.load(1600, 4, 12*time.Second)
@@ -492,7 +492,7 @@
 	for _, seed := range []uint64{1, 2} {
 		c := fleetConfig()
 		c.Instances = 300
-		f := newFleetOf(t, seed, 2, c)
+		f := newFleetWithConfig(t, seed, 2, c)
 		f.load(2, 2, 120*time.Second)
 		t.Logf("seed %d: %d of %d rejected or failed, %d long reads", seed, f.rejected, f.requests, f.longReadsSent)
 		if f.requests < 180 || f.rejected*50 > f.requests || f.longReadsSent == 0 || f.writes == 0 {
@@ -508,14 +508,14 @@
 	}
 }
 
-// restart replaces an instance with a new one that knows only the current endpoint list.
-func (f *fleet) restart(i int) {
-	r, err := New(f.routers[i].config, uint64(f.lastSeq)*1000+uint64(i))
+// restartInstance replaces an instance with a new one that knows only the current endpoint list.
+func (f *fleet) restartInstance(i int) {
+	r, err := New(f.balancers[i].config, uint64(f.lastSeq)*1000+uint64(i))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	var l EndpointList
-	for _, g := range f.routers[i].sortedGroups {
+	for _, g := range f.balancers[i].sortedGroups {
 		for _, n := range g.endpoints {
 			l.Entries = append(
 				l.Entries,
@@ -524,12 +524,12 @@
 					Zone:      n.zone,
 					Group:     g.id,
 					State:     n.discovery.state,
-					Primary:   f.members[n.id].leads,
+					Primary:   f.endpoints[n.id].isPrimary,
 					StartedAt: n.slowStart.startedAt,
 				},
 			)
 		}
 	}
-	f.routers[i], f.timerAt[i], l.Kind = r, 0, ListCached
+	f.balancers[i], f.timerAt[i], l.Kind = r, 0, ListCached
 	f.step(i, l)
 }
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -11,19 +11,19 @@
 // overload window since its start, and the start of that window in seconds after the endpoint's start. The excess is
 // counted in requests of mean work, beyond the budget N plus 2*sqrt(N)+2 that are attributed to chance, so a value up
 // to 0 is within the budget.
-func (f *fleet) maxBudgetExcess(m *member, c Config, mean time.Duration) (most, at float64) {
+func (f *fleet) maxBudgetExcess(m *fleetEndpoint, c Config, mean time.Duration) (most, at float64) {
 	most = math.Inf(-1)
-	for from := m.startAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
+	for from := m.warmupStartedAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
 		got := 0.0
 		for _, p := range m.work {
 			if p.at >= from && p.at < from+c.OverloadWindow {
 				got += p.work.Seconds() / mean.Seconds()
 			}
 		}
-		warm := min(1, c.SlowStartFrom+(1-c.SlowStartFrom)*(from-m.startAt).Seconds()/c.SlowStartWindow.Seconds())
+		warm := min(1, c.SlowStartFrom+(1-c.SlowStartFrom)*(from-m.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds())
 		n := c.OverloadMultiple * warm * float64(len(m.cores)) * c.OverloadWindow.Seconds() / mean.Seconds()
 		if over := got - n - 2*math.Sqrt(n) - 2; over > most {
-			most, at = over, (from - m.startAt).Seconds()
+			most, at = over, (from - m.warmupStartedAt).Seconds()
 		}
 	}
 	return most, at
@@ -31,7 +31,7 @@
 
 // drainAllButLastReplica drains all replicas of the first group except the last.
 func (f *fleet) drainAllButLastReplica() {
-	for i := range f.routers {
+	for i := range f.balancers {
 		var l EndpointList
 		for _, id := range []string{"00b", "00c", "00d", "00e"} {
 			l.Entries = append(l.Entries, EndpointEntry{Endpoint: id, Zone: "a", State: EndpointDraining})
@@ -72,15 +72,15 @@
 		},
 		"instances restart": func(f *fleet, rate float64) {
 			f.load(rate, 4, 2*time.Second)
-			for i := range f.routers {
+			for i := range f.balancers {
 				if i%2 == 0 {
-					f.restart(i)
+					f.restartInstance(i)
 				}
 			}
 			f.load(rate, 4, 5*time.Second)
 		},
 		"one instance has a quarter of the traffic": func(f *fleet, rate float64) {
-			f.busy = 2500
+			f.busyInstanceShare = 2500
 			f.load(rate, 4, 8*time.Second)
 		},
 	}
@@ -116,14 +116,14 @@
 	t.Helper()
 	const mean = 39 * time.Millisecond // approximate mean work of the load's requests
 	c := k.config(instances)
-	f := newFleetOf(t, 7+seed, 4, c)
-	f.times = k.workFactor
-	for _, m := range f.members {
+	f := newFleetWithConfig(t, 7+seed, 4, c)
+	f.workMultiple = k.workFactor
+	for _, m := range f.endpoints {
 		m.cores = make([]Time, k.cores)
 	}
 	f.load(k.rate, 4, 6*time.Second)
-	m := f.members[id]
-	f.restartMember(m)
+	m := f.endpoints[id]
+	f.restartEndpoint(m)
 	f.load(0.001, 4, 2*ms) // excludes the work sent before the instances learned of the restart
 	m.work = nil
 	load(f, k.rate)
@@ -150,13 +150,13 @@
 	return c
 }
 
-// restartMember restarts an endpoint and sends the new list entry and a health check result to all instances.
-func (f *fleet) restartMember(m *member) {
-	m.startAt = f.now
+// restartEndpoint restarts an endpoint and sends the new list entry and a health check result to all instances.
+func (f *fleet) restartEndpoint(m *fleetEndpoint) {
+	m.warmupStartedAt = f.now
 	m.work = nil
-	for i := range f.routers {
+	for i := range f.balancers {
 		f.step(i, EndpointList{Entries: []EndpointEntry{
-			{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.leads, StartedAt: f.now},
+			{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.isPrimary, StartedAt: f.now},
 		}})
 		f.step(i, HealthCheckResult{
 			Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now),
