--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -28,7 +28,7 @@
 			}
 			delay, ok := timer.set(now, tickInterval)
 			if delay != c.want || ok != (c.want > 0) {
-				t.Errorf("got delay %v, new timer %v; want delay %v", delay, ok, c.want)
+				t.Errorf("got delay %v, new timer %v; want delay %v (0 = no new timer)", delay, ok, c.want)
 			}
 		})
 	}
--- a/balance/class_test.go
+++ b/balance/class_test.go
@@ -48,7 +48,8 @@
 			class.expire(fractional)
 		}
 		if got := class.latency < 0.3; got != forgotten {
-			t.Errorf("fractional share %v: latency %v s after a minute without answers", fractional, class.latency)
+			t.Errorf("fractional share %v: latency %v s after a minute without answers, want under 0.3 s only with such a share",
+				fractional, class.latency)
 		}
 	}
 }
--- a/balance/config_test.go
+++ b/balance/config_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("got error %v, want a *ConfigError", err)
 	}
 	if configError.Settings != "Instances" || err.Error() != "Instances: 0, at least 1 needed" {
-		t.Errorf("got settings %q and text %q, want Instances and its value", configError.Settings, err)
+		t.Errorf("got settings %q and text %q, want Instances, and a text with its value", configError.Settings, err)
 	}
 }
 
@@ -29,6 +29,7 @@
 	}
 }
 
+// The errors name MaxStaleness and ClientTimeout as the users of the configuration know them.
 func TestMissingClassTimes(t *testing.T) {
 	c := testConfig()
 	c.Classes[1].MaxStaleness = 0
@@ -42,6 +43,7 @@
 	}
 }
 
+// The errors name the settings as the users of the configuration know them, not always by the field names of Config.
 func TestInvalidSettingsAreNamed(t *testing.T) {
 	for field, mutate := range map[string]func(*Config){
 		"Name":          func(c *Config) { c.Classes[1].Name = c.Classes[0].Name },
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -65,7 +65,8 @@
 					// next poll and the 2 s that it may be queued must fit.
 					delay := now - failed
 					if delay+2*time.Second > 5600*ms || delay < c.minDelay || delay > c.maxDelay {
-						t.Errorf("failure %d: next poll after %v, outside the bounds", round, delay)
+						t.Errorf("failure %d: next poll after %v, want at most 3.6 s and a delay within the bounds of the case",
+							round, delay)
 					}
 				}
 			}
@@ -109,8 +110,8 @@
 }
 
 // 80 instances start at the same time from a cached list that has changed since. Discovery serves one poll after the
-// other, 14 per second, and drops polls that were queued for 2 s, at full cost. All instances must receive the new list
-// before the changes count as notified.
+// other, 14 per second, and drops polls that were queued for 2 s, which still take their service time. All instances
+// must receive the new list before the changes count as notified.
 func TestSimultaneousStartReceivesListInTime(t *testing.T) {
 	const instances = 80
 	for _, seed := range []uint64{1, 2, 3} {
@@ -134,7 +135,7 @@
 				most = overrides.PollWithin * 2 // a failed poll extends the time
 			}
 			if instance.listReceivedAt == 0 || instance.listReceivedAt-start > most {
-				t.Errorf("seed %d, instance %d: list received at %v after a start at %v, want it in time",
+				t.Errorf("seed %d, instance %d: list received at %v, start at %v; want it within 8 s, 20 s after a dropped poll",
 					seed, i, instance.listReceivedAt, start)
 			}
 			last = max(last, instance.listReceivedAt-start)
@@ -147,7 +148,7 @@
 }
 
 // queuedDiscovery models a discovery service that serves one poll after the other, 14 per second. A poll that was
-// queued for longer than 2 s is dropped, at full cost.
+// queued for longer than 2 s is dropped, but still takes its service time.
 type queuedDiscovery struct {
 	freeAt Time
 	polls  int
@@ -164,17 +165,17 @@
 
 // step passes the events to the instance and queues its poll, if it sends one.
 func (d *queuedDiscovery) step(instance *pollingInstance, now Time, events ...Event) {
-	const service, patience = time.Second / 14, 2 * time.Second
+	const serviceTime, maxQueueTime = time.Second / 14, 2 * time.Second
 	if !stepPolls(instance.balancer, now, events...) {
 		return
 	}
 	d.polls++
 	begin := max(d.freeAt, now)
-	d.freeAt = begin + service
-	instance.pollEndsAt = begin + service
-	instance.dropped = begin-now > patience
+	d.freeAt = begin + serviceTime
+	instance.pollEndsAt = begin + serviceTime
+	instance.dropped = begin-now > maxQueueTime
 	if instance.dropped {
-		instance.pollEndsAt = now + patience
+		instance.pollEndsAt = now + maxQueueTime
 	}
 }
 
@@ -194,37 +195,37 @@
 }
 
 // A change that follows a poll immediately counts as notified 6 s later. If that poll is queued before it is rejected,
-// the next poll and the 2 s that it may be queued must still fit into the 6 s, so the delay counts from the poll. After
-// an immediate rejection, the next poll must not be sent any sooner.
+// the next poll and the 2 s that it may be queued must still fit into the 6 s, so the delay counts from the poll. A
+// poll that is rejected earlier must not bring the next one forward: there are at least 1.9 s between the two.
 func TestPollDelayCountsFromThePoll(t *testing.T) {
-	const patience, networkDelay = 2 * time.Second, 250 * ms
+	const maxQueueTime, networkDelay = 2 * time.Second, 250 * ms
 	for seed := range uint64(100) {
-		for _, took := range []time.Duration{5 * ms, 700 * ms, patience} {
+		for _, took := range []time.Duration{5 * ms, 700 * ms, maxQueueTime} {
 			c := testConfig()
 			c.Instances = 300
 			c.PollDiscovery = true
 			c.PollWithin = 10 * time.Second
 			c.DrainGrace = 1200 * ms
-			r, err := New(c, seed)
+			b, err := New(c, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := 100 * time.Second
-			r.Step(now, []Event{threeEndpoints(ListFull)}) // the next poll is sent at once
+			b.Step(now, []Event{threeEndpoints(ListFull)}) // the next poll is sent at once
 			for round := range 6 {
 				previousPoll := now
 				now += took
 				failed := now
-				polled := len(actionsOf[PollEndpointList](r.Step(now, []Event{EndpointList{Kind: ListFailed}}))) > 0
+				polled := len(actionsOf[PollEndpointList](b.Step(now, []Event{EndpointList{Kind: ListFailed}}))) > 0
 				for ; !polled; now += 5 * ms {
-					polled = len(actionsOf[PollEndpointList](r.Step(now, nil))) > 0
+					polled = len(actionsOf[PollEndpointList](b.Step(now, nil))) > 0
 				}
-				if sincePreviousPoll := now - previousPoll; sincePreviousPoll+patience+networkDelay > 6*time.Second {
-					t.Errorf("seed %d, rejected after %v, round %d: next poll %v after the previous one, too late",
+				if sincePreviousPoll := now - previousPoll; sincePreviousPoll+maxQueueTime+networkDelay > 6*time.Second {
+					t.Errorf("seed %d, rejected after %v, round %d: next poll %v after the previous one, want at most 3.75 s",
 						seed, took, round, sincePreviousPoll)
 				}
-				if wait := now - failed; took < patience && now-previousPoll < 1900*ms || wait < 400*ms {
-					t.Errorf("seed %d, rejected after %v, round %d: next poll %v after the rejection, too early",
+				if wait := now - failed; took < maxQueueTime && now-previousPoll < 1900*ms || wait < 400*ms {
+					t.Errorf("seed %d, rejected after %v, round %d: next poll %v after that, want 400 ms, and 1.9 s between polls",
 						seed, took, round, wait)
 				}
 			}
@@ -236,11 +237,11 @@
 // subscription's timeout, and sends must end within the drain grace from then on. Each of 300 instances must poll again
 // within the grace, whenever the network is back, and not all at the same time.
 func TestSilentDiscoveryIsPolledAgainWithinDrainGrace(t *testing.T) {
-	const fleet, slack, connect = 300, time.Second, 250 * ms
-	overrides := Config{Instances: fleet, PollWithin: 10 * time.Second, DrainGrace: 2 * time.Second}
+	const instances, slack, connect = 300, time.Second, 250 * ms
+	overrides := Config{Instances: instances, PollWithin: 10 * time.Second, DrainGrace: 2 * time.Second}
 	for _, seed := range []uint64{1, 2, 3} {
 		firstPolls := map[time.Duration]int{} // count by tenths of a second after the silence
-		for i := range fleet {
+		for i := range instances {
 			b := newPollingBalancer(t, seed*1000+uint64(i), overrides)
 			now := 100 * time.Second
 			b.Step(now, []Event{threeEndpoints(ListCached)})
@@ -263,7 +264,7 @@
 			}
 		}
 		for at, n := range firstPolls {
-			if n > fleet/5 {
+			if n > instances/5 {
 				t.Errorf("seed %d: %d polls within 100 ms, %v after the silence, want at most a fifth of the instances",
 					seed, n, at*100*ms)
 			}
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -110,7 +110,7 @@
 		h.t.Fatalf("endpoint %+v, want it resumed and warming up", resumed)
 	}
 	if len(actionsOf[Send](actions)) > 0 || len(actionsOf[HealthCheck](actions)) == 0 {
-		h.t.Fatalf("%v, want a health check and no send", actions)
+		h.t.Fatalf("got actions %v, want a health check and no send", actions)
 	}
 	for range 300 {
 		report := HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now}
--- a/balance/expiry_test.go
+++ b/balance/expiry_test.go
@@ -71,10 +71,10 @@
 	if n := len(h.balancer.endpoints); n > 60 || len(h.balancer.groups) != 1 || len(h.balancer.sortedGroups) != 1 ||
 		len(h.balancer.groups[1].endpoints) != n ||
 		len(h.balancer.requests) > 9 {
-		t.Errorf("%d endpoints, %d groups, %d requests are kept; want 60, 1 and 9 at most, all endpoints in the group",
+		t.Errorf("%d endpoints, %d groups, %d requests are kept; want at most 60, 1 and 9, all endpoints in the group",
 			n, len(h.balancer.groups), len(h.balancer.requests))
 	}
 	if len(h.balancer.sessionCommits) > 9 {
-		t.Errorf("%d session commits are kept, want 9 at most", len(h.balancer.sessionCommits))
+		t.Errorf("%d session commits are kept, want at most 9", len(h.balancer.sessionCommits))
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -32,11 +32,11 @@
 	healthChecks, requests int
 	rejected               int // requests that were rejected or failed
 
-	busyInstanceShare int            // share of requests to instance 0, in parts of 10,000; 0 = same load for all instances
+	busyInstanceShare int            // requests to instance 0, in parts of 10,000; 0 = all instances get the same load
 	instance0Requests map[string]int // if busyInstanceShare > 0: requests to instance 0, by class
 	instance0Rejects  map[string]int // if busyInstanceShare > 0: requests rejected by instance 0, by class
 
-	workMultiple float64           // work of each request, as a multiple of the usual work; 0 = 1
+	workMultiple float64           // work of each request, as a multiple of the default work; 0 = 1
 	uniformReads bool              // ConsistencyAny reads take as long as bounded reads
 	classByID    map[string]string // if busyInstanceShare > 0: class of each request, by id
 }
@@ -150,27 +150,27 @@
 	var l EndpointList
 	for g := range groups {
 		for i := range 6 {
-			m := &fleetEndpoint{
+			e := &fleetEndpoint{
 				id:              fmt.Sprintf("%02d%c", g, 'a'+i),
 				group:           int64(g),
 				isPrimary:       i == 0,
 				cores:           make([]Time, 3),
 				appliedPosition: f.now,
 			}
-			f.endpoints[m.id] = m
+			f.endpoints[e.id] = e
 			l.Entries = append(
 				l.Entries,
-				EndpointEntry{Endpoint: m.id, Zone: "a", Group: m.group, State: EndpointReady, Primary: m.isPrimary},
+				EndpointEntry{Endpoint: e.id, Zone: "a", Group: e.group, State: EndpointReady, Primary: e.isPrimary},
 			)
 		}
 	}
 	l.Kind = ListCached
 	for i := range c.Instances {
-		r, err := New(c, seed*100+uint64(i))
+		b, err := New(c, seed*100+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.balancers, f.timerAt = append(f.balancers, r), append(f.timerAt, 0)
+		f.balancers, f.timerAt = append(f.balancers, b), append(f.timerAt, 0)
 		f.step(i, l)
 	}
 	return f
@@ -184,21 +184,21 @@
 
 // step passes events to an instance and carries out its actions.
 func (f *fleet) step(i int, events ...Event) {
-	r := f.balancers[i]
-	for _, a := range r.Step(f.now, events) {
+	b := f.balancers[i]
+	for _, a := range b.Step(f.now, events) {
 		switch a := a.(type) {
 		case Send:
-			q := r.requests[a.ID]
+			q := b.requests[a.ID]
 			f.after(ms, func() { f.serve(i, a.ID, len(q.attempts)-1, q.class.Name, f.endpoints[a.Endpoint]) })
 		case HealthCheck:
 			f.healthChecks++
-			m := f.endpoints[a.Endpoint]
+			e := f.endpoints[a.Endpoint]
 			f.after(2*ms, func() {
-				if f.balancers[i] != r {
+				if f.balancers[i] != b {
 					return // the instance has been restarted
 				}
-				position := m.position(f.now) - 100*ms
-				f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: position})
+				position := e.position(f.now) - 100*ms
+				f.step(i, HealthCheckResult{Endpoint: e.id, Status: StatusDone, Role: e.role(), Position: position})
 			})
 		case Timer:
 			at := f.now + a.After
@@ -219,71 +219,72 @@
 	}
 }
 
-func (m *fleetEndpoint) role() Role {
-	if m.isPrimary {
+func (e *fleetEndpoint) role() Role {
+	if e.isPrimary {
 		return RolePrimary
 	}
 	return RoleReplica
 }
 
-// position returns the replication position. A replica applies no commits while it runs a long read.
-func (m *fleetEndpoint) position(now Time) Time {
-	if m.isPrimary {
+// position returns the replication position. A replica applies no commits while it runs a long read or while its
+// replication is stopped.
+func (e *fleetEndpoint) position(now Time) Time {
+	if e.isPrimary {
 		return now
 	}
-	if now >= m.longReadUntil && !m.replicationStopped {
-		m.appliedPosition = now - replicationLag
+	if now >= e.longReadUntil && !e.replicationStopped {
+		e.appliedPosition = now - replicationLag
 	}
-	return m.appliedPosition
+	return e.appliedPosition
 }
 
-// serve queues an attempt of an instance at an endpoint, and passes its result once it is done.
-func (f *fleet) serve(i int, id string, attempt int, class string, m *fleetEndpoint) {
+// serve queues an attempt of an instance at an endpoint, and passes the result to the instance once it is done.
+func (f *fleet) serve(i int, id string, attempt int, class string, e *fleetEndpoint) {
 	work := time.Duration(float64(shortWork) * f.rng.ExpFloat64())
 	if class == "any" && !f.uniformReads {
 		work = time.Duration(float64(longWork) * (0.5 + f.rng.Float64()))
 	}
 	work = time.Duration(float64(work) * cmp.Or(f.workMultiple, 1))
-	m.position(f.now)
-	m.work = append(m.work, workItem{f.now, work})
-	core := slices.Index(m.cores, slices.Min(m.cores))
-	sentAt, r := f.now, f.balancers[i]
-	end := max(f.now, m.cores[core]) + work
-	m.cores[core] = end
+	e.position(f.now)
+	e.work = append(e.work, workItem{f.now, work})
+	core := slices.Index(e.cores, slices.Min(e.cores))
+	sentAt, b := f.now, f.balancers[i]
+	end := max(f.now, e.cores[core]) + work
+	e.cores[core] = end
 	if class == "write" {
 		f.writes++
 		f.writeWait += end - work - f.now
 	}
 	if class == "any" {
 		if !f.uniformReads {
-			m.longReadUntil = max(m.longReadUntil, end)
+			e.longReadUntil = max(e.longReadUntil, end)
 		}
 		f.longReadsSent++
 		f.longReadWait += end - work - f.now
 	}
 	f.after(end-f.now, func() {
-		if f.balancers[i] != r {
+		if f.balancers[i] != b {
 			return // the instance has been restarted
 		}
 		switch {
-		case class == "bounded" && m.isPrimary:
+		case class == "bounded" && e.isPrimary:
 			f.reads, f.onPrimary = f.reads+1, f.onPrimary+1
 		case class == "bounded":
 			f.reads++
 		case class == "any":
-			f.longReadsServed[m.id]++
+			f.longReadsServed[e.id]++
 		}
 		f.step(
 			i,
 			AttemptResult{
 				ID:       id,
 				Attempt:  attempt,
-				Endpoint: m.id,
+				Endpoint: e.id,
 				Status:   StatusDone,
 				Elapsed:  f.now - sentAt,
 				Finished: true,
-				Role:     m.role(),
-				Position: m.position(f.now),
+				Role:     e.role(),
+				Position: e.position(f.now),
 			},
 		)
 	})
@@ -341,7 +342,7 @@
 		t.Logf("seed %d: %d reads, a share of %.2f by primaries, %.2f health checks per request", seed, f.reads, share,
 			float64(f.healthChecks)/float64(f.requests))
 		if share > 0.1 || f.healthChecks > f.requests {
-			t.Errorf("seed %d: share of %.2f by primaries, want 0.1 at most; %d health checks, want %d at most",
+			t.Errorf("seed %d: share of %.2f by primaries, want at most 0.1; %d health checks, want at most %d",
 				seed, share, f.healthChecks, f.requests)
 		}
 	}
@@ -360,7 +361,7 @@
 			}
 		}
 		if t.Logf("seed %d: %d of %d long reads on two replicas of a group", seed, last, all); last < all*13/20 {
-			t.Errorf("seed %d: %d of %d long reads on two replicas, want 13 of 20 at least", seed, last, all)
+			t.Errorf("seed %d: %d of %d long reads on two replicas, want at least 13 of 20", seed, last, all)
 		}
 	}
 }
@@ -374,7 +375,7 @@
 		mean := f.longReadWait / time.Duration(f.longReadsSent)
 		t.Logf("seed %d: %d long reads waited %v on average", seed, f.longReadsSent, mean)
 		if mean > longWork {
-			t.Errorf("seed %d: long reads waited %v on average, want %v, their mean work, at most", seed, mean, longWork)
+			t.Errorf("seed %d: long reads waited %v on average, want at most %v, their mean work", seed, mean, longWork)
 		}
 	}
 }
@@ -398,8 +399,8 @@
 				last += n
 			}
 		}
-		if t.Logf("seed %d: %d of %d on one replica of five", seed, last, all); last > all*2/5 || all < 100 {
-			t.Errorf("seed %d: %d of %d on one replica, want 2 of 5 at most and 100 in all", seed, last, all)
+		if t.Logf("seed %d: %d of %d reads on one replica of five", seed, last, all); last > all*2/5 || all < 100 {
+			t.Errorf("seed %d: %d of %d reads on one replica, want at most 2 of 5, and at least 100 reads", seed, last, all)
 		}
 	}
 }
@@ -410,35 +411,37 @@
 		f := newFleet(t, uint64(seed), 4)
 		f.load(700, 4, 8*time.Second)
 		// Either the primary restarts, whose writes cannot go elsewhere, or the replica that takes all long reads.
-		m := f.endpoints[id]
-		m.warmupStartedAt, m.work = f.now, nil
+		e := f.endpoints[id]
+		e.warmupStartedAt, e.work = f.now, nil
 		for i := range f.balancers {
 			f.step(
 				i,
 				EndpointList{
-					Entries: []EndpointEntry{{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.isPrimary, StartedAt: f.now}},
+					Entries: []EndpointEntry{{
+						Endpoint: e.id, Zone: "a", State: EndpointReady, Primary: e.isPrimary, StartedAt: f.now}},
 				},
 			)
-			f.step(i, HealthCheckResult{Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now)})
+			f.step(i, HealthCheckResult{Endpoint: e.id, Status: StatusDone, Role: e.role(), Position: e.position(f.now)})
 		}
 		f.load(700, 4, 6*time.Second)
 		c, got := fleetConfig(), 0.0
-		for at := m.warmupStartedAt; at+c.OverloadWindow <= f.now; at += 100 * ms {
+		for at := e.warmupStartedAt; at+c.OverloadWindow <= f.now; at += 100 * ms {
 			work := time.Duration(0)
-			for _, p := range m.work {
+			for _, p := range e.work {
 				if p.at >= at && p.at < at+c.OverloadWindow {
 					work += p.work
 				}
 			}
-			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-m.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds()
+			warm := c.SlowStartFrom + (1-c.SlowStartFrom)*(at-e.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds()
 			part := work.Seconds() / (c.OverloadMultiple * warm * 3 * c.OverloadWindow.Seconds())
 			if got = max(got, part); part > 1 {
-				t.Fatalf("seed %d: %.2f of the load that makes it fail, %v after its start", seed, part, at-m.warmupStartedAt)
+				t.Fatalf("seed %d: %.2f of the load that makes the endpoint fail, %v after its start, want at most 1",
+					seed, part, at-e.warmupStartedAt)
 			}
 		}
-		t.Logf("seed %d: %d requests, at most %.2f of the load that makes it fail", seed, len(m.work), got)
-		if len(m.work) < 60 && m.isPrimary {
-			t.Errorf("seed %d: the primary got %d requests, want 60 at least", seed, len(m.work))
+		t.Logf("seed %d: %d requests, at most %.2f of the load that makes the endpoint fail", seed, len(e.work), got)
+		if len(e.work) < 60 && e.isPrimary {
+			t.Errorf("seed %d: the primary got %d requests, want at least 60", seed, len(e.work))
 		}
 	}
 }
@@ -455,7 +458,7 @@
 		for _, class := range []string{"bounded", "any", "write"} {
 			t.Logf("seed %d, %s: %d of %d rejected", seed, class, f.instance0Rejects[class], f.instance0Requests[class])
 			if f.instance0Requests[class] < 20 || f.instance0Rejects[class]*10 > f.instance0Requests[class] {
-				t.Errorf("seed %d, %s: %d of %d rejected, want a tenth of 20 or more at most",
+				t.Errorf("seed %d, %s: %d of %d rejected, want at most a tenth, of at least 20",
 					seed, class, f.instance0Rejects[class], f.instance0Requests[class])
 			}
 		}
@@ -470,8 +473,8 @@
 		c := fleetConfig()
 		c.Instances = 300
 		f := newFleetWithConfig(t, seed, 4, c)
-		for _, m := range f.endpoints {
-			m.replicationStopped = true
+		for _, e := range f.endpoints {
+			e.replicationStopped = true
 		}
 		f.load(1600, 4, 12*time.Second)
 		f.writes, f.writeWait, f.reads = 0, 0, 0
@@ -479,7 +482,7 @@
 		mean := f.writeWait / time.Duration(f.writes)
 		t.Logf("seed %d: %d writes waited %v on average, %d reads by primaries", seed, f.writes, mean, f.reads)
 		if most := c.Classes[2].LatencyObjective / 2; mean > most || f.reads < 1000 {
-			t.Errorf("seed %d: writes waited %v on average, want %v at most; %d reads, want 1000 at least",
+			t.Errorf("seed %d: writes waited %v on average, want at most %v; %d reads, want at least 1000",
 				seed, mean, most, f.reads)
 		}
 	}
@@ -497,7 +500,7 @@
 		t.Logf("seed %d: %d of %d rejected or failed, %d long reads", seed, f.rejected, f.requests, f.longReadsSent)
 		if f.requests < 180 || f.rejected*50 > f.requests || f.longReadsSent == 0 || f.writes == 0 {
 			t.Errorf(
-				"seed %d: %d of %d rejected or failed, want 1 of 50 at most; %d long reads and %d writes, want both",
+				"seed %d: %d of %d rejected or failed, want at most 1 of 50, of at least 180; %d long reads, %d writes, want both",
 				seed,
 				f.rejected,
 				f.requests,
@@ -510,7 +513,7 @@
 
 // restartInstance replaces an instance with a new one that knows only the current endpoint list.
 func (f *fleet) restartInstance(i int) {
-	r, err := New(f.balancers[i].config, uint64(f.lastSeq)*1000+uint64(i))
+	b, err := New(f.balancers[i].config, uint64(f.lastSeq)*1000+uint64(i))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -530,6 +533,6 @@
 			)
 		}
 	}
-	f.balancers[i], f.timerAt[i], l.Kind = r, 0, ListCached
+	f.balancers[i], f.timerAt[i], l.Kind = b, 0, ListCached
 	f.step(i, l)
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -81,11 +81,11 @@
 
 func newHarness(t *testing.T, c Config, events ...Event) *harness {
 	t.Helper()
-	r, err := New(c, 7)
+	b, err := New(c, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, balancer: r, now: 100 * time.Second}
+	h := &harness{t: t, balancer: b, now: 100 * time.Second}
 	h.step(0, events...)
 	return h
 }
@@ -125,7 +125,8 @@
 	return h
 }
 
-// reportAll passes a health check answer of each endpoint, with the current position.
+// reportAll passes a health check result of each endpoint, with the current position. The endpoint with the id primary
+// reports itself as the primary.
 func (h *harness) reportAll(primary string) {
 	for _, id := range []string{"a", "b", "c"} {
 		role := RoleReplica
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -27,7 +27,7 @@
 	}
 	budget = newHealthCheckBudget(0)
 	if budget.perRequest != healthCheckShare/minHealthCheckCost {
-		t.Errorf("a request earns %v tokens if health checks are free, want the bounded amount", budget.perRequest)
+		t.Errorf("a request earns %v tokens if health checks are free, want as at the minimum cost", budget.perRequest)
 	}
 }
 
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// A network that breaks some connections to all endpoints must not make endpoints suspect, primaries suspect or
+// A network that breaks some connections to all endpoints must neither make endpoints or primaries suspect nor make
 // endpoints warm up.
 func TestOneBrokenConnectionIsNotAnOutage(t *testing.T) {
 	h := newReadyHarness(t, testConfig())
@@ -183,7 +183,7 @@
 	for range 3 {
 		h.balancer.now = h.now
 		h.balancer.markSuspect(n, "answers nothing")
-		n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
+		n.health.recoveryAt = h.now + 600*ms // longer than the staleness bound of bounded reads
 		backoffs = append(backoffs, n.health.recoveryBackoff)
 		n.health.suspect = false
 		h.now += 3 * time.Second
@@ -194,7 +194,7 @@
 	h.now += time.Minute
 	h.balancer.now = h.now
 	h.balancer.markSuspect(n, "answers nothing")
-	n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
+	n.health.recoveryAt = h.now + 600*ms // longer than the staleness bound of bounded reads
 	if n.health.recoveryBackoff != backoffs[0] {
 		t.Fatalf("backoff %v after a minute without failure, want %v", n.health.recoveryBackoff, backoffs[0])
 	}
@@ -205,7 +205,7 @@
 	h := newReadyHarness(t, testConfig())
 	n := h.balancer.endpoints["b"]
 	h.balancer.markSuspect(n, "answers nothing")
-	n.health.recoveryAt = h.now + 600*ms // later than the staleness bound of the read
+	n.health.recoveryAt = h.now + 600*ms // longer than the staleness bound of bounded reads
 	h.step(ms, HealthCheckResult{Endpoint: "b", Status: StatusDone, Role: RoleReplica, Position: h.now})
 	for range 200 {
 		acts := h.step(10*ms, h.request("bounded"))
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -19,12 +19,12 @@
 
 const (
 	totalSteps       = 600
-	lastRequestStep  = 400 // no new requests from this step on
-	lastStreamedStep = 500 // streaming responses end soon from this step on
-	lastOpenStep     = 590 // all other attempts end from this step on
+	lastRequestStep  = 400 // from this step on, no new requests
+	lastStreamedStep = 500 // from this step on, streaming responses end as soon as other attempts
+	lastOpenStep     = 590 // from this step on, all open attempts end
 )
 
-// runRandomEventsWith is like runRandomEvents, with a configuration.
+// runRandomEventsWith is like runRandomEvents, but with the given configuration.
 func runRandomEventsWith(t *testing.T, seed uint64, c Config) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -75,7 +75,7 @@
 	open           []trackedAttempt
 	notReady       map[string]bool // whether the endpoint is draining or removed
 	suspended      map[string]bool // whether the endpoint is suspended
-	suspendedSince map[string]int  // the step in which that last changed
+	suspendedSince map[string]int  // the step in which suspended last changed
 }
 
 // trackedRequest is the state of a request as the caller knows it.
--- a/balance/layout_test.go
+++ b/balance/layout_test.go
@@ -36,7 +36,8 @@
 	return files
 }
 
-// All source files of the decision module stay within limits on the length of files, functions and lines.
+// All source files of the decision module stay within limits on the length of files, functions and lines, so that they
+// stay readable.
 func TestSizeLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		t.Run(name, func(t *testing.T) {
--- a/balance/liveness_test.go
+++ b/balance/liveness_test.go
@@ -23,7 +23,7 @@
 		{"a fast class gets at least the pause threshold", []*attempt{fast}, pauseThreshold, pauseThreshold},
 		{"one attempt of a slow class", []*attempt{slow}, 6 * time.Second, 7 * time.Second},
 		{"the slowest of several attempts counts", []*attempt{fast, slow}, 3 * time.Second, 5 * time.Second},
-		{"five slow attempts: one ends sooner", slices.Repeat([]*attempt{slow}, 5), 2 * time.Second, 3 * time.Second},
+		{"the first of five slow attempts ends sooner", slices.Repeat([]*attempt{slow}, 5), 2 * time.Second, 3 * time.Second},
 		{"a slow endpoint", []*attempt{congested}, 3 * time.Second, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 		acts = append(acts, h.step(10*ms)...)
 	}
 	if len(actionsOf[Cancel](acts)) != 1 || len(actionsOf[Reject](acts)) != 1 {
-		t.Fatalf("actions %v, want one cancellation and one rejection", acts)
+		t.Fatalf("got actions %v, want one cancellation and one rejection", acts)
 	}
 }
 
--- a/balance/long_read_test.go
+++ b/balance/long_read_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if sends["b"] < 10 || sends["c"] < 10 {
-		t.Fatalf("got sends %v by endpoint, want 10 at least to each of b and c", sends)
+		t.Fatalf("got sends %v by endpoint, want at least 10 to each of b and c", sends)
 	}
 }
 
@@ -96,7 +96,7 @@
 		rejected += len(actionsOf[Reject](h.step(50 * ms)))
 	}
 	if rejected < 20 {
-		t.Fatalf("%d bounded reads were rejected, want 20 at least", rejected)
+		t.Fatalf("%d bounded reads were rejected, want at least 20", rejected)
 	}
 	for h.now < h.balancer.endpoints["a"].limit.rejectingUntil {
 		h.step(50 * ms)
--- a/balance/pending_queue_test.go
+++ b/balance/pending_queue_test.go
@@ -63,7 +63,7 @@
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; at > maxDelay || at < maxDelay-100*ms {
-			t.Fatalf("got rejection after %v, the client waits 1 s", at)
+			t.Fatalf("got rejection after %v, want 900ms to 1s, or 400ms to 500ms with a late reject cost", at)
 		}
 		if actionsOf[Reject](acts)[0].RetryAfter == 0 {
 			t.Fatal("got a rejection without a Retry-After, want one with it")
@@ -121,7 +121,7 @@
 			acts = h.step(10 * ms)
 		}
 		if at := h.now - 100*time.Second; reached != (at >= 500*ms) || at > time.Second {
-			t.Fatalf("reached %v: got rejection after %v, the client waits 1 s", reached, at)
+			t.Fatalf("reached %v: got rejection after %v, want 500ms to 1s if reached, else less", reached, at)
 		}
 	}
 }
@@ -154,6 +154,6 @@
 		}
 	}
 	if sent < 20 {
-		t.Fatalf("%d of 40 requests sent, want 20 at least", sent)
+		t.Fatalf("%d of 40 requests sent, want at least 20", sent)
 	}
 }
--- a/balance/primary_cache_test.go
+++ b/balance/primary_cache_test.go
@@ -94,8 +94,8 @@
 	h.expectSends(h.step(ms, h.request("write")), "a")
 }
 
-// A primary in a list that is 4 s old, two failovers late, must not change where writes go: responses and health checks
-// have shown newer roles.
+// A list that is 4 s old and names the primary of two changes ago must not change where writes go: responses and health
+// checks have shown newer roles.
 func TestOutdatedListDoesNotChangePrimary(t *testing.T) {
 	h := newReadyHarness(t, testConfig()) // a is the primary
 	list := func(primary string) EndpointList {
--- a/balance/primary_search_test.go
+++ b/balance/primary_search_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// One of 80 instances earns less than one health check per request, and reads of another group use them up. The primary
-// of its group drains, and another endpoint is promoted. The reads that need the new primary must find it,
-// whichever endpoint it is, though the data of all others is too old.
+// One of 80 instances earns 0.75 health checks per request, and reads of another group use them up. The primary of its
+// group drains, and another endpoint is promoted. The reads that need the new primary must find it, whichever endpoint
+// it is, though the data of all others is too old.
 func TestLostPrimaryIsFoundOnASmallBudget(t *testing.T) {
 	for _, successor := range []string{"b", "c", "d", "e", "f"} {
 		t.Run(successor, func(t *testing.T) {
--- a/balance/replica_selection_test.go
+++ b/balance/replica_selection_test.go
@@ -42,7 +42,7 @@
 		h.step(ms, AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Status: StatusDone, Elapsed: ms, Finished: true})
 	}
 	if seen["b"] < 5 || seen["c"] < 5 {
-		t.Fatalf("got sends %v by endpoint, want 5 at least to each of b and c", seen)
+		t.Fatalf("got sends %v by endpoint, want at least 5 to each of b and c", seen)
 	}
 }
 
--- a/balance/replication_test.go
+++ b/balance/replication_test.go
@@ -112,7 +112,7 @@
 	h.expectSends(h.step(5*ms, q), "a")
 }
 
-func TestRememberedCommit(t *testing.T) {
+func TestSessionReadWithoutTokenNeedsItsCommit(t *testing.T) {
 	c := testConfig()
 	c.ClientSessionTokens = false
 	h := newReadyHarness(t, c)
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -11,19 +11,19 @@
 // overload window since its start, and the start of that window in seconds after the endpoint's start. The excess is
 // counted in requests of mean work, beyond the budget N plus 2*sqrt(N)+2 that are attributed to chance, so a value up
 // to 0 is within the budget.
-func (f *fleet) maxBudgetExcess(m *fleetEndpoint, c Config, mean time.Duration) (most, at float64) {
+func (f *fleet) maxBudgetExcess(e *fleetEndpoint, c Config, mean time.Duration) (most, at float64) {
 	most = math.Inf(-1)
-	for from := m.warmupStartedAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
+	for from := e.warmupStartedAt; from+c.OverloadWindow <= f.now; from += 20 * ms {
 		got := 0.0
-		for _, p := range m.work {
+		for _, p := range e.work {
 			if p.at >= from && p.at < from+c.OverloadWindow {
 				got += p.work.Seconds() / mean.Seconds()
 			}
 		}
-		warm := min(1, c.SlowStartFrom+(1-c.SlowStartFrom)*(from-m.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds())
-		n := c.OverloadMultiple * warm * float64(len(m.cores)) * c.OverloadWindow.Seconds() / mean.Seconds()
+		warm := min(1, c.SlowStartFrom+(1-c.SlowStartFrom)*(from-e.warmupStartedAt).Seconds()/c.SlowStartWindow.Seconds())
+		n := c.OverloadMultiple * warm * float64(len(e.cores)) * c.OverloadWindow.Seconds() / mean.Seconds()
 		if over := got - n - 2*math.Sqrt(n) - 2; over > most {
-			most, at = over, (from - m.warmupStartedAt).Seconds()
+			most, at = over, (from - e.warmupStartedAt).Seconds()
 		}
 	}
 	return most, at
@@ -42,11 +42,11 @@
 
 // slowStartCase is a deployment whose endpoints warm up after a restart.
 type slowStartCase struct {
-	name       string
-	cores      int     // per endpoint
-	workFactor float64 // factor on the default work of a request
-	rate       float64 // requests per second; the default is 700
-	configure  func(c *Config)
+	name         string
+	cores        int     // per endpoint
+	workMultiple float64 // work of a request, as a multiple of the default work
+	rate         float64 // requests per second; 700 in the default case
+	configure    func(c *Config)
 }
 
 // All instances together must keep the slow start budget of an endpoint without communicating: N requests of mean work,
@@ -117,21 +117,21 @@
 	const mean = 39 * time.Millisecond // approximate mean work of the load's requests
 	c := k.config(instances)
 	f := newFleetWithConfig(t, 7+seed, 4, c)
-	f.workMultiple = k.workFactor
-	for _, m := range f.endpoints {
-		m.cores = make([]Time, k.cores)
+	f.workMultiple = k.workMultiple
+	for _, e := range f.endpoints {
+		e.cores = make([]Time, k.cores)
 	}
 	f.load(k.rate, 4, 6*time.Second)
-	m := f.endpoints[id]
-	f.restartEndpoint(m)
-	f.load(0.001, 4, 2*ms) // excludes the work sent before the instances learned of the restart
-	m.work = nil
+	e := f.endpoints[id]
+	f.restartEndpoint(e)
+	f.load(0.001, 4, 2*ms) // lets requests arrive that were sent before the restart; they are not counted
+	e.work = nil
 	load(f, k.rate)
-	work := time.Duration(k.workFactor * float64(mean))
+	work := time.Duration(k.workMultiple * float64(mean))
 	bound := c.OverloadMultiple * c.SlowStartFrom * float64(k.cores) * c.OverloadWindow.Seconds() / work.Seconds()
-	over, at := f.maxBudgetExcess(m, c, work)
+	over, at := f.maxBudgetExcess(e, c, work)
 	t.Logf("seed %d: N %.1f at first, %d requests; highest excess %.1f requests, %.1f s after the restart",
-		seed, bound, len(m.work), over, at)
+		seed, bound, len(e.work), over, at)
 	if over > 0 {
 		t.Errorf("seed %d: %.1f requests of mean work over the budget, %.1f s after the restart", seed, over, at)
 	}
@@ -143,23 +143,23 @@
 	c.Instances = instances
 	for i := range c.Classes {
 		class := &c.Classes[i]
-		class.LatencyObjective = time.Duration(float64(class.LatencyObjective) * k.workFactor)
-		class.ClientTimeout = time.Duration(float64(class.ClientTimeout) * k.workFactor)
+		class.LatencyObjective = time.Duration(float64(class.LatencyObjective) * k.workMultiple)
+		class.ClientTimeout = time.Duration(float64(class.ClientTimeout) * k.workMultiple)
 	}
 	k.configure(&c)
 	return c
 }
 
 // restartEndpoint restarts an endpoint and sends the new list entry and a health check result to all instances.
-func (f *fleet) restartEndpoint(m *fleetEndpoint) {
-	m.warmupStartedAt = f.now
-	m.work = nil
+func (f *fleet) restartEndpoint(e *fleetEndpoint) {
+	e.warmupStartedAt = f.now
+	e.work = nil
 	for i := range f.balancers {
 		f.step(i, EndpointList{Entries: []EndpointEntry{
-			{Endpoint: m.id, Zone: "a", State: EndpointReady, Primary: m.isPrimary, StartedAt: f.now},
+			{Endpoint: e.id, Zone: "a", State: EndpointReady, Primary: e.isPrimary, StartedAt: f.now},
 		}})
 		f.step(i, HealthCheckResult{
-			Endpoint: m.id, Status: StatusDone, Role: m.role(), Position: m.position(f.now),
+			Endpoint: e.id, Status: StatusDone, Role: e.role(), Position: e.position(f.now),
 		})
 	}
 }
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -65,11 +65,11 @@
 	l.Entries[0].State = EndpointDraining
 	first, later := 0, 0
 	for i := range c.Instances {
-		r, err := New(c, uint64(i))
+		b, err := New(c, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &harness{t: t, balancer: r, now: 100 * time.Second}
+		h := &harness{t: t, balancer: b, now: 100 * time.Second}
 		h.step(0, l)
 		for k := range 50 {
 			acts := h.step(100*ms, h.request("any"))
@@ -244,8 +244,8 @@
 	l.Entries[1].Zone = "b"
 	h := newHarness(t, testConfig(), l)
 	h.reportAll("a")
-	count := func(part float64) (n int) {
-		h.step(0, ZoneCapacity{Zone: "b", Share: part})
+	count := func(share float64) (n int) {
+		h.step(0, ZoneCapacity{Zone: "b", Share: share})
 		for range 40 {
 			for _, s := range actionsOf[Send](h.step(0, h.request("any"))) {
 				if s.Endpoint == "b" {
@@ -272,7 +272,7 @@
 		h.step(0, h.request("any"))
 		most = max(most, len(h.balancer.endpoints["b"].inFlight))
 	}
-	if free := h.balancer.endpoints["b"].limit.attempts; most == 0 || float64(most) > free/4+1 {
-		t.Errorf("%d attempts in flight with a quarter of limit %.1f, want 1 to that quarter plus 1", most, free)
+	if limit := h.balancer.endpoints["b"].limit.attempts; most == 0 || float64(most) > limit/4+1 {
+		t.Errorf("%d attempts in flight with a quarter of the limit, %.1f; want 1 to that quarter plus 1", most, limit)
 	}
 }
--- a/balance/throughput_test.go
+++ b/balance/throughput_test.go
@@ -12,7 +12,7 @@
 		rate.measure(1, smoothing)
 	}
 	if math.Abs(rate.perSecond-0.5) > 0.001 || rate.sinceMeasured != 0 {
-		t.Errorf("work rate %v per second with %v unmeasured, want 0.5 and 0", rate.perSecond, rate.sinceMeasured)
+		t.Errorf("work rate %v s per second with %v s unmeasured, want 0.5 and 0", rate.perSecond, rate.sinceMeasured)
 	}
 }
 
@@ -34,6 +34,6 @@
 		}
 	}
 	if rate, warm := h.balancer.EndpointWorkRate("a"); rate != 0 || !warm {
-		t.Errorf("work rate %v, warm %v, want 0 and true", rate, warm)
+		t.Errorf("work rate %v s per second, warm %v, want 0 and true", rate, warm)
 	}
 }
--- a/balance/work_credit_test.go
+++ b/balance/work_credit_test.go
@@ -31,7 +31,7 @@
 	h.step(ms)
 	request := &request{class: h.balancer.classes["any"], group: h.balancer.groups[1]}
 	if check := h.balancer.checkCredit(request, h.balancer.endpoints["b"]); !check.covered || check.cost != 0 {
-		t.Errorf("%+v, want covered at no cost", check)
+		t.Errorf("got check %+v, want it covered at no cost", check)
 	}
 }
 
