--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -417,8 +417,9 @@
 			f.step(
 				i,
 				EndpointList{
-					Entries: []EndpointEntry{{
-						Endpoint: e.id, Zone: "a", State: EndpointReady, Primary: e.isPrimary, StartedAt: f.now}},
+					Entries: []EndpointEntry{
+						{Endpoint: e.id, Zone: "a", State: EndpointReady, Primary: e.isPrimary, StartedAt: f.now},
+					},
 				},
 			)
 			f.step(i, HealthCheckResult{Endpoint: e.id, Status: StatusDone, Role: e.role(), Position: e.position(f.now)})
