--- a/internal/syslog/parser/frame.go
+++ b/internal/syslog/parser/frame.go
@@ -7,43 +7,44 @@
 	"io"
 )
 
-// The faults of a stream.
+// The framing errors of a stream.
 var (
-	ErrFrame = errors.New("octet count")
-	ErrLong  = errors.New("a message is too long")
-	ErrCut   = errors.New("it ends within a message")
+	ErrFrame = errors.New("malformed octet count")
+	ErrLong  = errors.New("message exceeds the size limit")
+	ErrCut   = errors.New("input ends within a message")
 )
 
-// Frames reads messages from a stream or a file: with octet counts (RFC 6587, section 3.4.1; RFC 5425, section 4.3), or
-// where the first byte is <, a message a line.
+// Frames reads messages from a stream or a file. They are framed with octet counts (RFC 6587, section 3.4.1; RFC 5425,
+// section 4.3) or, if the first byte is <, one per line.
 type Frames struct {
-	r     *bufio.Reader
-	most  int
-	lines bool
-	begun bool
-	at    int64
-	buf   []byte
+	r            *bufio.Reader
+	maxBytes     int
+	lineFraming  bool
+	framingKnown bool
+	offset       int64
+	block        []byte
 }
 
-// NewFrames reads from r messages of at most so many bytes.
-func NewFrames(r io.Reader, most int) *Frames {
-	return &Frames{r: bufio.NewReaderSize(r, 64<<10), most: most}
+// NewFrames returns a Frames that reads messages of at most maxBytes from r.
+func NewFrames(r io.Reader, maxBytes int) *Frames {
+	return &Frames{r: bufio.NewReaderSize(r, 64<<10), maxBytes: maxBytes}
 }
 
-// Offset is where the next message starts.
-func (f *Frames) Offset() int64 { return f.at }
+// Offset returns the offset in bytes at which the frame of the next message starts.
+func (f *Frames) Offset() int64 { return f.offset }
 
-// Next returns the next message, in memory of its own, or io.EOF at the end. Sizes are checked before anything is kept.
+// Next returns the next message, or io.EOF at the end of the input. The message stays valid after further calls. Its
+// size is checked before memory is allocated for it.
 func (f *Frames) Next() ([]byte, error) {
-	if !f.begun {
+	if !f.framingKnown {
 		first, err := f.r.Peek(1)
 		if err != nil {
 			return nil, err
 		}
-		f.begun, f.lines = true, first[0] == '<'
+		f.framingKnown, f.lineFraming = true, first[0] == '<'
 	}
-	if f.lines {
-		return f.line()
+	if f.lineFraming {
+		return f.nextLine()
 	}
 	n, digits := 0, 0
 	for {
@@ -62,48 +63,50 @@
 			return nil, ErrFrame
 		}
 		n = n*10 + int(c-'0')
-		if digits++; n > f.most {
+		if digits++; n > f.maxBytes {
 			return nil, ErrLong
 		}
 	}
-	p := f.room(n)
+	p := f.allocate(n)
 	if _, err := io.ReadFull(f.r, p); err != nil {
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			err = ErrCut
 		}
 		return nil, err
 	}
-	f.at += int64(n + digits)
+	f.offset += int64(n + digits)
 	return p, nil
 }
 
-// room returns memory for one message. Many share a block, so that a file of a million needs few of them.
-func (f *Frames) room(n int) []byte {
-	if len(f.buf) < n {
-		f.buf = make([]byte, max(n, 64<<10))
+// allocate returns memory for a message of n bytes. Messages share blocks, so that a file of a million messages needs
+// few allocations.
+func (f *Frames) allocate(n int) []byte {
+	if len(f.block) < n {
+		f.block = make([]byte, max(n, 64<<10))
 	}
-	p := f.buf[:n:n]
-	f.buf = f.buf[n:]
+	p := f.block[:n:n]
+	f.block = f.block[n:]
 	return p
 }
 
-func (f *Frames) line() ([]byte, error) {
+// nextLine returns the message on the next line.
+func (f *Frames) nextLine() ([]byte, error) {
 	var p []byte
 	for {
 		part, err := f.r.ReadSlice('\n')
-		if p == nil && err == nil && len(part) <= f.most+1 {
-			f.at += int64(len(part))
-			p = f.room(len(part) - 1)
+		if p == nil && err == nil && len(part) <= f.maxBytes+1 {
+			f.offset += int64(len(part))
+			p = f.allocate(len(part) - 1)
 			copy(p, part)
 			return p, nil
 		}
 		p = append(p, part...)
-		if len(p) > f.most+1 {
+		if len(p) > f.maxBytes+1 {
 			return nil, ErrLong
 		}
 		switch {
 		case err == nil:
-			f.at += int64(len(p))
+			f.offset += int64(len(p))
 			return p[:len(p)-1], nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case err == io.EOF && len(p) > 0:
@@ -111,7 +114,7 @@
 		case err == io.EOF:
 			return nil, io.EOF
 		default:
-			return nil, fmt.Errorf("reading: %w", err)
+			return nil, fmt.Errorf("reading a message: %w", err)
 		}
 	}
 }
--- a/internal/syslog/parser/grammar_test.go
+++ b/internal/syslog/parser/grammar_test.go
@@ -11,29 +11,28 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar of RFC 5424, section 6, on a parser library: a second opinion on every message of the tests.
-
+// grammar is the grammar of RFC 5424, section 6, for a parser library. The tests compare Message.Read with it.
 type grammar struct {
-	p *participle.Parser[gMessage]
+	p *participle.Parser[grammarMessage]
 }
 
-type gMessage struct {
-	Pri   string     `parser:"@Pri Version Space"`
-	Time  string     `parser:"(@Time | Nil) Space"`
-	Host  string     `parser:"(@Word | Nil) Space"`
-	App   string     `parser:"(@Word | Nil) Space"`
-	Proc  string     `parser:"(@Word | Nil) Space"`
-	ID    string     `parser:"(@Word | Nil) Space"`
-	Elems []gElement `parser:"(@@+ | Nil)"`
-	Text  *string    `parser:"@Text?"`
+type grammarMessage struct {
+	Pri   string           `parser:"@Pri Version Space"`
+	Time  string           `parser:"(@Time | Nil) Space"`
+	Host  string           `parser:"(@Word | Nil) Space"`
+	App   string           `parser:"(@Word | Nil) Space"`
+	Proc  string           `parser:"(@Word | Nil) Space"`
+	ID    string           `parser:"(@Word | Nil) Space"`
+	Elems []grammarElement `parser:"(@@+ | Nil)"`
+	Text  *string          `parser:"@Text?"`
 }
 
-type gElement struct {
-	ID     string   `parser:"Open @Name"`
-	Params []gParam `parser:"@@* Close"`
+type grammarElement struct {
+	ID     string         `parser:"Open @Name"`
+	Params []grammarParam `parser:"@@* Close"`
 }
 
-type gParam struct {
+type grammarParam struct {
 	Name  string `parser:"Blank @Name Is"`
 	Value string `parser:"@Value"`
 }
@@ -41,7 +40,7 @@
 func newGrammar(tb testing.TB) *grammar {
 	tb.Helper()
 	name := `[!#-<>-\\^-~]{1,32}`
-	// A field that only begins with the sign is no NILVALUE.
+	// NILVALUE is a single -; a longer field may start with one.
 	word := func(next string) []lexer.Rule {
 		return []lexer.Rule{{Name: "Word", Pattern: `[!-~]{2,}|[!-,.-~]`}, {Name: "Nil", Pattern: `-`}, {Name: "Space", Pattern: ` `, Action: lexer.Push(next)}}
 	}
@@ -63,15 +62,16 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p, err := participle.Build[gMessage](participle.Lexer(lex))
+	p, err := participle.Build[grammarMessage](participle.Lexer(lex))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return &grammar{p}
 }
 
-// read says what is wrong, by the grammar and by what no grammar says: days, registered names, encodings.
-func (g *grammar) read(p []byte) error {
+// check returns an error if a message violates the grammar, or a rule that the grammar does not express: existing days,
+// length limits, unique and registered names, encodings.
+func (g *grammar) check(p []byte) error {
 	m, err := g.p.ParseBytes("", p)
 	if err != nil {
 		return err
@@ -87,27 +87,27 @@
 	seen := map[string]bool{}
 	for _, e := range m.Elems {
 		if seen[e.ID] {
-			return errors.New("twice")
+			return errors.New("duplicate SD-ID")
 		}
 		seen[e.ID] = true
-		if err := known([]byte(e.ID)); err != nil {
+		if err := checkElementID([]byte(e.ID)); err != nil {
 			return err
 		}
 		x := Element{ID: []byte(e.ID)}
 		for _, q := range e.Params {
 			v := []byte(q.Value[1 : len(q.Value)-1])
 			if !utf8.Valid(v) {
-				return errors.New("no UTF-8")
+				return errors.New("not valid UTF-8")
 			}
 			x.Params = append(x.Params, Param{[]byte(q.Name), unescape(v)})
 		}
-		if err := registered(&x); err != nil {
+		if err := checkRegisteredParams(&x); err != nil {
 			return err
 		}
 	}
 	if m.Text != nil {
 		if text, marked := bytes.CutPrefix([]byte(*m.Text), []byte(" \xef\xbb\xbf")); marked && !utf8.Valid(text) {
-			return errors.New("no UTF-8")
+			return errors.New("not valid UTF-8")
 		}
 	}
 	return nil
--- a/internal/syslog/parser/message.go
+++ b/internal/syslog/parser/message.go
@@ -1,6 +1,7 @@
-// Package parser reads what collectors get: RFC 5424 messages, strictly, and the framing of RFC 6587. It shares no
-// code with the writer, so that a mistake of one is not one of the other. It is written by hand: the grammar on a parser
-// library, which stands beside it in the tests, is far too slow for the proof of a day's file (docs/design/syslog.md).
+// Package parser strictly parses RFC 5424 messages and the framing of RFC 6587. It shares no code with the encoder in
+// package syslog, so that a bug in one does not hide the same bug in the other. It is written by hand, because a
+// grammar for a parser library, which the tests compare it with, is far too slow to verify the records of a day
+// (docs/design/syslog.md).
 package parser
 
 import (
@@ -11,18 +12,19 @@
 	"unicode/utf8"
 )
 
-// Message is a message whose parts lie in the bytes that it was read from, and are good as long as those are.
+// Message is a parsed message. Its fields refer to the bytes that it was read from, and are valid as long as these are
+// not changed.
 type Message struct {
 	Facility, Severity int
-	Time               time.Time // zero where it is missing
-	Host, App, Proc    []byte    // nil where missing
+	Time               time.Time // the zero time if it is missing
+	Host, App, Proc    []byte    // nil if missing
 	ID                 []byte
 	Elements           []Element
 	Text               []byte // without the byte order mark
-	Marked             bool   // the byte order mark stood there: Text is UTF-8
+	Marked             bool   // MSG starts with the byte order mark: Text is UTF-8
 
-	params []Param // backs the elements
-	bounds []int
+	params      []Param // of all elements
+	paramBounds []int   // where in params those of each element start, and the end
 }
 
 // Element is an SD-ELEMENT.
@@ -34,7 +36,7 @@
 // Param is an SD-PARAM; Value is unescaped.
 type Param struct{ Name, Value []byte }
 
-// Find returns an element, or nil.
+// Find returns the element with an SD-ID, or nil if there is none.
 func (m *Message) Find(id string) *Element {
 	for i := range m.Elements {
 		if string(m.Elements[i].ID) == id {
@@ -44,7 +46,7 @@
 	return nil
 }
 
-// Find returns the first parameter of that name.
+// Find returns the value of the first parameter with a name. It may be called on a nil Element.
 func (e *Element) Find(name string) (value []byte, ok bool) {
 	if e == nil {
 		return nil, false
@@ -57,23 +59,25 @@
 	return nil, false
 }
 
-// fault says what is wrong and where.
-type fault struct {
-	what string
-	at   int
+// syntaxError describes a problem and its byte offset in the message.
+type syntaxError struct {
+	problem string
+	offset  int
 }
 
-func (f *fault) Error() string { return fmt.Sprintf("%s at byte %d", f.what, f.at) }
+func (f *syntaxError) Error() string { return fmt.Sprintf("%s at byte %d", f.problem, f.offset) }
 
-// scanner walks over one message.
+// scanner reads the fields of a message p from the offset i on.
 type scanner struct {
 	p []byte
 	i int
 }
 
-func (s *scanner) bad(what string) error { return &fault{what, s.i} }
+// errorAt returns an error at the current offset.
+func (s *scanner) errorAt(problem string) error { return &syntaxError{problem, s.i} }
 
-func (s *scanner) take(c byte) bool {
+// accept skips the next byte if it is c, and reports whether it was.
+func (s *scanner) accept(c byte) bool {
 	if s.i < len(s.p) && s.p[s.i] == c {
 		s.i++
 		return true
@@ -81,18 +85,18 @@
 	return false
 }
 
-// number reads a decimal number of at most so many digits without leading zeros.
-func (s *scanner) number(digits int) (n int, ok bool) {
+// number reads a decimal number of at most maxDigits digits without leading zeros.
+func (s *scanner) number(maxDigits int) (n int, ok bool) {
 	from := s.i
-	for s.i < len(s.p) && s.p[s.i] >= '0' && s.p[s.i] <= '9' && s.i-from < digits {
+	for s.i < len(s.p) && s.p[s.i] >= '0' && s.p[s.i] <= '9' && s.i-from < maxDigits {
 		n = n*10 + int(s.p[s.i]-'0')
 		s.i++
 	}
 	return n, s.i > from && (s.p[from] != '0' || s.i == from+1)
 }
 
-// fixed reads a number of exactly so many digits.
-func (s *scanner) fixed(digits int) (n int, ok bool) {
+// fixedNumber reads a decimal number of exactly the given number of digits.
+func (s *scanner) fixedNumber(digits int) (n int, ok bool) {
 	if s.i+digits > len(s.p) {
 		return 0, false
 	}
@@ -106,15 +110,16 @@
 	return n, true
 }
 
-// field reads 1 to most printable ASCII characters and the space behind them; NILVALUE is nil.
-func (s *scanner) field(name string, most int) ([]byte, error) {
+// field reads 1 to maxBytes printable ASCII characters and the space after them. It returns nil for NILVALUE.
+// problem is the text of its error.
+func (s *scanner) field(problem string, maxBytes int) ([]byte, error) {
 	from := s.i
 	for s.i < len(s.p) && s.p[s.i] > ' ' && s.p[s.i] < 0x7f {
 		s.i++
 	}
 	v := s.p[from:s.i]
-	if len(v) == 0 || len(v) > most || !s.take(' ') {
-		return nil, s.bad(name)
+	if len(v) == 0 || len(v) > maxBytes || !s.accept(' ') {
+		return nil, s.errorAt(problem)
 	}
 	if len(v) == 1 && v[0] == '-' {
 		return nil, nil
@@ -122,81 +127,82 @@
 	return v, nil
 }
 
-// Read reads one message into m, whose memory is used again. It rejects whatever RFC 5424, section 6, does not allow a
-// sender to write, and registered parameters (section 7) with values that they can't have.
+// Read parses a message into m, whose memory it reuses. It rejects messages that RFC 5424, section 6, does not allow a
+// sender to write, and parameters of registered elements (section 7) that are unknown or have invalid values.
 func (m *Message) Read(p []byte) error {
-	*m = Message{Elements: m.Elements[:0], params: m.params[:0], bounds: m.bounds[:0]}
+	*m = Message{Elements: m.Elements[:0], params: m.params[:0], paramBounds: m.paramBounds[:0]}
 	s := scanner{p: p}
-	pri, ok := 0, s.take('<')
+	pri, ok := 0, s.accept('<')
 	if ok {
 		pri, ok = s.number(3)
 	}
-	if !ok || pri > 191 || !s.take('>') {
-		return s.bad("PRI")
+	if !ok || pri > 191 || !s.accept('>') {
+		return s.errorAt("malformed PRI")
 	}
 	m.Facility, m.Severity = pri/8, pri%8
-	if !s.take('1') || !s.take(' ') {
-		return s.bad("VERSION")
+	if !s.accept('1') || !s.accept(' ') {
+		return s.errorAt("malformed VERSION")
 	}
 	var err error
-	if m.Time, err = s.time(); err != nil {
+	if m.Time, err = s.timestamp(); err != nil {
 		return err
 	}
-	if m.Host, err = s.field("HOSTNAME", 255); err != nil {
+	if m.Host, err = s.field("malformed HOSTNAME", 255); err != nil {
 		return err
 	}
-	if m.App, err = s.field("APP-NAME", 48); err != nil {
+	if m.App, err = s.field("malformed APP-NAME", 48); err != nil {
 		return err
 	}
-	if m.Proc, err = s.field("PROCID", 128); err != nil {
+	if m.Proc, err = s.field("malformed PROCID", 128); err != nil {
 		return err
 	}
-	if m.ID, err = s.field("MSGID", 32); err != nil {
+	if m.ID, err = s.field("malformed MSGID", 32); err != nil {
 		return err
 	}
-	if !s.take('-') {
-		if err := m.elements(&s); err != nil {
+	if !s.accept('-') {
+		if err := m.readElements(&s); err != nil {
 			return err
 		}
 	}
 	if s.i == len(p) {
 		return nil
 	}
-	if !s.take(' ') {
-		return s.bad("no space before MSG")
+	if !s.accept(' ') {
+		return s.errorAt("missing space before MSG")
 	}
 	m.Text = p[s.i:]
 	if text, marked := bytes.CutPrefix(m.Text, []byte("\xef\xbb\xbf")); marked {
 		m.Text, m.Marked = text, true
 		if !utf8.Valid(text) {
-			return s.bad("MSG is no UTF-8")
+			return s.errorAt("MSG is not valid UTF-8")
 		}
 	}
 	return nil
 }
 
-// time reads TIMESTAMP (section 6.2.3): RFC 3339 with a T and a Z in capitals, no leap seconds, six digits of a fraction.
-func (s *scanner) time() (time.Time, error) {
-	if s.take('-') {
-		if !s.take(' ') {
-			return time.Time{}, s.bad("TIMESTAMP")
+// timestamp reads TIMESTAMP (section 6.2.3), which is an RFC 3339 time with upper-case T and Z, without leap seconds,
+// and with at most six digits of a fraction.
+func (s *scanner) timestamp() (time.Time, error) {
+	if s.accept('-') {
+		if !s.accept(' ') {
+			return time.Time{}, s.errorAt("malformed TIMESTAMP")
 		}
 		return time.Time{}, nil
 	}
 	var v [6]int
 	for i, part := range []struct {
 		digits    int
-		behind    byte
+		delimiter byte // follows the digits, 0 = none
 		low, high int
 	}{{4, '-', 0, 9999}, {2, '-', 1, 12}, {2, 'T', 1, 31}, {2, ':', 0, 23}, {2, ':', 0, 59}, {2, 0, 0, 59}} {
-		n, ok := s.fixed(part.digits)
-		if !ok || n < part.low || n > part.high || part.behind != 0 && !s.take(part.behind) {
-			return time.Time{}, s.bad("TIMESTAMP")
+		n, ok := s.fixedNumber(part.digits)
+		if !ok || n < part.low || n > part.high || part.delimiter != 0 && !s.accept(part.delimiter) {
+			return time.Time{}, s.errorAt("malformed TIMESTAMP")
 		}
 		v[i] = n
 	}
 	nanos := 0
-	if s.take('.') {
+	if s.accept('.') {
 		scale, from := 100_000_000, s.i
 		for s.i < len(s.p) && s.p[s.i] >= '0' && s.p[s.i] <= '9' {
 			nanos += int(s.p[s.i]-'0') * scale
@@ -204,30 +210,30 @@
 			s.i++
 		}
 		if s.i == from || s.i-from > 6 {
-			return time.Time{}, s.bad("TIME-SECFRAC")
+			return time.Time{}, s.errorAt("malformed TIME-SECFRAC")
 		}
 	}
 	at := time.Date(v[0], time.Month(v[1]), v[2], v[3], v[4], v[5], nanos, time.UTC)
 	if at.Day() != v[2] {
-		return time.Time{}, s.bad("TIMESTAMP: no such day")
+		return time.Time{}, s.errorAt("TIMESTAMP: day does not exist")
 	}
-	if !s.take('Z') {
+	if !s.accept('Z') {
 		sign := time.Duration(-1)
-		if s.take('-') {
+		if s.accept('-') {
 			sign = 1
-		} else if !s.take('+') {
-			return time.Time{}, s.bad("TIME-OFFSET")
+		} else if !s.accept('+') {
+			return time.Time{}, s.errorAt("malformed TIME-OFFSET")
 		}
-		h, ok := s.fixed(2)
-		ok = ok && s.take(':')
-		minute, ok2 := s.fixed(2)
+		h, ok := s.fixedNumber(2)
+		ok = ok && s.accept(':')
+		minute, ok2 := s.fixedNumber(2)
 		if !ok || !ok2 || h > 23 || minute > 59 {
-			return time.Time{}, s.bad("TIME-OFFSET")
+			return time.Time{}, s.errorAt("malformed TIME-OFFSET")
 		}
 		at = at.Add(sign * (time.Duration(h)*time.Hour + time.Duration(minute)*time.Minute))
 	}
-	if !s.take(' ') {
-		return time.Time{}, s.bad("TIMESTAMP")
+	if !s.accept(' ') {
+		return time.Time{}, s.errorAt("malformed TIMESTAMP")
 	}
 	return at, nil
 }
@@ -239,37 +245,38 @@
 		s.i++
 	}
 	if n := s.i - from; n == 0 || n > 32 {
-		return nil, s.bad("SD-NAME")
+		return nil, s.errorAt("malformed SD-NAME")
 	}
 	return s.p[from:s.i], nil
 }
 
-func (m *Message) elements(s *scanner) error {
-	for s.take('[') {
+// readElements reads the elements of STRUCTURED-DATA (section 6.3).
+func (m *Message) readElements(s *scanner) error {
+	for s.accept('[') {
 		id, err := s.name()
 		if err != nil {
 			return err
 		}
-		if err := known(id); err != nil {
-			return s.bad(err.Error())
+		if err := checkElementID(id); err != nil {
+			return s.errorAt(err.Error())
 		}
 		for _, e := range m.Elements {
 			if bytes.Equal(e.ID, id) {
-				return s.bad("an SD-ID comes twice")
+				return s.errorAt("duplicate SD-ID")
 			}
 		}
 		m.Elements = append(m.Elements, Element{ID: id})
-		m.bounds = append(m.bounds, len(m.params))
-		for !s.take(']') {
-			if !s.take(' ') {
-				return s.bad("SD-ELEMENT")
+		m.paramBounds = append(m.paramBounds, len(m.params))
+		for !s.accept(']') {
+			if !s.accept(' ') {
+				return s.errorAt("malformed SD-ELEMENT")
 			}
 			name, err := s.name()
 			if err != nil {
 				return err
 			}
-			if !s.take('=') || !s.take('"') {
-				return s.bad("SD-PARAM")
+			if !s.accept('=') || !s.accept('"') {
+				return s.errorAt("malformed SD-PARAM")
 			}
 			value, err := s.value()
 			if err != nil {
@@ -279,20 +286,19 @@
 		}
 	}
 	if len(m.Elements) == 0 {
-		return s.bad("STRUCTURED-DATA")
+		return s.errorAt("malformed STRUCTURED-DATA")
 	}
-	m.bounds = append(m.bounds, len(m.params))
+	m.paramBounds = append(m.paramBounds, len(m.params))
 	for i := range m.Elements {
-		m.Elements[i].Params = m.params[m.bounds[i]:m.bounds[i+1]]
-		if err := registered(&m.Elements[i]); err != nil {
-			return s.bad(err.Error())
+		m.Elements[i].Params = m.params[m.paramBounds[i]:m.paramBounds[i+1]]
+		if err := checkRegisteredParams(&m.Elements[i]); err != nil {
+			return s.errorAt(err.Error())
 		}
 	}
 	return nil
 }
 
-// value reads a PARAM-VALUE up to its closing quote (section 6.3.3). A backslash in front of anything but ", \ and ] is
-// one that no sender may write.
+// value reads a PARAM-VALUE and its closing quote (section 6.3.3). A backslash may only be followed by ", \ or ].
 func (s *scanner) value() ([]byte, error) {
 	from := s.i
 	plain, ascii := true, true
@@ -301,7 +307,7 @@
 		case c == '"':
 			v := s.p[from:s.i]
 			if !ascii && !utf8.Valid(v) {
-				return nil, s.bad("PARAM-VALUE is no UTF-8")
+				return nil, s.errorAt("PARAM-VALUE is not valid UTF-8")
 			}
 			s.i++
 			if !plain {
@@ -309,19 +315,20 @@
 			}
 			return v, nil
 		case c == ']':
-			return nil, s.bad("a bracket without a backslash")
+			return nil, s.errorAt("unescaped ] in PARAM-VALUE")
 		case c == '\\':
 			plain = false
 			if s.i++; s.i == len(s.p) || s.p[s.i] != '"' && s.p[s.i] != '\\' && s.p[s.i] != ']' {
-				return nil, s.bad("an escape that there is not")
+				return nil, s.errorAt("invalid escape in PARAM-VALUE")
 			}
 		case c >= utf8.RuneSelf:
 			ascii = false
 		}
 	}
-	return nil, s.bad("PARAM-VALUE does not end")
+	return nil, s.errorAt("PARAM-VALUE without a closing quote")
 }
 
+// unescape removes the backslashes of the escapes of a PARAM-VALUE.
 func unescape(p []byte) []byte {
 	out := make([]byte, 0, len(p))
 	for i := 0; i < len(p); i++ {
@@ -333,35 +340,35 @@
 	return out
 }
 
-// known checks an SD-ID: one of those that are registered, or a name with a private enterprise number (section 6.3.2).
-func known(id []byte) error {
+// checkElementID checks that an SD-ID is registered, or is a name with a private enterprise number (section 6.3.2).
+func checkElementID(id []byte) error {
 	name, number, own := bytes.Cut(id, []byte{'@'})
 	if !own {
 		switch string(id) {
 		case "timeQuality", "origin", "meta":
 			return nil
 		}
-		return errors.New("an SD-ID that is not registered")
+		return errors.New("unregistered SD-ID")
 	}
 	if len(name) == 0 || len(number) == 0 {
-		return errors.New("SD-ID")
+		return errors.New("malformed SD-ID")
 	}
-	// Numbers may go on behind a point (section 7.2.2).
+	// A private enterprise number may have further parts, separated by dots (section 7.2.2).
 	for i, part := range bytes.Split(number, []byte{'.'}) {
 		if len(part) == 0 || i == 0 && part[0] == '0' {
-			return errors.New("an SD-ID without a number")
+			return errors.New("SD-ID without an enterprise number")
 		}
 		for _, c := range part {
 			if c < '0' || c > '9' {
-				return errors.New("an SD-ID without a number")
+				return errors.New("SD-ID without an enterprise number")
 			}
 		}
 	}
 	return nil
 }
 
-// registered checks the parameters of registered elements (section 7).
-func registered(e *Element) error {
+// checkRegisteredParams checks the parameters of a registered element (section 7).
+func checkRegisteredParams(e *Element) error {
 	switch string(e.ID) {
 	case "timeQuality":
 		synced := false
@@ -370,35 +377,35 @@
 			switch string(p.Name) {
 			case "tzKnown", "isSynced":
 				if v := string(p.Value); v != "0" && v != "1" {
-					return errors.New("timeQuality: neither 0 nor 1")
+					return errors.New("timeQuality: value is neither 0 nor 1")
 				}
 				synced = synced || string(p.Name) == "isSynced" && p.Value[0] == '1'
 			case "syncAccuracy":
-				if _, ok := integer(p.Value, 1<<62); !ok {
-					return errors.New("syncAccuracy is no number")
+				if _, ok := numberUpTo(p.Value, 1<<62); !ok {
+					return errors.New("syncAccuracy is not a number")
 				}
 				accuracy = true
 			default:
-				return errors.New("timeQuality has no such parameter")
+				return errors.New("timeQuality: unknown parameter")
 			}
 		}
 		if accuracy && !synced {
-			return errors.New("syncAccuracy though not synced")
+			return errors.New("syncAccuracy requires isSynced=\"1\"")
 		}
 	case "meta":
 		for _, p := range e.Params {
 			switch string(p.Name) {
 			case "sequenceId":
-				if n, ok := integer(p.Value, 1<<31-1); !ok || n < 1 {
-					return errors.New("sequenceId does not fit")
+				if n, ok := numberUpTo(p.Value, 1<<31-1); !ok || n < 1 {
+					return errors.New("sequenceId is not a number from 1 to 2147483647")
 				}
 			case "sysUpTime":
-				if _, ok := integer(p.Value, 1<<62); !ok {
-					return errors.New("sysUpTime is no number")
+				if _, ok := numberUpTo(p.Value, 1<<62); !ok {
+					return errors.New("sysUpTime is not a number")
 				}
 			case "language":
 			default:
-				return errors.New("meta has no such parameter")
+				return errors.New("meta: unknown parameter")
 			}
 		}
 	case "origin":
@@ -407,26 +414,27 @@
 			case "ip", "enterpriseId":
 			case "software":
 				if utf8.RuneCount(p.Value) > 48 {
-					return errors.New("software is too long")
+					return errors.New("software is longer than 48 characters")
 				}
 			case "swVersion":
 				if utf8.RuneCount(p.Value) > 32 {
-					return errors.New("swVersion is too long")
+					return errors.New("swVersion is longer than 32 characters")
 				}
 			default:
-				return errors.New("origin has no such parameter")
+				return errors.New("origin: unknown parameter")
 			}
 		}
 	}
 	return nil
 }
 
-func integer(p []byte, most uint64) (uint64, bool) {
+// numberUpTo parses a decimal number of at most limit.
+func numberUpTo(p []byte, limit uint64) (uint64, bool) {
 	n, ok := Number(p)
-	return n, ok && n <= most
+	return n, ok && n <= limit
 }
 
-// Number reads a decimal number that stands in a value.
+// Number parses a value as a decimal number without leading zeros. It reports false for any other value.
 func Number(p []byte) (uint64, bool) {
 	var n uint64
 	if len(p) == 0 || len(p) > 20 || p[0] == '0' && len(p) > 1 {
@@ -442,7 +450,8 @@
 	return n, true
 }
 
-// Plain undoes the router's own escapes in a value: % and two hexadecimal digits for bytes that can't stand there.
+// Plain decodes the percent escapes of syslog.AppendValue, which the router writes for bytes that a value must not
+// hold.
 func Plain(value []byte) (string, error) {
 	out := make([]byte, 0, len(value))
 	for i := 0; i < len(value); i++ {
@@ -451,7 +460,7 @@
 			continue
 		}
 		if i+2 >= len(value) {
-			return "", errors.New("a % without its two digits")
+			return "", errors.New("% without two hexadecimal digits")
 		}
 		var b byte
 		for _, c := range value[i+1 : i+3] {
@@ -461,7 +470,7 @@
 			case c >= 'A' && c <= 'F':
 				b = b<<4 | (c - 'A' + 10)
 			default:
-				return "", errors.New("a % without its two digits")
+				return "", errors.New("% without two hexadecimal digits")
 			}
 		}
 		out = append(out, b)
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// good are messages that a sender may write, those of RFC 5424, section 6.5, among them.
-func good() []string {
+// validMessages returns messages that RFC 5424 allows a sender to write, including the examples of its section 6.5.
+func validMessages() []string {
 	return []string{
 		"<34>1 2003-10-11T22:14:15.003Z mymachine.example.com su - ID47 - \xef\xbb\xbf'su root' failed for lonvick on /dev/pts/8",
 		"<165>1 2003-08-24T05:14:15.000003-07:00 192.0.2.1 myproc 8710 - - %% It's time to make the do-nuts.",
@@ -26,14 +26,14 @@
 	}
 }
 
-func TestGood(t *testing.T) {
+func TestReadValid(t *testing.T) {
 	var m Message
-	for _, s := range good() {
+	for _, s := range validMessages() {
 		if err := m.Read([]byte(s)); err != nil {
-			t.Errorf("%v: %q", err, s)
+			t.Errorf("Read: %v: %q", err, s)
 		}
 	}
-	if err := m.Read([]byte(good()[2])); err != nil || m.Facility != 20 || m.Severity != 5 || !m.Time.Equal(time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)) ||
+	if err := m.Read([]byte(validMessages()[2])); err != nil || m.Facility != 20 || m.Severity != 5 || !m.Time.Equal(time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)) ||
 		string(m.Host) != "mymachine.example.com" || string(m.App) != "evntslog" || m.Proc != nil || string(m.ID) != "ID47" || len(m.Elements) != 1 ||
 		!m.Marked || string(m.Text) != "An application event log entry..." {
 		t.Fatalf("%+v %v", m, err)
@@ -41,15 +41,15 @@
 	if v, _ := m.Find("exampleSDID@32473").Find("eventID"); string(v) != "1011" {
 		t.Fatalf("%q", v)
 	}
-	if err := m.Read([]byte(good()[1])); err != nil || !m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
+	if err := m.Read([]byte(validMessages()[1])); err != nil || !m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
 		t.Fatal(m.Time, err)
 	}
-	if err := m.Read([]byte(good()[8])); err != nil || string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
+	if err := m.Read([]byte(validMessages()[8])); err != nil || string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
 		t.Fatalf("%q", m.Elements[0].Params)
 	}
 }
 
-func TestBad(t *testing.T) {
+func TestReadInvalid(t *testing.T) {
 	head := "<7>1 - - - - - "
 	var m Message
 	for _, s := range []string{
@@ -66,18 +66,18 @@
 		head + "- \xef\xbb\xbf\xff",
 	} {
 		if m.Read([]byte(s)) == nil {
-			t.Errorf("taken: %q", s)
+			t.Errorf("Read(%q) succeeded, want an error", s)
 		}
 	}
 }
 
-// Garbage made of good messages neither crashes the parser nor is taken where the grammar on the library does not take it.
-func TestGarbageAgainstGrammar(t *testing.T) {
+// Randomly changed valid messages don't make Read panic, and Read accepts them if and only if the grammar does.
+func TestMutatedMessagesAgainstGrammar(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 424))
 	g := newGrammar(t)
-	taken := 0
+	accepted := 0
 	for range 20_000 {
-		p := []byte(good()[rng.IntN(len(good()))])
+		p := []byte(validMessages()[rng.IntN(len(validMessages()))])
 		for range rng.IntN(4) {
 			i := rng.IntN(len(p))
 			switch rng.IntN(3) {
@@ -86,7 +86,7 @@
 			case 1:
 				p = append(p[:i], p[i+1:]...)
 			case 2:
-				p = append(p[:i], append([]byte(good()[rng.IntN(len(good()))][:rng.IntN(10)]), p[i:]...)...)
+				p = append(p[:i], append([]byte(validMessages()[rng.IntN(len(validMessages()))][:rng.IntN(10)]), p[i:]...)...)
 			}
 			if len(p) == 0 {
 				break
@@ -95,21 +95,21 @@
 		var m Message
 		err := m.Read(p)
 		if err == nil {
-			taken++
+			accepted++
 		}
-		if gerr := g.read(p); err == nil && gerr != nil {
-			t.Fatalf("taken, but not by the grammar: %v: %q", gerr, p)
+		if gerr := g.check(p); err == nil && gerr != nil {
+			t.Fatalf("Read accepts a message that the grammar rejects: %v: %q", gerr, p)
 		} else if err != nil && gerr == nil {
-			t.Fatalf("%v, but the grammar takes it: %q", err, p)
+			t.Fatalf("Read rejects a message that the grammar accepts: %v: %q", err, p)
 		}
 	}
-	if taken < 2000 || taken > 19_000 {
-		t.Fatalf("%d of 20000 were good", taken)
+	if accepted < 2000 || accepted > 19_000 {
+		t.Fatalf("%d of 20000 messages were accepted, want 2000 to 19000", accepted)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	for _, s := range good() {
+	for _, s := range validMessages() {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, p []byte) {
@@ -122,29 +122,30 @@
 				if len(q.Name) == 0 || len(q.Value) > len(p) {
 					t.Fatalf("%q", p)
 				}
-				_, _ = Plain(q.Value) // it may fail; it must not panic
+				_, _ = Plain(q.Value) // an error is allowed, a panic is not
 			}
 		}
 	})
 }
 
-// Frames come out whole however the stream is cut, and what is no frame is an error before memory is taken for it.
+// Frames returns complete messages in whatever pieces the stream arrives. Malformed framing is an error, and so is a
+// size above the limit, before memory is allocated for the message.
 func TestFrames(t *testing.T) {
 	var counted, lines bytes.Buffer
-	for _, s := range good() {
+	for _, s := range validMessages() {
 		fmt.Fprintf(&counted, "%d %s", len(s), s)
 		lines.WriteString(s + "\n")
 	}
 	for name, p := range map[string][]byte{"counts": counted.Bytes(), "lines": lines.Bytes()} {
 		for _, r := range []io.Reader{bytes.NewReader(p), iotest.OneByteReader(bytes.NewReader(p))} {
 			fr := NewFrames(r, 1000)
-			for i, want := range good() {
+			for i, want := range validMessages() {
 				if got, err := fr.Next(); err != nil || string(got) != want {
-					t.Fatalf("%s %d: %q %v", name, i, got, err)
+					t.Fatalf("%s: message %d is %q, %v", name, i, got, err)
 				}
 			}
 			if _, err := fr.Next(); !errors.Is(err, io.EOF) || fr.Offset() != int64(len(p)) {
-				t.Fatalf("%s: %v at %d", name, err, fr.Offset())
+				t.Fatalf("%s: %v at offset %d, want EOF at the end", name, err, fr.Offset())
 			}
 		}
 		fr := NewFrames(bytes.NewReader(p[:len(p)-1]), 1000)
@@ -153,7 +154,7 @@
 			_, err = fr.Next()
 		}
 		if !errors.Is(err, ErrCut) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: truncated input: got %v, want ErrCut", name, err)
 		}
 	}
 	for text, want := range map[string]error{
@@ -161,12 +162,12 @@
 		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut,
 	} {
 		if _, err := NewFrames(strings.NewReader(text), 1000).Next(); !errors.Is(err, want) {
-			t.Errorf("%.20q: %v, %v wanted", text, err, want)
+			t.Errorf("%.20q: got %v, want %v", text, err, want)
 		}
 	}
 }
 
-func sample() []byte {
+func sampleRecord() []byte {
 	return []byte(`<30>1 2026-12-01T17:00:00.000001Z host-1 limeladder 4711 ANSWER [audit@32473 start="019ae12345600000001" link="abcdefghijklmnopqrstuv" seq="123456"]` +
 		`[answer@32473 outcome="served" sqlstate="00000" writes="0" may-have-run="0" node="db-17" total-us="1234" queued-us="12" worked-us="1200" attempts="1" try="1200,done,db-17"]` +
 		`[request@32473 id="request-1234" class="look" group="7" tenant="member-1" client="127.0.0.1:54321"][meta sequenceId="123456" sysUpTime="4711"]` +
@@ -174,7 +175,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	p := sample()
+	p := sampleRecord()
 	b.Run("by hand", func(b *testing.B) {
 		var m Message
 		b.ReportAllocs()
@@ -188,7 +189,7 @@
 	b.Run("participle", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if err := g.read(p); err != nil {
+			if err := g.check(p); err != nil {
 				b.Fatal(err)
 			}
 		}
