--- a/internal/spool/append.go
+++ b/internal/spool/append.go
@@ -6,36 +6,36 @@
 	"os"
 )
 
-// maxWriteSize is the size in bytes from which on no further message joins a write.
+// maxWriteSize is the size in bytes at which no further message is added to a write.
 const maxWriteSize = 64 << 10
 
-// Append adds messages in order and returns how many it took. ErrFull says that the size limit is reached,
-// ErrBroken that the disk has failed; nothing of the message at which it stopped is left in the file then, so it
-// may be tried again.
-func (s *Spool) Append(msgs [][]byte) (taken int, err error) {
+// Append appends messages in order and returns how many. The error is ErrFull if the size limit is reached, ErrDisk if
+// the disk has failed. No complete record of the message at which it stopped is in the file then, so that the message
+// may be appended again.
+func (s *Spool) Append(msgs [][]byte) (appended int, err error) {
 	var p []byte
-	for taken < len(msgs) {
+	for appended < len(msgs) {
 		var count int
-		p, count = s.appendRecords(p[:0], msgs[taken:])
+		p, count = s.appendRecords(p[:0], msgs[appended:])
 		if count > 0 {
 			if err := s.writeNewest(p); err != nil {
-				return taken, err
+				return appended, err
 			}
-			taken += count
+			appended += count
 			continue
 		}
 		if !s.isNewestFull() {
-			return taken, ErrFull
+			return appended, ErrFull
 		}
 		if err := s.sealNewest(); err != nil {
-			return taken, err
+			return appended, err
 		}
 	}
-	return taken, nil
+	return appended, nil
 }
 
-// appendRecords appends to p as many records as one write may hold, and returns how many there are. There are none
-// where the newest segment or the spool is full.
+// appendRecords appends to p as many records as one write may hold, and returns how many. It appends none if the newest
+// segment or the spool is full.
 func (s *Spool) appendRecords(p []byte, msgs [][]byte) (records []byte, count int) {
 	segmentSize := s.newestSize()
 	diskSize := s.diskSize()
@@ -52,7 +52,7 @@
 	return p, count
 }
 
-// newestSize returns the size of the segment that is open for writing; 0 where none is.
+// newestSize returns the size in bytes of the segment that is open for writing, or 0 if none is.
 func (s *Spool) newestSize() int64 {
 	if s.newest == nil {
 		return 0
@@ -65,7 +65,7 @@
 	return s.newest != nil && s.newestSize() >= int64(s.options.Segment)
 }
 
-// writeNewest writes records to the newest segment, and begins one where none is open.
+// writeNewest writes records to the newest segment. It begins a new segment if none is open.
 func (s *Spool) writeNewest(p []byte) error {
 	if s.newest == nil {
 		if err := s.beginSegment(); err != nil {
@@ -79,16 +79,16 @@
 		s.unsynced = true
 		return nil
 	}
-	// A part of a record must not stand between two complete ones. If it can't be cut off, a new segment begins, and
-	// reading passes over the rest of this one.
+	// There must not be a part of a record between two complete ones, so what was written is cut off. If this fails, the
+	// reader skips the incomplete record. In both cases the next message begins a new segment.
 	if s.newest.Truncate(newest.size) != nil {
 		newest.size += int64(written)
 	}
 	s.closeNewest()
-	return fmt.Errorf("%w: %w", ErrBroken, err)
+	return fmt.Errorf("%w: %w", ErrDisk, err)
 }
 
-// beginSegment opens a new segment behind all others.
+// beginSegment creates a new segment after all others.
 func (s *Spool) beginSegment() error {
 	number := uint64(firstSegment)
 	if len(s.segments) > 0 {
@@ -96,32 +96,32 @@
 	}
 	file, err := s.options.Create(s.path(number))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	s.newest = file
 	s.segments = append(s.segments, segment{number: number})
 	return nil
 }
 
-// closeNewest closes the newest segment where its content is no longer needed: the write before it has failed, or
-// all of it is delivered, copied or removed.
+// closeNewest closes the newest segment without flushing it. It is called when a write has failed, or when the content
+// is no longer needed because it is delivered, copied or removed.
 func (s *Spool) closeNewest() {
 	_ = s.newest.Close()
 	s.newest = nil
 }
 
-// sealNewest hands the newest segment to the disk and closes it.
+// sealNewest flushes the newest segment to the disk and closes it.
 func (s *Spool) sealNewest() error {
 	err := errors.Join(s.newest.Sync(), s.newest.Close())
 	s.newest = nil
 	s.unsynced = false
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	return nil
 }
 
-// Sync hands what was appended to the disk.
+// Sync flushes the appended messages to the disk.
 func (s *Spool) Sync() error {
 	if s.newest == nil || !s.unsynced {
 		return nil
@@ -130,8 +130,9 @@
 	return s.newest.Sync()
 }
 
-// Front puts messages before all that is here: they were taken from it, or never came to it, and are older.
-func (s *Spool) Front(msgs [][]byte) error {
+// Prepend adds messages before all others in the spool. They are older than those, as they were read from the spool
+// before or were never in it.
+func (s *Spool) Prepend(msgs [][]byte) error {
 	if len(msgs) == 0 {
 		return nil
 	}
@@ -143,12 +144,13 @@
 	for _, msg := range msgs {
 		p = s.appendRecord(p, msg)
 	}
-	// What is delivered of the oldest segment must not be read again behind the new one: the rest of it is copied.
+	// The delivered part of the oldest segment must not be read again after the new segment, so the rest of it is copied
+	// to the new segment.
 	copiesOldest := len(s.segments) > 0 && s.deliveredOffset > 0
 	if copiesOldest {
 		oldest, err := os.ReadFile(s.path(s.segments[0].number))
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrBroken, err)
+			return fmt.Errorf("%w: %w", ErrDisk, err)
 		}
 		p = append(p, oldest[min(s.deliveredOffset, int64(len(oldest))):]...)
 	}
@@ -165,19 +167,19 @@
 	s.deliveredOffset = 0
 	s.readOffset = 0
 	s.dropBuffer()
-	return s.Keep()
+	return s.SaveCursor()
 }
 
 // writeSegment writes a complete segment.
 func (s *Spool) writeSegment(number uint64, p []byte) error {
 	file, err := s.options.Create(s.path(number))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	_, err = file.Write(p)
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
-		_ = os.Remove(s.path(number)) // the caller keeps the messages: where the file stays they come twice
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		_ = os.Remove(s.path(number)) // the caller keeps the messages: if the file stays, they are sent twice
+		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	return nil
 }
--- a/internal/spool/cursor.go
+++ b/internal/spool/cursor.go
@@ -16,14 +16,14 @@
 	cursorSize       = 20
 )
 
-// cursor is a place in the spool: everything before it is delivered.
+// cursor is a position in the spool: all records before it are delivered.
 type cursor struct {
-	segment uint64 // the number
-	offset  int64
+	segment uint64 // the number of the segment
+	offset  int64  // in bytes from its start
 }
 
-// Keep notes on disk what is delivered, so that the next start does not send it again.
-func (s *Spool) Keep() error {
+// SaveCursor writes the cursor file, so that the next start does not send delivered messages again.
+func (s *Spool) SaveCursor() error {
 	if len(s.segments) == 0 {
 		return nil
 	}
@@ -32,12 +32,12 @@
 	p = binary.BigEndian.AppendUint32(p, crc32.Checksum(p, s.checksums))
 	path := filepath.Join(s.dir, cursorFile)
 	if err := os.WriteFile(path+".new", p, fileMode); err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	return os.Rename(path+".new", path)
 }
 
-// readCursor returns the cursor that the last process left; ok is false where there is none, or a damaged one.
+// readCursor returns the cursor that the last process saved. ok is false if there is no cursor file or it is damaged.
 func (s *Spool) readCursor() (at cursor, ok bool) {
 	p, err := os.ReadFile(filepath.Join(s.dir, cursorFile))
 	if err != nil || len(p) != cursorSize {
@@ -51,7 +51,7 @@
 	return at, true
 }
 
-// applyCursor passes over what the last process noted as delivered.
+// applyCursor skips the messages that the last process delivered according to the cursor file.
 func (s *Spool) applyCursor() {
 	at, ok := s.readCursor()
 	if !ok {
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -12,8 +12,8 @@
 	"limeladder/internal/spool"
 )
 
-// The golden folder testdata/spool was written by the program at commit 4e3d53a. A process that died with that version
-// leaves such a folder behind, and the next version adopts it and sends what it holds.
+// The golden folder testdata/spool was written by the program at commit 4e3d53a. A process of that version that has
+// died may have left such a folder, and the next version has to adopt it and send its messages.
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
@@ -24,8 +24,8 @@
 	return spool.Options{Segment: 64, Most: 1 << 20, Message: 100}
 }
 
-// goldenMessages are put into the golden spool in this order. The first one is delivered, the last two are put back in
-// front of all others.
+// goldenMessages returns the messages that are added to the golden spool, in this order. The first one is delivered,
+// the last two are prepended to all others.
 func goldenMessages() [][]byte {
 	return [][]byte{
 		[]byte("delivered"),
@@ -37,7 +37,7 @@
 	}
 }
 
-// writeSpool makes the golden spool below root and closes it.
+// writeSpool writes the golden spool to a folder below root and closes it.
 func writeSpool(t *testing.T, root string) {
 	t.Helper()
 	writer, err := spool.Create(root, "spool", goldenOptions())
@@ -45,21 +45,21 @@
 		t.Fatal(err)
 	}
 	messages := goldenMessages()
-	if taken, err := writer.Append(messages[:4]); err != nil || taken != 4 {
-		t.Fatalf("%d messages appended, %v", taken, err)
+	if appended, err := writer.Append(messages[:4]); err != nil || appended != 4 {
+		t.Fatalf("%d messages appended, %v", appended, err)
 	}
 	if read, err := writer.Next(nil, 1, 1<<20); err != nil || len(read) != 1 {
 		t.Fatalf("%q read, %v", read, err)
 	}
-	writer.Delivered(writer.Reading())
-	if err := writer.Front(messages[4:]); err != nil {
+	writer.MarkDelivered(writer.ReadOffset())
+	if err := writer.Prepend(messages[4:]); err != nil {
 		t.Fatal(err)
 	}
-	// One message of the new oldest segment is delivered, so that the cursor points into the middle of it.
+	// One message of the new oldest segment is delivered, so that the cursor points into the middle of the segment.
 	if read, err := writer.Next(nil, 1, 1<<20); err != nil || len(read) != 1 {
 		t.Fatalf("%q read, %v", read, err)
 	}
-	writer.Delivered(writer.Reading())
+	writer.MarkDelivered(writer.ReadOffset())
 	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -142,13 +142,13 @@
 		for _, message := range read {
 			got = append(got, bytes.Clone(message))
 		}
-		adopted.Delivered(adopted.Reading())
+		adopted.MarkDelivered(adopted.ReadOffset())
 	}
 	if !slices.EqualFunc(got, want, bytes.Equal) {
 		t.Errorf("the spool holds %q, want %q", got, want)
 	}
 	if adopted.Skipped() != 0 || !adopted.Empty() {
-		t.Errorf("%d bytes were passed over, %d are left", adopted.Skipped(), adopted.Size())
+		t.Errorf("%d bytes were skipped and %d are left, want none", adopted.Skipped(), adopted.Size())
 	}
 	if err := adopted.Remove(); err != nil {
 		t.Fatal(err)
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -7,14 +7,15 @@
 	"os"
 )
 
-// Next reads on and appends to out: at most so many messages and bytes, at least one message if there is any.
-func (s *Spool) Next(out [][]byte, count, bytes int) ([][]byte, error) {
-	for len(s.segments) > 0 && count > 0 && bytes > 0 {
+// Next reads the next messages and appends them to out: at most maxMessages, and none after maxBytes are reached, but
+// at least one if there is any. It returns messages of one segment only.
+func (s *Spool) Next(out [][]byte, maxMessages, maxBytes int) ([][]byte, error) {
+	for len(s.segments) > 0 && maxMessages > 0 && maxBytes > 0 {
 		oldest := s.segments[0]
 		if s.readOffset >= oldest.size {
 			s.removeDelivered()
 			if len(s.segments) > 0 && s.segments[0].number == oldest.number {
-				return out, nil // the next segment is read only once this one is delivered
+				return out, nil // the next segment is read only when this one is delivered
 			}
 			continue
 		}
@@ -25,19 +26,19 @@
 		if msg != nil {
 			s.readOffset += length
 			out = append(out, msg)
-			count--
-			bytes -= len(msg)
+			maxMessages--
+			maxBytes -= len(msg)
 			continue
 		}
 		if len(out) > 0 {
-			return out, nil // the caller takes the returned messages to stand without a gap
+			return out, nil // the caller computes offsets from the returned messages, so there must be no gap between them
 		}
 		s.skipBytes(length)
 	}
 	return out, nil
 }
 
-// skipBytes passes over bytes that are no complete record.
+// skipBytes skips bytes that are not part of a complete record.
 func (s *Spool) skipBytes(length int64) {
 	s.skipped += length
 	if s.deliveredOffset == s.readOffset {
@@ -47,9 +48,9 @@
 	s.removeDelivered()
 }
 
-// recordAt returns the message at an offset of the oldest segment, and the length of its record. Where there is no
-// complete record the message is nil, and the length is the distance to the next one or the end, so that a damaged
-// record does not cost the ones behind it.
+// recordAt returns the message at an offset of the oldest segment, and the length of its record in bytes. If there is
+// no complete record, the message is nil and the length is the distance to the next complete record or the end of the
+// segment, so that the records after a damaged one are still read.
 func (s *Spool) recordAt(offset int64) (msg []byte, length int64, err error) {
 	if err := s.fillBuffer(offset); err != nil {
 		return nil, 0, err
@@ -61,8 +62,8 @@
 	return nil, int64(s.nextRecord(p)), nil
 }
 
-// fillBuffer reads all of the oldest segment that is written, from an offset on. A segment is bounded by
-// Options.Segment.
+// fillBuffer reads the oldest segment from an offset to its end into the buffer. Options.Segment limits the size of a
+// segment.
 func (s *Spool) fillBuffer(offset int64) error {
 	oldest := s.segments[0]
 	if s.bufferOffset <= offset && s.bufferOffset+int64(len(s.buffer)) >= oldest.size {
@@ -81,17 +82,17 @@
 		return fmt.Errorf("spool: %w", err)
 	}
 	if n < len(p) {
-		s.segments[0].size = offset + int64(n) // the file is shorter than it was
+		s.segments[0].size = offset + int64(n) // the file has become shorter
 	}
 	s.buffer = p[:n]
 	s.bufferOffset = offset
 	return nil
 }
 
-// dropBuffer forgets what was read of the oldest segment.
+// dropBuffer closes the oldest segment for reading and drops its buffered content.
 func (s *Spool) dropBuffer() {
 	if s.oldest != nil {
-		_ = s.oldest.Close() // it was only read
+		_ = s.oldest.Close() // the file was only read, so no data is lost
 	}
 	s.oldest = nil
 	s.buffer = nil
@@ -108,7 +109,7 @@
 	}
 }
 
-// advanceSegment removes the oldest segment and goes on with the one behind it.
+// advanceSegment removes the oldest segment, so that the next one is read.
 func (s *Spool) advanceSegment() {
 	s.removeOldest()
 	s.deliveredOffset = 0
@@ -116,17 +117,17 @@
 	s.dropBuffer()
 }
 
-// Reading returns the offset up to which Next has read the oldest segment. A message that Next returned stands Overhead
-// and its length before the one behind it.
-func (s *Spool) Reading() int64 { return s.readOffset }
+// ReadOffset returns the offset in bytes up to which Next has read the oldest segment. A message that Next returned
+// takes Overhead bytes and its own length there.
+func (s *Spool) ReadOffset() int64 { return s.readOffset }
 
-// Delivered notes that everything up to an offset of the oldest segment has arrived. A segment that is delivered as a
-// whole is removed.
-func (s *Spool) Delivered(to int64) {
+// MarkDelivered notes that all messages before an offset of the oldest segment are delivered. It removes the segment
+// when all of it is.
+func (s *Spool) MarkDelivered(offset int64) {
 	if len(s.segments) == 0 {
 		return
 	}
-	s.deliveredOffset = max(s.deliveredOffset, min(to, s.readOffset))
+	s.deliveredOffset = max(s.deliveredOffset, min(offset, s.readOffset))
 	if s.deliveredOffset < s.segments[0].size {
 		return
 	}
@@ -136,5 +137,5 @@
 	s.advanceSegment()
 }
 
-// Again notes that what Next has returned since Delivered has not arrived.
-func (s *Spool) Again() { s.readOffset = s.deliveredOffset }
+// Rewind makes Next return all messages again that are not marked as delivered.
+func (s *Spool) Rewind() { s.readOffset = s.deliveredOffset }
--- a/internal/spool/segment.go
+++ b/internal/spool/segment.go
@@ -19,19 +19,20 @@
 	checksumAt  = 6
 )
 
-// Overhead is what a message takes beside its own bytes.
+// Overhead is the number of bytes that a record has in addition to its message.
 const Overhead = headerSize
 
-// firstSegment is the number of the first segment; lower ones are put in front of it.
+// firstSegment is the number of the first segment. It leaves lower numbers for the segments that Prepend adds before
+// it.
 const firstSegment = 1 << 32
 
-// segmentSuffix is the end of the file name of a segment, behind its number in hexadecimal.
+// segmentSuffix is the end of the file name of a segment. It follows the number in hexadecimal.
 const segmentSuffix = ".seg"
 
-// segment is one file.
+// segment is a file of the queue.
 type segment struct {
 	number uint64
-	size   int64
+	size   int64 // in bytes
 }
 
 // path returns the file name of a segment.
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// removeOldest removes the oldest segment. Where its file stays and the cursor is not behind it, the next start
-// reads it again: messages come twice, and none is lost.
+// removeOldest removes the oldest segment. If its file can't be removed and the saved cursor is not after it, the next
+// start reads it again: messages are sent twice, but none is lost.
 func (s *Spool) removeOldest() {
 	_ = os.Remove(s.path(s.segments[0].number))
 	s.segments = s.segments[1:]
@@ -79,7 +80,7 @@
 	return append(p, msg...)
 }
 
-// parseRecord returns the message of the record that p starts with; ok is false where there is no complete one.
+// parseRecord returns the message of the record at the start of p. ok is false if there is no complete record.
 func (s *Spool) parseRecord(p []byte) (msg []byte, ok bool) {
 	if len(p) < headerSize || binary.BigEndian.Uint16(p) != recordMagic {
 		return nil, false
@@ -92,7 +93,7 @@
 	return msg, crc32.Checksum(msg, s.checksums) == binary.BigEndian.Uint32(p[checksumAt:])
 }
 
-// nextRecord returns the distance from the start of p to the next complete record behind it, or to the end of p.
+// nextRecord returns the distance from the start of p to the next complete record after it, or to the end of p.
 func (s *Spool) nextRecord(p []byte) int {
 	for i := 1; i+headerSize <= len(p); i++ {
 		if binary.BigEndian.Uint16(p[i:]) != recordMagic {
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,6 +1,6 @@
-// Package spool stores messages on disk while no collector takes them: a first-in, first-out queue of segments, each a
-// file of checksummed records. A folder has one writer, which holds its lock. What a process that has died left there
-// can be adopted and read, and is never appended to.
+// Package spool stores messages on disk while no collector accepts them. A spool is a folder with a first-in, first-out
+// queue of segments, each a file of checksummed records. The process that holds the lock of the folder writes to it.
+// Once that process has died, another one can adopt the folder; it reads the messages, but appends none.
 //
 // A Spool starts no goroutine and takes no lock in memory: its caller serializes the calls. They wait for the disk and
 // must not run on the event loop.
@@ -17,36 +17,36 @@
 	"time"
 )
 
-// Options bound a spool.
+// Options configure a spool.
 type Options struct {
-	Segment int   // the size in bytes after which a new segment begins
+	Segment int   // the size in bytes at which a segment is full and a new one begins
 	Most    int64 // the size limit of all segments together in bytes
 	Message int   // the size limit of a message in bytes
-	// Create opens a new segment; nil is the file system's. Tests put failing disks here.
+	// Create creates the file of a new segment; nil = in the file system. Tests simulate disk failures with it.
 	Create func(path string) (File, error)
 }
 
-// File is what a segment is written to.
+// File is the file of a segment that is open for writing.
 type File interface {
 	io.Writer
-	// Truncate cuts the file to a size.
+	// Truncate shortens the file to a size in bytes.
 	Truncate(size int64) error
-	// Sync hands what was written to the disk.
+	// Sync flushes the written data to the disk.
 	Sync() error
-	// Close ends the writing.
+	// Close closes the file.
 	Close() error
 }
 
 // The errors of Append.
 var (
-	// ErrFull says that the size limit of the spool is reached.
+	// ErrFull means that the size limit of the spool is reached.
 	ErrFull = errors.New("spool: full")
-	// ErrBroken says that the disk has failed a write.
-	ErrBroken = errors.New("spool: the disk does not take it")
+	// ErrDisk means that an operation on the disk has failed.
+	ErrDisk = errors.New("spool: disk operation failed")
 )
 
-// errLocked says that another process has the folder.
-var errLocked = errors.New("spool: another process holds it")
+// errLocked means that another process holds the lock of the folder.
+var errLocked = errors.New("spool: folder is locked by another process")
 
 const (
 	lockFile   = "lock"
@@ -57,13 +57,13 @@
 )
 
 const (
-	// maxLockAttempts is how often Create tries to lock its folder.
+	// maxLockAttempts is how often Create retries to lock its folder.
 	maxLockAttempts = 100
 	// lockRetryInterval is the pause between two attempts to lock a folder.
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// Spool is one folder. One goroutine may append and another one read; the caller serializes their calls.
+// Spool is a folder with messages. One goroutine may append and another one read; the caller serializes their calls.
 type Spool struct {
 	dir       string
 	options   Options
@@ -72,19 +72,19 @@
 	segments  []segment // oldest first
 
 	newest   File // the newest segment, nil = none is open for writing
-	unsynced bool // the newest segment has writes that were not handed to the disk
+	unsynced bool // the newest segment has writes that were not flushed to the disk
 
-	readOffset      int64    // up to here the oldest segment was read
-	deliveredOffset int64    // up to here the oldest segment was delivered
+	readOffset      int64    // the offset in bytes up to which the oldest segment was read
+	deliveredOffset int64    // the offset in bytes up to which the oldest segment was delivered
 	oldest          *os.File // the oldest segment, nil = not open for reading
 	buffer          []byte   // the content of the oldest segment from bufferOffset on
 	bufferOffset    int64
-	skipped         int64
+	skipped         int64 // see Skipped
 }
 
 func checksumTable() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) }
 
-// Create makes the folder root/name and locks it for writing.
+// Create creates the folder root/name, if it does not exist, and locks it for writing.
 func Create(root, name string, opt Options) (*Spool, error) {
 	dir := filepath.Join(root, name)
 	for attempt := 0; ; attempt++ {
@@ -95,7 +95,7 @@
 		if err == nil {
 			return s, nil
 		}
-		// Another process that adopts what others left may hold the lock of the empty folder for a moment.
+		// Another process that looks for folders to adopt may briefly hold the lock of the empty folder.
 		if attempt == maxLockAttempts || !errors.Is(err, errLocked) {
 			return nil, err
 		}
@@ -103,8 +103,9 @@
 	}
 }
 
-// Adopt opens every folder below root whose writer has died, oldest name first. Two processes never hold the same one.
-func Adopt(root string, opt Options) (left []*Spool, err error) {
+// Adopt opens every folder below root whose writer has died and that holds undelivered messages, in the order of their
+// names, the oldest first. Two processes never hold the same folder.
+func Adopt(root string, opt Options) (adopted []*Spool, err error) {
 	entries, err := os.ReadDir(root)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -118,15 +119,15 @@
 			continue // it is in use, or not readable
 		}
 		if s.Empty() {
-			_ = s.Remove() // a folder that stays is empty, and the next start removes it
+			_ = s.Remove() // if this fails, the folder is empty and the next start removes it
 			continue
 		}
-		left = append(left, s)
+		adopted = append(adopted, s)
 	}
-	return left, err
+	return adopted, err
 }
 
-// open locks a folder and finds what was left in it.
+// open locks a folder and finds the undelivered messages in it.
 func open(dir string, opt Options) (*Spool, error) {
 	lock, err := acquireLock(dir)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return s, nil
 }
 
-// createFile opens a new segment in the file system.
+// createFile creates the file of a new segment in the file system.
 func createFile(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
@@ -163,8 +164,8 @@
 	return lock, nil
 }
 
-// isInPlace reports whether an open file is still the one of its path. The last owner may have removed the folder
-// between the opening of the lock file and its locking.
+// isInPlace reports whether an open file is still the one at its path. The last owner may have removed the folder after
+// the lock file was opened and before it was locked.
 func isInPlace(file *os.File) bool {
 	atPath, err := os.Stat(file.Name())
 	if err != nil {
@@ -174,13 +175,13 @@
 	return err == nil && os.SameFile(atPath, opened)
 }
 
-// releaseLock releases a folder. Nothing is ever written to the lock file, so nothing can be lost by closing it.
+// releaseLock unlocks a folder. Nothing is ever written to the lock file, so an error of closing it loses no data.
 func releaseLock(lock *os.File) { _ = lock.Close() }
 
-// Size returns the number of bytes that are not delivered.
+// Size returns the size in bytes of the records that are not delivered.
 func (s *Spool) Size() int64 { return s.diskSize() - s.deliveredOffset }
 
-// diskSize returns the number of bytes of all segments.
+// diskSize returns the size in bytes of all segments.
 func (s *Spool) diskSize() (size int64) {
 	for _, segment := range s.segments {
 		size += segment.size
@@ -191,10 +192,11 @@
 // Empty reports whether all messages are delivered.
 func (s *Spool) Empty() bool { return s.Size() == 0 }
 
-// Skipped returns the number of bytes that were passed over because they were no complete record.
+// Skipped returns the number of bytes that were skipped because they were not part of a complete record.
 func (s *Spool) Skipped() int64 { return s.skipped }
 
-// Close leaves what is not delivered to the next start; a folder with nothing left in it is removed.
+// Close saves the cursor and unlocks the folder, so that another process can adopt the undelivered messages. If there
+// are none it removes the folder.
 func (s *Spool) Close() error {
 	if s.Empty() {
 		return s.Remove()
@@ -204,11 +206,11 @@
 		err = s.sealNewest()
 	}
 	s.dropBuffer()
-	err = errors.Join(err, s.Keep())
+	err = errors.Join(err, s.SaveCursor())
 	return errors.Join(err, s.lock.Close())
 }
 
-// Remove deletes the folder.
+// Remove deletes the folder with all messages, and unlocks it.
 func (s *Spool) Remove() error {
 	if s.newest != nil {
 		s.closeNewest()
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -13,18 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-func options() Options { return Options{Segment: 300, Most: 1 << 20, Message: 100} }
+func testOptions() Options { return Options{Segment: 300, Most: 1 << 20, Message: 100} }
 
-func message(i int) []byte { return fmt.Appendf(nil, "message %d", i) }
+func testMessage(i int) []byte { return fmt.Appendf(nil, "message %d", i) }
 
-func some(from, to int) (msgs [][]byte) {
+// testMessages returns the messages with the numbers from to to-1.
+func testMessages(from, to int) (msgs [][]byte) {
 	for i := from; i < to; i++ {
-		msgs = append(msgs, message(i))
+		msgs = append(msgs, testMessage(i))
 	}
 	return msgs
 }
 
-func create(tb testing.TB, root string, opt Options) *Spool {
+func createSpool(tb testing.TB, root string, opt Options) *Spool {
 	tb.Helper()
 	s, err := Create(root, "one", opt)
 	if err != nil {
@@ -33,15 +34,15 @@
 	return s
 }
 
-// must fails the test where a step that it rests on fails.
-func must(tb testing.TB, err error) {
+// checkNoError fails the test if a step that it depends on has failed.
+func checkNoError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// appendAll appends messages that there is room for.
+// appendAll appends messages, and fails the test if not all fit.
 func appendAll(tb testing.TB, s *Spool, msgs [][]byte) {
 	tb.Helper()
 	if n, err := s.Append(msgs); err != nil || n != len(msgs) {
@@ -49,8 +50,8 @@
 	}
 }
 
-// drain reads all that is left, as delivered.
-func drain(tb testing.TB, s *Spool) (out []string) {
+// readAll reads the remaining messages and marks them as delivered.
+func readAll(tb testing.TB, s *Spool) (out []string) {
 	tb.Helper()
 	for !s.Empty() {
 		msgs, err := s.Next(nil, 5, 60)
@@ -60,39 +61,40 @@
 		for _, m := range msgs {
 			out = append(out, string(m))
 		}
-		s.Delivered(s.Reading())
+		s.MarkDelivered(s.ReadOffset())
 		if len(msgs) == 0 && !s.Empty() {
-			tb.Fatalf("nothing comes, %d bytes are left", s.Size())
+			tb.Fatalf("Next returns no message though %d bytes are left", s.Size())
 		}
 	}
 	return out
 }
 
-func same(tb testing.TB, got []string, want [][]byte) {
+// checkMessages fails the test if got and want differ.
+func checkMessages(tb testing.TB, got []string, want [][]byte) {
 	tb.Helper()
 	if len(got) != len(want) {
-		tb.Fatalf("%d messages, %d wanted", len(got), len(want))
+		tb.Fatalf("got %d messages, want %d", len(got), len(want))
 	}
 	for i := range got {
 		if got[i] != string(want[i]) {
-			tb.Fatalf("%d: %q, %q wanted", i, got[i], want[i])
+			tb.Fatalf("message %d: got %q, want %q", i, got[i], want[i])
 		}
 	}
 }
 
-// Whatever is appended, read, delivered, put back, closed and opened again in whatever order: all comes out once, in
-// order, but for what was not delivered, which comes again.
-func TestAnyOrder(t *testing.T) {
+// After random appends, reads, deliveries, rewinds and reopenings, each message is read once and in order. Only
+// messages that were not delivered are read again.
+func TestRandomOperations(t *testing.T) {
 	root := t.TempDir()
 	round := 0
 	rapid.Check(t, func(t *rapid.T) {
 		round++
 		dir := filepath.Join(root, fmt.Sprint(round))
-		s, err := Create(dir, "one", options())
+		s, err := Create(dir, "one", testOptions())
 		if err != nil {
 			t.Fatal(err)
 		}
-		run := &anyOrderRun{t: t, dir: dir, spool: s}
+		run := &randomRun{t: t, dir: dir, spool: s}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			run.step(rapid.IntRange(0, 5).Draw(t, "op"))
 		}
@@ -100,69 +102,69 @@
 	})
 }
 
-// anyOrderRun is a spool under random steps, with the numbers of the messages that it should give.
-type anyOrderRun struct {
+// randomRun is a spool under random operations, with the numbers of the messages that it should return.
+type randomRun struct {
 	t         *rapid.T
 	dir       string
 	spool     *Spool
 	next      int // the next message to append
 	read      int // the next message to read
-	delivered int // all messages before it are delivered
+	delivered int // the number of messages that are delivered
 }
 
-func (r *anyOrderRun) step(operation int) {
+func (r *randomRun) step(operation int) {
 	switch operation {
 	case 0, 1:
 		r.append()
 	case 2, 3:
 		r.readSome()
 	case 4:
-		r.spool.Again()
+		r.spool.Rewind()
 		r.read = r.delivered
 	case 5:
 		r.reopen()
 	}
 }
 
-func (r *anyOrderRun) append() {
+func (r *randomRun) append() {
 	count := rapid.IntRange(1, 20).Draw(r.t, "n")
-	appended, err := r.spool.Append(some(r.next, r.next+count))
+	appended, err := r.spool.Append(testMessages(r.next, r.next+count))
 	if err != nil || appended != count {
 		r.t.Fatal(appended, err)
 	}
 	r.next += count
 }
 
-func (r *anyOrderRun) readSome() {
+func (r *randomRun) readSome() {
 	r.expectNext(rapid.IntRange(1, 12).Draw(r.t, "count"), rapid.IntRange(1, 200).Draw(r.t, "bytes"))
 	if rapid.Bool().Draw(r.t, "deliver") {
-		r.spool.Delivered(r.spool.Reading())
+		r.spool.MarkDelivered(r.spool.ReadOffset())
 		r.delivered = r.read
 	}
 }
 
-// expectNext reads at most so many messages and bytes, and compares them with what should come.
-func (r *anyOrderRun) expectNext(count, maxBytes int) {
+// expectNext calls Next with the given limits, and compares the returned messages with the expected ones.
+func (r *randomRun) expectNext(count, maxBytes int) {
 	messages, err := r.spool.Next(nil, count, maxBytes)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	for _, got := range messages {
-		if string(got) != string(message(r.read)) {
-			r.t.Fatalf("%q, %q wanted", got, message(r.read))
+		if string(got) != string(testMessage(r.read)) {
+			r.t.Fatalf("got %q, want %q", got, testMessage(r.read))
 		}
 		r.read++
 	}
 }
 
-func (r *anyOrderRun) reopen() {
+func (r *randomRun) reopen() {
 	if r.spool.Empty() {
 		return
 	}
 	if err := r.spool.Close(); err != nil {
 		r.t.Fatal(err)
 	}
-	left, err := Adopt(r.dir, options())
+	left, err := Adopt(r.dir, testOptions())
 	if err != nil || len(left) != 1 {
 		r.t.Fatal(len(left), err)
 	}
@@ -170,39 +172,38 @@
 	r.read = r.delivered
 }
 
-// finish reads what is left, and checks that every message came out.
-func (r *anyOrderRun) finish() {
-	r.spool.Again()
+// finish reads the remaining messages, and checks that every message was read.
+func (r *randomRun) finish() {
+	r.spool.Rewind()
 	r.read = r.delivered
 	for !r.spool.Empty() {
 		r.expectNext(9, 99)
-		r.spool.Delivered(r.spool.Reading())
+		r.spool.MarkDelivered(r.spool.ReadOffset())
 	}
 	if r.read != r.next {
-		r.t.Fatalf("%d of %d came out", r.read, r.next)
+		r.t.Fatalf("%d of %d messages were read", r.read, r.next)
 	}
 	if err := r.spool.Close(); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// A file that ends anywhere gives all whole records before its end: SIGKILL in the middle of a write
-// loses what it cuts.
-func TestTornTail(t *testing.T) {
+// SIGKILL in the middle of a write truncates a segment at any offset. All complete records before it are read.
+func TestTruncatedSegment(t *testing.T) {
 	dir := t.TempDir()
-	opt := options()
+	opt := testOptions()
 	opt.Segment = 1 << 20
-	s := create(t, dir, opt)
-	want := some(0, 20)
+	s := createSpool(t, dir, opt)
+	want := testMessages(0, 20)
 	appendAll(t, s, want)
-	must(t, s.newest.Close())
+	checkNoError(t, s.newest.Close())
 	whole, err := os.ReadFile(s.path(firstSegment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	must(t, s.lock.Close())
+	checkNoError(t, s.lock.Close())
 	for cut := range len(whole) {
-		must(t, os.WriteFile(s.path(firstSegment), whole[:cut], 0o600))
+		checkNoError(t, os.WriteFile(s.path(firstSegment), whole[:cut], 0o600))
 		left, err := Adopt(dir, opt)
 		n := 0
 		for at := 0; n < len(want) && at+headerSize+len(want[n]) <= cut; n++ {
@@ -210,139 +211,141 @@
 		}
 		if cut == 0 {
 			if len(left) != 0 {
-				t.Fatal("an empty folder is not let go")
+				t.Fatal("Adopt has returned an empty folder")
 			}
-			must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
+			checkNoError(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
 			continue
 		}
 		if err != nil || len(left) != 1 {
-			t.Fatalf("%d: %d, %v", cut, len(left), err)
+			t.Fatalf("cut at byte %d: %d spools adopted, %v", cut, len(left), err)
 		}
-		same(t, drain(t, left[0]), want[:n])
-		must(t, left[0].lock.Close())
-		must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
+		checkMessages(t, readAll(t, left[0]), want[:n])
+		checkNoError(t, left[0].lock.Close())
+		checkNoError(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
 	}
 }
 
-// A flipped bit costs the record it is in, and no other.
+// A flipped bit loses the record that it is in, and no other.
 func TestFlippedBits(t *testing.T) {
 	dir := t.TempDir()
-	s := create(t, dir, Options{Segment: 1 << 20, Most: 1 << 20, Message: 100})
-	want := some(0, 12)
+	s := createSpool(t, dir, Options{Segment: 1 << 20, Most: 1 << 20, Message: 100})
+	want := testMessages(0, 12)
 	appendAll(t, s, want)
-	must(t, s.newest.Close())
+	checkNoError(t, s.newest.Close())
 	whole, _ := os.ReadFile(s.path(firstSegment))
-	must(t, s.lock.Close())
+	checkNoError(t, s.lock.Close())
 	for bit := range len(whole) * 8 {
 		p := bytes.Clone(whole)
 		p[bit/8] ^= 1 << (bit % 8)
-		must(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
-		must(t, os.WriteFile(s.path(firstSegment), p, 0o600))
-		left, err := Adopt(dir, options())
+		checkNoError(t, os.MkdirAll(filepath.Join(dir, "one"), 0o700))
+		checkNoError(t, os.WriteFile(s.path(firstSegment), p, 0o600))
+		left, err := Adopt(dir, testOptions())
 		if err != nil || len(left) != 1 {
 			t.Fatal(err)
 		}
-		got := drain(t, left[0])
+		got := readAll(t, left[0])
 		hit, at := 0, 0
 		for ; at+headerSize+len(want[hit]) <= bit/8; hit++ {
 			at += headerSize + len(want[hit])
 		}
-		same(t, got, append(append([][]byte(nil), want[:hit]...), want[hit+1:]...))
+		checkMessages(t, got, append(append([][]byte(nil), want[:hit]...), want[hit+1:]...))
 		if left[0].Skipped() != int64(headerSize+len(want[hit])) {
-			t.Fatalf("bit %d: %d bytes passed over", bit, left[0].Skipped())
+			t.Fatalf("bit %d: %d bytes skipped, want the size of one record", bit, left[0].Skipped())
 		}
-		must(t, left[0].Remove())
+		checkNoError(t, left[0].Remove())
 	}
 }
 
-// A folder is one process's: nobody else adopts it while it lives, and nobody is given one that was removed under him.
-func TestOneOwner(t *testing.T) {
+// A folder has one owner: no other process can adopt it while its owner lives, and a folder that was removed is not
+// returned.
+func TestFolderHasOneOwner(t *testing.T) {
 	dir := t.TempDir()
-	s := create(t, dir, options())
-	appendAll(t, s, some(0, 3))
-	if left, err := Adopt(dir, options()); err != nil || len(left) != 0 {
-		t.Fatalf("%d adopted, %v", len(left), err)
+	s := createSpool(t, dir, testOptions())
+	appendAll(t, s, testMessages(0, 3))
+	if left, err := Adopt(dir, testOptions()); err != nil || len(left) != 0 {
+		t.Fatalf("%d spools adopted while the owner lives, %v", len(left), err)
 	}
-	if _, err := open(s.dir, options()); !errors.Is(err, errLocked) {
-		t.Fatalf("%v", err)
+	if _, err := open(s.dir, testOptions()); !errors.Is(err, errLocked) {
+		t.Fatalf("open: got %v, want errLocked", err)
 	}
-	must(t, s.Close())
-	a, _ := Adopt(dir, options())
-	b, _ := Adopt(dir, options())
+	checkNoError(t, s.Close())
+	a, _ := Adopt(dir, testOptions())
+	b, _ := Adopt(dir, testOptions())
 	if len(a) != 1 || len(b) != 0 {
-		t.Fatalf("%d and %d adopted", len(a), len(b))
+		t.Fatalf("%d and %d spools adopted, want 1 and 0", len(a), len(b))
 	}
-	same(t, drain(t, a[0]), some(0, 3))
-	must(t, a[0].Close())
+	checkMessages(t, readAll(t, a[0]), testMessages(0, 3))
+	checkNoError(t, a[0].Close())
 	if entries, _ := os.ReadDir(dir); len(entries) != 0 {
-		t.Fatal("the folder is still there")
+		t.Fatal("Close has not removed the empty folder")
 	}
 }
 
-// full is a disk that takes so many bytes.
-type full struct {
+// fullDiskFile is a file on a disk that has room for a limited number of bytes.
+type fullDiskFile struct {
 	*os.File
-	room *int
-	half bool // a write that does not fit leaves a part of it behind, and it can't be cut off
+	remaining         *int
+	keepsPartialWrite bool // what a failed write has written can't be truncated
 }
 
-func (f *full) Write(p []byte) (int, error) {
-	if len(p) <= *f.room {
-		*f.room -= len(p)
+func (f *fullDiskFile) Write(p []byte) (int, error) {
+	if len(p) <= *f.remaining {
+		*f.remaining -= len(p)
 		return f.File.Write(p)
 	}
-	n, _ := f.File.Write(p[:*f.room])
-	*f.room = 0
+	n, _ := f.File.Write(p[:*f.remaining])
+	*f.remaining = 0
 	return n, syscall.ENOSPC
 }
 
-func (f *full) Truncate(size int64) error {
-	if f.half {
+func (f *fullDiskFile) Truncate(size int64) error {
+	if f.keepsPartialWrite {
 		return syscall.EIO
 	}
 	return f.File.Truncate(size)
 }
 
-// A full disk is an error, leaves nothing between whole records, and once it has room again all goes on.
+// On a full disk Append fails and leaves no partial record that would hide complete ones. Once the disk has room again,
+// messages can be appended.
 func TestDiskFull(t *testing.T) {
-	for _, half := range []bool{false, true} {
+	for _, keepsPartialWrite := range []bool{false, true} {
 		for room := range 200 {
 			dir, left := t.TempDir(), room
-			opt := options()
+			opt := testOptions()
 			opt.Create = func(path string) (File, error) {
 				f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o600)
-				return &full{f, &left, half}, err
+				return &fullDiskFile{f, &left, keepsPartialWrite}, err
 			}
-			s := create(t, dir, opt)
-			want := some(0, 30)
-			n, tries := 0, 0
+			s := createSpool(t, dir, opt)
+			want := testMessages(0, 30)
+			n, failures := 0, 0
 			for n < len(want) {
 				k, err := s.Append(want[n : n+1])
-				if err != nil && (!errors.Is(err, ErrBroken) || !errors.Is(err, syscall.ENOSPC)) {
+				if err != nil && (!errors.Is(err, ErrDisk) || !errors.Is(err, syscall.ENOSPC)) {
 					t.Fatal(err)
 				}
 				n += k
 				if err != nil {
-					if tries++; tries > 3 {
+					if failures++; failures > 3 {
 						left = 1 << 20
 					}
 				}
 			}
-			same(t, drain(t, s), want)
-			must(t, s.Close())
+			checkMessages(t, readAll(t, s), want)
+			checkNoError(t, s.Close())
 		}
 	}
 }
 
-// The bound in bytes holds, and delivering makes room.
-func TestBound(t *testing.T) {
-	opt := options()
+// The size on disk never exceeds Options.Most, and delivering messages makes room for new ones.
+func TestSizeLimit(t *testing.T) {
+	opt := testOptions()
 	opt.Most = 2000
-	s := create(t, t.TempDir(), opt)
+	s := createSpool(t, t.TempDir(), opt)
 	in, out := 0, 0
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		n, err := s.Append(some(in, in+1+rng.IntN(9)))
+		n, err := s.Append(testMessages(in, in+1+rng.IntN(9)))
 		if err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
@@ -352,48 +355,48 @@
 			disk += g.size
 		}
 		if disk > opt.Most {
-			t.Fatalf("%d bytes", disk)
+			t.Fatalf("%d bytes on disk, want at most Options.Most", disk)
 		}
 		msgs, _ := s.Next(nil, rng.IntN(7), 1000)
 		for _, m := range msgs {
-			if string(m) != string(message(out)) {
-				t.Fatalf("%q", m)
+			if string(m) != string(testMessage(out)) {
+				t.Fatalf("message %q is out of order", m)
 			}
 			out++
 		}
-		s.Delivered(s.Reading())
+		s.MarkDelivered(s.ReadOffset())
 	}
 	if out < 3000 {
-		t.Fatalf("%d came out", out)
+		t.Fatalf("%d messages were read, want at least 3000", out)
 	}
 }
 
-// What was taken out and not delivered goes back in front, and stands there at the next start.
-func TestFront(t *testing.T) {
+// Prepended messages are read first, after a restart too, and delivered ones are not read again.
+func TestPrepend(t *testing.T) {
 	for delivered := range 12 {
 		dir := t.TempDir()
-		s := create(t, dir, options())
-		appendAll(t, s, some(5, 17))
+		s := createSpool(t, dir, testOptions())
+		appendAll(t, s, testMessages(5, 17))
 		msgs, err := s.Next(nil, delivered, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Delivered(s.Reading())
+		s.MarkDelivered(s.ReadOffset())
 		n := len(msgs)
-		if err := s.Front(some(0, 5)); err != nil {
+		if err := s.Prepend(testMessages(0, 5)); err != nil {
 			t.Fatal(err)
 		}
-		must(t, s.Close())
-		left, err := Adopt(dir, options())
+		checkNoError(t, s.Close())
+		left, err := Adopt(dir, testOptions())
 		if err != nil || len(left) != 1 {
 			t.Fatal(err)
 		}
-		same(t, drain(t, left[0]), append(some(0, 5), some(5+n, 17)...))
+		checkMessages(t, readAll(t, left[0]), append(testMessages(0, 5), testMessages(5+n, 17)...))
 	}
 }
 
 func BenchmarkAppend(b *testing.B) {
-	s := create(b, b.TempDir(), Options{Segment: 256 << 10, Most: 1 << 40, Message: 2048})
+	s := createSpool(b, b.TempDir(), Options{Segment: 256 << 10, Most: 1 << 40, Message: 2048})
 	msgs := make([][]byte, 256)
 	for i := range msgs {
 		msgs[i] = make([]byte, 500)
--- a/internal/syslog/carry.go
+++ b/internal/syslog/carry.go
@@ -1,6 +1,7 @@
 package syslog
 
-// What the goroutine of a Sender does: connect, write, settle what was acknowledged, and put back what was not.
+// The goroutine of a Sender: it connects to collectors, writes messages, counts the acknowledged ones as delivered, and
+// queues the others again when a connection ends.
 
 import (
 	"crypto/tls"
@@ -10,8 +11,8 @@
 	"limeladder/internal/spool"
 )
 
-// ending says whether Close was called, and whether its time is over.
-func (s *Sender) ending() (closing, over bool) {
+// closeState reports whether Close was called, and whether its time limit has passed.
+func (s *Sender) closeState() (closing, expired bool) {
 	select {
 	case <-s.quit:
 		return true, s.ctx.Err() != nil
@@ -20,69 +21,70 @@
 	}
 }
 
-// run is the goroutine that talks to collectors.
+// run is the goroutine that sends messages to collectors until Close ends it.
 func (s *Sender) run() {
 	defer close(s.done)
-	var k *link
+	var conn *connection
 	defer func() {
-		if k != nil {
-			s.drop(k, true)
+		if conn != nil {
+			s.disconnect(conn, true)
 		}
 	}()
 	for {
-		closing, over := s.ending()
-		if over {
+		closing, expired := s.closeState()
+		if expired {
 			return
 		}
-		if s.changed() && k != nil {
-			s.drop(k, true)
-			k = nil
+		if s.applyChange() && conn != nil {
+			s.disconnect(conn, true)
+			conn = nil
 		}
-		s.sync()
-		if k == nil {
-			if closing && s.idle() {
+		s.syncSpools()
+		if conn == nil {
+			if closing && s.hasNothingToSend() {
 				return
 			}
-			if k = s.connect(); k == nil {
+			if conn = s.connect(); conn == nil {
 				continue
 			}
 		}
-		s.settle(k)
-		if k.ended.Load() {
-			s.failed(k, nil)
-			k = nil
+		s.processAcks(conn)
+		if conn.closed.Load() {
+			s.connectionFailed(conn, nil)
+			conn = nil
 			continue
 		}
-		if time.Since(k.since) > s.opt.Stall {
-			s.turn.Held(s.using)
-			s.short = 0
+		if time.Since(conn.connectedAt) > s.opt.Stall {
+			s.failover.ResetBackoff(s.collectorIndex)
+			s.earlyResets = 0
 		}
-		if s.using > 0 && time.Since(k.since) > s.opt.Prefer && s.turn.Better(s.using, time.Since(s.start)) {
-			s.drop(k, true)
-			k = nil
+		if s.collectorIndex > 0 && time.Since(conn.connectedAt) > s.opt.Prefer &&
+			s.failover.CanRetryPreferred(s.collectorIndex, time.Since(s.startedAt)) {
+			s.disconnect(conn, true)
+			conn = nil
 			continue
 		}
-		f, wait := s.next()
-		if f == nil {
-			if closing && s.idle() {
+		c, wait := s.nextChunk()
+		if c == nil {
+			if closing && s.hasNothingToSend() {
 				return
 			}
 			s.pause(wait)
 			continue
 		}
-		if err := s.send(k, f); err != nil {
-			s.failed(k, err)
-			k = nil
+		if err := s.sendChunk(conn, c); err != nil {
+			s.connectionFailed(conn, err)
+			conn = nil
 		}
 	}
 }
 
-// pause waits for something to do.
-func (s *Sender) pause(most time.Duration) {
-	t := time.NewTimer(most)
+// pause waits until run is woken, Close is called or its time limit passes, but no longer than timeout.
+func (s *Sender) pause(timeout time.Duration) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	quit := s.quit
-	if closing, _ := s.ending(); closing {
+	if closing, _ := s.closeState(); closing {
 		quit = nil
 	}
 	select {
@@ -93,328 +95,340 @@
 	}
 }
 
-// idle says whether nothing waits that could be sent.
-func (s *Sender) idle() bool {
+// hasNothingToSend reports whether memory and the process's own spool hold no undelivered message.
+func (s *Sender) hasNothingToSend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting) == 0 && len(s.flight) == 0 && (s.own == nil || s.own.Empty())
+	return len(s.waiting) == 0 && len(s.unacked) == 0 && (s.ownSpool == nil || s.ownSpool.Empty())
 }
 
-// changed takes over the collectors that Change has set, and says whether there were any.
-func (s *Sender) changed() bool {
+// applyChange applies the collectors set by the last call of Change, and reports whether there was one.
+func (s *Sender) applyChange() bool {
 	next := s.pendingChange.Swap(nil)
 	if next == nil {
 		return false
 	}
 	s.opt.Collectors = next.collectors
 	s.opt.TLS = next.tls
-	s.turn = *NewFailover(len(s.opt.Collectors), s.opt.Seed, s.opt.First, s.opt.Last)
+	s.failover = *NewFailover(len(s.opt.Collectors), s.opt.Seed, s.opt.First, s.opt.Last)
 	return true
 }
 
-// connect tries the next collector, or waits until one may be tried.
-func (s *Sender) connect() *link {
-	now := time.Since(s.start)
-	i, wait := s.turn.Next(now)
+// connect connects to the next collector, or waits up to 1 s until one may be tried. It returns nil if it has not
+// connected.
+func (s *Sender) connect() *connection {
+	now := time.Since(s.startedAt)
+	i, wait := s.failover.Next(now)
 	if i < 0 {
 		s.pause(min(wait, time.Second))
 		return nil
 	}
 	c := s.opt.Collectors[i]
-	k, err := dial(s.ctx, c, s.opt.TLS, s.opt.Connect, s.opt.Window)
+	conn, err := dial(s.ctx, c, s.opt.TLS, s.opt.Connect, s.opt.Window)
 	if err != nil {
-		s.turn.Failed(i, time.Since(s.start))
+		s.failover.Failed(i, time.Since(s.startedAt))
 		if s.ctx.Err() == nil {
-			s.log.Warn("syslog: no connection", "collector", c.String(), "err", err)
+			s.log.Warn("syslog: connecting to the collector failed; trying the next one, or this one after the backoff",
+				"collector", c.String(), "err", err)
 		}
 		return nil
 	}
-	s.using = i
-	s.connects.Add(1)
+	s.collectorIndex = i
+	s.connections.Add(1)
 	s.connected.Store(true)
-	if !k.udp {
-		s.log.Info("syslog: connected", "collector", c.String())
+	if !conn.udp {
+		s.log.Info("syslog: connected to the collector", "collector", c.String())
 	}
 	s.mu.Lock()
-	s.link = k
+	s.connection = conn
 	s.mu.Unlock()
-	return k
+	return conn
 }
 
-// next picks what goes out next: what waits in memory, then the process's own spool, then what others have left.
-func (s *Sender) next() (f *flight, wait time.Duration) {
+// nextChunk returns the next messages to send: from memory, then from the process's own spool, then from the spools of
+// dead processes. If there are none it returns nil and how long to wait before the next call.
+func (s *Sender) nextChunk() (c *chunk, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait = 50 * time.Millisecond
-	if len(s.flight) > 0 {
-		// Guards the loop's timers: where the program has one processor, whoever wakes it between two of them makes the next
-		// one late, since waiting is rounded to milliseconds. One that acknowledges nothing is looked at less and less.
-		wait = min(wait, 2*time.Millisecond<<min(s.still/8, 5))
-		s.still++
+	if len(s.unacked) > 0 {
+		// Frequent polling would delay the timers of the event loop: on a machine with one processor, a wakeup between two
+		// timers makes the next one late, because waits are rounded to milliseconds. So a connection without new
+		// acknowledgements is polled less and less often.
+		wait = min(wait, 2*time.Millisecond<<min(s.idleAckChecks/8, 5))
+		s.idleAckChecks++
 	}
 	if n, size := 0, 0; len(s.waiting) > 0 {
-		for n < len(s.waiting) && (n == 0 || size+len(s.waiting[n])+8 <= chunk) {
+		for n < len(s.waiting) && (n == 0 || size+len(s.waiting[n])+8 <= maxChunkBytes) {
 			size += len(s.waiting[n]) + 8
 			n++
 		}
-		f = &flight{msgs: s.waiting[:n:n]}
+		c = &chunk{msgs: s.waiting[:n:n]}
 		s.waiting = s.waiting[n:]
 		if len(s.waiting) == 0 {
 			s.waiting = nil
 		}
-		return f, 0
+		return c, 0
 	}
 	now := time.Now()
-	most := 1 << 20
+	limit := 1 << 20
 	if s.opt.Replay > 0 {
-		s.tokens = min(float64(s.opt.Replay), s.tokens+now.Sub(s.filled).Seconds()*float64(s.opt.Replay))
-		most = int(s.tokens)
+		s.replayTokens = min(float64(s.opt.Replay),
+			s.replayTokens+now.Sub(s.tokensFilledAt).Seconds()*float64(s.opt.Replay))
+		limit = int(s.replayTokens)
 	}
-	s.filled = now
-	for _, from := range append([]*spool.Spool{s.own}, s.left...) {
-		if from == nil || most == 0 {
+	s.tokensFilledAt = now
+	for _, source := range append([]*spool.Spool{s.ownSpool}, s.adoptedSpools...) {
+		if source == nil || limit == 0 {
 			continue
 		}
-		msgs, err := from.Next(nil, min(most, chunk/64), chunk-1024)
+		msgs, err := source.Next(nil, min(limit, maxChunkBytes/64), maxChunkBytes-1024)
 		if err != nil {
-			s.fault(err)
+			s.noteSpoolError(err)
 			continue
 		}
 		if len(msgs) == 0 {
 			continue
 		}
-		s.tokens -= float64(len(msgs))
-		f = &flight{msgs: msgs, from: from, off: from.Reading()}
+		s.replayTokens -= float64(len(msgs))
+		c = &chunk{msgs: msgs, source: source, sourceOffset: source.ReadOffset()}
 		for _, m := range msgs {
-			f.off -= int64(len(m) + spool.Overhead)
+			c.sourceOffset -= int64(len(m) + spool.Overhead)
 		}
-		return f, 0
+		return c, 0
 	}
-	s.tidy()
+	s.removeDeliveredSpools()
 	return nil, wait
 }
 
-// tidy lets go of folders that others have left and that are delivered.
-func (s *Sender) tidy() {
-	rest := s.left[:0]
-	for _, o := range s.left {
-		if o.Empty() {
-			s.skipped.Add(uint64(o.Skipped()))
-			_ = o.Remove() // a folder that stays is empty, and the next start removes it
+// removeDeliveredSpools removes the adopted spools all of whose messages are delivered.
+func (s *Sender) removeDeliveredSpools() {
+	remaining := s.adoptedSpools[:0]
+	for _, other := range s.adoptedSpools {
+		if other.Empty() {
+			s.skippedBytes.Add(uint64(other.Skipped()))
+			_ = other.Remove() // if this fails, the folder is empty and the next start removes it
 		} else {
-			rest = append(rest, o)
+			remaining = append(remaining, other)
 		}
 	}
-	clear(s.left[len(rest):])
-	s.left = rest
+	clear(s.adoptedSpools[len(remaining):])
+	s.adoptedSpools = remaining
 }
 
-// send writes a chunk.
-func (s *Sender) send(k *link, f *flight) error {
-	if k.udp {
-		n, err := k.packets(f.msgs)
-		s.arrived(f, n)
+// sendChunk writes a chunk to the connection. On a stream the chunk is unacknowledged until processAcks finds it
+// delivered.
+func (s *Sender) sendChunk(conn *connection, c *chunk) error {
+	if conn.udp {
+		n, err := conn.sendDatagrams(c.msgs)
+		s.noteDelivered(c, n)
 		if err != nil {
-			f.msgs = f.msgs[n:]
-			s.again([]flight{*f}, nil)
+			c.msgs = c.msgs[n:]
+			s.requeue([]chunk{*c}, nil)
 		}
 		return err
 	}
-	s.frame = s.frame[:0]
-	at := k.wrote.n
-	_, secret := k.conn.(*tls.Conn)
-	for _, m := range f.msgs {
-		s.frame = Frame(s.frame, m)
-		if !secret {
-			f.ends = append(f.ends, at+int64(len(s.frame)))
+	s.writeBuffer = s.writeBuffer[:0]
+	start := conn.counter.written
+	_, isTLS := conn.transport.(*tls.Conn)
+	for _, m := range c.msgs {
+		s.writeBuffer = Frame(s.writeBuffer, m)
+		if !isTLS {
+			c.endOffsets = append(c.endOffsets, start+int64(len(s.writeBuffer)))
 		}
 	}
-	s.flight = append(s.flight, *f)
-	within := s.opt.Stall
-	if closing, _ := s.ending(); closing {
-		within = min(within, time.Until(s.until))
+	s.unacked = append(s.unacked, *c)
+	timeout := s.opt.Stall
+	if closing, _ := s.closeState(); closing {
+		timeout = min(timeout, time.Until(s.closeDeadline))
 	}
-	err := k.write(s.frame, within)
-	if secret {
-		// A record that was not written whole has not arrived.
-		s.flight[len(s.flight)-1].ends = []int64{k.wrote.n}
+	err := conn.write(s.writeBuffer, timeout)
+	if isTLS {
+		// A collector can't decrypt a part of a TLS record, so a chunk that was not written whole has not arrived: its end
+		// offset lies beyond the bytes that were written.
+		s.unacked[len(s.unacked)-1].endOffsets = []int64{conn.counter.written}
 		if err != nil {
-			s.flight[len(s.flight)-1].ends[0]++
+			s.unacked[len(s.unacked)-1].endOffsets[0]++
 		}
 	}
 	return err
 }
 
-// settle books what is acknowledged.
-func (s *Sender) settle(k *link) {
-	if len(s.flight) == 0 {
+// processAcks counts the messages that the collector's system has acknowledged as delivered.
+func (s *Sender) processAcks(conn *connection) {
+	if len(s.unacked) == 0 {
 		return
 	}
-	acked := k.acked()
-	for len(s.flight) > 0 {
-		f := &s.flight[0]
+	acked := conn.ackedBytes()
+	for len(s.unacked) > 0 {
+		c := &s.unacked[0]
 		n := 0
-		for n < len(f.ends) && f.ends[n] <= acked {
+		for n < len(c.endOffsets) && c.endOffsets[n] <= acked {
 			n++
 		}
-		if n > 0 && len(f.ends) == 1 {
-			n = len(f.msgs) // a chunk of TLS
+		if n > 0 && len(c.endOffsets) == 1 {
+			n = len(c.msgs) // a TLS chunk has one end offset for all of its messages
 		}
-		s.arrived(f, n)
-		if n < len(f.msgs) {
-			f.msgs, f.ends = f.msgs[n:], f.ends[n:]
+		s.noteDelivered(c, n)
+		if n < len(c.msgs) {
+			c.msgs, c.endOffsets = c.msgs[n:], c.endOffsets[n:]
 			return
 		}
-		s.flight = s.flight[1:]
+		s.unacked = s.unacked[1:]
 	}
-	s.flight = nil
+	s.unacked = nil
 }
 
-// arrived enters the first n messages of a chunk as delivered.
-func (s *Sender) arrived(f *flight, n int) {
+// noteDelivered counts the first n messages of a chunk as delivered, in the spool too if they come from one.
+func (s *Sender) noteDelivered(c *chunk, n int) {
 	if n == 0 {
 		return
 	}
 	s.sent.Add(uint64(n))
-	s.still = 0
+	s.idleAckChecks = 0
 	s.mu.Lock()
-	for _, m := range f.msgs[:n] {
-		if f.from == nil {
-			s.bytes -= len(m)
+	for _, m := range c.msgs[:n] {
+		if c.source == nil {
+			s.memoryBytes -= len(m)
 		} else {
-			f.off += int64(len(m) + spool.Overhead)
+			c.sourceOffset += int64(len(m) + spool.Overhead)
 		}
 	}
-	if f.from != nil {
-		f.from.Delivered(f.off)
+	if c.source != nil {
+		c.source.MarkDelivered(c.sourceOffset)
 	}
 	s.mu.Unlock()
 	if s.opt.Repeat > 0 {
-		for _, m := range f.msgs[:n] {
+		for _, m := range c.msgs[:n] {
 			s.recent = append(s.recent, m)
-			s.kept += len(m)
+			s.recentBytes += len(m)
 		}
-		for s.kept > s.opt.Repeat {
-			s.kept -= len(s.recent[0])
+		for s.recentBytes > s.opt.Repeat {
+			s.recentBytes -= len(s.recent[0])
 			s.recent = s.recent[1:]
 		}
 	}
 }
 
-// again puts back what has not arrived, oldest first, and in front of it what is repeated.
-func (s *Sender) again(rest []flight, repeat [][]byte) {
+// requeue queues undelivered chunks again, oldest first, and in front of them the delivered messages that are repeated.
+func (s *Sender) requeue(remaining []chunk, repeat [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var front [][]byte
 	for _, m := range repeat {
 		front = append(front, m)
-		s.bytes += len(m)
+		s.memoryBytes += len(m)
 	}
-	for _, f := range rest {
-		if f.from != nil {
-			f.from.Again()
+	for _, c := range remaining {
+		if c.source != nil {
+			c.source.Rewind()
 			continue
 		}
-		front = append(front, f.msgs...)
+		front = append(front, c.msgs...)
 	}
 	s.waiting = append(front, s.waiting...)
-	s.shelve()
+	s.moveToSpool()
 }
 
-// shelve moves what waits in memory to the front of the spool, where it outlives the process.
-func (s *Sender) shelve() {
-	if s.own == nil || len(s.waiting) == 0 || s.link != nil || s.failing() {
+// moveToSpool moves the messages that wait in memory to the front of the spool, so that they survive the process. It
+// does nothing while there is a connection or the disk has failed recently.
+func (s *Sender) moveToSpool() {
+	if s.ownSpool == nil || len(s.waiting) == 0 || s.connection != nil || s.spoolFailedRecently() {
 		return
 	}
-	if err := s.own.Front(s.waiting); err != nil {
-		s.fault(err)
+	if err := s.ownSpool.Prepend(s.waiting); err != nil {
+		s.noteSpoolError(err)
 		return
 	}
 	for _, m := range s.waiting {
-		s.bytes -= len(m)
+		s.memoryBytes -= len(m)
 	}
 	s.spooled.Add(uint64(len(s.waiting)))
 	s.waiting = nil
 }
 
-// failed ends a connection that broke; nil is the collector's own close.
-func (s *Sender) failed(k *link, err error) {
-	s.turn.Failed(s.using, time.Since(s.start))
-	if !k.udp {
-		s.log.Warn("syslog: connection ended", "collector", s.opt.Collectors[s.using].String(), "err", fmt.Sprint(err))
-	}
-	s.drop(k, false)
+// connectionFailed ends a connection that broke, and starts the collector's backoff. A nil error means that reading
+// from the connection ended, because the collector closed it or it broke.
+func (s *Sender) connectionFailed(conn *connection, err error) {
+	s.failover.Failed(s.collectorIndex, time.Since(s.startedAt))
+	if !conn.udp {
+		s.log.Warn("syslog: connection to the collector ended; connecting to the next one, or this one after the backoff",
+			"collector", s.opt.Collectors[s.collectorIndex].String(), "err", fmt.Sprint(err))
+	}
+	s.disconnect(conn, false)
 }
 
-// drop ends a connection and puts back what had not arrived. finish says that all is well with it: what is written is
-// waited for.
-func (s *Sender) drop(k *link, finish bool) {
+// disconnect closes a connection and queues undelivered messages again. graceful is set if the connection works: the
+// end waits for acknowledgements of what is written.
+func (s *Sender) disconnect(conn *connection, graceful bool) {
 	s.mu.Lock()
-	s.link = nil
+	s.connection = nil
 	s.mu.Unlock()
 	s.connected.Store(false)
-	if k.udp {
-		k.raw.Close()
-		s.again(nil, nil)
+	if conn.udp {
+		conn.socket.Close()
+		s.requeue(nil, nil)
 		return
 	}
-	orderly := finish || k.ended.Load() && k.orderly.Load()
+	orderly := graceful || conn.closed.Load() && conn.closedCleanly.Load()
 	if orderly {
-		within := min(s.opt.Stall, finishing)
-		if _, over := s.ending(); over {
-			within = finishing / 10
+		timeout := min(s.opt.Stall, closeAckTimeout)
+		if _, expired := s.closeState(); expired {
+			timeout = closeAckTimeout / 10
 		}
-		k.finish(within)
+		conn.closeWriting(timeout)
 	}
-	s.settle(k)
-	if len(s.flight) > 0 {
-		// What is not acknowledged is sent again elsewhere: the system must not go on sending it in the background.
-		k.quiet(quieting)
-		s.settle(k)
-		k.abandon()
+	s.processAcks(conn)
+	if len(s.unacked) > 0 {
+		// Unacknowledged messages are sent again on another connection, so the kernel must not go on sending them in the
+		// background.
+		conn.awaitLateAcks(lateAckTimeout)
+		s.processAcks(conn)
+		conn.discardUnackedOnClose()
 	}
-	k.raw.Close()
+	conn.socket.Close()
 	var repeat [][]byte
 	if !orderly {
-		// What the other system has acknowledged its program may never have read.
-		// Guards against one that resets again and again before it has read what is repeated: it gets half as much each time,
-		// so that the newer ones come to it at all.
+		// The collector may never have read what its system has acknowledged, so the newest of it is sent again. A collector
+		// that resets again and again before it has read the repeated messages would never get to newer ones: each such
+		// reset halves the number of bytes that are repeated.
 		repeat = s.recent
-		for most := s.opt.Repeat >> min(s.short, 30); s.kept > most; repeat = repeat[1:] {
-			s.kept -= len(repeat[0])
+		for maxRepeat := s.opt.Repeat >> min(s.earlyResets, 30); s.recentBytes > maxRepeat; repeat = repeat[1:] {
+			s.recentBytes -= len(repeat[0])
 		}
-		s.short++
+		s.earlyResets++
 		s.repeated.Add(uint64(len(repeat)))
 	}
-	s.recent, s.kept = nil, 0
-	rest := s.flight
-	s.flight = nil
-	s.again(rest, repeat)
+	s.recent, s.recentBytes = nil, 0
+	remaining := s.unacked
+	s.unacked = nil
+	s.requeue(remaining, repeat)
 }
 
-// sync hands the spool to the disk once a second.
-func (s *Sender) sync() {
-	if s.own == nil || time.Since(s.synced) < time.Second {
+// syncSpools flushes the spool to the disk and saves the cursors once a second. Every adoptInterval it adopts the
+// spools of processes that have died.
+func (s *Sender) syncSpools() {
+	if s.ownSpool == nil || time.Since(s.syncedAt) < time.Second {
 		return
 	}
-	s.synced = time.Now()
+	s.syncedAt = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.adopted) > adopting {
-		s.adopted = time.Now()
-		left, err := spool.Adopt(s.opt.Spool, s.opt.Disk)
+	if time.Since(s.adoptedAt) > adoptInterval {
+		s.adoptedAt = time.Now()
+		adopted, err := spool.Adopt(s.opt.Spool, s.opt.Disk)
 		if err != nil {
-			s.fault(err)
+			s.noteSpoolError(err)
 		}
-		s.left = append(s.left, left...)
+		s.adoptedSpools = append(s.adoptedSpools, adopted...)
 	}
-	if err := s.own.Sync(); err != nil {
-		s.fault(err)
+	if err := s.ownSpool.Sync(); err != nil {
+		s.noteSpoolError(err)
 	}
-	for _, o := range append([]*spool.Spool{s.own}, s.left...) {
-		if !o.Empty() {
-			if err := o.Keep(); err != nil {
-				s.fault(err)
+	for _, other := range append([]*spool.Spool{s.ownSpool}, s.adoptedSpools...) {
+		if !other.Empty() {
+			if err := other.SaveCursor(); err != nil {
+				s.noteSpoolError(err)
 			}
 		}
 	}
--- a/internal/syslog/failover.go
+++ b/internal/syslog/failover.go
@@ -5,62 +5,65 @@
 	"time"
 )
 
-// Failover decides which collector is tried when. It is pure: it holds no clock, and its draws come from its seed. The
-// first collector is preferred; one that fails is left alone for a time that doubles, with jitter, so that many routers
-// do not come back to it at once.
+// Failover decides which collector to connect to, and when. It is deterministic: it reads no clock, and its random
+// numbers come from its seed. Earlier collectors are preferred. A collector that fails is not tried again before a
+// backoff has passed, which doubles with each failure and has jitter, so that many routers do not reconnect to it at
+// once.
 type Failover struct {
-	rng   *rand.Rand
-	first time.Duration
-	last  time.Duration
-	tries []trial
+	rng        *rand.Rand
+	minBackoff time.Duration
+	maxBackoff time.Duration
+	collectors []collectorState
 }
 
-type trial struct {
-	fails int
-	until time.Duration // not before this
+type collectorState struct {
+	failures int
+	retryAt  time.Duration // the collector is not tried before this
 }
 
-// NewFailover returns one over n collectors, whose waits grow from first to last.
-func NewFailover(n int, seed uint64, first, last time.Duration) *Failover {
-	return &Failover{rng: rand.New(rand.NewPCG(seed, 0x5e1f)), first: first, last: last, tries: make([]trial, n)}
+// NewFailover returns a Failover for n collectors, whose backoffs grow from minBackoff to maxBackoff.
+func NewFailover(n int, seed uint64, minBackoff, maxBackoff time.Duration) *Failover {
+	return &Failover{
+		rng: rand.New(rand.NewPCG(seed, 0x5e1f)), minBackoff: minBackoff, maxBackoff: maxBackoff,
+		collectors: make([]collectorState, n)}
 }
 
-// Next says which collector to try now, or how long to wait until one may be tried.
+// Next returns the index of the collector to try now, or -1 and how long to wait until one may be tried.
 func (f *Failover) Next(now time.Duration) (collector int, wait time.Duration) {
-	best := -1
-	for i, t := range f.tries {
-		if t.until <= now {
+	soonest := -1
+	for i, t := range f.collectors {
+		if t.retryAt <= now {
 			return i, 0
 		}
-		if best < 0 || t.until < f.tries[best].until {
-			best = i
+		if soonest < 0 || t.retryAt < f.collectors[soonest].retryAt {
+			soonest = i
 		}
 	}
-	if best < 0 {
-		return -1, f.last
+	if soonest < 0 {
+		return -1, f.maxBackoff
 	}
-	return -1, f.tries[best].until - now
+	return -1, f.collectors[soonest].retryAt - now
 }
 
-// Failed says that a collector could not be reached, or broke off.
+// Failed notes that collector i could not be reached, or that its connection broke.
 func (f *Failover) Failed(i int, now time.Duration) {
-	t := &f.tries[i]
-	wait := f.last
-	if t.fails < 30 {
-		wait = min(f.last, f.first<<t.fails)
+	t := &f.collectors[i]
+	wait := f.maxBackoff
+	if t.failures < 30 {
+		wait = min(f.maxBackoff, f.minBackoff<<t.failures)
 	}
-	t.fails++
-	t.until = now + wait/2 + time.Duration(f.rng.Int64N(int64(wait/2)+1))
+	t.failures++
+	t.retryAt = now + wait/2 + time.Duration(f.rng.Int64N(int64(wait/2)+1))
 }
 
-// Held says that a connection has stood for a while: the next failure is the first again. Guards against one that flaps:
-// to be accepted alone proves nothing.
-func (f *Failover) Held(i int) { f.tries[i].fails = 0 }
+// ResetBackoff notes that a connection to collector i has lasted: the next failure has the shortest backoff again. An
+// accepted connection alone does not reset it, since a flapping collector accepts connections too.
+func (f *Failover) ResetBackoff(i int) { f.collectors[i].failures = 0 }
 
-// Better says whether a collector in front of i may be tried again.
-func (f *Failover) Better(i int, now time.Duration) bool {
-	for _, t := range f.tries[:i] {
-		if t.until <= now {
+// CanRetryPreferred reports whether a collector that is preferred to collector i may be tried again.
+func (f *Failover) CanRetryPreferred(i int, now time.Duration) bool {
+	for _, t := range f.collectors[:i] {
+		if t.retryAt <= now {
 			return true
 		}
 	}
--- a/internal/syslog/link.go
+++ b/internal/syslog/link.go
@@ -16,14 +16,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Collector is an address that takes messages.
+// Collector is the address of a syslog collector.
 type Collector struct {
 	Network string // udp, tcp or tls
 	Address string // host:port
 }
 
-// ParseCollector reads a collector such as tls://logs.example:6514. A missing port is the transport's own: 514 for UDP
-// (RFC 5426), 601 for TCP (RFC 3195's, as common practice), 6514 for TLS (RFC 5425).
+// ParseCollector parses the URL of a collector, such as tls://logs.example:6514. The default port is the transport's:
+// 514 for UDP (RFC 5426), 601 for TCP (RFC 3195's, as common practice), 6514 for TLS (RFC 5425).
 func ParseCollector(s string) (Collector, error) {
 	u, err := url.Parse(s)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return Collector{u.Scheme, net.JoinHostPort(u.Hostname(), port)}, nil
 }
 
-// Loopback says whether the collector is on this machine. A name is not looked up.
+// Loopback reports whether the address is a loopback IP address. Host names are not resolved, so they are not loopback.
 func (c Collector) Loopback() bool {
 	host, _, _ := net.SplitHostPort(c.Address)
 	ip := net.ParseIP(host)
@@ -51,56 +51,58 @@
 
 func (c Collector) String() string { return c.Network + "://" + c.Address }
 
-// errLost says that an earlier message did not arrive.
-var errLost = errors.New("nobody takes what was sent")
-
-// link is one connection to a collector. One goroutine writes; another waits for its end, since no collector ever sends
-// anything.
-type link struct {
-	raw     net.Conn // for UDP and TCP the connection itself
-	conn    net.Conn // what is written to: TLS, or raw
-	udp     bool
-	file    syscall.RawConn
-	wrote   *counter
-	taken   int64       // of that, the bytes that were acknowledged when it was looked at last
-	ended   atomic.Bool // the collector has closed, or the connection is broken
-	orderly atomic.Bool // it has closed, and had read what had come
-	since   time.Time
+// errDatagramLost means that the network has reported an error for an earlier datagram.
+var errDatagramLost = errors.New("a datagram did not reach the collector")
+
+// connection is a connection to a collector. One goroutine writes to it; another one reads only to notice the end of
+// the connection, since collectors send nothing.
+type connection struct {
+	socket        net.Conn // the UDP or TCP connection
+	transport     net.Conn // what messages are written to: the TLS connection, or socket
+	udp           bool
+	rawControl    syscall.RawConn
+	counter       *countingConn
+	acknowledged  int64       // the result of the last ackedBytes: of the written bytes, those that are acknowledged
+	closed        atomic.Bool // the collector has closed the connection, or it is broken
+	closedCleanly atomic.Bool // the collector ended the stream instead of resetting it: it had read what had arrived
+	connectedAt   time.Time
 }
 
-// counter counts the bytes that the system has taken.
-type counter struct {
+// countingConn counts the bytes that the kernel has accepted for sending.
+type countingConn struct {
 	net.Conn
-	n int64
+	written int64
 }
 
-func (c *counter) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.n += int64(n)
+	c.written += int64(n)
 	return n, err
 }
 
-// dial connects within the given time, the TLS handshake included.
-func dial(ctx context.Context, c Collector, conf *tls.Config, within time.Duration, buffer int) (*link, error) {
+// dial connects to a collector. The timeout includes the TLS handshake. sendBuffer is the size of the socket's send
+// buffer in bytes.
+func dial(ctx context.Context, c Collector, conf *tls.Config, timeout time.Duration,
+	sendBuffer int) (*connection, error) {
 	network := c.Network
 	if network == "tls" {
 		network = "tcp"
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(ctx, network, c.Address)
 	if err != nil {
 		return nil, err
 	}
-	k := &link{raw: raw, conn: raw, udp: c.Network == "udp", since: time.Now()}
-	if k.file, err = raw.(syscall.Conn).SyscallConn(); err != nil {
+	conn := &connection{socket: raw, transport: raw, udp: c.Network == "udp", connectedAt: time.Now()}
+	if conn.rawControl, err = raw.(syscall.Conn).SyscallConn(); err != nil {
 		raw.Close()
 		return nil, err
 	}
 	if t, ok := raw.(*net.TCPConn); ok {
-		t.SetWriteBuffer(buffer)
-		k.wrote = &counter{Conn: raw}
-		k.conn = k.wrote
+		t.SetWriteBuffer(sendBuffer)
+		conn.counter = &countingConn{Conn: raw}
+		conn.transport = conn.counter
 	}
 	if c.Network == "tls" {
 		conf = conf.Clone()
@@ -108,99 +110,102 @@
 		if conf.ServerName == "" {
 			conf.ServerName, _, _ = net.SplitHostPort(c.Address)
 		}
-		t := tls.Client(k.wrote, conf)
-		if err := t.HandshakeContext(ctx); err != nil { // guards against one that never ends
+		t := tls.Client(conn.counter, conf)
+		if err := t.HandshakeContext(ctx); err != nil { // with ctx, so that a collector can't stall the handshake
 			raw.Close()
 			return nil, fmt.Errorf("handshake: %w", err)
 		}
-		k.conn = t
+		conn.transport = t
 	}
-	if !k.udp {
-		go k.watch()
+	if !conn.udp {
+		go conn.watchForClose()
 	}
-	return k, nil
+	return conn, nil
 }
 
-// watch waits for the collector's end.
-func (k *link) watch() {
+// watchForClose reads until the collector closes the connection or it breaks.
+func (conn *connection) watchForClose() {
 	buf := make([]byte, 512)
 	for {
-		if _, err := k.conn.Read(buf); err != nil {
-			k.orderly.Store(errors.Is(err, io.EOF))
-			k.ended.Store(true)
+		if _, err := conn.transport.Read(buf); err != nil {
+			conn.closedCleanly.Store(errors.Is(err, io.EOF))
+			conn.closed.Store(true)
 			return
 		}
 	}
 }
 
-// acked is the number of bytes on the connection that the collector's system has acknowledged.
-func (k *link) acked() int64 {
-	// It fails on a connection that is closed, and then nothing more is acknowledged.
-	_ = k.file.Control(func(fd uintptr) {
+// ackedBytes returns the number of bytes on the connection that the collector's system has acknowledged.
+func (conn *connection) ackedBytes() int64 {
+	// Control fails on a closed connection; nothing more is acknowledged then.
+	_ = conn.rawControl.Control(func(fd uintptr) {
 		if left, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
-			k.taken = max(k.taken, k.wrote.n-int64(left))
+			conn.acknowledged = max(conn.acknowledged, conn.counter.written-int64(left))
 		}
 	})
-	return k.taken
+	return conn.acknowledged
 }
 
-// write sends bytes of one or more framed messages on a stream within the given time.
-func (k *link) write(p []byte, within time.Duration) error {
-	k.raw.SetWriteDeadline(time.Now().Add(within))
-	_, err := k.conn.Write(p)
+// write writes one or more framed messages to a stream. It fails if this takes longer than timeout.
+func (conn *connection) write(p []byte, timeout time.Duration) error {
+	conn.socket.SetWriteDeadline(time.Now().Add(timeout))
+	_, err := conn.transport.Write(p)
 	return err
 }
 
-// packets sends messages as datagrams, and says how many of them have met somebody as far as this machine can tell: a
-// datagram that nobody took shows as an error of the socket behind it (RFC 1122, section 4.1.3.3).
-func (k *link) packets(msgs [][]byte) (n int, err error) {
+// sendDatagrams sends each message as a datagram, and returns how many of them have arrived as far as this machine can
+// tell: if the network reports an error for a datagram, a later operation on the socket fails (RFC 1122, section
+// 4.1.3.3).
+func (conn *connection) sendDatagrams(msgs [][]byte) (n int, err error) {
 	for i, m := range msgs {
-		if _, err := k.conn.Write(m); err != nil {
+		if _, err := conn.transport.Write(m); err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				return max(0, i-1), errLost
+				return max(0, i-1), errDatagramLost
 			}
 			return i, err
 		}
 	}
 	lost := 0
-	// It fails on a socket that is closed here, which has no error of the network to tell.
-	_ = k.file.Control(func(fd uintptr) { lost, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
+	// Control fails on a socket that is closed on this side, which has no network error to report.
+	_ = conn.rawControl.Control(func(fd uintptr) { lost, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
 	if lost != 0 {
-		return len(msgs) - 1, errLost
+		return len(msgs) - 1, errDatagramLost
 	}
 	return len(msgs), nil
 }
 
-// finish ends a stream in order: what is written still goes out for so long. The caller closes it.
-func (k *link) finish(within time.Duration) {
-	k.raw.SetWriteDeadline(time.Now().Add(within))
-	if t, ok := k.conn.(*tls.Conn); ok {
-		_ = t.CloseWrite() // what the collector has acknowledged is counted below, whether or not it hears the end
+// closeWriting shuts down the sending side of a stream, and waits at most timeout until everything that was written is
+// acknowledged. The caller closes the connection.
+func (conn *connection) closeWriting(timeout time.Duration) {
+	conn.socket.SetWriteDeadline(time.Now().Add(timeout))
+	if t, ok := conn.transport.(*tls.Conn); ok {
+		_ = t.CloseWrite() // on failure the acknowledgements are still counted below
 	}
-	k.raw.(*net.TCPConn).CloseWrite()
-	for end := time.Now().Add(within); k.acked() < k.wrote.n && time.Now().Before(end); {
+	conn.socket.(*net.TCPConn).CloseWrite()
+	for end := time.Now().Add(timeout); conn.ackedBytes() < conn.counter.written && time.Now().Before(end); {
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// quiet waits until nothing new is acknowledged for so long, since an acknowledgement may be late (RFC 1122, section
-// 4.2.3.2); on a connection that is broken nothing comes at all.
-func (k *link) quiet(within time.Duration) {
-	end := time.Now().Add(5 * within) // one that reads slowly is not waited for
-	for last, since := k.acked(), time.Now(); !k.ended.Load() && time.Since(since) < within && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if now := k.acked(); now != last {
+// awaitLateAcks waits until no acknowledgement has come for the given time, since acknowledgements may be delayed (RFC
+// 1122, section 4.2.3.2). On a broken connection it returns at once, since no acknowledgement can come.
+func (conn *connection) awaitLateAcks(timeout time.Duration) {
+	end := time.Now().Add(5 * timeout) // so that a collector that reads slowly does not hold this up
+	for last, since := conn.ackedBytes(), time.Now(); !conn.closed.Load() && time.Since(since) < timeout &&
+		time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if now := conn.ackedBytes(); now != last {
 			last, since = now, time.Now()
-		} else if now == k.wrote.n {
+		} else if now == conn.counter.written {
 			return
 		}
 	}
 }
 
-// abandon makes the close of a stream throw away what the other system has not acknowledged. What that has, its program
-// can still read.
-func (k *link) abandon() { k.raw.(*net.TCPConn).SetLinger(0) }
+// discardUnackedOnClose makes the close of a stream discard bytes that are not acknowledged. The collector can still
+// read what its system has acknowledged.
+func (conn *connection) discardUnackedOnClose() { conn.socket.(*net.TCPConn).SetLinger(0) }
 
-// Frame appends the octet count of RFC 6587, section 3.4.1, and the message.
+// Frame appends a message to dst, framed with its octet count (RFC 6587, section 3.4.1).
 func Frame(dst, msg []byte) []byte {
 	dst = strconv.AppendInt(dst, int64(len(msg)), 10)
 	return append(append(dst, ' '), msg...)
--- a/internal/syslog/message.go
+++ b/internal/syslog/message.go
@@ -1,5 +1,5 @@
-// Package syslog writes RFC 5424 messages and carries them to collectors over UDP (RFC 5426), TCP with octet counting
-// (RFC 6587) and TLS (RFC 5425). It knows nothing of what the messages tell.
+// Package syslog encodes RFC 5424 messages and sends them to collectors over UDP (RFC 5426), TCP with octet counting
+// (RFC 6587) and TLS (RFC 5425). It does not depend on the content of the messages.
 package syslog
 
 import (
@@ -14,7 +14,7 @@
 // Severity is a severity of RFC 5424, section 6.2.1, table 2.
 type Severity uint8
 
-// The severities in use.
+// The severities that the program uses.
 const (
 	Err     Severity = 3
 	Warning Severity = 4
@@ -26,7 +26,7 @@
 var facilities = strings.Fields("kern user mail daemon auth syslog lpr news uucp cron authpriv ftp ntp audit alert clock " +
 	"local0 local1 local2 local3 local4 local5 local6 local7")
 
-// Facility returns the number of a facility's name.
+// Facility returns the numerical code of a facility.
 func Facility(name string) (uint8, error) {
 	for i, f := range facilities {
 		if f == name {
@@ -36,27 +36,30 @@
 	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(facilities, ", "))
 }
 
-// Rank is how readily a parameter goes where a message is too long: the highest rank goes first. Keep never goes.
+// Rank says in which order parameters are removed from a message that exceeds its size limit: those of the highest rank
+// first, those of rank Keep never.
 type Rank uint8
 
-// Keep marks what no message is without.
+// Keep is the rank of parameters that are never removed.
 const Keep Rank = 0
 
-// Smallest is the least size limit: RFC 5424, section 6.1, wants every receiver to take messages of this length.
+// Smallest is the lowest size limit of a message in bytes. RFC 5424, section 6.1, requires receivers to accept messages
+// of this length.
 const Smallest = 480
 
-// Head is what all messages of a process share.
+// Head holds the header fields that all messages of a process share.
 type Head struct {
 	Facility uint8
-	Host     string // HOSTNAME, at most HostMost bytes, so that no head is ever cut
+	Host     string // HOSTNAME, at most HostMost bytes, so that a header is never truncated
 	App      string // APP-NAME
 	Proc     string // PROCID
 }
 
-// HostMost bounds HOSTNAME below RFC 5424's 255: head and the parameters that are always kept fit into Smallest.
+// HostMost is the length limit of HOSTNAME in bytes. It is below RFC 5424's 255, so that the header and the parameters
+// of rank Keep fit into Smallest bytes.
 const HostMost = 64
 
-// HostName is this machine's name in the form that a head needs.
+// HostName returns the host name of this machine as a valid HOSTNAME, or "-" if it is not known.
 func HostName() string {
 	h, err := os.Hostname()
 	if err != nil {
@@ -65,8 +68,9 @@
 	return Printable(h, HostMost)
 }
 
-// Printable keeps the printable ASCII of s (RFC 5424's PRINTUSASCII), at most so many bytes; "-" stands for nothing.
-func Printable(s string, most int) string {
+// Printable returns the printable ASCII characters of s (RFC 5424's PRINTUSASCII), truncated to maxBytes, or "-", RFC
+// 5424's NILVALUE, if there are none.
+func Printable(s string, maxBytes int) string {
 	out := strings.Map(func(r rune) rune {
 		if r <= ' ' || r >= 0x7f {
 			return -1
@@ -76,42 +80,42 @@
 	if out == "" {
 		return "-"
 	}
-	return out[:min(len(out), most)]
+	return out[:min(len(out), maxBytes)]
 }
 
-// Builder writes one message after the other into a buffer of its own. The order of calls is Begin, then Element and its
-// parameters, then Text, then End.
+// Builder builds one message after the other in a buffer that it reuses. The order of calls for a message is Begin,
+// then for each element either Element and its parameters or Fixed, then Text, then End.
 type Builder struct {
-	head   Head
-	buf    []byte // the whole of it, uncut
-	out    []byte // the cut one
-	spans  []span
-	opened int // where the elements start
-	closed int // where they end; the text stands behind
-	marker int // the element that tells of a cut
-	elems  int
+	head          Head
+	buf           []byte // the complete message
+	truncated     []byte // the message that End has truncated
+	spans         []span
+	elementsStart int // the offset in buf at which the elements start
+	elementsEnd   int // the offset in buf at which they end and the text starts
+	cutElement    int // the index of the element that gets the cut parameter, -1 = none
+	elementCount  int
 }
 
-// span is one element's opening or one parameter in buf.
+// span is a range of buf that holds the opening of an element or one parameter. A removed one is empty.
 type span struct {
-	from, to int
-	elem     int
-	rank     Rank
-	open     bool // an element's opening, not a parameter
+	from, to  int
+	element   int
+	rank      Rank
+	isOpening bool // the opening of an element (or all of a Fixed one), not a parameter
 }
 
-// room is what a cut takes for its own marker: ` cut="msg+65535"`.
-const room = 16
+// cutParamBytes is the space in bytes that End reserves for the cut parameter: ` cut="msg+65535"`.
+const cutParamBytes = 16
 
-// NewBuilder returns a Builder for messages with that head.
+// NewBuilder returns a Builder for messages with the header fields h.
 func NewBuilder(h Head) *Builder {
 	h.Host, h.App, h.Proc = Printable(h.Host, HostMost), Printable(h.App, 48), Printable(h.Proc, 128)
 	return &Builder{head: h}
 }
 
-// Begin starts a message. at is written in UTC, to the microsecond.
+// Begin starts a message with the TIMESTAMP at, written in UTC to the microsecond, and the MSGID id.
 func (b *Builder) Begin(s Severity, at time.Time, id string) {
-	b.spans, b.elems, b.marker = b.spans[:0], 0, -1
+	b.spans, b.elementCount, b.cutElement = b.spans[:0], 0, -1
 	p := append(b.buf[:0], '<')
 	p = strconv.AppendUint(p, uint64(b.head.Facility)*8+uint64(s), 10)
 	p = append(p, '>', '1', ' ')
@@ -121,186 +125,189 @@
 	p = append(append(p, ' '), b.head.Proc...)
 	p = append(append(p, ' '), id...)
 	b.buf = append(p, ' ')
-	b.opened = len(b.buf)
+	b.elementsStart = len(b.buf)
 }
 
-// Element opens the next element. marks says that it is the one that tells of a cut. An element all of whose
-// parameters are cut goes with them.
-func (b *Builder) Element(id string, marks bool) {
-	if b.elems > 0 {
+// Element starts the next element. If reportsCut is set, End adds the cut parameter to it when the message exceeds its
+// size limit. Any other element is removed with the last of its parameters.
+func (b *Builder) Element(id string, reportsCut bool) {
+	if b.elementCount > 0 {
 		b.buf = append(b.buf, ']')
 	}
 	from := len(b.buf)
 	b.buf = append(append(b.buf, '['), id...)
-	if marks {
-		b.marker = b.elems
+	if reportsCut {
+		b.cutElement = b.elementCount
 	}
-	b.spans = append(b.spans, span{from: from, to: len(b.buf), elem: b.elems, open: true})
-	b.elems++
+	b.spans = append(b.spans, span{from: from, to: len(b.buf), element: b.elementCount, isOpening: true})
+	b.elementCount++
 }
 
-func (b *Builder) open(name string) int {
+func (b *Builder) beginParam(name string) int {
 	from := len(b.buf)
 	b.buf = append(append(append(b.buf, ' '), name...), '=', '"')
 	return from
 }
 
-func (b *Builder) close(from int, r Rank) {
+func (b *Builder) endParam(from int, r Rank) {
 	b.buf = append(b.buf, '"')
-	b.spans = append(b.spans, span{from: from, to: len(b.buf), elem: b.elems - 1, rank: r})
+	b.spans = append(b.spans, span{from: from, to: len(b.buf), element: b.elementCount - 1, rank: r})
 }
 
-// String adds a parameter. Any bytes pass: see AppendValue.
+// String adds a parameter. The value may hold any bytes, which AppendValue escapes.
 func (b *Builder) String(r Rank, name, value string) {
-	from := b.open(name)
+	from := b.beginParam(name)
 	b.buf = AppendValue(b.buf, value)
-	b.close(from, r)
+	b.endParam(from, r)
 }
 
-// Fixed adds a whole element that was written before, such as Prepared returns; it goes as one.
+// Fixed adds a complete element that Prepared has returned. It is removed as a whole.
 func (b *Builder) Fixed(r Rank, elem []byte) {
-	if b.elems > 0 {
+	if b.elementCount > 0 {
 		b.buf = append(b.buf, ']')
 	}
 	from := len(b.buf)
 	b.buf = append(b.buf, elem...)
-	b.spans = append(b.spans, span{from: from, to: len(b.buf), elem: b.elems, rank: r, open: true})
-	b.elems++
+	b.spans = append(b.spans, span{from: from, to: len(b.buf), element: b.elementCount, rank: r, isOpening: true})
+	b.elementCount++
 }
 
-// Prepared is an element for Fixed: names and values by turns.
+// Prepared returns an element for Fixed; pairs holds the names and values of its parameters alternately.
 func Prepared(id string, pairs ...string) []byte {
 	p := append([]byte{'['}, id...)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		p = append(append(append(p, ' '), pairs[i]...), '=', '"')
 		p = append(AppendValue(p, pairs[i+1]), '"')
 	}
-	return p // the bracket is the Builder's
+	return p // the Builder writes the closing bracket
 }
 
-// Uint adds a number.
+// Uint adds a parameter with an unsigned number.
 func (b *Builder) Uint(r Rank, name string, v uint64) {
-	from := b.open(name)
+	from := b.beginParam(name)
 	b.buf = strconv.AppendUint(b.buf, v, 10)
-	b.close(from, r)
+	b.endParam(from, r)
 }
 
-// Int adds a number that may be negative.
+// Int adds a parameter with a signed number.
 func (b *Builder) Int(r Rank, name string, v int64) {
-	from := b.open(name)
+	from := b.beginParam(name)
 	b.buf = strconv.AppendInt(b.buf, v, 10)
-	b.close(from, r)
+	b.endParam(from, r)
 }
 
-// Micros adds a time in microseconds.
+// Micros adds a parameter with a duration in microseconds.
 func (b *Builder) Micros(r Rank, name string, d time.Duration) { b.Int(r, name, d.Microseconds()) }
 
-// Raw adds a parameter that write appends to the message; it must need no escape.
+// Raw adds a parameter whose value write appends to the message. The value must not need escaping.
 func (b *Builder) Raw(r Rank, name string, write func([]byte) []byte) {
-	from := b.open(name)
+	from := b.beginParam(name)
 	b.buf = write(b.buf)
-	b.close(from, r)
+	b.endParam(from, r)
 }
 
-// Text ends the elements and adds MSG, which may be empty. Control bytes and invalid UTF-8 in it are escaped as in
-// values; with anything beyond ASCII the byte order mark stands in front (RFC 5424, section 6.4).
+// Text ends the elements and adds MSG, which may be empty. Control characters and invalid UTF-8 in it are escaped as in
+// values. MSG starts with the byte order mark if it holds characters beyond ASCII (RFC 5424, section 6.4).
 func (b *Builder) Text(text string) {
-	if b.elems > 0 {
+	if b.elementCount > 0 {
 		b.buf = append(b.buf, ']')
 	} else {
 		b.buf = append(b.buf, '-')
 	}
-	b.closed = len(b.buf)
+	b.elementsEnd = len(b.buf)
 	if text == "" {
 		return
 	}
 	b.buf = append(b.buf, ' ')
 	from := len(b.buf)
-	b.buf = appendPlain(b.buf, text)
+	b.buf = appendText(b.buf, text)
 	for _, c := range b.buf[from:] {
 		if c >= utf8.RuneSelf {
 			b.buf = append(b.buf, "   "...)
 			copy(b.buf[from+3:], b.buf[from:len(b.buf)-3])
-			copy(b.buf[from:], bom)
+			copy(b.buf[from:], byteOrderMark)
 			break
 		}
 	}
 }
 
-const bom = "\xef\xbb\xbf"
+const byteOrderMark = "\xef\xbb\xbf"
 
-// End returns the message, cut to at most so many bytes as RFC 5424, sections 6.1 and 8.1, allow: first MSG at a
-// character's border, then whole parameters, the highest rank and among equals the last one first. The parameter cut of
-// the marked element tells "msg", or how many parameters went as well: "msg+3". The bytes are good until the next Begin.
-func (b *Builder) End(most int) []byte {
-	if len(b.buf) <= most {
+// End returns the message, truncated to at most maxBytes as RFC 5424, sections 6.1 and 8.1, allow: first MSG is
+// truncated at a character boundary, then whole parameters are removed, those of the highest rank first, and of these
+// the last one first. The element with reportsCut then has the parameter cut, which is "msg", or "msg+3" if three
+// parameters were removed as well. The returned bytes are valid until the next Begin.
+func (b *Builder) End(maxBytes int) []byte {
+	if len(b.buf) <= maxBytes {
 		return b.buf
 	}
-	if text := most - b.closed - room; text >= 0 && b.marker >= 0 {
-		out := b.splice(0)
-		return b.clip(out, most)
+	if text := maxBytes - b.elementsEnd - cutParamBytes; text >= 0 && b.cutElement >= 0 {
+		out := b.assemble(0)
+		return b.truncateText(out, maxBytes)
 	}
-	// Whole parameters go. The ranks are few, so it is counted rank by rank from the top.
-	need := b.closed + room - most
-	gone := 0
-	for rank := b.top(); rank > Keep && need > 0; rank-- {
-		for i := len(b.spans) - 1; i >= 0 && need > 0; i-- {
+	// Whole parameters are removed. There are few ranks, so all spans are searched again for each of them.
+	excess := b.elementsEnd + cutParamBytes - maxBytes
+	removed := 0
+	for rank := b.highestRank(); rank > Keep && excess > 0; rank-- {
+		for i := len(b.spans) - 1; i >= 0 && excess > 0; i-- {
 			s := &b.spans[i]
-			if s.open && s.rank == Keep || s.rank != rank || s.to == s.from {
+			if s.isOpening && s.rank == Keep || s.rank != rank || s.to == s.from {
 				continue
 			}
-			need -= s.to - s.from
-			gone++
-			if s.open { // a fixed element, and its bracket
+			excess -= s.to - s.from
+			removed++
+			if s.isOpening { // a Fixed element, which ends with a bracket
 				s.to = s.from
-				need--
+				excess--
 				continue
 			}
-			b.drop(i, &need)
+			b.dropParam(i, &excess)
 		}
 	}
-	return b.splice(gone)
+	return b.assemble(removed)
 }
 
-func (b *Builder) top() (r Rank) {
+func (b *Builder) highestRank() (r Rank) {
 	for _, s := range b.spans {
 		r = max(r, s.rank)
 	}
 	return r
 }
 
-// drop takes a parameter out, and its element if that was its last.
-func (b *Builder) drop(i int, need *int) {
-	elem := b.spans[i].elem
+// dropParam removes a parameter, and its element too if it was the last parameter and the element does not get the cut
+// parameter. It subtracts the removed bytes of the element from excess.
+func (b *Builder) dropParam(i int, excess *int) {
+	elem := b.spans[i].element
 	b.spans[i].to = b.spans[i].from
-	if elem == b.marker {
+	if elem == b.cutElement {
 		return
 	}
 	first := -1
 	for j, s := range b.spans {
-		if s.elem != elem {
+		if s.element != elem {
 			continue
 		}
-		if s.open {
+		if s.isOpening {
 			first = j
 		} else if s.to > s.from {
 			return
 		}
 	}
-	*need -= b.spans[first].to - b.spans[first].from + 1
+	*excess -= b.spans[first].to - b.spans[first].from + 1
 	b.spans[first].to = b.spans[first].from
 }
 
-// splice writes what is left of the elements, with the marker, and where nothing of them went the text as well.
-func (b *Builder) splice(gone int) []byte {
-	out := append(b.out[:0], b.buf[:b.opened]...)
+// assemble returns the message with the remaining elements and the cut parameter. The text follows only if no
+// parameters were removed.
+func (b *Builder) assemble(removed int) []byte {
+	out := append(b.truncated[:0], b.buf[:b.elementsStart]...)
 	started, in := false, -1
 	end := func() {
-		if in == b.marker && started {
+		if in == b.cutElement && started {
 			out = append(out, ` cut="msg`...)
-			if gone > 0 {
+			if removed > 0 {
 				out = append(out, '+')
-				out = strconv.AppendInt(out, int64(gone), 10)
+				out = strconv.AppendInt(out, int64(removed), 10)
 			}
 			out = append(out, '"')
 		}
@@ -313,47 +320,48 @@
 		if s.from == s.to {
 			continue
 		}
-		if s.open {
+		if s.isOpening {
 			end()
-			in, started = s.elem, true
+			in, started = s.element, true
 		}
 		out = append(out, b.buf[s.from:s.to]...)
 	}
 	end()
-	if len(out) == b.opened {
+	if len(out) == b.elementsStart {
 		out = append(out, '-')
 	}
-	if gone == 0 {
-		out = append(out, b.buf[b.closed:]...)
+	if removed == 0 {
+		out = append(out, b.buf[b.elementsEnd:]...)
 	}
-	b.out = out
+	b.truncated = out
 	return out
 }
 
-// clip cuts the text at a character's border.
-func (b *Builder) clip(out []byte, most int) []byte {
-	text := len(out) - (len(b.buf) - b.closed)
-	cut := min(most, len(out))
+// truncateText truncates the text of the assembled message at a character boundary, so that the message has at most
+// maxBytes.
+func (b *Builder) truncateText(out []byte, maxBytes int) []byte {
+	text := len(out) - (len(b.buf) - b.elementsEnd)
+	cut := min(maxBytes, len(out))
 	for cut > text && cut < len(out) && !utf8.RuneStart(out[cut]) {
 		cut--
 	}
-	for back := 1; back <= 2 && cut-back > text; back++ { // not within what stands for a byte
+	for back := 1; back <= 2 && cut-back > text; back++ { // not within the escape of a byte
 		if out[cut-back] == '%' && cut < len(out) {
 			cut -= back
 			break
 		}
 	}
 	if p := out[text:cut]; len(p) < 2 || string(p) == " \xef\xbb\xbf" || len(p) < 4 && p[1] >= utf8.RuneSelf {
-		cut = text // nothing of it is left but what stands in front
+		cut = text // only the space and the byte order mark, or a part of it, are left
 	}
 	return out[:cut]
 }
 
-const hex = "0123456789ABCDEF"
+const hexDigits = "0123456789ABCDEF"
 
-// AppendValue appends a PARAM-VALUE: ", \ and ] behind a backslash (RFC 5424, section 6.3.3). A value is UTF-8 there, and
-// collectors write messages into lines, so control characters, bytes that are no UTF-8, and the sign % itself stand as %
-// and two hex digits: nothing is lost and nothing is garbled.
+// AppendValue appends s as a PARAM-VALUE, with a backslash before each ", \ and ] (RFC 5424, section 6.3.3). A value
+// has to be UTF-8, and collectors write one message per line. So control characters, invalid UTF-8 and the character %
+// are written as % and two hexadecimal digits per byte, from which the value can be restored.
 func AppendValue(dst []byte, s string) []byte {
 	for i := 0; i < len(s); {
 		c := s[i]
@@ -361,14 +369,14 @@
 		case c == '"' || c == '\\' || c == ']':
 			dst = append(dst, '\\', c)
 		case c < ' ' || c == 0x7f || c == '%':
-			dst = append(dst, '%', hex[c>>4], hex[c&15])
+			dst = append(dst, '%', hexDigits[c>>4], hexDigits[c&15])
 		case c < utf8.RuneSelf:
 			dst = append(dst, c)
 		default:
 			r, n := utf8.DecodeRuneInString(s[i:])
 			if r == utf8.RuneError && n == 1 || r >= 0x80 && r < 0xa0 {
 				for _, c := range []byte(s[i : i+n]) {
-					dst = append(dst, '%', hex[c>>4], hex[c&15])
+					dst = append(dst, '%', hexDigits[c>>4], hexDigits[c&15])
 				}
 			} else {
 				dst = append(dst, s[i:i+n]...)
@@ -381,13 +389,14 @@
 	return dst
 }
 
-// appendPlain is AppendValue for MSG, which knows no escape but the one for what can't stand there.
-func appendPlain(dst []byte, s string) []byte {
+// appendText appends s as MSG, with the percent escapes of AppendValue but no backslashes. A leading byte order mark is
+// escaped too.
+func appendText(dst []byte, s string) []byte {
 	for i := 0; i < len(s); {
 		r, n := utf8.DecodeRuneInString(s[i:])
 		if r < ' ' || r >= 0x7f && r < 0xa0 || r == '%' || r == utf8.RuneError && n == 1 || i == 0 && r == 0xfeff {
 			for _, c := range []byte(s[i : i+n]) {
-				dst = append(dst, '%', hex[c>>4], hex[c&15])
+				dst = append(dst, '%', hexDigits[c>>4], hexDigits[c&15])
 			}
 		} else {
 			dst = append(dst, s[i:i+n]...)
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -12,120 +12,125 @@
 	"limeladder/internal/spool"
 )
 
-// Options bound a Sender. All times and sizes come from the program's limits and the operators' file.
+// Options configure a Sender. Its times and sizes come from the program's limits and the operators' settings.
 type Options struct {
-	Collectors []Collector
-	TLS        *tls.Config
-	Seed       uint64
+	Collectors []Collector // the preferred one first
+	TLS        *tls.Config // for collectors with the network tls
+	Seed       uint64      // of the jitter of the backoff
 
-	Window int // bytes of messages that are kept in memory: those to be sent, and those not yet acknowledged
-	Repeat int // bytes of acknowledged messages that are sent again behind a connection that was reset, 0 = none
+	// Window is the size limit in bytes of the messages in memory: those to be sent, and those not yet acknowledged. The
+	// send buffer of a connection has the same size.
+	Window int
+	Repeat int // how many bytes of acknowledged messages are sent again after a connection was reset, 0 = none
 
-	Spool  string // a folder; "" = none
-	Name   string // of this process's own folder in it
+	Spool  string // the folder of the spools of all processes; "" = messages are not stored on disk
+	Name   string // the name of this process's own folder in it
 	Disk   spool.Options
-	Replay int // messages a second from the spool, 0 = no such limit
+	Replay int // the rate limit for messages from the spool, in messages per second, 0 = none
 
-	Connect time.Duration // until a connection stands, its handshake included
-	Stall   time.Duration // until a chunk is taken
-	First   time.Duration // the first wait behind a failure,
-	Last    time.Duration // and the longest
-	Prefer  time.Duration // how often a collector in front of the one in use is tried
+	Connect time.Duration // the timeout for connecting, TLS handshake included
+	Stall   time.Duration // the timeout for writing a chunk. A connection that lasts longer than this resets the backoff
+	First   time.Duration // the backoff after the first failure of a collector; it doubles with each further one
+	Last    time.Duration // the limit of the backoff
+	Prefer  time.Duration // how long a connection lasts at least before a preferred collector is tried again
 }
 
-// chunk is what one write carries: with TLS one record, which arrives whole or not at all.
-const chunk = 16 << 10
+// maxChunkBytes is the size limit of one write in bytes. It is the size limit of a TLS record, which arrives whole or
+// not at all.
+const maxChunkBytes = 16 << 10
 
-// finishing is how long the end of a connection waits for acknowledgements.
-const finishing = 500 * time.Millisecond
+// closeAckTimeout is how long closing a connection waits for acknowledgements.
+const closeAckTimeout = 500 * time.Millisecond
 
-// quieting is how long acknowledgements may be late, and a little more.
-const quieting = 60 * time.Millisecond
+// lateAckTimeout is how long an acknowledgement may be delayed, plus a margin.
+const lateAckTimeout = 60 * time.Millisecond
 
-// adopting is how often it is looked for what a process that has died has left.
-const adopting = 5 * time.Second
+// adoptInterval is how often the spools of processes that have died are searched for.
+const adoptInterval = 5 * time.Second
 
-// Stats is what a Sender has done. It may be read from any goroutine.
+// Stats counts what a Sender has done since its start.
 type Stats struct {
-	Sent      uint64 // messages that were delivered, as far as the transport tells
-	Repeated  uint64 // of them, those that may have been delivered before
-	Connects  uint64
-	Spooled   uint64 // messages that went to the spool
-	Lost      uint64 // messages that were given up at the end
-	SpoolErrs uint64 // times that the disk refused
-	Skipped   uint64 // bytes of the spool that were no whole record
-	Connected bool
+	Sent      uint64 // delivered messages, as far as the transport can tell; repeated ones count again
+	Repeated  uint64 // acknowledged messages that were queued again because the collector may not have read them
+	Connects  uint64 // successful connections
+	Spooled   uint64 // messages that were written to the spool
+	Lost      uint64 // messages that Close could neither send nor store
+	SpoolErrs uint64 // failed operations on the spool
+	Skipped   uint64 // bytes of the spool that were not part of a complete record
+	Connected bool   // there is a connection to a collector
 }
 
-// Sender carries messages to the first collector that takes them, in order. Put is called by one goroutine; what it
-// takes waits in memory and then in the spool, and where there is no room it takes nothing.
+// Sender sends messages in order to the most preferred collector that can be reached. Put is called by one goroutine.
+// The messages that it accepts wait in memory and, beyond Options.Window, in the spool; when both are full it accepts
+// none.
 type Sender struct {
-	opt    Options
-	log    *slog.Logger
-	wake   chan struct{}
-	quit   chan struct{}
-	done   chan struct{}
-	ctx    context.Context
-	cancel context.CancelFunc
-	start  time.Time
-	ended  sync.Once
-
-	pendingChange atomic.Pointer[change] // set by the event loop, which must not wait for mu
-
-	mu      sync.Mutex // held while the spool is written and synced
-	waiting [][]byte   // oldest first; older than all that is in the spool
-	bytes   int        // of waiting and of flight
-	own     *spool.Spool
-	broken  time.Time // the disk has refused: it is not tried again before this
-	left    []*spool.Spool
-	link    *link // for Close, which cuts its writes short
-	until   time.Time
-
-	// owned by run
-	flight  []flight
-	recent  [][]byte // acknowledged ones, at most Repeat bytes
-	kept    int
-	short   int // connections that were reset soon, one after the other
-	still   int // times in a row that nothing new was acknowledged
-	turn    Failover
-	using   int
-	frame   []byte
-	tokens  float64
-	filled  time.Time
-	synced  time.Time
-	adopted time.Time
-
-	sent, repeated, connects, spooled, lost, errs, skipped atomic.Uint64
-	connected                                              atomic.Bool
+	opt       Options
+	log       *slog.Logger
+	wake      chan struct{} // a value ends a pause of run
+	quit      chan struct{} // closed by Close
+	done      chan struct{} // closed when run has returned
+	ctx       context.Context
+	cancel    context.CancelFunc
+	startedAt time.Time
+	closeOnce sync.Once
+
+	pendingChange atomic.Pointer[collectorChange] // set by the event loop, which must not wait for mu
+
+	mu            sync.Mutex // held while the spool is written and synced, so for as long as the disk takes
+	waiting       [][]byte   // messages in memory, oldest first; all are older than those in the spool
+	memoryBytes   int        // the size of the messages of waiting, and of those of unacked that come from memory
+	ownSpool      *spool.Spool
+	spoolRetryAt  time.Time // the disk has failed and is not used before this
+	adoptedSpools []*spool.Spool
+	connection    *connection // set for Close, which limits the time of its writes
+	closeDeadline time.Time
+
+	// These are used by the goroutine of run only.
+	unacked        []chunk
+	recent         [][]byte // the newest acknowledged messages, at most Options.Repeat bytes
+	recentBytes    int
+	earlyResets    int // consecutive connections that broke before Options.Stall had passed
+	idleAckChecks  int // consecutive checks that found no new acknowledgement
+	failover       Failover
+	collectorIndex int // of the current or last connection's collector, -1 = there was none
+	writeBuffer    []byte
+	replayTokens   float64 // the messages that Options.Replay allows to send from the spool now
+	tokensFilledAt time.Time
+	syncedAt       time.Time
+	adoptedAt      time.Time
+
+	sent, repeated, connections, spooled, lost, spoolErrors, skippedBytes atomic.Uint64
+	connected                                                             atomic.Bool
 }
 
-type change struct {
+// collectorChange holds the arguments of a call of Change that run has not applied yet.
+type collectorChange struct {
 	collectors []Collector
 	tls        *tls.Config
 }
 
-// flight is a chunk that is written and not acknowledged.
-type flight struct {
-	msgs [][]byte
-	from *spool.Spool // nil = memory
-	off  int64        // there, where its first message starts
-	ends []int64      // where each message ends on the connection; one entry for a chunk of TLS
+// chunk is a group of messages that are sent with one write.
+type chunk struct {
+	msgs         [][]byte
+	source       *spool.Spool // the spool that they come from, nil = memory
+	sourceOffset int64        // where the first message starts in the oldest segment of the spool
+	endOffsets   []int64      // byte offsets on the connection at which the messages end; over TLS one for all
 }
 
-// NewSender starts to send. It finds what earlier processes have left in the spool.
+// NewSender returns a Sender and starts its goroutine. It adopts the spools that earlier processes have left.
 func NewSender(opt Options, log *slog.Logger) (*Sender, error) {
 	s := &Sender{
 		opt: opt, log: log, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}),
-		start: time.Now(), using: -1, filled: time.Now(), adopted: time.Now(),
+		startedAt: time.Now(), collectorIndex: -1, tokensFilledAt: time.Now(), adoptedAt: time.Now(),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.turn = *NewFailover(len(opt.Collectors), opt.Seed, opt.First, opt.Last)
+	s.failover = *NewFailover(len(opt.Collectors), opt.Seed, opt.First, opt.Last)
 	if opt.Spool != "" {
 		var err error
-		if s.left, err = spool.Adopt(opt.Spool, opt.Disk); err != nil {
+		if s.adoptedSpools, err = spool.Adopt(opt.Spool, opt.Disk); err != nil {
 			return nil, err
 		}
-		if s.own, err = spool.Create(opt.Spool, opt.Name, opt.Disk); err != nil {
+		if s.ownSpool, err = spool.Create(opt.Spool, opt.Name, opt.Disk); err != nil {
 			return nil, err
 		}
 	}
@@ -133,83 +138,88 @@
 	return s, nil
 }
 
-// Put takes messages in order, and says how many. It keeps them; it may wait for the disk, never for a collector.
+// Put accepts messages in order, and returns how many. The Sender keeps the slices, so the caller must not change them.
+// Put may wait for the disk, but never for a collector.
 func (s *Sender) Put(msgs [][]byte) int {
 	s.mu.Lock()
-	n := s.remember(msgs)
-	if n < len(msgs) && s.own != nil && !s.failing() {
-		k, err := s.own.Append(msgs[n:])
-		s.spooled.Add(uint64(k))
-		n += k
+	n := s.addToMemory(msgs)
+	if n < len(msgs) && s.ownSpool != nil && !s.spoolFailedRecently() {
+		appended, err := s.ownSpool.Append(msgs[n:])
+		s.spooled.Add(uint64(appended))
+		n += appended
 		if err != nil && !errors.Is(err, spool.ErrFull) {
-			s.fault(err)
-			n += s.remember(msgs[n:])
+			s.noteSpoolError(err)
+			n += s.addToMemory(msgs[n:])
 		}
 	}
 	s.mu.Unlock()
 	if n > 0 {
-		s.nudge()
+		s.wakeRun()
 	}
 	return n
 }
 
-// remember keeps messages in memory, as far as there is room. Guards against a SIGKILL: with a spool that works memory
-// holds only what is on its way, and while nobody takes it nothing.
-func (s *Sender) remember(msgs [][]byte) (n int) {
-	if s.own != nil && (!s.own.Empty() || s.link == nil && !s.failing()) {
+// addToMemory adds messages to those in memory as far as there is room, and returns how many. SIGKILL loses the
+// messages in memory. So with a working spool nothing is added while the spool holds messages or there is no
+// connection.
+func (s *Sender) addToMemory(msgs [][]byte) (n int) {
+	if s.ownSpool != nil && (!s.ownSpool.Empty() || s.connection == nil && !s.spoolFailedRecently()) {
 		return 0
 	}
-	for n < len(msgs) && s.bytes+len(msgs[n]) <= s.opt.Window {
+	for n < len(msgs) && s.memoryBytes+len(msgs[n]) <= s.opt.Window {
 		s.waiting = append(s.waiting, msgs[n])
-		s.bytes += len(msgs[n])
+		s.memoryBytes += len(msgs[n])
 		n++
 	}
 	return n
 }
 
-// failing says that the disk has refused a moment ago.
-func (s *Sender) failing() bool { return time.Now().Before(s.broken) }
+// spoolFailedRecently reports whether the spool must not be used yet after an error.
+func (s *Sender) spoolFailedRecently() bool { return time.Now().Before(s.spoolRetryAt) }
 
-// fault notes that the disk has refused. Guards against asking a full disk for each message.
-func (s *Sender) fault(err error) {
-	s.errs.Add(1)
-	s.broken = time.Now().Add(time.Second)
-	s.log.Warn("syslog: spool", "err", err)
+// noteSpoolError counts and logs an error of the spool, which is then not used for a second. Otherwise each message
+// would cause an attempt to write to a full disk.
+func (s *Sender) noteSpoolError(err error) {
+	s.spoolErrors.Add(1)
+	s.spoolRetryAt = time.Now().Add(time.Second)
+	s.log.Warn("syslog: spool operation failed, retrying after 1 s", "err", err)
 }
 
-func (s *Sender) nudge() {
+// wakeRun ends a pause of the goroutine of run.
+func (s *Sender) wakeRun() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Stats returns what was done so far.
+// Stats returns the counters. It may be called from any goroutine.
 func (s *Sender) Stats() Stats {
 	return Stats{
-		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connects.Load(), Spooled: s.spooled.Load(),
-		Lost: s.lost.Load(), SpoolErrs: s.errs.Load(), Skipped: s.skipped.Load(), Connected: s.connected.Load(),
+		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connections.Load(), Spooled: s.spooled.Load(),
+		Lost: s.lost.Load(), SpoolErrs: s.spoolErrors.Load(), Skipped: s.skippedBytes.Load(), Connected: s.connected.Load(),
 	}
 }
 
-// Change sets other collectors; what is on its way to an old one is finished first. It never waits, not for the disk of
-// the spool either.
+// Change replaces the collectors. The goroutine of the Sender applies this, and closes the old connection gracefully.
+// Change never blocks, not even while the spool waits for the disk.
 func (s *Sender) Change(collectors []Collector, tlsConfig *tls.Config) {
-	s.pendingChange.Store(&change{collectors: collectors, tls: tlsConfig})
-	s.nudge()
+	s.pendingChange.Store(&collectorChange{collectors: collectors, tls: tlsConfig})
+	s.wakeRun()
 }
 
-// Close sends what waits for at most so long. What is left then goes to the spool, or is counted as lost.
-func (s *Sender) Close(within time.Duration) { s.ended.Do(func() { s.close(within) }) }
+// Close sends waiting messages for at most timeout. It then writes those that are left to the spool, or counts them as
+// lost.
+func (s *Sender) Close(timeout time.Duration) { s.closeOnce.Do(func() { s.close(timeout) }) }
 
-func (s *Sender) close(within time.Duration) {
-	until := time.Now().Add(within)
-	end := time.AfterFunc(within, s.cancel)
-	defer end.Stop()
+func (s *Sender) close(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
+	timer := time.AfterFunc(timeout, s.cancel)
+	defer timer.Stop()
 	s.mu.Lock()
-	s.until = until // run reads it only once quit is closed
-	if s.link != nil {
-		s.link.raw.SetWriteDeadline(until)
+	s.closeDeadline = deadline // run reads it only once quit is closed
+	if s.connection != nil {
+		s.connection.socket.SetWriteDeadline(deadline)
 	}
 	s.mu.Unlock()
 	close(s.quit)
@@ -218,21 +228,21 @@
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rest := s.waiting
-	if s.own != nil {
-		if err := s.own.Front(rest); err == nil {
-			rest = nil
+	remaining := s.waiting
+	if s.ownSpool != nil {
+		if err := s.ownSpool.Prepend(remaining); err == nil {
+			remaining = nil
 		} else {
-			s.log.Warn("syslog: spool", "err", err)
+			s.log.Warn("syslog: storing unsent messages in the spool failed, they are lost", "err", err)
 		}
-		s.skipped.Add(uint64(s.own.Skipped()))
-		if err := s.own.Close(); err != nil {
-			s.log.Warn("syslog: spool", "err", err)
+		s.skippedBytes.Add(uint64(s.ownSpool.Skipped()))
+		if err := s.ownSpool.Close(); err != nil {
+			s.log.Warn("syslog: closing the spool failed", "err", err)
 		}
 	}
-	for _, o := range s.left {
-		_ = o.Close() // where its cursor is not kept the next start sends messages again, and loses none
+	for _, other := range s.adoptedSpools {
+		_ = other.Close() // if its cursor is not saved, the next start sends messages again, but loses none
 	}
-	s.lost.Add(uint64(len(rest)))
-	s.waiting, s.bytes = nil, 0
+	s.lost.Add(uint64(len(remaining)))
+	s.waiting, s.memoryBytes = nil, 0
 }
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -14,21 +14,21 @@
 	"limeladder/internal/testserver/collector"
 )
 
-// world is a sender and what it may meet.
-type world struct {
-	t    *testing.T
-	ca   *collector.Authority
-	cert tls.Certificate
-	opt  Options
-	s    *Sender
-	next int
+// senderTest holds a Sender under test, and the number of messages that it has accepted.
+type senderTest struct {
+	t       *testing.T
+	ca      *collector.Authority
+	cert    tls.Certificate
+	options Options
+	sender  *Sender
+	next    int
 
-	mixed bool // a collector may read two connections side by side
+	allowOverlap bool // messages may arrive out of order, as a collector may read two connections at the same time
 }
 
-func newWorld(t *testing.T) *world {
+func newSenderTest(t *testing.T) *senderTest {
 	t.Helper()
-	w := &world{t: t}
+	w := &senderTest{t: t}
 	var err error
 	if w.ca, err = collector.NewAuthority(); err != nil {
 		t.Fatal(err)
@@ -36,14 +36,14 @@
 	if w.cert, _, _, err = w.ca.Issue("collector.example", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	w.opt = Options{
+	w.options = Options{
 		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine", Disk: spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
 		Connect: 2 * time.Second, Stall: time.Second, First: 5 * time.Millisecond, Last: 50 * time.Millisecond, Prefer: time.Hour,
 	}
 	return w
 }
 
-func (w *world) collector(opt collector.Options) *collector.Collector {
+func (w *senderTest) startCollector(opt collector.Options) *collector.Collector {
 	w.t.Helper()
 	if opt.TLS == nil {
 		opt.TLS = &tls.Config{Certificates: []tls.Certificate{w.cert}}
@@ -56,59 +56,60 @@
 	return c
 }
 
-func (w *world) start(cs ...*collector.Collector) {
+func (w *senderTest) startSender(cs ...*collector.Collector) {
 	w.t.Helper()
 	for _, c := range cs {
 		p, err := ParseCollector(c.URL())
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		w.opt.Collectors = append(w.opt.Collectors, p)
+		w.options.Collectors = append(w.options.Collectors, p)
 	}
 	var err error
-	if w.s, err = NewSender(w.opt, slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
+	if w.sender, err = NewSender(w.options, slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() {
-		if w.s != nil {
-			w.s.Close(0)
+		if w.sender != nil {
+			w.sender.Close(0)
 		}
 	})
 }
 
-// body is the text of message i, of a length of its own.
-func body(i int) string {
+// testMessage returns message i. Its length depends on i.
+func testMessage(i int) string {
 	return fmt.Sprintf("<14>1 - - - - - - %d %s", i, strings.Repeat("x", i*37%700))
 }
 
-// put offers n more messages until all are taken, or as many as there is room for.
-func (w *world) put(n int, all bool) (taken int) {
+// putMessages puts n more messages, and returns how many were accepted. If all is set it retries until all are, and
+// fails the test after 30 s; otherwise it stops at the first that is not accepted.
+func (w *senderTest) putMessages(n int, all bool) (accepted int) {
 	w.t.Helper()
 	end := time.Now().Add(30 * time.Second)
-	for taken < n && time.Now().Before(end) {
+	for accepted < n && time.Now().Before(end) {
 		var msgs [][]byte
-		for i := range min(50, n-taken) {
-			msgs = append(msgs, []byte(body(w.next+i)))
+		for i := range min(50, n-accepted) {
+			msgs = append(msgs, []byte(testMessage(w.next+i)))
 		}
-		k := w.s.Put(msgs)
-		w.next += k
-		taken += k
-		if k == 0 {
+		count := w.sender.Put(msgs)
+		w.next += count
+		accepted += count
+		if count == 0 {
 			if !all {
-				return taken
+				return accepted
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if all && taken < n {
-		w.t.Fatalf("%d of %d taken", taken, n)
+	if all && accepted < n {
+		w.t.Fatalf("%d of %d messages accepted within 30 s", accepted, n)
 	}
-	return taken
+	return accepted
 }
 
-// got waits until the collectors together have all messages, and checks that each came once and in order; again allows
-// that some came twice.
-func (w *world) got(again bool, cs ...*collector.Collector) {
+// waitDelivered waits until the collectors together have received all messages, and checks that each arrived once and
+// in order. With allowRepeats messages may arrive more than once and out of order.
+func (w *senderTest) waitDelivered(allowRepeats bool, cs ...*collector.Collector) {
 	w.t.Helper()
 	end := time.Now().Add(30 * time.Second)
 	for {
@@ -120,22 +121,22 @@
 				var id int
 				var p parser.Message
 				if err := p.Read(m); err != nil {
-					w.t.Fatalf("%v: %q", err, m)
+					w.t.Fatalf("parsing a received message: %v: %q", err, m)
 				}
-				if _, err := fmt.Sscanf(string(p.Text), "%d ", &id); err != nil || string(m) != body(id) {
-					w.t.Fatalf("garbled: %q", m)
+				if _, err := fmt.Sscanf(string(p.Text), "%d ", &id); err != nil || string(m) != testMessage(id) {
+					w.t.Fatalf("received %q, which was not sent", m)
 				}
-				if id < last && !again && !w.mixed {
-					w.t.Fatalf("%d behind %d", id, last)
+				if id < last && !allowRepeats && !w.allowOverlap {
+					w.t.Fatalf("message %d arrived after message %d", id, last)
 				}
 				last = id
 				seen[string(p.Text)]++
-				if seen[string(p.Text)] > 1 && !again {
-					w.t.Fatalf("%d came twice", id)
+				if seen[string(p.Text)] > 1 && !allowRepeats {
+					w.t.Fatalf("message %d arrived twice", id)
 				}
 				total++
 			}
-			dropped += c.Dropped() // behind the messages: a drop is never counted in the place of one that came
+			dropped += c.Dropped() // read after the messages, so that a message that arrives meanwhile is not counted as dropped
 			if err := c.Fault(); err != nil {
 				w.t.Fatal(err)
 			}
@@ -144,336 +145,345 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("%d of %d came, the system dropped %d: %+v", len(seen), w.next, dropped, w.s.Stats())
+			w.t.Fatalf("%d of %d messages arrived within 30 s, the collectors' system dropped %d: %+v",
+				len(seen), w.next, dropped, w.sender.Stats())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// networks are those that a collector can be reached by.
+// networks are the transports over which a collector can be reached.
 var networks = []string{"udp", "tcp", "tls"}
 
-func TestEachTransportCarriesAll(t *testing.T) {
+func TestEachTransportDeliversAll(t *testing.T) {
 	for _, network := range networks {
 		t.Run(network, func(t *testing.T) {
-			w := newWorld(t)
-			c := w.collector(collector.Options{Network: network})
-			w.start(c)
+			w := newSenderTest(t)
+			c := w.startCollector(collector.Options{Network: network})
+			w.startSender(c)
 			for w.next < 10_000 {
-				w.put(100, true)
+				w.putMessages(100, true)
 				if network == "udp" {
-					time.Sleep(100 * time.Microsecond) // nothing slows a datagram's sender down
+					time.Sleep(100 * time.Microsecond) // UDP has no flow control
 				}
 			}
-			w.got(false, c)
-			w.s.Close(time.Second)
-			if st := w.s.Stats(); st.Sent != 10_000 || st.Lost != 0 {
-				t.Fatalf("%+v", st)
+			w.waitDelivered(false, c)
+			w.sender.Close(time.Second)
+			if st := w.sender.Stats(); st.Sent != 10_000 || st.Lost != 0 {
+				t.Fatalf("got %+v, want 10000 sent and 0 lost", st)
 			}
-			w.s = nil
+			w.sender = nil
 		})
 	}
 }
 
-// A collector that ends in order and comes back: with a spool nothing is missing, and nothing comes twice.
-func TestRestartLosesNothing(t *testing.T) {
+// With a spool, a collector that shuts down gracefully and starts again gets every message exactly once.
+func TestCollectorRestartLosesNothing(t *testing.T) {
 	for _, network := range networks {
 		t.Run(network, func(t *testing.T) {
-			w := newWorld(t)
-			w.opt.Spool = t.TempDir()
-			c := w.collector(collector.Options{Network: network})
-			w.start(c)
+			w := newSenderTest(t)
+			w.options.Spool = t.TempDir()
+			c := w.startCollector(collector.Options{Network: network})
+			w.startSender(c)
 			for range 4 {
-				w.put(300, true)
+				w.putMessages(300, true)
 				if network == "udp" {
-					w.got(false, c) // a datagram that is sent just when the socket closes is lost, and nobody hears of it
+					w.waitDelivered(false, c) // a datagram that is sent while the socket closes is lost without an error
 				}
 				c.Stop()
-				w.put(1500, true)
+				w.putMessages(1500, true)
 				time.Sleep(20 * time.Millisecond)
 				if err := c.Start(); err != nil {
 					t.Fatal(err)
 				}
-				w.put(300, true)
+				w.putMessages(300, true)
 			}
-			w.got(false, c)
-			if st := w.s.Stats(); network != "udp" && st.Spooled == 0 {
-				t.Fatalf("nothing went to the spool: %+v", st)
+			w.waitDelivered(false, c)
+			if st := w.sender.Stats(); network != "udp" && st.Spooled == 0 {
+				t.Fatalf("no message was written to the spool: %+v", st)
 			}
 		})
 	}
 }
 
-// One that closes again and again in mid-stream, in order or by a reset. Behind resets the newest bytes come again.
-func TestFlapping(t *testing.T) {
+// A collector repeatedly closes the connection in mid-stream, gracefully or with a reset. After a reset the newest
+// bytes are sent again.
+func TestCollectorClosesRepeatedly(t *testing.T) {
 	for _, network := range []string{"tcp", "tls"} {
 		for _, abrupt := range []bool{false, true} {
 			t.Run(fmt.Sprint(network, " abrupt ", abrupt), func(t *testing.T) {
-				w := newWorld(t)
-				w.opt.Spool = t.TempDir()
-				w.opt.First, w.opt.Last = time.Millisecond, 5*time.Millisecond
+				w := newSenderTest(t)
+				w.options.Spool = t.TempDir()
+				w.options.First, w.options.Last = time.Millisecond, 5*time.Millisecond
 				if abrupt {
-					w.opt.Repeat = 256 << 10
+					w.options.Repeat = 256 << 10
 				}
-				c := w.collector(collector.Options{Network: network, CloseAfter: 397, Abrupt: abrupt})
-				w.start(c)
-				if abrupt { // what it has not read when it resets has to lie within what is repeated
+				c := w.startCollector(collector.Options{Network: network, CloseAfter: 397, Abrupt: abrupt})
+				w.startSender(c)
+				if abrupt { // the bytes that the collector has not read when it resets must not exceed Options.Repeat
 					for w.next < 1500 {
-						w.put(10, true)
-						w.got(true, c)
+						w.putMessages(10, true)
+						w.waitDelivered(true, c)
 					}
 				} else {
-					w.put(1500, true)
+					w.putMessages(1500, true)
 				}
-				w.got(abrupt, c)
+				w.waitDelivered(abrupt, c)
 				if n := c.Connections(); n < 4 {
-					t.Fatalf("%d connections", n)
+					t.Fatalf("%d connections, want at least 4", n)
 				}
 			})
 		}
 	}
 }
 
-// One that accepts and never reads costs nobody time: what has no room goes to the spool, and all of it arrives in order
-// once it reads again, or once another one takes it.
-func TestHanging(t *testing.T) {
+// A collector that accepts connections but does not read must not block Put: messages that exceed the memory go to the
+// spool, and all arrive in order once the collector reads again, or at the next collector.
+func TestCollectorStopsReading(t *testing.T) {
 	for _, network := range []string{"tcp", "tls"} {
 		t.Run(network, func(t *testing.T) {
-			w := newWorld(t)
-			w.opt.Spool = t.TempDir()
-			w.opt.Stall = 20 * time.Second
-			c := w.collector(collector.Options{Network: network})
-			goOn := c.Hang()
-			w.start(c)
+			w := newSenderTest(t)
+			w.options.Spool = t.TempDir()
+			w.options.Stall = 20 * time.Second
+			c := w.startCollector(collector.Options{Network: network})
+			resume := c.Hang()
+			w.startSender(c)
 			begin := time.Now()
-			w.put(20_000, true) // far more than sockets and memory hold
+			w.putMessages(20_000, true) // far more than the buffers of the sockets and the memory of the sender hold
 			if took := time.Since(begin); took > 10*time.Second {
-				t.Fatalf("it took %v", took)
+				t.Fatalf("putting the messages took %v, want at most 10 s", took)
 			}
-			goOn()
-			w.got(false, c)
+			resume()
+			w.waitDelivered(false, c)
 		})
 	}
 	t.Run("without a spool", func(t *testing.T) {
-		w := newWorld(t)
-		c := w.collector(collector.Options{Network: "tcp"})
-		goOn := c.Hang()
-		w.start(c)
+		w := newSenderTest(t)
+		c := w.startCollector(collector.Options{Network: "tcp"})
+		resume := c.Hang()
+		w.startSender(c)
 		n := 0
 		for range 50 {
-			n += w.put(2000, false)
+			n += w.putMessages(2000, false)
 			time.Sleep(2 * time.Millisecond)
 		}
 		if n > 30_000 {
-			t.Fatalf("%d were taken", n)
+			t.Fatalf("%d messages were accepted, want at most 30000", n)
 		}
-		goOn()
-		w.got(false, c)
+		resume()
+		w.waitDelivered(false, c)
 	})
-	t.Run("the next one takes over", func(t *testing.T) {
-		w := newWorld(t)
-		w.opt.Stall = 100 * time.Millisecond
-		// What the first has in its socket counts as taken: it hangs for good, so it takes none of the later ones.
-		first, second := w.collector(collector.Options{Network: "tls", Silent: true}), w.collector(collector.Options{Network: "tcp"})
-		w.opt.Connect = 100 * time.Millisecond // a handshake that never ends
-		w.start(first, second)
-		w.put(500, true)
-		w.got(false, second)
+	t.Run("failover to the next collector", func(t *testing.T) {
+		w := newSenderTest(t)
+		w.options.Stall = 100 * time.Millisecond
+		// Messages in the first collector's socket count as delivered. It never completes the TLS handshake, so there are
+		// none.
+		first, second := w.startCollector(collector.Options{Network: "tls", Silent: true}),
+			w.startCollector(collector.Options{Network: "tcp"})
+		w.options.Connect = 100 * time.Millisecond // the timeout of the handshake
+		w.startSender(first, second)
+		w.putMessages(500, true)
+		w.waitDelivered(false, second)
 	})
 }
 
-// With several the first is preferred: it is tried first, and again once it is back.
-func TestFailoverAndBack(t *testing.T) {
-	w := newWorld(t)
-	w.opt.Prefer = 30 * time.Millisecond
-	a, b := w.collector(collector.Options{Network: "tcp"}), w.collector(collector.Options{Network: "tls"})
-	w.start(a, b)
-	w.put(100, true)
-	w.got(false, a, b)
+// The first of several collectors is preferred: the sender starts with it, and returns to it once it is available
+// again.
+func TestFailoverAndFailback(t *testing.T) {
+	w := newSenderTest(t)
+	w.options.Prefer = 30 * time.Millisecond
+	a, b := w.startCollector(collector.Options{Network: "tcp"}), w.startCollector(collector.Options{Network: "tls"})
+	w.startSender(a, b)
+	w.putMessages(100, true)
+	w.waitDelivered(false, a, b)
 	a.Stop()
-	w.put(100, true)
-	w.got(false, a, b)
+	w.putMessages(100, true)
+	w.waitDelivered(false, a, b)
 	if a.Received() != 100 || b.Received() != 100 {
-		t.Fatalf("%d and %d", a.Received(), b.Received())
+		t.Fatalf("%d and %d messages received, want 100 each", a.Received(), b.Received())
 	}
 	if err := a.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); a.Received() == 100; time.Sleep(10 * time.Millisecond) {
-		w.put(1, true)
+		w.putMessages(1, true)
 		if time.Now().After(end) {
-			t.Fatal("the first is not used again")
+			t.Fatal("the sender has not returned to the preferred collector within 20 s")
 		}
 	}
-	w.got(false, a, b)
-	// Other collectors in service: what is on its way to the old one is finished.
-	c := w.collector(collector.Options{Network: "udp"})
+	w.waitDelivered(false, a, b)
+	// After Change, messages that were written to the old collector still arrive there.
+	c := w.startCollector(collector.Options{Network: "udp"})
 	p, _ := ParseCollector(c.URL())
-	w.put(100, true)
-	w.s.Change([]Collector{p}, nil)
+	w.putMessages(100, true)
+	w.sender.Change([]Collector{p}, nil)
 	for end := time.Now().Add(20 * time.Second); c.Received() == 0; time.Sleep(10 * time.Millisecond) {
-		w.put(1, true)
+		w.putMessages(1, true)
 		if time.Now().After(end) {
-			t.Fatal("the new one is not used")
+			t.Fatal("the new collector received nothing within 20 s")
 		}
 	}
-	w.got(false, a, b, c)
+	w.waitDelivered(false, a, b, c)
 }
 
-// The program's end waits for a bounded time; what is left is there for the next start, which sends it first.
-func TestEndWithADeadCollector(t *testing.T) {
+// Close returns within its time limit though the collector is unavailable. Messages that are left are sent first by the
+// next sender on the same spool folder.
+func TestCloseWithUnavailableCollector(t *testing.T) {
 	for _, network := range []string{"tcp", "tls"} {
-		w := newWorld(t)
-		w.opt.Spool = t.TempDir()
-		c := w.collector(collector.Options{Network: network})
+		w := newSenderTest(t)
+		w.options.Spool = t.TempDir()
+		c := w.startCollector(collector.Options{Network: network})
 		c.Stop()
-		w.start(c)
-		w.put(500, true)
+		w.startSender(c)
+		w.putMessages(500, true)
 		begin := time.Now()
-		w.s.Close(100 * time.Millisecond)
+		w.sender.Close(100 * time.Millisecond)
 		if took := time.Since(begin); took > 3*time.Second {
-			t.Fatalf("it took %v", took)
+			t.Fatalf("Close took %v, want at most 3 s", took)
 		}
-		if st := w.s.Stats(); st.Lost != 0 || st.Sent != 0 {
-			t.Fatalf("%+v", st)
+		if st := w.sender.Stats(); st.Lost != 0 || st.Sent != 0 {
+			t.Fatalf("got %+v, want 0 lost and 0 sent", st)
 		}
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		w.opt.Collectors, w.opt.Name = nil, "next"
-		w.start(c)
-		w.got(false, c)
+		w.options.Collectors, w.options.Name = nil, "next"
+		w.startSender(c)
+		w.waitDelivered(false, c)
 
-		// A hanging one does not hold it up either, in the middle of a write. What its socket has it reads later.
-		w.mixed = true
-		goOn := c.Hang()
-		w.put(10_000, true)
+		// Nor does a collector that stops reading block Close in the middle of a write. The collector reads the content of
+		// its socket buffer later.
+		w.allowOverlap = true
+		resume := c.Hang()
+		w.putMessages(10_000, true)
 		begin = time.Now()
-		w.s.Close(100 * time.Millisecond)
+		w.sender.Close(100 * time.Millisecond)
 		if took := time.Since(begin); took > 3*time.Second {
-			t.Fatalf("it took %v", took)
+			t.Fatalf("Close took %v, want at most 3 s", took)
 		}
-		goOn()
-		w.opt.Collectors, w.opt.Name = nil, "last"
-		w.start(c)
-		w.got(true, c) // what the system acknowledges too late for the end comes again
-		w.s.Close(time.Second)
-		w.s = nil
-	}
-	// Without a spool it is lost, and counted.
-	w := newWorld(t)
-	c := w.collector(collector.Options{Network: "tcp"})
+		resume()
+		w.options.Collectors, w.options.Name = nil, "last"
+		w.startSender(c)
+		w.waitDelivered(true, c) // messages that are acknowledged only after Close are sent again
+		w.sender.Close(time.Second)
+		w.sender = nil
+	}
+	// Without a spool the messages are lost, and counted.
+	w := newSenderTest(t)
+	c := w.startCollector(collector.Options{Network: "tcp"})
 	c.Stop()
-	w.start(c)
-	n := w.put(50, true)
-	w.s.Close(20 * time.Millisecond)
-	if st := w.s.Stats(); st.Lost != uint64(n) {
-		t.Fatalf("%+v", st)
+	w.startSender(c)
+	n := w.putMessages(50, true)
+	w.sender.Close(20 * time.Millisecond)
+	if st := w.sender.Stats(); st.Lost != uint64(n) {
+		t.Fatalf("got %+v, want all accepted messages lost", st)
 	}
-	w.s = nil
+	w.sender = nil
 }
 
-// What comes out of the spool keeps to its rate.
+// Messages from the spool are sent at the replay rate.
 func TestReplayRate(t *testing.T) {
-	w := newWorld(t)
-	w.opt.Spool, w.opt.Replay, w.opt.Window = t.TempDir(), 1000, 1
-	c := w.collector(collector.Options{Network: "tcp"})
+	w := newSenderTest(t)
+	w.options.Spool, w.options.Replay, w.options.Window = t.TempDir(), 1000, 1
+	c := w.startCollector(collector.Options{Network: "tcp"})
 	c.Stop()
-	w.start(c)
-	w.put(1200, true)
+	w.startSender(c)
+	w.putMessages(1200, true)
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	begin := time.Now()
-	w.got(false, c)
-	// 1000 may come at once, the rest at the rate.
+	w.waitDelivered(false, c)
+	// The bucket holds 1000 messages; the other 200 take 200 ms.
 	if took := time.Since(begin); took < 150*time.Millisecond || took > 10*time.Second {
-		t.Fatalf("it took %v", took)
+		t.Fatalf("replaying took %v, want 150 ms to 10 s", took)
 	}
 }
 
-// A collector whose certificate does not fit gets nothing; one that wants a certificate gets the router's.
+// A collector whose certificate is not valid gets no messages; a collector that requires a client certificate gets the
+// router's.
 func TestCertificates(t *testing.T) {
 	other, err := collector.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	strange, _, _, _ := other.Issue("collector.example", time.Now().Add(time.Hour))
-	w := newWorld(t)
-	old, _, _, _ := w.ca.Issue("collector.example", time.Now().Add(-time.Minute))
+	untrusted, _, _, _ := other.Issue("collector.example", time.Now().Add(time.Hour))
+	w := newSenderTest(t)
+	expired, _, _, _ := w.ca.Issue("collector.example", time.Now().Add(-time.Minute))
 	for name, conf := range map[string]*tls.Config{
-		"strange": {Certificates: []tls.Certificate{strange}}, "old": {Certificates: []tls.Certificate{old}},
-		"1.1": {Certificates: []tls.Certificate{w.cert}, MaxVersion: tls.VersionTLS11},
+		"untrusted": {Certificates: []tls.Certificate{untrusted}}, "expired": {Certificates: []tls.Certificate{expired}},
+		"TLS 1.1": {Certificates: []tls.Certificate{w.cert}, MaxVersion: tls.VersionTLS11},
 	} {
-		w := newWorld(t)
-		w.opt.TLS = &tls.Config{RootCAs: w.ca.Pool, MinVersion: tls.VersionTLS12}
-		c := w.collector(collector.Options{Network: "tls", TLS: conf})
-		w.start(c)
-		w.put(10, true)
+		w := newSenderTest(t)
+		w.options.TLS = &tls.Config{RootCAs: w.ca.Pool, MinVersion: tls.VersionTLS12}
+		c := w.startCollector(collector.Options{Network: "tls", TLS: conf})
+		w.startSender(c)
+		w.putMessages(10, true)
 		time.Sleep(50 * time.Millisecond)
 		if c.Received() != 0 {
-			t.Errorf("%s: %d messages", name, c.Received())
+			t.Errorf("%s: the collector received %d messages, want none", name, c.Received())
 		}
 	}
-	c := w.collector(collector.Options{Network: "tls", TLS: &tls.Config{Certificates: []tls.Certificate{w.cert}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: w.ca.Pool}})
+	c := w.startCollector(collector.Options{Network: "tls", TLS: &tls.Config{Certificates: []tls.Certificate{w.cert},
+		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: w.ca.Pool}})
 	mine, _, _, _ := w.ca.Issue("router", time.Now().Add(time.Hour))
-	w.opt.TLS = &tls.Config{RootCAs: w.ca.Pool, Certificates: []tls.Certificate{mine}, ServerName: "collector.example"}
-	w.start(c)
-	w.put(10, true)
-	w.got(false, c)
+	w.options.TLS = &tls.Config{RootCAs: w.ca.Pool, Certificates: []tls.Certificate{mine}, ServerName: "collector.example"}
+	w.startSender(c)
+	w.putMessages(10, true)
+	w.waitDelivered(false, c)
 }
 
-// A full disk: what has no room is not taken, and once there is room all goes on.
-func TestSpoolThatFails(t *testing.T) {
-	w := newWorld(t)
-	w.opt.Spool, w.opt.Window = t.TempDir(), 2000
-	w.opt.Disk.Create = func(string) (spool.File, error) { return nil, fmt.Errorf("no room") }
-	c := w.collector(collector.Options{Network: "tcp"})
+// While the disk fails, messages beyond the memory limit are not accepted. Once a collector is available, all are sent.
+func TestSpoolDiskFailure(t *testing.T) {
+	w := newSenderTest(t)
+	w.options.Spool, w.options.Window = t.TempDir(), 2000
+	w.options.Disk.Create = func(string) (spool.File, error) { return nil, fmt.Errorf("no room") }
+	c := w.startCollector(collector.Options{Network: "tcp"})
 	c.Stop()
-	w.start(c)
-	if n := w.put(1000, false); n == 0 || n > 50 {
-		t.Fatalf("%d taken", n)
+	w.startSender(c)
+	if n := w.putMessages(1000, false); n == 0 || n > 50 {
+		t.Fatalf("%d messages accepted, want 1 to 50", n)
 	}
-	if st := w.s.Stats(); st.SpoolErrs != 1 {
-		t.Fatalf("%+v", st)
+	if st := w.sender.Stats(); st.SpoolErrs != 1 {
+		t.Fatalf("got %+v, want 1 spool error", st)
 	}
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	w.put(1000, true)
-	w.got(false, c)
+	w.putMessages(1000, true)
+	w.waitDelivered(false, c)
 }
 
 func TestParseCollector(t *testing.T) {
 	for s, want := range map[string]string{"udp://127.0.0.1": "udp://127.0.0.1:514", "tcp://[::1]:99": "tcp://[::1]:99", "tls://logs.example": "tls://logs.example:6514"} {
 		if c, err := ParseCollector(s); err != nil || c.String() != want {
-			t.Errorf("%s: %v %v", s, c, err)
+			t.Errorf("ParseCollector(%q) = %v, %v", s, c, err)
 		}
 	}
 	for _, s := range []string{"", "127.0.0.1:514", "http://x", "udp://", "udp://x:0", "udp://x:70000", "udp://x/y", "tcp://u@x", "tcp://x?y", "udp://x:y", "\x7f"} {
 		if c, err := ParseCollector(s); err == nil {
-			t.Errorf("%q: %v", s, c)
+			t.Errorf("ParseCollector(%q) = %v, want an error", s, c)
 		}
 	}
 	for s, want := range map[string]bool{"udp://127.9.9.9": true, "udp://[::1]": true, "udp://10.0.0.1": false, "udp://localhost": false} {
 		if c, _ := ParseCollector(s); c.Loopback() != want {
-			t.Errorf("%s", s)
+			t.Errorf("wrong result of Loopback for %s", s)
 		}
 	}
 }
 
-// Waits double up to the longest, with jitter from the seed, and the first one that may be tried is.
-func TestFailover(t *testing.T) {
+// Backoffs double up to the maximum, with jitter from the seed, and Next returns the first collector that may be tried.
+func TestFailoverBackoff(t *testing.T) {
 	f, g := NewFailover(2, 7, 100*time.Millisecond, time.Second), NewFailover(2, 7, 100*time.Millisecond, time.Second)
 	now := time.Duration(0)
 	for i := range 20 {
 		c, wait := f.Next(now)
 		if d, w := g.Next(now); d != c || w != wait {
-			t.Fatal("the same seed decides differently")
+			t.Fatal("two Failovers with the same seed decide differently")
 		}
 		if c < 0 {
 			if wait <= 0 || wait > time.Second {
-				t.Fatalf("%d: %v", i, wait)
+				t.Fatalf("step %d: wait is %v, want more than 0 and at most 1 s", i, wait)
 			}
 			now += wait
 			continue
@@ -481,16 +491,17 @@
 		f.Failed(c, now)
 		g.Failed(c, now)
 		if n, w := f.Next(now); n == c || n < 0 && w <= 0 {
-			t.Fatalf("%d: %d at once", i, n)
+			t.Fatalf("step %d: collector %d is tried again at once after it failed", i, n)
 		}
 	}
-	f.Held(0)
+	f.ResetBackoff(0)
 	f.Failed(0, now)
-	if f.Better(1, now+49*time.Millisecond) || !f.Better(1, now+100*time.Millisecond) || f.Better(0, now+time.Hour) {
-		t.Fatal("Better")
+	if f.CanRetryPreferred(1, now+49*time.Millisecond) || !f.CanRetryPreferred(1, now+100*time.Millisecond) ||
+		f.CanRetryPreferred(0, now+time.Hour) {
+		t.Fatal("wrong result of CanRetryPreferred")
 	}
 	if c, wait := NewFailover(0, 1, 1, 2).Next(0); c != -1 || wait != 2 {
-		t.Fatal("none at all")
+		t.Fatal("Next without collectors: want -1 and the longest backoff")
 	}
 }
 
@@ -507,15 +518,15 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			msg := []byte(body(17))
+			msg := []byte(testMessage(17))
 			msgs := make([][]byte, 64)
 			for i := range msgs {
 				msgs[i] = msg
 			}
 			b.ResetTimer()
 			for i := 0; i < b.N; {
-				k := s.Put(msgs)
-				if i += k; k == 0 {
+				count := s.Put(msgs)
+				if i += count; count == 0 {
 					time.Sleep(50 * time.Microsecond)
 				}
 			}
@@ -525,20 +536,20 @@
 	}
 }
 
-// Guards against an event loop that waits, on a change of the collectors, for a spool whose disk hangs.
+// Change is called on the event loop, so it must not wait for a spool whose disk hangs.
 func TestChangeDoesNotWaitForTheSpool(t *testing.T) {
-	w := newWorld(t)
-	w.start(w.collector(collector.Options{Network: "tcp"}))
-	w.s.mu.Lock() // as while the spool is written
-	defer w.s.mu.Unlock()
+	w := newSenderTest(t)
+	w.startSender(w.startCollector(collector.Options{Network: "tcp"}))
+	w.sender.mu.Lock() // the sender holds it while it writes to the spool
+	defer w.sender.mu.Unlock()
 	changed := make(chan struct{})
 	go func() {
-		w.s.Change(w.opt.Collectors, w.opt.TLS)
+		w.sender.Change(w.options.Collectors, w.options.TLS)
 		close(changed)
 	}()
 	select {
 	case <-changed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("Change waits")
+		t.Fatal("Change has not returned within 5 s")
 	}
 }
