--- a/internal/syslog/carry.go
+++ b/internal/syslog/carry.go
@@ -244,8 +244,8 @@
 	}
 	err := conn.write(s.writeBuffer, timeout)
 	if isTLS {
-		// A collector can't decrypt a part of a TLS record, so a chunk that was not written whole has not arrived: its end
-		// offset lies beyond the bytes that were written.
+		// A collector can't decrypt a part of a TLS record, so a chunk that was not completely written has not arrived: its
+		// end offset lies beyond the bytes that were written.
 		s.unacked[len(s.unacked)-1].endOffsets = []int64{conn.counter.written}
 		if err != nil {
 			s.unacked[len(s.unacked)-1].endOffsets[0]++
--- a/internal/syslog/failover.go
+++ b/internal/syslog/failover.go
@@ -25,7 +25,8 @@
 func NewFailover(n int, seed uint64, minBackoff, maxBackoff time.Duration) *Failover {
 	return &Failover{
 		rng: rand.New(rand.NewPCG(seed, 0x5e1f)), minBackoff: minBackoff, maxBackoff: maxBackoff,
-		collectors: make([]collectorState, n)}
+		collectors: make([]collectorState, n),
+	}
 }
 
 // Next returns the index of the collector to try now, or -1 and how long to wait until one may be tried.
--- a/internal/syslog/link.go
+++ b/internal/syslog/link.go
@@ -82,8 +82,9 @@
 
 // dial connects to a collector. The timeout includes the TLS handshake. sendBuffer is the size of the socket's send
 // buffer in bytes.
-func dial(ctx context.Context, c Collector, conf *tls.Config, timeout time.Duration,
-	sendBuffer int) (*connection, error) {
+func dial(
+	ctx context.Context, c Collector, conf *tls.Config, timeout time.Duration, sendBuffer int,
+) (*connection, error) {
 	network := c.Network
 	if network == "tls" {
 		network = "tcp"
--- a/internal/syslog/message.go
+++ b/internal/syslog/message.go
@@ -98,8 +98,8 @@
 
 // span is a range of buf that holds the opening of an element or one parameter. A removed one is empty.
 type span struct {
-	from, to  int
-	element   int
+	from, to  int // offsets in buf
+	element   int // the index of the element
 	rank      Rank
 	isOpening bool // the opening of an element (or all of a Fixed one), not a parameter
 }
@@ -301,9 +301,9 @@
 // parameters were removed.
 func (b *Builder) assemble(removed int) []byte {
 	out := append(b.truncated[:0], b.buf[:b.elementsStart]...)
-	started, in := false, -1
+	started, element := false, -1
 	end := func() {
-		if in == b.cutElement && started {
+		if element == b.cutElement && started {
 			out = append(out, ` cut="msg`...)
 			if removed > 0 {
 				out = append(out, '+')
@@ -322,7 +322,7 @@
 		}
 		if s.isOpening {
 			end()
-			in, started = s.element, true
+			element, started = s.element, true
 		}
 		out = append(out, b.buf[s.from:s.to]...)
 	}
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -33,19 +33,22 @@
 			t.Errorf("Read: %v: %q", err, s)
 		}
 	}
-	if err := m.Read([]byte(validMessages()[2])); err != nil || m.Facility != 20 || m.Severity != 5 || !m.Time.Equal(time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)) ||
+	if err := m.Read([]byte(validMessages()[2])); err != nil || m.Facility != 20 || m.Severity != 5 ||
+		!m.Time.Equal(time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)) ||
 		string(m.Host) != "mymachine.example.com" || string(m.App) != "evntslog" || m.Proc != nil || string(m.ID) != "ID47" || len(m.Elements) != 1 ||
 		!m.Marked || string(m.Text) != "An application event log entry..." {
-		t.Fatalf("%+v %v", m, err)
+		t.Fatalf("Read of example 3 of RFC 5424: got %+v, %v", m, err)
 	}
 	if v, _ := m.Find("exampleSDID@32473").Find("eventID"); string(v) != "1011" {
-		t.Fatalf("%q", v)
+		t.Fatalf("eventID is %q, want 1011", v)
 	}
-	if err := m.Read([]byte(validMessages()[1])); err != nil || !m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
+	if err := m.Read([]byte(validMessages()[1])); err != nil ||
+		!m.Time.Equal(time.Date(2003, 8, 24, 12, 14, 15, 3000, time.UTC)) {
 		t.Fatal(m.Time, err)
 	}
-	if err := m.Read([]byte(validMessages()[8])); err != nil || string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
-		t.Fatalf("%q", m.Elements[0].Params)
+	if err := m.Read([]byte(validMessages()[8])); err != nil ||
+		string(m.Elements[0].Params[0].Value) != `"\]é` || len(m.Elements[0].Params[1].Value) != 0 {
+		t.Fatalf("got the parameters %q, want unescaped values", m.Elements[0].Params)
 	}
 }
 
@@ -120,7 +123,7 @@
 		for _, e := range m.Elements {
 			for _, q := range e.Params {
 				if len(q.Name) == 0 || len(q.Value) > len(p) {
-					t.Fatalf("%q", p)
+					t.Fatalf("empty parameter name, or a value longer than the message %q", p)
 				}
 				_, _ = Plain(q.Value) // an error is allowed, a panic is not
 			}
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -14,14 +14,14 @@
 	"limeladder/internal/testserver/collector"
 )
 
-// senderTest holds a Sender under test, and the number of messages that it has accepted.
+// senderTest holds a Sender under test, and what its collectors need.
 type senderTest struct {
 	t       *testing.T
 	ca      *collector.Authority
 	cert    tls.Certificate
 	options Options
 	sender  *Sender
-	next    int
+	next    int // the number of the next message
 
 	allowOverlap bool // messages may arrive out of order, as a collector may read two connections at the same time
 }
@@ -37,7 +37,8 @@
 		t.Fatal(err)
 	}
 	w.options = Options{
-		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine", Disk: spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
+		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine",
+		Disk:    spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
 		Connect: 2 * time.Second, Stall: time.Second, First: 5 * time.Millisecond, Last: 50 * time.Millisecond, Prefer: time.Hour,
 	}
 	return w
@@ -82,7 +83,7 @@
 }
 
 // putMessages puts n more messages, and returns how many were accepted. If all is set it retries until all are, and
-// fails the test after 30 s; otherwise it stops at the first that is not accepted.
+// fails the test after 30 s; otherwise it stops at the first call of Put that accepts none.
 func (w *senderTest) putMessages(n int, all bool) (accepted int) {
 	w.t.Helper()
 	end := time.Now().Add(30 * time.Second)
@@ -424,8 +425,9 @@
 			t.Errorf("%s: the collector received %d messages, want none", name, c.Received())
 		}
 	}
-	c := w.startCollector(collector.Options{Network: "tls", TLS: &tls.Config{Certificates: []tls.Certificate{w.cert},
-		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: w.ca.Pool}})
+	c := w.startCollector(collector.Options{Network: "tls", TLS: &tls.Config{
+		Certificates: []tls.Certificate{w.cert}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: w.ca.Pool,
+	}})
 	mine, _, _, _ := w.ca.Issue("router", time.Now().Add(time.Hour))
 	w.options.TLS = &tls.Config{RootCAs: w.ca.Pool, Certificates: []tls.Certificate{mine}, ServerName: "collector.example"}
 	w.startSender(c)
