--- a/cmd/limeladder/admin.go
+++ b/cmd/limeladder/admin.go
@@ -7,10 +7,10 @@
 	"limeladder/internal/adminapi"
 )
 
-// requestedByOperator is how the audit record names operators.
+// requestedByOperator identifies operators in the audit record as the source of a change.
 const requestedByOperator = "operator"
 
-// startAdminAPI opens the listener for operators' calls. An empty address leaves it off.
+// startAdminAPI opens the listener for operators' calls. It does nothing if address is empty.
 func (d *daemon) startAdminAPI(address string) error {
 	if address == "" {
 		return nil
@@ -20,17 +20,17 @@
 		return fmt.Errorf("%s: %w", adminListenSetting, err)
 	}
 	server := adminapi.New(d.loop, d.limits, d.log, d)
-	// Calls enter the loop ahead of clients' work, because operators must reach a router that is overloaded.
+	// Calls are posted ahead of clients' work, because operators must be able to reach an overloaded router.
 	listener := d.engine.Serve(socket, d.limits.AdminAPI.Connections, d.loop.PostUrgent, d.log, server.Accept)
 	d.log.Info("listening", "listener", adminListenSetting, "address", listener.Addr().String())
 	return nil
 }
 
-// Takes implements adminapi.Router.
+// AcceptsClients implements adminapi.Router.
 func (d *daemon) AcceptsClients() bool { return d.listeners.platform().AcceptsClients() }
 
-// Suspend implements adminapi.Router. The operator is answered once the suspension is in the shared state, because it
-// must hold in the next process too.
+// SetSuspended implements adminapi.Router. The operator gets a response once the suspension is written to the shared
+// state, because it must still apply in the next process.
 func (d *daemon) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !d.knownEndpoints.contains(id) {
 		done(false)
@@ -40,7 +40,7 @@
 	d.hotRestart.shared.SetSuspended(id, suspended, func() { d.loop.PostUrgent(func() { done(true) }) })
 }
 
-// setSuspended suspends an endpoint or resumes it.
+// setSuspended suspends or resumes an endpoint.
 func (d *daemon) setSuspended(id string, suspended bool, requestedBy string) {
 	state := "resumed"
 	if suspended {
@@ -51,7 +51,7 @@
 	d.core.Suspend(id, suspended)
 }
 
-// Drain implements adminapi.Router.
+// SetDrained implements adminapi.Router.
 func (d *daemon) SetDrained(drained bool, done func()) {
 	d.setDrained(drained, requestedByOperator)
 	d.hotRestart.shared.SetDrained(drained, func() { d.loop.PostUrgent(done) })
--- a/cmd/limeladder/audit_endpoint_list.go
+++ b/cmd/limeladder/audit_endpoint_list.go
@@ -6,14 +6,14 @@
 	"limeladder/internal/config"
 )
 
-// endpointNotListed is the recorded state of an endpoint that a complete list leaves out.
+// endpointNotListed is the recorded state of an endpoint that is missing from a complete list.
 const endpointNotListed = "not listed"
 
-// requestedByDiscovery is how the audit record names the endpoint list.
+// requestedByDiscovery identifies the endpoint list in the audit record as the source of a change.
 const requestedByDiscovery = "list"
 
-// endpointListChanged records a watch event, and the endpoints that it takes out or lets back in. An event without
-// endpoints is recorded only where it is a complete list.
+// endpointListChanged records a watch event and every endpoint state that it changes. An event without endpoints is
+// recorded only if it is a complete list from discovery.
 func (r *auditRecording) endpointListChanged(event config.EndpointList, kind balance.EndpointListKind) {
 	if r == nil || len(event.Endpoints) == 0 && kind != balance.ListFull {
 		return
@@ -28,7 +28,7 @@
 	r.recorder.Record(summarizeEndpointList(event, complete))
 }
 
-// recordEndpointsNotListed records the endpoints that were listed and are missing from a complete list.
+// recordEndpointsNotListed records the endpoints that were listed before and are missing from a complete list.
 func (r *auditRecording) recordEndpointsNotListed(listed []config.EndpointEntry) {
 	isListed := map[string]bool{}
 	for _, entry := range listed {
@@ -42,7 +42,7 @@
 	}
 }
 
-// recordListedState records the state of an endpoint if it has changed. An endpoint that is new and ready is no change.
+// recordListedState records the state of an endpoint if it has changed. A new endpoint that is ready is not recorded.
 func (r *auditRecording) recordListedState(entry config.EndpointEntry) {
 	previous, known := r.endpointStates[entry.ID]
 	newAndReady := !known && entry.State == endpointReady
@@ -61,7 +61,7 @@
 	}
 }
 
-// summarizeEndpointList counts the endpoints of an event by their state.
+// summarizeEndpointList counts the endpoints of an event by state.
 func summarizeEndpointList(event config.EndpointList, complete bool) audit.List {
 	summary := audit.List{Version: event.Version, Full: complete}
 	for _, entry := range event.Endpoints {
--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -24,23 +24,24 @@
 )
 
 const (
-	// softwareName is how messages name the program that sends them.
+	// softwareName is the name of this program in syslog messages.
 	softwareName = "limeladder"
-	// maxVersionLength bounds the program's version in messages.
+	// maxVersionLength is the maximum length of the program's version in messages, in bytes.
 	maxVersionLength = 32
-	// minWindowMessages is how many of the longest messages the sender has memory for at least.
+	// minWindowMessages is the minimum size of the sender's window, in messages of the maximum length.
 	minWindowMessages = 2
 )
 
-// Why a reload can't change audit recording.
+// The reasons for rejecting a reload of the audit recording settings.
 var (
 	errRecordingDisabled = errors.New("syslog.collectors: recording can't be turned off while the program runs")
 	errChainToggled      = errors.New("audit.keys: the chain can't be turned on or off while the program runs")
 )
 
-// auditRecording is the audit record: the recorder on the event loop and, behind its queue, a shipper that encodes
-// records as messages and a sender that ships them to collectors, each on a goroutine of its own. All methods belong
-// to the event loop. A nil *auditRecording is recording that is off: its methods do nothing.
+// auditRecording is the pipeline of the audit record: a recorder on the event loop that fills a queue, a shipper that
+// encodes the queued records as messages, and a sender that sends them to collectors. The shipper and the sender each
+// have their own goroutine. All methods must be called on the event loop. A nil *auditRecording means that recording is
+// off; its methods do nothing.
 type auditRecording struct {
 	log          *slog.Logger
 	loop         *eventloop.Loop
@@ -51,11 +52,11 @@
 	sender       *syslog.Sender
 	flushTimeout time.Duration
 
-	// endpointStates are the states in which endpoints were listed last, by id.
+	// endpointStates maps endpoint ids to the states in which the endpoints were last listed.
 	endpointStates map[string]string
 }
 
-// startAuditRecording starts what deploy/limeladder.toml turns on, or returns nil.
+// startAuditRecording starts audit recording as set in deploy/limeladder.toml, or returns nil if it is off there.
 func startAuditRecording(
 	loop *eventloop.Loop,
 	processLimits limits.Limits,
@@ -72,7 +73,7 @@
 		return nil, fmt.Errorf("audit.%w", err)
 	}
 	startedAt := time.Now()
-	// The seed is the same in two processes of one router, so the id of the start is random on its own.
+	// Two processes of one router have the same seed, so the start id must not be derived from it.
 	startID := audit.NewStartID(startedAt, rand.Uint32())
 	chainKey := currentChainKey(deploy.Audit)
 	encoder, err := newAuditEncoder(deploy.Syslog, chainKey, startID, startedAt)
@@ -108,7 +109,7 @@
 	return recording, nil
 }
 
-// currentChainKey returns the key that chains new records, or nil where records are not chained.
+// currentChainKey returns the key that chains new records, or nil if records are not chained.
 func currentChainKey(settings config.Audit) *audit.Key {
 	if len(settings.LoadedKeys) == 0 {
 		return nil
@@ -173,7 +174,7 @@
 	}
 }
 
-// buildVersion returns the version of the program, as its build says.
+// buildVersion returns the version of the program from its build information.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -182,7 +183,7 @@
 	return info.Main.Version[:min(len(info.Main.Version), maxVersionLength)]
 }
 
-// clockQuality asks the system how good its clock is.
+// clockQuality reports whether the system clock is synchronized and, if so, its maximum error.
 func clockQuality() audit.Quality {
 	var clock unix.Timex
 	state, err := unix.Adjtimex(&clock)
@@ -192,13 +193,13 @@
 	return audit.Quality{Synced: true, Accuracy: time.Duration(clock.Maxerror) * time.Microsecond}
 }
 
-// reportLosses records how many records were dropped, and does so again after each report interval.
+// reportLosses records how many records were dropped, and repeats this after every report interval.
 func (r *auditRecording) reportLosses() {
 	r.recorder.Tick()
 	r.loop.AfterFunc(r.limits.Audit.LossReportInterval, r.reportLosses)
 }
 
-// routerAudit returns what the core reports to, or nil where recording is off.
+// routerAudit returns the recorder that the core reports to, or nil if recording is off.
 func (r *auditRecording) routerAudit() router.Audit {
 	if r == nil {
 		return nil
@@ -213,7 +214,7 @@
 	}
 }
 
-// routerStateChanged records that the router drains, takes clients again or ends.
+// routerStateChanged records that the router was drained, was activated again or is shutting down.
 func (r *auditRecording) routerStateChanged(state, requestedBy string) {
 	if r != nil {
 		r.recorder.Record(audit.Router{State: state, Source: requestedBy})
@@ -227,7 +228,7 @@
 	}
 }
 
-// reloaded records that configuration was read again, and why it was rejected where reason is not nil.
+// reloaded records that the configuration was reloaded or, if reason is not nil, why the reload was rejected.
 func (r *auditRecording) reloaded(what string, reason error) {
 	if r == nil {
 		return
@@ -239,8 +240,8 @@
 	r.recorder.Record(event)
 }
 
-// applyDeploy takes over what SIGHUP may change: collectors, their certificates, the key of the chain, and the rules.
-// Everything else is read at the start only.
+// applyDeploy applies the settings that SIGHUP may change: the collectors, their certificates, the chain key and the
+// recording rules. All other settings are read only at the start.
 func (r *auditRecording) applyDeploy(deploy config.Deploy) {
 	if r == nil {
 		return
@@ -262,7 +263,7 @@
 	r.reloaded(reloadedDeploy, nil)
 }
 
-// checkDeploy returns the rules of the operators' file, or why it can't be taken over.
+// checkDeploy returns the recording rules of the deploy file, or an error if the file can't be applied.
 func (r *auditRecording) checkDeploy(deploy config.Deploy) (*audit.Policy, error) {
 	policy, err := deploy.Audit.Policy()
 	if err != nil {
@@ -279,7 +280,7 @@
 	return policy, nil
 }
 
-// useChainKey hands a new key to the shipper. It returns false while the shipper has not used the previous one yet.
+// useChainKey passes a new key to the shipper. It returns false if the shipper has not used the previous new key yet.
 func (r *auditRecording) useChainKey(settings config.Audit) bool {
 	key := currentChainKey(settings)
 	if key == nil || *key == *currentChainKey(r.deploy.Audit) {
@@ -288,8 +289,8 @@
 	return r.shipper.Use(*key)
 }
 
-// close records the end and ships what is queued, for a bounded time: the program ends whether a collector takes it or
-// not.
+// close records the end of the process and ships the queued records. It returns after flushTimeout at the latest, so
+// that the process ends even if no collector accepts them.
 func (r *auditRecording) close(counts router.Counts) {
 	if r == nil {
 		return
--- a/cmd/limeladder/audit_verify.go
+++ b/cmd/limeladder/audit_verify.go
@@ -10,10 +10,10 @@
 	"limeladder/internal/audit/verify"
 )
 
-// standardInputName is the file name that stands for the standard input.
+// standardInputName is the file name argument that selects standard input.
 const standardInputName = "-"
 
-// auditVerify verifies files of audit records.
+// auditVerify is the command audit verify, which verifies files of audit records.
 type auditVerify struct {
 	Files   []string `arg:"" help:"Files as a collector wrote them, oldest first; - is standard input."`
 	Keys    string   `help:"The key file. Without it only numbers are checked and nothing is proved." placeholder:"FILE"`
@@ -23,12 +23,12 @@
 
 // The exit codes of audit verify, besides exitUsage.
 const (
-	exitVerified     = 0 // complete and proved
-	exitFaultsFound  = 1 // something is wrong
-	exitNotYetProved = 3 // nothing is wrong, but the records are not proved to their end
+	exitVerified     = 0 // the records are complete and proved
+	exitFaultsFound  = 1 // at least one fault was found
+	exitNotYetProved = 3 // no fault was found, but the records are not proved to their end
 )
 
-// run verifies the files, prints what it finds and returns the exit code.
+// run verifies the files, prints the faults and the verdict, and returns the exit code.
 func (c *auditVerify) run(stdin io.Reader, stdout, stderr io.Writer) (exitCode int) {
 	keys, err := c.loadKeys()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return writeVerdict(stdout, report)
 }
 
-// loadKeys reads the key file, or returns nil where none is named.
+// loadKeys reads the key file. It returns nil if none is given.
 func (c *auditVerify) loadKeys() (map[string][32]byte, error) {
 	if c.Keys == "" {
 		return nil, nil
@@ -72,7 +72,7 @@
 	return secrets, nil
 }
 
-// readRecords gives a file to the verifier.
+// readRecords passes a file to the verifier.
 func readRecords(verifier *verify.Verifier, name string, stdin io.Reader) error {
 	if name == standardInputName {
 		return verifier.File(name, stdin)
@@ -85,7 +85,7 @@
 		}
 		return err
 	}
-	defer func() { _ = file.Close() }() // nothing was written that could be lost
+	defer func() { _ = file.Close() }() // the file was only read, so nothing can be lost
 	return verifier.File(name, file)
 }
 
@@ -117,7 +117,7 @@
 	fmt.Fprintln(out)
 }
 
-// writeVerdict prints the last line and returns the exit code that goes with it.
+// writeVerdict prints the last line and returns the matching exit code.
 func writeVerdict(out io.Writer, report *verify.Report) (exitCode int) {
 	switch {
 	case !report.Clean():
--- a/cmd/limeladder/command.go
+++ b/cmd/limeladder/command.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// cliCommands is what the program can be called with. Without arguments it is the daemon and none of this is read. The
-// names of the fields are the names of the commands and options.
+// cliCommands defines the command line. Without arguments the program runs the daemon and does not parse it. The names
+// of the fields are the names of the commands and options.
 type cliCommands struct {
 	Run   struct{} `cmd:"" help:"Run the router, as without arguments."`
 	Audit struct {
@@ -23,11 +23,11 @@
 // The exit codes that every command has.
 const (
 	exitOK    = 0
-	exitUsage = 2 // an argument is wrong, or something that it names can't be read
+	exitUsage = 2 // an argument is invalid, or a file or router that it names can't be read
 )
 
-// runCommand runs what the arguments ask for. startDaemon says that they ask for the daemon; otherwise the program ends
-// with exitCode.
+// runCommand runs the command that the arguments select. It returns startDaemon = true if that is the daemon, which the
+// caller starts; otherwise the program must exit with exitCode.
 func runCommand(arguments []string, stdin io.Reader, stdout, stderr io.Writer) (startDaemon bool, exitCode int) {
 	var commands cliCommands
 	helpShown := false
--- a/cmd/limeladder/core.go
+++ b/cmd/limeladder/core.go
@@ -9,8 +9,8 @@
 	"limeladder/internal/router"
 )
 
-// startCore starts the routing core with its failover queue and site monitor, the pool of connections to endpoints
-// and the watch of discovery, and connects them.
+// startCore starts the routing core with its failover queue and site monitor, the pool of backend connections and the
+// discovery watcher, and connects them to each other.
 func (d *daemon) startCore(cfg *config.Config) error {
 	var err error
 	d.core, err = router.New(d.loop, d.limits, d.log, cfg.Balance, cfg.SeedValue, d.recording.routerAudit())
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// reportCounters logs and stores the counters of the core, and does so again after each report interval.
+// reportCounters logs and stores the counters of the core, and repeats this after every report interval.
 func (d *daemon) reportCounters() {
 	counts := d.core.Counts()
 	attributes := counterAttributes(counts)
@@ -37,7 +37,7 @@
 	d.loop.AfterFunc(d.limits.Router.ReportInterval, d.reportCounters)
 }
 
-// counterAttributes returns the counters as the key-value pairs of a log line.
+// counterAttributes returns the counters as key-value pairs for a log line.
 func counterAttributes(counts router.Counts) []any {
 	return []any{
 		"accepted", counts.Accepted,
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -18,13 +18,13 @@
 	log    *slog.Logger
 	name   string // of this router
 	deploy config.Deploy
-	limits limits.Limits // in force now; lower while another process of this router is alive
+	limits limits.Limits // currently in force; lower while another process of this router is alive
 
 	loop           *eventloop.Loop
 	engine         *transport.Engine
-	recording      *auditRecording  // nil where audit recording is off
-	store          *store.Store     // nil where the store is off or not open yet
-	openingStore   chan openedStore // brings the store that is being opened; nil where none is
+	recording      *auditRecording  // nil if audit recording is off
+	store          *store.Store     // nil if the store is off or not open yet
+	openingStore   chan openedStore // delivers the store that is being opened; nil if none is
 	core           *router.Router
 	pool           *backend.Pool
 	watcher        *discovery.Watcher
@@ -34,12 +34,12 @@
 	hotRestart     hotRestart
 	shutdown       shutdownState
 
-	// failoverTermsRestored says that the core has been told the terms that an earlier start has stored.
+	// failoverTermsRestored is true once the core has received the terms that an earlier process stored.
 	failoverTermsRestored bool
 }
 
-// newDaemon starts every subsystem in the order in which they need each other. Nothing is closed where one of them
-// can't be started: the caller ends the process.
+// newDaemon starts the subsystems in the order of their dependencies. If one fails to start, it does not close those
+// that are already running: the caller ends the process.
 func newDaemon(cfg *config.Config, deploy config.Deploy, log *slog.Logger) (*daemon, error) {
 	d := &daemon{
 		log:       log,
@@ -82,7 +82,7 @@
 	return d, nil
 }
 
-// run runs the event loop until the graceful shutdown is complete, and closes everything.
+// run runs the event loop until the graceful shutdown is complete, and then closes the subsystems.
 func (d *daemon) run() {
 	d.loop.Run(func() {
 		d.core.Step()
@@ -93,9 +93,10 @@
 	d.close()
 }
 
-// close closes the subsystems that hold queued data, in the reverse order of their start but for one: audit recording
-// comes before the store, so that the end is recorded and shipped before anything else takes time. Listeners are closed
-// by the shutdown before. The shared state is last, because closing it tells the next process that this one is gone.
+// close closes the subsystems that hold queued data, in the reverse order of their start with one exception: audit
+// recording is closed before the store, so that the end is recorded and shipped before anything else takes time. The
+// graceful shutdown has closed the listeners already. The shared state is closed last, because that is how the next
+// process learns that this one has ended.
 func (d *daemon) close() {
 	counts := d.core.Counts()
 	d.log.Info("stopped serving", counterAttributes(counts)...)
--- a/cmd/limeladder/endpoint_list.go
+++ b/cmd/limeladder/endpoint_list.go
@@ -13,15 +13,15 @@
 const (
 	endpointReady    = "ready"
 	endpointDraining = "draining"
-	endpointRemoved  = "gone" // it is removed from the list
+	endpointRemoved  = "gone" // no longer in the list
 )
 
-// endpointList is the endpoint list as this process was notified of it last.
+// endpointList is the endpoint list as this process last received it.
 type endpointList struct {
 	byID    map[string]config.EndpointEntry
 	version int64
 
-	// received says that the list is from discovery, or the last one that the peers have stored.
+	// received is true if the list came from discovery or is the last one that the peers stored.
 	received bool
 }
 
@@ -29,7 +29,7 @@
 	return endpointList{byID: map[string]config.EndpointEntry{}}
 }
 
-// apply changes the list by what a watch event says.
+// apply applies a watch event to the list.
 func (l *endpointList) apply(event config.EndpointList, kind balance.EndpointListKind) {
 	if kind != balance.ListDelta {
 		clear(l.byID)
@@ -53,17 +53,17 @@
 	return list
 }
 
-// knownEndpoints are the ids of the endpoints that were ever listed, as far back as the limit allows.
+// knownEndpoints holds the ids of all endpoints that were ever listed, up to a maximum number.
 type knownEndpoints struct {
 	ids   map[string]bool
 	order []string // the same ids, the oldest first
 }
 
-// contains says whether an endpoint with that id was ever listed.
+// contains reports whether an endpoint with the given id was ever listed.
 func (k *knownEndpoints) contains(id string) bool { return k.ids[id] }
 
-// add adds ids. Beyond the limit the oldest ids are forgotten, because endpoints come under new ids day after day and
-// would fill the memory.
+// add adds ids. Beyond the limit it drops the oldest ids, because endpoints with new ids appear day after day and would
+// otherwise use up the memory.
 func (k *knownEndpoints) add(ids []string, limit int) {
 	if k.ids == nil {
 		k.ids = map[string]bool{}
@@ -80,8 +80,8 @@
 	}
 }
 
-// startDiscovery applies the list of the configuration, which may be old, and starts to follow discovery. Clients may
-// come once discovery has answered or has had its time for that.
+// startDiscovery applies the endpoint list of the configuration, which may be outdated, and starts to follow discovery.
+// Clients are accepted once discovery has answered or the timeout for the first list has expired.
 func (d *daemon) startDiscovery(cfg *config.Config) {
 	configured := config.EndpointList{}
 	if cfg.Known != nil {
@@ -94,7 +94,7 @@
 		d.watcher.ResumeFrom(configured.Version)
 		readyWithin = 0
 	}
-	if !cfg.Balance.PollDiscovery { // otherwise the decision module says when to poll
+	if !cfg.Balance.PollDiscovery { // otherwise the decision module decides when to poll
 		d.watcher.FollowPushed(cfg.SeedValue)
 	}
 	d.loop.AfterFunc(readyWithin, d.becomeReady)
@@ -117,8 +117,8 @@
 	}
 }
 
-// PollFailed implements discovery.Listener. Where discovery has not answered since the start, the last list that the
-// peers have stored is better than none.
+// PollFailed implements discovery.Listener. If discovery has not answered since the start, the last list that the peers
+// stored is applied, which is better than none.
 func (d *daemon) PollFailed(silent bool) {
 	kind := balance.ListFailed
 	if silent {
@@ -135,7 +135,7 @@
 	}
 }
 
-// applyEndpointList hands a watch event, or a cached list, to everything that goes by it.
+// applyEndpointList passes a watch event or a cached list to every subsystem that depends on the endpoint list.
 func (d *daemon) applyEndpointList(event config.EndpointList, kind balance.EndpointListKind) {
 	d.pool.UpdateEndpoints(event)
 	if len(event.Endpoints) > 0 {
@@ -152,7 +152,7 @@
 	}
 }
 
-// unknownIDs returns the ids of an event that were never listed before.
+// unknownIDs returns the ids in an event that were never listed before.
 func (d *daemon) unknownIDs(event config.EndpointList) []string {
 	var ids []string
 	for _, entry := range event.Endpoints {
@@ -163,7 +163,7 @@
 	return ids
 }
 
-// balanceEndpointList returns an event as the decision module takes it, without the entries that it can't use.
+// balanceEndpointList converts an event to the type of the decision module. It omits entries that can't be converted.
 func balanceEndpointList(event config.EndpointList, kind balance.EndpointListKind) balance.EndpointList {
 	converted := balance.EndpointList{Kind: kind}
 	for _, entry := range event.Endpoints {
--- a/cmd/limeladder/failover.go
+++ b/cmd/limeladder/failover.go
@@ -12,14 +12,14 @@
 	"limeladder/internal/failover"
 )
 
-// workShareOfObjective is the part of a class's latency objective that one request is expected to take until something
-// is learned from it.
-const workShareOfObjective = 10
+// initialWorkDivisor divides a class's latency objective: the quotient is the time that one request of the class is
+// expected to take until measurements are available.
+const initialWorkDivisor = 10
 
-// failoverQueueEnabled says whether deploy/limeladder.toml names classes whose requests are queued through failovers.
+// failoverQueueEnabled reports whether deploy/limeladder.toml names classes whose requests are queued during failovers.
 func (d *daemon) failoverQueueEnabled() bool { return len(d.deploy.Failover.Classes) > 0 }
 
-// startFailoverQueue makes the core queue requests through failovers, if deploy/limeladder.toml says so.
+// startFailoverQueue makes the core queue requests during failovers, if this is enabled in deploy/limeladder.toml.
 func (d *daemon) startFailoverQueue(cfg *config.Config) error {
 	if !d.failoverQueueEnabled() {
 		return nil
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// failoverClasses returns the classes with the given names. An error names the setting of one that is unknown or that
-// needs no primary.
+// failoverClasses returns the classes with the given names. If a class is unknown or doesn't need the primary, the
+// error names its setting.
 func failoverClasses(names []string, all []balance.Class) (map[string]failover.Class, error) {
 	byName := map[string]balance.Class{}
 	for _, class := range all {
@@ -57,18 +57,18 @@
 		}
 		classes[name] = failover.Class{
 			PriorityWeight: class.PriorityWeight,
-			Work:           class.LatencyObjective / workShareOfObjective,
+			Work:           class.LatencyObjective / initialWorkDivisor,
 		}
 	}
 	return classes, nil
 }
 
-// needsPrimary says whether only the primary can answer the requests of a class.
+// needsPrimary reports whether only the primary can answer the requests of a class.
 func needsPrimary(class balance.Class) bool {
 	return class.Consistency == balance.ConsistencyWrite || class.Consistency == balance.ConsistencyLatest
 }
 
-// groupTerm is what the store holds of a replica group.
+// groupTerm is the value that the store holds for a replica group.
 type groupTerm struct {
 	Term    uint64 `json:"term"`
 	Primary string `json:"primary"`
@@ -77,16 +77,16 @@
 // groupTermKey returns the store's key of a replica group.
 func groupTermKey(group int64) string { return groupTermsKeyPrefix + strconv.FormatInt(group, 10) }
 
-// storeGroupTerm stores the term and primary of a replica group. Until the terms of an earlier start are restored it
-// does nothing, since it would overwrite them.
+// storeGroupTerm stores the term and primary of a replica group. It does nothing until the terms that an earlier
+// process stored are restored, because it would overwrite them.
 func (d *daemon) storeGroupTerm(group int64, term uint64, primary string) {
 	if d.failoverTermsRestored {
 		d.storeValue(groupTermKey(group), groupTerm{Term: term, Primary: primary})
 	}
 }
 
-// restoreFailoverTerms tells the core which terms and primaries an earlier start has stored, once the store has caught
-// up. The core checks a primary before it relies on it.
+// restoreFailoverTerms passes the terms and primaries that an earlier process stored to the core, once the store has
+// caught up. The core checks a primary before it relies on it.
 func (d *daemon) restoreFailoverTerms() {
 	if !d.failoverQueueEnabled() || d.deploy.Store.Name == "" || d.failoverTermsRestored {
 		return
@@ -109,13 +109,13 @@
 	}
 }
 
-// failoverTermsAvailable says whether the store has caught up and the replica groups are known.
+// failoverTermsAvailable reports whether the store has caught up and the replica groups are known.
 func (d *daemon) failoverTermsAvailable() bool {
 	return d.store != nil && d.store.Ready() && d.endpoints.received
 }
 
-// groupStatus is the failover state of a replica group as operators see it. Times are in milliseconds; those of the
-// history are before now.
+// groupStatus is the failover state of a replica group as returned to operators. Times are in milliseconds; those of
+// the history count back from now.
 type groupStatus struct {
 	Group           int64              `json:"cell"`
 	Phase           string             `json:"phase"`
@@ -124,13 +124,13 @@
 	SinceMs         int64              `json:"since_ms"`
 	Pending         int                `json:"held"`
 	OldestPendingMs int64              `json:"oldest_ms"`
-	InFlight        int                `json:"out"` // released from the queue and not answered yet
+	InFlight        int                `json:"out"` // released from the queue but not answered yet
 	Released        uint64             `json:"released"`
 	Rejected        map[string]uint64  `json:"given_up"` // by reason
 	History         []transitionStatus `json:"history"`
 }
 
-// transitionStatus is a change of phase as operators see it.
+// transitionStatus is a change of phase as returned to operators.
 type transitionStatus struct {
 	AgoMs     int64  `json:"ago_ms"`
 	FromPhase string `json:"from"`
@@ -140,7 +140,7 @@
 	Term      uint64 `json:"term"`
 }
 
-// Cells implements adminapi.Router.
+// FailoverState implements adminapi.Router.
 func (d *daemon) FailoverState() (encoded []byte, off bool) {
 	if !d.failoverQueueEnabled() {
 		return nil, true
@@ -185,7 +185,7 @@
 	return status
 }
 
-// Changeover implements adminapi.Router.
+// AnnounceFailover implements adminapi.Router.
 func (d *daemon) AnnounceFailover(group int64, within time.Duration) (known, off bool) {
 	if !d.failoverQueueEnabled() {
 		return false, true
--- a/cmd/limeladder/hot_restart.go
+++ b/cmd/limeladder/hot_restart.go
@@ -11,20 +11,20 @@
 	"limeladder/internal/limits"
 )
 
-// requestedByOtherProcess is how the audit record names the other process of this router.
+// requestedByOtherProcess identifies the other process of this router in the audit record as the source of a change.
 const requestedByOtherProcess = "another process"
 
-// hotRestart is what this process knows of the other process of the same router, which it replaces or is replaced by.
+// hotRestart connects this process to the other process of the same router: the one it replaces or is replaced by.
 type hotRestart struct {
 	shared *hotrestart.SharedState
-	// otherProcess says that another process of this router is alive.
+	// otherProcess is true while another process of this router is alive.
 	otherProcess bool
-	// aloneLimits are in force while there is no other process.
+	// aloneLimits are the limits in force while there is no other process.
 	aloneLimits limits.Limits
 }
 
-// joinHotRestart opens the state that is shared with another process of this router, lowers the limits where one is
-// alive, and returns what earlier processes have left in the shared state.
+// joinHotRestart opens the state that is shared with another process of this router, lowers the limits if one is alive,
+// and returns the state that earlier processes left.
 func (d *daemon) joinHotRestart(cfg *config.Config) hotrestart.State {
 	d.hotRestart.aloneLimits = d.limits
 	shared, previous := hotrestart.Open(os.Getenv("TMPDIR"), cfg.Listen, d.limits.Discovery.KnownEndpoints, d.log)
@@ -37,12 +37,12 @@
 	return previous
 }
 
-// watchOtherProcess starts to follow what the other process changes.
+// watchOtherProcess starts to watch the shared state for changes by the other process.
 func (d *daemon) watchOtherProcess() {
 	d.hotRestart.shared.Watch(d.limits.HotRestart.PollInterval, d.loop.PostUrgent, d)
 }
 
-// applySharedState applies what earlier processes were asked for.
+// applySharedState applies the known endpoints, suspensions and draining that earlier processes left.
 func (d *daemon) applySharedState(previous hotrestart.State) {
 	d.KnownEndpointsAdded(previous.KnownEndpoints)
 	for id := range previous.Suspended {
@@ -66,8 +66,9 @@
 	d.knownEndpoints.add(ids, d.limits.Discovery.KnownEndpoints)
 }
 
-// shareEndpointList gives the other process the list as discovery has notified this one. A new process whose own
-// calls to discovery are not answered would otherwise send requests to endpoints that this one knows to be draining.
+// shareEndpointList passes the list that this process received from discovery to the other process. A new process
+// whose own calls to discovery are not answered would otherwise send requests to endpoints that this one knows to be
+// draining.
 func (d *daemon) shareEndpointList() {
 	if !d.hotRestart.otherProcess || !d.endpoints.received {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// EndpointListShared implements hotrestart.Listener. What discovery itself has told this process is not replaced.
+// EndpointListShared implements hotrestart.Listener. It doesn't replace a list that this process has from discovery.
 func (d *daemon) EndpointListShared(encoded []byte) {
 	if d.endpoints.received {
 		return
@@ -90,8 +91,8 @@
 	d.applyEndpointList(list, balance.ListCached)
 }
 
-// AloneChanged implements hotrestart.Listener. The platform counts memory and descriptors over both processes, so each
-// one goes by lower limits while there are two.
+// AloneChanged implements hotrestart.Listener. The platform counts the memory and descriptors of both processes
+// together, so each one has lower limits while there are two.
 func (d *daemon) AloneChanged(alone bool) {
 	d.log.Info("hot restart state changed", "alone", alone)
 	d.hotRestart.otherProcess = !alone
@@ -102,7 +103,7 @@
 	}
 	d.applyLimits()
 	if !alone {
-		go debug.FreeOSMemory() // the other process starts with what this one returns to the system
+		go debug.FreeOSMemory() // the other process can use the memory that this one returns to the system
 		return
 	}
 	if !d.shutdown.requested {
@@ -110,7 +111,7 @@
 	}
 }
 
-// applyLimits tells everything that outlives a change of limits of the new ones.
+// applyLimits applies the current limits to the subsystems that are already running.
 func (d *daemon) applyLimits() {
 	d.applyMemoryLimits()
 	d.pool.SetLimits(d.limits)
--- a/cmd/limeladder/limits.go
+++ b/cmd/limeladder/limits.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/limits"
 )
 
-// computeLimits returns the limits of a process that is the only one of its router.
+// computeLimits returns the limits of a process that is the only one of its router, without a hot restart.
 func computeLimits(cfg *config.Config, deploy config.Deploy) limits.Limits {
 	var longestClientTimeout time.Duration
 	for _, class := range cfg.Balance.Classes {
@@ -22,16 +22,16 @@
 		computed = computed.ForPushedLists(cfg.Balance.DrainGrace)
 	}
 	if longest := cfg.Balance.MaxRetryAfter; longest > 0 {
-		// Clients heed no longer Retry-After than this one.
+		// Clients do not honor a Retry-After above this maximum.
 		computed.Router.DefaultRetryAfter = min(computed.Router.DefaultRetryAfter, longest)
 	}
 	if deploy.ExtendedQuery.Listen != "" {
-		computed.Frontend.Connections /= 2 // both listeners share the descriptors
+		computed.Frontend.Connections /= 2 // the descriptors are split between both listeners
 	}
 	return computed
 }
 
-// applyMemoryLimits tells the Go runtime what this process may use.
+// applyMemoryLimits sets the Go runtime's memory limit and garbage collection percentage from the current limits.
 func (d *daemon) applyMemoryLimits() {
 	debug.SetMemoryLimit(d.limits.Memory.TargetBytes)
 	debug.SetGCPercent(d.limits.Memory.GCPercent)
--- a/cmd/limeladder/listeners.go
+++ b/cmd/limeladder/listeners.go
@@ -12,35 +12,35 @@
 	"limeladder/internal/transport"
 )
 
-// The settings that name the addresses of listeners, as errors and log lines call them.
+// The settings that hold the addresses of listeners, as errors and log lines name them.
 const (
 	platformListenSetting      = "listen"
 	extendedQueryListenSetting = "extended.listen"
 	adminListenSetting         = "operator"
 )
 
-// clientListener is one address where clients connect, with the connections that it has accepted.
+// clientListener is a socket that clients connect to, with the frontend that holds its accepted connections.
 type clientListener struct {
 	*frontend.Frontend
 	socket *transport.Listener
 }
 
-// listeners are the addresses where clients connect, and what decides whether clients may come.
+// listeners holds the client listeners and the state that decides whether they accept clients.
 type listeners struct {
-	open []clientListener // the platform's is the first
+	open []clientListener // the platform's listener is the first
 
-	// ready says that the platform may send clients.
+	// ready is true once the platform may send clients.
 	ready bool
-	// drained says that operators have drained the router.
+	// drained is true while the router is drained by operators.
 	drained bool
-	// inheritedSocket says that the platform holds the listening socket: the next process gets the same one.
+	// inheritedSocket is true if the platform holds the listening socket, which the next process inherits too.
 	inheritedSocket bool
 }
 
 // platform returns the listener that the platform sends clients to.
 func (l *listeners) platform() clientListener { return l.open[0] }
 
-// openConnections returns how many clients are connected.
+// openConnections returns the number of connected clients.
 func (l *listeners) openConnections() int {
 	total := 0
 	for _, listener := range l.open {
@@ -49,7 +49,7 @@
 	return total
 }
 
-// startListeners opens the platform's listener and, where deploy/limeladder.toml says so, the extended-query one.
+// startListeners opens the platform's listener and, if enabled in deploy/limeladder.toml, the extended-query one.
 func (d *daemon) startListeners(cfg *config.Config) error {
 	d.listeners.inheritedSocket = cfg.InheritedFD > 0
 	socket, err := listenForPlatform(cfg.InheritedFD, cfg.Listen)
@@ -60,7 +60,7 @@
 	return d.startExtendedQueryListener()
 }
 
-// listenForPlatform returns the socket that was inherited or, where the descriptor is 0, a new one.
+// listenForPlatform returns the inherited socket or, if the descriptor is 0, a new one.
 func listenForPlatform(inheritedDescriptor int, address string) (net.Listener, error) {
 	if inheritedDescriptor == 0 {
 		socket, err := net.Listen("tcp", address)
@@ -76,8 +76,8 @@
 	return socket, nil
 }
 
-// startExtendedQueryListener opens the listener for the extended-query protocol, if deploy/limeladder.toml says so.
-// While another process of this router holds its address, it is retried until that process lets go.
+// startExtendedQueryListener opens the listener for the extended-query protocol, if enabled in deploy/limeladder.toml.
+// While another process of this router still listens at the address, it retries until the address is free.
 func (d *daemon) startExtendedQueryListener() error {
 	address := d.deploy.ExtendedQuery.Listen
 	if address == "" || d.shutdown.listenersClosed {
@@ -95,15 +95,15 @@
 	return nil
 }
 
-// retryExtendedQueryListener is startExtendedQueryListener when the daemon runs already, where a failure is only
-// logged.
+// retryExtendedQueryListener calls startExtendedQueryListener in a running daemon, where a failure is logged and does
+// not end the process.
 func (d *daemon) retryExtendedQueryListener() {
 	if err := d.startExtendedQueryListener(); err != nil {
 		d.log.Error("extended-query listener not opened", "error", err)
 	}
 }
 
-// serveClients accepts clients on a listening socket. newHandler returns the protocol handler of a connection.
+// serveClients starts to accept clients on a listening socket. newHandler returns the protocol handler of a connection.
 func (d *daemon) serveClients(
 	setting string,
 	inheritedDescriptor int,
@@ -124,7 +124,7 @@
 	d.listeners.open = append(d.listeners.open, clientListener{front, listener})
 }
 
-// becomeReady lets clients come. Calls after the first one do nothing.
+// becomeReady makes the listeners accept clients. Calls after the first one do nothing.
 func (d *daemon) becomeReady() {
 	if d.listeners.ready {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// setDrained drains the router or ends that.
+// setDrained drains the router or activates it again.
 func (d *daemon) setDrained(drained bool, requestedBy string) {
 	state := "activated"
 	if drained {
@@ -150,9 +150,9 @@
 	}
 }
 
-// acceptLimit returns how many connections a listener accepts now. On a socket that two processes share, the new
-// process accepts none until it is ready, because requests would reach it while it knows no endpoint list but the one
-// from its start, and the old process serves them meanwhile.
+// acceptLimit returns how many connections a listener may currently have. On a socket that two processes share, the new
+// process accepts none until it is ready: it would have to route requests by the endpoint list of its configuration,
+// which may be outdated, while the old process can still serve them.
 func (d *daemon) acceptLimit() int {
 	if d.awaitsFirstEndpointList() {
 		return 0
@@ -160,7 +160,8 @@
 	return d.limits.Frontend.Connections
 }
 
-// awaitsFirstEndpointList says that another process accepts the clients of the shared socket until this one is ready.
+// awaitsFirstEndpointList reports whether the clients of a shared socket are still left to the other process, because
+// this one is not ready.
 func (d *daemon) awaitsFirstEndpointList() bool {
 	return d.listeners.inheritedSocket && d.hotRestart.otherProcess && !d.listeners.ready
 }
--- a/cmd/limeladder/log_output.go
+++ b/cmd/limeladder/log_output.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	logQueueBytes   = 256 << 10   // of lines that wait for the reader of the log
-	logFlushTimeout = time.Second // how long the program's end waits for that reader
+	logQueueBytes   = 256 << 10   // of lines queued for the reader of the log
+	logFlushTimeout = time.Second // the longest wait for that reader at the program's exit
 )
 
-// startLog returns what the daemon logs to. From then on a log whose reader hangs or has ended neither delays the
-// program nor ends it. Commands don't use it: in a shell pipe they end with their reader, as other programs do.
+// startLog returns the log output of the daemon. It writes to standard error and ignores SIGPIPE, so that a log reader
+// that hangs or has ended neither delays the program nor ends it. Commands do not use it: in a shell pipe they end
+// together with their reader, as other programs do.
 func startLog() *asynclog.Output {
-	// Go ends a program whose standard error has lost its reader, unless the signal is ignored.
+	// Unless SIGPIPE is ignored, Go ends a program that writes to a standard error without a reader.
 	signal.Ignore(syscall.SIGPIPE)
 	level := slog.LevelInfo
 	if os.Getenv("LIMELADDER_LOG") == "debug" {
@@ -29,13 +30,14 @@
 	return asynclog.New(separateFromCrashOutput(os.Stderr), asynclog.Options{Level: level, QueueBytes: logQueueBytes})
 }
 
-// separateFromCrashOutput returns a file that writes to the same pipe as the standard error. The descriptor of the
-// standard error itself, where the runtime writes the reason of a crash, no longer blocks: a program that crashes while
-// nobody reads its log would hang otherwise instead of ending. Where that can't be had, stderr stays as it is.
+// separateFromCrashOutput returns a file that writes to the same pipe as standard error, and makes the descriptor of
+// standard error itself nonblocking. The runtime writes the reason for a crash there: with a blocking descriptor, a
+// program that crashes while nobody reads its log would hang instead of ending. If stderr is not a pipe or a system
+// call fails, stderr is returned unchanged.
 func separateFromCrashOutput(stderr *os.File) *os.File {
 	info, err := stderr.Stat()
 	if err != nil || info.Mode()&os.ModeNamedPipe == 0 {
-		return stderr // a file opened again would have an offset of its own, and other kinds can't be opened again
+		return stderr // a reopened regular file would have its own offset, and other kinds can't be reopened
 	}
 	blocking, err := unix.FcntlInt(stderr.Fd(), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -47,7 +49,7 @@
 		return stderr
 	}
 	err = unix.Dup3(nonblocking, unix.Stderr, 0)
-	_ = unix.Close(nonblocking) // the standard error has its own descriptor of it
+	_ = unix.Close(nonblocking) // standard error has its own duplicate
 	if err != nil {
 		_ = unix.Close(blocking) // it was not used
 		return stderr
@@ -55,7 +57,7 @@
 	return os.NewFile(uintptr(blocking), stderr.Name())
 }
 
-// exitWith ends the program with one line that says why.
+// exitWith prints the error as one line and ends the program with an exit code.
 func exitWith(output *asynclog.Output, code int, err error) {
 	output.Print("limeladder: " + err.Error())
 	output.Close(logFlushTimeout)
--- a/cmd/limeladder/main.go
+++ b/cmd/limeladder/main.go
@@ -1,9 +1,9 @@
 // Command limeladder is a database router: it accepts requests from clients and forwards each one to an endpoint of the
 // replica group that the request names.
 //
-// The package owns no routing decision. main.go reads the configuration, builds the daemon and handles signals;
-// daemon.go assembles the subsystems; every other file starts one subsystem and connects it to the rest. Everything
-// that a daemon holds is touched on the goroutine of its event loop only, unless a comment says otherwise.
+// The package makes no routing decisions. main.go reads the configuration, builds the daemon and handles signals;
+// daemon.go assembles the subsystems; every other file starts one subsystem and connects it to the rest. The fields of
+// a daemon are used only on the goroutine of its event loop, unless a comment says otherwise.
 package main
 
 import (
@@ -24,14 +24,14 @@
 	exitConfigurationFault = 2
 )
 
-// signalQueueLength is how many signals may wait while a configuration file is being read.
+// signalQueueLength is the number of signals that can be queued while a configuration file is being read.
 const signalQueueLength = 8
 
-// defaultDeployPath is the operators' own file where LIMELADDER_DEPLOY names no other one.
+// defaultDeployPath is the path of the deploy file if LIMELADDER_DEPLOY is not set.
 const defaultDeployPath = "deploy/limeladder.toml"
 
 func main() {
-	// Signals are requested before anything else, because Go ends a program on a SIGHUP that nobody has requested.
+	// Signals are requested before anything else, because a SIGHUP ends a Go program that has not requested it.
 	signals := make(chan os.Signal, signalQueueLength)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	if len(os.Args) > 1 {
@@ -49,7 +49,7 @@
 	if err != nil {
 		exitWith(output, exitConfigurationFault, err)
 	}
-	// More processors than the platform grants cores would only take turns on them.
+	// More threads than the cores that the platform grants would only compete for them.
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	log := slog.New(output.Handler()).With("router", cfg.Name)
 	d, err := newDaemon(cfg, deploy, log)
@@ -73,7 +73,7 @@
 	}
 }
 
-// deployPath returns the path of the operators' own file.
+// deployPath returns the path of the deploy file, which holds the operators' own settings.
 func deployPath(getenv func(string) string) string {
 	return cmp.Or(getenv("LIMELADDER_DEPLOY"), defaultDeployPath)
 }
--- a/cmd/limeladder/reload.go
+++ b/cmd/limeladder/reload.go
@@ -4,14 +4,14 @@
 	"limeladder/internal/config"
 )
 
-// What is reloaded, as the audit record names it.
+// The names of the reloaded files in the audit record.
 const (
 	reloadedConfiguration = "configuration"
 	reloadedDeploy        = "deploy"
 )
 
-// reload reads the configuration and the operators' file again. It runs on the goroutine of the signals, not on the
-// event loop: a file that is slow to read must not delay requests. A fault in either file changes nothing.
+// reload reads the configuration and the deploy file again. It runs on the goroutine that handles signals, not on the
+// event loop, because a file that is slow to read must not delay requests. If either file is invalid, both are ignored.
 func (d *daemon) reload(getenv func(string) string) {
 	cfg, err := config.Load(getenv)
 	if err != nil {
@@ -29,16 +29,17 @@
 	})
 }
 
-// rejectReload logs and records why the previous configuration stays. Any goroutine may call it.
+// rejectReload logs and records why a reload was rejected. Any goroutine may call it.
 func (d *daemon) rejectReload(what string, reason error) {
 	d.log.Error(logConfigurationRejected, "error", reason)
 	d.loop.Post(func() { d.recording.reloaded(what, reason) })
 }
 
-// logConfigurationRejected is the log message of a reload that changes nothing.
-const logConfigurationRejected = "configuration rejected, previous one stays"
+// logConfigurationRejected is the log message for a reload that is rejected.
+const logConfigurationRejected = "configuration rejected, keeping the previous one"
 
-// applyConfig moves the watch to the discovery of a new configuration. The rest of it is read at the start only.
+// applyConfig switches the watch to the discovery address of a new configuration. All other settings are read only at
+// the start.
 func (d *daemon) applyConfig(cfg *config.Config) {
 	d.log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	d.recording.reloaded(reloadedConfiguration, nil)
--- a/cmd/limeladder/shutdown.go
+++ b/cmd/limeladder/shutdown.go
@@ -6,14 +6,14 @@
 	"limeladder/internal/transport"
 )
 
-// shutdownState is how far the graceful shutdown has come.
+// shutdownState is the progress of the graceful shutdown.
 type shutdownState struct {
-	requested       bool // SIGTERM or SIGINT has come
-	listenersClosed bool // no client comes any more
+	requested       bool // SIGTERM or SIGINT was received
+	listenersClosed bool // no new clients are accepted
 }
 
-// startShutdown starts the graceful shutdown. Connections are accepted for a while, because the platform still sends
-// some, and every request that was accepted is answered. Calls after the first one do nothing.
+// startShutdown starts the graceful shutdown. Connections are still accepted for AcceptTime, because the platform may
+// send more, and every accepted request is answered. Calls after the first one do nothing.
 func (d *daemon) startShutdown() {
 	if d.shutdown.requested {
 		return
@@ -27,14 +27,15 @@
 	deadline := d.loop.Now() + d.limits.Shutdown.GuaranteedTime
 	acceptTime := d.limits.Shutdown.AcceptTime
 	if d.listeners.inheritedSocket {
-		acceptTime = 0 // the next process has the same socket and accepts what comes from now on
+		acceptTime = 0 // the next process has the same socket and accepts all further connections
 	}
 	d.loop.AfterFunc(acceptTime, func() { d.closeListeners(func() { d.finishConnections(deadline) }) })
 	d.loop.AfterFunc(d.limits.Shutdown.MaxTime, d.loop.Stop)
 }
 
-// closeListeners stops accepting, on a goroutine of its own because an accept may be under way, and then calls done on
-// the loop. Connections that were accepted before are in the loop's queue and come first.
+// closeListeners closes the listening sockets and then calls done on the event loop. It closes them on another
+// goroutine, because closing waits for an accept in progress. Connections accepted before are in the loop's queue ahead
+// of done.
 func (d *daemon) closeListeners(done func()) {
 	var sockets []*transport.Listener
 	for _, listener := range d.listeners.open {
@@ -48,8 +49,8 @@
 	}()
 }
 
-// finishConnections closes connections without a request, once no new ones come. Clients send on every connection that
-// stays open, so requests of these have to be answered by the deadline.
+// finishConnections is called once no new connections are accepted, and closes those without a request. Clients may
+// send on every connection that stays open, so requests on these have to be answered by the deadline.
 func (d *daemon) finishConnections(deadline time.Duration) {
 	if !d.listeners.inheritedSocket {
 		for _, listener := range d.listeners.open {
@@ -60,7 +61,7 @@
 	d.core.SetShutdownDeadline(deadline)
 }
 
-// shutdownComplete says whether everything that was accepted is answered and every client is gone.
+// shutdownComplete reports whether every accepted request is answered and every client is disconnected.
 func (d *daemon) shutdownComplete() bool {
 	return d.shutdown.listenersClosed &&
 		d.core.InFlight() == 0 &&
--- a/cmd/limeladder/site_failover.go
+++ b/cmd/limeladder/site_failover.go
@@ -12,7 +12,8 @@
 	"limeladder/internal/sitefailover"
 )
 
-// startSiteMonitor makes the core watch whole sites, and act on what it sees, if deploy/limeladder.toml says so.
+// startSiteMonitor makes the core monitor whole sites and act on their loss, as far as enabled in
+// deploy/limeladder.toml.
 func (d *daemon) startSiteMonitor(cfg *config.Config) {
 	if !d.deploy.SiteFailover.Watch {
 		return
@@ -31,7 +32,7 @@
 	d.core.EnableSiteAdmission(admission, ramp, cfg.SeedValue)
 }
 
-// siteReport is the state of all sites as operators see it. The fields are in the order of their JSON names.
+// siteReport is the state of all sites as returned to operators. The fields are in the order of their JSON names.
 type siteReport struct {
 	Ramps               []siteRampStatus            `json:"paced"`
 	LossPlans           []sitefailover.SiteLossPlan `json:"plans"`
@@ -40,35 +41,35 @@
 	RejectedForSiteLoss uint64                      `json:"turned_away"`
 }
 
-// siteStatus is a site as operators see it.
+// siteStatus is the state of one site as returned to operators.
 type siteStatus struct {
 	Site      string `json:"site"`
 	State     string `json:"state"`
 	Kind      string `json:"kind"`
-	SinceMs   int64  `json:"since_ms"` // of its state, before now; siteStateUnchanged = since the start
+	SinceMs   int64  `json:"since_ms"` // since the last change of State; siteStateUnchanged = no change since the start
 	Evidence  string `json:"evidence"`
 	Endpoints int    `json:"machines"`
 	Down      int    `json:"down"`
 	Flaps     int    `json:"flaps"`
 }
 
-// siteStateUnchanged stands for the time of the last change of a site that was never in another state.
+// siteStateUnchanged is the value of siteStatus.SinceMs for a site whose state has never changed.
 const siteStateUnchanged = -1
 
-// rejectedShareStatus is a share of a class's requests that admission control rejects now.
+// rejectedShareStatus is a share of a class's requests that the admission controller currently rejects.
 type rejectedShareStatus struct {
 	sitefailover.RejectedShare
 	SinceMs int64 `json:"since_ms"`
 }
 
-// siteRampStatus is a site that is not used for all of its capacity.
+// siteRampStatus is a site that is used for only a share of its capacity.
 type siteRampStatus struct {
 	Site      string  `json:"site"`
 	Share     float64 `json:"part"`
-	LimitedMs int64   `json:"bound_ms"` // operators' limit holds for so long; 0 = there is none
+	LimitedMs int64   `json:"bound_ms"` // remaining time of the operators' limit; 0 = no limit
 }
 
-// Sites implements adminapi.Router.
+// SiteReport implements adminapi.Router.
 func (d *daemon) SiteReport(asTable bool) (text string, off bool) {
 	if !d.deploy.SiteFailover.Watch {
 		return "", true
@@ -145,7 +146,7 @@
 			rejected.Group, rejected.Class, 100*rejected.Share, rejected.Saturated, since)
 	}
 	text.WriteString("\n")
-	_ = sitefailover.WriteTable(&text, r.LossPlans) // a strings.Builder takes every write
+	_ = sitefailover.WriteTable(&text, r.LossPlans) // a strings.Builder never returns an error
 	return strings.TrimRight(text.String(), "\n")
 }
 
@@ -164,12 +165,12 @@
 		fmt.Fprintf(columns, "%s\t%s%s\t%d\t%d\t%s\t%s\n",
 			site.Site, site.State, kind, site.Endpoints, site.Down, since, site.Evidence)
 	}
-	_ = columns.Flush() // a strings.Builder takes every write
+	_ = columns.Flush() // a strings.Builder never returns an error
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// siteNames returns the sites that there are.
+// siteNames returns the names of all known sites.
 func (d *daemon) siteNames() []string {
 	var names []string
 	for _, view := range d.core.SiteViews() {
@@ -178,7 +179,7 @@
 	return names
 }
 
-// Declare implements adminapi.Router.
+// DeclareSiteLost implements adminapi.Router.
 func (d *daemon) DeclareSiteLost(site string, length time.Duration) (ok bool, known []string, off bool) {
 	if !d.deploy.SiteFailover.Watch {
 		return false, nil, true
@@ -195,7 +196,7 @@
 	return ok, known, false
 }
 
-// Pace implements adminapi.Router.
+// LimitSiteRamp implements adminapi.Router.
 func (d *daemon) LimitSiteRamp(site string, share float64, length time.Duration) (ok bool, known []string, off bool) {
 	ok, off = d.core.LimitSiteRamp(site, share, length)
 	if off {
--- a/cmd/limeladder/sites_plan.go
+++ b/cmd/limeladder/sites_plan.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	sitesPlanTimeout  = 5 * time.Second // until a router has answered
-	sitesPlanMaxBytes = 16 << 20        // of an answer
+	sitesPlanTimeout  = 5 * time.Second // for the whole response
+	sitesPlanMaxBytes = 16 << 20        // of a response body
 )
 
-// sitesPlan asks a router for the state of its sites and the plans for their loss.
+// sitesPlan is the command sites plan, which asks a router for the state of its sites and the plans for their loss.
 type sitesPlan struct {
 	Operator string `arg:"" help:"The router's address for operators, host:port."`
 	JSON     bool   `help:"As JSON, with the evidence."`
@@ -30,7 +30,7 @@
 	return exitOK
 }
 
-// fetch asks the router for its report.
+// fetch requests the report from the router.
 func (c *sitesPlan) fetch() ([]byte, error) {
 	url := "http://" + c.Operator + "/v1/sites"
 	if !c.JSON {
--- a/cmd/limeladder/store.go
+++ b/cmd/limeladder/store.go
@@ -10,19 +10,19 @@
 // The keys of the replicated store. They are stored data and must not change.
 const (
 	endpointListKey     = "list"
-	configKeyPrefix     = "config/"  // the name of a router follows
-	countersKeyPrefix   = "counts/"  // the name of a router follows
-	groupTermsKeyPrefix = "primary/" // the number of a replica group follows
+	configKeyPrefix     = "config/"  // followed by the name of a router
+	countersKeyPrefix   = "counts/"  // followed by the name of a router
+	groupTermsKeyPrefix = "primary/" // followed by the number of a replica group
 )
 
-// openedStore is what came of opening the store in the background.
+// openedStore is the result of opening the store in the background.
 type openedStore struct {
 	store *store.Store
 	err   error
 }
 
-// startStore opens the store where this process is the only one of its router. Two processes must never have its log
-// open at once, so during a hot restart the store is opened once the other process is gone.
+// startStore opens the store if this process is the only one of its router. Two processes must never have the store's
+// log open at once, so during a hot restart the store is opened once the other process has ended.
 func (d *daemon) startStore() error {
 	if d.deploy.Store.Name == "" || !d.hotRestart.shared.StartedAlone() {
 		return nil
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// storeConfig returns how the store is opened, by the operators' file and the limits of this moment.
+// storeConfig returns the configuration of the store from the deploy file and the current limits.
 func (d *daemon) storeConfig() store.Config {
 	settings := d.deploy.Store
 	return store.Config{
@@ -49,8 +49,9 @@
 	}
 }
 
-// openStoreInBackground opens the store, unless it is off, open or being opened, on a goroutine of its own: reading its
-// log would delay requests. That goroutine gets copies of all that it needs.
+// openStoreInBackground opens the store on another goroutine, because reading its log would delay requests. It does
+// nothing if the store is off, open or being opened. The goroutine gets copies of the fields that it needs, because the
+// daemon belongs to the event loop.
 func (d *daemon) openStoreInBackground() {
 	if d.deploy.Store.Name == "" || d.store != nil || d.openingStore != nil {
 		return
@@ -66,7 +67,7 @@
 	}()
 }
 
-// finishOpeningStore takes over what was opened in the background. It waits where that is not done yet.
+// finishOpeningStore starts to use the store that was opened in the background. It blocks until the store is open.
 func (d *daemon) finishOpeningStore() {
 	if d.openingStore == nil {
 		return
@@ -80,7 +81,7 @@
 	d.useStore(result.store)
 }
 
-// useStore takes over a store that was opened, and stores the operators' file there.
+// useStore starts to use an opened store, and writes the settings of the deploy file to it.
 func (d *daemon) useStore(opened *store.Store) {
 	d.store = opened
 	if torn := opened.TornBytes(); torn > 0 {
@@ -89,7 +90,8 @@
 	d.storeValue(configKeyPrefix+d.name, d.deploy)
 }
 
-// closeStore closes the store, also one that is still being opened: left open, it would keep its log and its address.
+// closeStore closes the store, including one that is still being opened: otherwise that would keep its log open and its
+// address in use.
 func (d *daemon) closeStore() {
 	d.finishOpeningStore()
 	if d.store == nil {
@@ -100,7 +102,7 @@
 	}
 }
 
-// storeValue queues a value for the store. Nothing waits for it, and where the store is off it does nothing.
+// storeValue queues a value to be stored. It doesn't wait for the write, and does nothing if the store is off.
 func (d *daemon) storeValue(key string, value any) {
 	if d.store == nil {
 		return
@@ -115,7 +117,8 @@
 	}
 }
 
-// loadValue reads a value from the store. ok is false where the store is off or has no such value that can be read.
+// loadValue reads a value from the store. ok is false if the store is off, has no such value, or the value can't be
+// decoded.
 func (d *daemon) loadValue(key string, value any) (ok bool) {
 	if d.store == nil {
 		return false
--- a/cmd/limeladder/stored_secrets.go
+++ b/cmd/limeladder/stored_secrets.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// holdsSecret says whether a stored value holds a secret. Earlier versions of the program stored the deploy file with
-// the keys of the audit record.
+// holdsSecret reports whether a stored value contains a secret. Earlier versions of the program stored the deploy file
+// together with the keys of the audit record.
 func holdsSecret(key string, value []byte) bool {
 	if !strings.HasPrefix(key, configKeyPrefix) {
 		return false
