--- a/cmd/limeladder/failover.go
+++ b/cmd/limeladder/failover.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// restoreFailoverTerms passes the terms and primaries that an earlier process stored to the core, once the store has
+// restoreFailoverTerms passes to the core the terms and primaries that an earlier process stored, once the store has
 // caught up. The core checks a primary before it relies on it.
 func (d *daemon) restoreFailoverTerms() {
 	if !d.failoverQueueEnabled() || d.deploy.Store.Name == "" || d.failoverTermsRestored {
