--- a/cmd/limeladder/shutdown.go
+++ b/cmd/limeladder/shutdown.go
@@ -65,5 +65,5 @@
 	return d.shutdown.listenersClosed &&
 		d.core.InFlight() == 0 &&
 		d.listeners.openConnections() == 0 &&
-		d.engine.Finishing() == 0
+		d.engine.ClosingCount() == 0
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -142,7 +142,7 @@
 	c.closed = true
 	c.timeout.Stop()
 	if c.answered {
-		c.conn.Finish(c.server.limits.Frontend.FlushTimeout)
+		c.conn.CloseGracefully(c.server.limits.Frontend.FlushTimeout)
 	} else {
 		c.conn.Close() // nothing is owed to it, and others wait for its slot
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -109,7 +109,7 @@
 	if w.call.receivedWithin(maxGap, now) {
 		return true
 	}
-	return w.connection != nil && !w.connection.Quiet()
+	return w.connection != nil && !w.connection.HasNothingToReport()
 }
 
 // dial sends the call in flight on a new connection.
--- a/internal/discovery/call_test.go
+++ b/internal/discovery/call_test.go
@@ -79,7 +79,7 @@
 		}
 		close(busy)
 		deadline := watch.watcher.call.startedAt + lim.Discovery.CallTimeout
-		for connection.Quiet() || watch.loop.Now() <= deadline {
+		for connection.HasNothingToReport() || watch.loop.Now() <= deadline {
 			time.Sleep(time.Millisecond) // keeps the loop busy until the response is there and the deadline has passed
 		}
 	})
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -58,7 +58,7 @@
 	}
 	c.lifetime.closed = true
 	// A response of which the system has taken only a part must not be cut off.
-	c.socket.Finish(c.frontend.limits.Frontend.FlushTimeout)
+	c.socket.CloseGracefully(c.frontend.limits.Frontend.FlushTimeout)
 	c.releaseAll()
 }
 
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -87,7 +87,7 @@
 	if !c.frontend.drain.begun() || !c.atRest() {
 		return
 	}
-	if c.mayBringFirstCommand(c.frontend.eventLoop.Now()) || !c.socket.Quiet() {
+	if c.mayBringFirstCommand(c.frontend.eventLoop.Now()) || !c.socket.HasNothingToReport() {
 		return
 	}
 	c.Close()
@@ -108,5 +108,5 @@
 
 // mayBringRequest reports whether a request may be on its way, or has come in part.
 func (c *Conn) mayBringRequest(now time.Duration) bool {
-	return c.mayBringFirstCommand(now) || c.input.reader.Waiting() > 0 || !c.socket.Quiet()
+	return c.mayBringFirstCommand(now) || c.input.reader.Waiting() > 0 || !c.socket.HasNothingToReport()
 }
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -122,7 +122,7 @@
 	case !c.lifetime.commandSeen: // usual clients send a command at once
 		idle = lim.UnusedIdle
 	}
-	return c.betweenRequests() && now-c.lifetime.lastActiveAt > idle && c.socket.Quiet()
+	return c.betweenRequests() && now-c.lifetime.lastActiveAt > idle && c.socket.HasNothingToReport()
 }
 
 // betweenRequests reports whether the client is owed nothing and has begun nothing.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -63,7 +63,7 @@
 	arrivals        arrivalLog
 }
 
-// finishState is the state of a connection that is being closed in order by Finish. Only the loop uses it.
+// finishState is the state of a connection that is being closed by CloseGracefully. Only the loop uses it.
 type finishState struct {
 	active       bool
 	timeout      time.Duration // how long the peer may accept none of the written bytes
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -172,7 +172,7 @@
 	return func() { close(free) }
 }
 
-// Finish does not cut off a connection while its peer keeps reading, however long that takes.
+// CloseGracefully does not cut off a connection while its peer keeps reading, however long that takes.
 func TestFinishWaitsForASlowReader(t *testing.T) {
 	l, e := newTestEngine(t)
 	const total = 7 << 20
@@ -180,7 +180,7 @@
 		if err := errors.Join(c.socket.SetWriteBuffer(64<<10), c.Write(make([]byte, total))); err != nil {
 			t.Error(err)
 		}
-		c.Finish(time.Second)
+		c.CloseGracefully(time.Second)
 		return echoHandler{c}
 	})
 	c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -52,7 +52,8 @@
 	}
 	c := &Conn{engine: e, socket: socket, releaseSlot: releaseSlot, post: post}
 	c.recordsArrivals = accepted
-	c.readsToEnd.Store(accepted) // for Finish, the end of an accepted connection must be detected before nbio closes it
+	// For CloseGracefully, the end of an accepted connection must be detected before nbio closes it.
+	c.readsToEnd.Store(accepted)
 	c.recordArrivalsBeforeAccept()
 	socket.SetSession(c)
 	e.connectionCount.Add(1)
--- a/internal/transport/finish.go
+++ b/internal/transport/finish.go
@@ -7,26 +7,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// LingerTimeout is how long a connection closed by Finish waits for the peer to close its side. A reachable peer needs
-// a round trip and some time to process the end; an unreachable one must not hold a descriptor for longer.
+// LingerTimeout is how long a connection closed by CloseGracefully waits for the peer to close its side. A reachable
+// peer needs a round trip and some time to process the end; an unreachable one must not hold a descriptor for longer.
 const LingerTimeout = time.Second
 
 // MaxLingering returns how many connections may wait for their peer to close its side, given the number of descriptors.
 func MaxLingering(maxFiles int) int { return max(1, maxFiles/32) }
 
-// Finishing returns the number of connections that are being closed by Finish: their last bytes are not sent yet, or
-// their peer has not closed its side yet.
-func (e *Engine) Finishing() int { return e.finishing }
+// ClosingCount returns the number of connections that are being closed by CloseGracefully: their last bytes are not
+// sent yet, or their peer has not closed its side yet.
+func (e *Engine) ClosingCount() int { return e.finishing }
 
-// Finish closes the connection in order; the handler is not called any more. Once the system has accepted all written
-// bytes, the sending side is shut down, so that the peer reads all of them and then the end. Data that the peer still
-// sends is read and dropped until the peer closes its side, for LingerTimeout at most. If the peer accepts no bytes
-// during the given timeout, the connection is closed.
+// CloseGracefully closes the connection in order; the handler is not called any more. Once the system has accepted all
+// written bytes, the sending side is shut down, so that the peer reads all of them and then the end. Data that the peer
+// still sends is read and dropped until the peer closes its side, for LingerTimeout at most. If the peer accepts no
+// bytes during the given timeout, the connection is closed.
 //
 // Closing a socket with unread bytes would reset the connection, and the peer might lose what it has not read by then,
 // which is the last response. A request that the peer sends at the same time is not accepted. The peer can tell,
 // because it reads the end of the connection instead of a response.
-func (c *Conn) Finish(timeout time.Duration) {
+func (c *Conn) CloseGracefully(timeout time.Duration) {
 	if c.closed {
 		return
 	}
--- a/internal/transport/finish_test.go
+++ b/internal/transport/finish_test.go
@@ -27,7 +27,7 @@
 			if err := conn.Write([]byte("the last answer")); err != nil {
 				t.Error(err)
 			}
-			conn.Finish(time.Second)
+			conn.CloseGracefully(time.Second)
 		})
 		<-busy
 		for range 8 {
@@ -60,7 +60,7 @@
 		send(t, c, "one more request")
 		c.Close()
 		waitUntil(t, "the connection has ended", func() (over bool) {
-			runInLoop(l, func() { over = e.Finishing() == 0 })
+			runInLoop(l, func() { over = e.ClosingCount() == 0 })
 			return over
 		})
 	}
@@ -73,19 +73,19 @@
 	for range maxLingering + 20 {
 		conn, _ := newPair(t, e, &collector{want: 1, done: make(chan string, 9)})
 		runInLoop(l, func() {
-			conn.Finish(time.Second)
+			conn.CloseGracefully(time.Second)
 			if len(e.lingering) > maxLingering {
 				t.Errorf("%d lingering connections, want at most %d", len(e.lingering), maxLingering)
 			}
 		})
 	}
 	waitUntil(t, "all are closed", func() (ok bool) {
-		runInLoop(l, func() { ok = e.Finishing() == 0 && len(e.lingering) == 0 })
+		runInLoop(l, func() { ok = e.ClosingCount() == 0 && len(e.lingering) == 0 })
 		return ok
 	})
 }
 
-// Finish releases the listener's slot without waiting for the peer to close its side.
+// CloseGracefully releases the listener's slot without waiting for the peer to close its side.
 func TestFinishReleasesTheSlot(t *testing.T) {
 	l, e := newTestEngine(t)
 	accepted := make(chan *Conn, 9)
@@ -101,7 +101,7 @@
 		defer c.Close() // only at the end of the test
 		select {
 		case conn := <-accepted:
-			runInLoop(l, func() { conn.Finish(time.Second) })
+			runInLoop(l, func() { conn.CloseGracefully(time.Second) })
 		case <-time.After(LingerTimeout / 2):
 			t.Fatal("no slot was released within half of LingerTimeout")
 		}
@@ -174,7 +174,7 @@
 	runInLoop(l, func() {
 		used := conn.withDescriptor(func(int) { t.Error("the released descriptor was used") })
 		ended := conn.peerHasEnded() && conn.PeerClosed(false)
-		if used || !ended || conn.Quiet() {
+		if used || !ended || conn.HasNothingToReport() {
 			t.Error("an ended connection is treated as open")
 		}
 	})
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -121,9 +121,10 @@
 // more read after each batch of data.
 func (c *Conn) DetectResets() { c.readsToEnd.Store(true) }
 
-// Quiet reports whether nothing is left to report to the handler: neither received data nor the end of the connection.
-// It checks the socket itself, because the poller may not have processed the latest events.
-func (c *Conn) Quiet() bool {
+// HasNothingToReport reports whether the connection is open and nothing is left to report to the handler: neither
+// received data nor the end of the connection. It checks the socket itself, because the poller may not have processed
+// the latest events.
+func (c *Conn) HasNothingToReport() bool {
 	c.mutex.Lock()
 	waiting := len(c.inbox) > 0
 	c.mutex.Unlock()
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -51,7 +51,7 @@
 }
 
 // handleLowWater runs in the loop when few bytes are unsent. It notifies the handler, or shuts down the sending side of
-// a connection that is being closed by Finish.
+// a connection that is being closed by CloseGracefully.
 func (c *Conn) handleLowWater() {
 	if observer, ok := c.handler.(WriteObserver); ok && !c.closed {
 		observer.WriteDrained()
