--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -54,7 +54,7 @@
 type loadReport struct {
 	role        balance.Role
 	position    time.Duration // replication position
-	utilization float64
+	utilization float64       // used share of the endpoint's capacity, 0 = not reported
 }
 
 // The metrics of a load report, by their names on the wire.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -143,7 +143,8 @@
 }
 
 // closeExpired closes connections that have been idle for too long, before the endpoint closes them: an attempt written
-// to a connection that the endpoint has closed cannot be proven not to have run.
+// to a connection that the endpoint has closed cannot be proven not to have run. It also closes idle connections that
+// exceed the limit for all endpoints, and calls itself again after SweepInterval.
 func (p *Pool) closeExpired() {
 	now := p.loop.Now()
 	for _, e := range p.endpoints {
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -80,22 +80,22 @@
 	lateError := pgwire.AppendError(nil, pgwire.Error{Code: "53300"})
 	join := func(parts ...[]byte) []byte { return bytes.Join(append(parts, pgwire.AppendReady(nil)), nil) }
 	for name, p := range map[string][]byte{
-		"noise":               []byte("\x8f\xff\x13\x37 noise"),
-		"3 GB":                append(status, 'D', 0xC0, 0, 0, 0, 0, 1),
+		"random bytes":        []byte("\x8f\xff\x13\x37 noise"),
+		"message of 3 GiB":    append(status, 'D', 0xC0, 0, 0, 0, 0, 1),
 		"never ends":          append(join(status, column), 'D', 0, 0, 1, 0, 0, 1),
-		"two columns":         join(status, column, row("\x00\x02\x00\x00\x00\x01v\x00\x00\x00\x01w"), tag),
+		"too many columns":    join(status, column, row("\x00\x02\x00\x00\x00\x01v\x00\x00\x00\x01w"), tag),
 		"value too long":      join(status, column, row("\x00\x01\x00\x00\x00\x09v"), tag),
 		"value too short":     join(status, column, row("\x00\x01\x00\x00\x00\x01vw"), tag),
 		"negative value":      join(status, column, row("\x00\x01\xff\xff\xff\x00v"), tag),
-		"format":              join(status, append(column[:len(column)-1:len(column)-1], 7), value, tag),
-		"column":              join(status, pgwire.Append(nil, 'T', []byte("\x00\x01data")), value, tag),
+		"unknown format code": join(status, append(column[:len(column)-1:len(column)-1], 7), value, tag),
+		"truncated column":    join(status, pgwire.Append(nil, 'T', []byte("\x00\x01data")), value, tag),
 		"tag not terminated":  join(status, column, value, complete("SELECT 1")),
 		"unknown tag":         join(status, column, value, complete("\x01\x02\x00")),
-		"count in tag":        join(status, column, value, complete("SELECT 2\x00")),
+		"wrong count in tag":  join(status, column, value, complete("SELECT 2\x00")),
 		"no tag":              join(status, column, value),
-		"no ready":            bytes.Join([][]byte{status, column, value, tag}, nil),
-		"form of error":       join(status, failure("C53300\x00")),
-		"code of error":       join(status, failure("C53\x00\x00")),
+		"no ReadyForQuery":    bytes.Join([][]byte{status, column, value, tag}, nil),
+		"unterminated error":  join(status, failure("C53300\x00")),
+		"SQLSTATE too short":  join(status, failure("C53\x00\x00")),
 		"error after the tag": join(status, column, value, tag, lateError),
 	} {
 		t.Run(name, func(t *testing.T) { checkInvalidResponse(t, p) })
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -60,7 +60,7 @@
 		{"complete", longResponse(n, 0), 0, balance.StatusDone, true},
 		{"cut", longResponse(n, 0), n / 2, balance.StatusReset, true},
 		{"invalid", append(longResponse(n, 0)[:n], 0xff), 0, balance.StatusError, true},
-		{"too short", longResponse(n, 5), 0, balance.StatusError, false},
+		{"value too short", longResponse(n, 5), 0, balance.StatusError, false},
 		{"too long", longResponse(5<<20, 0), 0, balance.StatusError, false},
 		{"buffered", longResponse(50_000, 0), 0, balance.StatusDone, false},
 	} {
--- a/internal/discovery/call_test.go
+++ b/internal/discovery/call_test.go
@@ -89,8 +89,9 @@
 }
 
 // The changes that a silent watch misses are requested again in time, counted from the beginning of the silence: within
-// 6 s (7 s in fleets whose watches wait longer) plus the shortest drain grace that the settings have had, 2 s. That
-// includes the 2 s that a call may wait for its scheduled turn.
+// 6 s plus the shortest drain grace that the settings have had, 2 s. In fleets of more than 10 routers, whose watches
+// wait longer, it is 7 s plus the grace: 2 s after the end of the wait of 5 s. Each bound includes the 2 s that a call
+// may wait for its scheduled turn.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	// The decision module polls again within half of the grace.
 	const maxTurnWait, grace = 2 * time.Second, 2 * time.Second
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -61,8 +61,8 @@
 // callRejected ends a call that discovery has rejected.
 func (w *Watcher) callRejected(cause error) { w.callFailed(w.newCallError(CallRejected, cause), false) }
 
-// callUnanswered ends a call without a complete response. It need not mean that discovery is overloaded, and discovery
-// counts what it has written as delivered.
+// callUnanswered ends a call without a complete response. A missing response need not mean that discovery is
+// overloaded, and discovery counts what it has written as delivered.
 func (w *Watcher) callUnanswered(cause error) {
 	w.callFailed(w.newCallError(CallUnanswered, cause), true)
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,7 +16,8 @@
 	EndpointListReceived(list config.EndpointList)
 
 	// PollFailed is called when a call has ended without a valid list. unanswered is false if discovery rejected the
-	// call, and true if its response was missing, incomplete or unusable.
+	// call, and true if its response was missing, incomplete or unusable. It is also false once more than a few
+	// consecutive responses were unusable.
 	PollFailed(unanswered bool)
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -17,7 +17,7 @@
 // from any goroutine.
 type Loop struct {
 	startTime time.Time            // its monotonic reading is the clock of the whole process
-	clock     func() time.Duration // replaces the system's clock, nil = it does not
+	clock     func() time.Duration // replaces the system's clock, nil = the system's clock is used
 	wake      chan struct{}
 	timers    timerHeap // used on the loop's goroutine only
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -48,8 +48,8 @@
 	readsToEnd        atomic.Bool // each read continues until no data is left, so that a reset after data is detected
 
 	// Closing.
-	finish finishState
-	ended  atomic.Bool // by the peer, or closed by this process
+	gracefulClose gracefulCloseState
+	ended         atomic.Bool // by the peer, or closed by this process
 
 	descriptorMutex    sync.Mutex // held while code other than nbio uses the descriptor
 	descriptorReleased bool       // the descriptor must not be used any more
@@ -63,8 +63,8 @@
 	arrivals        arrivalLog
 }
 
-// finishState is the state of a connection that is being closed by CloseGracefully. Only the loop uses it.
-type finishState struct {
+// gracefulCloseState is the state of a connection that is being closed by CloseGracefully. Only the loop uses it.
+type gracefulCloseState struct {
 	active       bool
 	timeout      time.Duration // how long the peer may accept none of the written bytes
 	lastProgress int64         // the value of bytesSent at the last check
@@ -82,7 +82,7 @@
 
 // Close closes the connection. The handler is not called any more.
 func (c *Conn) Close() {
-	if !c.closed || c.finish.active {
+	if !c.closed || c.gracefulClose.active {
 		c.closed = true
 		c.closeSocket()
 	}
@@ -93,9 +93,10 @@
 	_ = c.socket.Close() // the only error is that it is closed already
 }
 
-// handleClosed reports the end of the connection to its handler. If the connection is paused, the report is deferred.
+// handleClosed reports the end of the connection to its handler. If the connection is paused, the report is deferred,
+// unless ReportCloseAtOnce was called.
 func (c *Conn) handleClosed(err error) {
-	c.stopFinishing()
+	c.endGracefulClose()
 	if c.paused && !c.reportCloseAtOnce {
 		c.deferClose(err)
 		return
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -173,7 +173,7 @@
 }
 
 // CloseGracefully does not cut off a connection while its peer keeps reading, however long that takes.
-func TestFinishWaitsForASlowReader(t *testing.T) {
+func TestCloseGracefullyWaitsForASlowReader(t *testing.T) {
 	l, e := newTestEngine(t)
 	const total = 7 << 20
 	ln := listen(t, e, 64, func(c *Conn) Handler {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -19,7 +19,7 @@
 	inboxBytes int // maximum unprocessed bytes of one connection before reading stops
 
 	// Only the loop uses these.
-	finishing    int     // connections that are being closed by CloseGracefully
+	closingCount int     // connections that are being closed by CloseGracefully
 	lingering    []*Conn // those that wait for the peer to close its side, oldest first; they no longer have a slot
 	maxLingering int
 	loopBuffer   []byte // for reads by the loop
--- a/internal/transport/finish.go
+++ b/internal/transport/finish.go
@@ -16,7 +16,7 @@
 
 // ClosingCount returns the number of connections that are being closed by CloseGracefully: their last bytes are not
 // sent yet, or their peer has not closed its side yet.
-func (e *Engine) ClosingCount() int { return e.finishing }
+func (e *Engine) ClosingCount() int { return e.closingCount }
 
 // CloseGracefully closes the connection in order; the handler is not called any more. Once the system has accepted all
 // written bytes, the sending side is shut down, so that the peer reads all of them and then the end. Data that the peer
@@ -34,24 +34,24 @@
 	if c.pendingClose != nil {
 		return // the poller has reported the end already
 	}
-	c.finish.active = true
-	c.engine.finishing++
+	c.gracefulClose.active = true
+	c.engine.closingCount++
 	if c.ended.Load() {
 		return // the poller has closed the connection; its report of the end has been or will be posted
 	}
-	c.finish.timeout = timeout
-	c.finish.lastProgress = c.bytesSent.Load()
-	c.finish.timer = c.engine.loop.AfterFunc(timeout, c.checkProgress)
+	c.gracefulClose.timeout = timeout
+	c.gracefulClose.lastProgress = c.bytesSent.Load()
+	c.gracefulClose.timer = c.engine.loop.AfterFunc(timeout, c.checkProgress)
 	if c.Flushed() {
 		c.shutdownWrite()
 	} else {
 		c.NotifyWhenUnsentBelow(0)
 	}
-	c.resumeToFinish()
+	c.resumeForClose()
 }
 
-// resumeToFinish resumes the reading of a paused connection: closing it with unread bytes would reset it.
-func (c *Conn) resumeToFinish() {
+// resumeForClose resumes the reading of a paused connection: closing it with unread bytes would reset it.
+func (c *Conn) resumeForClose() {
 	c.mutex.Lock()
 	paused := c.paused
 	c.paused = false
@@ -66,9 +66,9 @@
 // checkProgress closes the connection if the system has accepted no bytes since the last check.
 func (c *Conn) checkProgress() {
 	sent := c.bytesSent.Load()
-	if sent > c.finish.lastProgress {
-		c.finish.lastProgress = sent
-		c.finish.timer = c.engine.loop.AfterFunc(c.finish.timeout, c.checkProgress)
+	if sent > c.gracefulClose.lastProgress {
+		c.gracefulClose.lastProgress = sent
+		c.gracefulClose.timer = c.engine.loop.AfterFunc(c.gracefulClose.timeout, c.checkProgress)
 		return
 	}
 	c.closeSocket()
@@ -81,19 +81,19 @@
 	if c.releaseSlot != nil {
 		c.releaseSlot() // lingering connections have a limit of their own
 	}
-	c.finish.timer.Stop()
-	c.finish.timer = c.engine.loop.AfterFunc(LingerTimeout, c.closeSocket)
+	c.gracefulClose.timer.Stop()
+	c.gracefulClose.timer = c.engine.loop.AfterFunc(LingerTimeout, c.closeSocket)
 	c.engine.addLingering(c)
 }
 
-// stopFinishing ends the orderly close of a connection that has ended, if one is in progress.
-func (c *Conn) stopFinishing() {
-	if !c.finish.active {
+// endGracefulClose ends the orderly close of a connection that has ended, if one is in progress.
+func (c *Conn) endGracefulClose() {
+	if !c.gracefulClose.active {
 		return
 	}
-	c.finish.active = false
-	c.finish.timer.Stop()
-	c.engine.finishing--
+	c.gracefulClose.active = false
+	c.gracefulClose.timer.Stop()
+	c.engine.closingCount--
 	c.engine.lingering = slices.DeleteFunc(c.engine.lingering, func(other *Conn) bool { return other == c })
 }
 
--- a/internal/transport/finish_test.go
+++ b/internal/transport/finish_test.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// If bytes of the peer are unread in the system's buffer when a connection is finished, the peer still receives all
+// If bytes of the peer are unread in the system's buffer when CloseGracefully is called, the peer still receives all
 // written bytes and then the end, not a reset. The same applies to a connection that was paused.
-func TestFinishWithUnreadBytesDoesNotReset(t *testing.T) {
+func TestCloseGracefullyWithUnreadBytesDoesNotReset(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		l, e := newTestEngine(t)
 		e.inboxBytes = 1 // reading stops after the first read, and later bytes stay in the system's buffer
@@ -86,7 +86,7 @@
 }
 
 // CloseGracefully releases the listener's slot without waiting for the peer to close its side.
-func TestFinishReleasesTheSlot(t *testing.T) {
+func TestCloseGracefullyReleasesTheSlot(t *testing.T) {
 	l, e := newTestEngine(t)
 	accepted := make(chan *Conn, 9)
 	ln := listen(t, e, 1, func(c *Conn) Handler {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -62,8 +62,8 @@
 			if !isTemporary(err) {
 				return
 			}
-			// Without a delay, and a log record for the first failure only, this loop would use all of a core and flood the
-			// log while no descriptor is free.
+			// While no descriptor is free, this loop would use all of a core without a delay, and flood the log with a
+			// record for each failure.
 			if backoff == minAcceptBackoff {
 				log.Warn("accept failed", "error", err)
 			}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -85,7 +85,7 @@
 	if wanted && len(p) > 0 {
 		c.handler.Data(p)
 	}
-	if full && (!c.closed || c.finish.active) {
+	if full && (!c.closed || c.gracefulClose.active) {
 		c.read(c.engine.loopBuffer)
 	}
 }
@@ -131,11 +131,11 @@
 	if c.closed || waiting {
 		return false
 	}
-	quiet := false
+	empty := false
 	ok := c.withDescriptor(func(descriptor int) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(descriptor, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 	})
-	return ok && quiet
+	return ok && empty
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -55,7 +55,7 @@
 func (c *Conn) handleLowWater() {
 	if observer, ok := c.handler.(WriteObserver); ok && !c.closed {
 		observer.WriteDrained()
-	} else if c.finish.active && c.Flushed() {
+	} else if c.gracefulClose.active && c.Flushed() {
 		c.shutdownWrite()
 	}
 }
