--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -143,7 +143,7 @@
 	c.closed = true
 	c.timeout.Stop()
 	if c.responded {
-		c.conn.Finish(c.server.limits.Frontend.FlushTimeout)
+		c.conn.CloseGracefully(c.server.limits.Frontend.FlushTimeout)
 	} else {
 		c.conn.Close() // without a response to flush, free the slot at once
 	}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -60,7 +60,7 @@
 	}
 	c.lifetime.closed = true
 	// A response that the operating system has accepted only in part must not be cut off.
-	c.socket.Finish(c.frontend.limits.Frontend.FlushTimeout)
+	c.socket.CloseGracefully(c.frontend.limits.Frontend.FlushTimeout)
 	c.releaseAll()
 }
 
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -87,7 +87,7 @@
 	if !c.frontend.drain.begun() || !c.fullyAnswered() {
 		return
 	}
-	if c.firstCommandMayArrive(c.frontend.eventLoop.Now()) || !c.socket.Quiet() {
+	if c.firstCommandMayArrive(c.frontend.eventLoop.Now()) || !c.socket.HasNothingToReport() {
 		return
 	}
 	c.Close()
@@ -108,5 +108,5 @@
 
 // requestMayArrive reports whether a request may still arrive, or has arrived in part.
 func (c *Conn) requestMayArrive(now time.Duration) bool {
-	return c.firstCommandMayArrive(now) || c.input.reader.Waiting() > 0 || !c.socket.Quiet()
+	return c.firstCommandMayArrive(now) || c.input.reader.Waiting() > 0 || !c.socket.HasNothingToReport()
 }
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -123,7 +123,7 @@
 	case !c.lifetime.commandSeen: // most clients send a command immediately
 		idle = lim.UnusedIdle
 	}
-	return c.betweenRequests() && now-c.lifetime.lastActiveAt > idle && c.socket.Quiet()
+	return c.betweenRequests() && now-c.lifetime.lastActiveAt > idle && c.socket.HasNothingToReport()
 }
 
 // betweenRequests reports whether no response is pending and the client has not started a message or a unit of work.
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -172,15 +172,15 @@
 	return func() { close(free) }
 }
 
-// Finish does not cut off a connection while its peer keeps reading, however long that takes.
-func TestFinishWaitsForASlowReader(t *testing.T) {
+// CloseGracefully does not cut off a connection while its peer keeps reading, however long that takes.
+func TestCloseGracefullyWaitsForASlowReader(t *testing.T) {
 	l, e := newTestEngine(t)
 	const total = 7 << 20
 	ln := listen(t, e, 64, func(c *Conn) Handler {
 		if err := errors.Join(c.socket.SetWriteBuffer(64<<10), c.Write(make([]byte, total))); err != nil {
 			t.Error(err)
 		}
-		c.Finish(time.Second)
+		c.CloseGracefully(time.Second)
 		return echoHandler{c}
 	})
 	c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -85,7 +85,7 @@
 	if wanted && len(p) > 0 {
 		c.handler.Data(p)
 	}
-	if full && (!c.closed || c.finish.active) {
+	if full && (!c.closed || c.gracefulClose.active) {
 		c.read(c.engine.loopBuffer)
 	}
 }
@@ -121,20 +121,21 @@
 // more read after each batch of data.
 func (c *Conn) DetectResets() { c.readsToEnd.Store(true) }
 
-// Quiet reports whether nothing is left to report to the handler: neither received data nor the end of the connection.
-// It checks the socket itself, because the poller may not have processed the latest events.
-func (c *Conn) Quiet() bool {
+// HasNothingToReport reports whether the connection is open and nothing is left to report to the handler: neither
+// received data nor the end of the connection. It checks the socket itself, because the poller may not have processed
+// the latest events.
+func (c *Conn) HasNothingToReport() bool {
 	c.mutex.Lock()
 	waiting := len(c.inbox) > 0
 	c.mutex.Unlock()
 	if c.closed || waiting {
 		return false
 	}
-	quiet := false
+	empty := false
 	ok := c.withDescriptor(func(descriptor int) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(descriptor, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 	})
-	return ok && quiet
+	return ok && empty
 }
