--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -165,7 +165,7 @@
 	c.reuseTimer = nil
 	e.reuseDelayed--
 	// sendOnIdle checks the socket of an idle connection, so the check is needed here only if an attempt is waiting.
-	if c.reader.Waiting() == 0 && (len(e.waiting) == 0 || c.socket.Quiet()) {
+	if c.reader.Buffered() == 0 && (len(e.waiting) == 0 || c.socket.Quiet()) {
 		c.makeAvailable()
 		return
 	}
@@ -175,7 +175,7 @@
 
 // hasNoUnreadData reports whether nothing has been received after the last response: no part of a message, and not the
 // end of the connection.
-func (c *connection) hasNoUnreadData() bool { return c.reader.Waiting() == 0 && c.socket.Quiet() }
+func (c *connection) hasNoUnreadData() bool { return c.reader.Buffered() == 0 && c.socket.Quiet() }
 
 // hasExpired reports whether the connection has been idle for so long that its endpoint may have closed it.
 func (c *connection) hasExpired(now time.Duration) bool {
--- a/internal/backend/receive.go
+++ b/internal/backend/receive.go
@@ -78,7 +78,7 @@
 
 // expectsMore reports whether a message or a response has been received in part and the rest should follow soon.
 func (c *connection) expectsMore() bool {
-	if c.reader.Waiting() > 0 {
+	if c.reader.Buffered() > 0 {
 		return true
 	}
 	return c.attempt != nil && (c.incoming.streaming || c.incoming.awaitsReady())
@@ -118,7 +118,7 @@
 		c.handleViolation(errTooMuchAsyncData)
 		return
 	}
-	name, value, err := pgwire.Pair(message.Body)
+	name, value, err := pgwire.ParameterStatus(message.Body)
 	if err == nil && message.Type == typeParameterStatus {
 		c.incoming.recordParameter(name, value)
 	}
@@ -150,7 +150,7 @@
 	c.attempt.SetPaused(false) // the end of a long response may have been received while reading was paused
 	a := c.detachAttempt()
 	// The connection is not reused if a transaction is still open or bytes follow the response.
-	reusable := string(message.Body) == transactionIdle && c.reader.Waiting() == 0 && !c.incoming.invalid
+	reusable := string(message.Body) == transactionIdle && c.reader.Buffered() == 0 && !c.incoming.invalid
 	if reusable {
 		c.delayReuse()
 	} else {
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -73,7 +73,7 @@
 	column := rowDescription()
 	value := pgwire.Append(nil, 'D', []byte("\x00\x01\x00\x00\x00\x01v"))
 	tag := pgwire.Append(nil, 'C', []byte("SELECT 1\x00"))
-	status := pgwire.AppendPair(nil, "mode", "read-write")
+	status := pgwire.AppendParameterStatus(nil, "mode", "read-write")
 	row := func(body string) []byte { return pgwire.Append(nil, 'D', []byte(body)) }
 	complete := func(body string) []byte { return pgwire.Append(nil, 'C', []byte(body)) }
 	failure := func(body string) []byte { return pgwire.Append(nil, 'E', []byte(body)) }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -54,7 +54,7 @@
 // streamRow forwards the received part of a long row, and reports whether the row is now complete.
 func (c *connection) streamRow() bool {
 	in := &c.incoming
-	p := c.reader.NextBytes(min(in.streamedRow.Left, c.reader.Waiting()))
+	p := c.reader.NextBytes(min(in.streamedRow.BytesLeft, c.reader.Buffered()))
 	if len(p) == 0 {
 		return false
 	}
@@ -63,13 +63,13 @@
 		return false
 	}
 	c.attempt.onResponsePart(p)
-	if in.streamedRow.Left > 0 {
+	if in.streamedRow.BytesLeft > 0 {
 		return false
 	}
 	columns := in.streamedRow.Columns
 	in.streamedRow = nil
 	in.response.Types = append(in.response.Types, typeDataRow)
-	if !in.response.Shape.Row(columns) {
+	if !in.response.Shape.AddRow(columns) {
 		c.handleViolation(fmt.Errorf("streamed row: %w", errRowMismatch))
 		return false
 	}
--- a/internal/backend/stream_test.go
+++ b/internal/backend/stream_test.go
@@ -126,7 +126,7 @@
 	row := response[:len(response)-len(end)]
 	return serveConnections(t, func(c net.Conn) {
 		buf := make([]byte, 4096)
-		for _, p := range [][]byte{pgwire.AppendWelcome(nil), row} {
+		for _, p := range [][]byte{pgwire.AppendStartupResponse(nil), row} {
 			if _, err := c.Read(buf); err != nil {
 				return
 			}
--- a/internal/frontend/accounting.go
+++ b/internal/frontend/accounting.go
@@ -70,7 +70,7 @@
 		return
 	}
 	pipelined := c.owesResponse() || c.output.backpressured
-	c.memory.setUnparsed(c.input.reader.Waiting(), pipelined)
+	c.memory.setUnparsed(c.input.reader.Buffered(), pipelined)
 	c.trackPartialMessage(pipelined)
 	full := c.memoryExhausted(pipelined)
 	if full && c.input.partial() {
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -98,7 +98,7 @@
 	if !c.lifetime.started || c.lifetime.closed {
 		return false
 	}
-	return !c.owesResponse() && c.input.reader.Waiting() == 0 && c.handler.Idle()
+	return !c.owesResponse() && c.input.reader.Buffered() == 0 && c.handler.Idle()
 }
 
 // firstCommandMayArrive reports whether the client has not sent a command yet and still has time to.
@@ -108,5 +108,5 @@
 
 // requestMayArrive reports whether a request may still arrive, or has arrived in part.
 func (c *Conn) requestMayArrive(now time.Duration) bool {
-	return c.firstCommandMayArrive(now) || c.input.reader.Waiting() > 0 || !c.socket.Quiet()
+	return c.firstCommandMayArrive(now) || c.input.reader.Buffered() > 0 || !c.socket.Quiet()
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -50,7 +50,7 @@
 	waitUntil(t, "part of the message has arrived", func() (arrived bool) {
 		runInLoop(loop, func() {
 			for c := range frontend.connections {
-				arrived = arrived || c.input.reader.Waiting() > 0
+				arrived = arrived || c.input.reader.Buffered() > 0
 			}
 		})
 		return arrived
--- a/internal/frontend/exclusive_request.go
+++ b/internal/frontend/exclusive_request.go
@@ -53,7 +53,7 @@
 	c.Release(c.exclusive.statementBytes)
 	c.exclusive.statementBytes = 0
 	c.exclusive.session = ""
-	if c.input.reader.Waiting() > 0 && c.socket.PeerClosed(true) {
+	if c.input.reader.Buffered() > 0 && c.socket.PeerClosed(true) {
 		c.lifetime.lastActiveAt = c.frontend.eventLoop.Now()
 		return // the client has disconnected: its pipelined requests are not started
 	}
--- a/internal/frontend/message_reading.go
+++ b/internal/frontend/message_reading.go
@@ -38,7 +38,7 @@
 // ReceivedAt returns when the last byte of the newest message arrived at this machine. The client's deadline starts
 // then, however long the message has waited for earlier ones.
 func (c *Conn) ReceivedAt() time.Duration {
-	return c.socket.ArrivedAt(c.input.fedBytes - int64(c.input.reader.Waiting()))
+	return c.socket.ArrivedAt(c.input.fedBytes - int64(c.input.reader.Buffered()))
 }
 
 // readMessages handles the messages that have arrived, until a request has to wait.
@@ -112,8 +112,8 @@
 		c.identity.address = c.socket.RemoteAddr()
 	}
 	c.lifetime.started = true
-	c.input.reader.Started()
-	c.Respond(pgwire.AppendWelcome(nil))
+	c.input.reader.StartupDone()
+	c.Respond(pgwire.AppendStartupResponse(nil))
 	return nil
 }
 
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -325,7 +325,7 @@
 		c.Close()
 		return
 	}
-	sentAhead := c.pipeline.newestQueued() || c.input.reader.Waiting() > 0
+	sentAhead := c.pipeline.newestQueued() || c.input.reader.Buffered() > 0
 	if sentAhead && c.socket.PeerClosed(true) {
 		return // the client has disconnected: its pipelined requests are not started
 	}
--- a/internal/frontend/pipeline_test.go
+++ b/internal/frontend/pipeline_test.go
@@ -44,7 +44,7 @@
 	conn := onlyConnection(t, frontend, loop)
 	waitUntil(t, "all messages have arrived", func() (arrived bool) {
 		runInLoop(loop, func() {
-			arrived = len(conn.pipeline.slots) == 2 && conn.input.reader.Waiting() == len(queryWithID("c", "any"))
+			arrived = len(conn.pipeline.slots) == 2 && conn.input.reader.Buffered() == len(queryWithID("c", "any"))
 		})
 		return arrived
 	})
@@ -264,7 +264,7 @@
 		id := fmt.Sprint("r", count)
 		client.Send(queryWithID(id, "any"))
 		waitUntil(t, "the request is accepted or waits to be parsed", func() (is bool) {
-			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.input.reader.Waiting() > 0 })
+			runInLoop(loop, func() { is = len(fake.requests) == count+1 || conn.input.reader.Buffered() > 0 })
 			return is
 		})
 		runInLoop(loop, func() {
--- a/internal/pgwire/decode.go
+++ b/internal/pgwire/decode.go
@@ -44,8 +44,8 @@
 	return sql, d.end("Query")
 }
 
-// Pair decodes ParameterStatus.
-func Pair(body []byte) (name, value string, err error) {
+// ParameterStatus decodes ParameterStatus.
+func ParameterStatus(body []byte) (name, value string, err error) {
 	d := newDecoder(body)
 	name = d.text()
 	value = d.text()
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -12,7 +12,7 @@
 
 // validMessages returns one message of each type, in an order that could occur on a connection.
 func validMessages() []byte {
-	p := AppendWelcome(nil)
+	p := AppendStartupResponse(nil)
 	p = AppendQuery(p, "SELECT 1")
 	p = AppendParse(p, ParseMessage{Name: "s", Query: "SELECT $1", Types: []uint32{25, 17}})
 	rest := []byte("\x00\x00\x00\x01\x00\x00\x00\x01x\x00\x01\x00\x01")
@@ -50,7 +50,7 @@
 func decodeWithAll(b []byte) {
 	_, _, _ = Startup(b)
 	_, _ = Query(b)
-	_, _, _ = Pair(b)
+	_, _, _ = ParameterStatus(b)
 	_, _ = Fields(b)
 	_, _ = Row(b)
 	_, _ = Parse(b)
@@ -144,7 +144,7 @@
 		t.Fatalf("startup message: ok %v, errors %v and %v, parameters %v, want user portal and database crm",
 			ok, err, err2, params)
 	}
-	r.Started()
+	r.StartupDone()
 	r.Feed(AppendError(nil, Error{Fatal: true, Code: "57P03", Message: "m", RetryAfter: 1500 * time.Millisecond}))
 	m, _, _ = r.Next()
 	f, err := Fields(m.Body)
@@ -204,7 +204,7 @@
 		if len(body) == 0 {
 			return
 		}
-		if (err == nil) != (cut == nil) || cut == nil && (s.Left != 0 || s.Columns != whole.Columns) {
+		if (err == nil) != (cut == nil) || cut == nil && (s.BytesLeft != 0 || s.Columns != whole.Columns) {
 			t.Fatalf("whole row has error %v, row in pieces has error %v and state %+v, want the same result", err, cut, s)
 		}
 	})
--- a/internal/pgwire/reader.go
+++ b/internal/pgwire/reader.go
@@ -34,10 +34,10 @@
 // Feed adds bytes that have arrived.
 func (r *Reader) Feed(p []byte) {
 	r.reclaim()
-	have := r.Waiting() + len(p)
+	have := r.Buffered() + len(p)
 	if r.incomplete > have && have > r.incomplete/growFraction {
 		// A long message is copied once, and not each time the buffer grows. Its length was checked when it arrived.
-		r.buf = slices.Grow(r.buf, r.incomplete-r.Waiting())
+		r.buf = slices.Grow(r.buf, r.incomplete-r.Buffered())
 	}
 	r.buf = append(r.buf, p...)
 }
@@ -55,8 +55,8 @@
 	r.start = 0
 }
 
-// Waiting returns the number of bytes that are not yet cut.
-func (r *Reader) Waiting() int { return len(r.buf) - r.start }
+// Buffered returns the number of bytes that are not yet cut.
+func (r *Reader) Buffered() int { return len(r.buf) - r.start }
 
 // Next returns the next complete message. ok is false if none has arrived yet. The length is checked as soon as it has
 // arrived, before the buffer grows to that size. The error is a *SizeError.
@@ -115,6 +115,6 @@
 	return p
 }
 
-// Started ends the startup: typed messages follow. It isn't called after SSLRequest and GSSENCRequest, which are
+// StartupDone ends the startup: typed messages follow. It isn't called after SSLRequest and GSSENCRequest, which are
 // followed by another untyped message.
-func (r *Reader) Started() { r.startupLimit = 0 }
+func (r *Reader) StartupDone() { r.startupLimit = 0 }
--- a/internal/pgwire/row_stream.go
+++ b/internal/pgwire/row_stream.go
@@ -9,8 +9,8 @@
 
 // RowStream checks the body of a DataRow while it arrives: the lengths of the values must match the length of the body.
 type RowStream struct {
-	Columns int // -1 = not known yet
-	Left    int // bytes of the body that have not arrived
+	Columns   int // -1 = not known yet
+	BytesLeft int // bytes of the body that have not arrived
 
 	valuesLeft int    // values whose length has not arrived
 	valueLeft  int    // bytes of the current value that have not arrived
@@ -19,28 +19,28 @@
 
 // NewRowStream returns a RowStream for a body of the given length in bytes.
 func NewRowStream(length int) *RowStream {
-	return &RowStream{Columns: columnsUnknown, Left: length}
+	return &RowStream{Columns: columnsUnknown, BytesLeft: length}
 }
 
-// Feed checks the next bytes, at most as many as Left. After an error, which is a *FormatError, the row can't be used.
+// Feed checks the next bytes, at most BytesLeft of them. After an error, which is a *FormatError, the row can't be used.
 func (s *RowStream) Feed(p []byte) error {
 	offset := 0
 	for offset < len(p) {
 		if s.valueLeft > 0 {
 			n := min(s.valueLeft, len(p)-offset)
 			s.valueLeft -= n
-			s.Left -= n
+			s.BytesLeft -= n
 			offset += n
 			continue
 		}
 		s.number = append(s.number, p[offset])
-		s.Left--
+		s.BytesLeft--
 		offset++
 		if s.numberComplete() && !s.applyNumber() {
 			return s.malformed(offset)
 		}
 	}
-	if s.Left == 0 && (s.Columns < 0 || len(s.number) > 0) {
+	if s.BytesLeft == 0 && (s.Columns < 0 || len(s.number) > 0) {
 		return s.malformed(offset)
 	}
 	return nil
@@ -70,9 +70,9 @@
 	}
 	s.number = s.number[:0]
 	if s.valuesLeft == 0 {
-		return s.valueLeft == s.Left
+		return s.valueLeft == s.BytesLeft
 	}
-	return s.valueLeft+valueLengthBytes*s.valuesLeft <= s.Left
+	return s.valueLeft+valueLengthBytes*s.valuesLeft <= s.BytesLeft
 }
 
 // malformed returns an error. The offset is relative to the bytes of the last call of Feed.
--- a/internal/pgwire/shape.go
+++ b/internal/pgwire/shape.go
@@ -70,7 +70,7 @@
 	const message = "DataRow"
 	d := newDecoder(body)
 	n := int(d.uint16())
-	if !s.Row(n) {
+	if !s.AddRow(n) {
 		return d.malformed(message)
 	}
 	for i := 0; i < n && !d.failed; i++ {
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// Row adds a row of which only the number of columns is known, and reports whether it is consistent with the earlier
+// AddRow adds a row of which only the number of columns is known, and reports whether it is consistent with the earlier
 // rows.
-func (s *Shape) Row(columns int) bool {
+func (s *Shape) AddRow(columns int) bool {
 	if s.Tag != "" {
 		return false
 	}
--- a/internal/pgwire/writer.go
+++ b/internal/pgwire/writer.go
@@ -63,13 +63,13 @@
 // AppendReady appends ReadyForQuery outside a transaction.
 func AppendReady(dst []byte) []byte { return Append(dst, typeReadyForQuery, []byte{statusIdle}) }
 
-// AppendPair appends ParameterStatus.
-func AppendPair(dst []byte, name, value string) []byte {
+// AppendParameterStatus appends ParameterStatus.
+func AppendParameterStatus(dst []byte, name, value string) []byte {
 	return Append(dst, typeParameterStatus, cstring(name), cstring(value))
 }
 
-// AppendWelcome appends the response of a server that accepts a startup message.
-func AppendWelcome(dst []byte) []byte {
+// AppendStartupResponse appends the response of a server that accepts a startup message.
+func AppendStartupResponse(dst []byte) []byte {
 	dst = Append(dst, typeAuthentication, []byte{0, 0, 0, 0})
 	for _, parameter := range []struct{ name, value string }{
 		{"server_version", "16.0"},
@@ -79,7 +79,7 @@
 		{"integer_datetimes", "on"},
 		{"standard_conforming_strings", "on"},
 	} {
-		dst = AppendPair(dst, parameter.name, parameter.value)
+		dst = AppendParameterStatus(dst, parameter.name, parameter.value)
 	}
 	dst = Append(dst, typeBackendKeyData, make([]byte, 8)) // no usable cancel key, since cancel requests are not supported
 	return AppendReady(dst)
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -78,7 +78,7 @@
 			if !x.welcome() {
 				return
 			}
-			r.Started()
+			r.StartupDone()
 			continue
 		}
 		switch m.Type {
@@ -177,7 +177,7 @@
 	}
 	x.epoch = e.epoch
 	x.s.h.with(func() { x.s.h.count.Dials++ })
-	_, err := x.c.Write(pgwire.AppendWelcome(nil))
+	_, err := x.c.Write(pgwire.AppendStartupResponse(nil))
 	return err == nil
 }
 
@@ -340,7 +340,7 @@
 		}
 		pos = x.s.m.Position()
 	})
-	x.out = pgwire.AppendPair(x.out, "mode", mode)
-	x.out = pgwire.AppendPair(x.out, "wal_time", strconv.FormatInt(pos.Milliseconds(), 10))
+	x.out = pgwire.AppendParameterStatus(x.out, "mode", mode)
+	x.out = pgwire.AppendParameterStatus(x.out, "wal_time", strconv.FormatInt(pos.Milliseconds(), 10))
 	x.out = pgwire.AppendReady(x.out)
 }
--- a/internal/simulation/multiprocess/clients/attempt.go
+++ b/internal/simulation/multiprocess/clients/attempt.go
@@ -54,7 +54,7 @@
 		ID:         request.id(),
 		Outcome:    outcome,
 		SQLState:   answer.sqlState,
-		ExtraBytes: used.reader.Waiting(),
+		ExtraBytes: used.reader.Buffered(),
 	}
 	if how == served {
 		ended.Value = answer.value
--- a/internal/simulation/multiprocess/clients/clients_test.go
+++ b/internal/simulation/multiprocess/clients/clients_test.go
@@ -88,8 +88,8 @@
 func (router *fakeRouter) answer(started *bool, reader *pgwire.Reader, message pgwire.Message) ([]byte, bool) {
 	if !*started {
 		*started = true
-		reader.Started()
-		return pgwire.AppendWelcome(nil), true
+		reader.StartupDone()
+		return pgwire.AppendStartupResponse(nil), true
 	}
 	sql, err := pgwire.Query(message.Body)
 	switch {
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -120,7 +120,7 @@
 		}
 		if err != nil {
 			answer.Ended = true
-			answer.Truncated = answer.Types != "" || c.reader.Waiting() > 0
+			answer.Truncated = answer.Types != "" || c.reader.Buffered() > 0
 			return answer
 		}
 		c.reader.Feed(buf[:n])
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -77,7 +77,7 @@
 			return true
 		}
 		if m.Type == 0 {
-			reader.Started()
+			reader.StartupDone()
 		}
 		if !s.handle(m) {
 			return false
@@ -122,7 +122,7 @@
 func (s *session) respond(st *statement) bool {
 	switch {
 	case st.message.Type == 0:
-		s.response = pgwire.AppendWelcome(s.response)
+		s.response = pgwire.AppendStartupResponse(s.response)
 	case st.message.Type == 'S':
 		s.ready(st.primary)
 	case st.message.Type == 'Q' && s.sql == healthCheckText:
@@ -240,8 +240,8 @@
 		mode = "read-write"
 	}
 	position := strconv.FormatInt(s.db.position(primary).UnixMilli(), 10)
-	s.response = pgwire.AppendPair(s.response, "mode", mode)
-	s.response = pgwire.AppendPair(s.response, "wal_time", position)
+	s.response = pgwire.AppendParameterStatus(s.response, "mode", mode)
+	s.response = pgwire.AppendParameterStatus(s.response, "wal_time", position)
 	s.response = pgwire.AppendReady(s.response)
 }
 
