--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// releaseAll releases the memory of the connection, and tells the router that the client of its requests has
+// releaseAll releases the memory of the connection, and reports to the router that the client of its requests has
 // disconnected.
 func (c *Conn) releaseAll() {
 	delete(c.frontend.connections, c)
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// drainState is the reason and the manner in which connections are being closed.
+// drainState describes why and how connections are being closed.
 type drainState struct {
 	shuttingDown bool // the process is about to end
 	graceful     bool // another process continues to serve, so there is time to let each client finish
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,15 +11,15 @@
 	"limeladder/internal/testserver"
 )
 
-// A shutdown closes idle connections at once, and new ones after their first response.
+// A shutdown closes idle connections, and new ones after their first response.
 func TestShutdownClosesIdleAndAnsweredConnections(t *testing.T) {
 	frontend, _, loop, addr := start(t)
-	idle, busy := testserver.Dial(t, addr), testserver.Dial(t, addr)
+	first, second := testserver.Dial(t, addr), testserver.Dial(t, addr)
 	loop.Post(func() { frontend.Shutdown(false) })
-	if answer := idle.Until('Z'); !answer.Ended {
+	if answer := first.Until('Z'); !answer.Ended {
 		t.Fatalf("response %+v on the first idle connection, want its end", answer)
 	}
-	if answer := busy.Until('Z'); !answer.Ended {
+	if answer := second.Until('Z'); !answer.Ended {
 		t.Fatalf("response %+v on the second idle connection, want its end", answer)
 	}
 	late := testserver.Dial(t, addr)
@@ -33,8 +33,8 @@
 }
 
 // Closing idle connections loses no request: an incomplete message becomes complete and is answered, and a new
-// connection may send its first request. A connection that is between requests is closed, and a request that the client
-// sends at the same moment is not accepted.
+// connection may send its first request. A connection that is between requests is closed, and a request that its client
+// sends after the close is not accepted.
 func TestClosingIdleConnectionsLosesNoRequest(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	runInLoop(loop, frontend.SetReady)
@@ -134,7 +134,7 @@
 	}
 }
 
-// A connection that only has requests in flight is not cut off either.
+// Closing idle connections does not cut off a connection that has requests in flight and has sent nothing else.
 func TestClosingIdleConnectionsSparesRequestsInFlight(t *testing.T) {
 	frontend, fake, loop, addr := start(t)
 	client := testserver.Dial(t, addr)
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// evictable reports whether the connection may be closed to free capacity. In the normal case this is so after it has
-// been idle for the given time. Data that has arrived and was not read yet counts as activity.
+// evictable reports whether the connection may be closed to free capacity: normally after it has been idle for the
+// given time. Data that has arrived and was not read yet counts as activity.
 func (c *Conn) evictable(now, idle time.Duration) bool {
 	lim := &c.frontend.limits.Frontend
 	if !c.lifetime.started {
--- a/internal/frontend/extendedquery/pipeline_test.go
+++ b/internal/frontend/extendedquery/pipeline_test.go
@@ -41,12 +41,12 @@
 	release()
 	for i, code := range []string{"", pgwire.TooManyConnections, ""} {
 		if answer := client.Until('Z'); answer.Code != code || answer.Ended {
-			t.Fatalf("unit %d: unexpected response %+v", i, answer)
+			t.Fatalf("unit %d: response %+v, want units 0 and 2 served, and unit 1 rejected with error 53300", i, answer)
 		}
 	}
 	for id, want := range map[string]int{"head": 1, "late": 0, "next": 1} {
 		if n := db.Runs(id); n != want {
-			t.Errorf("%s ran an unexpected number of times: %d", id, n)
+			t.Errorf("%s ran %d times, want one run of head and of next, and none of late", id, n)
 		}
 	}
 }
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -158,7 +158,8 @@
 		client.Send(parseAndRun("d-"+class, class, 400))
 		answer := client.Until('Z')
 		if took := time.Since(at); answer.Code != want || took < 100*time.Millisecond {
-			t.Errorf("class %s: unexpected response %+v after %v", class, answer, took)
+			t.Errorf("class %s: response %+v after %v, want error 08007 for write and 53300 for read, after at least 100 ms",
+				class, answer, took)
 		}
 		if class == "read" && answer.Detail == "" {
 			t.Error("the rejection has no detail with the time to retry after")
@@ -253,7 +254,7 @@
 	}
 }
 
-// A malformed response counts as a lost one: a read is retried elsewhere, and a write fails and runs once.
+// A malformed response counts as a lost one: a read is retried, and a write fails and runs once.
 func TestMalformedResponses(t *testing.T) {
 	calls := 0
 	db := testserver.NewDB(t, true, func(messageType byte, id string) (act testserver.Act) {
@@ -272,7 +273,7 @@
 	client := testserver.Dial(t, server.addr)
 	client.Send(parseAndRun("r", "read", 2500))
 	if answer := client.Until('Z'); answer.Types != "12TDCZ" || answer.Value != db.Addr {
-		t.Errorf("response %+v to a read, want types 12TDCZ", answer)
+		t.Errorf("response %+v to a read, want types 12TDCZ and the value of the endpoint", answer)
 	}
 	client.Send(parseAndRun("j", "write", 2500))
 	if answer := client.Until('Z'); answer.Code != pgwire.UnknownOutcome || db.Runs("j") != 1 {
--- a/internal/frontend/extendedquery/statement_check.go
+++ b/internal/frontend/extendedquery/statement_check.go
@@ -175,7 +175,7 @@
 }
 
 // dollarQuotedLength returns the length in bytes of the dollar-quoted text that s starts with, -1 if it is not closed,
-// or 1 if s starts with a parameter such as $1.
+// or 1 if s does not start with a dollar quote but, for example, with a parameter such as $1.
 func dollarQuotedLength(s string) int {
 	end := strings.IndexByte(s[1:], '$')
 	if end < 0 {
--- a/internal/frontend/extendedquery/test_router_test.go
+++ b/internal/frontend/extendedquery/test_router_test.go
@@ -19,7 +19,7 @@
 	"limeladder/internal/transport"
 )
 
-// noDiscovery is a discovery that is never polled.
+// noDiscovery is a discovery whose polls do nothing.
 type noDiscovery struct{}
 
 // Poll implements the discovery of router.Router.
@@ -136,6 +136,7 @@
 	return pgwire.AppendParse(nil, pgwire.ParseMessage{Name: name, Query: text})
 }
 
+// bindValues is the body of a Bind after the names: one parameter in text format, and results in binary format.
 var bindValues = []byte("\x00\x00\x00\x01\x00\x00\x00\x01x\x00\x01\x00\x01")
 
 // runStatement returns Bind, Describe, Execute and Sync of a prepared statement.
--- a/internal/frontend/fakes_test.go
+++ b/internal/frontend/fakes_test.go
@@ -127,7 +127,7 @@
 type fakeSource struct {
 	router         *fakeRouter
 	client         router.Client
-	remaining      int
+	remaining      int // bytes of the row that were not sent yet, -1 = the response is complete
 	paused         bool
 	truncates      bool // the response ends after half of the row
 	maxUnsentBytes int
@@ -242,12 +242,12 @@
 	}
 }
 
-// waitUntil waits until ok returns true. The text what completes the sentence "timed out waiting until ...".
+// waitUntil waits until ok returns true. The text what names the condition, or the request that the test waits for.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("timed out waiting until " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -29,7 +29,8 @@
 	// HandleMessage handles the next message. It is not called while a request passed to Conn.Submit is in flight. An
 	// error ends the connection.
 	HandleMessage(message pgwire.Message) error
-	// Idle reports whether every request of the client has been answered and no unit of work is open.
+	// Idle reports whether no unit of work is open, not even a rejected one that is skipped up to its Sync. The Conn
+	// itself checks whether requests are unanswered.
 	Idle() bool
 }
 
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -10,7 +10,7 @@
 //
 // Requests that a client sends without waiting for responses are in flight concurrently, and their responses are sent
 // in the order of the requests. A slow request delays the responses after it, as the protocol requires, but not their
-// processing: each request is decided within its own client's deadline.
+// processing: each request is decided within its own deadline.
 //
 // The result is the same as if the requests ran one after another. A write starts once all earlier requests on the
 // connection are answered, and a read that must see earlier writes waits for those writes. Other reads do not wait.
@@ -89,7 +89,7 @@
 	slotAnswered
 )
 
-// responder is the client of a request that can also be rejected as invalid.
+// responder is the router.Client of a pipelined request. It also answers a request that is not accepted.
 type responder interface {
 	router.Client
 	rejectInvalid(err error)
@@ -270,8 +270,8 @@
 	}
 }
 
-// truncate ends a streamed response that will not be completed. It closes the connection, since nothing else can tell
-// the client. If nothing of the response has been sent yet, the given error replaces it instead.
+// truncate ends a streamed response that will not be completed. It closes the connection, since nothing else can signal
+// the truncation to the client. If nothing of the response has been sent yet, the given error replaces it instead.
 func (s *slot) truncate(replacement []byte) {
 	s.requestID = ""
 	if s.conn.lifetime.closed || s.started {
--- a/internal/frontend/pipeline_fuzz_test.go
+++ b/internal/frontend/pipeline_fuzz_test.go
@@ -48,7 +48,8 @@
 }
 
 // pipelinedMessages returns the messages that the kinds encode, the responses to expect, and how many of the messages
-// are requests that the router accepts.
+// are requests that the router accepts. Kind f is a read of class any, w a write, s a read of class latest, o a request
+// of an unknown class and S a SET. Any other kind is an empty query.
 func pipelinedMessages(kinds []byte) (messages []byte, want []string, requestCount int) {
 	classes := map[byte]string{'f': "any", 'w': "write", 's': "latest"}
 	for i, kind := range kinds {
--- a/internal/frontend/response_stream.go
+++ b/internal/frontend/response_stream.go
@@ -72,7 +72,7 @@
 }
 
 // TruncateResponse ends a streamed response that will not be completed. Within a row only closing the connection can
-// tell the client.
+// signal the truncation to the client.
 func (c *Conn) TruncateResponse() {
 	c.output.flow = nil
 	c.exclusive.id = ""
--- a/internal/frontend/response_stream_test.go
+++ b/internal/frontend/response_stream_test.go
@@ -43,11 +43,11 @@
 		body := strings.TrimSuffix(string(row), "C\x00\x00\x00\x0dSELECT 1\x00Z\x00\x00\x00\x05I")
 		wrongLength := name != "unread" && (len(body) < want-10_000 || len(body) > want+10_000)
 		if wrongLength || strings.Trim(body, "\x00") != "" {
-			t.Errorf("%s: the row has %d bytes or bytes that are not part of it", name, len(body))
+			t.Errorf("%s: received %d bytes of the row, want about as many as were sent, and only zero bytes", name, len(body))
 		}
 		runInLoop(loop, func() {
 			if fake.source.maxUnsentBytes > lim.Frontend.HighWaterBytes+20_000 {
-				t.Errorf("%s: %d bytes were unsent, more than the high-water mark permits", name, fake.source.maxUnsentBytes)
+				t.Errorf("%s: %d bytes were unsent, want at most 20,000 above HighWaterBytes", name, fake.source.maxUnsentBytes)
 			}
 		})
 		c.Close()
@@ -98,7 +98,7 @@
 		conn := onlyConnection(t, frontend, loop)
 		runInLoop(loop, func() {
 			if unsent := conn.socket.BytesUnsent(); unsent > lim.Frontend.HighWaterBytes+2*len(long) {
-				t.Errorf("%d bytes unsent, more than the high-water mark permits", unsent)
+				t.Errorf("%d bytes are unsent, want at most two responses above HighWaterBytes", unsent)
 			}
 		})
 		expectResponses(t, client, want...)
@@ -211,7 +211,7 @@
 			long.Served(&backend.Response{Messages: message[end:]})
 		})
 		if answer := client.Until('Z'); answer.Types != strings.Repeat("TDC", 15)+"Z" {
-			t.Fatalf("%s: unexpected message types %s in the first response", when, answer.Types)
+			t.Fatalf("%s: first response has message types %s, want 15 times TDC and one Z", when, answer.Types)
 		}
 		if strings.HasSuffix(when, "truncated") {
 			expectResponses(t, client, pgwire.UnknownOutcome, "c")
--- a/internal/frontend/session_commits.go
+++ b/internal/frontend/session_commits.go
@@ -16,7 +16,7 @@
 type sessionCommits struct {
 	seed     maphash.Seed
 	sessions []commit // by session, the oldest first
-	groups   []commit // of sessions that no longer have an entry, by replica group: all other reads of the group see them
+	groups   []commit // of sessions that no longer have an entry, by replica group: all reads of the group see them
 }
 
 type commit struct {
--- a/internal/frontend/session_commits_test.go
+++ b/internal/frontend/session_commits_test.go
@@ -86,7 +86,7 @@
 		got := commits.positionFor(&read)
 		inRange := got >= time.Duration(i+1)*time.Second && got <= time.Duration(count)*time.Second
 		if !inRange || got/time.Second%4 != time.Duration(i+1)%4 {
-			t.Fatalf("session %d has to see position %v, which is not one of its replica group's writes from its own on", i, got)
+			t.Fatalf("session %d has to see position %v, want its own write's or that of a later write of its group", i, got)
 		}
 	}
 	elsewhere := router.Request{Session: "s1", Group: 77, MinPosition: 5}
@@ -98,7 +98,7 @@
 			len(commits.sessions), len(commits.groups))
 	}
 	newest := time.Duration(count) * time.Second
-	for i := range count { // all sessions that are tracked separately show that they know their write, the others do not
+	for i := range count { // drops the writes of sessions that are tracked separately, and not those of the groups
 		commits.positionFor(&router.Request{Session: fmt.Sprint("s", i), Group: int64(i % 4), MinPosition: newest})
 	}
 	read := router.Request{Session: "s0", Group: 0, MinPosition: 1}
--- a/internal/frontend/simple_query_job.go
+++ b/internal/frontend/simple_query_job.go
@@ -27,7 +27,8 @@
 	return q.comment, err
 }
 
-// Messages implements backend.Job: the statement as it was received, with the deadline replaced by the remaining time.
+// Messages implements backend.Job: the statement as it was received, with the client timeout in its request comment
+// replaced by the remaining time.
 func (q *SimpleQuery) Messages(timeLeft time.Duration) []byte {
 	return pgwire.AppendQuery(nil, q.comment.WithTimeout(q.sql, timeLeft))
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -122,12 +122,12 @@
 		r := NewReader(100, 0)
 		r.Feed(binary.BigEndian.AppendUint32([]byte{'Q'}, n))
 		if _, _, err := r.Next(); errors.Is(err, ErrSize) != bad {
-			t.Errorf("length %d: unexpected error %v", n, err)
+			t.Errorf("length %d: error %v, want ErrSize for lengths below 4 or above 100 only", n, err)
 		}
 		r = NewReader(10, 100)
 		r.Feed(binary.BigEndian.AppendUint32(nil, n))
 		if _, _, err := r.Next(); errors.Is(err, ErrSize) != bad {
-			t.Errorf("startup length %d: unexpected error %v", n, err)
+			t.Errorf("startup length %d: error %v, want ErrSize for lengths below 4 or above 100 only", n, err)
 		}
 	}
 }
@@ -138,7 +138,8 @@
 	m, ok, err := r.Next()
 	code, params, err2 := Startup(m.Body)
 	if !ok || err != nil || err2 != nil || code != ProtocolVersion {
-		t.Fatalf("startup message: ok %v, errors %v and %v, code %d", ok, err, err2, code)
+		t.Fatalf("startup message: ok %v, errors %v and %v, code %d, want true, no errors and code 196608",
+			ok, err, err2, code)
 	}
 	if params["user"] != "portal" || params["database"] != "crm" {
 		t.Fatalf("startup message: ok %v, errors %v and %v, parameters %v, want user portal and database crm",
@@ -232,7 +233,7 @@
 			continue
 		}
 		if format.Message != c.message || format.Offset != c.offset || format.SQLState() != ProtocolViolation {
-			t.Errorf("%s: unexpected error %+v", name, format)
+			t.Errorf("%s: error %#v, want the message and the offset of the case, and SQLSTATE 08P01", name, format)
 		}
 		if c.err.Error() != "malformed message" {
 			t.Errorf("%s: error text %q, want malformed message", name, c.err)
@@ -243,10 +244,10 @@
 	_, _, err := r.Next()
 	var size *SizeError
 	if !errors.As(err, &size) || size.Length != 101 || size.Limit != 100 || size.SQLState() != ProtocolViolation {
-		t.Fatalf("error %+v, want a *SizeError of length 101 and limit 100", err)
+		t.Fatalf("error %#v, want a *SizeError of length 101 and limit 100, with SQLSTATE 08P01", err)
 	}
 	if err.Error() != "message length out of bounds: 101 bytes" {
-		t.Fatalf("error text %q, want the length in bytes", err)
+		t.Fatalf("error text %q, want message length out of bounds: 101 bytes", err)
 	}
 }
 
--- a/internal/pgwire/reader.go
+++ b/internal/pgwire/reader.go
@@ -10,15 +10,15 @@
 	headerBytes = 1 + lengthBytes // type and length of a typed message
 	// maxIdleBuffer is the capacity in bytes of the largest buffer that an idle reader keeps.
 	maxIdleBuffer = 16 << 10
-	// growFraction delays the growth of the buffer to the size of an incomplete message until more than one part in
-	// growFraction of it has arrived, so that a peer that announces a long message and sends none costs no memory.
+	// growFraction delays the growth of the buffer to the size of an incomplete message until more than
+	// 1/growFraction of it has arrived, so that a peer that announces a long message and sends none costs no memory.
 	growFraction = 4
 )
 
 // Reader cuts a stream of bytes into messages. The zero value is not usable: use NewReader.
 type Reader struct {
 	buf   []byte
-	start int // index in buf of the first byte that is not yet cut
+	start int // index in buf of the first byte that Next or NextBytes has not returned yet
 	// incomplete is the size in bytes of the incomplete message, with its header; 0 = not known.
 	incomplete   int
 	limit        int // maximum length of a message in bytes
@@ -42,7 +42,7 @@
 	r.buf = append(r.buf, p...)
 }
 
-// reclaim makes the space of bytes that were cut available again.
+// reclaim reuses the space of the bytes that Next and NextBytes have returned.
 func (r *Reader) reclaim() {
 	switch {
 	case r.start == len(r.buf):
@@ -55,7 +55,7 @@
 	r.start = 0
 }
 
-// Buffered returns the number of bytes that are not yet cut.
+// Buffered returns the number of bytes that have arrived and that Next or NextBytes has not returned yet.
 func (r *Reader) Buffered() int { return len(r.buf) - r.start }
 
 // Next returns the next complete message. ok is false if none has arrived yet. The length is checked as soon as it has
--- a/internal/pgwire/row_stream.go
+++ b/internal/pgwire/row_stream.go
@@ -22,7 +22,8 @@
 	return &RowStream{Columns: columnsUnknown, BytesLeft: length}
 }
 
-// Feed checks the next bytes, at most BytesLeft of them. After an error, which is a *FormatError, the row can't be used.
+// Feed checks the next bytes, at most BytesLeft of them. After an error, which is a *FormatError, the row can't be
+// used.
 func (s *RowStream) Feed(p []byte) error {
 	offset := 0
 	for offset < len(p) {
--- a/internal/pgwire/shape.go
+++ b/internal/pgwire/shape.go
@@ -129,7 +129,8 @@
 	return true
 }
 
-// tagFits reports whether tag is a command tag such as SELECT 1, INSERT 0 1 or SHOW, with the number of rows received.
+// tagFits reports whether tag is a command tag such as SELECT 1, INSERT 0 1 or SHOW. If rows were received, a row count
+// in the tag must be their number.
 func (s *Shape) tagFits(tag string) bool {
 	words := strings.Split(tag, " ")
 	if words[0] == "" || strings.Trim(words[0], uppercase) != "" {
