--- a/internal/pgwire/reader.go
+++ b/internal/pgwire/reader.go
@@ -10,15 +10,15 @@
 	headerBytes = 1 + lengthBytes // type and length of a typed message
 	// maxIdleBuffer is the capacity in bytes of the largest buffer that an idle reader keeps.
 	maxIdleBuffer = 16 << 10
-	// growFraction delays the growth of the buffer to the size of an incomplete message until more than one part in
-	// growFraction of it has arrived, so that a peer that announces a long message and sends none costs no memory.
+	// growFraction delays the growth of the buffer to the size of an incomplete message until more than
+	// 1/growFraction of it has arrived, so that a peer that announces a long message and sends none costs no memory.
 	growFraction = 4
 )
 
 // Reader cuts a stream of bytes into messages. The zero value is not usable: use NewReader.
 type Reader struct {
 	buf   []byte
-	start int // index in buf of the first byte that is not yet cut
+	start int // index in buf of the first byte that Next or NextBytes has not returned yet
 	// incomplete is the size in bytes of the incomplete message, with its header; 0 = not known.
 	incomplete   int
 	limit        int // maximum length of a message in bytes
@@ -34,15 +34,15 @@
 // Feed adds bytes that have arrived.
 func (r *Reader) Feed(p []byte) {
 	r.reclaim()
-	have := r.Waiting() + len(p)
+	have := r.Buffered() + len(p)
 	if r.incomplete > have && have > r.incomplete/growFraction {
 		// A long message is copied once, and not each time the buffer grows. Its length was checked when it arrived.
-		r.buf = slices.Grow(r.buf, r.incomplete-r.Waiting())
+		r.buf = slices.Grow(r.buf, r.incomplete-r.Buffered())
 	}
 	r.buf = append(r.buf, p...)
 }
 
-// reclaim makes the space of bytes that were cut available again.
+// reclaim reuses the space of the bytes that Next and NextBytes have returned.
 func (r *Reader) reclaim() {
 	switch {
 	case r.start == len(r.buf):
@@ -55,8 +55,8 @@
 	r.start = 0
 }
 
-// Waiting returns the number of bytes that are not yet cut.
-func (r *Reader) Waiting() int { return len(r.buf) - r.start }
+// Buffered returns the number of bytes that have arrived and that Next or NextBytes has not returned yet.
+func (r *Reader) Buffered() int { return len(r.buf) - r.start }
 
 // Next returns the next complete message. ok is false if none has arrived yet. The length is checked as soon as it has
 // arrived, before the buffer grows to that size. The error is a *SizeError.
@@ -115,6 +115,6 @@
 	return p
 }
 
-// Started ends the startup: typed messages follow. It isn't called after SSLRequest and GSSENCRequest, which are
+// StartupDone ends the startup: typed messages follow. It isn't called after SSLRequest and GSSENCRequest, which are
 // followed by another untyped message.
-func (r *Reader) Started() { r.startupLimit = 0 }
+func (r *Reader) StartupDone() { r.startupLimit = 0 }
