--- a/cmd/limeladder/audit_endpoint_list.go
+++ b/cmd/limeladder/audit_endpoint_list.go
@@ -49,7 +49,7 @@
 	if previous != entry.State && !newAndReady {
 		r.recorder.Record(audit.Drain{
 			Endpoint: entry.ID,
-			Group:    entry.Cell,
+			Group:    entry.Group,
 			State:    entry.State,
 			Source:   requestedByDiscovery,
 		})
--- a/cmd/limeladder/audit_endpoint_list_test.go
+++ b/cmd/limeladder/audit_endpoint_list_test.go
@@ -22,7 +22,7 @@
 		endpointStates: map[string]string{},
 	}
 	entry := func(id, state string) config.EndpointEntry {
-		return config.EndpointEntry{ID: id, Cell: 7, State: state}
+		return config.EndpointEntry{ID: id, Group: 7, State: state}
 	}
 	changed := func(id, state string) audit.Event {
 		return audit.Drain{Endpoint: id, Group: 7, State: state, Source: "list"}
--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -167,7 +167,7 @@
 
 func shipperOptions(settings config.Audit, bounds limits.Audit) audit.ShipperOptions {
 	return audit.ShipperOptions{
-		Interval:        bounds.GatherInterval,
+		Interval:        bounds.QueuePollInterval,
 		MessagesPerHead: uint64(cmp.Or(settings.Heads, bounds.ChainHeadMessages)),
 		HeadInterval:    cmp.Or(settings.HeadsTime, bounds.ChainHeadInterval),
 		Now:             time.Now,
--- a/cmd/limeladder/daemon.go
+++ b/cmd/limeladder/daemon.go
@@ -70,7 +70,7 @@
 	if err := d.startListeners(cfg); err != nil {
 		return nil, err
 	}
-	if err := d.startAdminAPI(cfg.Operator); err != nil {
+	if err := d.startAdminAPI(cfg.AdminAddress); err != nil {
 		return nil, err
 	}
 	d.loop.Post(func() {
--- a/cmd/limeladder/endpoint_list.go
+++ b/cmd/limeladder/endpoint_list.go
@@ -84,8 +84,8 @@
 // Clients are accepted once discovery has answered or the timeout for the first list has expired.
 func (d *daemon) startDiscovery(cfg *config.Config) {
 	configured := config.EndpointList{}
-	if cfg.Known != nil {
-		configured = *cfg.Known
+	if cfg.KnownEndpoints != nil {
+		configured = *cfg.KnownEndpoints
 	}
 	d.applyEndpointList(configured, balance.ListCached)
 	d.restoreFailoverTerms()
--- a/cmd/limeladder/failover_scenario_test.go
+++ b/cmd/limeladder/failover_scenario_test.go
@@ -135,7 +135,7 @@
 	list := config.EndpointList{Version: s.version, Full: true}
 	for group, servers := range s.groups {
 		for i, server := range servers {
-			entry := config.EndpointEntry{ID: server.Addr, Addr: server.Addr, Zone: "a", Cell: int64(firstGroup + group)}
+			entry := config.EndpointEntry{ID: server.Addr, Addr: server.Addr, Zone: "a", Group: int64(firstGroup + group)}
 			if i == 0 {
 				entry.Mode = "read-write"
 			}
--- a/cmd/limeladder/limits_test.go
+++ b/cmd/limeladder/limits_test.go
@@ -201,7 +201,7 @@
 		isPrimary := i == 0
 		server := testserver.NewDB(t, isPrimary, nil)
 		entry := listEntry(id, server.Addr, "a", 7, isPrimary)
-		entries = append(entries, fmt.Sprintf(entryFormat, entry.ID, entry.Addr, entry.Cell, entry.Mode))
+		entries = append(entries, fmt.Sprintf(entryFormat, entry.ID, entry.Addr, entry.Group, entry.Mode))
 	}
 	for i := len(entries); i < endpoints; i++ {
 		entries = append(entries, fmt.Sprintf(entryFormat, fmt.Sprint("s-", i), "127.0.0.1:1", 8+i%60, "read-only"))
--- a/cmd/limeladder/pushed_discovery_test.go
+++ b/cmd/limeladder/pushed_discovery_test.go
@@ -24,7 +24,7 @@
 	text = strings.Replace(text, `"ConnectTimeoutNs":250000000`, `"ConnectTimeoutNs":1500000000`, 1)
 	cfg := parseConfig(t, text)
 	if len(known) > 0 {
-		cfg.Known = &config.EndpointList{Version: 1, Full: true, Endpoints: known}
+		cfg.KnownEndpoints = &config.EndpointList{Version: 1, Full: true, Endpoints: known}
 	}
 	return cfg
 }
--- a/cmd/limeladder/site_failover_test.go
+++ b/cmd/limeladder/site_failover_test.go
@@ -45,7 +45,7 @@
 	}
 	t.Cleanup(agent.Stop)
 	cfg := pushedConfig(t, agent, list...)
-	cfg.Operator = router.adminAddress
+	cfg.AdminAddress = router.adminAddress
 	cfg.Balance.Zone = "n"
 	var deploy config.Deploy
 	deploy.SiteFailover.Watch = true
@@ -225,7 +225,7 @@
 	_, list, agent := newReplicaGroup(t, nil)
 	adminAddress := freeAddress(t)
 	cfg := pushedConfig(t, agent, list...)
-	cfg.Operator = adminAddress
+	cfg.AdminAddress = adminAddress
 	waitUntilReady(t, runDaemon(t, cfg))
 	for _, test := range []struct{ name, address, want string }{
 		{"monitor off", adminAddress, "[sites] watch is off"},
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -31,7 +31,7 @@
 func (s *Server) Accept(conn *transport.Conn) transport.Handler {
 	accepted := &connection{server: s, conn: conn}
 	s.connections = append(s.connections, accepted)
-	accepted.timeout = s.loop.AfterFunc(s.limits.AdminAPI.CallTimeout, func() {
+	accepted.timeout = s.loop.AfterFunc(s.limits.AdminAPI.RequestTimeout, func() {
 		accepted.respondText(http.StatusRequestTimeout, "the call does not end")
 	})
 	if len(s.connections) > s.limits.AdminAPI.Connections/2 {
@@ -68,7 +68,7 @@
 		return // one request per connection
 	}
 	c.buffer = append(c.buffer, data...)
-	req, complete, err := parseRequest(c.buffer, c.server.limits.AdminAPI.CallBytes)
+	req, complete, err := parseRequest(c.buffer, c.server.limits.AdminAPI.RequestBytes)
 	if err != nil {
 		c.respondText(statusOf(err), err.Error())
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,13 +34,13 @@
 
 // Config is the startup configuration of a router.
 type Config struct {
-	Name      string        `json:"name"`
-	Listen    string        `json:"listen"`
-	Discovery string        `json:"discovery"`
-	Operator  string        `json:"operator"` // address of the admin API; empty if it is off
-	Seed      string        `json:"seed"`
-	Limits    Limits        `json:"limits"`
-	Known     *EndpointList `json:"known"`
+	Name           string        `json:"name"`
+	Listen         string        `json:"listen"`
+	Discovery      string        `json:"discovery"`
+	AdminAddress   string        `json:"operator"` // address of the admin API; empty if it is off
+	Seed           string        `json:"seed"`
+	Limits         Limits        `json:"limits"`
+	KnownEndpoints *EndpointList `json:"known"`
 
 	Settings Settings `json:"settings"`
 
@@ -111,7 +111,7 @@
 	}
 	override(&c.Name, "EDGE_NAME")
 	override(&c.Listen, "EDGE_LISTEN")
-	override(&c.Operator, "EDGE_OPERATOR")
+	override(&c.AdminAddress, "EDGE_OPERATOR")
 	// The file may be replaced while the process runs, but its environment stays as it was at startup. A discovery address
 	// in the file is therefore the more recent one.
 	if c.Discovery == "" {
@@ -126,10 +126,10 @@
 	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return err
 	}
-	if c.Operator == "" {
+	if c.AdminAddress == "" {
 		return nil
 	}
-	return checkAddress("operator", c.Operator)
+	return checkAddress("operator", c.AdminAddress)
 }
 
 func (c *Config) readInheritedFD(text string) error {
@@ -181,10 +181,10 @@
 }
 
 func (c *Config) checkKnown() error {
-	if c.Known == nil {
+	if c.KnownEndpoints == nil {
 		return nil
 	}
-	for i, entry := range c.Known.Endpoints {
+	for i, entry := range c.KnownEndpoints.Endpoints {
 		if _, err := entry.Balance(); err != nil {
 			return inObject(fmt.Sprintf("known.servers[%d]", i), err)
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -51,7 +51,7 @@
 
 func TestParse(t *testing.T) {
 	c := mustParse(t, validConfig, emptyEnvironment)
-	if c.SeedValue != 0x8c1f30d27a5be964 || c.Known.Version != 41 {
+	if c.SeedValue != 0x8c1f30d27a5be964 || c.KnownEndpoints.Version != 41 {
 		t.Errorf("got %+v, want the seed 8c1f30d27a5be964 and the known version 41", c)
 	}
 	if c.Balance.Instances != 3 || !c.Balance.PollDiscovery {
--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -11,7 +11,7 @@
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
-	Cell      int64   `json:"cell"` // replica group
+	Group     int64   `json:"cell"` // replica group
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
 	StartedMs int64   `json:"started_ms"`
@@ -34,7 +34,7 @@
 
 // Balance converts the entry to the type of the decision module.
 func (e EndpointEntry) Balance() (balance.EndpointEntry, error) {
-	entry := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Cell, Primary: e.Mode == "read-write"}
+	entry := balance.EndpointEntry{Endpoint: e.ID, Zone: e.Zone, Group: e.Group, Primary: e.Mode == "read-write"}
 	if e.StartedMs > 0 {
 		entry.StartedAt = time.Duration(e.StartedMs) * time.Millisecond
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -120,14 +120,14 @@
 		{"name", c.Name, "router-1"},
 		{"listen", c.Listen, "127.0.0.1:6432"},
 		{"discovery", c.Discovery, "127.0.0.1:8500"},
-		{"operator", c.Operator, "127.0.0.1:8600"},
+		{"operator", c.AdminAddress, "127.0.0.1:8600"},
 		{"seed", c.SeedValue, uint64(0x8c1f30d27a5be964)},
 		{"limits.cores", c.Limits.Cores, 1.5},
 		{"limits.memory_mb", c.Limits.MemoryMB, 192},
 		{"limits.sockets", c.Limits.Sockets, 1024},
-		{"known.version", c.Known.Version, int64(41)},
-		{"known.full", c.Known.Full, true},
-		{"known.servers", c.Known.Endpoints, goldenServers()},
+		{"known.version", c.KnownEndpoints.Version, int64(41)},
+		{"known.full", c.KnownEndpoints.Full, true},
+		{"known.servers", c.KnownEndpoints.Endpoints, goldenServers()},
 		{"settings.Extra.OriginTimeNs", *c.Settings.Extra.OriginTimeNs, int64(1_800_000_000_000_000_000)},
 		{"settings.Limits.ConnIdleNs", c.Settings.Limits.ConnIdleNs, int64(32)},
 		{"settings.Limits.ConnectTimeoutNs", c.Settings.Limits.ConnectTimeoutNs, int64(33)},
@@ -140,15 +140,15 @@
 func goldenServers() []config.EndpointEntry {
 	return []config.EndpointEntry{
 		{
-			ID: "endpoint-1", Addr: "127.0.0.1:6001", Zone: "site-a", Cell: 3, State: "ready", Weight: 1.5,
+			ID: "endpoint-1", Addr: "127.0.0.1:6001", Zone: "site-a", Group: 3, State: "ready", Weight: 1.5,
 			StartedMs: 1_800_000_000_000, Mode: "read-write",
 		},
 		{
-			ID: "endpoint-2", Addr: "127.0.0.1:6002", Zone: "site-b", Cell: 4, State: "draining", Weight: 0.5,
+			ID: "endpoint-2", Addr: "127.0.0.1:6002", Zone: "site-b", Group: 4, State: "draining", Weight: 0.5,
 			StartedMs: 1_800_000_000_001, Mode: "read-only",
 		},
 		{
-			ID: "endpoint-3", Addr: "127.0.0.1:6003", Zone: "site-c", Cell: 5, State: "gone", Weight: 0.25,
+			ID: "endpoint-3", Addr: "127.0.0.1:6003", Zone: "site-c", Group: 5, State: "gone", Weight: 0.25,
 			StartedMs: 1_800_000_000_002, Mode: "read-only",
 		},
 	}
@@ -214,7 +214,7 @@
 			StartedAt: 1_800_000_000_002 * time.Millisecond,
 		},
 	}
-	for i, server := range parseGolden(t).Known.Endpoints {
+	for i, server := range parseGolden(t).KnownEndpoints.Endpoints {
 		t.Run(server.ID, func(t *testing.T) {
 			got, err := server.Balance()
 			if err != nil {
@@ -284,7 +284,7 @@
 	checkValues(t, []decodedValue{
 		{"EDGE_NAME", c.Name, "router-2"},
 		{"EDGE_LISTEN", c.Listen, "127.0.0.1:6433"},
-		{"EDGE_OPERATOR", c.Operator, "127.0.0.1:8601"},
+		{"EDGE_OPERATOR", c.AdminAddress, "127.0.0.1:8601"},
 		{"EDGE_INHERITED_FD", c.InheritedFD, 7},
 		{"discovery of the file", c.Discovery, "127.0.0.1:8500"},
 		{"EDGE_DISCOVERY", withoutDiscovery.Discovery, "127.0.0.1:8501"},
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -182,7 +182,7 @@
 				t.Fatalf("the list has %d endpoints, full: %v; not as sent", len(list.Endpoints), list.Full)
 			}
 			const last = largeListEndpoints - 1
-			if got := list.Endpoints[last]; got.ID != largeListID(last) || got.Cell != last%40 {
+			if got := list.Endpoints[last]; got.ID != largeListID(last) || got.Group != last%40 {
 				t.Fatalf("the last endpoint is %+v, not as sent", got)
 			}
 		})
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -172,7 +172,7 @@
 		if list.Version != version || list.Full != (version == 0) {
 			t.Fatalf("list %+v, want consecutive versions from 0, only the first list full", list)
 		}
-		if len(list.Endpoints) != 1 || list.Endpoints[0].Cell != 3 {
+		if len(list.Endpoints) != 1 || list.Endpoints[0].Group != 3 {
 			t.Fatalf("list %+v, want one endpoint in cell 3", list)
 		}
 	}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -55,7 +55,7 @@
 		lim.FirstCommandTimeout,
 		lim.PartialMessageTimeout,
 		lim.UnreadTimeout,
-		lim.UnitTimeout,
+		lim.UnitIdleTimeout,
 	)
 	return max(lim.SweepInterval, shortest/4)
 }
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -233,7 +233,7 @@
 func TestStalledUnitOfWork(t *testing.T) {
 	db := testserver.NewDB(t, true, nil)
 	lim := defaultLimits()
-	lim.Frontend.UnitTimeout = 100 * time.Millisecond
+	lim.Frontend.UnitIdleTimeout = 100 * time.Millisecond
 	lim.Frontend.PartialMessageTimeout = 100 * time.Millisecond
 	server := startWith(t, lim, db)
 	write := parseAndRun("j", "write", 2500)
--- a/internal/frontend/extendedquery/test_router_test.go
+++ b/internal/frontend/extendedquery/test_router_test.go
@@ -105,7 +105,7 @@
 	list := config.EndpointList{Full: full}
 	decisions := balance.EndpointList{Kind: balance.ListDelta}
 	for i, endpoint := range endpoints {
-		listed := config.EndpointEntry{ID: endpoint.Addr, Addr: endpoint.Addr, Zone: "a", Cell: 7, State: state}
+		listed := config.EndpointEntry{ID: endpoint.Addr, Addr: endpoint.Addr, Zone: "a", Group: 7, State: state}
 		if full && i == 0 {
 			listed.Mode = "read-write"
 		}
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -57,5 +57,5 @@
 	if !c.lifetime.started || c.handler.Idle() {
 		return false
 	}
-	return now-c.lifetime.lastActiveAt > c.frontend.limits.Frontend.UnitTimeout
+	return now-c.lifetime.lastActiveAt > c.frontend.limits.Frontend.UnitIdleTimeout
 }
--- a/internal/limits/compute.go
+++ b/internal/limits/compute.go
@@ -34,7 +34,7 @@
 		Router:     router(memoryMiB, descriptors),
 		Backend:    backend(memoryMiB, descriptors, connectTimeout, connectionIdle),
 		Discovery:  discovery(connectTimeout),
-		AdminAPI:   AdminAPI{Connections: adminConnections, CallBytes: 16 * kib, CallTimeout: 2 * time.Second},
+		AdminAPI:   AdminAPI{Connections: adminConnections, RequestBytes: 16 * kib, RequestTimeout: 2 * time.Second},
 		Shutdown:   shutdown(longestRequest),
 		HotRestart: HotRestart{PollInterval: 100 * time.Millisecond},
 		Audit:      audit(memoryMiB),
@@ -92,7 +92,7 @@
 		FirstCommandTimeout:   2100 * time.Millisecond,
 		PartialMessageTimeout: 2300 * time.Millisecond,
 		MessageTimeout:        15 * time.Second,
-		UnitTimeout:           10 * time.Second,
+		UnitIdleTimeout:       10 * time.Second,
 		UnreadTimeout:         5 * time.Second,
 		UnstartedIdle:         100 * time.Millisecond,
 		HardLimitIdle:         100 * time.Millisecond,
@@ -176,7 +176,7 @@
 		QueueBytes:         queueBytes,
 		ChainHeadMessages:  256,
 		ChainHeadInterval:  10 * time.Second,
-		GatherInterval:     10 * time.Millisecond,
+		QueuePollInterval:  10 * time.Millisecond,
 		LossReportInterval: 250 * time.Millisecond,
 	}
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -51,7 +51,7 @@
 	FirstCommandTimeout   time.Duration // from the startup message to the first command
 	PartialMessageTimeout time.Duration // maximum gap in the arrival of a message
 	MessageTimeout        time.Duration // from the beginning of a message to its end
-	UnitTimeout           time.Duration // maximum time that a client leaves a unit of work unfinished without activity
+	UnitIdleTimeout       time.Duration // maximum time that a client leaves a unit of work unfinished without activity
 	UnreadTimeout         time.Duration // until a client reads some of its unread responses
 	UnstartedIdle         time.Duration // minimum idle time to evict one without startup or whose last message was invalid
 	HardLimitIdle         time.Duration // above HardLimit, minimum idle time to evict a connection without a request
@@ -111,9 +111,9 @@
 
 // AdminAPI bounds the HTTP requests of operators.
 type AdminAPI struct {
-	Connections int           // open connections
-	CallBytes   int           // length of a request, including its body
-	CallTimeout time.Duration // until a request is complete
+	Connections    int           // open connections
+	RequestBytes   int           // length of a request, including its body
+	RequestTimeout time.Duration // until a request is complete
 }
 
 // Shutdown is the schedule of a graceful shutdown. All times count from SIGTERM.
@@ -134,7 +134,7 @@
 	QueueBytes         int           // total size of these records
 	ChainHeadMessages  int           // messages between two chain heads
 	ChainHeadInterval  time.Duration // maximum time between two chain heads
-	GatherInterval     time.Duration // interval at which the queue is emptied
+	QueuePollInterval  time.Duration // interval at which the queue is emptied
 	LossReportInterval time.Duration // interval of the reports of dropped records
 }
 
--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -51,7 +51,7 @@
 func (d *directory) since(version int64) config.EndpointList {
 	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Cell: x.Endpoint.Group.ID, State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
+		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Group: x.Endpoint.Group.ID, State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	c, err := config.Parse(p, func(string) string { return "" })
-	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.Known == nil || len(c.Known.Endpoints) != 3 {
+	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.KnownEndpoints == nil || len(c.KnownEndpoints.Endpoints) != 3 {
 		t.Fatalf("%v %+v", err, c)
 	}
 	if _, err := New(small(func(c *fleet.Config) { c.Faults = []fleet.Fault{{What: "cut"}} }), 1); err == nil || !strings.Contains(err.Error(), "cut needs more than one process") {
