--- a/internal/asynclog/queue.go
+++ b/internal/asynclog/queue.go
@@ -10,7 +10,8 @@
 	important                   // warnings, errors, and the reason why the program exits
 )
 
-// reservedFraction is the divisor of the queue size that gives the part reserved for important lines: 4 is a quarter.
+// reservedFraction is the denominator of the fraction of the queue that is reserved for important lines: 4 reserves a
+// quarter.
 const reservedFraction = 4
 
 // losses counts lost lines.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,8 +26,8 @@
 	minMemoryMB = 32
 	minSockets  = 64
 
-	// lateRejectCost is the cost of rejecting or failing a request that was never forwarded once half of its client
-	// timeout has passed, as a fraction of the request's weight. It applies to a router with real connections only: the
+	// lateRejectCost is the cost of rejecting or failing, after half of its client timeout, a request that was never
+	// forwarded. It is a fraction of the request's weight. It applies to a router with real connections only: the
 	// simulator's protocol has no such cost, so the settings have no field for it.
 	lateRejectCost = 0.3
 )
--- a/internal/config/field_error.go
+++ b/internal/config/field_error.go
@@ -37,7 +37,7 @@
 	return &FieldError{Field: field, Reason: fmt.Errorf(format, args...)}
 }
 
-// inFile adds the path of the file to a *FieldError. Any other error becomes the reason of one about the whole file.
+// inFile adds the path of the file to a *FieldError. It wraps any other error in a *FieldError about the whole file.
 func inFile(path string, err error) error {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
@@ -46,8 +46,8 @@
 	return &FieldError{File: path, Reason: err}
 }
 
-// inObject prefixes the field of a *FieldError with parent, the path of the object that contains the field. Any other
-// error becomes the reason of one about parent.
+// inObject prefixes the field of a *FieldError with parent, the path of the object that contains the field. It wraps
+// any other error in a *FieldError about parent.
 func inObject(parent string, err error) error {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -48,7 +48,7 @@
 	TokenMode      string   // clientTokenMode if clients send session tokens
 	LagAllowedNs   []int64  // maximum staleness by class; empty if no class has a bound
 	Consistencies  []string `json:"NeedsByClass"` // by class, each a key of consistencies
-	OriginTimeNs   *int64   // start of the replication positions
+	OriginTimeNs   *int64   // time that replication positions in the simulator's protocol are relative to
 }
 
 // AttemptLimits are the settings for the attempts of a request and for backend connections.
@@ -59,11 +59,11 @@
 	MaxRetryAfterNs  int64
 	ConnIdleNs       int64 // endpoints close a connection that is idle for this long
 	ConnectTimeoutNs int64
-	MaxOpen          int
+	MaxOpen          int // not used by the router
 	MaxAttempts      int `json:"MostTries"` // per request; 0 = no limit
 }
 
-// Prices are the costs of calls that the router makes on its own account.
+// Prices are the costs of calls that the router makes in addition to client requests.
 type Prices struct {
 	Probe float64 // cost of a health check, as a fraction of the weight of a request
 }
--- a/internal/limits/compute.go
+++ b/internal/limits/compute.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// connectionDescriptors returns the number of descriptors for client and backend connections. Connections that are
-// closed here and wait for their peer to close its side (transport.MaxLingering) have descriptors of their own.
+// connectionDescriptors returns the number of descriptors for client and backend connections. It leaves out those of
+// connections that the router has closed and whose peer has yet to close its side (transport.MaxLingering).
 func connectionDescriptors(descriptors int) int {
 	lingering := max(1, descriptors/32)
 	return descriptors - reservedDescriptors - adminConnections - lingering
@@ -60,7 +60,7 @@
 		// The rest is for memory outside the garbage collector's control, and for garbage that it has not collected yet.
 		TargetBytes: int64(memoryMiB) * mib * 3 / 5,
 		// The live heap is a few MiB, and responses have several hundred KiB each. With Go's default of 100 the garbage
-		// collector would run once per few responses, which is expensive with a fraction of a core.
+		// collector would run after every few responses, which is expensive with a fraction of a core.
 		GCPercent: 400,
 	}
 }
@@ -152,7 +152,7 @@
 
 		LongPollTimeout: 5 * time.Second,
 		CallTimeout:     queueTimeout + connectTimeout,
-		// Changes that a watch has to deliver count as notified once twice this time has passed since the end of its wait.
+		// Changes that a watch has to deliver count as notified when its wait has been over for twice this time.
 		WatchSlack: time.Second,
 		// Discovery treats a call as the continuation of a watch if it arrives within 200 ms.
 		WatchInterval:    50 * time.Millisecond,
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -48,23 +48,23 @@
 	SendBufferBytes int // size of a connection's send buffer in the operating system
 
 	StartupTimeout        time.Duration // until the startup message is complete
-	FirstCommandTimeout   time.Duration // from the startup message to the first command
+	FirstCommandTimeout   time.Duration // from accepting a connection to its first command, if startup is complete
 	PartialMessageTimeout time.Duration // maximum gap in the arrival of a message
 	MessageTimeout        time.Duration // from the beginning of a message to its end
 	UnitIdleTimeout       time.Duration // maximum time that a client leaves a unit of work unfinished without activity
 	UnreadTimeout         time.Duration // until a client reads some of its unread responses
-	UnstartedIdle         time.Duration // minimum idle time to evict one without startup or whose last message was invalid
+	UnstartedIdle         time.Duration // minimum idle time to evict an unstarted connection, or after an invalid message
 	HardLimitIdle         time.Duration // above HardLimit, minimum idle time to evict a connection without a request
 	UnusedIdle            time.Duration // minimum idle time to evict a started connection that never sent a command
 	SoftLimitIdle         time.Duration // above SoftLimit, minimum idle time to evict a connection without a request
-	SweepInterval         time.Duration // interval of the checks of all connections
-	FlushTimeout          time.Duration // until a peer reads more of the last response before its connection is closed
+	SweepInterval         time.Duration // minimum interval of the checks of all connections
+	FlushTimeout          time.Duration // while closing a connection, maximum time that the peer reads nothing more
 	DrainedIdle           time.Duration // while the router is draining, a connection that is idle for this long is closed
 }
 
 // Router bounds the requests in flight.
 type Router struct {
-	InFlightRequests  int           // admitted requests without a response
+	InFlightRequests  int           // admitted requests that are unanswered or have an attempt in flight
 	PendingWrites     int           // writes queued during a failover
 	PendingWriteBytes int           // total size of their statements
 	LogTextBytes      int           // length of a log text of the decision module; longer texts are cut
@@ -88,7 +88,7 @@
 	RedialAfter        time.Duration // a second connection is dialed if the first is not established by then
 	HealthCheckTimeout time.Duration // until the response to a health check
 	ReuseDelay         time.Duration // pause of a connection after a response, before the next attempt
-	StallTimeout       time.Duration // maximum gap in the arrival of a buffered response
+	StallTimeout       time.Duration // maximum gap in the arrival of a message or a buffered response
 	StreamStallTimeout time.Duration // maximum gap in the arrival of a streamed response
 	IdleTimeout        time.Duration // a connection that has been idle for longer is not used
 	SweepInterval      time.Duration // interval of the checks of idle connections
@@ -119,7 +119,7 @@
 // Shutdown is the schedule of a graceful shutdown. All times count from SIGTERM.
 type Shutdown struct {
 	AcceptTime     time.Duration // until connections are no longer accepted
-	GuaranteedTime time.Duration // time that the platform guarantees; requests in flight are answered by then
+	GuaranteedTime time.Duration // guaranteed by the platform; requests received after AcceptTime are answered by then
 	MaxTime        time.Duration // until the program exits
 }
 
