--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -235,7 +235,12 @@
 		t.Fatal(result, err)
 	}
 	for name, s := range c.members {
-		eventuallyHas(t, name, s, "lock", string(first.Value))
+		// lock has the same value before the change to x as after the rollback, so the value doesn't show that s caught up.
+		eventually(t, name+" has 3 entries in the history of lock", func() bool { return len(s.History("lock")) >= 3 })
+		if !hasValue(s, "lock", string(first.Value)) {
+			value, ok := s.Get("lock")
+			t.Errorf("%s: lock is %q (exists: %t) after the rollback, want %q", name, value, ok, first.Value)
+		}
 		if history := s.History("lock"); !hasValue(s, "old", "x") || len(history) != 3 {
 			t.Errorf("%s: history of lock %+v, want 3 entries and the record old=x", name, history)
 		}
