--- a/internal/hotrestart/folder_test.go
+++ b/internal/hotrestart/folder_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A file counts as changed only after it was written again.
+// A file counts as changed if it was written since the last check, and not otherwise.
 func TestFolderChanged(t *testing.T) {
 	f, err := createFolder(t.TempDir(), testAddress)
 	if err != nil {
--- a/internal/hotrestart/shared_state_test.go
+++ b/internal/hotrestart/shared_state_test.go
@@ -108,7 +108,8 @@
 		<-calls
 	}
 	if notifiedA.alone || notifiedA.suspended["s/1"] || !notifiedA.suspended["s-2"] || !notifiedB.drained {
-		t.Fatalf("got %+v and %+v, want only s-2 suspended in the first and the second drained", notifiedA, notifiedB)
+		t.Fatalf("got %+v and %+v, want the first not alone with only s-2 suspended, and the second drained",
+			notifiedA, notifiedB)
 	}
 	a.AddKnownEndpoints([]string{"x", "y"})
 	notifiedB.wait(t, "known endpoints")
@@ -131,7 +132,7 @@
 	s, state, _ := openProcess(t, root)
 	defer s.Close()
 	if !s.StartedAlone() || !state.Drained || !state.Suspended["s-2"] || state.Suspended["s/1"] {
-		t.Fatalf("got %+v, want a drained router with only s-2 suspended", state)
+		t.Fatalf("got %+v, want to start alone with a drained router and only s-2 suspended", state)
 	}
 	want := []string{"y", "z", "u"}
 	if !slices.Equal(state.KnownEndpoints, known) || !slices.Equal(state.KnownEndpoints, want) {
@@ -210,7 +211,7 @@
 	defer b.Close()
 	notified.wait(t, "alone")
 	if notified.alone || reads() == before {
-		t.Fatalf("the new process is not detected: alone %v", notified.alone)
+		t.Fatalf("the new process is not detected or the folder is not read: alone %v", notified.alone)
 	}
 }
 
--- a/internal/store/fault_files_test.go
+++ b/internal/store/fault_files_test.go
@@ -11,7 +11,7 @@
 
 var errInjected = errors.New("injected fault")
 
-// byteState says what the next sync does with a byte of a file.
+// byteState is the state of a byte of a file. It determines what the next sync does with the byte.
 type byteState byte
 
 const (
@@ -201,7 +201,7 @@
 	}
 }
 
-// openFile is a logFile of faultyFiles.
+// openFile is a logFile of a faultyFileSystem.
 type openFile struct {
 	files  *faultyFileSystem
 	file   *memoryFile
--- a/internal/store/fsm/change.go
+++ b/internal/store/fsm/change.go
@@ -51,12 +51,13 @@
 	ReasonInvalid       Reason = "bad"      // no operation, an empty or repeated key, or a deletion with a value
 )
 
-// Result is the outcome of a change.
+// Result is the outcome of a change. If one operation caused a rejection, Key and CurrentRevision describe its record.
+// If the change was rejected as a whole, Key is empty or that of the first operation, and CurrentRevision is 0.
 type Result struct {
 	Revision        uint64 // revision of the state after the change; 0 if it was rejected
 	Reason          Reason `json:"Fault,omitempty"` // reason of the rejection; empty if the change was applied
 	Key             string `json:",omitempty"`      // key of the operation that caused the rejection
-	CurrentRevision uint64 `json:"Have,omitempty"`  // revision of the record with that key; 0 if there is none
+	CurrentRevision uint64 `json:"Have,omitempty"`  // revision of its record; 0 if the record does not exist
 	Duplicate       bool   `json:"Again,omitempty"` // whether this is the result of an earlier change with the same id
 }
 
@@ -80,8 +81,8 @@
 // RejectedError reports that a change was rejected.
 type RejectedError struct {
 	Reason   Reason
-	Key      string // key of the operation that caused the rejection
-	Revision uint64 // current revision of the record with that key
+	Key      string // like Result.Key
+	Revision uint64 // like Result.CurrentRevision
 }
 
 // Error implements error.
--- a/internal/store/fsm/snapshot.go
+++ b/internal/store/fsm/snapshot.go
@@ -20,7 +20,7 @@
 	snapshotHeaderBytes = len(snapshotMagic) + snapshotLengthBytes + snapshotSumBytes
 )
 
-// ErrSnapshotDamaged is returned for a snapshot that differs from what was written. Nothing of it is used.
+// ErrSnapshotDamaged is returned for a snapshot that differs from what was written. No part of the snapshot is used.
 var ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 
 // snapshotContent is the body of a snapshot.
@@ -55,7 +55,7 @@
 	return append(encoded, body...), nil
 }
 
-// Restore decodes a snapshot. An error wraps ErrSnapshotDamaged.
+// Restore decodes a snapshot. All errors that it returns wrap ErrSnapshotDamaged.
 func Restore(snapshot []byte, limits Limits) (*State, error) {
 	if !bytes.HasPrefix(snapshot, []byte(snapshotMagic)) {
 		return restoreFirstVersion(snapshot, limits)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -95,7 +95,7 @@
 		log.Warn("store log truncated", "file", w.path, "bytes", w.tornBytes)
 	}
 	if err := s.start(); err != nil {
-		_ = w.close() // nothing was written; the caller needs the error of the failed start
+		_ = w.close() // all writes are synced; the caller needs the error of the failed start
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	s.done.Add(2)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -37,7 +37,7 @@
 	deadline := time.Now().Add(60 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("not within 60 seconds: " + what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -161,8 +161,8 @@
 	eventuallyHas(t, "m2", c.members["m2"], "count", "29")
 	c.start(t, "m0", TLSFiles{})
 	eventuallyHas(t, "m0", c.members["m0"], "count", "29")
-	// All members stop and restart without losing anything. None may stop before all have caught up, because a member
-	// needs a majority to learn which entries are committed.
+	// All members stop and restart without losing anything. After the restart none may stop again before all have caught
+	// up, because a member needs a majority to learn which entries are committed.
 	for name := range c.addresses {
 		c.stop(t, name)
 	}
--- a/internal/store/wal_append.go
+++ b/internal/store/wal_append.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// discardPartialRecord truncates what a failed write has left. A record written after a partial one would be lost at
-// the next start.
+// discardPartialRecord removes the part of a record that a failed write has left at the end of the file. A record
+// written after a partial one would be lost at the next start.
 func (w *wal) discardPartialRecord() error {
 	if err := w.file.Truncate(w.size); err != nil {
 		return err
--- a/internal/store/wal_damage_test.go
+++ b/internal/store/wal_damage_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against the same if a crash has also torn the record after the damaged one.
+// Guards against an acknowledged record that is truncated as torn because one bit of its length has changed and a crash
+// has torn the record after it.
 func TestWrongLengthBeforeTornRecordIsReportedAsDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	content, ends := writeEntries(t, path, 3)
--- a/internal/store/wal_fault_test.go
+++ b/internal/store/wal_fault_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// Guards against the same, exhaustively: each call of the file system fails once, and each write after each number of
-// bytes.
+// Guards against acknowledged records that a crash loses after a single fault. Each call of the file system fails once,
+// and each write after each number of bytes.
 func TestAcknowledgedRecordsSurviveEachFault(t *testing.T) {
 	const writes = 30
 	for call, callsRemain := 0, true; callsRemain; call++ {
