--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -1,81 +1,80 @@
-// Package check judges what clients and endpoints saw of a test's writes: it compares what clients were answered with
-// what endpoints ran.
+// Package check verifies the outcome of a test's writes: it compares the responses that clients received with the
+// statements that endpoints executed.
 //
-// It owns the rules of a write: one answer, in time, that says what happened. It knows nothing of the router, opens no
-// connection and starts no goroutine; a test calls it when all jobs have ended.
+// It owns the rules for a write: exactly one response, in time, that matches what was executed. It knows nothing
+// about the router, opens no connections and starts no goroutines; a test calls it when all jobs have ended.
 package check
 
 import "time"
 
-// Job is a write as its client saw it.
+// Job is a request as its client saw it: a write, or a read if Fresh is set.
 type Job struct {
 	ID           string
 	Sent         time.Time
-	Deadline     time.Duration // after Sent its client gives up
-	Answers      int           // how many came
+	Deadline     time.Duration // from Sent until the client gives up
+	Answers      int           // complete responses received
 	Answered     time.Time
-	Code         string // of the answer, "" = served
-	After        string // field D of a rejection, milliseconds
-	Disconnected bool   // the client disconnected before any answer
-	Fresh        bool   // it is no write, but a read that only a primary may answer
-	Value        string // of the answer: which endpoint gave it
-	Truncated    bool   // its answer had begun and broke off
+	Code         string // SQLSTATE of the response, "" = served
+	After        string // field D of a rejection: milliseconds until a retry
+	Disconnected bool   // the client disconnected before any response
+	Fresh        bool   // the job is a read that only a primary may answer
+	Value        string // value of the response: the endpoint that sent it
+	Truncated    bool   // the connection ended within the response
 }
 
-// Run is a statement that an endpoint has run.
+// Run is one execution of a statement by an endpoint.
 type Run struct {
 	ID         string
 	Member     string
 	At         time.Time
 	Write      bool
-	WasPrimary bool // it was the primary then
+	WasPrimary bool // the endpoint was the primary at that time
 }
 
-// Received is a statement that an endpoint has received to its last byte, whether it ran or not.
+// Received is a statement that an endpoint has received completely, whether it was executed or not.
 type Received struct {
 	ID string
 	At time.Time
 }
 
-// Log is what an endpoint tells of itself.
+// Log is the record that an endpoint keeps of its own work.
 type Log struct {
 	Member    string
 	Runs      []Run
 	Received  []Received
-	Stops     []time.Time // moments at which it ended with all its connections, and lost what it had not read
-	Demotions []time.Time // moments from which it was no longer the primary
+	Stops     []time.Time // times at which it closed all connections and lost unread input
+	Demotions []time.Time // times at which it ceased to be the primary
 }
 
-// Drain is a time in which an endpoint was to get no new writes.
+// Drain is a period in which an endpoint must not receive new writes.
 type Drain struct {
 	Member string
 	From   time.Time
-	Until  time.Time // zero = to the end
+	Until  time.Time // zero = to the end of the test
 }
 
-// The codes of final answers.
+// SQLSTATEs of the responses that end a job without success.
 const (
 	codeRejected = "53300"
 	codeFailed   = "08007"
 )
 
-// What a busy machine may add to a client's own reading of its clock. That the router decides in time to the
-// millisecond is shown in virtual time (router.TestEachAnswerIsInTimeInVirtualTime); here the machine's stalls are
-// measured too.
+// Tolerances for response times, which include stalls of a busy test machine. That the router itself answers in time to
+// the millisecond is tested in virtual time (router.TestEachAnswerIsInTimeInVirtualTime).
 const (
-	// lateAfter is how long after its deadline an answer counts as late. One job in lateShare may be late.
+	// lateAfter is how long after the deadline a response counts as late. One job in lateShare may be late.
 	lateAfter = 100 * time.Millisecond
 	lateShare = 20
-	// lostAfter is how long after its deadline the platform counts a request as lost, whoever was busy.
+	// lostAfter is how long after the deadline the platform counts a request as lost, whatever the cause of the delay.
 	lostAfter = 500 * time.Millisecond
 )
 
-// drainLimit is how long after the begin of a drain a new write may still come.
+// drainLimit is how long after the start of a drain a new write may still arrive.
 const drainLimit = 2 * time.Second
 
-// Jobs returns every breach: a job that was not answered once and in time, ran twice, ran though it was rejected, did
-// not run though it was served, was failed though no endpoint had received it completely, or ran at an endpoint that
-// was draining.
+// Jobs returns a description of each violation: a job that did not get exactly one response in time, was executed
+// twice, was executed although it was rejected, was served without having been executed, failed although no endpoint
+// had received it completely, or was executed by a draining endpoint.
 func Jobs(jobs []Job, logs []Log, drains []Drain) (faults []string) {
 	c := newChecker(drains)
 	for _, log := range logs {
@@ -89,7 +88,7 @@
 	return c.faults
 }
 
-// Count says how many jobs ended how.
+// Count returns the number of jobs per outcome.
 func Count(jobs []Job) (served, rejected, failed, disconnected int) {
 	for _, job := range jobs {
 		switch {
--- a/internal/testserver/check/check_test.go
+++ b/internal/testserver/check/check_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// begin is when the jobs of these tests are sent.
-var begin = time.Now()
+// startTime is when the jobs of these tests are sent, unless a case says otherwise.
+var startTime = time.Now()
 
-func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 
-// job is one that was served in time.
-var job = Job{ID: "j", Sent: at(0), Deadline: time.Second, Answers: 1, Answered: at(500)}
+// servedJob is a job that was served in time.
+var servedJob = Job{ID: "j", Sent: at(0), Deadline: time.Second, Answers: 1, Answered: at(500)}
 
-// with is that job with a change.
-func with(change func(j *Job)) []Job {
-	j := job
+// jobWith returns servedJob with a change, as the only job.
+func jobWith(change func(j *Job)) []Job {
+	j := servedJob
 	change(&j)
 	return []Job{j}
 }
 
-// many are n jobs of which the first late ones were answered after so many milliseconds; ran is the log of them.
-func many(n, late, ms int) (jobs []Job) {
+// lateJobs returns n served jobs, the first late of which were answered ms milliseconds after they were sent.
+func lateJobs(n, late, ms int) (jobs []Job) {
 	for i := range n {
-		j := job
+		j := servedJob
 		j.ID = fmt.Sprint("j", i)
 		if i < late {
 			j.Answered = at(ms)
@@ -35,7 +35,8 @@
 	return jobs
 }
 
-func ran(n int) []Log {
+// logOfJobs returns the log of an endpoint that executed n jobs of lateJobs.
+func logOfJobs(n int) []Log {
 	l := Log{Member: "a"}
 	for i := range n {
 		l.Runs = append(l.Runs, Run{ID: fmt.Sprint("j", i), Member: "a", At: at(10), Write: true, WasPrimary: true})
@@ -43,8 +44,8 @@
 	return []Log{l}
 }
 
-// run is the log of an endpoint that received the job completely and ran it.
-func run(member string, ms int) Log {
+// logOfRun returns the log of an endpoint that received servedJob completely and executed it.
+func logOfRun(member string, ms int) Log {
 	return Log{
 		Member:   member,
 		Received: []Received{{"j", at(ms)}},
@@ -52,17 +53,17 @@
 	}
 }
 
-// stop is the log of an endpoint that stopped while the job was open.
-var stop = Log{Member: "b", Stops: []time.Time{at(100)}}
+// logOfStop is the log of an endpoint that stopped while servedJob was open.
+var logOfStop = Log{Member: "b", Stops: []time.Time{at(100)}}
 
 type breachCase struct {
 	jobs   []Job
 	logs   []Log
 	drains []Drain
-	want   string // part of the only fault, "" = none
+	want   string // part of the only violation reported, "" = none
 }
 
-// checkBreaches checks that each breach is found, and that what only looks like one is not.
+// checkBreaches checks that Jobs reports the violation of each case, and none in the cases without a violation.
 func checkBreaches(t *testing.T, cases map[string]breachCase) {
 	t.Helper()
 	for name, c := range cases {
@@ -70,52 +71,52 @@
 			faults := Jobs(c.jobs, c.logs, c.drains)
 			if c.want == "" {
 				if len(faults) > 0 {
-					t.Fatalf("%q", faults)
+					t.Fatalf("got %q, expected no violation", faults)
 				}
 				return
 			}
 			if len(faults) == 0 || !strings.Contains(faults[0], c.want) {
-				t.Fatalf("%q, wanted %q", faults, c.want)
+				t.Fatalf("got %q, expected %q", faults, c.want)
 			}
 			if len(c.jobs) < 2 && len(faults) > 1 {
-				t.Fatalf("%q, wanted one fault", faults)
+				t.Fatalf("got %q, expected one violation", faults)
 			}
 		})
 	}
 }
 
-// A job that is sent once runs once and has one answer, unless its client has left.
+// A job that was sent once is executed once and gets one response, unless its client disconnected.
 func TestEachJobRunsOnce(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
 		"served": {
-			jobs: []Job{job},
-			logs: []Log{run("a", 10)},
+			jobs: []Job{servedJob},
+			logs: []Log{logOfRun("a", 10)},
 		},
 		"twice": {
-			jobs: []Job{job},
-			logs: []Log{run("a", 10), run("b", 20)},
+			jobs: []Job{servedJob},
+			logs: []Log{logOfRun("a", 10), logOfRun("b", 20)},
 			want: "ran 2 times",
 		},
 		"never": {
-			jobs: []Job{job},
-			want: "was served and never ran",
+			jobs: []Job{servedJob},
+			want: "was served but never ran",
 		},
-		"unknown": {
-			logs: []Log{run("a", 10)},
-			want: "nobody asked",
+		"never sent": {
+			logs: []Log{logOfRun("a", 10)},
+			want: "no client sent it",
 		},
-		"asked twice": {
-			jobs: []Job{job, job},
-			logs: []Log{run("a", 10)},
-			want: "the script is wrong",
+		"listed twice": {
+			jobs: []Job{servedJob, servedJob},
+			logs: []Log{logOfRun("a", 10)},
+			want: "unique job IDs",
 		},
 		"no answer": {
-			jobs: with(func(j *Job) { j.Answers = 0 }),
-			logs: []Log{run("a", 10)},
-			want: "has 0 answers",
+			jobs: jobWith(func(j *Job) { j.Answers = 0 }),
+			logs: []Log{logOfRun("a", 10)},
+			want: "got 0 answers",
 		},
-		"left": {
-			jobs: with(func(j *Job) {
+		"disconnected": {
+			jobs: jobWith(func(j *Job) {
 				j.Answers = 0
 				j.Disconnected = true
 			}),
@@ -123,201 +124,203 @@
 	})
 }
 
-// A late answer is a breach where many are late, and always where it is so late that it counts as lost.
+// Late responses are violations if there are many of them. A response that is so late that the request counts as lost
+// is always a violation.
 func TestAnswersInTime(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
 		"late": {
-			jobs: with(func(j *Job) { j.Answered = at(1101) }),
-			logs: []Log{run("a", 10)},
-			want: "its client waits 1s",
+			jobs: jobWith(func(j *Job) { j.Answered = at(1101) }),
+			logs: []Log{logOfRun("a", 10)},
+			want: "its deadline is 1s",
 		},
 		"late, one of many": {
-			jobs: many(40, 1, 1500),
-			logs: ran(40),
+			jobs: lateJobs(40, 1, 1500),
+			logs: logOfJobs(40),
 		},
 		"late, some of many": {
-			jobs: many(40, 2, 1101),
-			logs: ran(40),
+			jobs: lateJobs(40, 2, 1101),
+			logs: logOfJobs(40),
 		},
 		"late, too many": {
-			jobs: many(39, 2, 1101),
-			logs: ran(39),
-			want: "its client waits 1s",
+			jobs: lateJobs(39, 2, 1101),
+			logs: logOfJobs(39),
+			want: "its deadline is 1s",
 		},
 		"lost, one of many": {
-			jobs: many(40, 1, 1501),
-			logs: ran(40),
-			want: "its client waits 1s",
+			jobs: lateJobs(40, 1, 1501),
+			logs: logOfJobs(40),
+			want: "its deadline is 1s",
 		},
 	})
 }
 
-// An answer that is no success says what happened to the job.
+// The response to a job that was not served matches what happened to the job.
 func TestOutcomes(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
-		"refused": {
-			jobs: with(func(j *Job) {
+		"rejected": {
+			jobs: jobWith(func(j *Job) {
 				j.Code = codeRejected
 				j.After = "70"
 			}),
 		},
-		"refused and ran": {
-			jobs: with(func(j *Job) {
+		"rejected but ran": {
+			jobs: jobWith(func(j *Job) {
 				j.Code = codeRejected
 				j.After = "70"
 			}),
-			logs: []Log{run("a", 10)},
-			want: "was refused and ran",
+			logs: []Log{logOfRun("a", 10)},
+			want: "was rejected but ran",
 		},
-		"refused without D": {
-			jobs: with(func(j *Job) { j.Code = codeRejected }),
-			want: "without a time",
+		"rejected without field D": {
+			jobs: jobWith(func(j *Job) { j.Code = codeRejected }),
+			want: "without a retry time",
 		},
-		"failed, whole": {
-			jobs: with(func(j *Job) { j.Code = codeFailed }),
+		"failed, received completely": {
+			jobs: jobWith(func(j *Job) { j.Code = codeFailed }),
 			logs: []Log{{Member: "a", Received: []Received{{"j", at(10)}}}},
 		},
 		"failed, never sent": {
-			jobs: with(func(j *Job) { j.Code = codeFailed }),
-			logs: []Log{run("a", 10)}[:0],
-			want: "came whole to no machine",
+			jobs: jobWith(func(j *Job) { j.Code = codeFailed }),
+			logs: []Log{logOfRun("a", 10)}[:0],
+			want: "failed, but no endpoint received it completely",
 		},
-		"failed, one ended": {
-			jobs: with(func(j *Job) { j.Code = codeFailed }),
-			logs: []Log{stop},
+		"failed, an endpoint stopped": {
+			jobs: jobWith(func(j *Job) { j.Code = codeFailed }),
+			logs: []Log{logOfStop},
 		},
-		"failed, ended before": {
-			jobs: with(func(j *Job) {
+		"failed, an endpoint stopped before": {
+			jobs: jobWith(func(j *Job) {
 				j.Code = codeFailed
 				j.Sent = at(101)
 			}),
-			logs: []Log{stop},
-			want: "came whole to no machine",
+			logs: []Log{logOfStop},
+			want: "failed, but no endpoint received it completely",
 		},
-		"failed, ended after": {
-			jobs: with(func(j *Job) {
+		"failed, an endpoint stopped after": {
+			jobs: jobWith(func(j *Job) {
 				j.Code = codeFailed
 				j.Answered = at(99)
 			}),
-			logs: []Log{stop},
-			want: "came whole to no machine",
+			logs: []Log{logOfStop},
+			want: "failed, but no endpoint received it completely",
 		},
-		"other code": {
-			jobs: with(func(j *Job) { j.Code = "XX000" }),
-			want: "ended in XX000",
+		"unknown SQLSTATE": {
+			jobs: jobWith(func(j *Job) { j.Code = "XX000" }),
+			want: "ended with SQLSTATE XX000",
 		},
 	})
 }
 
-// An answer may break off only where an endpoint stopped meanwhile, behind a run.
+// A response may be truncated only if an endpoint stopped while the job was open and the job was executed.
 func TestTruncatedAnswers(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
-		"cut, one ended": {
-			jobs: with(func(j *Job) {
+		"truncated, an endpoint stopped": {
+			jobs: jobWith(func(j *Job) {
 				j.Truncated = true
 				j.Answers = 0
 			}),
-			logs: []Log{run("a", 10), stop},
+			logs: []Log{logOfRun("a", 10), logOfStop},
 		},
-		"cut, none ended": {
-			jobs: with(func(j *Job) {
+		"truncated, no endpoint stopped": {
+			jobs: jobWith(func(j *Job) {
 				j.Truncated = true
 				j.Answers = 0
 			}),
-			logs: []Log{run("a", 10)},
-			want: "was cut off",
+			logs: []Log{logOfRun("a", 10)},
+			want: "got a truncated answer",
 		},
-		"cut, never ran": {
-			jobs: with(func(j *Job) {
+		"truncated, never ran": {
+			jobs: jobWith(func(j *Job) {
 				j.Truncated = true
 				j.Answers = 0
 			}),
-			logs: []Log{stop},
-			want: "was cut off",
+			logs: []Log{logOfStop},
+			want: "got a truncated answer",
 		},
 	})
 }
 
-// A draining endpoint gets no new write once its notice has had time to arrive.
+// A draining endpoint executes no new write once the router has had drainLimit to learn about the drain.
 func TestDrains(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
-		"drained": {
-			jobs: with(func(j *Job) {
+		"draining": {
+			jobs: jobWith(func(j *Job) {
 				j.Sent = at(2000)
 				j.Answered = at(2500)
 			}),
-			logs:   []Log{run("a", 2101)},
+			logs:   []Log{logOfRun("a", 2101)},
 			drains: []Drain{{Member: "a", From: at(100)}},
-			want:   "after its drain",
+			want:   "after the start of its drain",
 		},
-		"drained elsewhere": {
-			jobs: with(func(j *Job) {
+		"another endpoint draining": {
+			jobs: jobWith(func(j *Job) {
 				j.Sent = at(2000)
 				j.Answered = at(2500)
 			}),
-			logs:   []Log{run("a", 2101)},
+			logs:   []Log{logOfRun("a", 2101)},
 			drains: []Drain{{Member: "b", From: at(100)}},
 		},
-		"drained until": {
-			jobs: with(func(j *Job) {
+		"drain is over": {
+			jobs: jobWith(func(j *Job) {
 				j.Sent = at(2000)
 				j.Answered = at(2500)
 			}),
-			logs:   []Log{run("a", 2101)},
+			logs:   []Log{logOfRun("a", 2101)},
 			drains: []Drain{{Member: "a", From: at(0), Until: at(2050)}},
 		},
 	})
 }
 
-// A read that only a primary may answer was answered by one, or by one that was until then.
+// A read that only a primary may answer is answered by the primary, or by an endpoint that was demoted while the read
+// was open.
 func TestFreshReads(t *testing.T) {
 	checkBreaches(t, map[string]breachCase{
-		"fresh": {
-			jobs: with(func(j *Job) {
+		"primary": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "a"
 			}),
-			logs: []Log{run("a", 10)}[:1],
+			logs: []Log{logOfRun("a", 10)}[:1],
 		},
-		"stale, it yielded": {
-			jobs: with(func(j *Job) {
+		"demoted while open": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "b"
 			}),
 			logs: []Log{{Member: "b", Demotions: []time.Time{at(10)}}},
 		},
-		"stale, yielded before": {
-			jobs: with(func(j *Job) {
+		"demoted before": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "b"
 				j.Sent = at(11)
 			}),
 			logs: []Log{{Member: "b", Demotions: []time.Time{at(10)}}},
-			want: "did not lead",
+			want: "which was not the primary",
 		},
-		"stale, yielded after": {
-			jobs: with(func(j *Job) {
+		"demoted after": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "b"
 			}),
 			logs: []Log{{Member: "b", Demotions: []time.Time{at(501)}}},
-			want: "did not lead",
+			want: "which was not the primary",
 		},
-		"stale, another yielded": {
-			jobs: with(func(j *Job) {
+		"another endpoint demoted": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "b"
 			}),
 			logs: []Log{{Member: "a", Demotions: []time.Time{at(10)}}},
-			want: "did not lead",
+			want: "which was not the primary",
 		},
-		"stale": {
-			jobs: with(func(j *Job) {
+		"replica": {
+			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
 				j.Value = "b"
 			}),
-			logs: []Log{run("a", 10)}[:1],
-			want: "did not lead",
+			logs: []Log{logOfRun("a", 10)}[:1],
+			want: "which was not the primary",
 		},
 	})
 }
--- a/internal/testserver/check/secret.go
+++ b/internal/testserver/check/secret.go
@@ -9,11 +9,12 @@
 	"strings"
 )
 
-// base64Layers is how often a secret may be encoded in base64, one over the other: a value in an entry of a log.
+// base64Layers is how many nested base64 encodings of a secret are searched for. Two occur where a value that is
+// encoded is stored in a log entry that is encoded again.
 const base64Layers = 2
 
-// HoldsSecret says whether content holds a secret in any form in which Go's packages write bytes: as they are, in
-// hexadecimal, as numbers, or as a string of JSON, each of them also in base64.
+// HoldsSecret reports whether content contains secret in any form in which Go's packages write bytes: raw, in
+// hexadecimal, as a list of numbers, or as a JSON string, each of them also in base64.
 func HoldsSecret(content, secret []byte) bool {
 	numbers := strings.Trim(fmt.Sprintf("%d", secret), "[]")
 	quoted, _ := json.Marshal(string(secret)) // a string can always be encoded
@@ -35,8 +36,8 @@
 	return false
 }
 
-// HoldsText says whether content holds a text, as it is or encoded in base64 up to so many times. Of an encoded text
-// the part is looked for that does not depend on what stands around it.
+// HoldsText reports whether content contains text, either raw or in base64 encodings nested up to times deep. In an
+// encoding it searches for the part of text whose digits do not depend on the bytes around text.
 func HoldsText(content []byte, text string, times int) bool {
 	if bytes.Contains(content, []byte(text)) {
 		return true
@@ -44,7 +45,7 @@
 	if times == 0 {
 		return false
 	}
-	const group = 3 // bytes that four digits of base64 stand for
+	const group = 3 // bytes that four base64 digits encode
 	for skipped := range group {
 		whole := text[skipped : skipped+(len(text)-skipped)/group*group]
 		if HoldsText(content, base64.StdEncoding.EncodeToString([]byte(whole)), times-1) {
--- a/internal/testserver/check/secret_test.go
+++ b/internal/testserver/check/secret_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Whatever stands around a secret, and however it is written, it is found; other bytes are not.
+// HoldsSecret finds a secret in each form and at each offset, and does not find another secret of the same length.
 func TestHoldsSecret(t *testing.T) {
 	var secret, other [32]byte
 	for i := range secret {
@@ -23,17 +23,17 @@
 		encoded := text
 		for range base64Layers + 1 {
 			if !HoldsSecret(encoded, secret[:]) {
-				t.Errorf("not found behind %d bytes in %s", before, encoded)
+				t.Errorf("secret after %d bytes: not found in %s", before, encoded)
 			}
 			if HoldsSecret(encoded, other[:]) {
-				t.Errorf("another one found behind %d bytes in %s", before, encoded)
+				t.Errorf("secret after %d bytes: found another secret, which is not in %s", before, encoded)
 			}
 			encoded = []byte(base64.StdEncoding.EncodeToString(encoded))
 		}
 	}
 	for _, format := range []string{"%v", "%+v", "%#v", "%x", "%X", "%s"} {
 		if text := fmt.Sprintf(format, secret[:]); !HoldsSecret([]byte(text), secret[:]) {
-			t.Errorf("%s: not found in %s", format, text)
+			t.Errorf("secret written with %s: not found in %s", format, text)
 		}
 	}
 }
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -12,18 +12,18 @@
 const (
 	maxResponse     = 8 << 20
 	responseTimeout = 20 * time.Second
-	startupTimeout  = 3 * time.Second // of TryDial, until anything comes
+	startupTimeout  = 3 * time.Second // from TryDial's startup message to the first byte of the response
 	readBufferSize  = 4096
 )
 
-// Client is a client of the router.
+// Client is a client connection to a router or to a test server.
 type Client struct {
 	tb     testing.TB
 	conn   net.Conn
 	reader *pgwire.Reader
 }
 
-// Dial connects and waits for the end of the startup.
+// Dial connects to addr and waits until the startup is complete. A rejected startup fails the test.
 func Dial(tb testing.TB, addr string) *Client {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -34,12 +34,12 @@
 	client := &Client{tb: tb, conn: conn, reader: pgwire.NewReader(maxResponse, 0)}
 	client.Send(pgwire.AppendStartup(nil, "user", "portal", "database", "crm"))
 	if answer := client.Until('Z'); answer.Code != "" {
-		tb.Fatalf("not welcome: %+v", answer)
+		tb.Fatalf("startup rejected: got %+v, expected no error", answer)
 	}
 	return client
 }
 
-// TryDial is Dial at a router that may take no clients: it returns an error where the startup has no end.
+// TryDial is like Dial, but returns an error if the server does not complete the startup.
 func TryDial(tb testing.TB, addr string) (*Client, error) {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -51,7 +51,7 @@
 	if err := client.Write(pgwire.AppendStartup(nil, "user", "portal", "database", "crm")); err != nil {
 		return nil, err
 	}
-	// A connection may wait in the queue of a socket that no process accepts from any more.
+	// The connection may be in the backlog of a socket from which no process accepts any more.
 	conn.SetReadDeadline(time.Now().Add(startupTimeout))
 	var first [1]byte
 	if _, err := conn.Read(first[:]); err != nil {
@@ -61,15 +61,15 @@
 	client.reader.Feed(first[:])
 	if answer := client.Until('Z'); answer.Ended || answer.Code != "" {
 		conn.Close()
-		return nil, errNotWelcome
+		return nil, errStartupRejected
 	}
 	return client, nil
 }
 
-// errNotWelcome says that the router has refused a connection or closed it.
-var errNotWelcome = errors.New("not welcome")
+// errStartupRejected is returned when the server answers the startup with an error or closes the connection.
+var errStartupRejected = errors.New("startup rejected")
 
-// Send writes p.
+// Send writes p and fails the test on an error.
 func (c *Client) Send(p []byte) {
 	c.tb.Helper()
 	if err := c.Write(p); err != nil {
@@ -77,26 +77,27 @@
 	}
 }
 
-// Write writes p to a router that may have closed the connection.
+// Write writes p. The server may have closed the connection, so an error is returned and does not fail the test.
 func (c *Client) Write(p []byte) error {
 	_, err := c.conn.Write(p)
 	return err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { c.conn.Close() }
 
-// Answer is what came up to a message.
+// Answer is the response that Client.Until has read.
 type Answer struct {
-	Types     string // of all messages but ParameterStatus
-	Code      string // of the last error
-	Detail    string // its field D
-	Value     string // of the last row
-	Ended     bool   // the connection ended instead,
-	Truncated bool   // and part of an answer had come
+	Types     string // message types in order of arrival, without ParameterStatus
+	Code      string // SQLSTATE of the last ErrorResponse, "" = none
+	Detail    string // field D of the last ErrorResponse
+	Value     string // first column of the last row
+	Ended     bool   // the connection ended before the awaited message
+	Truncated bool   // the connection ended after part of the response had arrived
 }
 
-// Until reads up to a message of the given type, or to the end of the connection.
+// Until reads until a message of type typ has arrived or the connection has ended. It fails the test if neither happens
+// within responseTimeout.
 func (c *Client) Until(typ byte) (answer Answer) {
 	c.tb.Helper()
 	buf := make([]byte, readBufferSize)
@@ -116,7 +117,7 @@
 		n, err := c.conn.Read(buf)
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() {
-			c.tb.Fatalf("no answer, after %q", answer.Types)
+			c.tb.Fatalf("timed out: got messages %q, expected one of the awaited type", answer.Types)
 		}
 		if err != nil {
 			answer.Ended = true
@@ -127,7 +128,7 @@
 	}
 }
 
-// add takes one message of the answer.
+// add adds one message to answer.
 func (c *Client) add(answer *Answer, m pgwire.Message) {
 	c.tb.Helper()
 	switch m.Type {
--- a/internal/testserver/collector/certs.go
+++ b/internal/testserver/collector/certs.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// clockSkew is how far the clock of a peer may be behind.
+	// clockSkew is how far a peer's clock may be behind: certificates are valid from that long ago.
 	clockSkew         = time.Hour
 	authorityLifetime = 24 * time.Hour
 )
 
-// Authority signs the certificates of a test; it lives in memory alone.
+// Authority is a certificate authority for tests. Its key is kept in memory only.
 type Authority struct {
 	cert       *x509.Certificate
 	key        *ecdsa.PrivateKey
@@ -28,7 +28,7 @@
 	nextSerial int64
 }
 
-// NewAuthority makes an authority with a key of its own.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	a := &Authority{Pool: x509.NewCertPool()}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -59,7 +59,8 @@
 	return a, nil
 }
 
-// Issue makes a certificate for 127.0.0.1 and a name, valid until that time, as PEM and ready for use.
+// Issue returns a certificate for 127.0.0.1 and a DNS name, valid up to the given time, together with the PEM
+// encodings of the certificate and its key.
 func (a *Authority) Issue(name string, until time.Time) (cert tls.Certificate, certPEM, keyPEM []byte, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/testserver/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -1,9 +1,10 @@
-// Package collector is a fake syslog collector on loopback: UDP, TCP with octet counts, and TLS. It can be slow, stop
-// reading, close midway, refuse, hang in the handshake, and come back at the same address.
+// Package collector provides a fake syslog collector on loopback for UDP, TCP with octet counting, and TLS. It can be
+// slow, stop reading, close connections midway, refuse connections, hang in the TLS handshake, and restart at the same
+// address.
 //
-// It owns the messages that it has received, as they came, and the count of those that the system dropped. It checks
-// the framing alone and never reads a message's content. It accepts on one goroutine and reads each connection on
-// another one; Stop returns when all of them have ended.
+// It owns the messages that it has received, unchanged, and the count of datagrams that the kernel dropped. It checks
+// the framing but never reads a message's content. It accepts connections on one goroutine and reads each connection on
+// another; Stop returns when all of them have ended.
 package collector
 
 import (
@@ -21,49 +22,49 @@
 	"limeladder/internal/syslog/parser"
 )
 
-// Options say how a collector behaves.
+// Options configure how a collector behaves.
 type Options struct {
-	Network    string // udp, tcp or tls
-	Address    string // "" = a loopback port that the kernel picks
+	Network    string // "udp", "tcp" or "tls"
+	Address    string // "" = a loopback port that the kernel chooses
 	TLS        *tls.Config
-	MaxMessage int           // bytes of the longest message, 0 = 1 MiB
-	Keep       func([]byte)  // called with each message, one at a time; nil = they are kept for Messages
-	Pause      time.Duration // it waits so long behind each message
-	CloseAfter int           // it closes a connection behind so many messages of it, 0 = never
-	Abrupt     bool          // with After and Stop: without having read what has come
-	Silent     bool          // it accepts, and never reads; with TLS the handshake never ends
+	MaxMessage int           // maximum length of a message in bytes, 0 = 1 MiB
+	Keep       func([]byte)  // called with each message, one at a time; nil = messages are kept for Messages
+	Pause      time.Duration // time to wait after each message
+	CloseAfter int           // close a connection after this many messages, 0 = never
+	Abrupt     bool          // CloseAfter and Stop reset connections and discard unread input
+	Silent     bool          // accept connections but never read; a TLS handshake never completes
 }
 
-// settle is how long no datagram comes before a collector that stops closes its socket.
-const settle = 20 * time.Millisecond
+// quietPeriod is how long no datagram must have arrived before a stopping collector closes its socket.
+const quietPeriod = 20 * time.Millisecond
 
 const (
 	defaultMaxMessage = 1 << 20
 	maxDatagram       = 64 << 10
-	// socketBuffer is what a datagram socket asks the system for, so that a burst is not dropped.
+	// socketBuffer is the receive buffer in bytes that a datagram socket requests, so that the kernel drops no burst.
 	socketBuffer = 8 << 20
-	// closeTimeout is how long a collector that stops in order reads what its peers still send.
+	// closeTimeout is how long a collector that stops gracefully reads what its peers still send.
 	closeTimeout = 5 * time.Second
-	// silentInterval is how often a silent connection looks whether the collector has stopped.
+	// silentInterval is the interval at which a silent connection checks whether the collector has stopped.
 	silentInterval = 5 * time.Millisecond
 )
 
-// Collector is a server that keeps the messages it receives.
+// Collector is a syslog server that keeps the messages it receives.
 type Collector struct {
-	opt   Options
-	addr  string
-	conns atomic.Int64
-	got   atomic.Int64
+	options  Options
+	addr     string
+	accepted atomic.Int64
+	received atomic.Int64
 
 	mu         sync.Mutex
-	msgs       [][]byte
+	messages   [][]byte
 	fault      error
 	listener   net.Listener
 	packetConn net.PacketConn
-	open       map[net.Conn]bool
-	dropped    int // by sockets that are closed
+	openConns  map[net.Conn]bool
+	dropped    int // datagrams dropped at sockets that are closed by now
 	stopped    bool
-	paused     chan struct{} // not nil = it reads nothing until this is closed
+	paused     chan struct{} // not nil while the collector hangs; closed when it continues
 	handlers   sync.WaitGroup
 }
 
@@ -75,11 +76,11 @@
 	if opt.MaxMessage == 0 {
 		opt.MaxMessage = defaultMaxMessage
 	}
-	c := &Collector{opt: opt, open: map[net.Conn]bool{}}
+	c := &Collector{options: opt, openConns: map[net.Conn]bool{}}
 	return c, c.Start()
 }
 
-// Start lets it come back at its address. It does nothing where it runs.
+// Start starts the collector, after a Stop at the same address as before. It does nothing if the collector is running.
 func (c *Collector) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,11 +88,11 @@
 		return nil
 	}
 	c.stopped = false
-	addr := c.opt.Address
+	addr := c.options.Address
 	if c.addr != "" {
 		addr = c.addr
 	}
-	if c.opt.Network == "udp" {
+	if c.options.Network == "udp" {
 		return c.startPackets(addr)
 	}
 	return c.startListener(addr)
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// Stop ends it: nobody takes what is sent. In order, it reads all that has come until its peers close, unless Abrupt is
-// set.
+// Stop stops the collector and refuses further connections. Unless Abrupt is set, it first reads everything that its
+// peers have sent until they close their connections, for at most closeTimeout.
 func (c *Collector) Stop() {
 	c.mu.Lock()
 	c.stopped = true
@@ -131,11 +132,11 @@
 		c.listener.Close()
 	}
 	if c.packetConn != nil {
-		c.packetConn.SetReadDeadline(time.Now().Add(settle)) // what has come is read first
+		c.packetConn.SetReadDeadline(time.Now().Add(quietPeriod)) // datagrams that have arrived are read first
 	}
 	c.listener = nil
 	c.packetConn = nil
-	for conn := range c.open {
+	for conn := range c.openConns {
 		c.closeConn(conn)
 	}
 	paused := c.paused
@@ -147,27 +148,27 @@
 	c.handlers.Wait()
 }
 
-// closeConn closes a connection: abruptly, so that what was not read is lost and the peer gets a reset; or its own side
-// only, and what still comes is read to the end.
+// closeConn closes a connection. With Abrupt it discards unread input and the peer gets a reset. Otherwise it closes
+// the write side only, so that the remaining input can be read.
 func (c *Collector) closeConn(conn net.Conn) {
 	raw := conn
 	if t, ok := conn.(*tls.Conn); ok {
 		raw = t.NetConn()
 	}
 	tcp := raw.(*net.TCPConn)
-	if c.opt.Abrupt {
+	if c.options.Abrupt {
 		tcp.SetLinger(0)
 		tcp.Close()
 		return
 	}
 	if t, ok := conn.(*tls.Conn); ok {
-		_ = t.CloseWrite() // the peer may have gone, which the reads that follow show
+		_ = t.CloseWrite() // the peer may have disconnected, which the following reads report
 	}
 	tcp.CloseWrite()
 	tcp.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// Hang makes it read nothing until the returned function is called.
+// Hang makes the collector read nothing until the returned function is called.
 func (c *Collector) Hang() (goOn func()) {
 	paused := make(chan struct{})
 	c.mu.Lock()
@@ -186,7 +187,7 @@
 	})
 }
 
-// blockWhilePaused returns once the collector may read.
+// blockWhilePaused returns when the collector no longer hangs.
 func (c *Collector) blockWhilePaused() {
 	c.mu.Lock()
 	paused := c.paused
@@ -196,43 +197,43 @@
 	}
 }
 
-// Address is where it listens.
+// Address returns the host and port at which the collector listens.
 func (c *Collector) Address() string { return c.addr }
 
-// URL is the same as the operators' file writes it.
-func (c *Collector) URL() string { return c.opt.Network + "://" + c.addr }
+// URL returns the address in the form used in the operator's settings file: network://host:port.
+func (c *Collector) URL() string { return c.options.Network + "://" + c.addr }
 
-// Messages returns what has come so far.
+// Messages returns the messages received so far.
 func (c *Collector) Messages() [][]byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([][]byte(nil), c.msgs...)
+	return append([][]byte(nil), c.messages...)
 }
 
-// Received is how many messages have come.
-func (c *Collector) Received() int { return int(c.got.Load()) }
+// Received returns the number of messages received.
+func (c *Collector) Received() int { return int(c.received.Load()) }
 
-// Connections is how many connections have come.
-func (c *Collector) Connections() int { return int(c.conns.Load()) }
+// Connections returns the number of connections accepted.
+func (c *Collector) Connections() int { return int(c.accepted.Load()) }
 
-// Fault is the first breach of the framing that was met.
+// Fault returns the first framing error, nil if there was none.
 func (c *Collector) Fault() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fault
 }
 
-func (c *Collector) keep(p []byte) {
-	c.got.Add(1)
+func (c *Collector) record(p []byte) {
+	c.received.Add(1)
 	c.mu.Lock()
-	if c.opt.Keep != nil {
-		c.opt.Keep(p)
+	if c.options.Keep != nil {
+		c.options.Keep(p)
 	} else {
-		c.msgs = append(c.msgs, p)
+		c.messages = append(c.messages, p)
 	}
 	c.mu.Unlock()
-	if c.opt.Pause > 0 {
-		time.Sleep(c.opt.Pause)
+	if c.options.Pause > 0 {
+		time.Sleep(c.options.Pause)
 	}
 }
 
@@ -249,28 +250,29 @@
 		}
 		c.mu.Lock()
 		if c.stopped {
-			pc.SetReadDeadline(time.Now().Add(settle))
+			pc.SetReadDeadline(time.Now().Add(quietPeriod))
 		}
 		c.mu.Unlock()
-		c.keep(append([]byte(nil), buf[:n]...))
+		c.record(append([]byte(nil), buf[:n]...))
 	}
 }
 
-// drainSocket takes what still lies in a socket that stops, since a deadline that is over tells nothing of what has
-// come: on a busy machine its reader may not have run. Then it notes what the system had no room for.
+// drainSocket reads the datagrams that are still queued at the socket of a stopping collector, and then counts those
+// that the kernel dropped. The read deadline may expire while datagrams are queued: on a busy machine the reading
+// goroutine may not have run in time.
 func (c *Collector) drainSocket(pc *net.UDPConn, buf []byte) {
 	raw, err := pc.SyscallConn()
 	if err != nil {
 		return
 	}
-	// It fails on a socket that is closed, and nothing is left to take from that.
+	// It fails only on a closed socket, which has nothing left to read.
 	_ = raw.Control(func(fd uintptr) {
 		for {
 			n, _, err := syscall.Recvfrom(int(fd), buf, syscall.MSG_DONTWAIT)
 			if err != nil {
 				return
 			}
-			c.keep(append([]byte(nil), buf[:n]...))
+			c.record(append([]byte(nil), buf[:n]...))
 		}
 	})
 	n := socketDrops(pc)
@@ -279,7 +281,7 @@
 	c.mu.Unlock()
 }
 
-// Dropped is how many datagrams the system threw away because the collector had not read those before them.
+// Dropped returns the number of datagrams that the kernel dropped because the socket's receive buffer was full.
 func (c *Collector) Dropped() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,19 +292,19 @@
 	return n
 }
 
-// The socket option that tells a socket's memory, and the place of the drops in it.
+// The socket option that returns a socket's memory counters, and the index of the drop count among them.
 const (
 	socketMemInfo = 55 // SO_MEMINFO
 	dropsIndex    = 8  // SK_MEMINFO_DROPS
 )
 
-// socketDrops is the system's count of datagrams that one socket had no room for.
+// socketDrops returns the kernel's count of datagrams dropped at a socket, 0 if the socket is closed.
 func socketDrops(pc *net.UDPConn) (n int) {
 	raw, err := pc.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	// It fails on a socket that is closed, whose drops were counted when it closed.
+	// It fails only on a closed socket, whose drops were counted before it was closed.
 	_ = raw.Control(func(fd uintptr) {
 		var info [dropsIndex + 1]uint32
 		size := uint32(unsafe.Sizeof(info))
@@ -322,9 +324,9 @@
 		if err != nil {
 			return
 		}
-		c.conns.Add(1)
-		if c.opt.Network == "tls" && !c.opt.Silent {
-			conn = tls.Server(conn, c.opt.TLS)
+		c.accepted.Add(1)
+		if c.options.Network == "tls" && !c.options.Silent {
+			conn = tls.Server(conn, c.options.TLS)
 		}
 		if !c.register(conn) {
 			conn.Close()
@@ -334,21 +336,21 @@
 	}
 }
 
-// register adds a connection. It says no where the collector has stopped meanwhile.
+// register adds a connection. It returns false if the collector has stopped meanwhile.
 func (c *Collector) register(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
 		return false
 	}
-	c.open[conn] = true
+	c.openConns[conn] = true
 	c.handlers.Add(1)
 	return true
 }
 
 func (c *Collector) remove(conn net.Conn) {
 	c.mu.Lock()
-	delete(c.open, conn)
+	delete(c.openConns, conn)
 	c.mu.Unlock()
 	conn.Close()
 }
@@ -356,11 +358,11 @@
 func (c *Collector) serve(conn net.Conn) {
 	defer c.handlers.Done()
 	defer c.remove(conn)
-	if c.opt.Silent {
+	if c.options.Silent {
 		c.blockUntilStopped()
 		return
 	}
-	frames := parser.NewFrames(conn, c.opt.MaxMessage)
+	frames := parser.NewFrames(conn, c.options.MaxMessage)
 	for n := 1; ; n++ {
 		c.blockWhilePaused()
 		message, err := frames.Next()
@@ -368,12 +370,12 @@
 			c.noteFault(err)
 			return
 		}
-		c.keep(message)
-		if n != c.opt.CloseAfter {
+		c.record(message)
+		if n != c.options.CloseAfter {
 			continue
 		}
 		c.closeConn(conn)
-		if c.opt.Abrupt {
+		if c.options.Abrupt {
 			return
 		}
 	}
@@ -392,8 +394,8 @@
 	}
 }
 
-// noteFault keeps the first breach of the framing. A message that the connection's end cuts off is none: it comes again
-// on another connection.
+// noteFault records the first framing error. A message that the end of its connection truncates is not an error: the
+// sender repeats it on another connection.
 func (c *Collector) noteFault(err error) {
 	if !errors.Is(err, parser.ErrFrame) && !errors.Is(err, parser.ErrLong) {
 		return
@@ -405,7 +407,7 @@
 	}
 }
 
-// Write writes what has come as a file with octet counts, as a collector would keep it.
+// Write writes the received messages to w with octet counting, as a collector's file has them.
 func (c *Collector) Write(w io.Writer) error {
 	for _, p := range c.Messages() {
 		if _, err := fmt.Fprintf(w, "%d %s", len(p), p); err != nil {
--- a/internal/testserver/discovery_agent.go
+++ b/internal/testserver/discovery_agent.go
@@ -15,30 +15,30 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// silentRecheck is how long a silent agent waits before it looks again whether it is still silent; a change of how it
-	// answers ends the wait at once.
+	// silentRecheck is the interval at which a call to a silent agent checks whether the agent still is silent. A change
+	// of the agent's behaviour ends the wait immediately.
 	silentRecheck = time.Hour
 )
 
-// Agent is what discovery pushes endpoint lists to, on a router's own machine. It answers at once with what it has been
-// sent, and a watch once it has something newer.
+// Agent is a fake of the local agent to which discovery pushes endpoint lists and which a router polls on its own
+// machine. It answers a poll immediately with the entries that it holds, and a watch as soon as it has a newer version.
 type Agent struct {
 	Addr string
 
-	mu          sync.Mutex
-	server      *http.Server
-	entries     []config.EndpointEntry
-	changedAt   map[string]int64 // of each endpoint: the version that changed it last
-	version     int64
-	changed     chan struct{} // closed at the next change
-	silent      bool          // it takes calls and says nothing
-	failStatus  int           // every call gets this status, 0 = none does
-	hasty       bool          // watches do not wait
-	calls       int
-	stateSentAt map[string]map[string]time.Time // of each endpoint and state: when it was sent
+	mu           sync.Mutex
+	server       *http.Server
+	entries      []config.EndpointEntry
+	changedAt    map[string]int64 // by endpoint: the version that changed it last
+	version      int64
+	changed      chan struct{} // closed at the next change
+	silent       bool          // calls are accepted and not answered
+	failStatus   int           // HTTP status of every response, 0 = calls are answered normally
+	answerAtOnce bool          // watches are answered without waiting for a newer version
+	calls        int
+	stateSentAt  map[string]map[string]time.Time // by endpoint and state: when it was last pushed
 }
 
-// NewAgent starts an agent that has been sent these entries.
+// NewAgent starts an agent that holds the given entries.
 func NewAgent(entries ...config.EndpointEntry) (*Agent, error) {
 	a := &Agent{
 		Addr:        "127.0.0.1:0",
@@ -50,7 +50,7 @@
 	return a, a.Start()
 }
 
-// Start lets it come back at its address.
+// Start starts the agent, after a Stop at the same address as before.
 func (a *Agent) Start() error {
 	listener, err := net.Listen("tcp", a.Addr)
 	if err != nil {
@@ -61,19 +61,19 @@
 	a.Addr = listener.Addr().String()
 	a.server = server
 	a.mu.Unlock()
-	go func() { _ = server.Serve(listener) }() // it ends when the agent is stopped
+	go func() { _ = server.Serve(listener) }() // returns when the agent is stopped
 	return nil
 }
 
-// Stop ends it and all its connections; it keeps what it was sent.
+// Stop closes the agent's listener and connections. The agent keeps its entries.
 func (a *Agent) Stop() {
 	a.mu.Lock()
 	server := a.server
 	a.mu.Unlock()
-	_ = server.Close() // its only error is that of a listener that is closed
+	_ = server.Close() // it fails only on a listener that is closed already
 }
 
-// Push sends it changes: from now on they count as notified.
+// Push adds or replaces the given endpoints' entries and records the current time as the one at which they were sent.
 func (a *Agent) Push(entries ...config.EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,7 +89,7 @@
 	a.notify()
 }
 
-// replace puts the entry in the place of the endpoint's earlier one, or behind the others.
+// replace replaces the endpoint's earlier entry, or appends the entry if there is none.
 func (a *Agent) replace(entry config.EndpointEntry) {
 	for i := range a.entries {
 		if a.entries[i].ID == entry.ID {
@@ -100,22 +100,22 @@
 	a.entries = append(a.entries, entry)
 }
 
-// notify wakes the calls that wait for a change. The mutex is held.
+// notify wakes the calls that wait for a change. The caller holds a.mu.
 func (a *Agent) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Silent lets it take calls without an answer, or answer again.
+// Silent sets whether the agent accepts calls without answering them.
 func (a *Agent) Silent(on bool) { a.configure(func() { a.silent = on }) }
 
-// FailWith lets it answer each call with a status, 0 = as it should.
+// FailWith makes the agent answer each call with an HTTP status; 0 restores normal answers.
 func (a *Agent) FailWith(status int) { a.configure(func() { a.failStatus = status }) }
 
-// AnswerAtOnce lets it answer watches at once, whatever it has.
-func (a *Agent) AnswerAtOnce(on bool) { a.configure(func() { a.hasty = on }) }
+// AnswerAtOnce sets whether watches are answered immediately, even without a newer version.
+func (a *Agent) AnswerAtOnce(on bool) { a.configure(func() { a.answerAtOnce = on }) }
 
-// configure changes how it answers; calls that are in flight meet the change too.
+// configure changes how the agent answers. The change also applies to calls in flight.
 func (a *Agent) configure(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,31 +123,31 @@
 	a.notify()
 }
 
-// Calls is how many calls have come.
+// Calls returns the number of calls received.
 func (a *Agent) Calls() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
 }
 
-// SentAt is when it was sent that an endpoint is in a state; zero = it was not.
+// SentAt returns when an endpoint was last pushed with the given state, or the zero time if it never was.
 func (a *Agent) SentAt(id, state string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.stateSentAt[id][state]
 }
 
-// pollRequest is a poll of the endpoint list or a watch on it.
+// pollRequest is a call of a router: a poll of the endpoint list or a watch on it.
 type pollRequest struct {
-	watch bool  // it waits for a version
-	index int64 // above this one,
-	end   time.Time
+	watch bool      // the call waits for a version above index
+	index int64     // the newest version that the caller knows
+	end   time.Time // when a watch is answered at the latest
 }
 
 func parsePollRequest(r *http.Request) pollRequest {
 	query := r.URL.Query()
 	index, err := strconv.ParseInt(query.Get("index"), 10, 64)
-	ms, _ := strconv.Atoi(query.Get("wait")) // a call without it doesn't wait
+	ms, _ := strconv.Atoi(query.Get("wait")) // 0 if the parameter is missing: the call does not wait
 	return pollRequest{
 		watch: err == nil,
 		index: index,
@@ -174,11 +174,11 @@
 			list.Endpoints = append(list.Endpoints, entry)
 		}
 	}
-	_ = json.NewEncoder(w).Encode(list) // the caller may have gone meanwhile
+	_ = json.NewEncoder(w).Encode(list) // the caller may have disconnected
 }
 
-// blockUntilDue waits until the call is to be answered, and says no when its caller has gone. The mutex is held before
-// and behind it, and free while it waits.
+// blockUntilDue waits until the call is due to be answered. It returns false if the caller disconnects first. The
+// caller holds a.mu, which is released while blockUntilDue waits.
 func (a *Agent) blockUntilDue(ctx context.Context, poll pollRequest) bool {
 	for !a.due(poll) {
 		wait := time.Until(poll.end)
@@ -202,12 +202,12 @@
 	return true
 }
 
-// due says whether the call is answered now.
+// due reports whether the call is to be answered now.
 func (a *Agent) due(poll pollRequest) bool {
 	switch {
 	case a.silent:
 		return false
-	case a.failStatus > 0, a.hasty:
+	case a.failStatus > 0, a.answerAtOnce:
 		return true
 	case !poll.watch, a.version > poll.index:
 		return true
--- a/internal/testserver/server.go
+++ b/internal/testserver/server.go
@@ -11,38 +11,38 @@
 	"limeladder/internal/testserver/check"
 )
 
-// Act is what an endpoint does when a message has come.
+// Act is what an endpoint does on receipt of a message. The zero value is a normal response.
 type Act struct {
-	Break      bool   // it ends the connection
-	Silent     bool   // it says nothing more on it
-	Code       string // it answers with this error
-	TruncateAt int    // of the answer that is next it sends this many bytes and ends the connection
-	Fatal      bool   // the error is fatal: the connection ends behind it
-	Delay      time.Duration
-	Corrupt    func(answer []byte) []byte // changes the answer before it is sent
-	Trailing   []byte                     // it sends this behind the answer, in a segment of its own
-	Pause      time.Duration              // before that, in place of a short one
-	CloseAfter bool                       // it ends the connection behind the answer
-}
-
-// DB is an endpoint: a database server that answers and counts.
+	Break      bool                       // close the connection without a response
+	Silent     bool                       // send nothing more on the connection, which stays open
+	Code       string                     // SQLSTATE of an error to answer with, "" = none
+	TruncateAt int                        // close the connection after this many bytes of the next response, 0 = never
+	Fatal      bool                       // the error of Code is fatal: close the connection after it
+	Delay      time.Duration              // time to wait before the message is handled
+	Corrupt    func(answer []byte) []byte // changes the response before it is sent
+	Trailing   []byte                     // sent after the response, in a segment of its own
+	Pause      time.Duration              // wait between response and Trailing, at least segmentPause
+	CloseAfter bool                       // close the connection after the response
+}
+
+// DB is a fake endpoint: a database server that answers statements and records which ones it received and executed.
 type DB struct {
 	Addr string
 
 	mu           sync.Mutex
-	listener     net.Listener // nil = it is stopped
+	listener     net.Listener // nil = the endpoint is stopped
 	primary      bool
 	act          func(typ byte, id string) Act
 	runs         map[string]int
 	log          check.Log
-	responseSize int               // bytes of each answer
-	conns        map[net.Conn]bool // of those that are open: whether it still works on them
-	hung         chan struct{}     // not nil = it does nothing until this is closed
-	lag          time.Duration     // how old its data is
+	responseSize int               // bytes of the value in each response
+	conns        map[net.Conn]bool // open connections; the value is false for those that were open at Stop
+	resumed      chan struct{}     // not nil while the endpoint hangs; closed when it continues
+	lag          time.Duration     // staleness of the data while it is a replica
 }
 
-// NewDB starts an endpoint. act, if not nil, is asked at each message of a statement with the given id; type 0 is the
-// startup message.
+// NewDB starts an endpoint. act, if not nil, is called for each message with the message's type and the request ID of
+// its statement, and decides how the endpoint responds. Type 0 is the startup message.
 func NewDB(tb testing.TB, primary bool, act func(typ byte, id string) Act) *DB {
 	tb.Helper()
 	d := &DB{
@@ -62,7 +62,7 @@
 	return d
 }
 
-// Start lets it come back at its address.
+// Start starts the endpoint, after a Stop at the same address as before.
 func (d *DB) Start() error {
 	listener, err := net.Listen("tcp", d.Addr)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// register adds a connection. It says no where the endpoint was stopped in the moment in which it accepted.
+// register adds a connection. It returns false if the endpoint was stopped while it accepted the connection.
 func (d *DB) register(listener net.Listener, conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,11 +101,12 @@
 	return true
 }
 
-// lingerTime is how long a stopped endpoint looks at what still comes to it.
+// lingerTime is how long a stopped endpoint still reads from the connections that were open.
 const lingerTime = 2 * time.Second
 
-// Stop ends it and all its connections. Nothing runs from then on; what its peers write until they have seen the end
-// is noted as received, for they can't know that nobody reads it.
+// Stop closes the listener and the write side of all connections. No statement is executed from then on. Statements
+// that peers send before they notice the end are still recorded as received, since a peer can't know that they are not
+// executed.
 func (d *DB) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,44 +126,45 @@
 	d.log.Stops = append(d.log.Stops, time.Now())
 }
 
-// Hang makes it do nothing at all, connections it accepts included, until it is let go on: what had come it does then.
+// Hang sets whether the endpoint hangs. While it hangs, it accepts connections but handles no message; it handles those
+// that have arrived as soon as it continues.
 func (d *DB) Hang(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case on && d.hung == nil:
-		d.hung = make(chan struct{})
-	case !on && d.hung != nil:
-		close(d.hung)
-		d.hung = nil
+	case on && d.resumed == nil:
+		d.resumed = make(chan struct{})
+	case !on && d.resumed != nil:
+		close(d.resumed)
+		d.resumed = nil
 	}
 }
 
-// blockWhileHung returns once the endpoint may work.
+// blockWhileHung returns when the endpoint no longer hangs.
 func (d *DB) blockWhileHung() {
 	d.mu.Lock()
-	hung := d.hung
+	hung := d.resumed
 	d.mu.Unlock()
 	if hung != nil {
 		<-hung
 	}
 }
 
-// SetLag sets how old its data is, where it is no primary.
+// SetLag sets by how much the endpoint's data lags while it is a replica.
 func (d *DB) SetLag(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = by
 }
 
-// SetResponseSize sets how many bytes each of its answers has.
+// SetResponseSize sets the size in bytes of the value that the endpoint returns for each statement.
 func (d *DB) SetResponseSize(size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responseSize = size
 }
 
-// Log returns what it has received and what it has run.
+// Log returns a copy of the endpoint's record of statements received and executed, stops and demotions.
 func (d *DB) Log() check.Log {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +177,7 @@
 	}
 }
 
-// SetPrimary sets whether it is the primary.
+// SetPrimary sets whether the endpoint is the primary.
 func (d *DB) SetPrimary(primary bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,14 +187,14 @@
 	d.primary = primary
 }
 
-// Runs is how often it ran the statement with that id.
+// Runs returns how often the endpoint executed the statement with that request ID.
 func (d *DB) Runs(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runs[id]
 }
 
-// position is the time up to which it says that it has all data.
+// position returns the endpoint's replication position: the time up to which it has applied all writes.
 func (d *DB) position(primary bool) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,7 +204,7 @@
 	return time.Now().Add(-d.lag)
 }
 
-// value is what it answers: who it is, and as much more as it was told.
+// value returns the value of each response: the endpoint's address, padded with spaces to responseSize.
 func (d *DB) value() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -218,21 +220,21 @@
 	return d.act(typ, id)
 }
 
-// state says whether it is the primary and still works on a connection.
+// state reports whether the endpoint is the primary and whether it still executes statements of the connection.
 func (d *DB) state(conn net.Conn) (primary, working bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.primary, d.conns[conn]
 }
 
-// noteReceived notes that a statement has come to its last byte.
+// noteReceived records that a statement has arrived completely.
 func (d *DB) noteReceived(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.log.Received = append(d.log.Received, check.Received{ID: id, At: time.Now()})
 }
 
-// run counts a run, unless the endpoint was stopped meanwhile: then it returns false and nothing ran.
+// run records the execution of a statement. If the endpoint has been stopped, it records nothing and returns false.
 func (d *DB) run(conn net.Conn, id string, write, primary bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testserver/server_test.go
+++ b/internal/testserver/server_test.go
@@ -8,31 +8,31 @@
 	"limeladder/internal/pgwire"
 )
 
-// What its peer writes to an endpoint that has stopped never runs and is noted as received: the peer had not seen the
-// end.
-func TestMessagesToAStoppedEndpointAreNotedAndNeverRun(t *testing.T) {
+// A statement that a client sends before it notices that the endpoint has stopped is recorded as received and never
+// executed. After a restart the endpoint executes statements again.
+func TestMessagesToStoppedEndpointAreReceivedAndNeverExecuted(t *testing.T) {
 	d := NewDB(t, true, nil)
 	c := Dial(t, d.Addr)
 	c.Send(pgwire.AppendQuery(nil, "/* id=before,c=job,d=1000,cluster=7 */ SELECT 1"))
 	if a := c.Until('Z'); a.Code != "" || d.Runs("before") != 1 {
-		t.Fatalf("%+v, ran %d times", a, d.Runs("before"))
+		t.Fatalf("got %+v and %d executions before the stop, expected no error and 1", a, d.Runs("before"))
 	}
 	d.Stop()
-	c.Send(pgwire.AppendQuery(nil, "/* id=behind,c=job,d=1000,cluster=7 */ SELECT 1"))
+	c.Send(pgwire.AppendQuery(nil, "/* id=after,c=job,d=1000,cluster=7 */ SELECT 1"))
 	for end := time.Now().Add(10 * time.Second); len(d.Log().Received) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("noted: %+v", d.Log().Received)
+			t.Fatalf("received %+v, expected 2 statements", d.Log().Received)
 		}
 	}
-	if w := d.Log().Received[1]; w.ID != "behind" || d.Runs("behind") != 0 {
-		t.Fatalf("%+v, ran %d times", w, d.Runs("behind"))
+	if w := d.Log().Received[1]; w.ID != "after" || d.Runs("after") != 0 {
+		t.Fatalf("got %+v and %d executions after the stop, expected statement \"after\" and 0", w, d.Runs("after"))
 	}
 	if a := c.Until('Z'); !a.Ended || a.Truncated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("got %+v, expected the end of the connection without a response", a)
 	}
 	if k, err := net.Dial("tcp", d.Addr); err == nil {
 		k.Close()
-		t.Fatal("it takes connections")
+		t.Fatal("the stopped endpoint accepted a connection, expected it to be refused")
 	}
 	if err := d.Start(); err != nil {
 		t.Fatal(err)
@@ -40,6 +40,6 @@
 	again := Dial(t, d.Addr)
 	again.Send(pgwire.AppendQuery(nil, "/* id=again,c=job,d=1000,cluster=7 */ SELECT 1"))
 	if a := again.Until('Z'); a.Code != "" || d.Runs("again") != 1 {
-		t.Fatalf("%+v, ran %d times", a, d.Runs("again"))
+		t.Fatalf("got %+v and %d executions after the restart, expected no error and 1", a, d.Runs("again"))
 	}
 }
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -13,14 +13,14 @@
 const (
 	maxMessage = 1 << 20
 	maxStartup = 1 << 16
-	// segmentPause is long enough for the peer to read the answer before what is sent behind it.
+	// segmentPause is long enough for the peer to read the response before the trailing bytes arrive.
 	segmentPause = 2 * time.Millisecond
 
 	writeClass      = "job"
 	healthCheckText = "SHOW stats"
 )
 
-// Row descriptions of the two kinds of answers.
+// RowDescription bodies of the responses to statements and to health checks.
 var (
 	dataColumn  = []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	statsColumn = []byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
@@ -30,13 +30,13 @@
 type session struct {
 	db       *DB
 	conn     net.Conn
-	sql      string // of the last Query or Parse
-	response []byte // what is not yet sent
-	failed   bool   // an error was answered; messages are skipped up to the next Sync
-	truncate int    // bytes of the next response after which the connection ends, 0 = it is sent completely
+	sql      string // text of the last Query or Parse
+	response []byte // bytes that are not sent yet
+	failed   bool   // an error was sent; messages are skipped up to the next Sync
+	truncate int    // bytes of the next response after which the connection is closed, 0 = it is sent completely
 }
 
-// statement is a message with what is known of the statement it belongs to.
+// statement is a message together with the request comment of its statement and the endpoint's state on its receipt.
 type statement struct {
 	message    pgwire.Message
 	head       requestcomment.Head
@@ -45,8 +45,8 @@
 	primary    bool
 }
 
-// runs says whether the message makes the statement run.
-func (s *statement) runs() bool { return s.message.Type == 'Q' || s.message.Type == 'E' }
+// executes reports whether the message, a Query or an Execute, executes the statement.
+func (s *statement) executes() bool { return s.message.Type == 'Q' || s.message.Type == 'E' }
 
 func (d *DB) serve(conn net.Conn) {
 	defer d.remove(conn)
@@ -66,7 +66,7 @@
 	}
 }
 
-// handleAll handles the messages that have come, and says whether the connection goes on.
+// handleAll handles the messages that have arrived. It returns false if the connection is to be closed.
 func (s *session) handleAll(reader *pgwire.Reader) bool {
 	for {
 		m, ok, err := reader.Next()
@@ -85,7 +85,7 @@
 	}
 }
 
-// handle handles one message, and says whether the connection goes on.
+// handle handles one message. It returns false if the connection is to be closed.
 func (s *session) handle(m pgwire.Message) bool {
 	switch m.Type {
 	case 'Q':
@@ -110,7 +110,7 @@
 	var working bool
 	st.primary, working = s.db.state(s.conn)
 	if !working {
-		if st.runs() {
+		if st.executes() {
 			s.db.noteReceived(st.head.ID)
 		}
 		return true
@@ -118,13 +118,13 @@
 	return s.respond(st)
 }
 
-// respond answers a message, and says whether the connection goes on.
+// respond answers a message. It returns false if the connection is to be closed.
 func (s *session) respond(st *statement) bool {
 	switch {
 	case st.message.Type == 0:
 		s.response = pgwire.AppendWelcome(s.response)
 	case st.message.Type == 'S':
-		s.ready(st.primary)
+		s.endResponse(st.primary)
 	case st.message.Type == 'Q' && s.sql == healthCheckText:
 		s.answerHealthCheck(st.primary)
 	default:
@@ -136,7 +136,7 @@
 			return false
 		}
 		if st.message.Type == 'Q' {
-			s.ready(st.primary)
+			s.endResponse(st.primary)
 		}
 	}
 	switch st.message.Type {
@@ -147,8 +147,9 @@
 	}
 }
 
-// answer runs the statement where its message says so, and appends the answer. stopped says that the endpoint was
-// stopped before the run, so that nothing is answered; closed says that a fatal error has ended the connection.
+// answer executes the statement if the message asks for it, and appends the response. stopped reports that the endpoint
+// was stopped before the execution, so that there is no response; closed reports that a fatal error was sent, after
+// which the connection is to be closed.
 func (s *session) answer(st *statement) (stopped, closed bool) {
 	if s.failed {
 		return false, false
@@ -165,16 +166,16 @@
 	s.response = pgwire.AppendError(s.response, failure)
 	s.failed = true
 	if st.act.Fatal {
-		_, _ = s.conn.Write(s.response) // the connection ends here, whether or not its peer is still there
+		_, _ = s.conn.Write(s.response) // the connection is closed next, so a failed write changes nothing
 		return false, true
 	}
 	return false, false
 }
 
-// execute runs the statement where its message says so, and returns the SQLSTATE of a failure. ok is false where the
-// endpoint was stopped before the run.
+// execute executes the statement if the message asks for it, and returns the SQLSTATE of a failure. ok is false if the
+// endpoint was stopped before the execution.
 func (s *session) execute(st *statement) (code string, ok bool) {
-	if !st.runs() || st.act.Code != "" {
+	if !st.executes() || st.act.Code != "" {
 		return st.act.Code, true
 	}
 	s.db.noteReceived(st.head.ID)
@@ -189,7 +190,7 @@
 	}
 }
 
-// appendResult appends what answers a message that did not fail.
+// appendResult appends the response to a message that did not fail.
 func (s *session) appendResult(m pgwire.Message) {
 	switch m.Type {
 	case 'P':
@@ -209,7 +210,7 @@
 	}
 }
 
-// answerHealthCheck answers the router's health check: position, role and load.
+// answerHealthCheck answers a health check with the replication position, the role and a fixed utilization.
 func (s *session) answerHealthCheck(primary bool) {
 	position := float64(s.db.position(primary).UnixMilli()) / 1000
 	role := "0"
@@ -227,13 +228,13 @@
 	s.response = pgwire.Append(s.response, 'C', append([]byte(tag), 0))
 }
 
-// ready ends the answer of a statement; a failure is over with it.
-func (s *session) ready(primary bool) {
+// endResponse appends ReadyForQuery and ends the skipping of messages that follows an error.
+func (s *session) endResponse(primary bool) {
 	s.appendReady(primary)
 	s.failed = false
 }
 
-// appendReady appends ReadyForQuery, with role and position in front of it.
+// appendReady appends ReadyForQuery, preceded by ParameterStatus messages with role and replication position.
 func (s *session) appendReady(primary bool) {
 	mode := "read-only"
 	if primary {
@@ -245,10 +246,10 @@
 	s.response = pgwire.AppendReady(s.response)
 }
 
-// flush sends the response as act says, and says whether the connection goes on.
+// flush sends the response as act demands. It returns false if the connection is to be closed.
 func (s *session) flush(act Act) bool {
 	if s.truncate > 0 {
-		// The connection ends here, whether or not its peer is still there.
+		// The connection is closed next, so a failed write changes nothing.
 		_, _ = s.conn.Write(s.response[:min(s.truncate, len(s.response))])
 		return false
 	}
@@ -263,7 +264,7 @@
 	}
 	if act.Trailing != nil {
 		time.Sleep(max(act.Pause, segmentPause))
-		_, _ = s.conn.Write(act.Trailing) // its peer may end at the answer, which the next read shows
+		_, _ = s.conn.Write(act.Trailing) // the peer may have closed the connection, which the next read reports
 	}
 	s.response = nil
 	return true
