--- a/internal/simulation/event/clock_test.go
+++ b/internal/simulation/event/clock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Thousands of events that are due at a few instants run in the order in which they were scheduled, whichever others
-// were stopped between them.
+// Events that are due at the same instant run in the order in which they were scheduled, regardless of which other
+// events were stopped.
 func TestEventsOfOneInstantRunInOrderOfScheduling(t *testing.T) {
 	clock := New(time.Second)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -53,7 +53,7 @@
 	}
 }
 
-// An event that a callback schedules for now or for the past runs before later ones.
+// An event that a callback schedules for the past runs at the current time, before later events.
 func TestCallbackSchedulesIntoThePast(t *testing.T) {
 	clock := New(0)
 	var got []int
--- a/internal/simulation/event/queue.go
+++ b/internal/simulation/event/queue.go
@@ -13,7 +13,7 @@
 	q.siftUp(len(*q)-1, event)
 }
 
-// remove takes an event that is in the queue out of it.
+// remove removes an event, which must be in the queue.
 func (q *queue) remove(event *Event) {
 	index := event.index
 	last := len(*q) - 1
@@ -29,7 +29,7 @@
 	}
 }
 
-// siftUp puts event at index, or at an ancestor of it if it runs before those that are there.
+// siftUp moves event from index towards the root until its parent runs before it.
 func (q *queue) siftUp(index int, event *Event) {
 	for index > 0 {
 		parent := (index - 1) / queueArity
@@ -42,7 +42,7 @@
 	q.set(index, event)
 }
 
-// siftDown puts event at index, or at a descendant of it if those that are there run before it.
+// siftDown moves event from index towards the leaves until none of its children runs before it.
 func (q *queue) siftDown(index int, event *Event) {
 	for {
 		child, ok := q.firstChild(index)
