--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -1,5 +1,6 @@
-// Package load asks a server that speaks PostgreSQL for work in an open loop: requests come when they are due, however slow
-// the answers are, and times count from when a request was due, not from when it could be sent.
+// Package load is an open-loop load generator for servers that speak the PostgreSQL protocol. Requests are issued when
+// they are due, regardless of how slow the responses are, and latency is measured from the time a request was due, not
+// from the time it could be sent.
 package load
 
 import (
@@ -24,64 +25,65 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// Options say what is asked for.
+// Options configure a run.
 type Options struct {
 	Addr     string
-	Extended bool          // Parse, Bind, Describe, Execute and Sync in place of a simple query
-	Rate     float64       // requests a second
-	Length   time.Duration //
-	Conns    int           // connections at most
-	Arrivals string        // poisson, even or bursty
-	Bursts   float64       // spread of the rate from one half second to the next, where it is bursty
-	Offsets  []time.Duration
-	Shape    []fleet.Step
+	Extended bool            // use Parse, Bind, Describe, Execute and Sync instead of a simple query
+	Rate     float64         // requests per second, before Shape is applied
+	Length   time.Duration   // of the period in which requests become due
+	Conns    int             // maximum number of connections
+	Arrivals string          // poisson, even or bursty; "" = poisson
+	Bursts   float64         // bursty only: coefficient of variation of the rate, which is redrawn every 500 ms
+	Offsets  []time.Duration // due times from the start of the run, in place of Rate, Shape and Arrivals
+	Shape    []fleet.Step    // changes of the rate over time
 	Classes  []fleet.Class
-	Banks    int
-	Sessions int
-	Tenants  []Tenant // whose connections they are, empty = one without a name of its own
-	Retries  int
-	Honour   float64
-	Backoff  time.Duration
+	Banks    int           // number of replica groups
+	Sessions int           // number of client sessions
+	Tenants  []Tenant      // empty = one tenant with a default name
+	Retries  int           // maximum number of retries per request
+	Honour   float64       // probability that a client waits as long as the server's retry hint says
+	Backoff  time.Duration // minimum wait before a retry
 	Seed     uint64
-	Open     *atomic.Int64  // kept at how many requests are open, nil = not
-	Progress func(Progress) // called once a second, nil = never
+	Open     *atomic.Int64  // set to the number of open requests whenever one ends; nil = not set
+	Progress func(Progress) // called once per second; nil = never
 }
 
-// Tenant is a customer: its connections say its name as their user.
+// Tenant is a customer. Its connections send its name as the user.
 type Tenant struct {
 	Name  string
-	Share float64
+	Share float64 // of the requests, relative to the other tenants' shares
 }
 
-// Progress is how far it is.
+// Progress is the state of a run.
 type Progress struct {
-	At     time.Duration
-	Came   int
-	Open   int
-	Ends   map[string]int
-	LateMs float64 // the tool's own lateness so far, 99th percentile
+	At     time.Duration  // since the start of the run
+	Came   int            // requests issued
+	Open   int            // requests issued that have not ended
+	Ends   map[string]int // ended requests by ending, see fleet.Endings
+	LateMs float64        // 99th percentile of the load generator's own lateness so far, in ms
 }
 
-// Result is what came of it.
+// Result is the outcome of a run.
 type Result struct {
-	Worth, Whole, Window, Class float64
-	Worst                       string
-	Tally                       map[string]*fleet.Tally
-	Seconds                     []fleet.Second
-	Latency                     map[string]*hdrhistogram.Histogram // by class, microseconds from when it was due to the answer; "" = all
-	Lateness                    *hdrhistogram.Histogram            // of the tool itself, from when it was due to when it was handed to a connection
-	Codes                       map[string]int
-	Tenants                     map[string]*fleet.Tally
+	Worth, Whole, Window, Class float64                            // score and its parts, see fleet.Score
+	Worst                       string                             // the class with the lowest score
+	Tally                       map[string]*fleet.Tally            // by class
+	Seconds                     []fleet.Second                     // by the second in which a request was due
+	Latency                     map[string]*hdrhistogram.Histogram // by class, "" = all: µs from due time to response
+	Lateness                    *hdrhistogram.Histogram            // of this program: µs from due time to enqueueing
+	Codes                       map[string]int                     // failed requests by SQLSTATE or error text
+	Tenants                     map[string]*fleet.Tally            // by tenant
 	Took                        time.Duration
-	Came                        int
+	Came                        int // requests issued
 }
 
+// Range and precision of the latency histograms.
 const (
-	longestUs = 60_000_000
-	digits    = 3
+	maxLatencyUs      = 60_000_000
+	significantDigits = 3
 )
 
-// Check says in one line what is wrong with them.
+// Check returns an error of one line for the first invalid option.
 func (o *Options) Check() error {
 	a, err := net.ResolveTCPAddr("tcp", o.Addr)
 	switch {
@@ -90,71 +92,72 @@
 	case !a.IP.IsLoopback():
 		return fmt.Errorf("addr: %s is not on loopback", o.Addr)
 	case o.Rate <= 0 && len(o.Offsets) == 0 || o.Rate > 1e6:
-		return fmt.Errorf("rate: up to 1,000,000 a second")
+		return fmt.Errorf("rate: must be above 0 and at most 1,000,000 requests per second")
 	case o.Length <= 0 || o.Length > time.Hour:
-		return fmt.Errorf("length: up to an hour")
+		return fmt.Errorf("length: must be above 0 and at most 1 hour")
 	case o.Conns < 1 || o.Conns > 60_000:
-		return fmt.Errorf("connections: 1 to 60,000")
+		return fmt.Errorf("connections: must be 1 to 60,000")
 	case len(o.Classes) == 0 || o.Banks < 1 || o.Sessions < 1:
-		return fmt.Errorf("classes, banks and sessions: one of each at least")
-	case len(o.Tenants) > o.Conns || slices.ContainsFunc(o.Tenants, func(x Tenant) bool { return x.Name == "" || !(x.Share > 0) }):
-		return fmt.Errorf("tenants: each needs a name, a share and a connection")
+		return fmt.Errorf("classes, banks and sessions: at least one of each is required")
+	case len(o.Tenants) > o.Conns ||
+		slices.ContainsFunc(o.Tenants, func(x Tenant) bool { return x.Name == "" || !(x.Share > 0) }):
+		return fmt.Errorf("tenants: each needs a name, a positive share and a connection")
 	case !slices.Contains([]string{"", "poisson", "even", "bursty"}, o.Arrivals):
-		return fmt.Errorf("arrivals: nothing is called %s", o.Arrivals)
+		return fmt.Errorf("arrivals: unknown value %s", o.Arrivals)
 	}
 	return nil
 }
 
-// arrivals tells when requests are due, one after the other. The same options give the same moments.
+// arrivals generates the due times of the requests in order. The same options give the same times.
 type arrivals struct {
-	o     *Options
-	rng   *rand.Rand
-	gap   distuv.Exponential
-	at    time.Duration
-	next  int
-	burst float64
-	until time.Duration // the burst holds until then
+	options     *Options
+	rng         *rand.Rand
+	gap         distuv.Exponential
+	at          time.Duration
+	nextOffset  int
+	burstFactor float64
+	burstEnd    time.Duration // when burstFactor is drawn anew
 }
 
 func newArrivals(o *Options) *arrivals {
 	src := rand.NewPCG(o.Seed, 11)
-	return &arrivals{o: o, rng: rand.New(src), gap: distuv.Exponential{Rate: 1, Src: src}, burst: 1}
+	return &arrivals{options: o, rng: rand.New(src), gap: distuv.Exponential{Rate: 1, Src: src}, burstFactor: 1}
 }
 
-// due is the next moment, from the start.
-func (a *arrivals) due() (time.Duration, bool) {
-	if len(a.o.Offsets) > 0 {
-		if a.next >= len(a.o.Offsets) || a.o.Offsets[a.next] > a.o.Length {
+// nextDue returns the next due time, from the start of the run, and false if there is none within the run.
+func (a *arrivals) nextDue() (time.Duration, bool) {
+	if len(a.options.Offsets) > 0 {
+		if a.nextOffset >= len(a.options.Offsets) || a.options.Offsets[a.nextOffset] > a.options.Length {
 			return 0, false
 		}
-		a.next++
-		return a.o.Offsets[a.next-1], true
+		a.nextOffset++
+		return a.options.Offsets[a.nextOffset-1], true
 	}
 	for {
-		rate := a.o.Rate * fleet.Part(a.o.Shape, a.at) * a.burst
-		if a.o.Arrivals == "bursty" && a.at >= a.until {
-			v := math.Log(1 + a.o.Bursts*a.o.Bursts)
-			a.burst = distuv.LogNormal{Mu: -v / 2, Sigma: math.Sqrt(v), Src: a.rng}.Rand()
-			a.until = a.at + 500*time.Millisecond
+		rate := a.options.Rate * fleet.Part(a.options.Shape, a.at) * a.burstFactor
+		if a.options.Arrivals == "bursty" && a.at >= a.burstEnd {
+			v := math.Log(1 + a.options.Bursts*a.options.Bursts)
+			a.burstFactor = distuv.LogNormal{Mu: -v / 2, Sigma: math.Sqrt(v), Src: a.rng}.Rand()
+			a.burstEnd = a.at + 500*time.Millisecond
 			continue
 		}
 		wait := 100 * time.Millisecond
 		if rate > 0 {
 			draw := a.gap.Rand()
-			if a.o.Arrivals == "even" {
+			if a.options.Arrivals == "even" {
 				draw = 1
 			}
 			wait = time.Duration(min(draw/rate, 3600) * 1e9)
 		}
-		// The rate may change: no draw reaches further than a tenth of a second, and where it does it is made anew.
-		if a.o.Arrivals != "even" && wait > 100*time.Millisecond {
+		// The rate may change meanwhile. A draw of more than 100 ms is therefore dropped and made again 100 ms later.
+		if a.options.Arrivals != "even" && wait > 100*time.Millisecond {
 			a.at += 100 * time.Millisecond
-			if a.at >= a.o.Length {
+			if a.at >= a.options.Length {
 				return 0, false
 			}
 			continue
 		}
-		if a.at += wait; a.at >= a.o.Length {
+		if a.at += wait; a.at >= a.options.Length {
 			return 0, false
 		}
 		if rate > 0 {
@@ -163,44 +166,45 @@
 	}
 }
 
-// request is one, over all its tries.
+// request is one request with all its attempts.
 type request struct {
-	id      int
-	class   *fleet.Class
-	session int
-	need    time.Duration
-	due     time.Time
-	tries   int
-	tenant  int
+	id       int
+	class    *fleet.Class
+	session  int
+	work     time.Duration
+	due      time.Time
+	attempts int
+	tenant   int
 }
 
+// session is a client session whose reads may have to see its own writes.
 type session struct {
-	mu    sync.Mutex
-	wrote time.Duration
+	mu        sync.Mutex
+	lastWrite time.Duration // replication position of the newest write, 0 = none
 }
 
-// runner is a run under way.
+// runner holds the state of a run.
 type runner struct {
-	o        Options
-	begin    time.Time
-	pools    []pool // of each tenant
-	sessions []session
-	open     sync.WaitGroup
-
-	mu     sync.Mutex
-	res    *Result
-	opened int
-	inHand int
+	options    Options
+	startedAt  time.Time
+	pools      []pool // by tenant
+	sessions   []session
+	unfinished sync.WaitGroup
+
+	mu           sync.Mutex // guards the fields below and the counts of the pools
+	result       *Result
+	connections  int
+	openRequests int
 }
 
-// pool is the connections of a tenant.
+// pool holds the connections of a tenant.
 type pool struct {
 	name          string
 	queue         chan *request
-	workers, busy int
+	workers, busy int // connections, and those that have a request in progress
 }
 
-// Run asks until the time is over and all is answered.
+// Run issues requests for o.Length and returns when all of them have ended.
 func Run(o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -208,19 +212,21 @@
 	if len(o.Tenants) == 0 {
 		o.Tenants = []Tenant{{"limelab", 1}}
 	}
-	r := &runner{o: o, sessions: make([]session, o.Sessions), res: &Result{
-		Tenants: map[string]*fleet.Tally{}, Tally: map[string]*fleet.Tally{}, Latency: map[string]*hdrhistogram.Histogram{}, Lateness: hdrhistogram.New(1, longestUs, digits), Codes: map[string]int{},
+	r := &runner{options: o, sessions: make([]session, o.Sessions), result: &Result{
+		Tenants: map[string]*fleet.Tally{}, Tally: map[string]*fleet.Tally{}, Latency: map[string]*hdrhistogram.Histogram{},
+		Lateness: hdrhistogram.New(1, maxLatencyUs, significantDigits), Codes: map[string]int{},
 		Seconds: make([]fleet.Second, int((o.Length+time.Second-1)/time.Second)),
 	}}
-	r.res.Latency[""] = hdrhistogram.New(1, longestUs, digits)
+	r.result.Latency[""] = hdrhistogram.New(1, maxLatencyUs, significantDigits)
 	for _, k := range o.Classes {
-		r.res.Tally[k.Name], r.res.Latency[k.Name] = &fleet.Tally{}, hdrhistogram.New(1, longestUs, digits)
+		r.result.Tally[k.Name], r.result.Latency[k.Name] =
+			&fleet.Tally{}, hdrhistogram.New(1, maxLatencyUs, significantDigits)
 	}
 	for _, x := range o.Tenants {
 		r.pools = append(r.pools, pool{name: x.Name, queue: make(chan *request, 1<<16)})
-		r.res.Tenants[x.Name] = &fleet.Tally{}
+		r.result.Tenants[x.Name] = &fleet.Tally{}
 	}
-	// Without a first connection nothing is asked.
+	// Fail early if the server does not accept connections.
 	c, err := net.DialTimeout("tcp", o.Addr, 5*time.Second)
 	if err != nil {
 		return nil, err
@@ -228,36 +234,38 @@
 	c.Close()
 	a, rng := newArrivals(&o), rand.New(rand.NewPCG(o.Seed, 12))
 	stop := make(chan bool)
-	r.begin = time.Now()
+	r.startedAt = time.Now()
 	if o.Progress != nil {
-		go r.report(stop)
+		go r.reportProgress(stop)
 	}
 	for {
-		at, ok := a.due()
+		at, ok := a.nextDue()
 		if !ok {
 			break
 		}
-		k := &o.Classes[pick(rng, len(o.Classes), func(i int) float64 { return o.Classes[i].Share })]
-		q := &request{id: r.res.Came, class: k, tenant: pick(rng, len(o.Tenants), func(i int) float64 { return o.Tenants[i].Share }), session: rng.IntN(o.Sessions), need: k.Work.Draw(rng), due: r.begin.Add(at)}
-		until(q.due)
-		r.came(q)
-		r.hand(q)
-	}
-	r.open.Wait()
+		k := &o.Classes[pickByShare(rng, len(o.Classes), func(i int) float64 { return o.Classes[i].Share })]
+		q := &request{id: r.result.Came, class: k,
+			tenant:  pickByShare(rng, len(o.Tenants), func(i int) float64 { return o.Tenants[i].Share }),
+			session: rng.IntN(o.Sessions), work: k.Work.Draw(rng), due: r.startedAt.Add(at)}
+		waitUntil(q.due)
+		r.recordArrival(q)
+		r.enqueue(q)
+	}
+	r.unfinished.Wait()
 	for i := range r.pools {
 		close(r.pools[i].queue)
 	}
 	close(stop)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Took = time.Since(r.begin)
-	r.res.Whole, r.res.Window, r.res.Class, r.res.Worst = fleet.Score(r.res.Seconds, r.res.Tally)
-	r.res.Worth = 0.5*r.res.Whole + 0.3*r.res.Window + 0.2*r.res.Class
-	return r.res, nil
+	r.result.Took = time.Since(r.startedAt)
+	r.result.Whole, r.result.Window, r.result.Class, r.result.Worst = fleet.Score(r.result.Seconds, r.result.Tally)
+	r.result.Worth = 0.5*r.result.Whole + 0.3*r.result.Window + 0.2*r.result.Class
+	return r.result, nil
 }
 
-// pick draws one of n by share.
-func pick(rng *rand.Rand, n int, share func(int) float64) int {
+// pickByShare draws an index below n with probabilities in proportion to share.
+func pickByShare(rng *rand.Rand, n int, share func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += share(i)
@@ -272,19 +280,21 @@
 	return n - 1
 }
 
-// until waits. The runtime's timers are late by up to a millisecond where nothing else happens; the system's own wait is not.
-func until(at time.Time) {
+// waitUntil returns at the given time. In an otherwise idle process the Go runtime's timers are late by up to a
+// millisecond, so the last 2 ms are waited for in nanosleep, which is more precise.
+func waitUntil(at time.Time) {
 	const rough = 2 * time.Millisecond
 	if wait := time.Until(at); wait > rough {
 		time.Sleep(wait - rough)
 	}
 	for wait := time.Until(at); wait > 0; wait = time.Until(at) {
 		t := syscall.NsecToTimespec(int64(wait))
-		_ = syscall.Nanosleep(&t, nil) // a signal cuts it short, and the rest is waited for in the next round
+		_ = syscall.Nanosleep(&t, nil) // a signal interrupts it; the next iteration waits for the rest
 	}
 }
 
-func (r *runner) report(stop chan bool) {
+// reportProgress calls options.Progress once per second until stop is closed.
+func (r *runner) reportProgress(stop chan bool) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -293,30 +303,34 @@
 			return
 		case <-tick.C:
 			r.mu.Lock()
-			p := Progress{At: time.Since(r.begin), Came: r.res.Came, Open: r.inHand, Ends: map[string]int{}, LateMs: float64(r.res.Lateness.ValueAtQuantile(99)) / 1000}
-			for _, t := range r.res.Tally {
+			p := Progress{At: time.Since(r.startedAt), Came: r.result.Came, Open: r.openRequests,
+				Ends: map[string]int{}, LateMs: float64(r.result.Lateness.ValueAtQuantile(99)) / 1000}
+			for _, t := range r.result.Tally {
 				for i, n := range t.Ends {
 					p.Ends[fleet.Endings[i]] += n
 				}
 			}
 			r.mu.Unlock()
-			r.o.Progress(p)
+			r.options.Progress(p)
 		}
 	}
 }
 
-func (r *runner) second(q *request) *fleet.Second {
-	return &r.res.Seconds[min(len(r.res.Seconds)-1, max(0, int(q.due.Sub(r.begin)/time.Second)))]
+// secondOf returns the counts of the second in which a request was due.
+func (r *runner) secondOf(q *request) *fleet.Second {
+	return &r.result.Seconds[min(len(r.result.Seconds)-1, max(0, int(q.due.Sub(r.startedAt)/time.Second)))]
 }
 
-func (r *runner) came(q *request) {
-	r.open.Add(1)
+// recordArrival counts a request that is due.
+func (r *runner) recordArrival(q *request) {
+	r.unfinished.Add(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Came++
-	r.inHand++
-	_ = r.res.Lateness.RecordValue(max(1, time.Since(q.due).Microseconds())) // more than longestUs is not recorded
-	s := r.second(q)
+	r.result.Came++
+	r.openRequests++
+	// A value above maxLatencyUs is not recorded.
+	_ = r.result.Lateness.RecordValue(max(1, time.Since(q.due).Microseconds()))
+	s := r.secondOf(q)
 	s.Came++
 	s.Could += q.class.PriorityWeight
 	for _, t := range r.tallies(q) {
@@ -325,107 +339,113 @@
 	}
 }
 
-// tallies are those that a request counts in.
+// tallies returns the tallies of a request's class and tenant.
 func (r *runner) tallies(q *request) [2]*fleet.Tally {
-	return [2]*fleet.Tally{r.res.Tally[q.class.Name], r.res.Tenants[r.pools[q.tenant].name]}
+	return [2]*fleet.Tally{r.result.Tally[q.class.Name], r.result.Tenants[r.pools[q.tenant].name]}
 }
 
-// hand gives it to a connection; where all are busy another one is opened, up to the most.
-func (r *runner) hand(q *request) {
+// enqueue queues a request for the connections of its tenant. It opens another one if all of them are busy and the
+// maximum is not reached, or if the tenant has none.
+func (r *runner) enqueue(q *request) {
 	p := &r.pools[q.tenant]
 	r.mu.Lock()
-	if r.opened < r.o.Conns && p.busy+len(p.queue) >= p.workers || p.workers == 0 {
-		r.opened++
+	if r.connections < r.options.Conns && p.busy+len(p.queue) >= p.workers || p.workers == 0 {
+		r.connections++
 		p.workers++
-		go r.work(p)
+		go r.serveQueue(p)
 	}
 	r.mu.Unlock()
 	p.queue <- q
 }
 
-// The endings, as fleet.Endings names them.
+// Indexes into fleet.Endings, which calls rejected requests "refused" and timed-out ones "expired".
 const (
 	served = iota
-	refused
+	rejected
 	failed
-	expired
+	timedOut
 )
 
-func (r *runner) ended(q *request, how int, code string) {
+// recordEnd counts the end of a request with its SQLSTATE or error text. A response after the client timeout counts as
+// timed out.
+func (r *runner) recordEnd(q *request, ending int, code string) {
 	took := time.Since(q.due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, late, worth := r.second(q), 0, 0.0
-	if how == served {
-		us := min(longestUs, max(1, took.Microseconds()))
-		_ = r.res.Latency[""].RecordValue(us) // us is within the histogram's bounds
-		_ = r.res.Latency[q.class.Name].RecordValue(us)
+	s, late, worth := r.secondOf(q), 0, 0.0
+	if ending == served {
+		us := min(maxLatencyUs, max(1, took.Microseconds()))
+		_ = r.result.Latency[""].RecordValue(us) // us is within the histogram's range
+		_ = r.result.Latency[q.class.Name].RecordValue(us)
 		if worth = q.class.PriorityWeight; took > q.class.LatencyObjective {
 			worth, late = worth*q.class.LateWeightShare, 1
 		}
 		if took > q.class.ClientTimeout {
-			worth, how = 0, expired
+			worth, ending = 0, timedOut
 		}
 	}
 	if code != "" {
-		r.res.Codes[code]++
+		r.result.Codes[code]++
 	}
 	s.Late += late
 	s.Worth += worth
-	s.Ends[how]++
+	s.Ends[ending]++
 	for _, t := range r.tallies(q) {
 		t.Late += late
 		t.Worth += worth
-		t.Ends[how]++
+		t.Ends[ending]++
 	}
-	r.inHand--
-	if r.o.Open != nil {
-		r.o.Open.Store(int64(r.inHand))
+	r.openRequests--
+	if r.options.Open != nil {
+		r.options.Open.Store(int64(r.openRequests))
 	}
-	r.open.Done()
+	r.unfinished.Done()
 }
 
-// work is one connection, opened anew where it has ended.
-func (r *runner) work(p *pool) {
+// serveQueue sends the requests of a pool's queue over one connection, which it opens again after it has ended.
+func (r *runner) serveQueue(p *pool) {
 	var c *conn
-	rng := rand.New(rand.NewPCG(r.o.Seed, uint64(time.Now().UnixNano())))
+	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(time.Now().UnixNano())))
 	for q := range p.queue {
 		r.mu.Lock()
 		p.busy++
 		r.mu.Unlock()
-		if left := q.class.ClientTimeout - time.Since(q.due); left < time.Millisecond { // d is told in whole milliseconds
-			r.ended(q, expired, "")
+		// The request comment has the deadline in whole milliseconds.
+		if left := q.class.ClientTimeout - time.Since(q.due); left < time.Millisecond {
+			r.recordEnd(q, timedOut, "")
 		} else {
 			if c == nil {
-				c, _ = dial(r.o.Addr, p.name, left)
+				c, _ = dial(r.options.Addr, p.name, left)
 			}
-			c = r.ask(c, q, left, rng)
+			c = r.attempt(c, q, left, rng)
 		}
 		r.mu.Lock()
 		p.busy--
 		r.mu.Unlock()
 	}
 	if c != nil {
-		c.c.Close()
+		c.netConn.Close()
 	}
 }
 
-// ask sends a request once and books what came of it. It returns the connection, nil where it has ended.
-func (r *runner) ask(c *conn, q *request, left time.Duration, rng *rand.Rand) *conn {
-	q.tries++
+// attempt sends a request once, and then records its end or schedules a retry. It returns the connection, or nil if the
+// connection has ended.
+func (r *runner) attempt(c *conn, q *request, left time.Duration, rng *rand.Rand) *conn {
+	q.attempts++
 	s := &r.sessions[q.session]
 	after := time.Duration(0)
 	if q.class.Consistency == balance.ConsistencySession {
 		s.mu.Lock()
-		after = s.wrote
+		after = s.lastWrite
 		s.mu.Unlock()
 	}
 	a := answer{code: "no connection"}
 	if c != nil {
-		text := emulator.Statement(fmt.Sprintf("l%d.%d", q.id, q.tries), q.class.Name, left, int64(q.session%r.o.Banks+1), after, q.tries > 1, fmt.Sprint("s", q.session), q.need)
+		text := emulator.Statement(fmt.Sprintf("l%d.%d", q.id, q.attempts), q.class.Name, left,
+			int64(q.session%r.options.Banks+1), after, q.attempts > 1, fmt.Sprint("s", q.session), q.work)
 		var err error
-		if a, err = c.ask(text, r.o.Extended, left+200*time.Millisecond); err != nil {
-			c.c.Close()
+		if a, err = c.query(text, r.options.Extended, left+200*time.Millisecond); err != nil {
+			c.netConn.Close()
 			c = nil
 			if a.code == "" {
 				a.code = "connection ended"
@@ -436,53 +456,56 @@
 		if _, text, ok := strings.Cut(a.value, " "); ok && q.class.Consistency == balance.ConsistencyWrite {
 			if pos, err := strconv.ParseInt(text, 10, 64); err == nil {
 				s.mu.Lock()
-				s.wrote = max(s.wrote, time.Duration(pos))
+				s.lastWrite = max(s.lastWrite, time.Duration(pos))
 				s.mu.Unlock()
 			}
 		}
-		r.ended(q, served, "")
+		r.recordEnd(q, served, "")
 		return c
 	}
 	how := failed
 	if a.code == pgwire.TooManyConnections || a.code == "no connection" {
-		how = refused
+		how = rejected
 	}
-	wait := r.o.Backoff
-	if rng.Float64() < r.o.Honour {
-		wait = max(wait, a.after)
+	wait := r.options.Backoff
+	if rng.Float64() < r.options.Honour {
+		wait = max(wait, a.retryAfter)
 	}
-	if how == failed && q.class.Idempotency != balance.Idempotent || q.tries > r.o.Retries || time.Since(q.due)+wait >= q.class.ClientTimeout {
-		r.ended(q, how, a.code)
+	if how == failed && q.class.Idempotency != balance.Idempotent || q.attempts > r.options.Retries ||
+		time.Since(q.due)+wait >= q.class.ClientTimeout {
+		r.recordEnd(q, how, a.code)
 		return c
 	}
-	time.AfterFunc(wait, func() { r.hand(q) })
+	time.AfterFunc(wait, func() { r.enqueue(q) })
 	return c
 }
 
-// conn is one connection.
+// conn is a client connection.
 type conn struct {
-	c   net.Conn
-	r   *pgwire.Reader
-	buf []byte
-	out []byte
+	netConn net.Conn
+	reader  *pgwire.Reader
+	buf     []byte
+	out     []byte
 }
 
+// answer is the response to a query.
 type answer struct {
-	code, value string
-	after       time.Duration
+	code, value string        // SQLSTATE of the error, "" = none, and first column of the last row
+	retryAfter  time.Duration // the server's retry hint, 0 = none
 }
 
+// dial opens a connection and completes its startup.
 func dial(addr, user string, within time.Duration) (*conn, error) {
 	c, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{c: c, r: pgwire.NewReader(8<<20, 0), buf: make([]byte, 4096)}
+	k := &conn{netConn: c, reader: pgwire.NewReader(8<<20, 0), buf: make([]byte, 4096)}
 	c.SetDeadline(time.Now().Add(within))
 	if _, err = c.Write(pgwire.AppendStartup(nil, "user", user, "database", "limelab")); err == nil {
 		var a answer
-		if a, err = k.until(); err == nil && a.code != "" {
-			err = fmt.Errorf("turned away: %s", a.code)
+		if a, err = k.readResponse(); err == nil && a.code != "" {
+			err = fmt.Errorf("startup rejected: %s", a.code)
 		}
 	}
 	if err != nil {
@@ -492,7 +515,8 @@
 	return k, nil
 }
 
-func (k *conn) ask(sql string, extended bool, within time.Duration) (answer, error) {
+// query sends a statement and reads the response to its end.
+func (k *conn) query(sql string, extended bool, within time.Duration) (answer, error) {
 	k.out = k.out[:0]
 	if extended {
 		k.out = pgwire.AppendParse(k.out, pgwire.ParseMessage{Query: sql})
@@ -502,26 +526,26 @@
 	} else {
 		k.out = pgwire.AppendQuery(k.out, sql)
 	}
-	k.c.SetDeadline(time.Now().Add(within))
-	if _, err := k.c.Write(k.out); err != nil {
+	k.netConn.SetDeadline(time.Now().Add(within))
+	if _, err := k.netConn.Write(k.out); err != nil {
 		return answer{}, err
 	}
-	return k.until()
+	return k.readResponse()
 }
 
-// until reads up to the end of an answer.
-func (k *conn) until() (a answer, err error) {
+// readResponse reads up to the end of a response, ReadyForQuery.
+func (k *conn) readResponse() (a answer, err error) {
 	for {
-		m, ok, err := k.r.Next()
+		m, ok, err := k.reader.Next()
 		if err != nil {
 			return a, err
 		}
 		if !ok {
-			n, err := k.c.Read(k.buf)
+			n, err := k.netConn.Read(k.buf)
 			if err != nil {
 				return a, err
 			}
-			k.r.Feed(k.buf[:n])
+			k.reader.Feed(k.buf[:n])
 			continue
 		}
 		switch m.Type {
@@ -542,32 +566,35 @@
 			}
 			a.code = f['C']
 			if ms, err := strconv.Atoi(f['D']); err == nil && ms > 0 && ms < 1<<30 {
-				a.after = time.Duration(ms) * time.Millisecond
+				a.retryAfter = time.Duration(ms) * time.Millisecond
 			}
 		}
 	}
 }
 
-// ReadTenants reads tenants and their shares, such as a=3,b=1.
+// ReadTenants parses tenants and their shares, such as a=3,b=1.
 func ReadTenants(text string) (out []Tenant, err error) {
 	for _, part := range strings.Split(text, ",") {
 		name, share, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(v > 0) || v > 1e9 || name == "" || slices.ContainsFunc(out, func(x Tenant) bool { return x.Name == name }) {
-			return nil, fmt.Errorf("tenants: %q is no name=share, or comes twice", part)
+		if err != nil || !(v > 0) || v > 1e9 || name == "" ||
+			slices.ContainsFunc(out, func(x Tenant) bool { return x.Name == name }) {
+			return nil, fmt.Errorf("tenants: %q is not name=share with a new name and a share above 0 and at most 1e9", part)
 		}
 		out = append(out, Tenant{name, v})
 	}
 	return out, nil
 }
 
-// Captured reads moments from a file: seconds from the start, a line each, in order. An error names the line.
+// Captured parses the due times in the text of the file name: one per line in ascending order, in seconds from the
+// start of the run. An error names the line.
 func Captured(name, text string) (out []time.Duration, err error) {
 	last := 0.0
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		v, err := strconv.ParseFloat(strings.TrimSpace(line), 64)
 		if err != nil || !(v >= last) || v > 3600 {
-			return nil, fmt.Errorf("%s:%d: %q is no moment behind the one before", name, i+1, line)
+			return nil, fmt.Errorf("%s:%d: %q is not a time in seconds, at least that of the line before and at most 3600",
+				name, i+1, line)
 		}
 		last = v
 		out = append(out, time.Duration(v*1e9))
