--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -12,51 +12,53 @@
 	"limeladder/internal/simulation/model"
 )
 
-// directory is discovery over HTTP: whole lists, and watches from a version on. For one router it is the same as an agent that lists
-// are pushed to, but for the silence while discovery is down.
+// directory is the discovery service over HTTP: it serves full endpoint lists and watches for changes after a version.
+// For a single router it equals an agent to which lists are pushed, except that it does not answer while discovery is
+// down.
 type directory struct {
 	*model.Registry
-	h      *Host
-	addr   string
-	server *http.Server
-	news   chan struct{} // closed at the next change
-	down   time.Duration
+	host      *Host
+	addr      string
+	server    *http.Server
+	changed   chan struct{} // closed and replaced at the next change
+	downUntil time.Duration
 }
 
-func (h *Host) direct() error {
+// startDirectory starts discovery at a free loopback port.
+func (h *Host) startDirectory() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("standins: %w", err)
+		return fmt.Errorf("emulator: %w", err)
 	}
-	d := &directory{h: h, addr: ln.Addr().String(), news: make(chan struct{})}
+	d := &directory{host: h, addr: ln.Addr().String(), changed: make(chan struct{})}
 	d.Registry = model.NewRegistry(h.world, model.NoticeDelays{Change: h.cfg.Notice, Silent: h.cfg.Silent, Role: h.cfg.RoleLag},
 		func(r [2]time.Duration) time.Duration {
 			return r[0] + time.Duration(h.rng.Float64()*float64(r[1]-r[0]))
 		},
 		func(int) {
-			close(d.news)
-			d.news = make(chan struct{})
+			close(d.changed)
+			d.changed = make(chan struct{})
 		})
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
-	h.list = d
-	go func() { _ = d.server.Serve(ln) }() // it ends when the directory is closed
+	h.directory = d
+	go func() { _ = d.server.Serve(ln) }() // returns when the directory is closed
 	return nil
 }
 
 func (d *directory) close() {
-	_ = d.server.Close() // its only error is that of a listener that is closed
+	_ = d.server.Close() // it fails only on a listener that is closed already
 }
 
-// since is what has changed behind a version, all of it behind 0.
-func (d *directory) since(version int64) config.EndpointList {
+// changesSince returns the endpoints that have changed after a version, all of them after version 0.
+func (d *directory) changesSince(version int64) config.EndpointList {
 	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
 		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Cell: x.Endpoint.Group.ID, State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
-		for _, s := range d.h.servers {
-			if s.m == x.Endpoint {
+		for _, s := range d.host.servers {
+			if s.endpoint == x.Endpoint {
 				e.Addr = s.addr
 			}
 		}
@@ -65,7 +67,8 @@
 	return l
 }
 
-// ServeHTTP answers GET /v1/endpoints, with index=VERSION&wait=MS once there is something newer.
+// ServeHTTP answers GET /v1/endpoints with the full list. With index=VERSION&wait=MS it waits up to MS milliseconds for
+// a newer version and answers with the changes since VERSION.
 func (d *directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
@@ -88,13 +91,13 @@
 		var l config.EndpointList
 		var news chan struct{}
 		var down time.Duration
-		d.h.with(func() {
-			news, down = d.news, d.down-d.h.clock.Now()
-			if l = d.since(index); watch {
+		d.host.withModel(func() {
+			news, down = d.changed, d.downUntil-d.host.clock.Now()
+			if l = d.changesSince(index); watch {
 				l.Full = false
 			}
 		})
-		if down > 0 { // it says nothing until it is back
+		if down > 0 { // no response until discovery is back
 			select {
 			case <-r.Context().Done():
 				return
@@ -117,7 +120,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(p) // the caller may have gone meanwhile
+		_, _ = w.Write(p) // the caller may have disconnected
 		return
 	}
 }
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -1,5 +1,6 @@
-// Package emulator is the laboratory's skin on sockets: the machines of the model behind listeners on loopback that speak
-// PostgreSQL, and discovery over HTTP, so that the real program runs before them. The model's clock follows the system's.
+// Package emulator serves the simulation model's endpoints on loopback sockets: each endpoint speaks the PostgreSQL
+// protocol, and discovery runs over HTTP, so that the real router can run in front of them. The model's virtual clock
+// follows the system clock.
 package emulator
 
 import (
@@ -19,53 +20,55 @@
 	"limeladder/internal/simulation/model"
 )
 
-// Visit is a statement that has come whole to a machine over one connection.
+// Visit is a statement that an endpoint has received completely over one connection.
 type Visit struct {
-	Member, Remote string // the machine, and the other end of the connection
-	ID, Class      string
+	Member, Remote string // the endpoint's ID, and the remote address of the connection
+	ID, Class      string // of the request
 	Write          bool
-	See            time.Duration // the position that a read has to see, as the machine reckons it when it comes; 0 = any
-	Led            bool          // the machine leads its bank, or did
+	See            time.Duration // minimum position that a read has to see, computed on receipt; 0 = any
+	Led            bool          // the endpoint is the primary of its replica group, or was at an earlier time
 }
 
-// Ending is how a machine has ended a statement.
+// Ending is the result of a statement at an endpoint.
 type Ending struct {
 	Outcome  model.Outcome
-	Position time.Duration
-	Primary  bool
+	Position time.Duration // the endpoint's replication position
+	Primary  bool          // the endpoint was the primary
 }
 
-// Observer is told what reaches the machines. Its methods are called from many goroutines and must not call the Host.
+// Observer is notified of the statements that reach the endpoints. Its methods are called from many goroutines and must
+// not call the Host.
 type Observer interface {
-	// Came is called when a statement has come to a machine.
+	// Came is called when an endpoint has received a statement completely.
 	Came(v Visit)
-	// Ended comes once for each Came: answered, or given up with its connection (gone).
+	// Ended is called once for each call of Came, with the result of the statement. gone reports that there is none, since
+	// the client disconnected or the host stopped first.
 	Ended(v Visit, e Ending, gone bool)
 }
 
-// Host runs a world in real time.
+// Host runs a model of replica groups and discovery in real time.
 type Host struct {
 	observer Observer // nil = none
 
-	cfg   fleet.Config
-	begin time.Time
-	rng   *rand.Rand
-	wake  chan struct{}
-	end   chan struct{}
-	ended sync.WaitGroup
-
-	mu      sync.Mutex // guards all below; the model belongs to who holds it
-	clock   *event.Clock
-	world   *model.World
-	servers []*server
-	list    *directory
-	marks   []fleet.Mark
-	pushed  []string // machines that were pushed over while cold
-	count   fleet.Count
-	stopped bool
+	cfg         fleet.Config
+	startedAt   time.Time
+	rng         *rand.Rand
+	rescheduled chan struct{} // receives when the next event's time has changed
+	done        chan struct{} // closed at Stop
+	running     sync.WaitGroup
+
+	mu                       sync.Mutex // guards the fields below and all use of the model
+	clock                    *event.Clock
+	world                    *model.World
+	servers                  []*server
+	directory                *directory
+	marks                    []fleet.Mark
+	overloadedWhileWarmingUp []string // IDs of endpoints that failed from overload while warming up
+	count                    fleet.Count
+	stopped                  bool
 }
 
-// New starts machines and discovery on loopback. Faults come at their times from now on.
+// New starts endpoints and discovery on loopback. The faults of cfg are injected at their times, counted from now.
 func New(cfg fleet.Config, seed uint64) (*Host, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -76,8 +79,9 @@
 		}
 	}
 	begin := time.Now()
-	h := &Host{cfg: cfg, begin: begin, rng: rand.New(rand.NewPCG(seed, 5)), wake: make(chan struct{}, 1), end: make(chan struct{})}
-	// Positions go over the wire as instants, so the model's clock tells the time of day.
+	h := &Host{cfg: cfg, startedAt: begin, rng: rand.New(rand.NewPCG(seed, 5)),
+		rescheduled: make(chan struct{}, 1), done: make(chan struct{})}
+	// Positions are sent to clients as points in time, so the model's clock starts at the Unix time in nanoseconds.
 	h.clock = event.New(time.Duration(begin.UnixNano()))
 	h.world = model.New(h.clock, seed)
 	for b := range cfg.Banks {
@@ -87,7 +91,7 @@
 			if i >= cfg.Members {
 				m.Reserve()
 			}
-			s := &server{h: h, m: m, conns: map[*session]bool{}}
+			s := &server{host: h, endpoint: m, conns: map[*session]bool{}}
 			if err := s.listen("127.0.0.1:0"); err != nil {
 				h.Stop()
 				return nil, err
@@ -95,35 +99,35 @@
 			h.servers = append(h.servers, s)
 		}
 	}
-	if err := h.direct(); err != nil {
+	if err := h.startDirectory(); err != nil {
 		h.Stop()
 		return nil, err
 	}
-	h.world.Watch(h.changed)
+	h.world.Watch(h.endpointChanged)
 	for _, x := range cfg.Faults {
-		h.clock.After(x.At, func() { h.befall(x) })
+		h.clock.After(x.At, func() { h.injectFault(x) })
 	}
-	h.ended.Add(1)
+	h.running.Add(1)
 	go h.run()
 	return h, nil
 }
 
-// Observe sets who is told; it is called before any router is started.
+// Observe sets the observer. It must be called before any router is started.
 func (h *Host) Observe(o Observer) { h.observer = o }
 
-// Count is what has reached the machines: statements that came whole, connections that were welcomed, and probes.
+// Count returns the number of statements received completely, connections accepted and health checks at all endpoints.
 func (h *Host) Count() (c fleet.Count) {
-	h.with(func() { c = h.count })
+	h.withModel(func() { c = h.count })
 	return c
 }
 
-// Pushed are the machines that were pushed over while they were cold, so far.
+// Pushed returns the IDs of the endpoints that have failed from overload while they were warming up.
 func (h *Host) Pushed() (ids []string) {
-	h.with(func() { ids = append(ids, h.pushed...) })
+	h.withModel(func() { ids = append(ids, h.overloadedWhileWarmingUp...) })
 	return ids
 }
 
-// Zone is where a machine stands, "" = there is none of that id.
+// Zone returns the zone of an endpoint, "" if there is no endpoint with that ID.
 func (h *Host) Zone(id string) (zone string) {
 	h.Machines(func(m *model.Endpoint) {
 		if m.ID == id {
@@ -133,16 +137,16 @@
 	return zone
 }
 
-// Machines calls f with each machine of the world, as it is now.
+// Machines calls f with each endpoint in its current state.
 func (h *Host) Machines(f func(m *model.Endpoint)) {
-	h.with(func() {
+	h.withModel(func() {
 		for _, m := range h.world.Endpoints {
 			f(m)
 		}
 	})
 }
 
-// Stop ends all of it.
+// Stop closes all listeners and connections and waits until the model's clock has stopped.
 func (h *Host) Stop() {
 	h.mu.Lock()
 	if h.stopped {
@@ -150,20 +154,20 @@
 		return
 	}
 	h.stopped = true
-	close(h.end)
+	close(h.done)
 	for _, s := range h.servers {
 		s.close()
 	}
-	if h.list != nil {
-		h.list.close()
+	if h.directory != nil {
+		h.directory.close()
 	}
 	h.mu.Unlock()
-	h.ended.Wait()
+	h.running.Wait()
 }
 
-// run lets the model's clock follow the system's.
+// run makes the model's clock follow the system clock.
 func (h *Host) run() {
-	defer h.ended.Done()
+	defer h.running.Done()
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
 	for {
@@ -176,18 +180,20 @@
 		h.mu.Unlock()
 		idle.Reset(wait)
 		select {
-		case <-h.end:
+		case <-h.done:
 			return
-		case <-h.wake:
+		case <-h.rescheduled:
 		case <-idle.C:
 		}
 	}
 }
 
-func (h *Host) now() time.Duration { return time.Duration(h.begin.UnixNano()) + time.Since(h.begin) }
+func (h *Host) now() time.Duration {
+	return time.Duration(h.startedAt.UnixNano()) + time.Since(h.startedAt)
+}
 
-// with does something in the model as of now.
-func (h *Host) with(f func()) {
+// withModel advances the model to the current time and calls f while it holds the model's mutex.
+func (h *Host) withModel(f func()) {
 	h.mu.Lock()
 	h.clock.Run(h.now())
 	before, _ := h.clock.Next()
@@ -196,86 +202,90 @@
 	h.mu.Unlock()
 	if ok && after != before {
 		select {
-		case h.wake <- struct{}{}:
+		case h.rescheduled <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Discovery is the address of the list's service, Members those of the machines by id.
-func (h *Host) Discovery() string { return h.list.addr }
+// Discovery returns the address of the discovery service.
+func (h *Host) Discovery() string { return h.directory.addr }
 
-// Members are the machines' addresses, by id.
+// Members returns the endpoints' addresses by endpoint ID.
 func (h *Host) Members() map[string]string {
 	out := map[string]string{}
 	for _, s := range h.servers {
-		out[s.m.ID] = s.addr
+		out[s.endpoint.ID] = s.addr
 	}
 	return out
 }
 
-// Marks are the faults that have come.
+// Marks returns the faults injected so far.
 func (h *Host) Marks() []fleet.Mark {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]fleet.Mark(nil), h.marks...)
 }
 
-// Befall carries out a fault now.
-func (h *Host) Befall(x fleet.Fault) { h.with(func() { h.befall(x) }) }
+// Befall injects a fault now.
+func (h *Host) Befall(x fleet.Fault) { h.withModel(func() { h.injectFault(x) }) }
 
-func (h *Host) befall(x fleet.Fault) {
-	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.begin.UnixNano()), Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
+func (h *Host) injectFault(x fleet.Fault) {
+	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.startedAt.UnixNano()),
+		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
 	if x.What == "discovery" {
-		h.list.down = h.clock.Now() + x.For
+		h.directory.downUntil = h.clock.Now() + x.For
 		return
 	}
 	fleet.Befall(h.world, x, h.cfg.Kind.ErrorShare)
 }
 
-// changed follows a machine's state: one that is down has no listener and no connections.
-func (h *Host) changed(m *model.Endpoint) {
-	if m.State() == model.Down && m.WarmingUp() && strings.HasPrefix(m.Cause(), "pushed over") && !slices.Contains(h.pushed, m.ID) {
-		h.pushed = append(h.pushed, m.ID)
+// endpointChanged opens and closes an endpoint's listener with its state: an endpoint that is down has no listener and
+// no connections.
+func (h *Host) endpointChanged(m *model.Endpoint) {
+	if m.State() == model.Down && m.WarmingUp() && strings.HasPrefix(m.Cause(), "pushed over") &&
+		!slices.Contains(h.overloadedWhileWarmingUp, m.ID) {
+		h.overloadedWhileWarmingUp = append(h.overloadedWhileWarmingUp, m.ID)
 	}
 	for _, s := range h.servers {
-		if s.m != m {
+		if s.endpoint != m {
 			continue
 		}
 		if m.State() == model.Down {
 			s.close()
-		} else if s.ln == nil && !h.stopped {
+		} else if s.listener == nil && !h.stopped {
 			if err := s.listen(s.addr); err != nil {
-				h.clock.After(50*time.Millisecond, func() { h.changed(m) }) // its port is still held
+				h.clock.After(50*time.Millisecond, func() { h.endpointChanged(m) }) // the port is still in use
 			}
 		}
 	}
 }
 
-// Seat is where a router stands in this world.
+// Seat describes a router's place in the emulated environment.
 type Seat struct {
-	Name, Listen, Operator, Zone string
-	Discovery                    string
-	Known                        config.EndpointList
+	Name, Listen, Operator, Zone string              // Listen and Operator are addresses
+	Discovery                    string              // address of the discovery service
+	Known                        config.EndpointList // the list with which the router starts
 	Seed                         uint64
 }
 
-// Settings is the configuration with which the one router of this world meets it.
+// Settings returns the settings of a router that is the only one in front of the endpoints.
 func (h *Host) Settings(name, listen, operator string, seed uint64) ([]byte, error) {
 	return h.SettingsFor(Seat{Name: name, Listen: listen, Operator: operator, Zone: h.cfg.Zones[0], Discovery: h.Discovery(), Known: h.List(0), Seed: seed})
 }
 
-// List is what discovery says has changed behind a version, all of it behind 0. It is empty while discovery says nothing.
+// List returns the endpoints that have changed after a version, all of them after version 0. It is empty while
+// discovery is down.
 func (h *Host) List(since int64) (l config.EndpointList) {
-	h.with(func() {
-		if h.list.down <= h.clock.Now() {
-			l = h.list.since(since)
+	h.withModel(func() {
+		if h.directory.downUntil <= h.clock.Now() {
+			l = h.directory.changesSince(since)
 		}
 	})
 	return l
 }
 
-// SettingsFor is the configuration of one of several routers.
+// SettingsFor returns the settings of one of several routers.
 func (h *Host) SettingsFor(s Seat) ([]byte, error) {
 	c := h.cfg
 	type lane struct {
@@ -323,21 +333,21 @@
 	}, "", " ")
 }
 
-// server is a machine's listener.
+// server is the listener of an endpoint.
 type server struct {
-	h     *Host
-	m     *model.Endpoint
-	addr  string
-	ln    net.Listener
-	conns map[*session]bool
+	host     *Host
+	endpoint *model.Endpoint
+	addr     string
+	listener net.Listener
+	conns    map[*session]bool
 }
 
 func (s *server) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("standins: %w", err)
+		return fmt.Errorf("emulator: %w", err)
 	}
-	s.ln, s.addr = ln, ln.Addr().String()
+	s.listener, s.addr = ln, ln.Addr().String()
 	go s.accept(ln)
 	return nil
 }
@@ -348,33 +358,33 @@
 		if err != nil {
 			return
 		}
-		x := &session{s: s, c: c, epoch: -1}
-		s.h.mu.Lock()
-		if s.ln == ln {
+		x := &session{server: s, conn: c, epoch: -1}
+		s.host.mu.Lock()
+		if s.listener == ln {
 			s.conns[x] = true
 			go x.serve()
 		} else {
 			c.Close()
 		}
-		s.h.mu.Unlock()
+		s.host.mu.Unlock()
 	}
 }
 
 func (s *server) close() {
-	if s.ln != nil {
-		s.ln.Close()
-		s.ln = nil
+	if s.listener != nil {
+		s.listener.Close()
+		s.listener = nil
 	}
 	for x := range s.conns {
-		x.c.Close()
+		x.conn.Close()
 		delete(s.conns, x)
 	}
 }
 
-// Sample is the state of the world now; InHand is the caller's.
+// Sample returns the current state of all endpoints. The caller sets InHand.
 func (h *Host) Sample() (s fleet.Sample) {
-	h.with(func() {
-		s.At = h.clock.Now() - time.Duration(h.begin.UnixNano())
+	h.withModel(func() {
+		s.At = h.clock.Now() - time.Duration(h.startedAt.UnixNano())
 		for _, m := range h.world.Endpoints {
 			s.Machines = append(s.Machines, fleet.Look(m, h.clock.Now()))
 		}
@@ -382,9 +392,9 @@
 	return s
 }
 
-// Changes is how often primaries have changed, Did how many statements the machines have served.
+// Changes returns how often primaries have changed and how many statements the endpoints have served.
 func (h *Host) Changes() (changes int, did uint64) {
-	h.with(func() {
+	h.withModel(func() {
 		for _, b := range h.world.Groups {
 			changes += b.PrimaryChanges()
 		}
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -15,7 +15,8 @@
 	"limeladder/internal/testserver"
 )
 
-func small(change func(*fleet.Config)) fleet.Config {
+// smallConfig returns a fleet of one replica group with short delays of discovery and failover.
+func smallConfig(change func(*fleet.Config)) fleet.Config {
 	c := fleet.Default()
 	c.Banks, c.Kind.ErrorShare, c.Kind.HandshakeWork = 1, 0, 0
 	c.Notice, c.Silent = [2]time.Duration{20 * time.Millisecond, 30 * time.Millisecond}, [2]time.Duration{40 * time.Millisecond, 50 * time.Millisecond}
@@ -28,7 +29,7 @@
 
 func newHost(t *testing.T, change func(*fleet.Config)) (*Host, map[string]string) {
 	t.Helper()
-	h, err := New(small(change), 1)
+	h, err := New(smallConfig(change), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,11 +37,13 @@
 	return h, h.Members()
 }
 
-func text(class string, need time.Duration, after time.Duration) []byte {
+// query returns a Query message of a request of the given class, amount of work and minimum position.
+func query(class string, need time.Duration, after time.Duration) []byte {
 	return pgwire.AppendQuery(nil, Statement("1", class, time.Second, 1, after, false, "s", need))
 }
 
-func until(t *testing.T, what string, is func() bool) {
+// waitFor fails the test with the message what if is is not true within 10 s.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -49,45 +52,46 @@
 	}
 }
 
-// Statements take their time, and are answered by what the machine is.
+// A statement takes as long as its work. Writes at a replica, reads of missing data and statements without a request
+// comment are rejected, and health checks and extended queries are answered.
 func TestStatements(t *testing.T) {
 	h, at := newHost(t, nil)
 	a, b := testserver.Dial(t, at["db1a"]), testserver.Dial(t, at["db1b"])
 	begin := time.Now()
-	a.Send(text("submit-job", 30*time.Millisecond, 0))
+	a.Send(query("submit-job", 30*time.Millisecond, 0))
 	if x := a.Until('Z'); x.Code != "" || x.Types != "TDCZ" || !strings.HasPrefix(x.Value, "db1a ") || time.Since(begin) < 30*time.Millisecond {
-		t.Fatalf("%+v after %v", x, time.Since(begin))
+		t.Fatalf("got %+v after %v, expected a row from db1a after at least 30 ms", x, time.Since(begin))
 	}
-	b.Send(text("submit-job", time.Millisecond, 0))
+	b.Send(query("submit-job", time.Millisecond, 0))
 	if x := b.Until('Z'); x.Code != pgwire.ReadOnly {
-		t.Fatalf("a write at a replica: %+v", x)
+		t.Fatalf("write at a replica: got %+v, expected read-only", x)
 	}
-	b.Send(text("own-jobs", time.Millisecond, time.Duration(time.Now().Add(time.Minute).UnixNano())))
+	b.Send(query("own-jobs", time.Millisecond, time.Duration(time.Now().Add(time.Minute).UnixNano())))
 	if x := b.Until('Z'); x.Code != pgwire.SnapshotTooOld {
-		t.Fatalf("a read of what is not there yet: %+v", x)
+		t.Fatalf("read of a later position: got %+v, expected snapshot too old", x)
 	}
 	b.Send(pgwire.AppendQuery(nil, "SELECT 1"))
 	if x := b.Until('Z'); x.Code != pgwire.ProtocolViolation {
-		t.Fatalf("%+v", x)
+		t.Fatalf("statement without a request comment: got %+v, expected protocol violation", x)
 	}
 	b.Send(pgwire.AppendQuery(nil, "SHOW stats"))
 	if x := b.Until('Z'); !strings.Contains(x.Value, ",x1=0,util=") || !strings.HasPrefix(x.Value, "x0=") {
-		t.Fatalf("%+v", x)
+		t.Fatalf("health check: got %+v, expected position, role of a replica and utilization", x)
 	}
 	p := pgwire.AppendParse(nil, pgwire.ParseMessage{Query: Statement("2", "queue-view", time.Second, 1, 0, true, "s", time.Millisecond)})
 	p = pgwire.AppendBind(p, pgwire.BindMessage{Rest: []byte{0, 0, 0, 0, 0, 0}})
 	p = pgwire.AppendTarget(p, 'D', 'P', "")
 	b.Send(pgwire.Append(pgwire.AppendExecute(p, "", 0), 'S'))
 	if x := b.Until('Z'); x.Types != "12TDCZ" {
-		t.Fatalf("%+v", x)
+		t.Fatalf("extended query: got %+v, expected message types 12TDCZ", x)
 	}
-	if _, did := h.Changes(); did != 2 {
-		t.Errorf("%d served", did)
+	if _, served := h.Changes(); served != 2 {
+		t.Errorf("got %d statements served, expected 2", served)
 	}
 }
 
-// A machine that is killed takes nobody, and comes back at its address; a primary's successor stands; one that hangs says
-// nothing until it goes on; a place too many is turned away.
+// A killed endpoint refuses connections and restarts at the same address, and a replica is promoted in its place. An
+// endpoint that hangs answers when it continues. A connection above the limit is rejected.
 func TestFaults(t *testing.T) {
 	h, at := newHost(t, func(c *fleet.Config) { c.Kind.MaxConnections = 2 })
 	a := testserver.Dial(t, at["db1a"])
@@ -100,19 +104,19 @@
 		t.Fatal(err)
 	}
 	if p, _ := io.ReadAll(c); !strings.Contains(string(p), pgwire.TooManyConnections) {
-		t.Errorf("a place too many: %q", p)
+		t.Errorf("connection above the limit: got %q, expected too many connections", p)
 	}
-	a.Send(text("queue-view", 10*time.Second, 0))
+	a.Send(query("queue-view", 10*time.Second, 0))
 	h.Befall(fleet.Fault{What: "kill", Who: []string{"primary:1"}, For: 500 * time.Millisecond})
 	if x := a.Until('Z'); !x.Ended {
-		t.Errorf("%+v", x)
+		t.Errorf("statement at the killed primary: got %+v, expected the connection to end", x)
 	}
 	if c, err := net.Dial("tcp", at["db1a"]); err == nil {
 		c.Close()
-		t.Error("it takes connections")
+		t.Error("the killed endpoint accepted a connection, expected it to be refused")
 	}
-	until(t, "no successor", func() bool { n, _ := h.Changes(); return n == 1 })
-	until(t, "it does not come back", func() bool {
+	waitFor(t, "no replica was promoted within 10 s", func() bool { n, _ := h.Changes(); return n == 1 })
+	waitFor(t, "the killed endpoint did not restart within 10 s", func() bool {
 		c, err := net.Dial("tcp", at["db1a"])
 		if err == nil {
 			c.Close()
@@ -122,16 +126,18 @@
 	b := testserver.Dial(t, at["db1b"])
 	h.Befall(fleet.Fault{What: "hang", Who: []string{"db1b"}, For: 300 * time.Millisecond})
 	begin := time.Now()
-	b.Send(text("queue-view", time.Millisecond, 0))
+	b.Send(query("queue-view", time.Millisecond, 0))
 	if x := b.Until('Z'); x.Code != "" || time.Since(begin) < 200*time.Millisecond {
-		t.Errorf("%+v after %v", x, time.Since(begin))
+		t.Errorf("statement at the hanging endpoint: got %+v after %v, expected no error and at least 200 ms",
+			x, time.Since(begin))
 	}
 	if m := h.Marks(); len(m) != 2 || m[0].Text != "kill primary:1" {
-		t.Errorf("%+v", m)
+		t.Errorf("got faults %+v, expected two, the first being kill primary:1", m)
 	}
 }
 
-// Discovery gives whole lists, and what has changed to those who watch; while it is down it says nothing.
+// Discovery answers polls with full lists and watches with changes, and does not answer while it is down. The settings
+// of a router hold the full list.
 func TestDiscovery(t *testing.T) {
 	h, _ := newHost(t, nil)
 	get := func(query string) (l config.EndpointList, code int) {
@@ -148,24 +154,25 @@
 	}
 	l, _ := get("")
 	if !l.Full || len(l.Endpoints) != 3 || l.Endpoints[0].Mode != "read-write" || l.Endpoints[1].Mode != "read-only" {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v, expected a full list of a primary and two replicas", l)
 	}
 	if same, _ := get("?index=1&wait=50"); same.Version != 1 || len(same.Endpoints) != 0 {
-		t.Fatalf("%+v", same)
+		t.Fatalf("watch without a change: got %+v, expected version 1 without endpoints", same)
 	}
 	go h.Befall(fleet.Fault{What: "drain", Who: []string{"db1c"}})
 	if l, _ = get("?index=1&wait=5000"); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != "draining" {
-		t.Fatalf("%+v", l)
+		t.Fatalf("watch of a drain: got %+v, expected one draining endpoint", l)
 	}
 	for _, q := range []string{"?index=x&wait=1", "?index=1&wait=-1", "?index=1"} {
 		if _, code := get(q); code != http.StatusBadRequest {
-			t.Errorf("%s: %d", q, code)
+			t.Errorf("%s: got status %d, expected 400", q, code)
 		}
 	}
 	h.Befall(fleet.Fault{What: "discovery", For: 200 * time.Millisecond})
 	begin := time.Now()
 	if l, _ := get(""); time.Since(begin) < 180*time.Millisecond || len(l.Endpoints) != 3 {
-		t.Errorf("%+v after %v", l, time.Since(begin))
+		t.Errorf("poll while discovery is down: got %+v after %v, expected 3 endpoints after at least 180 ms",
+			l, time.Since(begin))
 	}
 	p, err := h.Settings("n", "127.0.0.1:0", "", 3)
 	if err != nil {
@@ -173,9 +180,10 @@
 	}
 	c, err := config.Parse(p, func(string) string { return "" })
 	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.Known == nil || len(c.Known.Endpoints) != 3 {
-		t.Fatalf("%v %+v", err, c)
+		t.Fatalf("settings: got error %v and %+v, expected 5 classes, slow start of 18 s and 3 known endpoints", err, c)
 	}
-	if _, err := New(small(func(c *fleet.Config) { c.Faults = []fleet.Fault{{What: "cut"}} }), 1); err == nil || !strings.Contains(err.Error(), "cut needs more than one process") {
+	if _, err := New(smallConfig(func(c *fleet.Config) { c.Faults = []fleet.Fault{{What: "cut"}} }), 1); err == nil ||
+		!strings.Contains(err.Error(), "cut needs more than one process") {
 		t.Error(err)
 	}
 }
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -14,46 +14,46 @@
 	"limeladder/internal/simulation/model"
 )
 
-// What a session reads at most.
+// Maximum lengths in bytes of a message and of the startup message that a session reads.
 const (
-	mostMessage = 1 << 20
-	mostStartup = 10_000
+	maxMessage = 1 << 20
+	maxStartup = 10_000
 )
 
-// session is one connection to a machine.
+// session is one connection to an endpoint.
 type session struct {
-	s     *server
-	c     net.Conn
-	epoch int // of its place at the machine, -1 = it has none
-	out   []byte
-	work  *model.Statement // the statement that is out
-	in    chan []byte      // what has come
-	gone  chan struct{}    // closed once the other side has closed or broken the connection
-	left  chan struct{}    // closed once this side has
+	server     *server
+	conn       net.Conn
+	epoch      int // of the connection at the endpoint, -1 = not accepted by it
+	output     []byte
+	current    *model.Statement // the statement in progress, nil = none
+	input      chan []byte      // bytes received
+	peerClosed chan struct{}    // closed when the peer has closed the connection or it is broken
+	closed     chan struct{}    // closed when this side has closed the connection
 }
 
-// read takes what comes also while a statement runs, so that a connection that is given up is noticed then.
-func (x *session) read() {
-	defer close(x.gone)
+// readInput reads from the connection, also while a statement runs, so that a disconnect is noticed meanwhile.
+func (x *session) readInput() {
+	defer close(x.peerClosed)
 	for {
 		buf := make([]byte, 4096)
-		n, err := x.c.Read(buf)
+		n, err := x.conn.Read(buf)
 		if err != nil {
 			return
 		}
 		select {
-		case x.in <- buf[:n]:
-		case <-x.left:
+		case x.input <- buf[:n]:
+		case <-x.closed:
 			return
 		}
 	}
 }
 
 func (x *session) serve() {
-	x.in, x.gone, x.left = make(chan []byte, 4), make(chan struct{}), make(chan struct{})
-	go x.read()
-	defer x.leave()
-	r := pgwire.NewReader(mostMessage, mostStartup)
+	x.input, x.peerClosed, x.closed = make(chan []byte, 4), make(chan struct{}), make(chan struct{})
+	go x.readInput()
+	defer x.close()
+	r := pgwire.NewReader(maxMessage, maxStartup)
 	var sql string
 	failed := false
 	for {
@@ -63,9 +63,9 @@
 		}
 		if !ok {
 			select {
-			case p := <-x.in:
+			case p := <-x.input:
 				r.Feed(p)
-			case <-x.gone:
+			case <-x.peerClosed:
 				return
 			}
 			continue
@@ -75,7 +75,7 @@
 			if err != nil || code == pgwire.CancelRequest {
 				return
 			}
-			if !x.welcome() {
+			if !x.connect() {
 				return
 			}
 			r.Started()
@@ -87,37 +87,37 @@
 				return
 			}
 			if sql == "SHOW stats" {
-				if !x.report() {
+				if !x.answerHealthCheck() {
 					return
 				}
 				continue
 			}
 			x.run(sql, true)
-			x.ready()
+			x.appendReady()
 		case 'P':
 			p, err := pgwire.Parse(m.Body)
 			if err != nil {
 				return
 			}
 			sql = p.Query
-			x.add(!failed, '1')
+			x.appendIf(!failed, '1')
 		case 'B':
-			x.add(!failed, '2')
+			x.appendIf(!failed, '2')
 		case 'D':
 			if !failed {
 				if len(m.Body) > 0 && m.Body[0] == 'S' {
-					x.out = pgwire.Append(x.out, 't', []byte{0, 0})
+					x.output = pgwire.Append(x.output, 't', []byte{0, 0})
 				}
-				x.out = pgwire.Append(x.out, 'T', columns)
+				x.output = pgwire.Append(x.output, 'T', dataColumn)
 			}
 		case 'E':
 			if !failed {
 				failed = !x.run(sql, false)
 			}
 		case 'C':
-			x.add(!failed, '3')
+			x.appendIf(!failed, '3')
 		case 'S':
-			x.ready()
+			x.appendReady()
 			failed = false
 		case 'H':
 		case 'X':
@@ -126,84 +126,89 @@
 			return
 		}
 		if m.Type == 'Q' || m.Type == 'S' || m.Type == 'H' {
-			if _, err := x.c.Write(x.out); err != nil {
+			if _, err := x.conn.Write(x.output); err != nil {
 				return
 			}
-			x.out = x.out[:0]
+			x.output = x.output[:0]
 		}
 	}
 }
 
-func (x *session) add(do bool, typ byte) {
+// appendIf appends a message without a body if do is set.
+func (x *session) appendIf(do bool, typ byte) {
 	if do {
-		x.out = pgwire.Append(x.out, typ)
+		x.output = pgwire.Append(x.output, typ)
 	}
 }
 
-// leave gives up what is out, and the connection's place.
-func (x *session) leave() {
-	close(x.left)
-	x.c.Close()
-	x.s.h.with(func() {
-		delete(x.s.conns, x)
-		if x.work != nil {
-			x.s.m.Cancel(x.work)
+// close closes the connection, cancels the statement in progress and frees the connection's slot at the endpoint.
+func (x *session) close() {
+	close(x.closed)
+	x.conn.Close()
+	x.server.host.withModel(func() {
+		delete(x.server.conns, x)
+		if x.current != nil {
+			x.server.endpoint.Cancel(x.current)
 		}
 		if x.epoch >= 0 {
-			x.s.m.Disconnect(x.epoch)
+			x.server.endpoint.Disconnect(x.epoch)
 		}
 	})
 }
 
-// welcome waits for a place.
-func (x *session) welcome() bool {
+// connect waits until the endpoint accepts the connection, and answers the startup. It returns false if the connection
+// is to be closed.
+func (x *session) connect() bool {
 	type end struct {
 		ok, full bool
 		epoch    int
 	}
 	up := make(chan end, 1)
-	x.s.h.with(func() { x.s.m.Connect(func(ok, full bool, epoch int) { up <- end{ok, full, epoch} }) })
-	e, ok := wait(x, up)
+	x.server.host.withModel(func() { x.server.endpoint.Connect(func(ok, full bool, epoch int) { up <- end{ok, full, epoch} }) })
+	e, ok := waitForModel(x, up)
 	if !ok {
 		return false
 	}
 	switch {
 	case e.full:
-		// The connection ends here, whether or not its peer is still there.
-		_, _ = x.c.Write(pgwire.AppendError(nil, pgwire.Error{Code: pgwire.TooManyConnections, Message: "too many connections", Fatal: true}))
+		// The connection is closed next, so a failed write changes nothing.
+		_, _ = x.conn.Write(pgwire.AppendError(nil,
+			pgwire.Error{Code: pgwire.TooManyConnections, Message: "too many connections", Fatal: true}))
 		return false
 	case !e.ok:
 		return false
 	}
 	x.epoch = e.epoch
-	x.s.h.with(func() { x.s.h.count.Dials++ })
-	_, err := x.c.Write(pgwire.AppendWelcome(nil))
+	x.server.host.withModel(func() { x.server.host.count.Dials++ })
+	_, err := x.conn.Write(pgwire.AppendWelcome(nil))
 	return err == nil
 }
 
-// wait is for what the model says, unless all ends meanwhile. A machine that hangs says nothing.
-func wait[T any](x *session, ch chan T) (v T, ok bool) {
+// waitForModel returns the model's next result from ch. ok is false if the peer closes the connection or the host stops
+// first. An endpoint that hangs gives no result.
+func waitForModel[T any](x *session, ch chan T) (v T, ok bool) {
 	select {
 	case v = <-ch:
 		return v, true
-	case <-x.gone:
-	case <-x.s.h.end:
+	case <-x.peerClosed:
+	case <-x.server.host.done:
 	}
 	return v, false
 }
 
-// report answers a probe.
-func (x *session) report() bool {
+// answerHealthCheck answers a health check with replication position, role and utilization. It returns false if the
+// connection is to be closed.
+func (x *session) answerHealthCheck() bool {
 	type end struct {
 		r  model.LoadReport
 		ok bool
 	}
 	ch := make(chan end, 1)
-	x.s.h.with(func() {
-		x.s.h.count.Probes++
-		x.s.m.RequestReport(func(r model.LoadReport, ok bool) { ch <- end{r, ok} })
+	x.server.host.withModel(func() {
+		x.server.host.count.Probes++
+		x.server.endpoint.RequestReport(func(r model.LoadReport, ok bool) { ch <- end{r, ok} })
 	})
-	e, ok := wait(x, ch)
+	e, ok := waitForModel(x, ch)
 	if !ok || !e.ok {
 		return false
 	}
@@ -212,18 +217,20 @@
 		lead = "1"
 	}
 	text := "x0=" + strconv.FormatFloat(float64(e.r.Position.Milliseconds())/1000, 'f', 3, 64) + ",x1=" + lead + ",util=" + strconv.FormatFloat(e.r.Utilization, 'f', 3, 64)
-	x.out = pgwire.Append(x.out, 'T', []byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"))
-	x.row("SHOW", text)
-	x.ready()
-	_, err := x.c.Write(x.out)
-	x.out = x.out[:0]
+	x.output = pgwire.Append(x.output, 'T',
+		[]byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"))
+	x.appendRow("SHOW", text)
+	x.appendReady()
+	_, err := x.conn.Write(x.output)
+	x.output = x.output[:0]
 	return err == nil
 }
 
-// mark is the word behind which a statement says how much work it is, in microseconds.
-const mark = "limelab("
+// workMarker precedes the amount of work in the text of a statement, in microseconds.
+const workMarker = "limelab("
 
-// Statement is the text of a request for machines of this world.
+// Statement returns the text of a statement for emulated endpoints: the request comment, and need as the amount of
+// work.
 func Statement(id, class string, deadline time.Duration, bank int64, after time.Duration, retry bool, session string, need time.Duration) string {
 	var b strings.Builder
 	b.WriteString("/* id=" + id + ",c=" + class + ",d=" + strconv.FormatInt(deadline.Milliseconds(), 10) + ",cluster=" + strconv.FormatInt(bank, 10))
@@ -233,13 +240,14 @@
 	if retry {
 		b.WriteString(",r=1")
 	}
-	b.WriteString(" */ SELECT " + mark + strconv.FormatInt(need.Microseconds(), 10) + ") -- '" + session + "'")
+	b.WriteString(" */ SELECT " + workMarker + strconv.FormatInt(need.Microseconds(), 10) + ") -- '" + session + "'")
 	return b.String()
 }
 
-// need is the work of a statement: what it says, or a draw for its class.
-func (h *Host) need(sql string, k *fleet.Class) time.Duration {
-	if _, rest, ok := strings.Cut(sql, mark); ok {
+// workOf returns the work of a statement: the amount in its text, else a draw from the distribution of class k, or
+// one millisecond if k is nil.
+func (h *Host) workOf(sql string, k *fleet.Class) time.Duration {
+	if _, rest, ok := strings.Cut(sql, workMarker); ok {
 		if text, _, ok := strings.Cut(rest, ")"); ok {
 			if us, err := strconv.ParseInt(text, 10, 64); err == nil && us >= 0 && us < 1e9 {
 				return time.Duration(us) * time.Microsecond
@@ -252,24 +260,24 @@
 	return k.Work.Draw(h.rng)
 }
 
-// run lets a statement run and adds its answer. It says whether it was served.
+// run executes a statement and appends the response. It reports whether the statement was served.
 func (x *session) run(sql string, simple bool) bool {
 	head, err := requestcomment.Parse(sql)
 	if err != nil {
-		x.fail(pgwire.ProtocolViolation, err.Error())
+		x.appendError(pgwire.ProtocolViolation, err.Error())
 		return false
 	}
-	h, m := x.s.h, x.s.m
+	h, m := x.server.host, x.server.endpoint
 	ch := make(chan Ending, 1)
-	v := Visit{Member: m.ID, Remote: x.c.RemoteAddr().String(), ID: head.ID, Class: head.Class}
-	h.with(func() {
+	v := Visit{Member: m.ID, Remote: x.conn.RemoteAddr().String(), ID: head.ID, Class: head.Class}
+	h.withModel(func() {
 		var k *fleet.Class
 		for i := range h.cfg.Classes {
 			if h.cfg.Classes[i].Name == head.Class {
 				k = &h.cfg.Classes[i]
 			}
 		}
-		w := &model.Statement{Work: max(time.Microsecond, h.need(sql, k)), Deadline: h.clock.Now() + head.Deadline}
+		w := &model.Statement{Work: max(time.Microsecond, h.workOf(sql, k)), Deadline: h.clock.Now() + head.Deadline}
 		if k != nil {
 			w.Write, w.BlocksApply = fleet.Update(k), k.Long
 		}
@@ -282,65 +290,65 @@
 		}
 		v.Write, v.See, v.Led = w.Write, see, m.WasPrimary()
 		w.Done = func(o model.Outcome, pos time.Duration, primary bool) {
-			x.work = nil
+			x.current = nil
 			ch <- Ending{o, pos, primary}
 		}
 		h.count.Attempts++
 		if h.observer != nil {
 			h.observer.Came(v)
 		}
-		x.work = w
+		x.current = w
 		m.Submit(w)
 	})
-	e, ok := wait(x, ch)
+	e, ok := waitForModel(x, ch)
 	if h.observer != nil {
 		h.observer.Ended(v, e, !ok)
 	}
 	if !ok {
-		x.c.Close()
+		x.conn.Close()
 		return false
 	}
 	switch e.Outcome {
 	case model.Served:
 		if simple {
-			x.out = pgwire.Append(x.out, 'T', columns)
+			x.output = pgwire.Append(x.output, 'T', dataColumn)
 		}
-		x.row("SELECT 1", m.ID+" "+strconv.FormatInt(int64(e.Position), 10))
+		x.appendRow("SELECT 1", m.ID+" "+strconv.FormatInt(int64(e.Position), 10))
 		return true
 	case model.QueueFull:
-		x.fail(pgwire.TooManyConnections, "no slot and no room")
+		x.appendError(pgwire.TooManyConnections, "no slot and no room")
 	case model.ReadOnly:
-		x.fail(pgwire.ReadOnly, "read-only")
+		x.appendError(pgwire.ReadOnly, "read-only")
 	case model.TooStale:
-		x.fail(pgwire.SnapshotTooOld, "not applied yet")
+		x.appendError(pgwire.SnapshotTooOld, "not applied yet")
 	case model.Disconnected:
-		x.c.Close()
+		x.conn.Close()
 	default:
-		x.fail("57014", "did not run to its end")
+		x.appendError("57014", "did not run to its end")
 	}
 	return false
 }
 
-func (x *session) fail(code, why string) {
-	x.out = pgwire.AppendError(x.out, pgwire.Error{Code: code, Message: why})
+func (x *session) appendError(code, why string) {
+	x.output = pgwire.AppendError(x.output, pgwire.Error{Code: code, Message: why})
 }
 
-var columns = []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
+var dataColumn = []byte("\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
 
-func (x *session) row(tag, value string) {
-	x.out = pgwire.Append(x.out, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
-	x.out = pgwire.Append(x.out, 'C', append([]byte(tag), 0))
+func (x *session) appendRow(tag, value string) {
+	x.output = pgwire.Append(x.output, 'D', binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
+	x.output = pgwire.Append(x.output, 'C', append([]byte(tag), 0))
 }
 
-func (x *session) ready() {
+func (x *session) appendReady() {
 	mode, pos := "read-only", time.Duration(0)
-	x.s.h.with(func() {
-		if x.s.m.IsPrimary() {
+	x.server.host.withModel(func() {
+		if x.server.endpoint.IsPrimary() {
 			mode = "read-write"
 		}
-		pos = x.s.m.Position()
+		pos = x.server.endpoint.Position()
 	})
-	x.out = pgwire.AppendPair(x.out, "mode", mode)
-	x.out = pgwire.AppendPair(x.out, "wal_time", strconv.FormatInt(pos.Milliseconds(), 10))
-	x.out = pgwire.AppendReady(x.out)
+	x.output = pgwire.AppendPair(x.output, "mode", mode)
+	x.output = pgwire.AppendPair(x.output, "wal_time", strconv.FormatInt(pos.Milliseconds(), 10))
+	x.output = pgwire.AppendReady(x.output)
 }
