--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -89,19 +89,19 @@
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for {
 		var l config.EndpointList
-		var news chan struct{}
-		var down time.Duration
+		var changed chan struct{}
+		var downFor time.Duration
 		d.host.withModel(func() {
-			news, down = d.changed, d.downUntil-d.host.clock.Now()
+			changed, downFor = d.changed, d.downUntil-d.host.clock.Now()
 			if l = d.changesSince(index); watch {
 				l.Full = false
 			}
 		})
-		if down > 0 { // no response until discovery is back
+		if downFor > 0 { // no response until discovery is back
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(down):
+			case <-time.After(downFor):
 			}
 			continue
 		}
@@ -109,7 +109,7 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case <-news:
+			case <-changed:
 			case <-time.After(left):
 			}
 			continue
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -164,7 +164,9 @@
 		epoch    int
 	}
 	up := make(chan end, 1)
-	x.server.host.withModel(func() { x.server.endpoint.Connect(func(ok, full bool, epoch int) { up <- end{ok, full, epoch} }) })
+	x.server.host.withModel(func() {
+		x.server.endpoint.Connect(func(ok, full bool, epoch int) { up <- end{ok, full, epoch} })
+	})
 	e, ok := waitForModel(x, up)
 	if !ok {
 		return false
--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -463,17 +463,17 @@
 		r.recordEnd(q, served, "")
 		return c
 	}
-	how := failed
+	ending := failed
 	if a.code == pgwire.TooManyConnections || a.code == "no connection" {
-		how = rejected
+		ending = rejected
 	}
 	wait := r.options.Backoff
 	if rng.Float64() < r.options.Honour {
 		wait = max(wait, a.retryAfter)
 	}
-	if how == failed && q.class.Idempotency != balance.Idempotent || q.attempts > r.options.Retries ||
+	if ending == failed && q.class.Idempotency != balance.Idempotent || q.attempts > r.options.Retries ||
 		time.Since(q.due)+wait >= q.class.ClientTimeout {
-		r.recordEnd(q, how, a.code)
+		r.recordEnd(q, ending, a.code)
 		return c
 	}
 	time.AfterFunc(wait, func() { r.enqueue(q) })
--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -75,7 +75,7 @@
 // Jobs returns a description of each violation: a job that did not get exactly one response in time, was executed
 // twice, was executed although it was rejected, was served without having been executed, failed although no endpoint
 // had received it completely, or was executed by a draining endpoint.
-func Jobs(jobs []Job, logs []Log, drains []Drain) (faults []string) {
+func Jobs(jobs []Job, logs []Log, drains []Drain) (violations []string) {
 	c := newChecker(drains)
 	for _, log := range logs {
 		c.addLog(log)
@@ -85,7 +85,7 @@
 	}
 	c.checkLateJobs(len(jobs))
 	c.checkUnknownRuns()
-	return c.faults
+	return c.violations
 }
 
 // Count returns the number of jobs per outcome.
--- a/internal/testserver/check/check_test.go
+++ b/internal/testserver/check/check_test.go
@@ -56,30 +56,30 @@
 // logOfStop is the log of an endpoint that stopped while servedJob was open.
 var logOfStop = Log{Member: "b", Stops: []time.Time{at(100)}}
 
-type breachCase struct {
+type violationCase struct {
 	jobs   []Job
 	logs   []Log
 	drains []Drain
 	want   string // part of the only violation reported, "" = none
 }
 
-// checkBreaches checks that Jobs reports the violation of each case, and none in the cases without a violation.
-func checkBreaches(t *testing.T, cases map[string]breachCase) {
+// checkViolations checks that Jobs reports the violation of each case, and none in the cases without a violation.
+func checkViolations(t *testing.T, cases map[string]violationCase) {
 	t.Helper()
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			faults := Jobs(c.jobs, c.logs, c.drains)
+			violations := Jobs(c.jobs, c.logs, c.drains)
 			if c.want == "" {
-				if len(faults) > 0 {
-					t.Fatalf("got %q, expected no violation", faults)
+				if len(violations) > 0 {
+					t.Fatalf("got %q, expected no violation", violations)
 				}
 				return
 			}
-			if len(faults) == 0 || !strings.Contains(faults[0], c.want) {
-				t.Fatalf("got %q, expected %q", faults, c.want)
+			if len(violations) == 0 || !strings.Contains(violations[0], c.want) {
+				t.Fatalf("got %q, expected %q", violations, c.want)
 			}
-			if len(c.jobs) < 2 && len(faults) > 1 {
-				t.Fatalf("got %q, expected one violation", faults)
+			if len(c.jobs) < 2 && len(violations) > 1 {
+				t.Fatalf("got %q, expected one violation", violations)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 
 // A job that was sent once is executed once and gets one response, unless its client disconnected.
 func TestEachJobRunsOnce(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"served": {
 			jobs: []Job{servedJob},
 			logs: []Log{logOfRun("a", 10)},
@@ -127,7 +127,7 @@
 // Late responses are violations if there are many of them. A response that is so late that the request counts as lost
 // is always a violation.
 func TestAnswersInTime(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"late": {
 			jobs: jobWith(func(j *Job) { j.Answered = at(1101) }),
 			logs: []Log{logOfRun("a", 10)},
@@ -156,7 +156,7 @@
 
 // The response to a job that was not served matches what happened to the job.
 func TestOutcomes(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"rejected": {
 			jobs: jobWith(func(j *Job) {
 				j.Code = codeRejected
@@ -213,7 +213,7 @@
 
 // A response may be truncated only if an endpoint stopped while the job was open and the job was executed.
 func TestTruncatedAnswers(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"truncated, an endpoint stopped": {
 			jobs: jobWith(func(j *Job) {
 				j.Truncated = true
@@ -242,7 +242,7 @@
 
 // A draining endpoint executes no new write once the router has had drainLimit to learn about the drain.
 func TestDrains(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"draining": {
 			jobs: jobWith(func(j *Job) {
 				j.Sent = at(2000)
@@ -274,7 +274,7 @@
 // A read that only a primary may answer is answered by the primary, or by an endpoint that was demoted while the read
 // was open.
 func TestFreshReads(t *testing.T) {
-	checkBreaches(t, map[string]breachCase{
+	checkViolations(t, map[string]violationCase{
 		"primary": {
 			jobs: jobWith(func(j *Job) {
 				j.Fresh = true
--- a/internal/testserver/check/checker.go
+++ b/internal/testserver/check/checker.go
@@ -15,7 +15,7 @@
 	stops        []time.Time            // stop times of all endpoints
 	demotions    map[string][]time.Time // by endpoint
 	checked      map[string]bool        // jobs checked so far
-	faults       []string
+	violations   []string
 	late         []string // late responses, which are violations only if there are too many of them
 }
 
@@ -32,8 +32,8 @@
 	}
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // addLog adds the log of one endpoint and checks that the endpoint executed no write while it was draining.
@@ -57,7 +57,7 @@
 func (c *checker) checkDrains(run Run) {
 	for _, drain := range c.drains {
 		if drain.Member == run.Member && drain.forbids(run.At) {
-			c.fault("%s ran at %s, %v after the start of its drain", run.ID, run.Member, run.At.Sub(drain.From))
+			c.addViolation("%s ran at %s, %v after the start of its drain", run.ID, run.Member, run.At.Sub(drain.From))
 		}
 	}
 }
@@ -73,7 +73,7 @@
 // checkJob applies the rules for one job.
 func (c *checker) checkJob(job Job) {
 	if c.checked[job.ID] {
-		c.fault("%s was listed twice: the test must use unique job IDs", job.ID)
+		c.addViolation("%s was listed twice: the test must use unique job IDs", job.ID)
 	}
 	c.checked[job.ID] = true
 	runs := c.runs(job)
@@ -81,14 +81,14 @@
 		c.checkFreshRead(job)
 	}
 	if runs > 1 {
-		c.fault("%s ran %d times: %+v", job.ID, runs, c.writeRuns[job.ID])
+		c.addViolation("%s ran %d times: %+v", job.ID, runs, c.writeRuns[job.ID])
 	}
 	switch {
 	case job.Disconnected: // the client did not wait for a response
 	case job.Truncated:
 		c.checkTruncated(job, runs)
 	case job.Answers != 1:
-		c.fault("%s got %d answers, expected 1", job.ID, job.Answers)
+		c.addViolation("%s got %d answers, expected 1", job.ID, job.Answers)
 	default:
 		c.checkTime(job)
 		c.checkOutcome(job, runs)
@@ -113,7 +113,7 @@
 		return
 	}
 	if !c.ranAsPrimary[endpointJob{job.Value, job.ID}] && !c.demotedDuring(job) {
-		c.fault("%s was answered by %s, which was not the primary", job.ID, job.Value)
+		c.addViolation("%s was answered by %s, which was not the primary", job.ID, job.Value)
 	}
 }
 
@@ -121,7 +121,7 @@
 // job was executed once.
 func (c *checker) checkTruncated(job Job, runs int) {
 	if runs != 1 || !c.stoppedDuring(job) {
-		c.fault("%s got a truncated answer: ran %d times, expected 1 and a stopped endpoint", job.ID, runs)
+		c.addViolation("%s got a truncated answer: ran %d times, expected 1 and a stopped endpoint", job.ID, runs)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	text := fmt.Sprintf("%s was answered after %v, its deadline is %v", job.ID, took, job.Deadline)
 	if took > job.Deadline+lostAfter {
-		c.faults = append(c.faults, text)
+		c.violations = append(c.violations, text)
 		return
 	}
 	c.late = append(c.late, text)
@@ -144,33 +144,33 @@
 	switch job.Code {
 	case "":
 		if runs < 1 {
-			c.fault("%s was served but never ran", job.ID)
+			c.addViolation("%s was served but never ran", job.ID)
 		}
 	case codeRejected:
 		c.checkRejected(job, runs)
 	case codeFailed:
 		if !c.received[job.ID] && !c.stoppedDuring(job) {
-			c.fault("%s failed, but no endpoint received it completely or stopped meanwhile", job.ID)
+			c.addViolation("%s failed, but no endpoint received it completely or stopped meanwhile", job.ID)
 		}
 	default:
-		c.fault("%s ended with SQLSTATE %s", job.ID, job.Code)
+		c.addViolation("%s ended with SQLSTATE %s", job.ID, job.Code)
 	}
 }
 
 // checkRejected checks that a rejected job was never executed and that its client was told when to retry.
 func (c *checker) checkRejected(job Job, runs int) {
 	if runs > 0 {
-		c.fault("%s was rejected but ran at %s", job.ID, c.writeRuns[job.ID][0].Member)
+		c.addViolation("%s was rejected but ran at %s", job.ID, c.writeRuns[job.ID][0].Member)
 	}
 	if job.After == "" || job.After == "0" {
-		c.fault("%s was rejected without a retry time", job.ID)
+		c.addViolation("%s was rejected without a retry time", job.ID)
 	}
 }
 
 // checkLateJobs checks that no more than one job in lateShare was late.
 func (c *checker) checkLateJobs(jobs int) {
 	if len(c.late) > jobs/lateShare {
-		c.faults = append(c.faults, c.late...)
+		c.violations = append(c.violations, c.late...)
 	}
 }
 
@@ -178,7 +178,7 @@
 func (c *checker) checkUnknownRuns() {
 	for id, runs := range c.writeRuns {
 		if !c.checked[id] {
-			c.fault("%s ran at %s, but no client sent it", id, runs[0].Member)
+			c.addViolation("%s ran at %s, but no client sent it", id, runs[0].Member)
 		}
 	}
 }
