--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -79,8 +79,7 @@
 		}
 	}
 	begin := time.Now()
-	h := &Host{cfg: cfg, startedAt: begin, rng: rand.New(rand.NewPCG(seed, 5)),
-		rescheduled: make(chan struct{}, 1), done: make(chan struct{})}
+	h := &Host{cfg: cfg, startedAt: begin, rng: rand.New(rand.NewPCG(seed, 5)), rescheduled: make(chan struct{}, 1), done: make(chan struct{})}
 	// Positions are sent to clients as points in time, so the model's clock starts at the Unix time in nanoseconds.
 	h.clock = event.New(time.Duration(begin.UnixNano()))
 	h.world = model.New(h.clock, seed)
@@ -231,8 +230,7 @@
 func (h *Host) Befall(x fleet.Fault) { h.withModel(func() { h.injectFault(x) }) }
 
 func (h *Host) injectFault(x fleet.Fault) {
-	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.startedAt.UnixNano()),
-		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
+	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.startedAt.UnixNano()), Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
 	if x.What == "discovery" {
 		h.directory.downUntil = h.clock.Now() + x.For
 		return
