--- a/internal/audit/carry_test.go
+++ b/internal/audit/carry_test.go
@@ -14,8 +14,8 @@
 	"limeladder/internal/testserver/collector"
 )
 
-// 10,000 hostile records over each transport: the collector has each of them as it was written, and the strict parser
-// takes it.
+// Guards against records with hostile content that are lost or changed on a transport, or that the strict parser
+// rejects. Each transport carries 10,000 of them.
 func TestHostileRecordsOverEachTransport(t *testing.T) {
 	ca, err := collector.NewAuthority()
 	if err != nil {
@@ -27,15 +27,15 @@
 	}
 	for _, network := range []string{"udp", "tcp", "tls"} {
 		t.Run(network, func(t *testing.T) {
-			carryHostileRecords(t, network, ca, cert)
+			sendHostileRecords(t, network, ca, cert)
 		})
 	}
 }
 
-// carryHostileRecords sends the records over one transport and compares what has come.
-func carryHostileRecords(t *testing.T, network string, ca *collector.Authority, cert tls.Certificate) {
+// sendHostileRecords sends the records over one transport and compares them with those that the collector received.
+func sendHostileRecords(t *testing.T, network string, ca *collector.Authority, cert tls.Certificate) {
 	t.Helper()
-	const n, most = 10_000, 1500
+	const n, maxBytes = 10_000, 1500
 	serverTLS := &tls.Config{Certificates: []tls.Certificate{cert}}
 	c, err := collector.New(collector.Options{Network: network, TLS: serverTLS})
 	if err != nil {
@@ -55,13 +55,13 @@
 	}
 	defer s.Close(0)
 	rng := rand.New(rand.NewPCG(5424, 6587))
-	enc := encoder(t, most, &key)
+	enc := newEncoder(t, maxBytes, &key)
 	events, sent := make([]audit.Event, n), make([][]byte, n)
 	for i := range n {
-		events[i] = random(rng)
+		events[i] = randomEvent(rng)
 		record := audit.Record{Seq: uint64(i) + 1, Time: time.Unix(1.8e9, int64(i)), Event: events[i]}
 		sent[i] = bytes.Clone(enc.Encode(record))
-		for network == "udp" && i-c.Received() > 500 { // nothing slows a datagram's sender down
+		for network == "udp" && i-c.Received() > 500 { // UDP has no flow control
 			time.Sleep(time.Millisecond)
 		}
 		for s.Put(sent[i:i+1]) == 0 {
@@ -73,12 +73,12 @@
 	}
 	got := c.Messages()
 	if len(got) != n || c.Fault() != nil {
-		t.Fatalf("%d of %d, %v", len(got), n, c.Fault())
+		t.Fatalf("the collector received %d of %d messages, fault %v", len(got), n, c.Fault())
 	}
 	for i, msg := range got {
 		if !bytes.Equal(msg, sent[i]) {
-			t.Fatalf("%d: %q, sent was %q", i, msg, sent[i])
+			t.Fatalf("message %d was received as %q, want %q", i, msg, sent[i])
 		}
-		check(t, events[i], msg, most)
+		checkMessage(t, events[i], msg, maxBytes)
 	}
 }
--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -8,21 +8,20 @@
 	"github.com/zeebo/blake3"
 )
 
-// Each message carries as its link the keyed BLAKE3 hash of the whole message before it, cut to 128 bits. A message
-// that is changed, removed or moved is found because the link of the message behind it no longer fits. From time to
-// time the head of the chain is written as a message of its own, which carries the hash of itself too: everything up to
-// it is proved. A gap breaks one link only, and verification goes on right behind it.
+// The link of each message is the keyed BLAKE3 hash of the whole previous message, truncated to 128 bits. A changed,
+// removed or moved message is detected because the link of the message after it no longer matches. From time to time
+// the head of the chain is written as a separate message, which also carries the hash of itself and so proves every
+// message up to it. A gap breaks a single link, and verification continues with the message after the gap.
 
-// linkBytes is the length of a link, and linkLength what it takes as base64url without padding (RFC 4648, section 5).
 const (
-	linkBytes  = 16
-	linkLength = 22
+	linkBytes  = 16 // the length of a link in bytes
+	linkLength = 22 // the length of its text in bytes, as base64url without padding (RFC 4648, section 5)
 )
 
 // genesisLink is the link of the first message of a start.
 var genesisLink = [linkLength]byte([]byte(strings.Repeat("A", linkLength)))
 
-// chain follows the messages of one start.
+// chain computes the links of the messages of one start.
 type chain struct {
 	key  Key
 	hash *blake3.Hasher
@@ -35,7 +34,7 @@
 	return c, c.useKey(key)
 }
 
-// useKey changes the key: everything that is hashed from now on is hashed with it.
+// useKey replaces the key; all later hashes are computed with the new one.
 func (c *chain) useKey(key Key) error {
 	hash, err := blake3.NewKeyed(key.Secret[:])
 	if err != nil {
@@ -46,24 +45,25 @@
 	return nil
 }
 
-// linkOf returns the hash of a message as text.
-func (c *chain) linkOf(msg []byte) (text [linkLength]byte) {
+// computeLink returns the link that the message after msg carries: the text of the hash of msg.
+func (c *chain) computeLink(msg []byte) (text [linkLength]byte) {
 	c.hash.Reset()
 	c.hash.Write(msg)
 	base64.RawURLEncoding.Encode(text[:], c.hash.Sum(c.sum[:0])[:linkBytes])
 	return text
 }
 
-// advance makes a message the newest one of the chain.
-func (c *chain) advance(msg []byte) { c.link = c.linkOf(msg) }
+// advance sets the link to the hash of msg, the newest message of the chain.
+func (c *chain) advance(msg []byte) { c.link = c.computeLink(msg) }
 
-// macPlaceholder is where a head carries its own hash, which is computed with the genesis link in that place.
+// macPlaceholder is the start of the parameter for a head's own hash. The hash is computed with the genesis link in its
+// place.
 var macPlaceholder = append([]byte(` mac="`), genesisLink[:]...)
 
-// sealHead writes a head's own hash into it.
-func (c *chain) sealHead(msg []byte) {
+// writeHeadMAC replaces the placeholder in a head of the chain with the head's own hash.
+func (c *chain) writeHeadMAC(msg []byte) {
 	if i := bytes.Index(msg, macPlaceholder); i >= 0 {
-		text := c.linkOf(msg)
+		text := c.computeLink(msg)
 		copy(msg[i+len(macPlaceholder)-linkLength:], text[:])
 	}
 }
--- a/internal/audit/encode_event.go
+++ b/internal/audit/encode_event.go
@@ -7,24 +7,24 @@
 	"limeladder/internal/syslog"
 )
 
-// The ranks say in which order parameters are cut where a message is too long: the highest rank goes first. What is
-// written with syslog.Keep always stays.
+// The ranks are the order in which parameters are removed from a message that is too long: the highest rank is removed
+// first. Parameters of rank syslog.Keep always stay.
 const (
-	rankOrigin   syslog.Rank = 9 // which program it is: the header of the message names it too
+	rankOrigin   syslog.Rank = 9 // the program, which the header of the message names too
 	rankQuality  syslog.Rank = 8
-	rankWhy      syslog.Rank = 7 // free text
-	rankAttempts syslog.Rank = 6 // the attempts one by one
-	rankTimes    syslog.Rank = 5 // times in parts, the address and tenant
-	rankPlace    syslog.Rank = 4 // endpoint, group, total time
+	rankReason   syslog.Rank = 7 // free text
+	rankAttempts syslog.Rank = 6 // a parameter for each attempt
+	rankDetails  syslog.Rank = 5 // the parts of the total time, the client address, the tenant, the source of a state
+	rankEndpoint syslog.Rank = 4 // endpoint, group, total time, retry delay, counts
 	rankMeta     syslog.Rank = 3
-	rankRequest  syslog.Rank = 2 // whose request, which class
+	rankRequest  syslog.Rank = 2 // the request id and class, and what an event is about
 	rankOutcome  syslog.Rank = 1
 )
 
 // sqlstateServed is the SQLSTATE of a successful completion.
 const sqlstateServed = "00000"
 
-// answerSeverities are the severities of answers, by outcome.
+// answerSeverities are the severities of answers, indexed by outcome.
 var answerSeverities = [outcomeCount]syslog.Severity{
 	Served:  syslog.Info,
 	Refused: syslog.Warning,
@@ -50,7 +50,7 @@
 	return syslog.Notice
 }
 
-// writeEvent writes the parameters of an event and returns its sentence.
+// writeEvent writes the parameters of an event and returns the text of its message.
 func (e *Encoder) writeEvent(event Event) string {
 	if answer, ok := event.(*Answer); ok {
 		return e.writeAnswer(answer)
@@ -62,7 +62,7 @@
 		return writeDrain(builder, v)
 	case Router:
 		builder.String(rankOutcome, "state", v.State)
-		builder.String(rankTimes, "by", v.Source)
+		builder.String(rankDetails, "by", v.Source)
 		return "the router is " + v.State + ", says " + v.Source
 	case Primary:
 		return writePrimary(builder, v)
@@ -89,7 +89,7 @@
 	builder.String(rankRequest, "node", drain.Endpoint)
 	builder.Int(rankRequest, "group", drain.Group)
 	builder.String(rankOutcome, "state", drain.State)
-	builder.String(rankTimes, "by", drain.Source)
+	builder.String(rankDetails, "by", drain.Source)
 	return "db machine " + drain.Endpoint + " is " + drain.State + ", says " + drain.Source
 }
 
@@ -102,24 +102,24 @@
 	builder.String(rankOutcome, "node", primary.Endpoint)
 	builder.String(rankOutcome, "state", state)
 	if primary.Reason != "" {
-		builder.String(rankWhy, "why", primary.Reason)
+		builder.String(rankReason, "why", primary.Reason)
 	}
 	return "primary " + primary.Endpoint + " of group " + strconv.FormatInt(primary.Group, 10) + " is " + state
 }
 
 func writeList(builder *syslog.Builder, list List) {
 	builder.Int(rankOutcome, "version", list.Version)
-	builder.String(rankPlace, "full", formatFlag(list.Full))
-	builder.Int(rankPlace, "ready", int64(list.Ready))
-	builder.Int(rankPlace, "draining", int64(list.Draining))
-	builder.Int(rankPlace, "gone", int64(list.Going))
+	builder.String(rankEndpoint, "full", formatFlag(list.Full))
+	builder.Int(rankEndpoint, "ready", int64(list.Ready))
+	builder.Int(rankEndpoint, "draining", int64(list.Draining))
+	builder.Int(rankEndpoint, "gone", int64(list.Going))
 }
 
 func writeReload(builder *syslog.Builder, reload Reload) {
 	builder.String(rankRequest, "what", reload.What)
 	builder.String(rankOutcome, "taken", formatFlag(reload.Error == ""))
 	if reload.Error != "" {
-		builder.String(rankWhy, "why", reload.Error)
+		builder.String(rankReason, "why", reload.Error)
 	}
 }
 
@@ -137,12 +137,12 @@
 	builder.Uint(syslog.Keep, "first", dropped.First)
 	builder.Uint(syslog.Keep, "last", dropped.Last)
 	for level, name := range []string{"reads", "usual", "refusals", "states"} {
-		builder.Uint(rankPlace, name, dropped.ByLevel[level])
+		builder.Uint(rankEndpoint, name, dropped.ByLevel[level])
 	}
 	return strconv.FormatUint(dropped.Count, 10) + " records found no room"
 }
 
-// writeAnswer writes the elements answer and request, and returns the sentence.
+// writeAnswer writes the elements answer and request, and returns the text of the message.
 func (e *Encoder) writeAnswer(answer *Answer) string {
 	builder := e.builder
 	builder.Element(e.elementIDs[elementAnswer], false)
@@ -153,24 +153,24 @@
 	builder.String(rankOutcome, "writes", formatFlag(answer.Writes))
 	builder.String(rankOutcome, "may-have-run", formatFlag(answer.MayHaveExecuted))
 	if answer.Endpoint != "" {
-		builder.String(rankPlace, "node", answer.Endpoint)
+		builder.String(rankEndpoint, "node", answer.Endpoint)
 	}
-	builder.Micros(rankPlace, "total-us", answer.Total)
-	builder.Micros(rankTimes, "queued-us", answer.Queued)
-	builder.Micros(rankTimes, "worked-us", answer.Worked)
-	builder.Uint(rankTimes, "attempts", uint64(len(answer.Attempts)))
+	builder.Micros(rankEndpoint, "total-us", answer.Total)
+	builder.Micros(rankDetails, "queued-us", answer.Queued)
+	builder.Micros(rankDetails, "worked-us", answer.Worked)
+	builder.Uint(rankDetails, "attempts", uint64(len(answer.Attempts)))
 	if answer.Retry > 0 {
-		builder.Int(rankPlace, "retry-ms", answer.Retry.Milliseconds())
+		builder.Int(rankEndpoint, "retry-ms", answer.Retry.Milliseconds())
 	}
 	if answer.Reason != "" {
-		builder.String(rankWhy, "why", answer.Reason)
+		builder.String(rankReason, "why", answer.Reason)
 	}
 	writeAttempts(builder, answer.Attempts)
 	e.writeRequest(answer)
-	return answerSentence(answer)
+	return answerText(answer)
 }
 
-// sqlstateOf returns the SQLSTATE that the client saw; empty where it saw none.
+// sqlstateOf returns the SQLSTATE that the client got, or an empty string if it got none.
 func (e *Encoder) sqlstateOf(answer *Answer) string {
 	switch {
 	case answer.Outcome == Refused:
@@ -183,7 +183,7 @@
 	return answer.Code
 }
 
-// attemptEndNames are the words for how an attempt ended, by status.
+// attemptEndNames returns the names of the ends of an attempt, indexed by status.
 func attemptEndNames() []string {
 	return []string{
 		balance.StatusDone:          "done",
@@ -198,7 +198,7 @@
 	}
 }
 
-// writeAttempts writes a parameter for each attempt: microseconds, end and endpoint.
+// writeAttempts writes a parameter for each attempt: its duration in microseconds, its end and its endpoint.
 func writeAttempts(builder *syslog.Builder, attempts []Attempt) {
 	names := attemptEndNames()
 	for _, attempt := range attempts {
@@ -216,24 +216,24 @@
 	}
 }
 
-// writeRequest writes the element that says whose request was answered.
+// writeRequest writes the element that identifies the answered request.
 func (e *Encoder) writeRequest(answer *Answer) {
 	builder := e.builder
 	builder.Element(e.elementIDs[elementRequest], false)
 	builder.String(rankRequest, "id", answer.Request)
 	builder.String(rankRequest, "class", answer.Class)
-	builder.Int(rankPlace, "group", answer.Group)
+	builder.Int(rankEndpoint, "group", answer.Group)
 	if answer.Tenant != "" {
-		builder.String(rankTimes, "tenant", answer.Tenant)
+		builder.String(rankDetails, "tenant", answer.Tenant)
 	}
 	if answer.Client != "" {
-		builder.String(rankTimes, "client", answer.Client)
+		builder.String(rankDetails, "client", answer.Client)
 	}
 }
 
-// answerSentence returns the text of an answer's message. A served answer has none: its elements say it all, and most
-// records are of this kind.
-func answerSentence(answer *Answer) string {
+// answerText returns the text of an answer's message. It is empty for a served answer: the elements hold all of its
+// data, and most records are of this kind.
+func answerText(answer *Answer) string {
 	if answer.Outcome == Served {
 		return ""
 	}
--- a/internal/audit/encoder.go
+++ b/internal/audit/encoder.go
@@ -10,37 +10,37 @@
 	"limeladder/internal/syslog"
 )
 
-// EncoderOptions say how records become messages.
+// EncoderOptions configure an Encoder.
 type EncoderOptions struct {
 	Head             syslog.Head
 	Enterprise       uint32 // the operator's private enterprise number, in the names of the elements
 	MaxMessageBytes  int    // the size limit of a message in bytes
-	Software         string // for origin
-	Version          string
+	Software         string // the name of the program, for the element origin
+	Version          string // the version of the program, for the element origin
 	Start            string // the id of this start of the program
 	StartedAt        time.Time
-	RejectedSQLSTATE string // the SQLSTATE that a client sees where its request was rejected
-	FailedSQLSTATE   string // the SQLSTATE that a client sees where its request failed
+	RejectedSQLSTATE string // the SQLSTATE that a client gets when its request is rejected
+	FailedSQLSTATE   string // the SQLSTATE that a client gets when its request fails
 	Key              *Key   // nil = no chain
 	Quality          func() Quality
 }
 
-// Quality says what is known of the clock, for timeQuality (RFC 5424, section 7.1).
+// Quality is the quality of the clock, for the element timeQuality (RFC 5424, section 7.1).
 type Quality struct {
 	Synced   bool
-	Accuracy time.Duration // how far off it may be, where it is synced; 0 = not known
+	Accuracy time.Duration // the maximum error of a synced clock; 0 = unknown
 }
 
-// qualityInterval is how long a reading of the clock's quality is used.
+// qualityInterval is the time after which the clock's quality is read again.
 const qualityInterval = 10 * time.Second
 
-// upTimeUnit is the unit of meta's sysUpTime (RFC 5424, section 7.3.3).
+// upTimeUnit is the unit of the parameter sysUpTime of the element meta (RFC 5424, section 7.3.3).
 const upTimeUnit = 10 * time.Millisecond
 
-// maxSequenceID is the highest sequenceId of meta; the next one is 1 again (RFC 5424, section 7.3.1).
+// maxSequenceID is the highest sequenceId of the element meta, which is followed by 1 (RFC 5424, section 7.3.1).
 const maxSequenceID = 1<<31 - 1
 
-// The elements of the router's own, by their place in Encoder.elementIDs.
+// The router's own elements, as indexes of Encoder.elementIDs.
 const (
 	elementAudit = iota
 	elementRequest
@@ -49,16 +49,16 @@
 	elementCount
 )
 
-// errNoChain says that a head of the chain was asked for where no key was given.
-var errNoChain = errors.New("audit: there is no chain")
+// errNoChain is returned when the head of the chain is requested but the Encoder has no key.
+var errNoChain = errors.New("audit: the messages are not chained")
 
-// Encoder turns the records of one start into messages. Only one goroutine may use it.
+// Encoder encodes the records of one start as messages. It is not safe for concurrent use.
 type Encoder struct {
 	options           EncoderOptions
 	builder           *syslog.Builder
 	elementIDs        [elementCount]string
 	chain             *chain // nil = the messages are not chained
-	sequenceID        uint64 // of the newest message
+	sequenceID        uint64 // the sequenceId of the newest message
 	headCount         uint64
 	firstSinceHead    uint64 // the first record number since the last head, 0 = none
 	lastNumber        uint64 // the newest record number
@@ -104,17 +104,18 @@
 	return msg
 }
 
-// Due returns how many messages were made since the last head of the chain; 0 where there is no chain.
-func (e *Encoder) Due() uint64 {
+// MessagesSinceHead returns the number of messages since the last head of the chain, or 0 if there is no chain.
+func (e *Encoder) MessagesSinceHead() uint64 {
 	if e.chain == nil {
 		return 0
 	}
 	return e.messagesSinceHead
 }
 
-// Chain returns the head of the chain as a message: which numbers stand behind the head before it, and the hash that
-// proves all up to here. next, if not nil, is the key that the messages behind it are hashed with.
-func (e *Encoder) Chain(at time.Time, next *Key) ([]byte, error) {
+// EncodeHead returns the head of the chain as a message. It carries the count and the first and last numbers of the
+// records since the previous head, and its own hash, which proves every message up to it. next, if not nil, is the key
+// that hashes this head, for the link of the message after it, and all later messages.
+func (e *Encoder) EncodeHead(at time.Time, next *Key) ([]byte, error) {
 	if e.chain == nil {
 		return nil, errNoChain
 	}
@@ -131,7 +132,7 @@
 	}
 	builder.Raw(syslog.Keep, "mac", func(p []byte) []byte { return append(p, genesisLink[:]...) })
 	msg := e.endMessage(at, "")
-	e.chain.sealHead(msg)
+	e.chain.writeHeadMAC(msg)
 	e.firstSinceHead = 0
 	e.messagesSinceHead = 0
 	if next != nil {
@@ -143,7 +144,7 @@
 	return msg, nil
 }
 
-// beginMessage writes what every message has in front of its own parameters.
+// beginMessage writes the part that every message has before its own parameters.
 func (e *Encoder) beginMessage(severity syslog.Severity, at time.Time, kind Kind) {
 	builder := e.builder
 	builder.Begin(severity, at, Kinds()[kind])
@@ -154,7 +155,7 @@
 	}
 }
 
-// endMessage writes what every message has behind its own parameters, and cuts it to the size limit.
+// endMessage writes the part that every message has after its own parameters, and cuts the message to the size limit.
 func (e *Encoder) endMessage(at time.Time, text string) []byte {
 	e.sequenceID = e.sequenceID%maxSequenceID + 1
 	e.refreshQuality(at)
@@ -171,7 +172,7 @@
 	return builder.End(e.options.MaxMessageBytes)
 }
 
-// refreshQuality reads the quality of the clock again where the last reading is too old.
+// refreshQuality reads the quality of the clock again if the last reading is older than qualityInterval.
 func (e *Encoder) refreshQuality(at time.Time) {
 	if e.options.Quality == nil || at.Sub(e.qualityReadAt).Abs() <= qualityInterval {
 		return
@@ -185,7 +186,7 @@
 	e.qualityElement = syslog.Prepared("timeQuality", pairs...)
 }
 
-// NewStartID returns the id of a start: the moment in hexadecimal, and a random part.
+// NewStartID returns the id of a start: its time in Unix milliseconds and a random part, both in hexadecimal.
 func NewStartID(at time.Time, random uint32) string {
 	return strings.ToLower(fmt.Sprintf("%011x%08x", at.UnixMilli(), random))
 }
--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -15,11 +15,11 @@
 
 var key = audit.Key{Name: "k-2026", Secret: [32]byte{7, 7, 7}}
 
-func encoder(tb testing.TB, most int, k *audit.Key) *audit.Encoder {
+func newEncoder(tb testing.TB, maxBytes int, k *audit.Key) *audit.Encoder {
 	tb.Helper()
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
 		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
-		Enterprise: 4294967295, MaxMessageBytes: most, Software: "limeladder", Version: "(devel)",
+		Enterprise: 4294967295, MaxMessageBytes: maxBytes, Software: "limeladder", Version: "(devel)",
 		Start: audit.NewStartID(time.Unix(1.8e9, 0), 1), StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: k,
 		Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} },
@@ -30,8 +30,9 @@
 	return encoder
 }
 
-// hostile is text of the kind that clients could send.
-func hostile(rng *rand.Rand) string {
+// hostileText returns random text with characters that need escapes, invalid UTF-8 and excessive length, as clients
+// could send it.
+func hostileText(rng *rand.Rand) string {
 	parts := []string{
 		`"`, `]`, `\`, `[`, "\n", "\x00", "\x7f", "\xff\xfe", "é", "日本", "%", "%41", ` mac="AAAA`, "\xef\xbb\xbf",
 		"\u0085", "plain", "", "=", "'", "😀",
@@ -46,8 +47,8 @@
 	return b.String()
 }
 
-func random(rng *rand.Rand) audit.Event {
-	s := func() string { return hostile(rng) }
+func randomEvent(rng *rand.Rand) audit.Event {
+	s := func() string { return hostileText(rng) }
 	switch rng.IntN(10) {
 	case 0:
 		return audit.Drain{Endpoint: s(), Group: rng.Int64() - 1<<62, State: "draining", Source: s()}
@@ -80,81 +81,82 @@
 	return a
 }
 
-// check reads a message strictly and compares what has come with what was given, up to a legal cut.
-func check(tb testing.TB, event audit.Event, msg []byte, most int) {
+// checkMessage parses a message strictly and compares it with its event. Parameters may be missing if the message is
+// marked as cut.
+func checkMessage(tb testing.TB, event audit.Event, msg []byte, maxBytes int) {
 	tb.Helper()
 	var m parser.Message
 	if err := m.Read(msg); err != nil {
-		tb.Fatalf("%v: %q", err, msg)
+		tb.Fatalf("the message cannot be parsed: %v: %q", err, msg)
 	}
-	if len(msg) > most {
-		tb.Fatalf("%d bytes of %d", len(msg), most)
+	if len(msg) > maxBytes {
+		tb.Fatalf("the message has %d bytes, want at most %d", len(msg), maxBytes)
 	}
-	own := m.Find("audit@4294967295")
+	auditElement := m.Find("audit@4294967295")
 	for _, name := range []string{"start", "link"} {
-		if v, ok := own.Find(name); !ok || len(v) == 0 {
-			tb.Fatalf("no %s: %q", name, msg)
+		if v, ok := auditElement.Find(name); !ok || len(v) == 0 {
+			tb.Fatalf("the message has no parameter %s: %q", name, msg)
 		}
 	}
-	cut, isCut := own.Find("cut")
+	cut, isCut := auditElement.Find("cut")
 	checkEvent(tb, event, &m, string(cut), isCut)
-	if !isCut && len(msg) < most/2 && m.Find("origin") == nil {
-		tb.Fatalf("parts are missing without a word: %q", msg)
+	if !isCut && len(msg) < maxBytes/2 && m.Find("origin") == nil {
+		tb.Fatalf("elements are missing though the message is not marked as cut: %q", msg)
 	}
 	ascii := !slices.ContainsFunc(m.Text, func(c byte) bool { return c >= 0x80 })
 	markIsMissing := !m.Marked && !ascii
-	markIsNeedless := m.Marked && ascii && !isCut
-	if markIsMissing || markIsNeedless {
-		tb.Fatalf("byte order mark %v before %q", m.Marked, m.Text)
+	markIsUnneeded := m.Marked && ascii && !isCut
+	if markIsMissing || markIsUnneeded {
+		tb.Fatalf("the byte order mark is present: %v, want the opposite before the text %q", m.Marked, m.Text)
 	}
 }
 
-// checkEvent compares the parameters of a message with the event that was given. cut is what the message says of a cut.
+// checkEvent compares the parameters of a message with its event. cut is the value of the message's parameter cut.
 func checkEvent(tb testing.TB, event audit.Event, m *parser.Message, cut string, isCut bool) {
 	tb.Helper()
-	fits := func(elem, name, want string) {
+	checkParam := func(elem, name, want string) {
 		tb.Helper()
 		v, ok := m.Find(elem + "@4294967295").Find(name)
 		if !ok {
 			if !isCut || cut == "msg" {
-				tb.Fatalf("%s is gone without a word: %q", name, m.Elements)
+				tb.Fatalf("parameter %s is missing though the message is not marked as cut: %q", name, m.Elements)
 			}
 			return
 		}
 		if got, err := parser.Plain(v); err != nil || got != want {
-			tb.Fatalf("%s: %q, %v, given was %q", name, got, err, want)
+			tb.Fatalf("parameter %s is %q, error %v, want %q", name, got, err, want)
 		}
 	}
 	switch v := event.(type) {
 	case *audit.Answer:
-		fits("request", "id", v.Request)
-		fits("request", "class", v.Class)
-		fits("answer", "outcome", audit.Outcomes()[v.Outcome])
+		checkParam("request", "id", v.Request)
+		checkParam("request", "class", v.Class)
+		checkParam("answer", "outcome", audit.Outcomes()[v.Outcome])
 		if v.Endpoint != "" {
-			fits("answer", "node", v.Endpoint)
+			checkParam("answer", "node", v.Endpoint)
 		}
 		if v.Reason != "" {
-			fits("answer", "why", v.Reason)
+			checkParam("answer", "why", v.Reason)
 		}
 		if element := m.Find("answer@4294967295"); !isCut && element != nil {
 			checkAttempts(tb, v, element)
 		}
 	case audit.Drain:
-		fits("event", "node", v.Endpoint)
-		fits("event", "by", v.Source)
+		checkParam("event", "node", v.Endpoint)
+		checkParam("event", "by", v.Source)
 	case audit.Note:
-		fits("event", "topic", v.Topic)
+		checkParam("event", "topic", v.Topic)
 		if !isCut {
 			if text, err := parser.Plain(m.Text); err != nil || text != v.Text {
-				tb.Fatalf("MSG %q, given was %q", text, v.Text)
+				tb.Fatalf("the text of the message is %q, want %q", text, v.Text)
 			}
 		}
 	case audit.Primary:
-		fits("event", "node", v.Endpoint)
+		checkParam("event", "node", v.Endpoint)
 	}
 }
 
-// checkAttempts compares the attempts of an answer with the parameters that stand for them.
+// checkAttempts compares the attempts of an answer with the parameters that encode them.
 func checkAttempts(tb testing.TB, answer *audit.Answer, element *parser.Element) {
 	tb.Helper()
 	i := 0
@@ -164,30 +166,31 @@
 		}
 		part := strings.SplitN(string(p.Value), ",", 3)
 		if node, err := parser.Plain([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
-			tb.Fatalf("try %d: %q, given was %q", i, node, answer.Attempts[i].Endpoint)
+			tb.Fatalf("parameter try %d names endpoint %q, want %q", i, node, answer.Attempts[i].Endpoint)
 		}
 		i++
 	}
 	if i != len(answer.Attempts) {
-		tb.Fatalf("%d of %d attempts", i, len(answer.Attempts))
+		tb.Fatalf("the message has %d attempts, want %d", i, len(answer.Attempts))
 	}
 }
 
-// 10,000 records of hostile content at sizes from the smallest on: the strict parser takes each, and all comes back.
-func TestHostileRecordsComeBack(t *testing.T) {
+// Guards against hostile content that makes a message invalid or that is changed by the encoding. 10,000 records are
+// encoded with size limits from the smallest one up, and parsed strictly.
+func TestHostileRecordsRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 1))
-	for _, most := range []int{480, 512, 700, 1024, 2048, 8192, 65_000} {
-		enc := encoder(t, most, &key)
+	for _, maxBytes := range []int{480, 512, 700, 1024, 2048, 8192, 65_000} {
+		enc := newEncoder(t, maxBytes, &key)
 		for i := range 10_000 / 7 {
-			event := random(rng)
+			event := randomEvent(rng)
 			at := time.Unix(1.8e9+rng.Int64N(1e8), rng.Int64N(1e9))
-			check(t, event, enc.Encode(audit.Record{Seq: uint64(i) + 1, Time: at, Event: event}), most)
+			checkMessage(t, event, enc.Encode(audit.Record{Seq: uint64(i) + 1, Time: at, Event: event}), maxBytes)
 			if rng.IntN(50) == 0 {
-				msg, err := enc.Chain(at, nil)
+				msg, err := enc.EncodeHead(at, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				check(t, nil, msg, most)
+				checkMessage(t, nil, msg, maxBytes)
 			}
 		}
 	}
@@ -197,24 +200,25 @@
 	f.Add("id", "class", "node", "why", 480, uint64(1))
 	f.Add("\"]\\", "\x00\n", "\xff", "日本 % %zz", 600, uint64(1<<63))
 	f.Add(strings.Repeat("é", 300), "c", "n", strings.Repeat("%", 700), 1000, uint64(7))
-	f.Fuzz(func(t *testing.T, id, class, node, why string, most int, seq uint64) {
-		most = syslog.Smallest + (most&0x7fffffff)%4096
-		enc := encoder(t, most, &key)
+	f.Fuzz(func(t *testing.T, id, class, node, why string, maxBytes int, seq uint64) {
+		maxBytes = syslog.Smallest + (maxBytes&0x7fffffff)%4096
+		enc := newEncoder(t, maxBytes, &key)
 		e := &audit.Answer{Request: id, Class: class, Endpoint: node, Reason: why, Outcome: audit.Failed}
 		e.Attempts = []audit.Attempt{{Endpoint: node}, {Endpoint: why, End: audit.InFlight}}
-		check(t, e, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: e}), most)
+		checkMessage(t, e, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: e}), maxBytes)
 		n := audit.Note{Topic: id, Text: why}
-		check(t, n, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: n}), most)
-		msg, err := enc.Chain(time.Unix(1.8e9, 0), &key)
+		checkMessage(t, n, enc.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, 0), Event: n}), maxBytes)
+		msg, err := enc.EncodeHead(time.Unix(1.8e9, 0), &key)
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, nil, msg, most)
+		checkMessage(t, nil, msg, maxBytes)
 	})
 }
 
-// What goes first is MSG, then parameters by rank; what explains a record stays to the last.
-func TestOrderOfCuts(t *testing.T) {
+// Guards against a message that is cut in the wrong order: first the text (MSG), then the parameters by rank, so that
+// those that identify the record stay longest.
+func TestTruncationOrder(t *testing.T) {
 	e := &audit.Answer{
 		Request: "request-1", Class: "job", Tenant: "tenant-1", Client: "127.0.0.1:9", Group: 7, Endpoint: "node-1",
 		Outcome: audit.Failed,
@@ -223,30 +227,30 @@
 	order := []string{
 		" a long reason", "swVersion=", "isSynced=", "why=", "try=", "tenant=", "node=", "sequenceId=", "class=",
 	}
-	gone := 0
-	for most := 1100; most >= 480; most-- {
-		msg := string(encoder(t, most, &key).Encode(audit.Record{Seq: 1, Time: time.Unix(1.8e9, 0), Event: e}))
-		check(t, e, []byte(msg), most)
-		now := 0
-		for now < len(order) && !strings.Contains(strings.ReplaceAll(msg, `"a long`, ""), order[now]) {
-			now++
+	lastCutCount := 0
+	for maxBytes := 1100; maxBytes >= 480; maxBytes-- {
+		msg := string(newEncoder(t, maxBytes, &key).Encode(audit.Record{Seq: 1, Time: time.Unix(1.8e9, 0), Event: e}))
+		checkMessage(t, e, []byte(msg), maxBytes)
+		cutCount := 0
+		for cutCount < len(order) && !strings.Contains(strings.ReplaceAll(msg, `"a long`, ""), order[cutCount]) {
+			cutCount++
 		}
-		for _, later := range order[now:] {
+		for _, later := range order[cutCount:] {
 			if !strings.Contains(msg, later) {
-				t.Fatalf("at %d %q went before %q: %s", most, later, order[now], msg)
+				t.Fatalf("at %d bytes, %q was cut before %q: %s", maxBytes, later, order[cutCount], msg)
 			}
 		}
-		if now < gone {
-			t.Fatalf("at %d %q is back", most, order[now])
+		if cutCount < lastCutCount {
+			t.Fatalf("at %d bytes, %q is present again after it was cut at a larger size", maxBytes, order[cutCount])
 		}
-		gone = now
+		lastCutCount = cutCount
 	}
-	if gone < 6 {
-		t.Fatalf("only %d went: %q", gone, order[:gone])
+	if lastCutCount < 6 {
+		t.Fatalf("only %d parts were cut, want at least 6: %q", lastCutCount, order[:lastCutCount])
 	}
 }
 
-// The clock may step back: numbers and the chain go on.
+// Guards against a clock that steps back and stops the numbering of the records or makes their messages invalid.
 func TestClockStepsBack(t *testing.T) {
 	queue := audit.NewQueue(100, 1<<20)
 	policy, _ := audit.NewPolicy(audit.Rules{Reads: 1}, nil)
@@ -255,13 +259,13 @@
 	for range 3 {
 		r.Record(audit.Note{})
 	}
-	enc := encoder(t, 2048, &key)
+	enc := newEncoder(t, 2048, &key)
 	for i, rec := range queue.Take(nil, 9) {
 		if rec.Seq != uint64(i)+1 {
-			t.Fatalf("%+v", rec)
+			t.Fatalf("the record %+v does not have the next number", rec)
 		}
 		var m parser.Message
-		if err := m.Read(enc.Encode(rec)); err != nil { // the time since the start would be less than nothing
+		if err := m.Read(enc.Encode(rec)); err != nil { // the time since the start would be negative
 			t.Fatal(err)
 		}
 	}
@@ -287,7 +291,7 @@
 func BenchmarkEncode(b *testing.B) {
 	for name, k := range map[string]*audit.Key{"chained": &key, "plain": nil} {
 		b.Run(name, func(b *testing.B) {
-			enc := encoder(b, 2048, k)
+			enc := newEncoder(b, 2048, k)
 			e := &audit.Answer{
 				Request: "request-1234", Class: "look", Tenant: "member-1", Client: "127.0.0.1:54321", Endpoint: "node-1",
 				Attempts: []audit.Attempt{{Endpoint: "node-1", Took: 1e6}},
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -6,11 +6,11 @@
 	"limeladder/balance"
 )
 
-// Event is something that can be recorded; the types of this file implement it.
+// Event is an event that can be recorded. The types of this file implement it.
 type Event interface {
 	kind() Kind
 	level() Level
-	size() int // the memory that it holds while it is queued, in bytes, approximately
+	size() int // the approximate memory that it uses while it is queued, in bytes
 }
 
 // Kind is the type of an event, and the MSGID of its message.
@@ -18,54 +18,54 @@
 
 // The kinds of records.
 const (
-	KindAnswer  Kind = iota // a final answer
-	KindDrain               // an endpoint is taken out, or comes back
-	KindRouter              // the router itself drains, or takes clients again
-	KindPrimary             // a primary is observed, or suspect
-	KindList                // discovery's list has changed
-	KindReload              // configuration was read again
-	KindStart               // recording begins
-	KindEnd                 // recording ends
-	KindDropped             // records were lost, and which
-	KindNote                // a line of the decision module or of the store
+	KindAnswer  Kind = iota // the final answer of a request
+	KindDrain               // an endpoint stops or resumes getting new requests
+	KindRouter              // the router drains, or accepts clients again
+	KindPrimary             // a primary was observed, or is suspect
+	KindList                // the endpoint list of discovery changed
+	KindReload              // the configuration was reloaded
+	KindStart               // the recording begins
+	KindEnd                 // the recording ends
+	KindDropped             // records were dropped: how many, and their numbers
+	KindNote                // a message of the decision module or of the store
 	KindChain               // the head of the chain
 	kindCount
 )
 
-// Kinds returns the names of the kinds, in order.
+// Kinds returns the names of the kinds, indexed by Kind.
 func Kinds() []string {
 	return []string{"ANSWER", "DRAIN", "ROUTER", "PRIMARY", "LIST", "RELOAD", "START", "END", "DROPPED", "NOTE", "CHAIN"}
 }
 
-// Level is how important a record is where there is no room for all.
+// Level is the importance of a record, which decides what is dropped when the queue is full.
 type Level uint8
 
-// The levels, from what is dropped first to what is dropped last.
+// The levels, in the order in which records are dropped.
 const (
-	LevelRead    Level = iota // a read that was served
-	LevelUsual                // a write that was served, a client that left, the list, notes
-	LevelRefused              // a request that was not served
-	LevelState                // state changes, which explain the other records
+	LevelServedRead  Level = iota // a served read
+	LevelNormal                   // a served write, a client that disconnected, an endpoint list, a note
+	LevelUnserved                 // a request that was rejected, failed or truncated
+	LevelStateChange              // a state change, which explains other records
 	levelCount
 )
 
-// Outcome is the final answer of a request.
+// Outcome is the way in which a request ended.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served  Outcome = iota
-	Refused         // rejected; a retry by the client is safe
-	Failed          // nothing is known of what was done
-	Cut             // the connection broke while the response was forwarded
+	Refused         // rejected; the client can safely retry
+	Failed          // failed; the request may or may not have been executed
+	Cut             // truncated: the connection broke while the response was forwarded
 	Left            // the client disconnected
 	outcomeCount
 )
 
-// Outcomes returns the names of the outcomes, in order.
+// Outcomes returns the names of the outcomes, indexed by Outcome.
 func Outcomes() []string { return []string{"served", "refused", "failed", "cut", "left"} }
 
-// InFlight is the end of an attempt that is still in flight when its request is answered.
+// InFlight is the status of an attempt that has not ended when its request is answered.
 const InFlight balance.Status = -1
 
 // Attempt is one attempt at one endpoint.
@@ -80,37 +80,37 @@
 	Request         string // the client's id for it
 	Class           string
 	Tenant          string // the user of the connection
-	Client          string // where it came from
+	Client          string // the address of the client
 	Group           int64
 	Endpoint        string // the endpoint of the last attempt
 	Outcome         Outcome
-	Code            string // the SQLSTATE of an endpoint's error that was forwarded, empty = none
-	Writes          bool   // its class may change data
+	Code            string // the SQLSTATE of an endpoint's error that was forwarded; empty = none
+	Writes          bool   // requests of its class may change data
 	MayHaveExecuted bool   // a write may have been executed
-	Reason          string // the reason of a failure
+	Reason          string // why it was not served; empty = not stated
 
 	Attempts []Attempt
-	Queued   time.Duration // until the first attempt, or until the answer where there was none
-	Worked   time.Duration // in all attempts together
+	Queued   time.Duration // until the first attempt, or until the answer if there was no attempt
+	Worked   time.Duration // the sum over all attempts
 	Total    time.Duration // from the last byte of the request to the answer
-	Retry    time.Duration // when a rejected client was told to retry, 0 = it was not
+	Retry    time.Duration // the retry delay that a rejected client was given; 0 = none
 }
 
-// Drain records that an endpoint gets no new requests, or may get them again.
+// Drain records that an endpoint no longer gets new requests, or may get them again.
 type Drain struct {
 	Endpoint string
 	Group    int64
-	State    string // as the endpoint list calls it, or suspended, resumed
-	Source   string // list, operator, other process
+	State    string // a state of the endpoint list, or suspended or resumed
+	Source   string // list, operator or other process
 }
 
 // Router records a change of the router's own state.
 type Router struct {
-	State  string // draining, drained, activated
+	State  string // draining, drained or activated
 	Source string
 }
 
-// Primary records which endpoint this router takes for a group's primary.
+// Primary records that this router considers an endpoint the primary of a group, or that this primary became suspect.
 type Primary struct {
 	Group    int64
 	Endpoint string
@@ -118,16 +118,16 @@
 	Reason   string
 }
 
-// List records a new endpoint list of discovery.
+// List records a new or changed endpoint list of discovery.
 type List struct {
 	Version  int64
-	Full     bool // not a change of the list before
+	Full     bool // it is a complete list, not a change of the previous one
 	Ready    int
 	Draining int
 	Going    int // endpoints that are gone
 }
 
-// Reload records that configuration was read again.
+// Reload records that the configuration was reloaded.
 type Reload struct {
 	What  string
 	Error string // empty = it was applied
@@ -136,10 +136,10 @@
 // Start is the first record of each start.
 type Start struct {
 	Router string
-	Key    string // the name of the key of the chain, empty = none
+	Key    string // the name of the chain's key; empty = no chain
 }
 
-// End is the last record of each start; it counts all answers.
+// End is the last record of each start; it holds the totals of the start.
 type End struct {
 	Taken   uint64 // accepted requests
 	Served  uint64
@@ -148,15 +148,15 @@
 	Left    uint64
 }
 
-// Dropped counts the records that had no room since the last such record.
+// Dropped counts the records that were dropped from the full queue since the previous Dropped record.
 type Dropped struct {
 	Count   uint64
 	First   uint64             // the lowest number among them
 	Last    uint64             // the highest number among them
-	ByLevel [levelCount]uint64 // the count of each level
+	ByLevel [levelCount]uint64 // the count by level
 }
 
-// Note is a line for the engineers on call.
+// Note is a message for the engineers on call.
 type Note struct {
 	Topic string
 	Text  string
@@ -176,26 +176,26 @@
 func (a *Answer) level() Level {
 	switch {
 	case a.Outcome == Served && !a.Writes:
-		return LevelRead
+		return LevelServedRead
 	case a.Outcome == Served, a.Outcome == Left:
-		return LevelUsual
+		return LevelNormal
 	}
-	return LevelRefused
+	return LevelUnserved
 }
-func (Drain) level() Level   { return LevelState }
-func (Router) level() Level  { return LevelState }
-func (Primary) level() Level { return LevelState }
-func (List) level() Level    { return LevelUsual }
-func (Reload) level() Level  { return LevelState }
-func (Start) level() Level   { return LevelState }
-func (End) level() Level     { return LevelState }
-func (Dropped) level() Level { return LevelState }
-func (Note) level() Level    { return LevelUsual }
+func (Drain) level() Level   { return LevelStateChange }
+func (Router) level() Level  { return LevelStateChange }
+func (Primary) level() Level { return LevelStateChange }
+func (List) level() Level    { return LevelNormal }
+func (Reload) level() Level  { return LevelStateChange }
+func (Start) level() Level   { return LevelStateChange }
+func (End) level() Level     { return LevelStateChange }
+func (Dropped) level() Level { return LevelStateChange }
+func (Note) level() Level    { return LevelNormal }
 
 const (
-	// recordOverhead is the memory that a record holds beside its texts, in bytes.
+	// recordOverhead is the memory of a record without its texts, in bytes.
 	recordOverhead = 320
-	// attemptSize is the memory of an attempt in bytes; the names of endpoints are shared.
+	// attemptSize is the memory of an attempt in bytes, without its endpoint's name, which is shared.
 	attemptSize = 48
 )
 
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -23,7 +23,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// goldenKeys are the keys of testdata/keys.toml.
+// goldenKeys returns the keys of testdata/keys.toml.
 func goldenKeys(t *testing.T) audit.Keys {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "keys.toml"))
@@ -50,8 +50,8 @@
 	}
 }
 
-// goldenRecord is an event and what its message has to say: the head, the parameters behind start, link and seq as
-// element/name=value, and the sentence.
+// goldenRecord is an event and the expected content of its message: its severity and MSGID, the parameters after start,
+// link and seq as element/name=value, and the text.
 type goldenRecord struct {
 	event    audit.Event
 	severity int
@@ -119,7 +119,7 @@
 	}
 }
 
-// goldenAttempts are one of each end.
+// goldenAttempts returns one attempt for each end.
 func goldenAttempts() (attempts []audit.Attempt) {
 	ends := []balance.Status{
 		balance.StatusDone, balance.StatusError, balance.StatusBusy, balance.StatusTimedOut,
@@ -190,15 +190,15 @@
 
 var goldenStart = time.Date(2027, 1, 15, 8, 0, 0, 0, time.UTC)
 
-// goldenStem is the id of the golden start.
-const goldenStem = "1a3185c500000abcdef"
+// goldenStartID is the id of the start that the golden records belong to.
+const goldenStartID = "1a3185c500000abcdef"
 
-// goldenTime is when a record of that number was made.
+// goldenTime returns the time of the record with the given number.
 func goldenTime(number int) time.Time {
 	return goldenStart.Add(time.Duration(number) * 1010 * time.Millisecond)
 }
 
-// encodeGolden returns a message for each golden record, and the heads of the chain behind them.
+// encodeGolden returns a message for each golden record, followed by two heads of the chain.
 func encodeGolden(t *testing.T) (messages [][]byte) {
 	t.Helper()
 	keys := goldenKeys(t)
@@ -218,7 +218,7 @@
 		messages = append(messages, bytes.Clone(message))
 	}
 	for _, next := range []*audit.Key{&keys[0], nil} {
-		head, err := encoder.Chain(goldenTime(len(messages)+1), next)
+		head, err := encoder.EncodeHead(goldenTime(len(messages)+1), next)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -227,7 +227,7 @@
 	return messages
 }
 
-// goldenLines returns the lines of the golden file. With -update it writes them first.
+// goldenLines returns the lines of the golden file. With -update it first writes the messages to the file.
 func goldenLines(t *testing.T, messages [][]byte) [][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "records.log")
@@ -252,19 +252,19 @@
 	for i, want := range goldenLines(t, messages) {
 		t.Run(string(rune('a'+i)), func(t *testing.T) {
 			if !bytes.Equal(messages[i], want) {
-				t.Errorf("written as\n%s, want\n%s", messages[i], want)
+				t.Errorf("the message is\n%s, want\n%s", messages[i], want)
 			}
 		})
 	}
 }
 
-// spell returns the parameters of a message as element/name=value, without the enterprise number.
-func spell(t *testing.T, message *parser.Message) (params []string) {
+// formatParams returns the parameters of a message as element/name=value, without the enterprise number.
+func formatParams(t *testing.T, message *parser.Message) (params []string) {
 	t.Helper()
 	for _, element := range message.Elements {
 		name, number, own := strings.Cut(string(element.ID), "@")
 		if own && number != "32473" {
-			t.Errorf("the element %s has another enterprise number", element.ID)
+			t.Errorf("the enterprise number of the element %s is not 32473", element.ID)
 		}
 		for _, param := range element.Params {
 			params = append(params, name+"/"+string(param.Name)+"="+string(param.Value))
@@ -282,39 +282,40 @@
 				t.Fatal(err)
 			}
 			if message.Facility != 3 || message.Severity != record.severity || string(message.ID) != record.id {
-				t.Errorf("<%d.%d> %s, want <3.%d> %s",
+				t.Errorf("facility, severity and MSGID are %d.%d %s, want 3.%d %s",
 					message.Facility, message.Severity, message.ID, record.severity, record.id)
 			}
 			if string(message.Host) != "site-a" || string(message.App) != "limeladder" || string(message.Proc) != "17" {
-				t.Errorf("the head names %s %s %s", message.Host, message.App, message.Proc)
+				t.Errorf("host, program and process are %s, %s and %s, want site-a, limeladder and 17",
+					message.Host, message.App, message.Proc)
 			}
 			if !message.Time.Equal(goldenTime(i + 1)) {
 				t.Errorf("the time is %v, want %v", message.Time, goldenTime(i+1))
 			}
 			if string(message.Text) != record.text {
-				t.Errorf("the sentence is %q, want %q", message.Text, record.text)
+				t.Errorf("the text is %q, want %q", message.Text, record.text)
 			}
-			checkParams(t, spell(t, &message), i+1, record.params)
+			checkParams(t, formatParams(t, &message), i+1, record.params)
 		})
 	}
 }
 
-// checkParams checks the parameters that every message has, and those of its event between them.
+// checkParams checks the parameters that every message has and, between them, those of its event.
 func checkParams(t *testing.T, got []string, number int, event string) {
 	t.Helper()
 	if len(got) < 3 || !strings.HasPrefix(got[1], "audit/link=") {
-		t.Fatalf("%q begins without a link", got)
+		t.Fatalf("the parameters %q have no link in second place", got)
 	}
 	link := strings.TrimPrefix(got[1], "audit/link=")
 	if len(link) != 22 || (number == 1) != (link == strings.Repeat("A", 22)) {
-		t.Errorf("the link of record %d is %q", number, link)
+		t.Errorf("the link of record %d is %q, want 22 characters, and the genesis link only in record 1", number, link)
 	}
 	uptime := goldenTime(number).Sub(goldenStart) / (10 * time.Millisecond)
-	want := []string{"audit/start=" + goldenStem, got[1], "audit/seq=" + strconv.Itoa(number)}
+	want := []string{"audit/start=" + goldenStartID, got[1], "audit/seq=" + strconv.Itoa(number)}
 	want = append(want, event, "meta/sequenceId="+strconv.Itoa(number), "meta/sysUpTime="+strconv.Itoa(int(uptime)),
 		"timeQuality/tzKnown=1", "timeQuality/isSynced=1", "timeQuality/syncAccuracy=3000",
 		"origin/software=limeladder", "origin/swVersion=1.0", "origin/enterpriseId=32473")
-	if spelled, wanted := strings.Join(got, " "), strings.Join(want, " "); spelled != wanted {
-		t.Errorf("the parameters are\n%s, want\n%s", spelled, wanted)
+	if gotText, wantText := strings.Join(got, " "), strings.Join(want, " "); gotText != wantText {
+		t.Errorf("the parameters are\n%s, want\n%s", gotText, wantText)
 	}
 }
--- a/internal/audit/keys.go
+++ b/internal/audit/keys.go
@@ -11,17 +11,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Key is a secret that chains records, under a name that is no secret.
+// Key is a secret key for the hashes that chain the records, with a name that is not secret.
 type Key struct {
 	Name   string
 	Secret Secret
 }
 
-// Secret is the secret of a key. However it is printed, logged or encoded, it is shown as redacted: whoever has it can
-// forge audit records.
+// Secret is the secret of a key. Anyone who has it can forge audit records, so it appears as "redacted" when it is
+// printed, logged or encoded.
 type Secret [32]byte
 
-// redacted stands for a secret.
+// redacted is the text that is shown instead of a secret.
 const redacted = "redacted"
 
 // String implements fmt.Stringer.
@@ -39,23 +39,25 @@
 // MarshalBinary implements encoding.BinaryMarshaler, which gob uses.
 func (Secret) MarshalBinary() ([]byte, error) { return []byte(redacted), nil }
 
-// Keys are the keys of a key file, the one in force first.
+// Keys are the keys of a key file. The current key is the first one.
 type Keys []Key
 
-// MarshalJSON implements json.Marshaler. Nothing of a key file is encoded, not even its names.
+// MarshalJSON implements json.Marshaler. It encodes null, so that not even the names of the keys are shown.
 func (Keys) MarshalJSON() ([]byte, error) { return []byte("null"), nil }
 
-// maxKeyNameLength bounds a key's name: the head of a chain carries it, whatever the size limit.
+// maxKeyNameLength is the maximum length of a key's name in bytes. It is bounded because the head of a chain always
+// carries the name, even where the size limit of messages is small.
 const maxKeyNameLength = 24
 
 // secretDigits is the length of a secret in a key file, in hexadecimal digits.
 const secretDigits = 64
 
-// errNotTOML stands for every syntax error, since the decoder's own error could show a secret.
-var errNotTOML = errors.New("the key file is no TOML")
+// errNotTOML replaces every error of the TOML decoder, whose own message could show a secret.
+var errNotTOML = errors.New("the key file is not valid TOML")
 
-// ParseKeys reads a key file: current names the key in force, [keys] holds each as 64 hexadecimal digits. Old keys stay
-// in it for as long as files that they chain are to be proved. No error shows a secret.
+// ParseKeys parses a key file: current is the name of the current key, and [keys] holds each key as 64 hexadecimal
+// digits. An old key has to stay in the file as long as records that are chained with it are to be verified. No error
+// shows a secret.
 func ParseKeys(text []byte) (Keys, error) {
 	var file struct {
 		Current string            `toml:"current"`
@@ -66,10 +68,10 @@
 		return nil, errNotTOML
 	}
 	if extra := meta.Undecoded(); len(extra) > 0 {
-		return nil, fmt.Errorf("%s: no such field", extra[0])
+		return nil, fmt.Errorf("%s: unknown field", extra[0])
 	}
 	if _, ok := file.Keys[file.Current]; !ok {
-		return nil, fmt.Errorf("current: %q is none of [keys]", file.Current)
+		return nil, fmt.Errorf("current: key %q is not in [keys]", file.Current)
 	}
 	var keys Keys
 	for name, secret := range file.Keys {
@@ -85,13 +87,13 @@
 	return keys, nil
 }
 
-// parseKey checks and reads one key of a key file.
+// parseKey parses and validates one key of a key file.
 func parseKey(name, secret string) (Key, error) {
 	if name == "" || len(name) > maxKeyNameLength {
-		return Key{}, fmt.Errorf("keys: the name %q has to have 1 to %d bytes", name, maxKeyNameLength)
+		return Key{}, fmt.Errorf("keys: key name %q must have 1 to %d bytes", name, maxKeyNameLength)
 	}
 	if strings.ContainsFunc(name, isForbiddenInKeyName) {
-		return Key{}, fmt.Errorf("keys: the name %q has to be of letters, digits and - . _", name)
+		return Key{}, fmt.Errorf("keys: key name %q must consist of letters, digits, - . and _", name)
 	}
 	key := Key{Name: name}
 	if len(secret) != secretDigits {
@@ -103,7 +105,8 @@
 	return key, nil
 }
 
-// isForbiddenInKeyName reports whether a character would need an escape in the parameter of a message.
+// isForbiddenInKeyName reports whether a character is not allowed in a key's name, because a message's parameter would
+// have to escape it.
 func isForbiddenInKeyName(c rune) bool {
 	return c <= ' ' || c >= 0x7f || strings.ContainsRune(`"\]%`, c)
 }
--- a/internal/audit/queue.go
+++ b/internal/audit/queue.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Record is an event with its number and the time at which it was recorded.
+// Record is an event with its sequence number and the time at which it was recorded.
 type Record struct {
 	Seq   uint64
 	Time  time.Time
 	Event Event
 }
 
-// Queue holds the records that wait to be sent, by level. It is bounded in records and in bytes; where it is full the
-// least important record is dropped, whichever came first. Any goroutine may use it: its lock is never held across
-// anything that can block.
+// Queue holds the records that wait to be sent, by level. It is bounded in records and in bytes; when it is full, a
+// record of the lowest level is dropped, even if it is newer than others. It is safe for concurrent use, and its lock
+// is never held during an operation that can block.
 type Queue struct {
 	mu         sync.Mutex
 	byLevel    [levelCount]ring
@@ -26,12 +26,12 @@
 	dropped    Dropped
 }
 
-// NewQueue returns an empty Queue for at most so many records and bytes.
+// NewQueue returns an empty Queue that holds at most the given number of records and bytes.
 func NewQueue(records, bytes int) *Queue { return &Queue{maxRecords: records, maxBytes: bytes} }
 
-// Push adds a record. Where there is no room the oldest records of the lowest levels are dropped and counted, so that
-// refused and failed answers outlive served ones as evidence. The record itself is dropped where nothing less important
-// is queued.
+// Push adds a record. If there is no room for it, the oldest records of the lowest levels are dropped and counted, so
+// that the evidence of rejected and failed requests is kept longer than that of served ones. If removing all records of
+// lower levels does not make enough room, the new record itself is dropped.
 func (q *Queue) Push(record Record) {
 	level := record.Event.level()
 	size := record.Event.size()
@@ -53,7 +53,7 @@
 	q.bytes += size
 }
 
-// isFullFor reports whether a record of that size has no room.
+// isFullFor reports whether there is no room for a record of the given size in bytes.
 func (q *Queue) isFullFor(size int) bool {
 	return q.records >= q.maxRecords || q.bytes+size > q.maxBytes
 }
@@ -66,7 +66,7 @@
 	return record
 }
 
-// drop counts a record that had no room. A record of losses that is dropped itself passes on what it counted.
+// drop counts a dropped record. If it is itself a Dropped record, the records that it counted are counted again.
 func (q *Queue) drop(record Record) {
 	losses, _ := record.Event.(Dropped) // the zero value counts nothing
 	losses.Count++
@@ -78,7 +78,7 @@
 	q.dropped.add(losses)
 }
 
-// add joins two counts of losses.
+// add adds the counts of other to d and extends the range of numbers.
 func (d *Dropped) add(other Dropped) {
 	if other.Count == 0 {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// Take removes at most limit records in the order of their numbers, appends them to out and returns it.
+// Take removes at most limit records in the order of their numbers, appends them to out and returns the extended slice.
 func (q *Queue) Take(out []Record, limit int) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -103,7 +103,7 @@
 	return out
 }
 
-// oldestLevel returns the level that holds the lowest number. The queue must not be empty.
+// oldestLevel returns the level that holds the record with the lowest number. The queue must not be empty.
 func (q *Queue) oldestLevel() Level {
 	var oldest Level
 	lowest := uint64(math.MaxUint64)
@@ -117,12 +117,13 @@
 	return oldest
 }
 
-// Lost returns and resets the count of dropped records. It returns ok only where something was dropped, and, unless the
-// end of the recording is reached, only once the queue is half empty, so that there is room for the record of it.
+// Lost returns and resets the counts of dropped records. ok is false if no record was dropped. Unless end is set, which
+// means that the recording ends, ok is also false while more than half of the queue is used, so that there is room for
+// the record that reports the counts.
 func (q *Queue) Lost(end bool) (losses Dropped, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.dropped.Count == 0 || !end && q.isOverHalf() {
+	if q.dropped.Count == 0 || !end && q.isOverHalfFull() {
 		return Dropped{}, false
 	}
 	losses = q.dropped
@@ -130,12 +131,12 @@
 	return losses, true
 }
 
-// isOverHalf reports whether more than half of either bound is used.
-func (q *Queue) isOverHalf() bool {
+// isOverHalfFull reports whether more than half of either bound is used.
+func (q *Queue) isOverHalfFull() bool {
 	return q.records > q.maxRecords/2 || q.bytes > q.maxBytes/2
 }
 
-// Len returns the number of records and bytes that wait.
+// Len returns the number of queued records and their size in bytes.
 func (q *Queue) Len() (records, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/audit/queue_test.go
+++ b/internal/audit/queue_test.go
@@ -8,29 +8,29 @@
 	"pgregory.net/rapid"
 )
 
-func answer(o Outcome, writes bool) *Answer {
+func newAnswer(o Outcome, writes bool) *Answer {
 	return &Answer{Request: "r", Class: "c", Outcome: o, Writes: writes}
 }
 
-// Whatever is pushed and taken in whatever order: the bounds hold, numbers come out rising, each number comes out or is
-// told as lost, and nothing goes while something less important stays.
-func TestQueueKeepsItsBounds(t *testing.T) {
+// Guards against a queue that exceeds its bounds, returns records out of order, loses a record without counting it, or
+// drops a record while one of a lower level stays queued. The pushes and takes are random.
+func TestQueueBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, bytes := rapid.IntRange(1, 40).Draw(t, "records"), rapid.IntRange(400, 20_000).Draw(t, "bytes")
 		queue := NewQueue(records, bytes)
-		var seq, last, out uint64
+		var seq, last, takenCount uint64
 		var lost Dropped
-		held := map[uint64]Level{}
+		queuedLevels := map[uint64]Level{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.IntRange(0, 3).Draw(t, "op") == 0 {
 				taken := queue.Take(nil, rapid.IntRange(1, 10).Draw(t, "most"))
-				last = checkTaken(t, taken, held, last)
-				out += uint64(len(taken))
+				last = checkTaken(t, taken, queuedLevels, last)
+				takenCount += uint64(len(taken))
 				continue
 			}
 			seq++
 			events := []Event{
-				answer(Served, false), answer(Served, true), answer(Refused, true), Router{State: "drained"},
+				newAnswer(Served, false), newAnswer(Served, true), newAnswer(Refused, true), Router{State: "drained"},
 			}
 			event := events[rapid.IntRange(0, 3).Draw(t, "event")]
 			if a, ok := event.(*Answer); ok {
@@ -38,12 +38,12 @@
 			}
 			before := queue.dropped.Count
 			queue.Push(Record{Seq: seq, Event: event})
-			held[seq] = event.level()
+			queuedLevels[seq] = event.level()
 			if n, b := queue.Len(); n > records || b > bytes {
-				t.Fatalf("%d records, %d bytes", n, b)
+				t.Fatalf("the queue holds %d records of %d bytes, which exceeds a bound", n, b)
 			}
 			if queue.dropped.Count > before {
-				checkDropped(t, queue, held, seq, event.size() < bytes)
+				checkDropped(t, queue, queuedLevels, seq, event.size() < bytes)
 			}
 		}
 		for {
@@ -51,54 +51,57 @@
 			if len(recs) == 0 {
 				break
 			}
-			out += uint64(len(recs))
+			takenCount += uint64(len(recs))
 		}
 		lost, _ = queue.Lost(true)
-		if out+lost.Count != seq {
-			t.Fatalf("%d out, %d lost, %d in", out, lost.Count, seq)
+		if takenCount+lost.Count != seq {
+			t.Fatalf("%d records were taken and %d dropped, want a sum of %d", takenCount, lost.Count, seq)
 		}
 		if n, b := queue.Len(); n != 0 || b != 0 {
-			t.Fatalf("%d records and %d bytes are left", n, b)
+			t.Fatalf("%d records and %d bytes are left in the queue, want none", n, b)
 		}
 	})
 }
 
-// checkTaken forgets what was taken, checks that the numbers rise, and returns the last one.
-func checkTaken(t *rapid.T, taken []Record, held map[uint64]Level, last uint64) uint64 {
+// checkTaken checks that the numbers of the taken records increase, removes them from queuedLevels and returns the last
+// number.
+func checkTaken(t *rapid.T, taken []Record, queuedLevels map[uint64]Level, last uint64) uint64 {
 	for _, r := range taken {
 		if r.Seq <= last {
-			t.Fatalf("%d behind %d", r.Seq, last)
+			t.Fatalf("record %d was taken after record %d, want increasing numbers", r.Seq, last)
 		}
 		last = r.Seq
-		delete(held, r.Seq)
+		delete(queuedLevels, r.Seq)
 	}
 	return last
 }
 
-// checkDropped forgets what was dropped, and checks that it was of the lowest level that was queued. The newest record
-// itself may go at any level where it is larger than the queue.
-func checkDropped(t *rapid.T, queue *Queue, held map[uint64]Level, newest uint64, fits bool) {
-	still := map[uint64]bool{}
+// checkDropped checks that the dropped records were of the lowest level in the queue, and removes them from
+// queuedLevels. The newest record may be dropped at any level. Where it is larger than the queue (fits is false), other
+// records may be dropped at any level too.
+func checkDropped(t *rapid.T, queue *Queue, queuedLevels map[uint64]Level, newest uint64, fits bool) {
+	stillQueued := map[uint64]bool{}
 	for l := range queue.byLevel {
-		lane := &queue.byLevel[l]
-		for i := range lane.count {
-			still[lane.records[(lane.head+i)%len(lane.records)].Seq] = true
+		ring := &queue.byLevel[l]
+		for i := range ring.count {
+			stillQueued[ring.records[(ring.head+i)%len(ring.records)].Seq] = true
 		}
 	}
-	for s, l := range held {
-		if still[s] {
+	for s, l := range queuedLevels {
+		if stillQueued[s] {
 			continue
 		}
-		delete(held, s)
-		for o, m := range held {
-			if still[o] && m < l && fits && s != newest {
-				t.Fatalf("%d of level %d went, %d of level %d stayed", s, l, o, m)
+		delete(queuedLevels, s)
+		for o, m := range queuedLevels {
+			if stillQueued[o] && m < l && fits && s != newest {
+				t.Fatalf("record %d of level %d was dropped while record %d of level %d stayed queued", s, l, o, m)
 			}
 		}
 	}
 }
 
-// A queue full of refused ones alone keeps the first of them, and says which are lost.
+// Guards against a queue full of rejected requests that drops the first of them instead of the newest, or that does not
+// report which were dropped.
 func TestQueueFullOfRefused(t *testing.T) {
 	queue := NewQueue(100, 1<<20)
 	policy, err := NewPolicy(Rules{Reads: 1}, nil)
@@ -107,83 +110,85 @@
 	}
 	r := NewRecorder(policy, queue, time.Now)
 	for range 1000 {
-		r.Record(answer(Refused, true))
+		r.Record(newAnswer(Refused, true))
 	}
 	if r.Tick(); r.Numbers() != 1000 {
-		t.Fatal("losses were told without room")
+		t.Fatal("the dropped records were reported while the queue was full, want that only once it is half empty")
 	}
 	if got := queue.Take(nil, 90); len(got) != 90 || got[0].Seq != 1 || got[89].Seq != 90 {
-		t.Fatalf("%d taken", len(got))
+		t.Fatalf("%d records were taken, want 90 with the numbers 1 to 90", len(got))
 	}
 	r.Tick()
 	got := queue.Take(nil, 99)
 	d, ok := got[len(got)-1].Event.(Dropped)
-	want := Dropped{Count: 900, First: 101, Last: 1000, ByLevel: [levelCount]uint64{LevelRefused: 900}}
+	want := Dropped{Count: 900, First: 101, Last: 1000, ByLevel: [levelCount]uint64{LevelUnserved: 900}}
 	if !ok || d != want || got[len(got)-1].Seq != 1001 {
-		t.Fatalf("%+v", got[len(got)-1])
+		t.Fatalf("the last record is %+v, want number 1001 with 900 dropped records, 101 to 1000", got[len(got)-1])
 	}
-	// Reads make room for them, never the other way round; nothing is recorded behind the end.
+	// Served reads are dropped to make room for failed requests, never the reverse. Nothing is recorded after the end.
 	for range 100 {
-		r.Record(answer(Served, false))
+		r.Record(newAnswer(Served, false))
 	}
 	for range 100 {
-		r.Record(answer(Failed, true))
+		r.Record(newAnswer(Failed, true))
 	}
-	r.Record(answer(Served, false))
+	r.Record(newAnswer(Served, false))
 	r.End(End{})
-	r.Record(answer(Failed, true))
+	r.Record(newAnswer(Failed, true))
 	r.End(End{})
 	left := queue.Take(nil, 1000)
 	for i, rec := range left[:len(left)-2] {
 		if a, ok := rec.Event.(*Answer); !ok || a.Outcome != Failed {
-			t.Fatalf("%d: %+v", i, rec.Event)
+			t.Fatalf("record %d is %+v, want a failed request", i, rec.Event)
 		}
 	}
 	if _, ok := left[len(left)-1].Event.(End); !ok || r.Numbers() != left[len(left)-1].Seq {
-		t.Fatalf("%+v", left[len(left)-1])
+		t.Fatalf("the last record is %+v, want the end with the last number", left[len(left)-1])
 	}
 }
 
-// The rules take what they say, sample served reads alone and alike for one key, and are refused by the field's name.
+// Guards against a policy that selects events outside its rules, samples anything but served reads, or samples
+// differently for the same key, and against invalid rules whose error does not start with the field's name.
 func TestPolicy(t *testing.T) {
 	key := Secret{1}
 	policy, err := NewPolicy(Rules{Outcomes: []string{"served", "Refused"}, Kinds: []string{"answer"}, Reads: 0.25}, &key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := NewPolicy(Rules{Reads: 0.25}, &key)
-	picked := 0
+	samePolicy, _ := NewPolicy(Rules{Reads: 0.25}, &key)
+	sampledReads := 0
 	for i := range 10_000 {
-		a := answer(Served, false)
+		a := newAnswer(Served, false)
 		a.Request = fmt.Sprint("r", i)
-		if policy.Takes(a) {
-			picked++
+		if policy.Selects(a) {
+			sampledReads++
 		}
-		if policy.Takes(a) != again.Takes(a) {
-			t.Fatal("two decide differently")
+		if policy.Selects(a) != samePolicy.Selects(a) {
+			t.Fatal("two policies with the same key decide differently about a read, want the same decision")
 		}
-		if a.Writes = true; !policy.Takes(a) {
-			t.Fatal("a write was sampled")
+		if a.Writes = true; !policy.Selects(a) {
+			t.Fatal("a served write was not selected, want every write")
 		}
-		if a.Outcome, a.Writes = Refused, false; !policy.Takes(a) {
-			t.Fatal("a refusal was sampled")
+		if a.Outcome, a.Writes = Refused, false; !policy.Selects(a) {
+			t.Fatal("a rejected read was not selected, want every read that was not served")
 		}
 	}
-	if picked < 2300 || picked > 2700 {
-		t.Fatalf("%d of 10000 picked", picked)
+	if sampledReads < 2300 || sampledReads > 2700 {
+		t.Fatalf("%d of 10000 served reads were selected, want 2300 to 2700", sampledReads)
 	}
-	for _, event := range []Event{answer(Failed, true), answer(Left, true), Drain{}, Note{}} {
-		if policy.Takes(event) {
-			t.Errorf("%T %+v", event, event)
+	for _, event := range []Event{newAnswer(Failed, true), newAnswer(Left, true), Drain{}, Note{}} {
+		if policy.Selects(event) {
+			t.Errorf("%T %+v was selected, want it excluded by the rules", event, event)
 		}
 	}
 	for _, event := range []Event{Start{}, End{}, Dropped{}} {
-		if !policy.Takes(event) {
-			t.Errorf("%T", event)
+		if !policy.Selects(event) {
+			t.Errorf("%T was not selected, want it regardless of the rules", event)
 		}
 	}
-	if policy, _ := NewPolicy(Rules{}, nil); policy.Takes(answer(Served, false)) || !policy.Takes(answer(Served, true)) {
-		t.Error("a share of 0")
+	if policy, _ := NewPolicy(Rules{}, nil); policy.Selects(newAnswer(Served, false)) ||
+		!policy.Selects(newAnswer(Served, true)) {
+		t.Error("with a share of 0, a served read was selected or a served write was not")
 	}
 	for field, r := range map[string]Rules{
 		"kinds:":    {Kinds: []string{"x"}},
@@ -192,17 +197,17 @@
 		"reads: a":  {Reads: 0.5},
 	} {
 		if _, err := NewPolicy(r, nil); err == nil || err.Error()[:len(field)] != field {
-			t.Errorf("%s %v", field, err)
+			t.Errorf("the error is %[2]v, want one that starts with %[1]q", field, err)
 		}
 	}
 }
 
-// A key file that can't be used says why, and shows no secret.
+// Guards against an invalid key file that is accepted, or whose error shows the content of the file.
 func TestKeys(t *testing.T) {
 	secret := fmt.Sprintf("%064x", 0xabc)
 	keys, err := ParseKeys([]byte("current = \"b\"\n[keys]\na = \"" + secret + "\"\nb = \"" + secret + "\""))
 	if err != nil || len(keys) != 2 || keys[0].Name != "b" || keys[1].Name != "a" || keys[0].Secret[31] != 0xbc {
-		t.Fatalf("%v %v", keys, err)
+		t.Fatalf("the keys are %v with error %v, want b and a", keys, err)
 	}
 	for _, bad := range []string{
 		"", "current",
@@ -214,7 +219,7 @@
 		"current = \"\"\n[keys]\n\"\" = \"" + secret + "\"",
 	} {
 		if _, err := ParseKeys([]byte(bad)); err == nil || len(err.Error()) > 200 {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: the error is %v, want one of at most 200 bytes", bad, err)
 		}
 	}
 }
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Recorder numbers what is recorded. It belongs to the event loop's goroutine: recording is a few writes to memory,
-// never a system call. The Shipper takes records from the Queue at its own pace.
+// Recorder numbers the selected events and queues them as records. Only the event loop's goroutine may use it:
+// recording is a few writes to memory, never a system call. The Shipper takes the records from the Queue at its own
+// pace.
 type Recorder struct {
 	policy     *Policy
 	queue      *Queue
@@ -12,35 +13,35 @@
 	ended      bool
 }
 
-// NewRecorder returns a Recorder on queue. now is the wall clock: it may step back, the
-// numbers never do.
+// NewRecorder returns a Recorder that adds records to queue. now is the wall clock, which may step back; the numbers of
+// the records always increase.
 func NewRecorder(policy *Policy, queue *Queue, now func() time.Time) *Recorder {
 	return &Recorder{policy: policy, queue: queue, now: now}
 }
 
-// Record records an event if the policy takes it. The record gets the next number whether there is room for it or not,
-// so that a number which a collector does not have was dropped, never left out.
+// Record records an event if the policy selects it. The record gets the next number whether or not the queue has room
+// for it, so a number that a collector lacks always belongs to a record that was dropped.
 func (r *Recorder) Record(event Event) {
-	if r.ended || !r.policy.Takes(event) {
+	if r.ended || !r.policy.Selects(event) {
 		return
 	}
 	r.push(event)
 }
 
-// push queues an event under the next number.
+// push queues an event as a record with the next number.
 func (r *Recorder) push(event Event) {
 	r.lastNumber++
 	r.queue.Push(Record{Seq: r.lastNumber, Time: r.now(), Event: event})
 }
 
-// Tick records dropped records once there is room for that; it is called periodically.
+// Tick records how many records were dropped, once the queue has room for that record. It is called periodically.
 func (r *Recorder) Tick() {
 	if losses, ok := r.queue.Lost(false); ok && !r.ended {
 		r.push(losses)
 	}
 }
 
-// End records the end; nothing is recorded after it.
+// End records the end of the recording; later events are ignored.
 func (r *Recorder) End(end End) {
 	if r.ended {
 		return
@@ -52,8 +53,7 @@
 	r.ended = true
 }
 
-// SetPolicy replaces the policy.
 func (r *Recorder) SetPolicy(policy *Policy) { r.policy = policy }
 
-// Numbers returns how many numbers were given.
+// Numbers returns the number of records so far, dropped ones included, which is also the number of the newest record.
 func (r *Recorder) Numbers() uint64 { return r.lastNumber }
--- a/internal/audit/ring.go
+++ b/internal/audit/ring.go
@@ -1,7 +1,7 @@
 package audit
 
-// ring is a first-in, first-out queue of records in a ring buffer. It grows as needed, and releases its memory once it
-// is empty after a burst. The size of the buffer is always a power of two.
+// ring is a first-in, first-out queue of records in a ring buffer. It grows as needed, and releases a large
+// buffer once it is empty after a burst. The size of the buffer, in records, is always a power of two.
 type ring struct {
 	records []Record
 	head    int // the index of the oldest record
@@ -9,9 +9,9 @@
 }
 
 const (
-	// minRingSize is the size of a buffer when the first record comes.
+	// minRingSize is the size of the buffer, in records, that the first record allocates.
 	minRingSize = 16
-	// maxIdleRingSize is the largest buffer that is kept when the ring becomes empty.
+	// maxIdleRingSize is the size, in records, of the largest buffer that is kept when the ring becomes empty.
 	maxIdleRingSize = 1024
 )
 
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -8,23 +8,25 @@
 
 // Sink accepts messages in order.
 type Sink interface {
-	// Put returns how many messages it accepted; the rest is offered again. It may wait for a disk.
+	// Put returns the number of messages that it accepted, starting with the first; the rest is offered again. It may
+	// block on disk writes.
 	Put(msgs [][]byte) int
 }
 
-// ShipperOptions bound a Shipper.
+// ShipperOptions configure a Shipper.
 type ShipperOptions struct {
-	// Interval is how often the queue is emptied. The event loop would lose time if each record woke a goroutine.
+	// Interval is the time between two passes that empty the queue. The queue is polled because waking a goroutine for
+	// each record would cost the event loop time.
 	Interval time.Duration
 	// MessagesPerHead is the number of messages after which the head of the chain is due.
 	MessagesPerHead uint64
-	// HeadInterval is the time after which the head of the chain is due where there are messages since the last one.
+	// HeadInterval is the time after which the head of the chain is due if there are messages since the last head.
 	HeadInterval time.Duration
 	// Now is the wall clock.
 	Now func() time.Time
 }
 
-// Shipper takes records from the queue, encodes them and hands the messages to the sink, all in a goroutine of its own.
+// Shipper takes records from the queue, encodes them and passes the messages to the sink, all on its own goroutine.
 type Shipper struct {
 	options   ShipperOptions
 	queue     *Queue
@@ -36,16 +38,17 @@
 	closeOnce sync.Once
 
 	batch         []Record
-	averageLength int // of a message in the last batch, and a little more
+	averageLength int // of a message in the last batch, plus lengthMargin, in bytes
 	pending       [][]byte
 	lastHeadAt    time.Time
-	unsent        int // records and messages that were left at the end
+	unsent        int // records and messages that the sink had not accepted at the end
 }
 
 const (
-	// maxBatch is how many records are encoded at once.
+	// maxBatch is the maximum number of records that are encoded at once.
 	maxBatch = 256
-	// lengthMargin is added to the average length of a message, so that the buffer of a batch seldom grows.
+	// lengthMargin is the number of bytes added to the average length of a message, so that the buffer of a batch seldom
+	// has to grow.
 	lengthMargin = 16
 )
 
@@ -65,8 +68,8 @@
 	return s
 }
 
-// Use changes the key of the chain; a head under the old key proves what was hashed with it. Only one change may be
-// pending: Use returns false while the change before has not been applied.
+// Use changes the key of the chain, after a head with the old key that proves the earlier messages. Only one change may
+// be pending: Use returns false if the previous one has not been applied yet.
 func (s *Shipper) Use(key Key) bool {
 	select {
 	case s.keys <- key:
@@ -76,14 +79,15 @@
 	}
 }
 
-// Close hands over what is queued, and the last head, within the given time. It returns how many messages were left.
+// Close sends the queued records and the last head to the sink within the given time and stops the goroutine. It
+// returns the number of records and messages that the sink did not accept.
 func (s *Shipper) Close(within time.Duration) int {
 	s.closeOnce.Do(func() { s.deadline <- time.Now().Add(within) })
 	<-s.stopped
 	return s.unsent
 }
 
-// run is the goroutine of the Shipper.
+// run is the main loop of the Shipper's goroutine.
 func (s *Shipper) run() {
 	defer close(s.stopped)
 	tick := time.NewTicker(s.options.Interval)
@@ -102,18 +106,18 @@
 	}
 }
 
-// finish hands over what is queued, and the last head, until a deadline, and counts what is left.
+// finish sends the queued records and the last head to the sink until a deadline, and counts those that remain.
 func (s *Shipper) finish(until time.Time) {
 	s.drainQueue()
 	for s.backlog() > 0 && !time.Now().After(until) {
 		time.Sleep(s.options.Interval)
 		s.drainQueue()
 	}
-	if s.encoder.Due() > 0 {
+	if s.encoder.MessagesSinceHead() > 0 {
 		s.appendHead(nil)
 	}
 	for len(s.pending) > 0 && !time.Now().After(until) {
-		s.handOver()
+		s.offerPending()
 		time.Sleep(s.options.Interval)
 	}
 	s.unsent = s.backlog()
@@ -125,8 +129,8 @@
 	return records + len(s.pending)
 }
 
-// handOver offers what is encoded to the sink, and reports whether all of it was accepted.
-func (s *Shipper) handOver() bool {
+// offerPending offers the encoded messages to the sink and reports whether it accepted all of them.
+func (s *Shipper) offerPending() bool {
 	for len(s.pending) > 0 {
 		n := s.sink.Put(s.pending)
 		s.pending = s.pending[n:]
@@ -138,10 +142,10 @@
 	return true
 }
 
-// drainQueue empties the queue into the sink. What the sink does not accept stays queued, where the level of a record
-// decides whether it is dropped.
+// drainQueue encodes the queued records and sends them to the sink until the queue is empty or the sink does not accept
+// more. The other records stay in the queue, where their level decides which are dropped.
 func (s *Shipper) drainQueue() {
-	for s.handOver() {
+	for s.offerPending() {
 		s.batch = s.queue.Take(s.batch[:0], maxBatch)
 		if len(s.batch) == 0 {
 			if !s.isHeadOverdue() {
@@ -151,15 +155,15 @@
 			continue
 		}
 		s.encodeBatch()
-		if s.encoder.Due() >= s.options.MessagesPerHead {
+		if s.encoder.MessagesSinceHead() >= s.options.MessagesPerHead {
 			s.appendHead(nil)
 		}
 	}
 }
 
-// isHeadOverdue reports whether messages have waited too long for a head that proves them.
+// isHeadOverdue reports whether there are messages since the last head and HeadInterval has passed since it.
 func (s *Shipper) isHeadOverdue() bool {
-	return s.encoder.Due() > 0 && s.options.Now().Sub(s.lastHeadAt) >= s.options.HeadInterval
+	return s.encoder.MessagesSinceHead() > 0 && s.options.Now().Sub(s.lastHeadAt) >= s.options.HeadInterval
 }
 
 // encodeBatch encodes the records of the batch, which is not empty, into one buffer that all their messages share.
@@ -179,11 +183,12 @@
 	}
 }
 
-// appendHead appends the head of the chain, which proves everything before it. next is the key of what follows, or nil.
+// appendHead appends the head of the chain, which proves all messages before it. next is the key of the messages after
+// it, or nil to keep the current one.
 func (s *Shipper) appendHead(next *Key) {
 	now := s.options.Now()
 	s.lastHeadAt = now
-	if msg, err := s.encoder.Chain(now, next); err == nil {
+	if msg, err := s.encoder.EncodeHead(now, next); err == nil {
 		s.pending = append(s.pending, bytes.Clone(msg))
 	}
 }
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -30,7 +30,8 @@
 	return keys
 }
 
-// goldenStart writes one start: five records, of which one tells of two losses, and two heads.
+// goldenStart returns the messages of one start as lines: five records, one of which reports two dropped records, and
+// two heads of the chain.
 func goldenStart(t *testing.T, id string, key, next *audit.Key) []byte {
 	t.Helper()
 	began := time.Date(2027, 1, 15, 8, 0, 0, 0, time.UTC)
@@ -48,7 +49,7 @@
 		file.WriteByte('\n')
 	}
 	head := func(next *audit.Key) {
-		message, err := encoder.Chain(began.Add(2*time.Second), next)
+		message, err := encoder.EncodeHead(began.Add(2*time.Second), next)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written, stored) {
-		t.Errorf("written as\n%s, want\n%s", written, stored)
+		t.Errorf("the messages are\n%s, want\n%s", written, stored)
 	}
 	verifier := verify.New(verify.Options{Workers: 1, Keys: map[string][32]byte{
 		keys[0].Name: keys[0].Secret, keys[1].Name: keys[1].Secret,
@@ -88,7 +89,7 @@
 	}
 	report := verifier.Report()
 	if !report.Complete() || report.Messages != 14 || report.Foreign != 0 || len(report.Starts) != 2 {
-		t.Fatalf("the report is %+v", report)
+		t.Fatalf("the report is %+v, want a complete one with 14 messages and 2 starts, none of them foreign", report)
 	}
 	for i, id := range []string{"start-1", "start-2"} {
 		want := verify.Start{ID: id, Messages: 7, First: 1, Last: 7, Missing: 2, ReportedDropped: 2, Heads: 2, Ended: true}
--- a/internal/audit/verify/report.go
+++ b/internal/audit/verify/report.go
@@ -2,60 +2,60 @@
 
 import "fmt"
 
-// maxFaults bounds the faults that a Report holds.
+// maxFaults is the maximum number of faults that a Report holds.
 const maxFaults = 100
 
-// Fault is something that must not be in a complete file.
+// Fault is an error in the content of a file, which shows that it is incomplete or was changed.
 type Fault struct {
 	File    string
 	Message int    // counted from 1
-	Offset  int64  // the byte at which the message starts
-	Start   string // the id of the start, empty where it is not known
-	What    string
+	Offset  int64  // of the message in the file, in bytes
+	Start   string // the id of the start; empty = unknown
+	Problem string
 }
 
-// String returns the fault as one line, which names the place.
+// String returns the fault and its place as one line of text.
 func (f Fault) String() string {
-	s := fmt.Sprintf("%s: message %d at byte %d: %s", f.File, f.Message, f.Offset, f.What)
+	s := fmt.Sprintf("%s: message %d at byte %d: %s", f.File, f.Message, f.Offset, f.Problem)
 	if f.Start != "" {
 		s += " (start " + f.Start + ")"
 	}
 	return s
 }
 
-// Start is what was found of one start.
+// Start is the result for one start of a router.
 type Start struct {
 	ID              string
 	Messages        int
 	First           uint64 // the lowest number
 	Last            uint64 // the highest number
-	Repeated        int    // messages that came again, byte for byte
-	Missing         uint64 // numbers that are not there
+	Repeated        int    // messages that are byte-identical to an earlier one
+	Missing         uint64 // numbers without a record, in gaps that are not faults
 	ReportedDropped uint64 // numbers that the router recorded as dropped
-	Heads           uint64
-	Unproved        int  // messages behind the last head
-	Ended           bool // its last record and a head behind it are there
+	Heads           uint64 // heads of the chain
+	Unproved        int    // messages after the last head of the chain
+	Ended           bool   // its last record and a later head of the chain were read
 }
 
-// Report is what a file, or several in order, show.
+// Report is the result of verifying one or more files.
 type Report struct {
 	Messages int
-	Foreign  int // messages without an audit element, which prove nothing
+	Foreign  int // messages without an audit element, which are ignored
 	Faults   []Fault
-	More     int // faults beyond those that are kept
+	More     int // faults beyond maxFaults, which are only counted
 	Starts   []*Start
-	Proved   bool // there were keys
+	Proved   bool // the chain was checked, because there were keys
 }
 
-// Complete reports whether nothing is wrong and every start is proved from its first record to its last. Records that
-// the router itself recorded as dropped are no fault.
+// Complete reports whether there are no faults and every start is proved from its first record to its last. Records
+// that the router reported as dropped are not faults.
 func (r *Report) Complete() bool { return r.Clean() && r.Proved && !r.Open() }
 
-// Clean reports whether nothing is wrong as far as the files go.
+// Clean reports whether no faults were found in the files.
 func (r *Report) Clean() bool { return len(r.Faults) == 0 }
 
-// Open reports whether a start has not ended, or has records that no head proves yet. Without any start it
-// returns true.
+// Open reports whether a start has not ended, or has records after its last head, which are not proved yet. It returns
+// true if there are no starts.
 func (r *Report) Open() bool {
 	for _, start := range r.Starts {
 		if !start.Ended || start.Unproved > 0 {
@@ -65,8 +65,8 @@
 	return len(r.Starts) == 0
 }
 
-// add notes a fault; those beyond the limit are only counted.
-func (r *Report) add(fault Fault) {
+// addFault adds a fault; faults beyond maxFaults are only counted.
+func (r *Report) addFault(fault Fault) {
 	if len(r.Faults) == maxFaults {
 		r.More++
 		return
--- a/internal/audit/verify/start.go
+++ b/internal/audit/verify/start.go
@@ -1,47 +1,48 @@
 package verify
 
-// rememberedLinks is how many of the newest messages of a start are remembered, to know one that comes again.
-const rememberedLinks = 1 << 14
+// maxRecentLinks is the number of the newest messages of a start whose links are kept to recognize repeated messages.
+const maxRecentLinks = 1 << 14
 
-// recentLinks remembers the links of the newest messages of a start.
+// recentLinks holds the links that the newest messages of a start hash to.
 type recentLinks struct {
 	seen   map[link]bool
-	order  []link // a ring once it is full
+	order  []link // a ring buffer once it is full
 	oldest int    // the index of the oldest link in a full ring
 }
 
-// add remembers a link, and forgets the oldest one where there are too many.
+// add adds a link, and removes the oldest one if there are maxRecentLinks already.
 func (r *recentLinks) add(l link) {
 	r.seen[l] = true
-	if len(r.order) < rememberedLinks {
+	if len(r.order) < maxRecentLinks {
 		r.order = append(r.order, l)
 		return
 	}
 	delete(r.seen, r.order[r.oldest])
 	r.order[r.oldest] = l
-	r.oldest = (r.oldest + 1) % rememberedLinks
+	r.oldest = (r.oldest + 1) % maxRecentLinks
 }
 
-// startState follows the messages of one start.
+// startState is the state of the verification of one start.
 type startState struct {
 	*Start
-	link       link   // what the next message has to carry
-	newest     []byte // the newest message, hashed again under another key where the link does not fit
-	nextNumber uint64
+	link       link   // the link that the next message has to carry
+	newestRaw  []byte // the newest message, which is hashed again with the other keys if the link does not match
+	nextNumber uint64 // the number that the next record should have
 	recent     recentLinks
 	sinceHead  headSpan
-	hasFault   bool // there is a fault since the last head, so that the counts of the next one can't fit
+	hasFault   bool // a fault since the last head, or a missing beginning: the next head's counts are not checked
 	hasEnded   bool // its last record was read
 }
 
-// headSpan is what a head of the chain says of the messages since the head before.
+// headSpan is the count and the numbers of the messages between two heads of the chain, which the second one carries.
 type headSpan struct {
 	count uint64 // messages
-	first uint64 // the number of the first one, 0 = none
+	first uint64 // the number of the first message, 0 = none
 	last  uint64
 }
 
-// newStartState returns the state of a start whose first message is m, and whether the beginning of the start is there.
+// newStartState returns the state of a start whose first message in the files is m. complete reports whether m is the
+// first message of the start.
 func newStartState(m *message) (state *startState, complete bool) {
 	state = &startState{Start: &Start{ID: m.start}, recent: recentLinks{seen: map[link]bool{}}}
 	if m.kind == kindStart && m.number == 1 {
@@ -55,16 +56,16 @@
 	return state, false
 }
 
-// isRepeated reports whether a message has come before, byte for byte: the router sends messages again where a
-// connection broke.
+// isRepeated reports whether an identical message was read before: the router sends messages again after a connection
+// was lost.
 func (s *startState) isRepeated(m *message) bool {
 	return !m.nextLink.isZero() && s.recent.seen[m.nextLink]
 }
 
-// advance makes a message the newest one of the start.
+// advance updates the state after m, the newest message of the start.
 func (s *startState) advance(m *message) {
 	s.link = m.nextLink
-	s.newest = m.raw
+	s.newestRaw = m.raw
 	if !m.nextLink.isZero() {
 		s.recent.add(m.nextLink)
 	}
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -1,9 +1,9 @@
-// Package verify proves that a collected file of audit records is complete and unchanged, or names what is first wrong
-// with it. It knows the format of the page docs/syslog.md alone and shares no code with package audit, which writes the
-// records, so that a mistake of the writer is not repeated here. It opens no file.
+// Package verify proves that a collected file of audit records is complete and unchanged, or reports the faults in it.
+// It implements the format that the page docs/syslog.md describes and shares no code with package audit, which writes
+// the records, so that an error in the writer is not repeated here. It opens no files.
 //
-// File runs on the caller's goroutine. One goroutine of its own splits the input into messages, and a few workers parse
-// and hash them; the chain is followed on the caller's goroutine, in the order of the file.
+// Verifier.File runs on the caller's goroutine. A separate goroutine splits the input into messages, and several worker
+// goroutines parse and hash them. The chain is checked on the caller's goroutine, in the order of the file.
 package verify
 
 import (
@@ -18,18 +18,19 @@
 	"limeladder/internal/syslog/parser"
 )
 
-// defaultMaxMessage is the size limit of a message in bytes, unless Options say another.
-const defaultMaxMessage = 1 << 20
+// defaultMaxMessageBytes is the size limit of a message in bytes, unless Options set another.
+const defaultMaxMessageBytes = 1 << 20
 
-// Options say how strictly a file is checked.
+// Options configure a Verifier.
 type Options struct {
-	Keys    map[string][32]byte // by name; without keys only the numbers are checked, and nothing is proved
-	Partial bool                // starts may begin before the file and go on behind it, as where files are rotated
-	Most    int                 // the size limit of a message in bytes, 0 = 1 MiB
-	Workers int                 // goroutines that parse, 0 = one a processor
+	Keys            map[string][32]byte // by name; without keys only the numbers are checked and nothing is proved
+	Partial         bool                // starts may begin before the files and continue after them, as after a rotation
+	MaxMessageBytes int                 // the size limit of a message in bytes, 0 = 1 MiB
+	Workers         int                 // goroutines that parse, 0 = GOMAXPROCS
 }
 
-// Verifier reads files one after the other, in the order in which they were written. Only one goroutine may use it.
+// Verifier verifies files, which have to be passed to File in the order in which they were written. It is not safe for
+// concurrent use.
 type Verifier struct {
 	options  Options
 	keyNames []string // sorted
@@ -40,8 +41,8 @@
 
 // New returns a Verifier that has read nothing.
 func New(options Options) *Verifier {
-	if options.Most == 0 {
-		options.Most = defaultMaxMessage
+	if options.MaxMessageBytes == 0 {
+		options.MaxMessageBytes = defaultMaxMessageBytes
 	}
 	if options.Workers == 0 {
 		options.Workers = runtime.GOMAXPROCS(0)
@@ -55,50 +56,51 @@
 	return v
 }
 
-// blockSize is how many messages a worker parses at once.
+// blockSize is the maximum number of messages in a block.
 const blockSize = 1024
 
-// block is a run of messages of a file.
+// block is a sequence of consecutive messages of a file, which one worker parses.
 type block struct {
 	messages []message
-	parsed   chan struct{} // closed once a worker has parsed them
-	err      error         // of the reader, behind the messages
-	index    int           // of the message at which the error came
-	offset   int64         // of the message at which the error came
+	parsed   chan struct{} // closed once a worker has parsed the messages
+	err      error         // the error that ended the file after these messages, io.EOF at its end
+	index    int           // the index of the message at which reading failed, counted from 1
+	offset   int64         // the offset in the file, in bytes, of the message at which reading failed
 }
 
-// File reads one file. The error is one of reading; what is wrong with the content is a fault of the report.
+// File verifies one file. It returns an error if reading fails; faults in the content are added to the report.
 func (v *Verifier) File(name string, input io.Reader) error {
 	toParse := make(chan *block, v.options.Workers)
 	inOrder := make(chan *block, 2*v.options.Workers)
-	go splitFile(parser.NewFrames(input, v.options.Most), toParse, inOrder)
+	go splitFile(parser.NewFrames(input, v.options.MaxMessageBytes), toParse, inOrder)
 	for range v.options.Workers {
 		go parseBlocks(newMessageReader(v.options.Keys, v.keyNames), toParse)
 	}
-	var failed error
+	var readErr error
 	for b := range inOrder {
 		<-b.parsed
 		for i := range b.messages {
-			v.check(name, &b.messages[i])
+			v.checkMessage(name, &b.messages[i])
 		}
 		switch {
 		case b.err == nil, errors.Is(b.err, io.EOF):
 		case isFramingError(b.err):
-			what := b.err.Error() + ": the rest can't be read"
-			v.report.add(Fault{File: name, Message: b.index, Offset: b.offset, What: what})
+			what := b.err.Error() + ": the rest of the file cannot be read"
+			v.report.addFault(Fault{File: name, Message: b.index, Offset: b.offset, Problem: what})
 		default:
-			failed = b.err
+			readErr = b.err
 		}
 	}
-	return failed
+	return readErr
 }
 
-// isFramingError reports whether the content of a file can't be split into messages.
+// isFramingError reports whether an error means that the rest of a file cannot be split into messages.
 func isFramingError(err error) bool {
 	return errors.Is(err, parser.ErrCut) || errors.Is(err, parser.ErrFrame) || errors.Is(err, parser.ErrLong)
 }
 
-// splitFile splits the input into blocks until it ends, and hands each to the workers and to the caller of File.
+// splitFile splits the input into blocks until it ends or reading fails. It sends each block to the workers, and also
+// to the goroutine that runs File.
 func splitFile(frames *parser.Frames, toParse, inOrder chan<- *block) {
 	defer close(toParse)
 	defer close(inOrder)
@@ -114,7 +116,7 @@
 	}
 }
 
-// readBlock reads the next block behind so many messages of the file.
+// readBlock reads the next block. read is the number of messages that were read from the file before.
 func readBlock(frames *parser.Frames, read int) *block {
 	b := &block{messages: make([]message, 0, blockSize), parsed: make(chan struct{})}
 	for len(b.messages) < blockSize {
@@ -130,7 +132,7 @@
 	return b
 }
 
-// parseBlocks is the goroutine of a worker.
+// parseBlocks parses and hashes the messages of blocks until the channel is closed. Each worker goroutine runs it.
 func parseBlocks(reader *messageReader, blocks <-chan *block) {
 	for b := range blocks {
 		for i := range b.messages {
@@ -140,7 +142,7 @@
 	}
 }
 
-// Report returns what was found in all files.
+// Report returns the result for all files that were verified so far.
 func (v *Verifier) Report() *Report {
 	report := v.report
 	for _, state := range v.order {
@@ -149,15 +151,15 @@
 	return &report
 }
 
-// faultFunc notes a fault of one message.
+// faultFunc adds a fault of one message to the report.
 type faultFunc func(format string, args ...any)
 
-// check enters the next message of a file.
-func (v *Verifier) check(file string, m *message) {
+// checkMessage checks the next message of a file against those before it.
+func (v *Verifier) checkMessage(file string, m *message) {
 	v.report.Messages++
 	fault := func(format string, args ...any) {
 		what := fmt.Sprintf(format, args...)
-		v.report.add(Fault{File: file, Message: m.index, Offset: m.offset, Start: m.start, What: what})
+		v.report.addFault(Fault{File: file, Message: m.index, Offset: m.offset, Start: m.start, Problem: what})
 	}
 	switch {
 	case m.err != nil:
@@ -167,7 +169,7 @@
 		v.report.Foreign++
 		return
 	case m.start == "":
-		fault("a record of no start")
+		fault("the record has no start id")
 		return
 	}
 	state := v.stateOf(m, fault)
@@ -177,18 +179,19 @@
 	}
 	state.Messages++
 	if state.hasEnded && m.kind != kindChain {
-		fault("%s stands behind the last record of the start", m.name())
+		fault("%s comes after the last record of the start", m.name())
 	}
-	linkFits := v.checkLink(state, m, fault)
+	linkMatches := v.checkLink(state, m, fault)
 	if m.kind == kindChain {
 		v.checkHead(state, m, fault)
 	} else {
-		v.checkRecord(state, m, linkFits, fault)
+		v.checkRecord(state, m, linkMatches, fault)
 	}
 	state.advance(m)
 }
 
-// stateOf returns the state of the start of a message. A start that was not seen before has to begin at its beginning.
+// stateOf returns the state of the start that a message belongs to. It reports a fault if the message is the first one
+// of a new start but not its START record with number 1, unless Options.Partial is set.
 func (v *Verifier) stateOf(m *message, fault faultFunc) *startState {
 	if state := v.starts[m.start]; state != nil {
 		return state
@@ -197,35 +200,36 @@
 	v.starts[m.start] = state
 	v.order = append(v.order, state)
 	if !complete && !v.options.Partial {
-		fault("the beginning of the start is missing: its first message here is %s", m.name())
+		fault("the beginning of the start is missing: its first message in the files is %s", m.name())
 	}
 	return state
 }
 
-// checkLink reports whether a message follows the one before it in the chain; without keys it returns true, since
-// nothing can be proved.
+// checkLink checks that the link of a message matches the previous message of the chain, and reports whether it does.
+// Without keys it returns true, because links cannot be checked.
 func (v *Verifier) checkLink(state *startState, m *message, fault faultFunc) bool {
-	if !v.report.Proved || m.link == state.link || v.fitsOtherKey(state, m.link) {
+	if !v.report.Proved || m.link == state.link || v.matchesOtherKey(state, m.link) {
 		return true
 	}
 	state.hasFault = true
 	switch {
 	case m.link.isZero():
-		fault("%s carries no link", m.name())
+		fault("%s has no link", m.name())
 	case m.number != 0 && m.number < state.nextNumber:
-		fault("%s stands behind number %d: moved, or put in", m.name(), state.nextNumber-1)
+		fault("%s comes after number %d: it was moved or inserted", m.name(), state.nextNumber-1)
 	case m.number > state.nextNumber:
 		fault("numbers %d to %d are missing", state.nextNumber, m.number-1)
 	default:
-		fault("%s does not follow the message before it: one of them was changed, or something is missing between them",
+		fault("the link of %s does not match the previous message: one of them was changed, or messages between are missing",
 			m.name())
 	}
 	return false
 }
 
-// fitsOtherKey reports whether a link fits under another key than the first, as behind a change of the key.
-func (v *Verifier) fitsOtherKey(state *startState, want link) bool {
-	if state.newest == nil {
+// matchesOtherKey reports whether a link matches the previous message under any key but the first, as it does after a
+// change of the key.
+func (v *Verifier) matchesOtherKey(state *startState, want link) bool {
+	if state.newestRaw == nil {
 		return false
 	}
 	for _, name := range v.keyNames[1:] {
@@ -234,59 +238,60 @@
 		if err != nil {
 			continue
 		}
-		hash.Write(state.newest)
-		if sumLink(hash, nil) == want {
+		hash.Write(state.newestRaw)
+		if linkFromHash(hash, nil) == want {
 			return true
 		}
 	}
 	return false
 }
 
-// checkRecord checks the number of a record, and what a record of losses and the last record say of missing ones.
-func (v *Verifier) checkRecord(state *startState, m *message, linkFits bool, fault faultFunc) {
+// checkRecord checks the number of a record. For a DROPPED record it also checks the counts, and for an END record that
+// the missing numbers match the reported ones.
+func (v *Verifier) checkRecord(state *startState, m *message, linkMatches bool, fault faultFunc) {
 	switch {
 	case m.number == 0:
 		fault("%s has no number", m.name())
 		return
-	case m.number < state.nextNumber && linkFits:
-		fault("%s stands behind number %d", m.name(), state.nextNumber-1)
-	case m.number > state.nextNumber && linkFits:
-		// Where the chain holds across the gap, the router numbered these records and dropped them.
+	case m.number < state.nextNumber && linkMatches:
+		fault("%s comes after number %d", m.name(), state.nextNumber-1)
+	case m.number > state.nextNumber && linkMatches:
+		// The link is valid across the gap, so the router itself dropped the records with these numbers.
 		state.Missing += m.number - state.nextNumber
 	}
 	if m.kind == kindDropped {
-		if !m.hasValidLosses() {
-			fault("a record of losses that does not fit")
+		if !m.hasValidDropCounts() {
+			fault("the counts of the DROPPED record are invalid")
 		}
 		state.ReportedDropped += m.count
 	}
 	if m.kind == kindEnd {
 		state.hasEnded = true
 		if state.Missing != state.ReportedDropped && !state.hasFault && !v.options.Partial {
-			fault("%d numbers are missing, and the router tells of %d", state.Missing, state.ReportedDropped)
+			fault("%d numbers are missing, but the router reported %d dropped records", state.Missing, state.ReportedDropped)
 		}
 	}
 }
 
-// checkHead checks a head of the chain, which proves the messages since the head before it.
+// checkHead checks a head of the chain, which proves the messages since the previous head.
 func (v *Verifier) checkHead(state *startState, m *message, fault faultFunc) {
 	state.Heads++
 	if !v.report.Proved {
 		return
 	}
 	if _, ok := v.options.Keys[m.key]; !ok {
-		fault("a head under the key %q, which the key file does not have", m.key)
+		fault("the head of the chain uses the key %q, which is not in the key file", m.key)
 		return
 	}
-	if !m.soundHead {
-		fault("a head whose own hash does not fit: it was changed")
+	if !m.validMAC {
+		fault("the hash that the head carries of itself does not match: the head was changed")
 		return
 	}
-	told := headSpan{count: m.count, first: m.first, last: m.last}
+	declared := headSpan{count: m.count, first: m.first, last: m.last}
 	found := state.sinceHead
-	if !state.hasFault && told != found {
-		fault("a head of %d messages, numbers %d to %d, behind %d messages, numbers %d to %d",
-			told.count, told.first, told.last, found.count, found.first, found.last)
+	if !state.hasFault && declared != found {
+		fault("the head covers %d messages, numbers %d to %d, but it follows %d messages, numbers %d to %d",
+			declared.count, declared.first, declared.last, found.count, found.first, found.last)
 	}
 	state.Ended = state.hasEnded
 }
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -13,8 +13,8 @@
 	"limeladder/internal/syslog"
 )
 
-// corpus are the messages of one start: n answers with heads between them, from START to the last head.
-func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
+// encodeStart returns the messages of one start, from START to the last head: n answers, with heads between them.
+func encodeStart(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
 	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
 		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, MaxMessageBytes: 1024,
@@ -30,7 +30,7 @@
 		msgs = append(msgs, bytes.Clone(e.Encode(audit.Record{Seq: seq, Time: time.Unix(1.8e9, int64(seq)*1e6), Event: ev})))
 	}
 	head := func(next *audit.Key) {
-		p, err := e.Chain(time.Unix(1.8e9, int64(seq)*1e6), next)
+		p, err := e.EncodeHead(time.Unix(1.8e9, int64(seq)*1e6), next)
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 		if len(keys) > 1 && i == n/2 {
 			head(&keys[1])
 		}
-		if i == n/3 { // two had no room
+		if i == n/3 { // two records were dropped
 			seq += 2
 			add(audit.Dropped{Count: 2, First: seq - 1, Last: seq})
 		}
@@ -59,15 +59,15 @@
 }
 
 var (
-	one = audit.Key{Name: "one", Secret: [32]byte{1}}
-	two = audit.Key{Name: "two", Secret: [32]byte{2}}
+	keyOne = audit.Key{Name: "one", Secret: [32]byte{1}}
+	keyTwo = audit.Key{Name: "two", Secret: [32]byte{2}}
 )
 
 func options() verify.Options {
-	return verify.Options{Keys: map[string][32]byte{"one": one.Secret, "two": two.Secret}, Workers: 1}
+	return verify.Options{Keys: map[string][32]byte{"one": keyOne.Secret, "two": keyTwo.Secret}, Workers: 1}
 }
 
-func counted(msgs [][]byte) []byte {
+func withOctetCounts(msgs [][]byte) []byte {
 	var b bytes.Buffer
 	for _, m := range msgs {
 		fmt.Fprintf(&b, "%d %s", len(m), m)
@@ -75,9 +75,9 @@
 	return b.Bytes()
 }
 
-func lines(msgs [][]byte) []byte { return append(bytes.Join(msgs, []byte("\n")), '\n') }
+func asLines(msgs [][]byte) []byte { return append(bytes.Join(msgs, []byte("\n")), '\n') }
 
-func look(tb testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
+func verifyFiles(tb testing.TB, opt verify.Options, files ...[]byte) *verify.Report {
 	tb.Helper()
 	v := verify.New(opt)
 	for i, p := range files {
@@ -88,16 +88,16 @@
 	return v.Report()
 }
 
-func TestWhole(t *testing.T) {
-	msgs := corpus(t, "s1", 20, one, two)
-	other := corpus(t, "s2", 9, two)
-	for name, p := range map[string][]byte{"counts": counted(msgs), "lines": lines(msgs)} {
-		r := look(t, options(), p)
+func TestCompleteFiles(t *testing.T) {
+	msgs := encodeStart(t, "s1", 20, keyOne, keyTwo)
+	other := encodeStart(t, "s2", 9, keyTwo)
+	for name, p := range map[string][]byte{"counts": withOctetCounts(msgs), "lines": asLines(msgs)} {
+		r := verifyFiles(t, options(), p)
 		if !r.Complete() || r.Messages != len(msgs) || r.Starts[0].ReportedDropped != 2 || r.Starts[0].Missing != 2 {
-			t.Errorf("%s: %+v %+v", name, r, r.Starts[0])
+			t.Errorf("%s: the report is %+v with the start %+v, want it complete with 2 dropped records", name, r, r.Starts[0])
 		}
 	}
-	// Two starts in one file, as in an upgrade in place; and a start over two files, which were rotated.
+	// Two starts in one file, as during a hot restart, and one start in two files, as after a rotation.
 	var mixed [][]byte
 	for i := range msgs {
 		mixed = append(mixed, msgs[i])
@@ -105,122 +105,125 @@
 			mixed = append(mixed, other[i])
 		}
 	}
-	if r := look(t, options(), lines(mixed)); !r.Complete() || len(r.Starts) != 2 {
-		t.Errorf("mixed: %+v", r)
+	if r := verifyFiles(t, options(), asLines(mixed)); !r.Complete() || len(r.Starts) != 2 {
+		t.Errorf("two starts in one file: the report is %+v, want a complete one", r)
 	}
-	if r := look(t, options(), lines(msgs[:7]), counted(msgs[7:])); !r.Complete() {
-		t.Errorf("rotated: %+v", r)
+	if r := verifyFiles(t, options(), asLines(msgs[:7]), withOctetCounts(msgs[7:])); !r.Complete() {
+		t.Errorf("one start in two files: the report is %+v, want a complete one", r)
 	}
 	opt := options()
 	opt.Partial = true
-	if r := look(t, opt, lines(msgs[7:15])); !r.Clean() || !r.Open() {
-		t.Errorf("partial: %+v", r)
+	if r := verifyFiles(t, opt, asLines(msgs[7:15])); !r.Clean() || !r.Open() {
+		t.Errorf("part of a start: the report is %+v, want no faults and an open start", r)
 	}
-	// What comes again byte for byte is told and no fault; what is not ours is counted.
-	again := append(append([][]byte{}, msgs[:9]...), msgs[4:]...)
-	again = append(again, []byte("<7>1 - - - - - - else"))
-	if r := look(t, options(), lines(again)); !r.Complete() || r.Starts[0].Repeated != 5 || r.Foreign != 1 {
-		t.Errorf("again: %+v", r)
+	// Repeated messages and messages of other programs are counted, and are not faults.
+	repeated := append(append([][]byte{}, msgs[:9]...), msgs[4:]...)
+	repeated = append(repeated, []byte("<7>1 - - - - - - else"))
+	if r := verifyFiles(t, options(), asLines(repeated)); !r.Complete() || r.Starts[0].Repeated != 5 || r.Foreign != 1 {
+		t.Errorf("repeated messages: the report is %+v, want a complete one with 5 repeated and 1 foreign message", r)
 	}
-	// Without keys nothing is proved; with the wrong one all is wrong.
-	if r := look(t, verify.Options{}, lines(msgs)); !r.Clean() || r.Complete() || r.Proved {
-		t.Errorf("no keys: %+v", r)
+	// Without keys nothing is proved. A wrong key is a fault.
+	if r := verifyFiles(t, verify.Options{}, asLines(msgs)); !r.Clean() || r.Complete() || r.Proved {
+		t.Errorf("without keys: the report is %+v, want no faults and no proof", r)
 	}
-	if r := look(t, verify.Options{Keys: map[string][32]byte{"one": two.Secret}}, lines(msgs)); r.Clean() {
-		t.Error("the wrong key proves it")
+	if r := verifyFiles(t, verify.Options{Keys: map[string][32]byte{"one": keyTwo.Secret}}, asLines(msgs)); r.Clean() {
+		t.Error("no faults with the wrong key, want some")
 	}
-	if r := look(t, options()); r.Complete() || !r.Clean() {
-		t.Error("nothing is whole")
+	if r := verifyFiles(t, options()); r.Complete() || !r.Clean() {
+		t.Error("the report on no files is complete or has faults, want neither")
 	}
 }
 
-// Every single-bit change is found, in both forms of file.
+// Guards against a changed bit that is not detected, with messages framed by their length and by newlines.
 func TestEveryFlippedBit(t *testing.T) {
-	msgs := corpus(t, "s1", 2, one, two)
-	for name, p := range map[string][]byte{"counts": counted(msgs), "lines": lines(msgs)} {
+	msgs := encodeStart(t, "s1", 2, keyOne, keyTwo)
+	for name, p := range map[string][]byte{"counts": withOctetCounts(msgs), "lines": asLines(msgs)} {
 		for bit := range len(p) * 8 {
 			p[bit/8] ^= 1 << (bit % 8)
-			if r := look(t, options(), p); r.Complete() {
-				t.Fatalf("%s: bit %d of byte %d: %q", name, bit%8, bit/8, p[max(0, bit/8-20):min(len(p), bit/8+20)])
+			if r := verifyFiles(t, options(), p); r.Complete() {
+				t.Fatalf("%s: bit %d of byte %d was flipped and the report is complete: %q",
+					name, bit%8, bit/8, p[max(0, bit/8-20):min(len(p), bit/8+20)])
 			}
 			p[bit/8] ^= 1 << (bit % 8)
 		}
 	}
 }
 
-// Every removal, swap and cut is found, and the first fault names the place.
-func TestRemovalsSwapsAndCuts(t *testing.T) {
-	msgs := corpus(t, "s1", 10, one, two)
+// Guards against removed, swapped or forged messages and truncated files that are not detected, and against a first
+// fault that names another place.
+func TestRemovalsSwapsAndTruncations(t *testing.T) {
+	msgs := encodeStart(t, "s1", 10, keyOne, keyTwo)
 	for i := range msgs {
-		less := append(append([][]byte{}, msgs[:i]...), msgs[i+1:]...)
-		r := look(t, options(), lines(less))
+		shortened := append(append([][]byte{}, msgs[:i]...), msgs[i+1:]...)
+		r := verifyFiles(t, options(), asLines(shortened))
 		if r.Complete() || i < len(msgs)-2 && (r.Clean() || r.Faults[0].Message != i+1) {
-			t.Errorf("%d is missing: %v", i, r.Faults)
+			t.Errorf("message %d was removed: the faults are %v, want the first one at its place", i, r.Faults)
 		}
 		for j := range i {
 			swapped := append([][]byte{}, msgs...)
 			swapped[i], swapped[j] = swapped[j], swapped[i]
-			if r := look(t, options(), lines(swapped)); r.Clean() || r.Faults[0].Message > j+2 {
-				t.Errorf("%d and %d are swapped: %v", i, j, r.Faults)
+			if r := verifyFiles(t, options(), asLines(swapped)); r.Clean() || r.Faults[0].Message > j+2 {
+				t.Errorf("messages %d and %d were swapped: the faults are %v, want the first one at the earlier place",
+					i, j, r.Faults)
 			}
 		}
-		// Put in once more under another number, as one who has no key could.
+		// A copy of the message under another number, as an attacker without the key could insert it.
 		forged := bytes.Replace(msgs[i], []byte(` seq="`), []byte(` seq="9`), 1)
-		with := append(append(append([][]byte{}, msgs[:i]...), forged), msgs[i:]...)
-		if r := look(t, options(), lines(with)); r.Clean() && !bytes.Equal(forged, msgs[i]) {
-			t.Errorf("%d: a forged one passes", i)
+		extended := append(append(append([][]byte{}, msgs[:i]...), forged), msgs[i:]...)
+		if r := verifyFiles(t, options(), asLines(extended)); r.Clean() && !bytes.Equal(forged, msgs[i]) {
+			t.Errorf("no faults with a forged copy of message %d, want some", i)
 		}
 	}
-	for _, p := range [][]byte{counted(msgs), lines(msgs)} {
-		checkEveryCut(t, p)
+	for _, p := range [][]byte{withOctetCounts(msgs), asLines(msgs)} {
+		checkEveryTruncation(t, p)
 	}
 }
 
-// checkEveryCut checks that no part of a file is taken for all of it.
-func checkEveryCut(t *testing.T, p []byte) {
+// checkEveryTruncation checks that no beginning or end of a file is reported as complete.
+func checkEveryTruncation(t *testing.T, p []byte) {
 	t.Helper()
 	for cut := range p {
-		if r := look(t, options(), p[:cut]); r.Complete() {
-			t.Fatalf("cut at %d of %d", cut, len(p))
+		if r := verifyFiles(t, options(), p[:cut]); r.Complete() {
+			t.Fatalf("the first %d of %d bytes are reported as complete", cut, len(p))
 		}
 		if cut == 0 || cut%7 != 0 {
 			continue
 		}
-		if r := look(t, options(), p[cut:]); r.Complete() {
-			t.Fatalf("begins at %d of %d", cut, len(p))
+		if r := verifyFiles(t, options(), p[cut:]); r.Complete() {
+			t.Fatalf("the file without its first %d of %d bytes is reported as complete", cut, len(p))
 		}
 	}
 }
 
-// A record of losses has to fit what is missing.
-func TestLossesHaveToFit(t *testing.T) {
-	for told, whole := range map[uint64]bool{3: true, 2: false, 1: false} {
+// Guards against a DROPPED record that is accepted although it reports another count than the missing numbers.
+func TestDropCountsMatchMissingNumbers(t *testing.T) {
+	for reported, wantComplete := range map[uint64]bool{3: true, 2: false, 1: false} {
 		e, _ := audit.NewEncoder(audit.EncoderOptions{
-			Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
+			Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
 		})
 		var msgs [][]byte
 		for _, r := range []audit.Record{
 			{Seq: 1, Event: audit.Start{}},
-			{Seq: 5, Event: audit.Dropped{Count: told, First: 2, Last: 4}},
+			{Seq: 5, Event: audit.Dropped{Count: reported, First: 2, Last: 4}},
 			{Seq: 6, Event: audit.End{}},
 		} {
 			msgs = append(msgs, bytes.Clone(e.Encode(r)))
 		}
-		head, _ := e.Chain(time.Unix(1, 0), nil)
-		if r := look(t, options(), lines(append(msgs, head))); r.Complete() != whole {
-			t.Errorf("%d told of 3: %v", told, r.Faults)
+		head, _ := e.EncodeHead(time.Unix(1, 0), nil)
+		if r := verifyFiles(t, options(), asLines(append(msgs, head))); r.Complete() != wantComplete {
+			t.Errorf("%d of 3 missing numbers were reported as dropped: the faults are %v", reported, r.Faults)
 		}
 	}
 }
 
-// million gives a file of so many messages without holding it.
-type million struct {
+// lineReader reads messages as the lines of a file, without joining them in memory.
+type lineReader struct {
 	msgs [][]byte
 	n    int
 	rest []byte
 }
 
-func (m *million) Read(p []byte) (int, error) {
+func (m *lineReader) Read(p []byte) (int, error) {
 	if len(m.rest) == 0 {
 		if m.n == len(m.msgs) {
 			return 0, io.EOF
@@ -234,7 +237,7 @@
 }
 
 func BenchmarkVerify(b *testing.B) {
-	msgs := corpus(b, "s1", 100_000, one)
+	msgs := encodeStart(b, "s1", 100_000, keyOne)
 	size := 0
 	for _, m := range msgs {
 		size += len(m)
@@ -246,7 +249,7 @@
 			delete(opt.Keys, "two")
 			for b.Loop() {
 				v := verify.New(opt)
-				if err := v.File("f", &million{msgs: msgs}); err != nil || !v.Report().Complete() {
+				if err := v.File("f", &lineReader{msgs: msgs}); err != nil || !v.Report().Complete() {
 					b.Fatal(err, v.Report().Faults)
 				}
 			}
@@ -255,14 +258,14 @@
 	}
 }
 
-// A million records with one flipped bit.
+// Guards against a flipped bit that is not found, or reported at another place, in a file of a million records.
 func TestMillionWithOneFlippedBit(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a million records")
 	}
 	const n = 1_000_000
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
+		Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -291,7 +294,7 @@
 		if _, err := w.Write(buf); err != nil {
 			t.Error(err)
 		}
-		_ = w.Close() // a pipe's end never fails to close
+		_ = w.Close() // closing a pipe never fails
 	}()
 	v := verify.New(options())
 	if err := v.File("f", r); err != nil {
@@ -302,7 +305,7 @@
 		t.Fatalf("%d messages, %v", rep.Messages, rep.Faults)
 	}
 	fault := rep.Faults[0]
-	if fault.Message < 700_001 || fault.Message > 700_002 || !strings.Contains(fault.What, "chang") {
+	if fault.Message < 700_001 || fault.Message > 700_002 || !strings.Contains(fault.Problem, "chang") {
 		t.Fatalf("%d messages, %v", rep.Messages, rep.Faults)
 	}
 }
