--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -53,6 +53,7 @@
 	r.ended = true
 }
 
+// SetPolicy replaces the policy that selects the events recorded from then on.
 func (r *Recorder) SetPolicy(policy *Policy) { r.policy = policy }
 
 // Numbers returns the number of records so far, dropped ones included, which is also the number of the newest record.
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // The golden file testdata/chain.log was written by the program at commit 4e3d53a: two starts, the second of which
-// changes its key. Operators prove such files long after the router that wrote them was replaced.
+// changes its key. Operators verify such files long after the router that wrote them was replaced.
 
 var update = flag.Bool("update", false, "write the golden file instead of comparing with it")
 
