--- a/cmd/limeladder/audit_recording_test.go
+++ b/cmd/limeladder/audit_recording_test.go
@@ -139,7 +139,8 @@
 	}
 	accepted := recordValue(t, end, "event", "taken")
 	if len(byID) != wantRequests || accepted != fmt.Sprint(wantRequests) {
-		t.Errorf("got records of %d requests, the router counts %s\n%s", len(byID), accepted, router.log)
+		t.Errorf("got records of %d requests, the router counts %s, want as many as were sent\n%s",
+			len(byID), accepted, router.log)
 	}
 	if kinds["PRIMARY"] == 0 || kinds["LIST"] != 2 || kinds["CHAIN"] < 10 {
 		t.Errorf("got records %v, want PRIMARY, 2 LIST and at least 10 CHAIN\n%s", kinds, router.log)
@@ -203,7 +204,7 @@
 	}
 	router.start()
 	router.sendRequests("next", "look", 10, clientDeadline)
-	router.waitFor("the spool is empty", func() bool { return len(router.readDir("spool")) <= 1 })
+	router.waitFor("only the running process has a spool", func() bool { return len(router.readDir("spool")) <= 1 })
 	router.stop()
 	router.waitForEnds(1, c)
 	report := router.verifyRecords(exitNotYetProved, c)
--- a/cmd/limeladder/command_test.go
+++ b/cmd/limeladder/command_test.go
@@ -28,7 +28,8 @@
 			var stdout, stderr bytes.Buffer
 			startDaemon, code := runCommand(strings.Fields(arguments), strings.NewReader(""), &stdout, &stderr)
 			if startDaemon || code != want {
-				t.Errorf("got startDaemon %v, exit code %d, stdout %q, stderr %q", startDaemon, code, &stdout, &stderr)
+				t.Errorf("got startDaemon %v, exit code %d, want false and the exit code of the case; stdout %q, stderr %q",
+					startDaemon, code, &stdout, &stderr)
 			}
 			oneLineOnly := strings.Count(stderr.String(), "\n") == 1 && stdout.Len() == 0
 			if want == exitUsage && !oneLineOnly {
--- a/cmd/limeladder/connections_test.go
+++ b/cmd/limeladder/connections_test.go
@@ -93,10 +93,10 @@
 			client := testserver.Dial(t, d.platformAddress())
 			client.Send(append(queryMessage(statement("w", "job")), queryMessage(statement("then", "job"))...))
 			if answer := client.Until('Z'); answer.Types != "EZ" || answer.Code != pgwire.UnknownOutcome {
-				t.Errorf("answer to the write whose response was truncated: %+v", answer)
+				t.Errorf("write whose response was truncated: got answer %+v, want SQLSTATE 08007", answer)
 			}
 			if answer := client.Until('Z'); answer.Types != "TDCZ" {
-				t.Errorf("answer to the request after it: %+v", answer)
+				t.Errorf("request after the truncated write: got answer %+v, want it served", answer)
 			}
 			if runs := countRuns("w", servers...); runs > 1 {
 				t.Errorf("the truncated write ran %d times, want at most 1", runs)
--- a/cmd/limeladder/endpoint_list.go
+++ b/cmd/limeladder/endpoint_list.go
@@ -81,7 +81,8 @@
 }
 
 // startDiscovery applies the endpoint list of the configuration, which may be outdated, and starts to follow discovery.
-// Clients are accepted once discovery has answered or the timeout for the first list has expired.
+// Clients are accepted once discovery has answered or the timeout for the first list has expired, or at once if the
+// watch resumes from the configured list.
 func (d *daemon) startDiscovery(cfg *config.Config) {
 	configured := config.EndpointList{}
 	if cfg.KnownEndpoints != nil {
--- a/cmd/limeladder/failover_bench_test.go
+++ b/cmd/limeladder/failover_bench_test.go
@@ -31,9 +31,9 @@
 	failed   int
 }
 
-// BenchmarkFailover loses the primary of a group of three servers under 50 requests per second with a deadline of 2.5
-// s, without and with the failover queue at the same time. It reports rejected and failed requests, and the time from
-// the promotion to the first write on the new primary.
+// BenchmarkFailover loses the primary of a group of three servers under 50 requests per second with a deadline of
+// 2.5 s, without and with the failover queue at the same time. It reports rejected and failed requests, and the time
+// from the promotion to the first write on the new primary.
 func BenchmarkFailover(b *testing.B) {
 	var arms []failoverArm
 	for _, loss := range []primaryLoss{primaryDies, primaryHangs} {
--- a/cmd/limeladder/failover_scenario_test.go
+++ b/cmd/limeladder/failover_scenario_test.go
@@ -203,7 +203,8 @@
 	primaryIsSuspended    primaryLoss = "is suspended"
 )
 
-// failOver makes a group lose its primary, and promotes another server after a time without a primary.
+// failOver makes a group lose its primary, and promotes another server after outage, which is the time without a
+// primary.
 func (s *failoverScenario) failOver(group, from, to int, loss primaryLoss, outage time.Duration) {
 	old := s.groups[group][from]
 	switch loss {
@@ -234,7 +235,8 @@
 	s.promote(s.groups[group][to])
 }
 
-// sendWrite sends one write as a new client, which disconnects after disconnectAfter if that is not 0.
+// sendWrite sends one write as a new client, which disconnects after disconnectAfter if that is not 0. In a scenario
+// with withPrimaryReads it calls sendWriteAndReads instead, which ignores extendedQuery and disconnectAfter.
 func (s *failoverScenario) sendWrite(id string, group int, extendedQuery bool, disconnectAfter time.Duration) {
 	s.clients.Add(1)
 	go func() {
@@ -313,8 +315,8 @@
 	s.requests = append(s.requests, request)
 }
 
-// runLoad sends writes to each group at a rate per second for a time. If clientsDisconnect is set, every seventh client
-// disconnects before its answer.
+// runLoad sends requestsPerSecond writes per second to each group for the given length. If clientsDisconnect is set,
+// every seventh client disconnects before its answer.
 func (s *failoverScenario) runLoad(requestsPerSecond int, length time.Duration, clientsDisconnect bool) {
 	ticker := time.NewTicker(time.Second / time.Duration(requestsPerSecond))
 	defer ticker.Stop()
--- a/cmd/limeladder/hot_restart_test.go
+++ b/cmd/limeladder/hot_restart_test.go
@@ -97,7 +97,7 @@
 }
 
 // A new process whose agent doesn't answer uses the list that the process it replaces received, not the outdated list
-// of its own configuration: the agent has already sent the drain, so the router must honor it.
+// of its own configuration: the drain was pushed to the agent, so the router counts as notified and must honor it.
 func TestNewProcessUsesTheEndpointListOfTheOldOne(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	servers, list, agent := newReplicaGroup(t, nil)
--- a/cmd/limeladder/limits_test.go
+++ b/cmd/limeladder/limits_test.go
@@ -176,11 +176,11 @@
 	if served == 0 {
 		t.Error("no request was served")
 	}
-	peak, err := peakMemoryKB(cmd)
+	peak, err := peakProgramMemoryKiB(cmd)
 	if err != nil || peak > smallestMemoryMB<<10 {
-		t.Errorf("got peak memory of %d KB, %v, want at most 32 MB", peak, err)
+		t.Errorf("got peak memory of %d KiB, %v, want at most 32 MiB", peak, err)
 	}
-	t.Logf("peak memory %d KB, %d requests served", peak, served)
+	t.Logf("peak memory %d KiB, %d requests served", peak, served)
 }
 
 // newLargeEndpointList returns a list of endpoints as indented JSON. The first three are fake servers; nothing listens
@@ -263,8 +263,8 @@
 	return result
 }
 
-// peakMemoryKB returns the peak resident memory of a process, in KB.
-func peakMemoryKB(cmd *exec.Cmd) (int, error) {
+// peakProgramMemoryKiB returns the peak resident memory of a process, in KiB.
+func peakProgramMemoryKiB(cmd *exec.Cmd) (int, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
 		return 0, err
--- a/cmd/limeladder/log_output_test.go
+++ b/cmd/limeladder/log_output_test.go
@@ -83,7 +83,7 @@
 	r.test.Helper()
 	for i, code := range r.sendRequests(prefix, "look", count, 2500*time.Millisecond) {
 		if code != "" {
-			r.test.Fatalf("request %s-%d: %s", prefix, i, code)
+			r.test.Fatalf("request %s-%d: got SQLSTATE %s, want none", prefix, i, code)
 		}
 	}
 }
--- a/cmd/limeladder/router_process_test.go
+++ b/cmd/limeladder/router_process_test.go
@@ -76,7 +76,8 @@
 	writeFile(r.test, r.dir+"/"+name, text)
 }
 
-// writeDeployFile writes a deploy file with the given collectors, a spool, chained records and the text more.
+// writeDeployFile writes a deploy file with the given collectors, a spool and chained records, and with
+// more as its last lines.
 func (r *routerProcess) writeDeployFile(more string, collectors ...*collector.Collector) {
 	r.test.Helper()
 	var urls []string
@@ -178,7 +179,8 @@
 	tb.Helper()
 	response, err := http.Post("http://"+adminAddress+"/v1/"+path, "", nil)
 	if err != nil || response.StatusCode != wantStatus {
-		tb.Fatalf("POST /v1/%s: got %v, %v", path, response, err)
+		tb.Fatalf("POST /v1/%s: got response %v, error %v, want no error and the status that the test expects",
+			path, response, err)
 	}
 	response.Body.Close()
 }
--- a/cmd/limeladder/site_failover_test.go
+++ b/cmd/limeladder/site_failover_test.go
@@ -156,7 +156,7 @@
 	})
 	allDown := lost["s"].Down == 2 && strings.Contains(lost["s"].Evidence, "2 of 2 known machines down")
 	if lost["n"].State != "well" || !allDown {
-		t.Errorf("got sites %+v, want n healthy and both machines of s down", lost)
+		t.Errorf("got sites %+v, want n healthy and both endpoints of s down", lost)
 	}
 	for _, id := range []string{"a2", "b1"} {
 		if err := router.servers[id].Start(); err != nil {
--- a/cmd/limeladder/soak_test.go
+++ b/cmd/limeladder/soak_test.go
@@ -42,7 +42,7 @@
 	logOutput          string // "read", "hangs", "ended" or "full"
 	logLevel           string
 	inherited          bool // the platform holds the listening socket; required for a second process
-	secondProcess      bool // a second process starts before the shutdown and is stopped at once
+	secondProcess      bool // a second process starts before the shutdown and is ended shortly after
 	store              bool
 	diskIsFull         bool // files of the store and the shared folder can't grow
 	idleConnections    bool
@@ -393,7 +393,7 @@
 			continue
 		}
 		if took := request.Answered.Sub(request.Sent); !request.ended && took > soakDeadline+500*time.Millisecond {
-			run.test.Errorf("%s was answered after %v, want within its deadline and 500 ms", request.ID, took)
+			run.test.Errorf("%s was answered after %v, want within its deadline plus 500 ms", request.ID, took)
 		}
 	}
 	for _, fault := range check.Jobs(writes, logs, nil) {
--- a/cmd/limeladder/store_test.go
+++ b/cmd/limeladder/store_test.go
@@ -64,8 +64,8 @@
 	return b.text.String()
 }
 
-// startSuccessor runs a router that doesn't open its store, because the test acts as an older process of it that is
-// still alive.
+// startSuccessor runs a router that doesn't open its store, because the test acts as an older process of the same
+// router that is still alive.
 func startSuccessor(t *testing.T, deploy config.Deploy) (d *daemon, ended <-chan struct{}, log *lockedBuffer) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
