--- a/internal/simulation/model/capacity.go
+++ b/internal/simulation/model/capacity.go
@@ -7,21 +7,22 @@
 	"limeladder/internal/simulation/event"
 )
 
-// slowStartTick is how often the growing capacity of an endpoint that warms up is taken into account.
+// slowStartTick is how often completions are rescheduled for the growing capacity of an endpoint that is warming up.
 const slowStartTick = 50 * time.Millisecond
 
-// completionTolerance absorbs rounding where it is decided whether a statement has got all of its work, in seconds.
+// completionTolerance is how much work, in core-seconds, a statement may still lack when it counts as complete. It
+// absorbs rounding.
 const completionTolerance = 1e-9
 
 // slowStart is the warm-up of an endpoint after a start with cold caches.
 type slowStart struct {
 	active    bool
 	startedAt time.Duration
-	work      float64 // done since the start, in seconds of a core
+	work      float64 // done since the start, in core-seconds
 	tick      *event.Event
 }
 
-// SlowStartFactor returns the share of its full capacity that the endpoint has.
+// SlowStartFactor returns the share of its full capacity that the endpoint currently has.
 func (e *Endpoint) SlowStartFactor() float64 {
 	if !e.slowStart.active {
 		return 1
@@ -38,7 +39,7 @@
 	return min(1, e.Spec.SlowStartShare+(1-e.Spec.SlowStartShare)*progress)
 }
 
-// Capacity returns the work that the endpoint can do in a second now, in seconds of a core.
+// Capacity returns the work that the endpoint can currently do per second, in core-seconds.
 func (e *Endpoint) Capacity() float64 {
 	if e.state != Up {
 		return 0
@@ -50,8 +51,8 @@
 	return float64(e.Spec.Cores) * e.Spec.Speed * e.speedFactor * e.SlowStartFactor() * (1 - cost)
 }
 
-// statementRate returns the work that each running statement gets in a second. The statements share the cores, and
-// one statement uses no more than one core.
+// statementRate returns the work per second that is done for each running statement, in core-seconds. The statements
+// share the cores, and one statement uses at most one core.
 func (e *Endpoint) statementRate() float64 {
 	statements := float64(len(e.running))
 	if statements == 0 || e.state != Up {
@@ -62,15 +63,15 @@
 	return e.Capacity() / (1 + loss) / max(statements, cores)
 }
 
-// timeOnCore returns how long some work takes that shares the cores with the running statements without taking a
-// slot.
+// timeOnCore returns how long an amount of work takes if it shares the cores with the running statements but doesn't
+// need a slot.
 func (e *Endpoint) timeOnCore(work time.Duration) time.Duration {
 	rate := max(0.01, e.Capacity()/float64(max(e.Spec.Cores, len(e.running)+1)))
 	return time.Duration(work.Seconds() / rate * 1e9)
 }
 
-// advance accounts for the work that was done until now. It is called before anything changes that the rate depends
-// on.
+// advance accounts for the work done since the last call. It must be called before any value changes that
+// statementRate depends on.
 func (e *Endpoint) advance() {
 	now := e.now()
 	progress := e.statementRate() * (now - e.advancedAt).Seconds()
@@ -84,8 +85,8 @@
 	e.advancedAt = now
 }
 
-// scheduleCompletion schedules the end of the next statement. It is called after anything has changed that the rate
-// depends on.
+// scheduleCompletion schedules the next completion of a statement. It must be called after any value has changed that
+// statementRate depends on.
 func (e *Endpoint) scheduleCompletion() {
 	e.nextCompletion.Stop()
 	e.nextCompletion = nil
@@ -100,7 +101,7 @@
 	e.nextCompletion = e.world.Clock.After(time.Duration(seconds*1e9)+1, e.complete)
 }
 
-// complete ends the statements that have got all of their work, and starts queued ones.
+// complete finishes the statements whose work is done, and starts queued ones.
 func (e *Endpoint) complete() {
 	e.nextCompletion = nil
 	e.advance()
@@ -112,7 +113,7 @@
 	e.scheduleCompletion()
 }
 
-// warmUp takes the grown capacity into account, and again after a tick until the endpoint is warm.
+// warmUp reschedules completions for the present capacity, and schedules itself again until the endpoint is warm.
 func (e *Endpoint) warmUp() {
 	e.slowStart.tick = nil
 	e.advance()
@@ -124,7 +125,7 @@
 	e.scheduleCompletion()
 }
 
-// SetSpeedFactor leaves the endpoint a share of its speed, as other load on its host does.
+// SetSpeedFactor reduces the endpoint to a share of its speed, as other load on its host would.
 func (e *Endpoint) SetSpeedFactor(factor float64) {
 	e.advance()
 	e.speedFactor = factor
--- a/internal/simulation/model/connection.go
+++ b/internal/simulation/model/connection.go
@@ -1,7 +1,8 @@
 package model
 
-// Connect opens a connection. done is called with the epoch of the connection when it is up, or with ok false when it
-// failed; full says that the endpoint had no place for it. An endpoint that hangs never calls done.
+// Connect opens a connection. done is called with the connection's epoch once the connection is established, or with
+// ok false if it failed; full is true if it failed because MaxConnections was reached. An endpoint that hangs never
+// calls done.
 func (e *Endpoint) Connect(done func(ok, full bool, epoch int)) {
 	switch {
 	case e.state == Down:
@@ -28,11 +29,11 @@
 		established()
 		return
 	}
-	// A handshake waits for no slot: it takes its time of a core beside the statements.
+	// A handshake doesn't wait for a slot: it shares the cores with the running statements.
 	e.world.Clock.After(e.timeOnCore(e.Spec.HandshakeWork), established)
 }
 
-// Disconnect closes a connection of an epoch. One of an earlier epoch is closed already.
+// Disconnect closes a connection that was opened in the given epoch. Connections of earlier epochs are closed already.
 func (e *Endpoint) Disconnect(epoch int) {
 	if epoch != e.epoch || e.connections == 0 {
 		return
--- a/internal/simulation/model/distribution.go
+++ b/internal/simulation/model/distribution.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// WorkDistribution is how the work of a class of statements is distributed: exponentially, lognormally, or, without a
-// variation, not at all.
+// WorkDistribution describes the work per statement of a class: exponential, lognormal, or constant if Variation is 0
+// and Exponential is false.
 type WorkDistribution struct {
 	Mean        time.Duration
 	Variation   float64 // the coefficient of variation of a lognormal distribution
-	Exponential bool    // in place of lognormal
+	Exponential bool    // instead of lognormal
 }
 
 // Draw draws the work of one statement.
--- a/internal/simulation/model/election.go
+++ b/internal/simulation/model/election.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// electionRetry is how long a group without an endpoint that can lead waits before it looks again.
+// electionRetry is how long a group without an electable endpoint waits before its next attempt.
 const electionRetry = 100 * time.Millisecond
 
-// primaryLost begins a change of primary if the endpoint, which went down or hangs, is the primary.
-func (g *ReplicaGroup) primaryLost(endpoint *Endpoint) {
+// failOverIfPrimary starts a failover if the endpoint, which went down or hangs, is the primary.
+func (g *ReplicaGroup) failOverIfPrimary(endpoint *Endpoint) {
 	if g.Primary != endpoint {
 		return
 	}
-	if g.frozenAt == 0 {
-		g.frozenAt = max(1, g.world.Clock.Now()-g.Replication.ShipDelay)
+	if g.knownLimit == 0 {
+		g.knownLimit = max(1, g.world.Clock.Now()-g.Replication.ShipDelay)
 	}
 	if g.electing {
 		return
@@ -20,18 +20,18 @@
 	detectionDelay := drawBetween(g.world.rng, g.Replication.DetectionDelay)
 	electionDelay := drawBetween(g.world.rng, g.Replication.ElectionDelay)
 	g.world.Clock.After(detectionDelay, func() {
-		if endpoint.state == Up && g.Primary == endpoint { // it is back before anyone has noticed
+		if endpoint.state == Up && g.Primary == endpoint { // it recovered before its loss was detected
 			g.electing = false
-			g.frozenAt = 0
-			g.world.changed(endpoint)
+			g.knownLimit = 0
+			g.world.notifyWatchers(endpoint)
 			return
 		}
 		g.world.Clock.After(electionDelay, func() { g.elect(endpoint) })
 	})
 }
 
-// primaryDraining begins a handover if the endpoint, which drains, is the primary.
-func (g *ReplicaGroup) primaryDraining(endpoint *Endpoint) {
+// switchOverIfPrimary starts a switchover if the endpoint, which is draining, is the primary.
+func (g *ReplicaGroup) switchOverIfPrimary(endpoint *Endpoint) {
 	if g.Primary != endpoint || g.electing {
 		return
 	}
@@ -39,10 +39,10 @@
 	g.world.Clock.After(drawBetween(g.world.rng, g.Replication.SwitchoverDelay), func() { g.elect(endpoint) })
 }
 
-// NameSuccessor says which endpoint is to be the primary after the next change.
+// NameSuccessor sets the endpoint that the next election prefers as primary.
 func (g *ReplicaGroup) NameSuccessor(endpoint *Endpoint) { g.successor = endpoint }
 
-// elect makes an endpoint the primary in place of old, and tries again later if none can be.
+// elect promotes an endpoint to primary in place of old, and tries again later if there is no candidate.
 func (g *ReplicaGroup) elect(old *Endpoint) {
 	elected := g.candidate()
 	if elected == nil {
@@ -54,16 +54,17 @@
 	elected.wasPrimary = true
 	g.Primary = elected
 	g.electing = false
-	g.frozenAt = 0
+	g.knownLimit = 0
 	g.primaryChanges++
 	g.followPrimary(old)
-	g.world.changed(elected)
+	g.world.notifyWatchers(elected)
 	if old != elected {
-		g.world.changed(old)
+		g.world.notifyWatchers(old)
 	}
 }
 
-// candidate returns the named successor or else the endpoint that has applied most; nil if none can be the primary.
+// candidate returns the named successor if it is electable, else the electable endpoint that has applied the most
+// commits; nil if no endpoint is electable.
 func (g *ReplicaGroup) candidate() *Endpoint {
 	if g.successor != nil && g.successor.electable() {
 		return g.successor
@@ -77,10 +78,11 @@
 	return best
 }
 
-// canLead reports whether the endpoint can be elected primary.
+// electable reports whether the endpoint can be elected primary.
 func (e *Endpoint) electable() bool { return e.state == Up && !e.draining && !e.removed }
 
-// followPrimary lets the other endpoints follow a new primary, among them the old one, which has the whole log.
+// followPrimary makes the other endpoints replicas of the new primary. Among them is the old primary, which has the
+// whole log unless it is down.
 func (g *ReplicaGroup) followPrimary(old *Endpoint) {
 	now := g.world.Clock.Now()
 	for _, endpoint := range g.Endpoints {
--- a/internal/simulation/model/endpoint_test.go
+++ b/internal/simulation/model/endpoint_test.go
@@ -9,7 +9,7 @@
 
 const startTime = 1000 * time.Second
 
-// newReplicaGroup returns a group, its clock and its world, and the primary.
+// newReplicaGroup returns the clock and the world of a new replica group, and its primary.
 func newReplicaGroup(spec EndpointSpec, endpoints int) (*event.Clock, *World, *Endpoint) {
 	clock := event.New(startTime)
 	world := New(clock, 1)
@@ -31,31 +31,33 @@
 	}
 }
 
-// outcomes holds how statements ended, by their names. Each has to end once.
+// outcomes holds the outcomes of statements by name. Each statement must end exactly once.
 type outcomes map[string][]Outcome
 
+// statement returns a statement whose outcome is recorded under name.
 func (ended outcomes) statement(name string, work time.Duration) *Statement {
 	return &Statement{Work: work, Done: func(outcome Outcome, _ time.Duration, _ bool) {
 		ended[name] = append(ended[name], outcome)
 	}}
 }
 
+// check reports an error unless exactly the statements in want have ended, each once and with the given outcome.
 func (ended outcomes) check(t *testing.T, want map[string]Outcome) {
 	t.Helper()
 	for name, outcome := range want {
 		if len(ended[name]) != 1 || ended[name][0] != outcome {
-			t.Errorf("%s ended %v, not once as %v", name, ended[name], outcome)
+			t.Errorf("%s has the outcomes %v, want %v once", name, ended[name], outcome)
 		}
 	}
 	for name := range ended {
 		if _, ok := want[name]; !ok {
-			t.Errorf("%s ended: %v", name, ended[name])
+			t.Errorf("%s has the outcomes %v, want none yet", name, ended[name])
 		}
 	}
 }
 
-// A queued statement is cancelled on any endpoint, a running one where the endpoint cancels those too. A cancel after
-// the end of a statement does nothing.
+// A queued statement can be cancelled on any endpoint, a running one only on an endpoint with CancelsRunning.
+// Cancelling a statement that has ended does nothing.
 func TestCancelQueuedAndRunning(t *testing.T) {
 	for _, cancelsRunning := range []bool{false, true} {
 		spec := endpointSpec()
@@ -78,28 +80,28 @@
 			ended.check(t, map[string]Outcome{"runs": Served, "waits": Cancelled})
 		}
 		clock.Run(startTime + time.Second)
-		endpoint.Cancel(running) // its answer was on the way
+		endpoint.Cancel(running) // has ended already
 		endpoint.Cancel(next)
 		endpoint.Cancel(&Statement{})
 		ended.check(t, map[string]Outcome{"runs": outcomeOfRunning(cancelsRunning), "waits": Cancelled, "next": Served})
 	}
 }
 
-func outcomeOfRunning(all bool) Outcome {
-	if all {
+func outcomeOfRunning(cancelsRunning bool) Outcome {
+	if cancelsRunning {
 		return Cancelled
 	}
 	return Served
 }
 
-// An endpoint that goes down disconnects all of its statements, once, and rejects those that come then. It restarts
-// cold and with a new epoch of connections.
+// An endpoint that goes down disconnects each of its statements once, and those submitted while it is down. It restarts
+// with cold caches and a new connection epoch.
 func TestKillAndRestart(t *testing.T) {
 	clock, _, endpoint := newReplicaGroup(endpointSpec(), 1)
 	ended := outcomes{}
 	endpoint.Connect(func(ok, _ bool, epoch int) {
 		if !ok || epoch != 0 {
-			t.Error(ok, epoch)
+			t.Error("first connection: ok, epoch", ok, epoch)
 		}
 	})
 	endpoint.Submit(ended.statement("runs", time.Second))
@@ -110,12 +112,12 @@
 	endpoint.Submit(ended.statement("later", time.Second))
 	endpoint.Connect(func(ok, full bool, _ int) {
 		if ok || full {
-			t.Error("it takes a connection")
+			t.Error("endpoint that is down answers a connection attempt with other than ok=false, full=false")
 		}
 	})
 	ended.check(t, map[string]Outcome{"runs": Disconnected, "waits": Disconnected, "later": Disconnected})
 	if endpoint.Connections() != 0 || endpoint.Epoch() != 1 || endpoint.Capacity() != 0 || endpoint.Cause() != "test" {
-		t.Errorf("%+v", endpoint)
+		t.Errorf("want no connections, epoch 1, capacity 0 and cause test after Kill: %+v", endpoint)
 	}
 	clock.Run(startTime + 1100*time.Millisecond)
 	if endpoint.State() != Up || !endpoint.WarmingUp() {
@@ -124,22 +126,22 @@
 	if factor := endpoint.SlowStartFactor(); factor < 0.16 || factor > 0.17 {
 		t.Errorf("after the restart the slow-start factor is %.2f, want 0.16 to 0.17", factor)
 	}
-	endpoint.Disconnect(0) // of the epoch before
+	endpoint.Disconnect(0) // a connection of the previous epoch
 	if endpoint.Connections() != 0 {
-		t.Error("a connection of another epoch is counted")
+		t.Errorf("%d connections after a connection of the previous epoch was closed, want 0", endpoint.Connections())
 	}
 	clock.Run(startTime + 30*time.Second)
 	if endpoint.WarmingUp() {
-		t.Error("it does not warm up")
+		t.Error("endpoint is still warming up 29 s after its restart")
 	}
 	endpoint.Remove()
 	clock.Run(startTime + 100*time.Second)
 	if endpoint.State() != Down || !endpoint.Removed() {
-		t.Error("it has come back")
+		t.Errorf("removed endpoint: state %v, removed %v; want down and removed", endpoint.State(), endpoint.Removed())
 	}
 }
 
-// An endpoint that fails under overload and has no restart delay stays down, whatever it is offered.
+// An endpoint that fails under overload and has no restart delay stays down, even if it is still offered work.
 func TestOverloadedEndpointStaysDown(t *testing.T) {
 	spec := endpointSpec()
 	spec.OverloadMultiple = 2.5
@@ -154,12 +156,12 @@
 	feed()
 	clock.Run(startTime + 60*time.Second)
 	if primary.State() != Down || world.Groups[0].PrimaryChanges() != 1 || primary.IsPrimary() {
-		t.Errorf("%v, %d changes", primary.State(), world.Groups[0].PrimaryChanges())
+		t.Errorf("state %v, %d primary changes; want down and 1", primary.State(), world.Groups[0].PrimaryChanges())
 	}
 }
 
-// An endpoint that hangs answers nothing, in the handshake neither. When it resumes it runs what came meanwhile, and
-// rejects a write if it isn't the primary any more.
+// An endpoint that hangs answers nothing, including handshakes. When it resumes it runs the statements submitted during
+// the hang, and rejects writes among them if it is no longer the primary.
 func TestHangAnswersNothing(t *testing.T) {
 	clock, world, primary := newReplicaGroup(endpointSpec(), 2)
 	ended := outcomes{}
@@ -169,25 +171,26 @@
 	write := ended.statement("write", 10*time.Millisecond)
 	write.Write = true
 	primary.Submit(write)
-	primary.Connect(func(bool, bool, int) { t.Error("it answers a connection") })
-	primary.RequestReport(func(LoadReport, bool) { t.Error("it answers a health check") })
+	primary.Connect(func(bool, bool, int) { t.Error("endpoint that hangs answers a connection attempt") })
+	primary.RequestReport(func(LoadReport, bool) { t.Error("endpoint that hangs answers a health check") })
 	clock.Run(startTime + 4*time.Second)
 	ended.check(t, map[string]Outcome{})
 	if world.Groups[0].Primary == primary || !world.Groups[0].AcceptsWrites() {
-		t.Fatal("no successor")
+		t.Fatal("no successor was elected while the primary hung")
 	}
 	clock.Run(startTime + 6*time.Second)
 	ended.check(t, map[string]Outcome{"read": Served, "write": ReadOnly})
-	// A primary whose hang wasn't noticed stays the primary.
+	// A primary whose hang is shorter than the detection delay stays the primary.
 	successor := world.Groups[0].Primary
 	successor.Hang(500 * time.Millisecond)
 	clock.Run(startTime + 20*time.Second)
 	if world.Groups[0].Primary != successor || !world.Groups[0].AcceptsWrites() || world.Groups[0].PrimaryChanges() != 1 {
-		t.Errorf("%d changes", world.Groups[0].PrimaryChanges())
+		t.Errorf("%d changes of primary after an undetected hang, want 1", world.Groups[0].PrimaryChanges())
 	}
 }
 
-// A connection too many is rejected, and so is a statement too many. A statement whose deadline has passed isn't run.
+// Connections beyond MaxConnections and statements beyond the slots and the queue are rejected. A queued statement
+// whose deadline has passed isn't run.
 func TestRejectsBeyondCapacity(t *testing.T) {
 	spec := endpointSpec()
 	spec.MaxConnections = 1
@@ -204,20 +207,19 @@
 	endpoint.Submit(ended.statement("runs", 100*time.Millisecond))
 	endpoint.Submit(late)
 	endpoint.Submit(ended.statement("waits", time.Millisecond))
-	endpoint.Submit(ended.statement("much", time.Millisecond))
+	endpoint.Submit(ended.statement("excess", time.Millisecond))
 	clock.Run(startTime + time.Second)
-	ended.check(t, map[string]Outcome{"runs": Served, "late": Expired, "waits": Served, "much": QueueFull})
+	ended.check(t, map[string]Outcome{"runs": Served, "late": Expired, "waits": Served, "excess": QueueFull})
 	if len(got) != 4 || got[0] || !got[1] || !got[2] || got[3] {
-		t.Errorf("%v", got)
+		t.Errorf("ok and full of two connections: %v, want false true true false", got)
 	}
 	endpoint.Disconnect(endpoint.Epoch())
 	if endpoint.Connections() != 0 {
-		t.Error(endpoint.Connections())
+		t.Error("connections after the only one was closed:", endpoint.Connections())
 	}
 }
 
-// A replica rejects a read that has to see more than it has applied. After a restart it is behind until it has caught
-// up.
+// A replica rejects a read whose MinPosition it hasn't reached. After a restart it lags until it has caught up.
 func TestReplicaCatchesUp(t *testing.T) {
 	clock, world, primary := newReplicaGroup(endpointSpec(), 2)
 	replica := world.Endpoints[1]
@@ -238,20 +240,20 @@
 	replica.Kill("test", 5*time.Second)
 	clock.Run(startTime + 5210*time.Millisecond)
 	if lag := clock.Now() - replica.Position(); lag < 4*time.Second {
-		t.Errorf("it is %v behind when it comes back", lag)
+		t.Errorf("lag is %v right after the restart, want at least 4s", lag)
 	}
 	clock.Run(startTime + 6*time.Second)
 	if lag := clock.Now() - replica.Position(); lag > 20*time.Millisecond {
-		t.Errorf("it is %v behind still", lag)
+		t.Errorf("lag is %v once the replica had time to catch up, want at most 20ms", lag)
 	}
 	primary.Drain()
 	clock.Run(startTime + 7*time.Second)
 	if !replica.IsPrimary() || primary.IsPrimary() {
-		t.Error("a primary that drains does not hand over")
+		t.Error("a draining primary has not handed over to the replica")
 	}
 }
 
-// A load report is given again until it is older than the report interval.
+// A load report is reused until it is as old as the report interval.
 func TestLoadReportIsCached(t *testing.T) {
 	spec := endpointSpec()
 	spec.ReportInterval = 100 * time.Millisecond
@@ -270,11 +272,11 @@
 		t.Fatalf("%d reports, want 3", len(got))
 	}
 	if got[0].Position != got[1].Position || got[2].Position != startTime+142*time.Millisecond || got[0].Primary {
-		t.Fatalf("%+v", got)
+		t.Fatalf("want the second report reused and the third made anew: %+v", got)
 	}
 }
 
-// A spare is neither listed nor elected, and doesn't start by itself. Once it has joined it is listed as new, follows
+// A spare is neither listed nor elected, and Start doesn't start it. Once it has joined it is listed as ready, follows
 // the primary and can be elected.
 func TestSpareJoins(t *testing.T) {
 	clock := event.New(1000 * time.Second)
@@ -297,7 +299,7 @@
 	spare.Start()
 	clock.Run(1001 * time.Second)
 	if got := listed(); got != "first ready;" || spare.State() != Down {
-		t.Fatalf("%q, %v", got, spare.State())
+		t.Fatalf("before the spare joins: listed %q, spare state %v", got, spare.State())
 	}
 	for range 300 { // enough for the log to be trimmed
 		group.appendCommit(clock.Now())
@@ -306,11 +308,11 @@
 	spare.Join()
 	clock.Run(1003 * time.Second)
 	if got := listed(); got != "first ready;spare ready;" || spare.State() != Up || spare.Position() < 1001*time.Second {
-		t.Fatalf("%q, %v, at %v", got, spare.State(), spare.Position())
+		t.Fatalf("after the spare joined: listed %q, spare state %v, position %v", got, spare.State(), spare.Position())
 	}
 	first.Kill("killed", 0)
 	clock.Run(1010 * time.Second)
 	if !spare.IsPrimary() {
-		t.Error("it does not follow")
+		t.Error("spare that joined was not elected primary")
 	}
 }
--- a/internal/simulation/model/lifecycle.go
+++ b/internal/simulation/model/lifecycle.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kill takes the endpoint down with all of its statements and connections. It restarts, cold, after a delay; 0 =
-// never.
+// Kill takes the endpoint down and breaks all of its statements and connections. The endpoint restarts with cold caches
+// after restartDelay; 0 = never.
 func (e *Endpoint) Kill(cause string, restartDelay time.Duration) {
 	if e.state == Down {
 		return
@@ -23,8 +23,8 @@
 	broken := slices.Concat([]*Statement(e.running), e.queue)
 	e.running = nil
 	e.queue = nil
-	e.world.changed(e)
-	e.Group.primaryLost(e)
+	e.world.notifyWatchers(e)
+	e.Group.failOverIfPrimary(e)
 	for _, statement := range broken {
 		statement.index = notRunning
 		statement.Done(Disconnected, 0, false)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Start restarts an endpoint that is down, with cold caches and behind its primary.
+// Start restarts an endpoint that is down. Its caches are cold and its replica lags behind the primary.
 func (e *Endpoint) Start() {
 	if e.state != Down || e.removed {
 		return
@@ -49,11 +49,11 @@
 	e.advancedAt = now
 	e.warmUp()
 	e.replica.restart(e)
-	e.world.changed(e)
+	e.world.notifyWatchers(e)
 }
 
-// Hang stops the endpoint from doing and answering anything, while its connections stay open. It resumes after a
-// time; 0 = never by itself.
+// Hang makes the endpoint stop all work and answer nothing, while its connections stay open. It resumes after length;
+// 0 = not until Resume is called.
 func (e *Endpoint) Hang(length time.Duration) {
 	if e.state != Up {
 		return
@@ -63,14 +63,14 @@
 	e.cause = "hangs"
 	e.nextCompletion.Stop()
 	e.nextCompletion = nil
-	e.world.changed(e)
-	e.Group.primaryLost(e)
+	e.world.notifyWatchers(e)
+	e.Group.failOverIfPrimary(e)
 	if length > 0 {
 		e.world.Clock.After(length, e.Resume)
 	}
 }
 
-// Resume lets an endpoint that hangs go on with what it has, and with what was submitted meanwhile.
+// Resume makes an endpoint that hangs continue its statements, including those submitted during the hang.
 func (e *Endpoint) Resume() {
 	if e.state != Hung {
 		return
@@ -81,28 +81,28 @@
 	e.replica.unblock(e)
 	e.runQueued()
 	e.scheduleCompletion()
-	e.world.changed(e)
+	e.world.notifyWatchers(e)
 }
 
-// Drain announces that the endpoint will leave. A primary hands its role over.
+// Drain announces that the endpoint will leave. If it is a primary, a switchover starts.
 func (e *Endpoint) Drain() {
 	if e.draining || e.state == Down {
 		return
 	}
 	e.draining = true
-	e.world.changed(e)
-	e.Group.primaryDraining(e)
+	e.world.notifyWatchers(e)
+	e.Group.switchOverIfPrimary(e)
 }
 
-// Reserve makes the endpoint a spare, which isn't there until it joins. It is called before anything watches the
-// world.
+// Reserve makes the endpoint a spare, which is down and unlisted until it joins. It must be called before any Watch
+// of the world.
 func (e *Endpoint) Reserve() {
 	e.state = Down
 	e.removed = true
-	e.cause = "not there yet"
+	e.cause = "spare, not joined yet"
 }
 
-// Join starts a spare, cold, with a copy of what its group has committed.
+// Join starts a spare with cold caches and a copy of everything that its group has committed.
 func (e *Endpoint) Join() {
 	if !e.removed || e.state != Down {
 		return
@@ -112,9 +112,9 @@
 	e.Start()
 }
 
-// Remove takes the endpoint down for good.
+// Remove takes the endpoint down permanently.
 func (e *Endpoint) Remove() {
 	e.removed = true
 	e.Kill("removed", 0)
-	e.world.changed(e)
+	e.world.notifyWatchers(e)
 }
--- a/internal/simulation/model/load_report.go
+++ b/internal/simulation/model/load_report.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// LoadReport is what an endpoint reports of itself.
+// LoadReport is the load that an endpoint reports about itself, with its replication position and role.
 type LoadReport struct {
 	Position    time.Duration
 	Primary     bool
-	Utilization float64 // of its capacity, since the report before
+	Utilization float64 // share of the capacity used since the previous report
 }
 
-// loadMeter holds the last load report, and what the next one is made of.
+// loadMeter holds the last load report, and the measurements for the next one.
 type loadMeter struct {
 	report LoadReport
 	madeAt time.Duration // 0 = no report was made yet
-	work   float64       // done since then, in seconds of a core
+	work   float64       // done since madeAt, in core-seconds
 }
 
-// RequestReport asks for the load report. done is called with ok false by an endpoint that is down, and not at all by
-// one that hangs or breaks its connections meanwhile.
+// RequestReport requests the load report. done is called with ok false if the endpoint is down, and not at all if it
+// hangs or breaks its connections before it answers.
 func (e *Endpoint) RequestReport(done func(report LoadReport, ok bool)) {
 	switch e.state {
 	case Down:
@@ -30,7 +30,7 @@
 	if e.load.madeAt == 0 || now-e.load.madeAt >= e.Spec.ReportInterval {
 		e.makeReport(now)
 	}
-	e.offer(e.Spec.HealthCheckWork)
+	e.countOffered(e.Spec.HealthCheckWork)
 	e.workDone += e.Spec.HealthCheckWork.Seconds()
 	report := e.load.report
 	epoch := e.epoch
@@ -41,7 +41,7 @@
 	})
 }
 
-// makeReport replaces the load report by one of the time since the last one.
+// makeReport replaces the load report by one that covers the time since the last report.
 func (e *Endpoint) makeReport(now time.Duration) {
 	e.advance()
 	utilization := 0.0
--- a/internal/simulation/model/overload.go
+++ b/internal/simulation/model/overload.go
@@ -7,40 +7,41 @@
 	"limeladder/internal/simulation/event"
 )
 
-// Offered work is counted in slots of overloadTick, and compared with the capacity over overloadSlots of them.
+// Offered work is counted in time buckets of length overloadTick. The sum over overloadBuckets of them is compared with
+// the capacity.
 const (
-	overloadTick  = 50 * time.Millisecond
-	overloadSlots = 4
+	overloadTick    = 50 * time.Millisecond
+	overloadBuckets = 4
 )
 
-// overload detects that an endpoint is offered more work than it bears.
+// overload detects that an endpoint is offered more work than its overload multiple allows.
 type overload struct {
-	offered  [overloadSlots]float64 // seconds of a core
-	slot     int                    // the present one
-	duration time.Duration          // for which it has been overloaded without a break
-	tick     *event.Event           // nil while nothing was offered lately
+	offered  [overloadBuckets]float64 // core-seconds by bucket
+	bucket   int                      // index of the current bucket
+	duration time.Duration            // how long the endpoint has been overloaded without interruption
+	tick     *event.Event             // nil if no work was offered in any bucket
 }
 
-// offer counts work that was offered, whether or not it was accepted.
-func (e *Endpoint) offer(work time.Duration) {
+// countOffered counts work that the endpoint was offered, whether it was accepted or rejected.
+func (e *Endpoint) countOffered(work time.Duration) {
 	if e.Spec.OverloadWindow == 0 {
 		return
 	}
-	e.overload.offered[e.overload.slot] += work.Seconds()
+	e.overload.offered[e.overload.bucket] += work.Seconds()
 	if e.overload.tick == nil {
 		e.overload.tick = e.world.Clock.After(overloadTick, e.checkOverload)
 	}
 }
 
-// checkOverload begins the next slot, and fails the endpoint if it has been overloaded for too long.
+// checkOverload starts the next bucket, and kills the endpoint if it has been overloaded for OverloadWindow.
 func (e *Endpoint) checkOverload() {
 	e.overload.tick = nil
-	offered := e.overload.nextSlot()
+	offered := e.overload.nextBucket()
 	if e.state != Up || offered == 0 {
 		e.overload.duration = 0
 		return
 	}
-	if offered/(overloadTick*overloadSlots).Seconds() <= e.Spec.OverloadMultiple*e.Capacity() {
+	if offered/(overloadTick*overloadBuckets).Seconds() <= e.Spec.OverloadMultiple*e.Capacity() {
 		e.overload.duration = 0
 	} else {
 		e.overload.duration += overloadTick
@@ -53,19 +54,19 @@
 	e.overload.tick = e.world.Clock.After(overloadTick, e.checkOverload)
 }
 
-// nextSlot returns the work that was offered in all slots, and replaces the oldest one.
-func (o *overload) nextSlot() float64 {
+// nextBucket returns the work offered in all buckets, and reuses the oldest one as the next.
+func (o *overload) nextBucket() float64 {
 	sum := 0.0
 	for _, work := range o.offered {
 		sum += work
 	}
-	o.slot = (o.slot + 1) % overloadSlots
-	o.offered[o.slot] = 0
+	o.bucket = (o.bucket + 1) % overloadBuckets
+	o.offered[o.bucket] = 0
 	return sum
 }
 
-// reset forgets what was offered. The tick and the slot go on.
+// reset clears the offered work and the duration. The tick and the current bucket stay.
 func (o *overload) reset() {
-	o.offered = [overloadSlots]float64{}
+	o.offered = [overloadBuckets]float64{}
 	o.duration = 0
 }
--- a/internal/simulation/model/registry.go
+++ b/internal/simulation/model/registry.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Registry is the endpoint list of a world as discovery has it: late, and with no more in it than discovery can know.
-// It owns the entries and their versions, not the way in which they reach a router.
+// Registry is the endpoint list of a world as discovery publishes it: delayed, and limited to what discovery can
+// observe. It owns the entries and their versions, but not how they are delivered to a router.
 type Registry struct {
-	Version int64 // of the newest change; the first list has version 1
+	Version int64 // of the latest change; the initial list has version 1
 	Entries []Listing
 
 	world     *World
 	delays    NoticeDelays
 	draw      func([2]time.Duration) time.Duration
 	onChange  func(i int)
-	primaries map[*ReplicaGroup]*Endpoint // those that were noticed last
+	primaries map[*ReplicaGroup]*Endpoint // the last primaries for which a notice was scheduled
 }
 
-// NoticeDelays says how late a registry notices what happens. Each delay is drawn between the two bounds of a pair.
+// NoticeDelays are the delays with which a registry notices changes. Each delay is drawn between the two bounds of its
+// pair.
 type NoticeDelays struct {
-	Change [2]time.Duration // that an endpoint drains, was removed or is back
-	Silent [2]time.Duration // that an endpoint died or hangs
-	Role   [2]time.Duration // which endpoint is the primary now; both 0 = the list keeps naming the first primary
+	Change [2]time.Duration // of an endpoint that drains, was removed or has restarted
+	Silent [2]time.Duration // of an endpoint that died or hangs
+	Role   [2]time.Duration // of a change of primary; both 0 = the list keeps naming the initial primary
 }
 
-// Listing is the entry of one endpoint.
+// Listing is the entry of an endpoint in a Registry.
 type Listing struct {
 	Endpoint  *Endpoint
 	State     ListingState
 	Primary   bool
-	StartedAt time.Duration // of its last start; 0 = before the world began
-	Changed   int64         // the version of its newest change; 0 = it was never listed
+	StartedAt time.Duration // of its last start; 0 = not restarted since it was added
+	Changed   int64         // the version of its latest change; 0 = never listed
 }
 
 // ListingState is the state in which an endpoint is listed.
@@ -41,11 +42,11 @@
 	ListedDraining
 )
 
-// String returns the word for the state.
+// String returns the name of the state.
 func (s ListingState) String() string { return [...]string{"gone", "ready", "draining"}[s] }
 
-// NewRegistry lists all endpoints of a world as they are, and follows their changes. draw draws a time between two
-// bounds; onChange is called with the index of an entry after each change of it.
+// NewRegistry returns a Registry that lists all endpoints of a world in their present state and follows their changes.
+// draw draws a duration between two bounds; onChange is called after each change of an entry, with the entry's index.
 func NewRegistry(
 	world *World, delays NoticeDelays, draw func([2]time.Duration) time.Duration, onChange func(i int),
 ) *Registry {
@@ -72,8 +73,8 @@
 	return r
 }
 
-// Since calls visit for each entry that has changed after a version. After version 0 these are all that were ever
-// listed.
+// Since calls visit for each entry whose latest change is newer than version. With version 0 it visits all entries that
+// were ever listed.
 func (r *Registry) Since(version int64, visit func(listing Listing)) {
 	for _, listing := range r.Entries {
 		if listing.Changed > version {
@@ -85,7 +86,7 @@
 // listsRoles reports whether the list follows changes of primary.
 func (r *Registry) listsRoles() bool { return r.delays.Role[1] > 0 }
 
-// endpointChanged schedules the notice of a change in the world.
+// endpointChanged schedules the update of the list after a change of an endpoint.
 func (r *Registry) endpointChanged(endpoint *Endpoint) {
 	delay := r.delays.Change
 	if failedSilently(endpoint) {
@@ -99,13 +100,13 @@
 	}
 }
 
-// failedSilently reports whether the endpoint hangs, or died without having announced it.
+// failedSilently reports whether the endpoint hangs, or died without announcing that it would leave.
 func failedSilently(endpoint *Endpoint) bool {
 	died := endpoint.State() == Down && !endpoint.Draining() && !endpoint.Removed()
 	return endpoint.State() == Hung || died
 }
 
-// describe sets the entry of an endpoint to the endpoint's present state.
+// describe updates the entry of an endpoint to the endpoint's present state.
 func (r *Registry) describe(endpoint *Endpoint, listing *Listing) {
 	switch {
 	case endpoint.Removed() || endpoint.State() != Up:
@@ -123,8 +124,8 @@
 	}
 }
 
-// noticePrimary schedules the notice that a group has another primary. What is listed then is the primary of now,
-// whichever endpoint is the primary by then.
+// noticePrimary schedules the listing of a group's new primary. After the delay, the endpoint that is the primary now
+// is listed, even if the primary has changed again by then.
 func (r *Registry) noticePrimary(group *ReplicaGroup) {
 	if !group.AcceptsWrites() || r.primaries[group] == group.Primary {
 		return
@@ -138,7 +139,7 @@
 	})
 }
 
-// update changes the entry of an endpoint, and gives it a new version if that made a difference.
+// update applies change to the entry of an endpoint, and gives the entry a new version if it differs afterwards.
 func (r *Registry) update(endpoint *Endpoint, change func(listing *Listing)) {
 	for i, old := range r.Entries {
 		if old.Endpoint != endpoint {
--- a/internal/simulation/model/registry_test.go
+++ b/internal/simulation/model/registry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The position of an endpoint never decreases, whatever happens to it: a primary that dies restarts with all that it
-// had committed.
+// The position of an endpoint never decreases, even across kills, hangs and drains: a primary that dies restarts with
+// everything that it had committed.
 func TestPositionNeverDecreases(t *testing.T) {
 	for seed := range uint64(20) {
 		clock, world, _ := newReplicaGroup(endpointSpec(), 3)
@@ -22,7 +22,8 @@
 					continue
 				}
 				if position := endpoint.Position(); position < reported[endpoint] {
-					t.Fatalf("seed %d: %s goes back from %v to %v at %v", seed, endpoint.ID, reported[endpoint], position, clock.Now())
+					t.Fatalf("seed %d: position of %s decreases from %v to %v at %v",
+						seed, endpoint.ID, reported[endpoint], position, clock.Now())
 				} else {
 					reported[endpoint] = position
 				}
@@ -42,8 +43,8 @@
 	}
 }
 
-// A list that follows roles names the primary of the moment of a change, and not before the delay has passed. One
-// that doesn't follow roles keeps naming the first primary.
+// A list that follows roles names a new primary only after the delay. A list that doesn't follow roles keeps naming the
+// first primary.
 func TestListedRolesAreDelayed(t *testing.T) {
 	t.Run("the list follows roles", func(t *testing.T) { checkListedRoles(t, true) })
 	t.Run("the list names the first primary", func(t *testing.T) { checkListedRoles(t, false) })
@@ -71,7 +72,7 @@
 	clock.Run(clock.Now() + 2900*time.Millisecond)
 	listed := listedPrimaries(registry)
 	if len(listed) != 1 || listed[0] != old || registry.Version != 1 || changes != 0 {
-		t.Fatalf("before its time: %d primaries, version %d, %d changes", len(listed), registry.Version, changes)
+		t.Fatalf("before the role delay: %d primaries, version %d, %d changes", len(listed), registry.Version, changes)
 	}
 	clock.Run(clock.Now() + 200*time.Millisecond)
 	want := old
@@ -80,12 +81,12 @@
 	}
 	listed = listedPrimaries(registry)
 	if len(listed) != 1 || listed[0] != want || int64(changes) != registry.Version-1 {
-		t.Fatalf("%d primaries, %d changes, version %d", len(listed), changes, registry.Version)
+		t.Fatalf("after the role delay: %d primaries, %d changes, version %d", len(listed), changes, registry.Version)
 	}
 	changedEntries := 0
 	registry.Since(1, func(Listing) { changedEntries++ })
 	if followsRoles != (changedEntries == 2) {
-		t.Errorf("%d entries have changed", changedEntries)
+		t.Errorf("%d entries have changed, list follows roles: %v", changedEntries, followsRoles)
 	}
 }
 
--- a/internal/simulation/model/replica.go
+++ b/internal/simulation/model/replica.go
@@ -6,14 +6,14 @@
 	"limeladder/internal/simulation/event"
 )
 
-// replica is the copy that an endpoint has of its group's log. It applies one commit after the other.
+// replica is the state of an endpoint's copy of its group's log. It applies one commit at a time.
 type replica struct {
-	next          int // the first commit that isn't applied
+	next          int // the number of the first commit that isn't applied
 	received      int // the number of the first commit that hasn't arrived
-	blocked       int // running statements that keep it from applying
+	blocked       int // the number of running statements that block applying
 	applying      *event.Event
-	resyncing     bool          // the endpoint has restarted and hasn't begun to catch up
-	knownPosition time.Duration // the position when it went down, which holds while it resyncs
+	resyncing     bool          // the endpoint has restarted and hasn't started to catch up
+	knownPosition time.Duration // the position when it went down, which limits its position while it resyncs
 }
 
 // Position returns the time up to which the endpoint has applied every commit of its group.
@@ -22,15 +22,15 @@
 	if e.IsPrimary() {
 		return now
 	}
-	heard := e.replica.heardUntil(e.Group, now)
+	known := e.replica.knownUntil(e.Group, now)
 	if oldest, ok := e.replica.oldestUnapplied(e.Group, now); ok {
-		return min(oldest-1, heard) // just before that commit
+		return min(oldest-1, known) // just before the oldest unapplied commit
 	}
-	return heard
+	return known
 }
 
-// oldestUnapplied returns the time of the first commit that isn't applied; ok is false if there is none, or if it
-// can't have been heard of yet.
+// oldestUnapplied returns the time of the first commit that isn't applied; ok is false if there is none, or if the
+// replica can't know of it yet because of the ship delay.
 func (r *replica) oldestUnapplied(group *ReplicaGroup, now time.Duration) (at time.Duration, ok bool) {
 	if r.next < group.firstCommit || r.next >= group.committed() {
 		return 0, false
@@ -42,11 +42,11 @@
 	return at, true
 }
 
-// heardUntil returns the time up to which the replica has heard of every commit.
-func (r *replica) heardUntil(group *ReplicaGroup, now time.Duration) time.Duration {
+// knownUntil returns the time up to which the replica knows of every commit, whether or not it has applied them.
+func (r *replica) knownUntil(group *ReplicaGroup, now time.Duration) time.Duration {
 	at := now - group.Replication.ShipDelay
-	if group.frozenAt > 0 {
-		at = min(at, group.frozenAt)
+	if group.knownLimit > 0 {
+		at = min(at, group.knownLimit)
 	}
 	if r.resyncing {
 		at = min(at, r.knownPosition)
@@ -54,7 +54,7 @@
 	return at
 }
 
-// receive notes that the commits before a number have arrived.
+// receive records that all commits with numbers below received have arrived.
 func (r *replica) receive(endpoint *Endpoint, received int) {
 	r.received = max(r.received, received)
 	if !r.resyncing {
@@ -62,7 +62,7 @@
 	}
 }
 
-// apply begins to apply the next commit, unless one is being applied or something keeps the replica from it.
+// apply starts to apply the next commit, unless canApply is false or every commit is applied.
 func (r *replica) apply(endpoint *Endpoint) {
 	group := endpoint.Group
 	if !r.canApply(endpoint) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// canApply reports whether a commit is there to be applied and nothing keeps the replica from it.
+// canApply reports whether a received commit is to be applied and applying is neither in progress nor blocked.
 func (r *replica) canApply(endpoint *Endpoint) bool {
 	if endpoint.state != Up || endpoint.IsPrimary() {
 		return false
@@ -93,7 +93,7 @@
 	return idle && r.next < r.received
 }
 
-// unblock counts again the running statements that keep the replica from applying, and goes on if there are none.
+// unblock recounts the running statements that block applying, and resumes applying if there are none.
 func (r *replica) unblock(endpoint *Endpoint) {
 	r.blocked = 0
 	for _, statement := range endpoint.running {
@@ -104,8 +104,8 @@
 	r.apply(endpoint)
 }
 
-// goDown notes the position that the endpoint has when it goes down. A primary has everything that it has committed,
-// so that its position doesn't go back when it restarts as a replica.
+// goDown records the position of an endpoint that goes down. A primary keeps everything that it has committed, so that
+// its position doesn't decrease when it restarts as a replica.
 func (r *replica) goDown(endpoint *Endpoint) {
 	r.knownPosition = endpoint.Position()
 	if endpoint.IsPrimary() {
@@ -114,13 +114,13 @@
 	r.blocked = 0
 }
 
-// copyLog makes the replica have and have applied every commit.
+// copyLog marks every commit of the group as received and applied.
 func (r *replica) copyLog(group *ReplicaGroup) {
 	r.next = group.committed()
 	r.received = group.committed()
 }
 
-// restart lets the replica of an endpoint that has restarted catch up after the resync delay.
+// restart makes the replica of an endpoint that has restarted catch up after the resync delay.
 func (r *replica) restart(endpoint *Endpoint) {
 	group := endpoint.Group
 	r.stopApplying()
@@ -140,14 +140,14 @@
 	})
 }
 
-// stopApplying gives up the commit that is being applied.
+// stopApplying abandons the commit that is being applied.
 func (r *replica) stopApplying() {
 	r.applying.Stop()
 	r.applying = nil
 }
 
-// promote makes the replica that of a new primary. What it hasn't applied is lost, or is with an endpoint that comes
-// back: it isn't applied any more.
+// promote turns the replica into that of a new primary. Commits that it hasn't applied are skipped: they are lost, or
+// known only to an endpoint that may restart later.
 func (r *replica) promote(group *ReplicaGroup) {
 	r.stopApplying()
 	r.next = group.committed()
--- a/internal/simulation/model/replica_group.go
+++ b/internal/simulation/model/replica_group.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// logTrimInterval is how long the log grows before what all replicas have applied is cut off.
+// logTrimInterval is the number of commits after which trimLog is called.
 const logTrimInterval = 256
 
 // ReplicaGroup is a primary and its replicas.
 type ReplicaGroup struct {
 	ID          int64
 	Endpoints   []*Endpoint
-	Primary     *Endpoint // whatever its state is; nil while the group is empty
+	Primary     *Endpoint // in any state; nil while the group is empty
 	Replication Replication
 
 	world          *World
-	log            []commit      // the commits that not all replicas have applied
+	log            []commit      // commits not yet applied by all replicas, and applied ones that aren't trimmed yet
 	firstCommit    int           // the number of log[0]
-	frozenAt       time.Duration // replicas hear of nothing later since the primary was lost; 0 = it is there
+	knownLimit     time.Duration // while the primary is lost: replicas know of no later commit; else 0
 	electing       bool
 	primaryChanges int
-	successor      *Endpoint // named for the next change; nil = the replica that has applied most
+	successor      *Endpoint // preferred by the next election; nil = none
 }
 
 // commit is an entry of the log.
@@ -34,10 +34,10 @@
 	return g
 }
 
-// PrimaryChanges returns how often the primary has changed.
+// PrimaryChanges returns how many elections have been completed.
 func (g *ReplicaGroup) PrimaryChanges() int { return g.primaryChanges }
 
-// AcceptsWrites reports whether the group has a primary that takes writes now.
+// AcceptsWrites reports whether the group has a primary that currently accepts writes.
 func (g *ReplicaGroup) AcceptsWrites() bool {
 	return g.Primary != nil && g.Primary.state == Up && !g.electing
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// trimLog forgets the commits that all replicas have applied.
+// trimLog drops the commits that all replicas have applied.
 func (g *ReplicaGroup) trimLog() {
 	least := g.committed()
 	for _, endpoint := range g.Endpoints {
--- a/internal/simulation/model/statement.go
+++ b/internal/simulation/model/statement.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Outcome is how a statement ended.
+// Outcome is the result of a statement.
 type Outcome uint8
 
-// The outcomes. A statement that ended as QueueFull, ReadOnly, TooStale or Expired never ran, but for a statement
-// that was on an endpoint while that hung or lost its role.
+// The outcomes. A statement with the outcome QueueFull, ReadOnly, TooStale or Expired never ran, except for statements
+// that were on an endpoint while it hung or lost the primary role.
 const (
 	Served       Outcome = iota
-	QueueFull            // no slot and no place in the queue was free
-	ReadOnly             // it writes, and the endpoint isn't the primary
-	TooStale             // the endpoint hasn't applied what the statement has to see
-	Failed               // an error of the statement's own
+	QueueFull            // all slots and the queue were full
+	ReadOnly             // a write, and the endpoint isn't the primary
+	TooStale             // the endpoint's position is below the statement's MinPosition
+	Failed               // the statement ended in an error
 	Disconnected         // the endpoint went down
 	Cancelled
 	Expired // its deadline had passed before it ran
@@ -24,23 +24,24 @@
 // notRunning is the index of a statement that is queued or has ended.
 const notRunning = -1
 
-// Statement is a statement that is submitted to an endpoint.
+// Statement is a statement to be submitted to an endpoint.
 type Statement struct {
-	Work        time.Duration // on a core that does one second of work a second
+	Work        time.Duration // on a core of Speed 1
 	Write       bool
-	BlocksApply bool          // a replica applies nothing while it runs
-	MinPosition time.Duration // the position that it has to see; 0 = none
-	Deadline    time.Duration // its client gives up then; 0 = never
+	BlocksApply bool          // a replica applies no commits while the statement runs
+	MinPosition time.Duration // the lowest position of a replica that may run the statement; 0 = any
+	Deadline    time.Duration // when the client gives up; 0 = never
 
-	// Done is called once, when the statement has ended, with the position and the role of the endpoint.
+	// Done is called once, when the statement has ended. primary reports whether the endpoint is the primary. position
+	// is 0 for statements that were disconnected, cancelled or expired.
 	Done func(outcome Outcome, position time.Duration, primary bool)
 
-	completion float64 // the endpoint's progress at which it has got all of its work
+	completion float64 // the endpoint's progress at which the statement is complete
 	index      int     // in the heap of running statements, or notRunning
 	endpoint   *Endpoint
 }
 
-// Submit hands a statement to the endpoint. While the endpoint hangs it is queued.
+// Submit submits a statement to the endpoint. The statement is queued while the endpoint hangs.
 func (e *Endpoint) Submit(statement *Statement) {
 	statement.endpoint = e
 	statement.index = notRunning
@@ -50,12 +51,12 @@
 	}
 	if outcome, rejected := e.reject(statement); rejected {
 		if outcome == QueueFull {
-			e.offer(statement.Work)
+			e.countOffered(statement.Work)
 		}
 		statement.Done(outcome, e.Position(), e.IsPrimary())
 		return
 	}
-	e.offer(statement.Work)
+	e.countOffered(statement.Work)
 	e.advance()
 	if e.state == Up && len(e.running) < e.Spec.Slots {
 		e.run(statement)
@@ -65,8 +66,8 @@
 	e.scheduleCompletion()
 }
 
-// reject returns whether the endpoint rejects a statement at once, and with which outcome. One that hangs rejects
-// nothing.
+// reject reports whether the endpoint rejects a statement immediately, and with which outcome. An endpoint that hangs
+// rejects nothing.
 func (e *Endpoint) reject(statement *Statement) (outcome Outcome, rejected bool) {
 	switch {
 	case e.state != Up:
@@ -81,12 +82,12 @@
 	return Served, false
 }
 
-// tooStaleFor reports whether the endpoint is a replica that hasn't applied what the statement has to see.
+// tooStaleFor reports whether the endpoint is a replica whose position is below the statement's MinPosition.
 func (e *Endpoint) tooStaleFor(statement *Statement) bool {
 	return statement.MinPosition > e.Position() && !e.IsPrimary()
 }
 
-// run gives the statement a slot.
+// run starts the statement in a free slot.
 func (e *Endpoint) run(statement *Statement) {
 	statement.completion = e.progress + statement.Work.Seconds()
 	heap.Push(&e.running, statement)
@@ -95,11 +96,11 @@
 	}
 }
 
-// runQueued gives free slots to queued statements.
+// runQueued starts queued statements while slots are free.
 func (e *Endpoint) runQueued() {
 	for len(e.queue) > 0 && len(e.running) < e.Spec.Slots {
 		statement := e.queue[0]
-		e.queue[0] = nil // the array behind the slice must not keep the statement alive
+		e.queue[0] = nil // the slice's array must not keep the statement reachable
 		e.queue = e.queue[1:]
 		if e.Spec.DropsExpired && statement.expired(e.now()) {
 			statement.Done(Expired, 0, e.IsPrimary())
@@ -111,7 +112,7 @@
 
 func (s *Statement) expired(now time.Duration) bool { return s.Deadline > 0 && now >= s.Deadline }
 
-// finish ends a statement that has got all of its work.
+// finish ends a statement whose work is done.
 func (e *Endpoint) finish(statement *Statement) {
 	e.served++
 	if statement.BlocksApply {
@@ -124,8 +125,8 @@
 	statement.Done(outcome, e.Position(), e.IsPrimary())
 }
 
-// outcomeOf decides how a statement that has got all of its work ends. The endpoint's role and position are asked for
-// again because the statement may have come while the endpoint hung, or while it was the primary.
+// outcomeOf returns the outcome of a statement whose work is done. It checks the endpoint's role and position again
+// because the statement may have been submitted while the endpoint hung, or while it was the primary.
 func (e *Endpoint) outcomeOf(statement *Statement) Outcome {
 	switch {
 	case statement.Write && !e.IsPrimary():
@@ -138,8 +139,7 @@
 	return Served
 }
 
-// Cancel cancels a statement that is queued or, where the endpoint cancels those too, running. Otherwise it does
-// nothing.
+// Cancel cancels a statement that is queued, or running if Spec.CancelsRunning is set. Otherwise it does nothing.
 func (e *Endpoint) Cancel(statement *Statement) {
 	if statement.endpoint != e {
 		return
@@ -164,10 +164,10 @@
 	e.scheduleCompletion()
 }
 
-// SetErrorShare sets the share of the statements that end in an error.
+// SetErrorShare sets the share of statements that end in an error.
 func (e *Endpoint) SetErrorShare(share float64) { e.Spec.ErrorShare = share }
 
-// runningStatements is a heap, for container/heap, in which the statement that completes next is the first element.
+// runningStatements implements heap.Interface. The first element is the statement that completes next.
 type runningStatements []*Statement
 
 // Len implements heap.Interface.
--- a/internal/simulation/model/world.go
+++ b/internal/simulation/model/world.go
@@ -22,17 +22,17 @@
 	return &World{Clock: clock, rng: rand.New(rand.NewPCG(seed, 0x1ab))}
 }
 
-// Watch calls watcher whenever the state or the role of an endpoint has changed.
+// Watch registers watcher, which is called whenever the state or the role of an endpoint has changed.
 func (world *World) Watch(watcher func(*Endpoint)) { world.watchers = append(world.watchers, watcher) }
 
-// changed tells the watchers that an endpoint has changed.
-func (world *World) changed(endpoint *Endpoint) {
+// notifyWatchers notifies the watchers of a change of an endpoint.
+func (world *World) notifyWatchers(endpoint *Endpoint) {
 	for _, watcher := range world.watchers {
 		watcher(endpoint)
 	}
 }
 
-// drawBetween draws a time that is uniformly distributed between two bounds.
+// drawBetween draws a duration that is uniformly distributed between two bounds.
 func drawBetween(rng *rand.Rand, bounds [2]time.Duration) time.Duration {
 	return bounds[0] + time.Duration(rng.Float64()*float64(bounds[1]-bounds[0]))
 }
