--- a/internal/simulation/model/endpoint_test.go
+++ b/internal/simulation/model/endpoint_test.go
@@ -101,7 +101,7 @@
 	ended := outcomes{}
 	endpoint.Connect(func(ok, _ bool, epoch int) {
 		if !ok || epoch != 0 {
-			t.Error("first connection: ok, epoch", ok, epoch)
+			t.Error(ok, epoch)
 		}
 	})
 	endpoint.Submit(ended.statement("runs", time.Second))
@@ -128,7 +128,7 @@
 	}
 	endpoint.Disconnect(0) // a connection of the previous epoch
 	if endpoint.Connections() != 0 {
-		t.Errorf("%d connections after a connection of the previous epoch was closed, want 0", endpoint.Connections())
+		t.Error("closing a connection of the previous epoch changes the number of connections")
 	}
 	clock.Run(startTime + 30*time.Second)
 	if endpoint.WarmingUp() {
@@ -137,7 +137,7 @@
 	endpoint.Remove()
 	clock.Run(startTime + 100*time.Second)
 	if endpoint.State() != Down || !endpoint.Removed() {
-		t.Errorf("removed endpoint: state %v, removed %v; want down and removed", endpoint.State(), endpoint.Removed())
+		t.Error("removed endpoint is not down or no longer reported as removed")
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 	endpoint.Disconnect(endpoint.Epoch())
 	if endpoint.Connections() != 0 {
-		t.Error("connections after the only one was closed:", endpoint.Connections())
+		t.Error(endpoint.Connections())
 	}
 }
 
