--- a/cmd/limeladder-sim/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err, string(out))
 	}
 	out, err := exec.Command(bin, "run", write(t, t.TempDir(), "s.star", "fleet(router=1)")).CombinedOutput()
-	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "s.star:1: fleet: nothing is called router") {
+	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "s.star:1: fleet: unknown argument router") {
 		t.Fatal(err, string(out))
 	}
 }
--- a/internal/simulation/model/registry_test.go
+++ b/internal/simulation/model/registry_test.go
@@ -86,7 +86,7 @@
 	changedEntries := 0
 	registry.Since(1, func(Listing) { changedEntries++ })
 	if followsRoles != (changedEntries == 2) {
-		t.Errorf("%d entries have changed since version 1, want 2 if the list follows roles, else another number", changedEntries)
+		t.Errorf("%d entries have changed since version 1; want 2 only if the list follows roles", changedEntries)
 	}
 }
 
--- a/internal/simulation/scenario/call.go
+++ b/internal/simulation/scenario/call.go
@@ -11,24 +11,24 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// reader collects what the calls of a script say.
-type reader struct {
+// scriptReader builds a scenario from the calls of a script.
+type scriptReader struct {
 	scenario   *Scenario
-	ownClasses bool // the script has named a class, so that the default classes don't hold
+	ownClasses bool // the script defines classes of its own, which replace the default classes
 }
 
-// call is a call of a script.
+// call holds the arguments of a function call in a script.
 type call struct {
 	thread *starlark.Thread
 	args   starlark.Tuple
 	named  map[string]starlark.Value
 }
 
-// function is what a call of one name does.
-type function func(c call) (starlark.Value, error)
+// builtinFunc implements a builtinFunc that scripts can call.
+type builtinFunc func(c call) (starlark.Value, error)
 
-// predeclared returns the functions that a script can call.
-func (r *reader) predeclared() starlark.StringDict {
+// predeclared returns the functions that a script can call, by name.
+func (r *scriptReader) predeclared() starlark.StringDict {
 	functions := starlark.StringDict{}
 	for name, statement := range map[string]func(call) error{
 		"about":         r.about,
@@ -54,8 +54,8 @@
 	return functions
 }
 
-// builtin makes a Starlark function, whose errors start with its name.
-func builtin(name string, f function) *starlark.Builtin {
+// builtin returns a Starlark function whose errors start with its name.
+func builtin(name string, f builtinFunc) *starlark.Builtin {
 	return starlark.NewBuiltin(name, func(
 		thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, pairs []starlark.Tuple,
 	) (starlark.Value, error) {
@@ -71,20 +71,20 @@
 	})
 }
 
-// set sets the fields from the call's named arguments. The call must have no others.
+// set sets the fields from the call's named arguments. The call must not have positional arguments.
 func (c call) set(fields map[string]field) error {
 	if len(c.args) > 0 {
-		return errors.New("takes names only, as in name=value")
+		return errors.New("takes named arguments only, as in name=value")
 	}
 	return c.setNamed(fields)
 }
 
-// setNamed does the same for a call that has positional arguments too.
+// setNamed sets the fields from the call's named arguments and ignores its positional arguments.
 func (c call) setNamed(fields map[string]field) error {
 	for _, name := range slices.Sorted(maps.Keys(c.named)) {
 		setField := fields[name]
 		if setField == nil {
-			return fmt.Errorf("nothing is called %s", name)
+			return fmt.Errorf("unknown argument %s", name)
 		}
 		if err := setField(c.named[name]); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// only returns the one positional argument of a call that has no others; usage is the error if that isn't so.
-func (c call) only(usage string) (starlark.Value, error) {
+// singleArgument returns the argument of a call that has exactly one positional argument and no named ones. For other
+// calls it returns an error with the text usage.
+func (c call) singleArgument(usage string) (starlark.Value, error) {
 	if len(c.args) != 1 || len(c.named) > 0 {
 		return nil, errors.New(usage)
 	}
--- a/internal/simulation/scenario/class.go
+++ b/internal/simulation/scenario/class.go
@@ -9,7 +9,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// consistencies are the values of a class's need.
+// consistencies maps the values of a class's need argument to consistency levels.
 var consistencies = map[string]balance.Consistency{
 	"any":     balance.ConsistencyAny,
 	"bounded": balance.ConsistencyBounded,
@@ -18,8 +18,8 @@
 	"update":  balance.ConsistencyWrite,
 }
 
-// requestClass adds a class. The first one replaces the default classes.
-func (r *reader) requestClass(c call) error {
+// requestClass adds a request class. The first class of a script replaces the default classes.
+func (r *scriptReader) requestClass(c call) error {
 	var class fleet.Class
 	class.PriorityWeight = 1
 	class.LateWeightShare = 0.2
@@ -44,10 +44,10 @@
 	}
 	consistency, ok := consistencies[need]
 	if !ok {
-		return fmt.Errorf("need: nothing is called %s", need)
+		return fmt.Errorf("need: unknown consistency %s", need)
 	}
 	if class.Name == "" || class.ClientTimeout == 0 || class.Work.Mean == 0 {
-		return errors.New("name, work_ms and deadline_ms are needed")
+		return errors.New("name, work_ms and deadline_ms are required")
 	}
 	class.Consistency = consistency
 	class.Work.Exponential = class.Work.Variation == 0
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// onlyClasses keeps the named classes, in the order of the names.
-func (r *reader) onlyClasses(c call) error {
-	argument, err := c.only("takes a list of classes")
+// onlyClasses drops all classes but those named, and orders them as the names are given.
+func (r *scriptReader) onlyClasses(c call) error {
+	argument, err := c.singleArgument("takes one list of class names")
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	for _, name := range names {
 		named := r.classesNamed(name)
 		if len(named) == 0 {
-			return fmt.Errorf("no class is called %s", name)
+			return fmt.Errorf("unknown class %s", name)
 		}
 		classes = append(classes, named...)
 	}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// classesNamed returns the classes of a name, which need not be unique.
-func (r *reader) classesNamed(name string) []fleet.Class {
+// classesNamed returns the classes with the given name. Names need not be unique.
+func (r *scriptReader) classesNamed(name string) []fleet.Class {
 	var classes []fleet.Class
 	for _, class := range r.scenario.Config.Classes {
 		if class.Name == name {
@@ -96,9 +96,9 @@
 	return classes
 }
 
-// holdClasses names the classes whose requests are queued through a change of primary.
-func (r *reader) holdClasses(c call) error {
-	argument, err := c.only("takes a list of classes")
+// holdClasses sets the classes whose requests are queued during a change of primary.
+func (r *scriptReader) holdClasses(c call) error {
+	argument, err := c.singleArgument("takes one list of class names")
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/scenario/doc.go
+++ b/internal/simulation/scenario/doc.go
@@ -1,10 +1,9 @@
-// Package scenario reads scenarios, which are Starlark scripts: a fleet, its load, the faults in it and what is
-// expected of the result. A script has no clock, no files and no randomness, so that it always describes the same
+// Package scenario reads scenarios, which are Starlark scripts that describe a fleet, its load, the faults to inject
+// and the expected results. A script has no access to a clock, files or randomness, so it always describes the same
 // scenario.
 //
-// The package owns the words of the scripts and the names of the statistics. It never plays a scenario (package fleet
-// does).
+// The package owns the functions that scripts can call and the names of the statistics. It doesn't run scenarios
+// (package fleet does).
 //
-// Load runs the script on the goroutine of its caller, within bounds of steps and sizes. Nothing is shared between
-// calls.
+// Load executes the script on the goroutine of its caller, with limits on steps and sizes. Calls share no state.
 package scenario
--- a/internal/simulation/scenario/expectation.go
+++ b/internal/simulation/scenario/expectation.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// Expectation bounds a statistic of the result.
+// Expectation is a range in which a statistic of the result is expected.
 type Expectation struct {
 	Statistic string
 	Min       float64 // NaN = no bound
@@ -16,12 +16,13 @@
 	Position  string  // file and line
 }
 
-// maxBound is the largest bound that a script may give.
+// maxBound is the largest magnitude of a bound that a script may give.
 const maxBound = 1e12
 
-func (r *reader) expect(c call) error {
+// expect adds an expectation.
+func (r *scriptReader) expect(c call) error {
 	if len(c.args) != 1 {
-		return errors.New("takes a figure")
+		return errors.New("takes one statistic name and bounds")
 	}
 	expectation := Expectation{Min: math.NaN(), Max: math.NaN()}
 	if err := stringField(&expectation.Statistic)(c.args[0]); err != nil {
@@ -35,10 +36,10 @@
 		return err
 	}
 	if math.IsNaN(expectation.Min) && math.IsNaN(expectation.Max) {
-		return errors.New("least or most is needed")
+		return errors.New("least or most is required")
 	}
 	if _, ok := Statistic(&fleet.Result{}, expectation.Statistic); !ok {
-		return fmt.Errorf("no figure is called %s", expectation.Statistic)
+		return fmt.Errorf("unknown statistic %s", expectation.Statistic)
 	}
 	position := c.thread.CallFrame(1).Pos // frame 0 is the call of expect itself
 	expectation.Position = fmt.Sprintf("%s:%d", position.Filename(), position.Line)
@@ -46,11 +47,11 @@
 	return nil
 }
 
-// UnmetExpectations returns the expectations that a result doesn't meet, each as one line.
+// UnmetExpectations returns one line of text for each expectation that the result doesn't meet.
 func (s *Scenario) UnmetExpectations(result *fleet.Result) []string {
 	var unmet []string
 	for _, expectation := range s.Expectations {
-		value, _ := Statistic(result, expectation.Statistic) // the script was checked for unknown names
+		value, _ := Statistic(result, expectation.Statistic) // expect has rejected unknown names
 		var bound string
 		switch {
 		case value > expectation.Max:
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -11,7 +11,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// fault is the value that the calls of faults return, for at and when.
+// fault is the Starlark value that fault functions return. It is an argument of at and when.
 type fault struct{ fleet.Fault }
 
 // String implements starlark.Value.
@@ -20,43 +20,44 @@
 // Type implements starlark.Value.
 func (fault) Type() string { return "fault" }
 
-// Freeze implements starlark.Value. A fault is never changed by a script.
+// Freeze implements starlark.Value. Scripts can't change a fault.
 func (fault) Freeze() {}
 
 // Truth implements starlark.Value.
 func (fault) Truth() starlark.Bool { return true }
 
 // Hash implements starlark.Value.
-func (fault) Hash() (uint32, error) { return 0, errors.New("no fault is hashable") }
+func (fault) Hash() (uint32, error) { return 0, errors.New("unhashable type: fault") }
 
-// newFault reads the call of a kind of fault: the targets, and by name what else it takes.
-func (r *reader) newFault(kind string, c call) (starlark.Value, error) {
-	made := fault{fleet.Fault{What: kind, Part: 1}}
+// newFault returns the fault that a call describes: its positional arguments are the targets, its named arguments the
+// parameters of the fault.
+func (r *scriptReader) newFault(kind string, c call) (starlark.Value, error) {
+	parsed := fault{fleet.Fault{What: kind, Part: 1}}
 	for _, argument := range c.args {
 		var targets []string
 		if err := stringsField(&targets)(argument); err != nil {
 			return nil, err
 		}
-		made.Who = append(made.Who, targets...)
+		parsed.Who = append(parsed.Who, targets...)
 	}
-	if err := c.setNamed(faultFields(&made.Fault)); err != nil {
+	if err := c.setNamed(faultFields(&parsed.Fault)); err != nil {
 		return nil, err
 	}
 	if kind == "discovery" || kind == "routers" { // these have no targets
-		return made, nil
+		return parsed, nil
 	}
-	if len(made.Who) == 0 {
-		return nil, errors.New("nobody is named")
+	if len(parsed.Who) == 0 {
+		return nil, errors.New("no target is given")
 	}
-	for _, target := range made.Who {
+	for _, target := range parsed.Who {
 		if err := r.checkTarget(kind, target); err != nil {
 			return nil, err
 		}
 	}
-	return made, nil
+	return parsed, nil
 }
 
-// faultFields returns what a fault of its kind takes by name.
+// faultFields returns the named arguments that the fault's kind accepts.
 func faultFields(f *fleet.Fault) map[string]field {
 	fields := map[string]field{"length_s": durationField(&f.For, time.Second)}
 	switch f.What {
@@ -75,8 +76,8 @@
 	return fields
 }
 
-// faultsAt schedules faults at a time.
-func (r *reader) faultsAt(c call) error {
+// faultsAt schedules faults at a fixed time.
+func (r *scriptReader) faultsAt(c call) error {
 	if len(c.args) < 2 || len(c.named) > 0 {
 		return errors.New("takes a time in seconds and faults")
 	}
@@ -87,9 +88,9 @@
 	return r.addFaults(c.args[1:], "", at)
 }
 
-// faultsWhen schedules faults after the first time that a condition holds: "lost:GROUP", "led:GROUP", "down:ENDPOINT"
-// or "up:ENDPOINT".
-func (r *reader) faultsWhen(c call) error {
+// faultsWhen schedules faults for when a condition first holds, or a delay after that. The conditions are "lost:GROUP",
+// "led:GROUP", "down:ENDPOINT" and "up:ENDPOINT".
+func (r *scriptReader) faultsWhen(c call) error {
 	if len(c.args) < 2 {
 		return errors.New("takes a condition and faults")
 	}
@@ -107,7 +108,8 @@
 	return r.addFaults(c.args[1:], condition, after)
 }
 
-func (r *reader) checkCondition(condition string) error {
+// checkCondition returns an error unless condition is well-formed and its group or endpoint exists.
+func (r *scriptReader) checkCondition(condition string) error {
 	kind, of, _ := strings.Cut(condition, ":")
 	switch kind {
 	case "lost", "led":
@@ -115,16 +117,17 @@
 	case "down", "up":
 		return r.checkEndpoints(of)
 	}
-	return fmt.Errorf("%s is no condition such as lost:1, led:1, down:db1a or up:db1a", condition)
+	return fmt.Errorf("%s is not a condition such as lost:1, led:1, down:db1a or up:db1a", condition)
 }
 
-// addFaults adds faults at a time, which counts from a condition if there is one.
-func (r *reader) addFaults(values starlark.Tuple, condition string, at time.Duration) error {
+// addFaults adds faults. at is relative to the time at which condition first holds, or to the start of the run if
+// condition is empty.
+func (r *scriptReader) addFaults(values starlark.Tuple, condition string, at time.Duration) error {
 	config := &r.scenario.Config
 	for _, value := range values {
 		added, ok := value.(fault)
 		if !ok {
-			return fmt.Errorf("%s is no fault", value.Type())
+			return fmt.Errorf("%s is not a fault", value.Type())
 		}
 		if len(config.Faults) >= maxItems {
 			return errors.New("too many faults")
--- a/internal/simulation/scenario/field.go
+++ b/internal/simulation/scenario/field.go
@@ -10,37 +10,37 @@
 	"limeladder/balance"
 )
 
-// field sets one setting from a value of a script.
+// field checks a value of a script and stores it in a setting.
 type field func(value starlark.Value) error
 
-// floatField takes a finite number within bounds.
+// floatField accepts a finite number within bounds.
 func floatField(to *float64, least, most float64) field {
 	return func(value starlark.Value) error {
 		number, ok := starlark.AsFloat(value)
 		if !ok || math.IsNaN(number) || math.IsInf(number, 0) {
-			return fmt.Errorf("%s is no number", value)
+			return fmt.Errorf("%s is not a number", value)
 		}
 		if number < least || number > most {
-			return fmt.Errorf("%v is not within %v and %v", number, least, most)
+			return fmt.Errorf("%v is not between %v and %v", number, least, most)
 		}
 		*to = number
 		return nil
 	}
 }
 
-// intField takes an integer within bounds.
+// intField accepts an integer within bounds.
 func intField(to *int, least, most int) field {
 	return func(value starlark.Value) error {
 		integer, ok := value.(starlark.Int)
 		if !ok {
-			return fmt.Errorf("%s is no whole number", value)
+			return fmt.Errorf("%s is not an integer", value)
 		}
 		number, fits := integer.Int64()
 		if !fits {
-			return fmt.Errorf("%s is no whole number", value)
+			return fmt.Errorf("%s is not an integer", value)
 		}
 		if number < int64(least) || number > int64(most) {
-			return fmt.Errorf("%d is not within %d and %d", number, least, most)
+			return fmt.Errorf("%d is not between %d and %d", number, least, most)
 		}
 		*to = int(number)
 		return nil
@@ -58,7 +58,7 @@
 	}
 }
 
-// durationField takes a number of a unit, up to a day.
+// durationField accepts a number of units, up to a day.
 func durationField(to *time.Duration, unit time.Duration) field {
 	return func(value starlark.Value) error {
 		number := 0.0
@@ -70,7 +70,7 @@
 	}
 }
 
-// durationsField takes the lower and the upper bound of a duration, or one number for both.
+// durationsField accepts a pair of the lower and the upper bound of a duration, or one number for both.
 func durationsField(to *[2]time.Duration, unit time.Duration) field {
 	return func(value starlark.Value) error {
 		pair, ok := value.(starlark.Indexable)
@@ -87,7 +87,7 @@
 			}
 		}
 		if to[1] < to[0] {
-			return fmt.Errorf("%s: the second is less than the first", value)
+			return fmt.Errorf("%s: upper bound below lower bound", value)
 		}
 		return nil
 	}
@@ -97,14 +97,14 @@
 	return func(value starlark.Value) error {
 		text, ok := starlark.AsString(value)
 		if !ok {
-			return fmt.Errorf("%s is no text", value)
+			return fmt.Errorf("%s is not a string", value)
 		}
 		*to = text
 		return nil
 	}
 }
 
-// stringsField takes a list of strings, or a single one.
+// stringsField accepts a list of strings or a single string.
 func stringsField(to *[]string) field {
 	return func(value starlark.Value) error {
 		if text, ok := starlark.AsString(value); ok {
@@ -113,7 +113,7 @@
 		}
 		sequence, ok := value.(starlark.Sequence)
 		if !ok || sequence.Len() > maxItems {
-			return fmt.Errorf("%s is no list of texts", value.Type())
+			return fmt.Errorf("%s is not a list of strings, or has too many items", value.Type())
 		}
 		texts := []string{}
 		iterator := sequence.Iterate()
@@ -122,7 +122,7 @@
 		for iterator.Next(&item) {
 			text, ok := starlark.AsString(item)
 			if !ok {
-				return fmt.Errorf("%s is no text", item)
+				return fmt.Errorf("%s is not a string", item)
 			}
 			texts = append(texts, text)
 		}
@@ -131,7 +131,8 @@
 	}
 }
 
-// freshnessCheckField takes what endpoints do with a read for which they are too stale.
+// freshnessCheckField accepts what endpoints do with a read that requires a newer position than theirs: "refuse" or
+// "answer".
 func freshnessCheckField(to *balance.FreshnessCheck) field {
 	return func(value starlark.Value) error {
 		var word string
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -13,7 +13,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// Scenario is what a script describes.
+// Scenario is the scenario that a script describes.
 type Scenario struct {
 	Name         string // of its file, without the extension
 	About        string
@@ -21,14 +21,15 @@
 	Expectations []Expectation
 }
 
-// Bounds of a script, so that one that is wrong ends with an error instead of taking all time or memory.
+// Limits of a script. A faulty script ends with an error instead of consuming unbounded time or memory.
 const (
 	maxSteps = 5_000_000
 	maxBytes = 1 << 20
-	maxItems = 10_000 // of a list, and of the faults and load changes of a scenario
+	maxItems = 10_000 // per list, and per scenario for faults and load changes
 )
 
-// Load runs a script. An error is one line with the file, the line and what is wrong.
+// Load executes a script and returns its scenario. An error is a single line of text with the file, the line if it is
+// known, and the reason.
 func Load(file string, src []byte) (*Scenario, error) {
 	if len(src) > maxBytes {
 		return nil, fmt.Errorf("%s: longer than %d bytes", file, maxBytes)
@@ -37,7 +38,7 @@
 	thread := &starlark.Thread{Name: s.Name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true, Set: true}
-	reader := &reader{scenario: s}
+	reader := &scriptReader{scenario: s}
 	if _, err := starlark.ExecFileOptions(options, thread, file, src, reader.predeclared()); err != nil {
 		return nil, scriptError(file, err)
 	}
@@ -47,12 +48,12 @@
 	return s, nil
 }
 
-// scriptError makes one line of an error of Starlark, with the innermost line of the script that is in its call
+// scriptError turns a Starlark error into a single line of text with the innermost position of the script in the call
 // stack.
 func scriptError(file string, err error) error {
 	var eval *starlark.EvalError
 	if !errors.As(err, &eval) {
-		return errors.New(joinLines(err.Error())) // the parser and the resolver name file and line themselves
+		return errors.New(joinLines(err.Error())) // errors of the parser and the resolver include file and line
 	}
 	for _, frame := range slices.Backward(eval.CallStack) {
 		if frame.Pos.IsValid() && frame.Pos.Filename() == file {
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -7,15 +7,15 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-func (r *reader) about(c call) error {
-	text, err := c.only("takes a text")
+func (r *scriptReader) about(c call) error {
+	text, err := c.singleArgument("takes one string")
 	if err != nil {
 		return err
 	}
 	return stringField(&r.scenario.About)(text)
 }
 
-func (r *reader) fleet(c call) error {
+func (r *scriptReader) fleet(c call) error {
 	config := &r.scenario.Config
 	return c.set(map[string]field{
 		"routers":          intField(&config.Routers, 1, 2000),
@@ -39,7 +39,7 @@
 	})
 }
 
-func (r *reader) endpoint(c call) error {
+func (r *scriptReader) endpoint(c call) error {
 	spec := &r.scenario.Config.Kind
 	return c.set(map[string]field{
 		"cores":         intField(&spec.Cores, 1, 1024),
@@ -66,7 +66,7 @@
 	})
 }
 
-func (r *reader) replication(c call) error {
+func (r *scriptReader) replication(c call) error {
 	replication := &r.scenario.Config.Follow
 	return c.set(map[string]field{
 		"ship_ms":     durationField(&replication.ShipDelay, time.Millisecond),
@@ -78,7 +78,7 @@
 	})
 }
 
-func (r *reader) network(c call) error {
+func (r *scriptReader) network(c call) error {
 	config := &r.scenario.Config
 	return c.set(map[string]field{
 		"same_ms":       durationField(&config.Same, time.Millisecond),
@@ -94,7 +94,7 @@
 	})
 }
 
-func (r *reader) clients(c call) error {
+func (r *scriptReader) clients(c call) error {
 	config := &r.scenario.Config
 	return c.set(map[string]field{
 		"retries":    intField(&config.Retries, 0, 1000),
@@ -106,7 +106,7 @@
 	})
 }
 
-func (r *reader) traffic(c call) error {
+func (r *scriptReader) traffic(c call) error {
 	config := &r.scenario.Config
 	return c.set(map[string]field{
 		"use":      floatField(&config.Use, 0.001, 20),
@@ -115,8 +115,8 @@
 	})
 }
 
-// loadChange adds a change of the load. They have to come in the order of their times.
-func (r *reader) loadChange(c call) error {
+// loadChange adds a change of the load. Changes must be given in order of time.
+func (r *scriptReader) loadChange(c call) error {
 	change := fleet.Step{Part: 1}
 	err := c.set(map[string]field{
 		"at_s":   durationField(&change.At, time.Second),
@@ -126,11 +126,11 @@
 	shape := r.scenario.Config.Shape
 	switch {
 	case len(shape) > maxItems:
-		return errors.New("too many")
+		return errors.New("too many load changes")
 	case err != nil:
 		return err
 	case len(shape) > 0 && change.At < shape[len(shape)-1].At:
-		return errors.New("at_s: before the jump that stands above it")
+		return errors.New("at_s: earlier than the previous jump")
 	}
 	r.scenario.Config.Shape = append(shape, change)
 	return nil
--- a/internal/simulation/scenario/statistic.go
+++ b/internal/simulation/scenario/statistic.go
@@ -6,13 +6,13 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// StatisticNames are the statistics that results are compared by, in the order of the command's table.
+// StatisticNames are the statistics that are recorded and compared, in the order in which limeladder-sim prints them.
 var StatisticNames = []string{
 	"worth", "top", "whole", "window", "class", "rules", "served", "late", "refused", "failed", "expired",
 	"p50_ms", "p99_ms", "attempts", "probes", "dials", "changes", "pushed_over",
 }
 
-// statistics gives each statistic by its name, but for the shares of how requests ended, whose names are
+// statistics computes each statistic by name, except for the shares of requests by ending, which are named after
 // fleet.Endings.
 var statistics = map[string]func(result *fleet.Result) float64{
 	"worth":       func(result *fleet.Result) float64 { return result.Worth },
@@ -32,7 +32,7 @@
 	"pushed_over": func(result *fleet.Result) float64 { return float64(result.Pushed) },
 }
 
-// Statistic returns a statistic of a result; ok is false if there is none of that name.
+// Statistic returns a statistic of a result; ok is false if the name is unknown.
 func Statistic(result *fleet.Result, name string) (value float64, ok bool) {
 	if statistic, known := statistics[name]; known {
 		return statistic(result), true
@@ -73,7 +73,7 @@
 	return float64(violations)
 }
 
-// latencyMillis returns one of the latency quantiles, or 0 if nothing was served.
+// latencyMillis returns the latency quantile with the given index in milliseconds, or 0 if nothing was served.
 func latencyMillis(result *fleet.Result, quantile int) float64 {
 	if quantile >= len(result.Latency) {
 		return 0
