--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -227,7 +227,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", f.Seed, f.Fleet, f.Planned, f.Possible, f.Achieved, f.PlannedRejections, f.Unserved, f.GroupsWithNoneLeft)
+		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", f.Seed, f.Fleet, f.Planned, f.Possible, f.Achieved, f.PlannedRejections, f.Unserved, f.GroupsWithoutEndpoint)
 		sum += math.Abs(f.Planned - f.Possible)
 		if math.Abs(f.Planned-f.Possible) > c.Most {
 			off++
--- a/internal/simulation/stats/check.go
+++ b/internal/simulation/stats/check.go
@@ -9,7 +9,7 @@
 	"limeladder/internal/simulation/model"
 )
 
-// Check is a measured value beside the one that is expected.
+// Check is a measured value together with its expected value.
 type Check struct {
 	Name     string
 	Expected float64
@@ -17,10 +17,10 @@
 	Unit     string // empty for a ratio
 }
 
-// RelativeError is how far the measured value is from the expected one, as a share of the expected one.
+// RelativeError returns the deviation of the measured value from the expected one, as a share of the expected one.
 func (c Check) RelativeError() float64 { return (c.Measured - c.Expected) / c.Expected }
 
-// MeasureAll measures everything that is expected of the emulated endpoints.
+// MeasureAll runs all measurements of the emulated endpoints.
 func MeasureAll(seed uint64) ([]Check, error) {
 	var checks []Check
 	checks = append(checks, queueDelays(seed)...)
@@ -39,15 +39,16 @@
 // startTime is the virtual time at which each world starts. It isn't zero, because zero means "none" in the model.
 const startTime = 1000 * time.Second
 
-// What the measured endpoints are set to, where a measurement doesn't say otherwise.
+// Default parameters of the measured endpoints.
 const (
 	endpointCores    = 3
-	slowStartShare   = 0.16 // of its capacity that an endpoint has right after its start
+	slowStartShare   = 0.16 // share of its full capacity that an endpoint has right after its start
 	warmUpTime       = 18 * time.Second
 	overloadMultiple = 2.5
 )
 
-// endpointSpec describes the measured endpoints: as many slots as cores, and a queue that is never full.
+// endpointSpec returns the default specification of the measured endpoints: as many slots as cores, and a queue that is
+// never full.
 func endpointSpec() model.EndpointSpec {
 	return model.EndpointSpec{
 		Cores:            endpointCores,
@@ -60,7 +61,7 @@
 	}
 }
 
-// newWorld returns a world with one replica group, and the clock that it runs on. The first endpoint is the primary.
+// newWorld returns a world with one replica group, its clock and the group. The first endpoint is the primary.
 func newWorld(
 	seed uint64, spec model.EndpointSpec, replication model.Replication, endpoints int,
 ) (*event.Clock, *model.World, *model.ReplicaGroup) {
@@ -73,13 +74,13 @@
 	return clock, world, group
 }
 
-// newEndpoint returns a single endpoint, and the clock that it runs on.
+// newEndpoint returns a clock and the only endpoint of a new world.
 func newEndpoint(seed uint64, spec model.EndpointSpec) (*event.Clock, *model.Endpoint) {
 	clock, world, _ := newWorld(seed, spec, model.Replication{}, 1)
 	return clock, world.Endpoints[0]
 }
 
-// schedulePoisson calls arrive at the arrivals of a Poisson process, at rate per second, until the given time.
+// schedulePoisson calls arrive at the arrival times of a Poisson process of rate per second, until the given time.
 func schedulePoisson(clock *event.Clock, rng *rand.Rand, rate float64, until time.Duration, arrive func()) {
 	var next func()
 	next = func() {
@@ -91,7 +92,7 @@
 	clock.After(time.Duration(rng.ExpFloat64()/rate*1e9), next)
 }
 
-// keepBusy gives the endpoint so many statements of 5 ms at once, and a new one for each that ends.
+// keepBusy submits the given number of 5 ms statements at once, and a new one whenever one ends.
 func keepBusy(endpoint *model.Endpoint, statements int) {
 	var submit func(model.Outcome, time.Duration, bool)
 	submit = func(model.Outcome, time.Duration, bool) {
@@ -102,5 +103,5 @@
 	}
 }
 
-// ignoreOutcome is for statements whose end doesn't matter.
+// ignoreOutcome is a Statement.Done callback that does nothing.
 func ignoreOutcome(model.Outcome, time.Duration, bool) {}
--- a/internal/simulation/stats/check_test.go
+++ b/internal/simulation/stats/check_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Everything that is measured of the emulated endpoints is within a tenth of what is expected.
+// Every measurement of the emulated endpoints is within 10 percent of its expected value.
 func TestMeasuredWithinATenth(t *testing.T) {
 	checks, err := MeasureAll(1)
 	if err != nil {
--- a/internal/simulation/stats/discovery.go
+++ b/internal/simulation/stats/discovery.go
@@ -6,11 +6,11 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// discoveryRounds is how many worlds a mean is taken of.
+// discoveryRounds is the number of worlds over which the delays are averaged.
 const discoveryRounds = 200
 
-// discoveryDelays measures how long discovery takes to list a draining endpoint as draining and a dead one as gone,
-// in the mean of many worlds.
+// discoveryDelays measures how long discovery takes, averaged over many worlds, to list a draining endpoint as draining
+// and a dead one as removed.
 func discoveryDelays(seed uint64) ([]Check, error) {
 	config := fleet.Default()
 	config.Banks = 1
--- a/internal/simulation/stats/overload.go
+++ b/internal/simulation/stats/overload.go
@@ -6,10 +6,11 @@
 	"limeladder/internal/simulation/model"
 )
 
-// overloadTime is how long an endpoint bears more than its overload multiple before it fails.
-const overloadTime = 2 * time.Second
+// overloadWindow is how long an endpoint withstands more than its overload multiple before it fails.
+const overloadWindow = 2 * time.Second
 
-// overloadFailures measures the load under which an endpoint fails, and how long it bears more, warm and cold.
+// overloadFailures measures, for a warm and a cold endpoint, the load under which it fails and how long it withstands
+// more.
 func overloadFailures(seed uint64) []Check {
 	var checks []Check
 	for _, cold := range []bool{false, true} {
@@ -25,37 +26,37 @@
 			},
 			Check{
 				Name:     name + " at 2.6 times its capacity falls after",
-				Expected: overloadTime.Seconds(),
-				Measured: failsAfter(seed, 2.6, cold),
+				Expected: overloadWindow.Seconds(),
+				Measured: secondsToFailure(seed, 2.6, cold),
 				Unit:     "s",
 			},
 			Check{
 				Name:     name + " at five times its capacity falls after",
-				Expected: overloadTime.Seconds(),
-				Measured: failsAfter(seed, 5, cold),
+				Expected: overloadWindow.Seconds(),
+				Measured: secondsToFailure(seed, 5, cold),
 				Unit:     "s",
 			})
 	}
 	return checks
 }
 
-// leastFailingMultiple looks for the smallest multiple of its capacity under which an endpoint fails; 0 means that
-// none of those tried did it.
+// leastFailingMultiple returns the smallest multiple of its capacity under which an endpoint fails, or 0 if it fails
+// under none of the multiples tried.
 func leastFailingMultiple(seed uint64, cold bool) float64 {
 	for multiple := 2.0; multiple < 3.2; multiple += 0.02 {
-		if failsAfter(seed, multiple, cold) > 0 {
+		if secondsToFailure(seed, multiple, cold) > 0 {
 			return multiple
 		}
 	}
 	return 0
 }
 
-// failsAfter offers an endpoint a multiple of its capacity and gives the seconds after which it fails; 0 means that
-// it bore the load.
-func failsAfter(seed uint64, multiple float64, cold bool) float64 {
+// secondsToFailure offers an endpoint a multiple of its capacity and returns the seconds until it fails, or 0 if it
+// withstands the load for 20 s.
+func secondsToFailure(seed uint64, multiple float64, cold bool) float64 {
 	spec := endpointSpec()
-	spec.OverloadWindow = overloadTime
-	spec.SlowStartWindow = time.Hour // the capacity stays as it is
+	spec.OverloadWindow = overloadWindow
+	spec.SlowStartWindow = time.Hour // long enough for the capacity to stay almost constant
 	clock, endpoint := newEndpoint(seed, spec)
 	if cold {
 		endpoint.Kill("test", time.Second)
--- a/internal/simulation/stats/primary_change.go
+++ b/internal/simulation/stats/primary_change.go
@@ -6,10 +6,10 @@
 	"limeladder/internal/simulation/model"
 )
 
-// changeRounds is how many changes of primary a mean is taken of.
+// changeRounds is the number of changes of primary over which the times are averaged.
 const changeRounds = 400
 
-// primaryChanges measures how long a replica group is without a primary, in the mean of many changes.
+// primaryChanges measures the average time from the loss or the drain of a primary to the election of its successor.
 func primaryChanges(seed uint64) []Check {
 	replication := model.Replication{
 		DetectionDelay:  [2]time.Duration{time.Second, 3 * time.Second},
@@ -40,7 +40,7 @@
 	return checks
 }
 
-// timeToSuccessor begins a change of primary and gives the time until the replica group has another one.
+// timeToSuccessor starts a change of primary with begin and returns the time until the replica group has a new primary.
 func timeToSuccessor(seed uint64, replication model.Replication, begin func(primary *model.Endpoint)) time.Duration {
 	clock, world, group := newWorld(seed, endpointSpec(), replication, 3)
 	primary := world.Endpoints[0]
--- a/internal/simulation/stats/queueing.go
+++ b/internal/simulation/stats/queueing.go
@@ -8,8 +8,8 @@
 	"limeladder/internal/simulation/model"
 )
 
-// queueWaits measures how long statements wait for a slot of an endpoint with as many slots as cores. That is a queue
-// M/M/c, for which Erlang's formula gives the mean.
+// queueDelays measures how long statements wait for a slot of an endpoint with as many slots as cores. That is an M/M/c
+// queue, for which Erlang's C formula gives the mean.
 func queueDelays(seed uint64) []Check {
 	var checks []Check
 	for _, utilization := range []float64{0.5, 0.7, 0.85} {
@@ -18,6 +18,7 @@
 	return checks
 }
 
+// queueDelay measures the mean wait for a slot at one utilization.
 func queueDelay(seed uint64, utilization float64) Check {
 	const meanWork = 50 * time.Millisecond
 	clock, endpoint := newEndpoint(seed, endpointSpec())
@@ -42,7 +43,7 @@
 	}
 }
 
-// erlangDelay is the mean wait, in seconds, in a queue M/M/c with endpointCores servers, by Erlang's formula C.
+// erlangDelay returns the mean wait, in seconds, in an M/M/c queue with endpointCores servers, by Erlang's C formula.
 func erlangDelay(utilization float64, meanWork time.Duration) float64 {
 	offered := utilization * endpointCores
 	term := 1.0 // offered^k / k!
@@ -55,11 +56,11 @@
 	return probability * meanWork.Seconds() / endpointCores / (1 - utilization)
 }
 
-// concurrentWork measures the work that an endpoint does in a second while more and more statements share its cores.
+// concurrentWork measures the work that an endpoint does per second with different numbers of running statements.
 func concurrentWork() []Check {
 	const (
-		lossPerStatement = 0.12 // for each statement a core above the threshold
-		lossThreshold    = 5    // statements a core
+		lossPerStatement = 0.12 // for each statement per core above the threshold
+		lossThreshold    = 5    // statements per core
 		seconds          = 20
 	)
 	var checks []Check
--- a/internal/simulation/stats/replication.go
+++ b/internal/simulation/stats/replication.go
@@ -9,20 +9,20 @@
 	"limeladder/internal/simulation/model"
 )
 
-// How the log of the measured replica groups reaches their replicas: a fixed transfer, and an exponential time to
-// apply an entry with this mean.
+// Replication delays of the measured replica groups: a fixed time to ship a commit, and the mean of the exponentially
+// distributed time to apply it.
 const (
 	shipTime  = 8 * time.Millisecond
 	applyTime = 12 * time.Millisecond
 )
 
-// replicationLags measures how far a replica is behind its primary, under load and behind a long read.
+// replicationLags measures the lag of a replica, under load and during a long read.
 func replicationLags(seed uint64) []Check {
 	checks := []Check{lagUnderLoad(seed, 0.31), lagUnderLoad(seed, 0.57)}
 	return append(checks, lagBehindLongRead(seed)...)
 }
 
-// newReplication returns a primary and its replica, and the clock that they run on.
+// newReplication returns a clock, and the primary and the replica of a new replica group.
 func newReplication(seed uint64) (clock *event.Clock, primary, replica *model.Endpoint) {
 	spec := endpointSpec()
 	spec.Slots = 24
@@ -30,7 +30,8 @@
 	return clock, world.Endpoints[0], world.Endpoints[1]
 }
 
-// scheduleWrites commits short writes on the primary so that the replica's applying thread has the given utilization.
+// scheduleWrites schedules short writes on the primary at a rate that gives the replica's apply thread the given
+// utilization.
 func scheduleWrites(
 	clock *event.Clock, rng *rand.Rand, primary *model.Endpoint, utilization float64, until time.Duration,
 ) {
@@ -39,7 +40,7 @@
 	})
 }
 
-// lagUnderLoad measures the mean lag while the thread that applies the log has a utilization.
+// lagUnderLoad measures the mean lag at a utilization of the apply thread.
 func lagUnderLoad(seed uint64, utilization float64) Check {
 	clock, primary, replica := newReplication(seed)
 	rng := rand.New(rand.NewPCG(seed, uint64(1000*utilization)))
@@ -57,9 +58,9 @@
 	}
 	clock.After(10*time.Second, sample)
 	clock.Run(end)
-	// The position stands at the commit that is being applied, so its age is how long that commit has waited and has
-	// been applied so far. Applying is a queue M/M/1: with utilization u and mean service s, nothing is left to apply
-	// with probability 1-u, and otherwise the age of the oldest commit has the mean s/(1-u).
+	// The position is just before the commit being applied, so the lag, apart from the ship time, is how long that commit
+	// has waited and been applied so far. Applying is an M/M/1 queue: with utilization u and mean service time s, nothing
+	// is left to apply with probability 1-u, and otherwise the age of the oldest commit has the mean s/(1-u).
 	expected := shipTime.Seconds() + utilization*applyTime.Seconds()/(1-utilization)
 	return Check{
 		Name:     fmt.Sprintf("lag at %.0f%% use of the applying thread", 100*utilization),
@@ -70,7 +71,7 @@
 }
 
 // lagBehindLongRead measures the lag that a long read on the replica causes, and how long the replica takes to catch
-// up.
+// up afterwards.
 func lagBehindLongRead(seed uint64) []Check {
 	const (
 		utilization = 0.4
@@ -97,7 +98,7 @@
 		},
 		{
 			Name: "and it has caught up after",
-			// It has 2 s of log to make up, which is 0.8 s of work, while more arrives.
+			// The backlog is 2 s of log, which takes 0.8 s to apply, and 0.4 s of work arrives per second meanwhile.
 			Expected: 2 * 0.4 / 0.6,
 			Measured: (clock.Now() - readEnd).Seconds(),
 			Unit:     "s",
--- a/internal/simulation/stats/site_loss.go
+++ b/internal/simulation/stats/site_loss.go
@@ -9,32 +9,32 @@
 	"limeladder/internal/sitefailover"
 )
 
-// SiteLossForecast is what routers planned for the loss of a site, beside what came of it in the simulation.
+// SiteLossForecast compares the routers' plans for the loss of a site with the outcome in the simulation.
 type SiteLossForecast struct {
 	Seed  uint64
 	Fleet string // a description
 
-	// Shares of the priority weight that was asked for.
+	// Shares of the priority weight of all requests.
 	Planned  float64
 	Achieved float64
-	Possible float64 // what the oracle, which knows the true state of all endpoints, would have achieved
+	Possible float64 // upper bound given by the oracle, which knows the true state of all endpoints
 
 	// Shares of the requests.
 	PlannedRejections float64
 	Unserved          float64 // not served before their deadline
 
-	GroupsWithNoneLeft int // replica groups of which, by the plan, nothing can be served
+	GroupsWithoutEndpoint int // groups left without any endpoint by the plans, averaged over the routers
 }
 
-// The routers have learned the load by lossTime. The requests are counted from countFrom on, when new primaries are
-// in place, until countUntil.
+// The site is lost at lossTime, when the routers have learned the load. Requests are counted from countFrom, when new
+// primaries have been elected, to countUntil.
 const (
 	lossTime   = 40 * time.Second
 	countFrom  = 50 * time.Second
 	countUntil = 70 * time.Second
 )
 
-// ForecastSiteLoss plays the loss of a site in a fleet that is drawn from the seed.
+// ForecastSiteLoss simulates the loss of a site in a fleet that is drawn from the seed.
 func ForecastSiteLoss(seed uint64) (SiteLossForecast, error) {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	config := drawFleet(rng)
@@ -65,7 +65,7 @@
 	return config
 }
 
-// replaceLongReads makes the class one of short reads, which don't keep replicas from applying their log.
+// replaceLongReads turns the class into one of short reads, which don't block replicas from applying the log.
 func replaceLongReads(class *fleet.Class) {
 	class.Long = false
 	class.Work.Mean = 80 * time.Millisecond
@@ -80,8 +80,8 @@
 		config.Routers, config.Banks, config.Members, len(config.Zones), 100*config.Use)
 }
 
-// addPlans sums up the plans of all routers, each of which sees a like part of the load. requestRate is that of the
-// fleet.
+// addPlans adds the plans of all routers, each of which sees an equal part of the load. requestRate is the request rate
+// of the whole fleet, in requests per second.
 func (f *SiteLossForecast) addPlans(plans []sitefailover.SiteLossPlan, requestRate float64) {
 	rejectionRate := 0.0
 	for _, plan := range plans {
@@ -91,15 +91,15 @@
 		}
 		for _, group := range plan.Groups {
 			if group.NoEndpointLeft {
-				f.GroupsWithNoneLeft++
+				f.GroupsWithoutEndpoint++
 			}
 		}
 	}
-	f.GroupsWithNoneLeft /= max(1, len(plans))
+	f.GroupsWithoutEndpoint /= max(1, len(plans))
 	f.PlannedRejections = rejectionRate / requestRate
 }
 
-// addResult sums up the seconds that are counted.
+// addResult adds the measurements of the seconds from countFrom to countUntil.
 func (f *SiteLossForecast) addResult(result *fleet.Result) {
 	requests := 0
 	unserved := 0
@@ -109,7 +109,7 @@
 	for i := int(countFrom / time.Second); i < int(countUntil/time.Second); i++ {
 		second := &result.Seconds[i]
 		requests += second.Came
-		unserved += second.Came - second.Ends[0] // the first kind of ending is "served"
+		unserved += second.Came - second.Ends[0] // Ends[0] counts the served requests, see fleet.Endings
 		achieved += second.Worth
 		asked += second.Could
 		possible += result.Tops[i]
--- a/internal/simulation/stats/warm_up.go
+++ b/internal/simulation/stats/warm_up.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/simulation/model"
 )
 
-// warmUps measures the slow start of an endpoint that warms up by time, and of one that warms up by the work it does.
+// warmUps measures the slow start of an endpoint that warms up by time, and of one that warms up by work done.
 func warmUps(seed uint64) []Check {
 	return append(warmUpByTime(seed), warmUpByWork(seed))
 }
@@ -36,15 +36,16 @@
 	}
 	return Check{
 		Name: "warm-up by work, warm after",
-		// The share s of the capacity grows by itself: ds/dt = s*(1-cold)/18, so it is 1 after ln(1/cold)*18/(1-cold).
+		// The share s of the capacity grows in proportion to the work done, and so to s itself: ds/dt = s*(1-cold)/18.
+		// It reaches 1 after ln(1/cold)*18/(1-cold) seconds; ln(1/0.16) is 1.8326.
 		Expected: 18 / (1 - slowStartShare) * 1.8326,
 		Measured: warmAfter,
 		Unit:     "s",
 	}
 }
 
-// capacityShares is the share of its full capacity that an endpoint with more than enough work has in each of the
-// first forty seconds after a start with cold caches.
+// capacityShares returns the share of its full capacity that a fully loaded endpoint has in each of the first forty
+// seconds after a start with cold caches.
 func capacityShares(seed uint64, byWork bool) []float64 {
 	spec := endpointSpec()
 	spec.SlowStartByWork = byWork
@@ -56,16 +57,16 @@
 	done := endpoint.WorkDone()
 	for i := range shares {
 		until := startTime + time.Second + time.Duration(i+1)*time.Second
-		work, elapsed := workUntil(clock, endpoint, done, until)
+		work, elapsed := runAndMeasureWork(clock, endpoint, done, until)
 		shares[i] = work / endpointCores / elapsed.Seconds()
 		done += work
 	}
 	return shares
 }
 
-// workUntil runs the clock up to a time, and gives the work that the endpoint did meanwhile and how long that was.
-// done is the work that it had done before.
-func workUntil(
+// runAndMeasureWork runs the clock until a time, and returns the work that the endpoint did and the time that elapsed.
+// done is the work that the endpoint had done before the call.
+func runAndMeasureWork(
 	clock *event.Clock, endpoint *model.Endpoint, done float64, until time.Duration,
 ) (work float64, elapsed time.Duration) {
 	began := clock.Now() - endpoint.StartedAt()
