--- a/cmd/limeladder-sim/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -75,10 +75,10 @@
 		t.Fatal(err, out.String())
 	}
 	for want, c := range map[string]runCommand{
-		"s2.star:1: ":        {Scenario: write(t, dir, "s2.star", "at()"), Seeds: 1},
-		"--seeds":            {Scenario: dir + "/s.star"},
-		"bad: nothing is":    {Scenario: dir + "/s.star", Seeds: 1, Arms: []string{write(t, dir, "bad.toml", "fun = 1")}},
-		"/none/r.html: no s": {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
+		"s2.star:1: ":              {Scenario: write(t, dir, "s2.star", "at()"), Seeds: 1},
+		"--seeds":                  {Scenario: dir + "/s.star"},
+		"bad: unknown setting fun": {Scenario: dir + "/s.star", Seeds: 1, Arms: []string{write(t, dir, "bad.toml", "fun = 1")}},
+		"/none/r.html: no s":       {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
 	} {
 		if err := c.Run(&out); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", want, err)
--- a/internal/simulation/experiment/arm.go
+++ b/internal/simulation/experiment/arm.go
@@ -9,23 +9,23 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// maxSalt is the bound of Arm.Salt, exclusive: the fleet mixes the salt into the upper bits of each router's seed.
+// maxSalt is the exclusive upper bound of Arm.Salt: the fleet mixes the salt into the upper bits of each router's seed.
 const maxSalt = 1 << 13
 
-// Arm is a variant of what a scenario says of its routers. A setting that is nil stays as the scenario has it.
+// Arm is a variant of the router settings of a scenario. Settings that are nil keep the scenario's value.
 type Arm struct {
 	Name            string   `toml:"-"`
-	QueuedClasses   []string `toml:"hold"`             // their requests stay queued through a change of primary
-	HealthCheckCost *float64 `toml:"probe_price"`      // what the routers are told that a health check costs
-	LateRejectCost  *float64 `toml:"held_back"`        // what the routers are told that a late rejection costs
-	Cancellation    *bool    `toml:"cancel"`           // attempts are cancelled
-	MaxAttempts     *int     `toml:"tries"`            // of one request
-	IgnoreSlowStart *bool    `toml:"harm_cold_budget"` // routers know nothing of endpoints that are warming up
-	SiteFailover    *string  `toml:"sites"`            // what routers do about whole sites
-	Salt            *uint64  `toml:"salt"`             // routers draw other random numbers, the endpoints the same
+	QueuedClasses   []string `toml:"hold"`             // classes whose requests are queued during a change of primary
+	HealthCheckCost *float64 `toml:"probe_price"`      // the cost of a health check that routers are configured with
+	LateRejectCost  *float64 `toml:"held_back"`        // the cost of a late rejection that routers are configured with
+	Cancellation    *bool    `toml:"cancel"`           // routers cancel attempts
+	MaxAttempts     *int     `toml:"tries"`            // per request
+	IgnoreSlowStart *bool    `toml:"harm_cold_budget"` // routers ignore that endpoints are warming up
+	SiteFailover    *string  `toml:"sites"`            // the routers' site failover mode
+	Salt            *uint64  `toml:"salt"`             // changes the random numbers of the routers, but not of the endpoints
 }
 
-// ReadArm reads an arm from TOML. An error is one line that starts with the name.
+// ReadArm reads an arm from TOML. An error is a single line of text that starts with the name.
 func ReadArm(name, text string) (Arm, error) {
 	var arm Arm
 	metadata, err := toml.Decode(text, &arm)
@@ -33,10 +33,10 @@
 		return arm, fmt.Errorf("%s: %s", name, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	if unknown := metadata.Undecoded(); len(unknown) > 0 {
-		return arm, fmt.Errorf("%s: nothing is called %s", name, unknown[0])
+		return arm, fmt.Errorf("%s: unknown setting %s", name, unknown[0])
 	}
 	if !arm.withinBounds() {
-		return arm, fmt.Errorf("%s: out of bounds", name)
+		return arm, fmt.Errorf("%s: a setting is out of bounds", name)
 	}
 	arm.Name = name
 	return arm, nil
@@ -56,7 +56,7 @@
 	return true
 }
 
-// apply returns the configuration with the arm's settings in it.
+// apply returns the configuration with the arm's settings applied.
 func (a *Arm) apply(config fleet.Config) fleet.Config {
 	if a.QueuedClasses != nil {
 		config.Hold = a.QueuedClasses
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -8,26 +8,26 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is the level of the intervals that Compare gives.
+// confidence is the confidence level of the intervals in an Effect.
 const confidence = 0.95
 
-// Effect is how the second of two sets of results differs from the first in one statistic of one scenario.
+// Effect is the difference of two sets of results, A and B, in one statistic of one scenario.
 type Effect struct {
 	Statistic      string
-	Pairs          int // runs of the same scenario and seed that both sets have
+	Pairs          int // number of seeds that both sets have results for
 	MeanA, MeanB   float64
-	MeanDifference float64 // of B less A, over the pairs
+	MeanDifference float64 // mean of B minus A over the pairs
 	Low, High      float64 // the confidence interval of MeanDifference
-	Significant    bool    // the interval leaves zero out
+	Significant    bool    // the confidence interval excludes zero
 	Scenario       string
 	ArmA, ArmB     string
 }
 
-// pairedRun is a run of one set and the run of the other set with the same scenario and seed.
+// pairedRun is a pair of runs, one of each set, with the same scenario and seed.
 type pairedRun struct{ first, second RunResult }
 
-// Compare gives the effect for each scenario, ordered by name, and each of the named statistics. Results without a
-// partner of the same scenario and seed in the other set are left out.
+// Compare returns the effects for each scenario, ordered by name, and each of the named statistics. It ignores results
+// for which the other set has none of the same scenario and seed.
 func Compare(a, b []RunResult, statistics []string) []Effect {
 	pairs := pairRuns(a, b)
 	scenarios := make([]string, 0, len(pairs))
@@ -44,7 +44,7 @@
 	return effects
 }
 
-// pairRuns finds the pairs of each scenario, in the order of a.
+// pairRuns returns the pairs of each scenario, in the order of a.
 func pairRuns(a, b []RunResult) map[string][]pairedRun {
 	type key struct {
 		scenario string
@@ -63,7 +63,7 @@
 	return pairs
 }
 
-// effectOf compares one statistic over the pairs of one scenario, of which there is at least one.
+// effectOf compares one statistic over the pairs of one scenario. There must be at least one pair.
 func effectOf(statistic string, pairs []pairedRun) Effect {
 	var valuesA, valuesB, differences []float64
 	for _, pair := range pairs {
@@ -87,8 +87,8 @@
 	return effect
 }
 
-// confidenceInterval gives the mean of the differences and its confidence interval by Student's t distribution. A
-// single difference says nothing of the deviation: its interval is infinite.
+// confidenceInterval returns the mean of the differences and its confidence interval by Student's t distribution. The
+// interval of a single difference is infinite, because its deviation is unknown.
 func confidenceInterval(differences []float64) (mean, low, high float64) {
 	if len(differences) < 2 {
 		return stat.Mean(differences, nil), math.Inf(-1), math.Inf(1)
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -10,16 +10,16 @@
 	"limeladder/internal/simulation/scenario"
 )
 
-// rollingRestart restarts one endpoint after the other. They come back cold, so it matters what routers know of slow
-// start.
+// rollingRestart restarts endpoints one at a time. They restart with cold caches, so routers that ignore slow start do
+// worse.
 const rollingRestart = `
 traffic(use=0.4, length_s=30)
 for i, m in enumerate(["db1c", "db2c", "db3c", "db4c", "db1b", "db2b"]):
     at(3 + 4 * i, drain(m, length_s=2))
 `
 
-// playArms plays rollingRestart with each arm, given as TOML, and returns the results by the arm's text.
-func playArms(t *testing.T, seeds int, texts ...string) map[string][]RunResult {
+// runArms runs rollingRestart with each arm, given as TOML, and returns the results by the TOML text.
+func runArms(t *testing.T, seeds int, texts ...string) map[string][]RunResult {
 	t.Helper()
 	played, err := scenario.Load("deploy.star", []byte(rollingRestart))
 	if err != nil {
@@ -49,10 +49,10 @@
 	return results
 }
 
-// Ten seeds tell an arm that does harm from the unchanged one, and don't take one that only draws other numbers for
+// Ten seeds are enough to detect a harmful arm, and an arm that only changes the random numbers is not reported as
 // harmful.
-func TestTenSeedsTellAHarmfulArm(t *testing.T) {
-	results := playArms(t, 10, "", "harm_cold_budget = true", "salt = 1")
+func TestTenSeedsDetectHarmfulArm(t *testing.T) {
+	results := runArms(t, 10, "", "harm_cold_budget = true", "salt = 1")
 	for arm, harmful := range map[string]bool{"harm_cold_budget = true": true, "salt = 1": false} {
 		t.Run(arm, func(t *testing.T) {
 			effects := Compare(results[""], results[arm], []string{"whole", "worth"})
@@ -65,15 +65,15 @@
 				t.Errorf("worth %.4f (%.4f to %.4f)", worth.MeanDifference, worth.Low, worth.High)
 			}
 			if !harmful && whole.MeanDifference == 0 {
-				t.Error("an arm with another salt has drawn the same numbers")
+				t.Error("the arm with another salt has the same results as the unchanged arm")
 			}
 		})
 	}
 }
 
-// Results that were written are read again, and what is no result is named with its line.
+// ReadResults reads results as they were encoded, and reports an invalid line with its number.
 func TestReadResults(t *testing.T) {
-	results := playArms(t, 2, "", "salt = 1")
+	results := runArms(t, 2, "", "salt = 1")
 	var file bytes.Buffer
 	for _, result := range results[""] {
 		if err := json.NewEncoder(&file).Encode(result); err != nil {
@@ -89,7 +89,7 @@
 	}
 	for text, want := range map[string]string{
 		"":                  "a: no results",
-		"{}\n":              "a:1: no result",
+		"{}\n":              "a:1: not a result",
 		file.String() + "x": "a:3: ",
 	} {
 		if _, err := ReadResults("a", strings.NewReader(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
@@ -103,7 +103,8 @@
 }
 
 func TestConfidenceInterval(t *testing.T) {
-	// The mean of these is 3, their deviation sqrt(2.5), and Student's t for four degrees of freedom 2.776445.
+	// The mean of these values is 3, their standard deviation sqrt(2.5), and the 97.5 percent quantile of Student's t
+	// distribution with four degrees of freedom 2.776445.
 	mean, low, high := confidenceInterval([]float64{1, 2, 3, 4, 5})
 	half := 2.776445 * math.Sqrt(2.5/5)
 	if mean != 3 || math.Abs(low-(3-half)) > 1e-4 || math.Abs(high-(3+half)) > 1e-4 {
@@ -111,12 +112,12 @@
 	}
 }
 
-func TestReadArmNamesWhatIsWrong(t *testing.T) {
+func TestReadArmErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"hodl = []":   "x.toml: nothing is called hodl",
-		"tries = -1":  "x.toml: out of bounds",
+		"hodl = []":   "x.toml: unknown setting hodl",
+		"tries = -1":  "x.toml: a setting is out of bounds",
 		"tries = ":    "x.toml: ",
-		"salt = 8192": "x.toml: out of bounds",
+		"salt = 8192": "x.toml: a setting is out of bounds",
 	} {
 		_, err := ReadArm("x.toml", text)
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
--- a/internal/simulation/experiment/result.go
+++ b/internal/simulation/experiment/result.go
@@ -10,26 +10,27 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// maxResultBytes is the longest line that ReadResults accepts. It bounds the memory that a damaged file can take.
+// maxResultBytes is the length of the longest line that ReadResults accepts. It limits the memory that a corrupt file
+// can make ReadResults use.
 const maxResultBytes = 1 << 20
 
-// RunResult is the result of one run, as a line of a result file keeps it.
+// RunResult is the result of one run. A result file holds one per line, as JSON.
 type RunResult struct {
 	Scenario          string             `json:"scenario"`
 	Arm               string             `json:"arm"`
 	Seed              uint64             `json:"seed"`
-	Revision          string             `json:"revision"` // of the build that played it
+	Revision          string             `json:"revision"` // of the build that ran it
 	Statistics        map[string]float64 `json:"figures"`
-	RuleViolations    map[string]int     `json:"rules,omitempty"` // how often each rule was broken
-	ViolationDetails  []string           `json:"words,omitempty"` // a sentence for each of the first violations
+	RuleViolations    map[string]int     `json:"rules,omitempty"` // number of violations by rule
+	ViolationDetails  []string           `json:"words,omitempty"` // descriptions of the first violations
 	UnmetExpectations []string           `json:"short,omitempty"`
 
-	// Result is everything that was measured. It isn't stored, and is nil in a result that was read from a file.
+	// Result holds all measurements of the run. It isn't stored in result files and is nil after reading one.
 	Result *fleet.Result `json:"-"`
 }
 
-// ReadResults reads a result file, one result a line; empty lines are skipped. An error starts with the name, and
-// with the number of the line where one is at fault.
+// ReadResults reads a result file with one result per line and skips empty lines. An error starts with the name, and
+// with the line number if it concerns a line.
 func ReadResults(name string, r io.Reader) ([]RunResult, error) {
 	var results []RunResult
 	scanner := bufio.NewScanner(r)
@@ -43,7 +44,7 @@
 			return nil, fmt.Errorf("%s:%d: %w", name, number, err)
 		}
 		if result.Scenario == "" || result.Statistics == nil {
-			return nil, fmt.Errorf("%s:%d: no result", name, number)
+			return nil, fmt.Errorf("%s:%d: not a result", name, number)
 		}
 		results = append(results, result)
 	}
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -7,21 +7,21 @@
 	"limeladder/internal/simulation/scenario"
 )
 
-// defaultArm is the name of the arm that leaves a scenario unchanged, where no arms are given.
+// defaultArm is the name of the unchanged arm that is run if a plan has no arms.
 const defaultArm = "as it stands"
 
-// Plan says which runs an experiment consists of: each arm with each seed.
+// Plan describes the runs of an experiment: each arm is run with each seed.
 type Plan struct {
 	Scenario  *scenario.Scenario
 	Arms      []Arm // none means the scenario as it is
 	FirstSeed uint64
 	Seeds     int
-	Workers   int    // runs that are played at the same time; less than one means one
-	Revision  string // of the build, for the results
+	Workers   int    // number of concurrent runs; less than one means one
+	Revision  string // of the build, copied to the results
 }
 
-// Run plays the plan and calls report for each result, ordered by seed, with the arms of a seed together in their
-// order, whichever run was done first. It ends with the first error of a run or of report.
+// Run executes the plan and calls report for each result, ordered by seed and, for the same seed, in the order of the
+// arms, regardless of which run ends first. It stops at the first error of a run or of report, and returns it.
 func Run(plan Plan, report func(RunResult) error) error {
 	if len(plan.Arms) == 0 {
 		plan.Arms = []Arm{{Name: defaultArm}}
@@ -37,7 +37,7 @@
 	return err
 }
 
-// runner hands the runs of a plan out to workers.
+// runner distributes the runs of a plan to workers.
 type runner struct {
 	plan Plan
 	jobs []*job
@@ -47,7 +47,7 @@
 	stopped bool
 }
 
-// job is one run. The worker that plays it writes result and err and then closes done.
+// job is one run. The worker that executes it sets result and err and then closes done.
 type job struct {
 	arm    Arm
 	seed   uint64
@@ -66,19 +66,19 @@
 	return r
 }
 
-// work plays jobs until none is left.
+// work executes jobs until none is left.
 func (r *runner) work() {
 	for {
 		job, ok := r.take()
 		if !ok {
 			return
 		}
-		job.play(&r.plan)
+		job.execute(&r.plan)
 		close(job.done)
 	}
 }
 
-// take returns a job that no worker has taken yet; ok is false if none is left or the experiment was stopped.
+// take claims the next job for a worker; ok is false if none is left or the runner was stopped.
 func (r *runner) take() (taken *job, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -90,7 +90,7 @@
 	return taken, true
 }
 
-// stop lets workers end after the jobs that they are playing.
+// stop makes workers return after their current job.
 func (r *runner) stop() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,12 +107,12 @@
 		if err := report(job.result); err != nil {
 			return err
 		}
-		job.result.Result = nil // it is large, and the job lives until the last one is done
+		job.result.Result = nil // it is large, and jobs stay in memory until the last one is done
 	}
 	return nil
 }
 
-func (j *job) play(plan *Plan) {
+func (j *job) execute(plan *Plan) {
 	measured, err := fleet.Run(j.arm.apply(plan.Scenario.Config), j.seed)
 	if err != nil {
 		j.err = err
@@ -130,6 +130,6 @@
 		Result:            measured,
 	}
 	for _, name := range scenario.StatisticNames {
-		j.result.Statistics[name], _ = scenario.Statistic(measured, name) // every name in Figures is known
+		j.result.Statistics[name], _ = scenario.Statistic(measured, name) // every name in StatisticNames is known
 	}
 }
--- a/internal/simulation/report/chart.go
+++ b/internal/simulation/report/chart.go
@@ -17,7 +17,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// The colors can also be told apart by readers who don't see red or green.
+// Colors that readers with red-green color blindness can distinguish.
 var (
 	blue   = color.RGBA{0x1f, 0x5f, 0xa8, 0xff}
 	orange = color.RGBA{0xd9, 0x7a, 0x06, 0xff}
@@ -25,10 +25,10 @@
 	purple = color.RGBA{0x7a, 0x3e, 0x9d, 0xff}
 	grey   = color.RGBA{0x77, 0x77, 0x77, 0xff}
 	light  = color.RGBA{0xcc, 0xcc, 0xcc, 0xff}
-	shade  = color.RGBA{0x12, 0x09, 0x18, 0x1c} // transparent: what is below it stays visible
+	shade  = color.RGBA{0x12, 0x09, 0x18, 0x1c} // transparent, so that lines below stay visible
 )
 
-// Size of a plot. Only the ratio matters: the page stretches plots to its own width.
+// Size of a plot. Only the ratio matters: the page scales plots to its own width.
 const (
 	plotWidth  vg.Length = 620
 	plotHeight vg.Length = 220
@@ -36,7 +36,7 @@
 
 // series is a line of a chart.
 type series struct {
-	name   string // for the legend; lines without a name have none
+	name   string // for the legend; lines without a name are not in it
 	points plotter.XYs
 	ink    color.Color
 	width  vg.Length
@@ -49,12 +49,12 @@
 	xLabel    string
 	yLabel    string
 	marks     []fleet.Mark // events that are marked on the x axis
-	ticks     plot.Ticker  // of the x axis; nil = chosen by the library
-	minHeight float64      // the y axis goes at least up to here
+	ticks     plot.Ticker  // of the x axis; nil = library default
+	minHeight float64      // the y axis extends at least to this value
 	lines     []series
 }
 
-// figure is a plot as the page shows it.
+// figure is a rendered plot with its captions, as the page template uses it.
 type figure struct {
 	Title string
 	Note  string
@@ -62,10 +62,10 @@
 	SVG   template.HTML
 }
 
-// legend names a line. It stands beside the plot, because in the plot it would cover lines.
+// legend is the name and the color of a line. Legends are shown outside the plot, where they don't cover lines.
 type legend struct{ Name, Color string }
 
-// draw draws the chart as SVG.
+// draw renders the chart as SVG.
 func (c *chart) draw() (figure, error) {
 	p := plot.New()
 	p.X.Label.Text = c.xLabel
@@ -83,7 +83,7 @@
 		if err := line.addTo(p); err != nil {
 			return figure{}, err
 		}
-		for _, point := range line.numbers() {
+		for _, point := range line.finitePoints() {
 			highest = max(highest, point.Y)
 			last = max(last, point.X)
 		}
@@ -105,14 +105,14 @@
 	return figure{Title: c.title, Note: c.note, Lines: c.legends(), SVG: svg}, nil
 }
 
-// legends returns the legends of the lines that have a name and points. A single line needs none.
+// legends returns the legends of the lines that have a name and points, or none if the chart has a single line.
 func (c *chart) legends() []legend {
 	if len(c.lines) < 2 {
 		return nil
 	}
 	var legends []legend
 	for _, line := range c.lines {
-		if line.name == "" || len(line.numbers()) == 0 {
+		if line.name == "" || len(line.finitePoints()) == 0 {
 			continue
 		}
 		red, green, blue, _ := line.ink.RGBA()
@@ -121,10 +121,10 @@
 	return legends
 }
 
-// addTo adds the line to a plot, in a piece for each run of points that are numbers.
+// addTo adds the line to a plot, interrupted where points are not numbers.
 func (s *series) addTo(p *plot.Plot) error {
-	for _, piece := range s.pieces() {
-		line, err := plotter.NewLine(piece)
+	for _, segment := range s.segments() {
+		line, err := plotter.NewLine(segment)
 		if err != nil {
 			return err
 		}
@@ -135,40 +135,40 @@
 	return nil
 }
 
-// pieces splits the line where its points are no numbers.
-func (s *series) pieces() []plotter.XYs {
-	var pieces []plotter.XYs
-	var piece plotter.XYs
+// segments splits the line into the sections between points that are not numbers.
+func (s *series) segments() []plotter.XYs {
+	var segments []plotter.XYs
+	var segment plotter.XYs
 	for _, point := range s.points {
-		if isNumber(point.Y) {
-			piece = append(piece, point)
+		if isFinite(point.Y) {
+			segment = append(segment, point)
 			continue
 		}
-		if len(piece) > 0 {
-			pieces = append(pieces, piece)
+		if len(segment) > 0 {
+			segments = append(segments, segment)
 		}
-		piece = nil
+		segment = nil
 	}
-	if len(piece) > 0 {
-		pieces = append(pieces, piece)
+	if len(segment) > 0 {
+		segments = append(segments, segment)
 	}
-	return pieces
+	return segments
 }
 
-// numbers returns the points that are numbers.
-func (s *series) numbers() plotter.XYs {
+// finitePoints returns the points whose Y is neither NaN nor infinite.
+func (s *series) finitePoints() plotter.XYs {
 	var points plotter.XYs
 	for _, point := range s.points {
-		if isNumber(point.Y) {
+		if isFinite(point.Y) {
 			points = append(points, point)
 		}
 	}
 	return points
 }
 
-func isNumber(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
+func isFinite(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
 
-// addMark adds a dashed line at an event, and shades the time until it is over or the lines end.
+// addMark adds a dashed line at an event, and shades the duration of the event up to the end of the lines.
 func addMark(p *plot.Plot, mark fleet.Mark, last float64) error {
 	from := mark.At.Seconds()
 	if mark.For > 0 {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// renderSVG renders a plot as an element that can stand in a page, as wide as the page allows.
+// renderSVG renders a plot as an SVG element to embed in a page, as wide as the page allows.
 func renderSVG(p *plot.Plot, title string) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
@@ -203,7 +203,7 @@
 		return "", err
 	}
 	svg := file.String()
-	if start := strings.Index(svg, "<svg"); start >= 0 { // before it stands the XML declaration
+	if start := strings.Index(svg, "<svg"); start >= 0 { // skip the XML declaration
 		svg = svg[start:]
 	}
 	attributes := `<svg role="img" aria-label="` + template.HTMLEscapeString(title) + `" style="width:100%;height:auto" `
--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -13,10 +13,10 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// maxEndpoints is how many endpoints are drawn one by one. More lines than these can't be told apart.
+// maxEndpoints is the maximum number of endpoints with lines of their own. More lines would be indistinguishable.
 const maxEndpoints = 60
 
-// Widths of lines.
+// Line widths.
 const (
 	thinWidth   vg.Length = 0.6
 	mediumWidth vg.Length = 1.1
@@ -24,7 +24,7 @@
 	boldWidth   vg.Length = 1.5
 )
 
-// drawPlots draws the plots that this kind of run has the measurements for.
+// drawPlots draws the plots for which this kind of run has measurements.
 func drawPlots(result *fleet.Result) ([]figure, error) {
 	var figures []figure
 	for _, candidate := range []struct {
@@ -53,12 +53,12 @@
 	return figures, nil
 }
 
-// overTime returns a chart without lines over the time of a run, with the events of the run in it.
+// overTime returns a chart over the time of a run that has marks for the run's events but no lines yet.
 func overTime(result *fleet.Result, title, note, unit string) chart {
 	return chart{title: title, note: note, yLabel: unit, xLabel: "seconds", marks: result.Marks}
 }
 
-// perSecond returns a line with a value for each second of a run.
+// perSecond returns a line with one value per second of a run.
 func perSecond(
 	result *fleet.Result, name string, ink color.Color, width vg.Length, value func(fleet.Second) float64,
 ) series {
@@ -71,7 +71,7 @@
 
 func weightServedChart(result *fleet.Result) chart {
 	drawn := overTime(result, "Worth over time",
-		"What was asked for in each second, and the part of its worth that was given.", "part")
+		"The share of the worth of each second's requests that was achieved.", "share")
 	drawn.minHeight = 1
 	line := series{name: "worth", ink: blue, width: boldWidth}
 	for i, second := range result.Seconds {
@@ -83,9 +83,9 @@
 	return drawn
 }
 
-// endingsChart shows the ways in which requests ended, without those that never occurred.
+// endingsChart shows the number of requests by ending, except for endings that never occurred.
 func endingsChart(result *fleet.Result) chart {
-	drawn := overTime(result, "How requests ended", "By the second in which they were asked for.", "requests")
+	drawn := overTime(result, "How requests ended", "By the second in which the requests were sent.", "requests")
 	for i, ink := range []color.Color{blue, orange, purple, teal, grey} {
 		occurred := slices.ContainsFunc(result.Seconds, func(second fleet.Second) bool { return second.Ends[i] > 0 })
 		if !occurred {
@@ -99,21 +99,22 @@
 	return drawn
 }
 
-// rejectionsChart shows the routers' own rejections. On sockets nobody sees their reasons, and the chart is left out.
+// rejectionsChart shows rejections by routers. In runs on sockets their reasons can't be observed, and the chart is
+// left out.
 func rejectionsChart(result *fleet.Result) chart {
 	drawn := overTime(result, "Refused by routers, and why",
-		"Never sent: no machine could take it in time. Behind attempts: those that it was sent to turned it away, "+
-			"broke or were behind. Clients may have asked again.", "refusals")
+		"Never sent: no machine could serve the request in time. After attempts: machines rejected the request, "+
+			"broke the connection or were too stale. Clients may have retried.", "refusals")
 	drawn.lines = []series{
 		perSecond(result, "never sent", orange, boldWidth,
 			func(second fleet.Second) float64 { return float64(second.Unsent) }),
-		perSecond(result, "behind attempts", purple, boldWidth,
+		perSecond(result, "after attempts", purple, boldWidth,
 			func(second fleet.Second) float64 { return float64(second.Tried) }),
 	}
 	return drawn
 }
 
-// quantilesChart shows the latency by quantile, on a scale that stretches the slow end.
+// quantilesChart shows the latency by quantile, on a logarithmic scale that stretches the high quantiles.
 func quantilesChart(result *fleet.Result) chart {
 	line := series{name: "latency", ink: blue, width: boldWidth}
 	for _, quantile := range result.Curve {
@@ -122,7 +123,7 @@
 	}
 	return chart{
 		title:  "Latency of what was served",
-		note:   "By quantile; the scale stretches the slow end.",
+		note:   "By quantile, on a scale that stretches the high quantiles.",
 		yLabel: "milliseconds",
 		ticks: plot.ConstantTicks{
 			{Value: 0, Label: "0"},
@@ -137,7 +138,7 @@
 }
 
 func inFlightChart(result *fleet.Result) chart {
-	drawn := overTime(result, "Requests in flight", "All that clients wait for.", "requests")
+	drawn := overTime(result, "Requests in flight", "Requests that clients are waiting for.", "requests")
 	line := series{name: "open", ink: blue, width: boldWidth}
 	for _, sample := range result.Series {
 		line.points = append(line.points, plotter.XY{X: sample.At.Seconds(), Y: float64(sample.InHand)})
@@ -148,7 +149,7 @@
 
 func loadChart(result *fleet.Result) chart {
 	drawn := overTime(result, "Statements at each machine",
-		"Those that run and those that wait; orange while it is a primary.", "statements")
+		"Running and queued statements; orange while the machine is a primary.", "statements")
 	drawn.lines = perEndpoint(result, func(sample fleet.MachineSample) (float64, bool) {
 		return float64(sample.Running + sample.Waiting), !sample.Down
 	})
@@ -157,21 +158,21 @@
 
 func capacityChart(result *fleet.Result) chart {
 	drawn := overTime(result, "Capacity of each machine",
-		"Work that it can do in a second; it climbs while it warms up, and is 0 while it is down.", "core seconds a second")
+		"Work that it can do per second; rises during warm-up, and is 0 while it is down.", "core-seconds per second")
 	drawn.lines = perEndpoint(result, func(sample fleet.MachineSample) (float64, bool) { return sample.Capacity, true })
 	return drawn
 }
 
 func lagChart(result *fleet.Result) chart {
-	drawn := overTime(result, "Lag of each replica", "How old its data is.", "milliseconds")
+	drawn := overTime(result, "Lag of each replica", "Age of the replica's data.", "milliseconds")
 	drawn.lines = perEndpoint(result, func(sample fleet.MachineSample) (float64, bool) {
 		return float64(sample.Lag) / float64(time.Millisecond), !sample.Primary && !sample.Down
 	})
 	return drawn
 }
 
-// perEndpoint returns a line for each endpoint, and one above it in another color for the time in which it is a
-// primary. Where value isn't ok the lines are interrupted.
+// perEndpoint returns a line for each endpoint, and one on top of it in another color for the time during which it is a
+// primary. The lines are interrupted where value returns ok false.
 func perEndpoint(result *fleet.Result, value func(fleet.MachineSample) (value float64, ok bool)) []series {
 	var lines []series
 	for i := range result.Names[:min(maxEndpoints, len(result.Names))] {
--- a/internal/simulation/report/report.go
+++ b/internal/simulation/report/report.go
@@ -1,7 +1,7 @@
-// Package report writes the result of a run as one HTML file with plots, which needs no other file to be read.
+// Package report writes the result of a run as a self-contained HTML file with plots.
 //
-// The package owns the layout and the plots. It measures nothing and keeps nothing: what it shows is in the run that
-// it is given. Write runs on the goroutine of its caller.
+// The package owns the layout and the plots. It takes no measurements and keeps no state: everything that it shows is
+// in the Run passed to Write. Write runs on the goroutine of its caller.
 package report
 
 import (
@@ -16,7 +16,7 @@
 	"limeladder/internal/simulation/scenario"
 )
 
-// Run is what a report is made of.
+// Run is the content of a report.
 type Run struct {
 	Scenario          *scenario.Scenario
 	Arm               string
@@ -25,7 +25,7 @@
 	UnmetExpectations []string
 }
 
-// page is what the template shows.
+// page is the data of the page template.
 type page struct {
 	Title             string
 	About             string
@@ -33,7 +33,7 @@
 	Revision          string
 	Seed              uint64
 	Summary           []row
-	Violations        []string // of rules
+	Violations        []string // descriptions of rule violations
 	UnmetExpectations []string
 	Events            []row
 	Classes           [][]string
@@ -72,20 +72,20 @@
 	})
 }
 
-// summaryRows lists the statistics that this kind of run can measure.
+// summaryRows returns the statistics that this kind of run can measure.
 func summaryRows(result *fleet.Result) []row {
 	var rows []row
 	for _, name := range scenario.StatisticNames {
 		if slices.Contains(result.Unseen, name) {
 			continue
 		}
-		value, _ := scenario.Statistic(result, name) // every name of the list is known
+		value, _ := scenario.Statistic(result, name) // every name in StatisticNames is known
 		rows = append(rows, row{strings.ReplaceAll(name, "_", " "), fmt.Sprintf("%.4g", value)})
 	}
 	return rows
 }
 
-// eventRows lists what happened to the fleet, and for how long.
+// eventRows returns the time, the description and the duration of each event, such as a fault.
 func eventRows(marks []fleet.Mark) []row {
 	var rows []row
 	for _, mark := range marks {
@@ -98,8 +98,8 @@
 	return rows
 }
 
-// classRows lists the requests of each class: how many, the share of their priority weight that was achieved, how
-// many were late, and how many ended in each way.
+// classRows returns for each class: its name, the number of requests, the share of their priority weight that was
+// achieved, how many were served late, and how many had each ending.
 func classRows(classes []fleet.Class, result *fleet.Result) [][]string {
 	var rows [][]string
 	for _, class := range classes {
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -9,7 +9,7 @@
 	"limeladder/internal/simulation/scenario"
 )
 
-// The report of a run shows its events, what went wrong, and the plots for which there are measurements.
+// The report of a run shows its events, unmet expectations, and the plots for which there are measurements.
 func TestWrite(t *testing.T) {
 	const script = "about('a <b>')\ntraffic(length_s=3)\nat(1, slow('db1b', part=0.5, length_s=1))"
 	played, err := scenario.Load("x.star", []byte(script))
