--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -1,4 +1,4 @@
-// Command limeladder-sim is the laboratory: it plays routers before emulated db machines and says what came of it.
+// Command limeladder-sim runs routers against emulated database servers and reports the results.
 package main
 
 import (
@@ -21,65 +21,66 @@
 )
 
 type commands struct {
-	Run     runCommand     `cmd:"" help:"Play a scenario, or arms of it, in virtual time."`
-	Compare compareCommand `cmd:"" help:"Compare two files of results, seed by seed."`
-	Up      upCommand      `cmd:"" help:"Start emulated db machines, discovery and the router on loopback, and say how to connect."`
-	Demo    demoCommand    `cmd:"" help:"Play a failover under load before the real program, and write a report."`
-	Load    loadCommand    `cmd:"" help:"Ask a server on loopback that speaks PostgreSQL for work, in an open loop."`
-	Skins   skinsCommand   `cmd:"" help:"Play scenarios in process and on sockets, and say how far apart they are."`
-	Rig     rigCommand     `cmd:"" help:"Play a scenario with several processes of the real program, with faults between them."`
-	Foresee foreseeCommand `cmd:"" help:"Hold what routers plan for the loss of a site against what comes of it, in fleets drawn from seeds."`
-	Check   checkCommand   `cmd:"" help:"Hold the emulator against closed forms and the account's figures."`
+	Run     runCommand     `cmd:"" help:"Run a scenario, optionally with several arms, in virtual time."`
+	Compare compareCommand `cmd:"" help:"Compare two result files by pairs of runs with the same seed."`
+	Up      upCommand      `cmd:"" help:"Start emulated db machines, discovery and the router on loopback, and print how to connect."`
+	Demo    demoCommand    `cmd:"" help:"Run a failover under load with the real program, and write a report."`
+	Load    loadCommand    `cmd:"" help:"Generate open-loop load on a PostgreSQL server on loopback."`
+	Skins   skinsCommand   `cmd:"" help:"Run scenarios in process and on sockets, and compare the results."`
+	Rig     rigCommand     `cmd:"" help:"Run a scenario with several processes of the real program and faults on their links."`
+	Foresee foreseeCommand `cmd:"" help:"Compare the routers' plans for the loss of a site with the outcome, in fleets drawn from seeds."`
+	Check   checkCommand   `cmd:"" help:"Compare measurements of the emulator with closed forms and configured values."`
 }
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("limeladder-sim"), kong.Description("Plays routers before emulated db machines."), kong.UsageOnError())
-	k.BindTo(os.Stdout, (*io.Writer)(nil))
-	if err := k.Run(); err != nil {
+	parser := kong.Parse(&c, kong.Name("limeladder-sim"),
+		kong.Description("Runs routers against emulated db machines."), kong.UsageOnError())
+	parser.BindTo(os.Stdout, (*io.Writer)(nil))
+	if err := parser.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "limeladder-sim: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// revision is that of the build, as the compiler has noted it.
+// revision returns the VCS revision recorded in the build, or "unknown".
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	rev, changed := "unknown", ""
-	for _, s := range info.Settings {
+	rev, suffix := "unknown", ""
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			rev = s.Value[:min(12, len(s.Value))]
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = " with changes"
+		case setting.Key == "vcs.revision":
+			rev = setting.Value[:min(12, len(setting.Value))]
+		case setting.Key == "vcs.modified" && setting.Value == "true":
+			suffix = " with changes"
 		}
 	}
-	return rev + changed
+	return rev + suffix
 }
 
 type runCommand struct {
-	Scenario string   `arg:"" type:"existingfile" help:"A script, such as scenarios/failover.star."`
-	Arms     []string `sep:"," type:"existingfile" help:"Files of TOML that each change what routers are told."`
-	Seeds    int      `default:"1" help:"How many seeds, each with every arm."`
-	Seed     uint64   `default:"1" help:"The first."`
-	Workers  int      `default:"0" help:"Runs at once; 0 is one a core."`
-	Out      string   `type:"path" help:"Write the results there, a line of JSON each."`
-	Report   string   `type:"path" help:"Write the first seed's report there, as HTML; with several arms one a file, numbered."`
+	Scenario string   `arg:"" type:"existingfile" help:"Scenario script, such as scenarios/failover.star."`
+	Arms     []string `sep:"," type:"existingfile" help:"TOML files, one per arm, that change router settings."`
+	Seeds    int      `default:"1" help:"Number of seeds; every arm is run with each."`
+	Seed     uint64   `default:"1" help:"The first seed."`
+	Workers  int      `default:"0" help:"Number of concurrent runs; 0 = one per core."`
+	Out      string   `type:"path" help:"File to write the results to, as one line of JSON each."`
+	Report   string   `type:"path" help:"File to write the HTML report of the first seed to; with several arms, one numbered file per arm."`
 }
 
-// Run plays.
+// Run implements the run command.
 func (c *runCommand) Run(out io.Writer) (err error) {
 	if c.Seeds < 1 || c.Seeds > 100_000 {
-		return fmt.Errorf("--seeds: 1 to 100000 are possible")
+		return fmt.Errorf("--seeds: must be between 1 and 100000")
 	}
 	src, err := os.ReadFile(c.Scenario)
 	if err != nil {
 		return err
 	}
-	s, err := scenario.Load(c.Scenario, src)
+	loaded, err := scenario.Load(c.Scenario, src)
 	if err != nil {
 		return err
 	}
@@ -89,19 +90,19 @@
 		if err != nil {
 			return err
 		}
-		a, err := experiment.ReadArm(strings.TrimSuffix(filepath.Base(file), ".toml"), string(text))
+		arm, err := experiment.ReadArm(strings.TrimSuffix(filepath.Base(file), ".toml"), string(text))
 		if err != nil {
 			return err
 		}
-		arms = append(arms, a)
+		arms = append(arms, arm)
 	}
-	var keep *os.File
+	var resultFile *os.File
 	if c.Out != "" {
-		if keep, err = os.Create(c.Out); err != nil {
+		if resultFile, err = os.Create(c.Out); err != nil {
 			return err
 		}
 		defer func() {
-			if e := keep.Close(); err == nil {
+			if e := resultFile.Close(); err == nil {
 				err = e
 			}
 		}()
@@ -110,84 +111,92 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	byArm, names, short, broken, n := map[string][]experiment.RunResult{}, []string{}, 0, 0, 0
+	resultsByArm, armNames, unmet, violations, reported := map[string][]experiment.RunResult{}, []string{}, 0, 0, 0
 	plan := experiment.Plan{
-		Scenario: s, Arms: arms, FirstSeed: c.Seed, Seeds: c.Seeds, Workers: workers, Revision: revision(),
+		Scenario: loaded, Arms: arms, FirstSeed: c.Seed, Seeds: c.Seeds, Workers: workers, Revision: revision(),
 	}
-	err = experiment.Run(plan, func(l experiment.RunResult) error {
-		n++
-		if byArm[l.Arm] == nil {
-			names = append(names, l.Arm)
+	err = experiment.Run(plan, func(result experiment.RunResult) error {
+		reported++
+		if resultsByArm[result.Arm] == nil {
+			armNames = append(armNames, result.Arm)
 		}
-		short += len(l.UnmetExpectations)
-		broken += len(l.RuleViolations)
-		fmt.Fprintf(out, "seed %-4d %-20s worth %.3f of %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f)  p99 %.0f ms  refused %.3f\n", l.Seed, l.Arm, l.Statistics["worth"], l.Statistics["top"],
-			l.Statistics["whole"], l.Statistics["window"], l.Statistics["class"], l.Statistics["p99_ms"], l.Statistics["refused"])
-		for _, w := range l.ViolationDetails {
+		unmet += len(result.UnmetExpectations)
+		violations += len(result.RuleViolations)
+		fmt.Fprintf(out,
+			"seed %-4d %-20s worth %.3f of %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f)  p99 %.0f ms  refused %.3f\n",
+			result.Seed, result.Arm, result.Statistics["worth"], result.Statistics["top"],
+			result.Statistics["whole"], result.Statistics["window"], result.Statistics["class"],
+			result.Statistics["p99_ms"], result.Statistics["refused"])
+		for _, w := range result.ViolationDetails {
 			fmt.Fprintln(out, "  rule broken:", w)
 		}
-		for _, w := range l.UnmetExpectations {
+		for _, w := range result.UnmetExpectations {
 			fmt.Fprintln(out, "  not as expected:", w)
 		}
-		if l.Seed == c.Seed && c.Report != "" {
+		if result.Seed == c.Seed && c.Report != "" {
 			file := c.Report
 			if len(arms) > 1 {
 				ext := filepath.Ext(file)
-				file = fmt.Sprintf("%s-%d%s", strings.TrimSuffix(file, ext), n, ext)
+				file = fmt.Sprintf("%s-%d%s", strings.TrimSuffix(file, ext), reported, ext)
 			}
 			f, err := os.Create(file)
 			if err != nil {
 				return err
 			}
-			if err := report.Write(f, report.Run{Scenario: s, Arm: l.Arm, Revision: l.Revision, Result: l.Result, UnmetExpectations: l.UnmetExpectations}); err != nil {
-				_ = f.Close() // the report has failed already
+			if err := report.Write(f, report.Run{
+				Scenario: loaded, Arm: result.Arm, Revision: result.Revision,
+				Result: result.Result, UnmetExpectations: result.UnmetExpectations,
+			}); err != nil {
+				_ = f.Close() // writing the report has failed already
 				return err
 			}
 			if err := f.Close(); err != nil {
 				return err
 			}
 		}
-		l.Result = nil
-		byArm[l.Arm] = append(byArm[l.Arm], l)
-		if keep == nil {
+		result.Result = nil
+		resultsByArm[result.Arm] = append(resultsByArm[result.Arm], result)
+		if resultFile == nil {
 			return nil
 		}
-		return json.NewEncoder(keep).Encode(l)
+		return json.NewEncoder(resultFile).Encode(result)
 	})
 	if err != nil {
 		return err
 	}
-	for _, name := range names[1:] {
-		effects(out, byArm[names[0]], byArm[name])
+	for _, name := range armNames[1:] {
+		printEffects(out, resultsByArm[armNames[0]], resultsByArm[name])
 	}
-	if short+broken > 0 {
-		return fmt.Errorf("%s: %d expectations not met, %d rules broken", c.Scenario, short, broken)
+	if unmet+violations > 0 {
+		return fmt.Errorf("%s: %d expectations not met, %d rules broken", c.Scenario, unmet, violations)
 	}
 	return nil
 }
 
-// effects prints what one set of results has over another.
-func effects(out io.Writer, a, b []experiment.RunResult) {
+// printEffects prints the differences of the results b from the results a, by scenario and statistic.
+func printEffects(out io.Writer, a, b []experiment.RunResult) {
 	last := ""
-	for _, e := range experiment.Compare(a, b, scenario.StatisticNames) {
-		if e.Scenario != last {
-			last = e.Scenario
-			fmt.Fprintf(out, "\n%s: %s against %s, %d pairs of seeds, 95 percent\n", e.Scenario, e.ArmB, e.ArmA, e.Pairs)
+	for _, effect := range experiment.Compare(a, b, scenario.StatisticNames) {
+		if effect.Scenario != last {
+			last = effect.Scenario
+			fmt.Fprintf(out, "\n%s: %s against %s, %d pairs of seeds, 95 percent\n", effect.Scenario, effect.ArmB,
+				effect.ArmA, effect.Pairs)
 		}
-		word := "within chance"
-		if e.Significant {
-			word = "beyond chance"
+		verdict := "within chance"
+		if effect.Significant {
+			verdict = "beyond chance"
 		}
-		fmt.Fprintf(out, "  %-12s %10.4g -> %10.4g  %+.4g (%+.4g to %+.4g)  %s\n", e.Statistic, e.MeanA, e.MeanB, e.MeanDifference, e.Low, e.High, word)
+		fmt.Fprintf(out, "  %-12s %10.4g -> %10.4g  %+.4g (%+.4g to %+.4g)  %s\n", effect.Statistic, effect.MeanA,
+			effect.MeanB, effect.MeanDifference, effect.Low, effect.High, verdict)
 	}
 }
 
 type compareCommand struct {
-	A string `arg:"" type:"existingfile" help:"Results of one build."`
-	B string `arg:"" type:"existingfile" help:"Results of the other one."`
+	A string `arg:"" type:"existingfile" help:"Result file of one build."`
+	B string `arg:"" type:"existingfile" help:"Result file of the other build."`
 }
 
-// Run compares.
+// Run implements the compare command.
 func (c *compareCommand) Run(out io.Writer) error {
 	var sets [2][]experiment.RunResult
 	for i, name := range []string{c.A, c.B} {
@@ -196,11 +205,11 @@
 			return err
 		}
 		sets[i], err = experiment.ReadResults(name, f)
-		_ = f.Close() // it was only read
+		_ = f.Close() // the file was only read
 		if err != nil {
 			return err
 		}
-		for j := range sets[i] { // arms of a file stand for themselves
+		for j := range sets[i] { // compare each arm separately, and print revisions in place of arms
 			sets[i][j].Scenario += " / " + sets[i][j].Arm
 			sets[i][j].Arm = sets[i][j].Revision
 		}
@@ -208,56 +217,60 @@
 	if len(experiment.Compare(sets[0], sets[1], scenario.StatisticNames)) == 0 {
 		return fmt.Errorf("%s and %s have no scenario, arm and seed in common", c.A, c.B)
 	}
-	effects(out, sets[0], sets[1])
+	printEffects(out, sets[0], sets[1])
 	return nil
 }
 
 type foreseeCommand struct {
 	Seed  uint64  `default:"1" help:"The first seed."`
-	Seeds int     `default:"20" help:"How many fleets."`
-	Most  float64 `default:"0.1" help:"What a plan may be off by, of the worth that the true state would allow."`
+	Seeds int     `default:"20" help:"Number of fleets."`
+	Most  float64 `default:"0.1" help:"Count plans that differ from the possible worth by more than this."`
 }
 
-// Run foresees.
+// Run implements the foresee command.
 func (c *foreseeCommand) Run(out io.Writer) error {
-	off, sum := 0, 0.0
+	exceeded, sum := 0, 0.0
 	fmt.Fprintln(out, "| seed | fleet | planned | possible | kept | planned refused | not served | banks with none left |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds); seed++ {
-		f, err := stats.ForecastSiteLoss(seed)
+		forecast, err := stats.ForecastSiteLoss(seed)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", f.Seed, f.Fleet, f.Planned, f.Possible, f.Achieved, f.PlannedRejections, f.Unserved, f.GroupsWithoutEndpoint)
-		sum += math.Abs(f.Planned - f.Possible)
-		if math.Abs(f.Planned-f.Possible) > c.Most {
-			off++
+		fmt.Fprintf(out, "| %d | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %d |\n", forecast.Seed, forecast.Fleet,
+			forecast.Planned, forecast.Possible, forecast.Achieved, forecast.PlannedRejections, forecast.Unserved,
+			forecast.GroupsWithoutEndpoint)
+		sum += math.Abs(forecast.Planned - forecast.Possible)
+		if math.Abs(forecast.Planned-forecast.Possible) > c.Most {
+			exceeded++
 		}
 	}
-	fmt.Fprintf(out, "\nplanned is off what is possible by %.3f in the mean, by more than %.2f in %d of %d\n", sum/float64(c.Seeds), c.Most, off, c.Seeds)
+	fmt.Fprintf(out, "\nplanned is off what is possible by %.3f in the mean, by more than %.2f in %d of %d\n",
+		sum/float64(c.Seeds), c.Most, exceeded, c.Seeds)
 	return nil
 }
 
 type checkCommand struct {
 	Seed uint64  `default:"1" help:"The seed."`
-	Most float64 `default:"0.1" help:"The part by which a figure may be off."`
+	Most float64 `default:"0.1" help:"Maximum relative error of a figure."`
 }
 
-// Run checks.
+// Run implements the check command.
 func (c *checkCommand) Run(out io.Writer) error {
 	checks, err := stats.MeasureAll(c.Seed)
 	if err != nil {
 		return err
 	}
-	off := 0
+	exceeded := 0
 	fmt.Fprintln(out, "| figure | wanted | emulated | unit | off |\n| --- | --- | --- | --- | --- |")
-	for _, f := range checks {
-		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", f.Name, f.Expected, f.Measured, f.Unit, 100*f.RelativeError())
-		if !(f.RelativeError() <= c.Most && f.RelativeError() >= -c.Most) {
-			off++
+	for _, check := range checks {
+		fmt.Fprintf(out, "| %s | %.4g | %.4g | %s | %+.1f%% |\n", check.Name, check.Expected, check.Measured,
+			check.Unit, 100*check.RelativeError())
+		if !(check.RelativeError() <= c.Most && check.RelativeError() >= -c.Most) {
+			exceeded++
 		}
 	}
-	if off > 0 {
-		return fmt.Errorf("%d figures are off by more than %.0f percent", off, 100*c.Most)
+	if exceeded > 0 {
+		return fmt.Errorf("%d figures are off by more than %.0f percent", exceeded, 100*c.Most)
 	}
 	return nil
 }
--- a/cmd/limeladder-sim/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func write(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -18,17 +18,18 @@
 	return filepath.Join(dir, name)
 }
 
-const short = `
+const shortScenario = `
 traffic(use=0.4, length_s=12)
 at(3, kill("primary:1", back_s=3))
 expect("rules", most=0)
 `
 
-// One small experiment from the command's flags to its files: arms, effects, result lines, reports, and the comparison.
+// A small experiment, from the flags of the run command to its output: arms, effects, result lines, reports, and the
+// comparison of result files.
 func TestExperiment(t *testing.T) {
 	dir := t.TempDir()
-	script := write(t, dir, "s.star", short)
-	arms := []string{write(t, dir, "good.toml", ""), write(t, dir, "other.toml", "salt = 3\n")}
+	script := writeFile(t, dir, "s.star", shortScenario)
+	arms := []string{writeFile(t, dir, "good.toml", ""), writeFile(t, dir, "other.toml", "salt = 3\n")}
 	var out bytes.Buffer
 	c := runCommand{Scenario: script, Arms: arms, Seeds: 3, Seed: 5, Workers: 2, Out: dir + "/a.jsonl", Report: dir + "/r.html"}
 	if err := c.Run(&out); err != nil {
@@ -47,7 +48,7 @@
 			t.Errorf("%s: %d plots", name, n)
 		}
 	}
-	// The same again is the same: nothing differs.
+	// A second run with another number of workers gives identical results.
 	first, _ := os.ReadFile(dir + "/a.jsonl")
 	c.Out, c.Report, c.Workers = dir+"/b.jsonl", "", 5
 	out.Reset()
@@ -55,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if second, _ := os.ReadFile(dir + "/b.jsonl"); !bytes.Equal(first, second) || len(first) == 0 {
-		t.Error("another run of the same gives other results")
+		t.Error("a second run of the same plan gives different results")
 	}
 	out.Reset()
 	if err := (&compareCommand{A: dir + "/a.jsonl", B: dir + "/b.jsonl"}).Run(&out); err != nil {
@@ -66,31 +67,35 @@
 	}
 }
 
-// What is not as expected ends with an error, and so does what can't be read: a line each.
-func TestFails(t *testing.T) {
+// Unmet expectations and unreadable files end with an error on a single line.
+func TestRunAndCompareErrors(t *testing.T) {
 	dir := t.TempDir()
 	var out bytes.Buffer
-	c := runCommand{Scenario: write(t, dir, "s.star", short+"expect(\"worth\", least=2)\n"), Seeds: 1, Seed: 1}
+	c := runCommand{
+		Scenario: writeFile(t, dir, "s.star", shortScenario+"expect(\"worth\", least=2)\n"), Seeds: 1, Seed: 1,
+	}
 	if err := c.Run(&out); err == nil || !strings.Contains(err.Error(), "1 expectations not met, 0 rules broken") || !strings.Contains(out.String(), "s.star:5: seed 1: worth is") {
 		t.Fatal(err, out.String())
 	}
 	for want, c := range map[string]runCommand{
-		"s2.star:1: ":              {Scenario: write(t, dir, "s2.star", "at()"), Seeds: 1},
-		"--seeds":                  {Scenario: dir + "/s.star"},
-		"bad: unknown setting fun": {Scenario: dir + "/s.star", Seeds: 1, Arms: []string{write(t, dir, "bad.toml", "fun = 1")}},
-		"/none/r.html: no s":       {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
+		"s2.star:1: ": {Scenario: writeFile(t, dir, "s2.star", "at()"), Seeds: 1},
+		"--seeds":     {Scenario: dir + "/s.star"},
+		"bad: unknown setting fun": {Scenario: dir + "/s.star", Seeds: 1,
+			Arms: []string{writeFile(t, dir, "bad.toml", "fun = 1")}},
+		"/none/r.html: no s": {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
 	} {
 		if err := c.Run(&out); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if err := (&compareCommand{A: write(t, dir, "x", "{"), B: dir + "/s.star"}).Run(&out); err == nil || !strings.Contains(err.Error(), "x:1: ") {
+	if err := (&compareCommand{A: writeFile(t, dir, "x", "{"), B: dir + "/s.star"}).Run(&out); err == nil ||
+		!strings.Contains(err.Error(), "x:1: ") {
 		t.Error(err)
 	}
 }
 
-// The program itself: its table is right, and its exit code tells.
-func TestProgram(t *testing.T) {
+// The built program prints the table of checks, and exits with a failure and one line of text for a bad script.
+func TestProgramOutput(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "limeladder-sim")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
@@ -98,17 +103,18 @@
 	if out, err := exec.Command(bin, "check").CombinedOutput(); err != nil || strings.Count(string(out), "\n") < 20 {
 		t.Fatal(err, string(out))
 	}
-	out, err := exec.Command(bin, "run", write(t, t.TempDir(), "s.star", "fleet(router=1)")).CombinedOutput()
-	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "s.star:1: fleet: unknown argument router") {
+	out, err := exec.Command(bin, "run", writeFile(t, t.TempDir(), "s.star", "fleet(router=1)")).CombinedOutput()
+	if err == nil || strings.Count(string(out), "\n") != 1 ||
+		!strings.Contains(string(out), "s.star:1: fleet: unknown argument router") {
 		t.Fatal(err, string(out))
 	}
 }
 
-// The real program before emulated machines on sockets: a failover is played, and the first hour's lines are right.
-// zero is a figure that says 0 where it was not measured.
-var zero = regexp.MustCompile(`<div>(attempts|probes|dials)<b>0</b>`)
+// zeroStatistic matches a statistic in a report that is 0 because it was not measured.
+var zeroStatistic = regexp.MustCompile(`<div>(attempts|probes|dials)<b>0</b>`)
 
-func TestOnSockets(t *testing.T) {
+// The demo, up and load commands run the real program with emulated endpoints on sockets.
+func TestSocketCommands(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir+"/", ".", "../limeladder").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
@@ -121,10 +127,11 @@
 		t.Fatal(got)
 	}
 	if p, err := os.ReadFile(dir + "/demo.html"); err != nil || strings.Count(string(p), "<svg ") != 7 || !strings.Contains(string(p), "kill primary:1, for 1.2 s") ||
-		strings.Contains(string(p), "revision unknown") || strings.Contains(string(p), "Refused by routers") || zero.Match(p) || !strings.Contains(string(p), "<div>attempts<b>") {
+		strings.Contains(string(p), "revision unknown") || strings.Contains(string(p), "Refused by routers") ||
+		zeroStatistic.Match(p) || !strings.Contains(string(p), "<div>attempts<b>") {
 		t.Fatal(err, len(p))
 	}
-	listen, err := port()
+	listen, err := freeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -21,11 +21,11 @@
 // runArms runs rollingRestart with each arm, given as TOML, and returns the results by the TOML text.
 func runArms(t *testing.T, seeds int, texts ...string) map[string][]RunResult {
 	t.Helper()
-	played, err := scenario.Load("deploy.star", []byte(rollingRestart))
+	loaded, err := scenario.Load("deploy.star", []byte(rollingRestart))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := Plan{Scenario: played, FirstSeed: 1, Seeds: seeds, Workers: 4, Revision: "r1"}
+	plan := Plan{Scenario: loaded, FirstSeed: 1, Seeds: seeds, Workers: 4, Revision: "r1"}
 	for _, text := range texts {
 		arm, err := ReadArm(text, text)
 		if err != nil {
--- a/internal/simulation/report/report_test.go
+++ b/internal/simulation/report/report_test.go
@@ -12,11 +12,11 @@
 // The report of a run shows its events, unmet expectations, and the plots for which there are measurements.
 func TestWrite(t *testing.T) {
 	const script = "about('a <b>')\ntraffic(length_s=3)\nat(1, slow('db1b', part=0.5, length_s=1))"
-	played, err := scenario.Load("x.star", []byte(script))
+	loaded, err := scenario.Load("x.star", []byte(script))
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := fleet.Run(played.Config, 1)
+	result, err := fleet.Run(loaded.Config, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 		t.Fatalf("events %+v", result.Marks)
 	}
 	var file strings.Builder
-	run := Run{Scenario: played, Arm: "arm", Revision: "unknown", Result: result, UnmetExpectations: []string{"too slow"}}
+	run := Run{Scenario: loaded, Arm: "arm", Revision: "unknown", Result: result, UnmetExpectations: []string{"too slow"}}
 	if err := Write(&file, run); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/scenario/call.go
+++ b/internal/simulation/scenario/call.go
@@ -24,7 +24,7 @@
 	named  map[string]starlark.Value
 }
 
-// builtinFunc implements a builtinFunc that scripts can call.
+// builtinFunc implements a function that scripts can call.
 type builtinFunc func(c call) (starlark.Value, error)
 
 // predeclared returns the functions that a script can call, by name.
