--- a/cmd/limeladder-sim/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -80,8 +80,9 @@
 	for want, c := range map[string]runCommand{
 		"s2.star:1: ": {Scenario: writeFile(t, dir, "s2.star", "at()"), Seeds: 1},
 		"--seeds":     {Scenario: dir + "/s.star"},
-		"bad: unknown setting fun": {Scenario: dir + "/s.star", Seeds: 1,
-			Arms: []string{writeFile(t, dir, "bad.toml", "fun = 1")}},
+		"bad: unknown setting fun": {
+			Scenario: dir + "/s.star", Seeds: 1, Arms: []string{writeFile(t, dir, "bad.toml", "fun = 1")},
+		},
 		"/none/r.html: no s": {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
 	} {
 		if err := c.Run(&out); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -94,9 +94,11 @@
 	if len(cfg.Hold) > 0 {
 		changeover = "[changeover]\nclasses = [\"" + strings.Join(cfg.Hold, "\", \"") + "\"]\n"
 	}
-	for name, p := range map[string][]byte{"config.json": text,
-		"limeladder.toml": []byte("[extended]\nlisten = \"" + env.extendedAddr + "\"\n" + changeover)} {
-		if err = os.WriteFile(filepath.Join(env.dir, name), p, 0o600); err != nil {
+	for name, content := range map[string][]byte{
+		"config.json":     text,
+		"limeladder.toml": []byte("[extended]\nlisten = \"" + env.extendedAddr + "\"\n" + changeover),
+	} {
+		if err = os.WriteFile(filepath.Join(env.dir, name), content, 0o600); err != nil {
 			return nil, err
 		}
 	}
@@ -298,8 +300,9 @@
 	for i := range 81 {
 		quantile := fleet.Step20(i)
 		if float64(overall.TotalCount())*(1-quantile) >= 1 {
-			result.Curve = append(result.Curve, fleet.Quantile{Part: quantile,
-				Seconds: float64(overall.ValueAtQuantile(100*quantile)) / 1e6})
+			result.Curve = append(result.Curve, fleet.Quantile{
+				Part: quantile, Seconds: float64(overall.ValueAtQuantile(100*quantile)) / 1e6,
+			})
 		}
 	}
 	return result, got, nil
--- a/internal/simulation/experiment/arm.go
+++ b/internal/simulation/experiment/arm.go
@@ -22,7 +22,7 @@
 	MaxAttempts     *int     `toml:"tries"`            // per request
 	IgnoreSlowStart *bool    `toml:"harm_cold_budget"` // routers ignore that endpoints are warming up
 	SiteFailover    *string  `toml:"sites"`            // the routers' site failover mode
-	Salt            *uint64  `toml:"salt"`             // changes the random numbers of the routers, but not of the endpoints
+	Salt            *uint64  `toml:"salt"`             // changes the random numbers of the routers, not of the endpoints
 }
 
 // ReadArm reads an arm from TOML. An error is a single line of text that starts with the name.
--- a/internal/simulation/model/election.go
+++ b/internal/simulation/model/election.go
@@ -82,7 +82,7 @@
 func (e *Endpoint) electable() bool { return e.state == Up && !e.draining && !e.removed }
 
 // followPrimary makes the other endpoints replicas of the new primary. Among them is the old primary, which has the
-// whole log unless it is down.
+// whole log.
 func (g *ReplicaGroup) followPrimary(old *Endpoint) {
 	now := g.world.Clock.Now()
 	for _, endpoint := range g.Endpoints {
--- a/internal/simulation/model/replica_group.go
+++ b/internal/simulation/model/replica_group.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// logTrimInterval is the number of commits after which trimLog is called.
+// logTrimInterval is the log length, in commits, at whose multiples trimLog is called.
 const logTrimInterval = 256
 
 // ReplicaGroup is a primary and its replicas.
--- a/internal/simulation/model/statement.go
+++ b/internal/simulation/model/statement.go
@@ -32,8 +32,8 @@
 	MinPosition time.Duration // the lowest position of a replica that may run the statement; 0 = any
 	Deadline    time.Duration // when the client gives up; 0 = never
 
-	// Done is called once, when the statement has ended. primary reports whether the endpoint is the primary. position
-	// is 0 for statements that were disconnected, cancelled or expired.
+	// Done is called once, when the statement has ended, with the position and the role of the endpoint. position is 0
+	// for statements that were disconnected, cancelled or expired, and primary is false for disconnected ones.
 	Done func(outcome Outcome, position time.Duration, primary bool)
 
 	completion float64 // the endpoint's progress at which the statement is complete
--- a/internal/simulation/stats/replication.go
+++ b/internal/simulation/stats/replication.go
@@ -19,7 +19,7 @@
 // replicationLags measures the lag of a replica, under load and during a long read.
 func replicationLags(seed uint64) []Check {
 	checks := []Check{lagUnderLoad(seed, 0.31), lagUnderLoad(seed, 0.57)}
-	return append(checks, lagBehindLongRead(seed)...)
+	return append(checks, lagDuringLongRead(seed)...)
 }
 
 // newReplication returns a clock, and the primary and the replica of a new replica group.
@@ -70,9 +70,9 @@
 	}
 }
 
-// lagBehindLongRead measures the lag that a long read on the replica causes, and how long the replica takes to catch
+// lagDuringLongRead measures the lag that a long read on the replica causes, and how long the replica takes to catch
 // up afterwards.
-func lagBehindLongRead(seed uint64) []Check {
+func lagDuringLongRead(seed uint64) []Check {
 	const (
 		utilization = 0.4
 		readBegin   = startTime + 10*time.Second
