--- a/internal/audit/chain.go
+++ b/internal/audit/chain.go
@@ -56,8 +56,8 @@
 // advance sets the link to the hash of msg, the newest message of the chain.
 func (c *chain) advance(msg []byte) { c.link = c.computeLink(msg) }
 
-// macPlaceholder is the start of the parameter for a head's own hash. The hash is computed with the genesis link in its
-// place.
+// macPlaceholder is the parameter mac of a head without its closing quote, with the genesis link as its value. The
+// head's own hash is computed over this value and then replaces it.
 var macPlaceholder = append([]byte(` mac="`), genesisLink[:]...)
 
 // writeHeadMAC replaces the placeholder in a head of the chain with the head's own hash.
--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -262,7 +262,7 @@
 	enc := newEncoder(t, 2048, &key)
 	for i, rec := range queue.Take(nil, 9) {
 		if rec.Seq != uint64(i)+1 {
-			t.Fatalf("the record %+v does not have the next number", rec)
+			t.Fatalf("the record %+v does not have the next number, want numbers from 1 without a gap", rec)
 		}
 		var m parser.Message
 		if err := m.Read(enc.Encode(rec)); err != nil { // the time since the start would be negative
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -10,7 +10,7 @@
 type Event interface {
 	kind() Kind
 	level() Level
-	size() int // the approximate memory that it uses while it is queued, in bytes
+	size() int // the approximate memory that the event uses while it is queued, in bytes
 }
 
 // Kind is the type of an event, and the MSGID of its message.
@@ -77,7 +77,7 @@
 
 // Answer records the final answer of one request.
 type Answer struct {
-	Request         string // the client's id for it
+	Request         string // the id from the request comment; empty = the client sent none
 	Class           string
 	Tenant          string // the user of the connection
 	Client          string // the address of the client
@@ -87,11 +87,11 @@
 	Code            string // the SQLSTATE of an endpoint's error that was forwarded; empty = none
 	Writes          bool   // requests of its class may change data
 	MayHaveExecuted bool   // a write may have been executed
-	Reason          string // why it was not served; empty = not stated
+	Reason          string // why the request was not served; empty = not stated
 
 	Attempts []Attempt
-	Queued   time.Duration // until the first attempt, or until the answer if there was no attempt
-	Worked   time.Duration // the sum over all attempts
+	Queued   time.Duration // from the last byte of the request to the first attempt, or to the answer without one
+	Worked   time.Duration // the total duration of all attempts
 	Total    time.Duration // from the last byte of the request to the answer
 	Retry    time.Duration // the retry delay that a rejected client was given; 0 = none
 }
@@ -100,7 +100,7 @@
 type Drain struct {
 	Endpoint string
 	Group    int64
-	State    string // a state of the endpoint list, or suspended or resumed
+	State    string // a state of the endpoint list, or not listed, suspended or resumed
 	Source   string // list, operator or other process
 }
 
@@ -121,16 +121,16 @@
 // List records a new or changed endpoint list of discovery.
 type List struct {
 	Version  int64
-	Full     bool // it is a complete list, not a change of the previous one
-	Ready    int
-	Draining int
-	Going    int // endpoints that are gone
+	Full     bool // the list is complete, not a change of the previous one
+	Ready    int  // endpoints that are ready
+	Draining int  // endpoints that are draining
+	Going    int  // endpoints in any other state, such as gone
 }
 
 // Reload records that the configuration was reloaded.
 type Reload struct {
-	What  string
-	Error string // empty = it was applied
+	What  string // what was reloaded: configuration or deploy
+	Error string // why the configuration was rejected; empty = it was applied
 }
 
 // Start is the first record of each start.
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -18,8 +18,8 @@
 )
 
 // The golden file testdata/records.log was written by the program at commit 4e3d53a: one record of each kind, chained.
-// Collectors keep such records for years, and their search rules name elements and parameters, so both must
-// stay byte-identical.
+// Collectors keep such records for years, and their search rules name elements and parameters, so the records must stay
+// byte-identical.
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -68,8 +68,8 @@
 	return s
 }
 
-// Use changes the key of the chain, after a head with the old key that proves the earlier messages. Only one change may
-// be pending: Use returns false if the previous one has not been applied yet.
+// Use changes the key of the chain. A head that is written with the old key first proves the earlier messages. Only one
+// change may be pending: Use returns false if the previous one has not been applied yet.
 func (s *Shipper) Use(key Key) bool {
 	select {
 	case s.keys <- key:
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -89,7 +89,7 @@
 	}
 	report := verifier.Report()
 	if !report.Complete() || report.Messages != 14 || report.Foreign != 0 || len(report.Starts) != 2 {
-		t.Fatalf("the report is %+v, want a complete one with 14 messages and 2 starts, none of them foreign", report)
+		t.Fatalf("the report is %+v, want a complete one with 2 starts and 14 messages, none of them foreign", report)
 	}
 	for i, id := range []string{"start-1", "start-2"} {
 		want := verify.Start{ID: id, Messages: 7, First: 1, Last: 7, Missing: 2, ReportedDropped: 2, Heads: 2, Ended: true}
--- a/internal/audit/verify/message.go
+++ b/internal/audit/verify/message.go
@@ -23,7 +23,7 @@
 const (
 	// linkBytes is the length of a link in bytes.
 	linkBytes = 16
-	// linkLength is the length of a link as base64url without padding.
+	// linkLength is the length of a link in bytes as base64url text without padding (RFC 4648, section 5).
 	linkLength = 22
 )
 
@@ -91,7 +91,7 @@
 
 // messageReader parses and hashes messages. Each worker goroutine has its own.
 type messageReader struct {
-	firstKey string // empty = no keys
+	firstKey string // the name of the first key; empty = no keys
 	parsed   parser.Message
 	hashes   map[string]*blake3.Hasher // by the name of the key
 	interned map[string]string         // the starts, kinds and keys so far, so that equal strings share memory
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -211,7 +211,7 @@
 		}
 		head, _ := e.EncodeHead(time.Unix(1, 0), nil)
 		if r := verifyFiles(t, options(), asLines(append(msgs, head))); r.Complete() != wantComplete {
-			t.Errorf("%d of 3 missing numbers were reported as dropped: the faults are %v", reported, r.Faults)
+			t.Errorf("%d of 3 missing numbers were reported as dropped: the faults are %v, want a complete report only for 3", reported, r.Faults)
 		}
 	}
 }
@@ -302,10 +302,11 @@
 	}
 	rep := v.Report()
 	if len(rep.Faults) != 1 || rep.Messages != n {
-		t.Fatalf("%d messages, %v", rep.Messages, rep.Faults)
+		t.Fatalf("%d messages were read with the faults %v, want 1000000 with one fault", rep.Messages, rep.Faults)
 	}
 	fault := rep.Faults[0]
 	if fault.Message < 700_001 || fault.Message > 700_002 || !strings.Contains(fault.Problem, "chang") {
-		t.Fatalf("%d messages, %v", rep.Messages, rep.Faults)
+		t.Fatalf("%d messages were read with the faults %v, want one at message 700001 or 700002 that reports a change",
+			rep.Messages, rep.Faults)
 	}
 }
