--- a/cmd/limeladder/audit_endpoint_list.go
+++ b/cmd/limeladder/audit_endpoint_list.go
@@ -37,7 +37,7 @@
 	for id := range r.endpointStates {
 		if !isListed[id] {
 			delete(r.endpointStates, id)
-			r.recorder.Record(audit.Drain{Endpoint: id, State: endpointNotListed, Source: requestedByDiscovery})
+			r.recorder.Record(audit.EndpointStateChange{Endpoint: id, State: endpointNotListed, Source: requestedByDiscovery})
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	previous, known := r.endpointStates[entry.ID]
 	newAndReady := !known && entry.State == endpointReady
 	if previous != entry.State && !newAndReady {
-		r.recorder.Record(audit.Drain{
+		r.recorder.Record(audit.EndpointStateChange{
 			Endpoint: entry.ID,
 			Group:    entry.Group,
 			State:    entry.State,
@@ -71,7 +71,7 @@
 		case endpointDraining:
 			summary.Draining++
 		default:
-			summary.Going++
+			summary.Gone++
 		}
 	}
 	return summary
--- a/cmd/limeladder/audit_endpoint_list_test.go
+++ b/cmd/limeladder/audit_endpoint_list_test.go
@@ -25,7 +25,7 @@
 		return config.EndpointEntry{ID: id, Group: 7, State: state}
 	}
 	changed := func(id, state string) audit.Event {
-		return audit.Drain{Endpoint: id, Group: 7, State: state, Source: "list"}
+		return audit.EndpointStateChange{Endpoint: id, Group: 7, State: state, Source: "list"}
 	}
 	for _, step := range []struct {
 		name  string
@@ -43,7 +43,7 @@
 			"a change",
 			config.EndpointList{Version: 2, Endpoints: []config.EndpointEntry{entry("a", "gone"), entry("b", "ready")}},
 			balance.ListDelta,
-			[]audit.Event{changed("a", "gone"), changed("b", "ready"), audit.List{Version: 2, Ready: 1, Going: 1}},
+			[]audit.Event{changed("a", "gone"), changed("b", "ready"), audit.List{Version: 2, Ready: 1, Gone: 1}},
 		},
 		{"an event without endpoints is not recorded", config.EndpointList{Version: 3}, balance.ListDelta, nil},
 		{
@@ -51,7 +51,7 @@
 			config.EndpointList{Version: 4},
 			balance.ListFull,
 			[]audit.Event{
-				audit.Drain{Endpoint: "b", State: "not listed", Source: "list"},
+				audit.EndpointStateChange{Endpoint: "b", State: "not listed", Source: "list"},
 				audit.List{Version: 4, Full: true},
 			},
 		},
--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -184,18 +184,18 @@
 }
 
 // clockQuality reports whether the system clock is synchronized and, if so, its maximum error.
-func clockQuality() audit.Quality {
+func clockQuality() audit.ClockQuality {
 	var clock unix.Timex
 	state, err := unix.Adjtimex(&clock)
 	if err != nil || state == unix.TIME_ERROR || clock.Status&unix.STA_UNSYNC != 0 {
-		return audit.Quality{}
+		return audit.ClockQuality{}
 	}
-	return audit.Quality{Synced: true, Accuracy: time.Duration(clock.Maxerror) * time.Microsecond}
+	return audit.ClockQuality{Synced: true, Accuracy: time.Duration(clock.Maxerror) * time.Microsecond}
 }
 
 // reportLosses records how many records were dropped, and repeats this after every report interval.
 func (r *auditRecording) reportLosses() {
-	r.recorder.Tick()
+	r.recorder.ReportDropped()
 	r.loop.AfterFunc(r.limits.Audit.LossReportInterval, r.reportLosses)
 }
 
@@ -224,7 +224,7 @@
 // endpointStateChanged records that an endpoint was suspended or resumed.
 func (r *auditRecording) endpointStateChanged(id, state, requestedBy string) {
 	if r != nil {
-		r.recorder.Record(audit.Drain{Endpoint: id, State: state, Source: requestedBy})
+		r.recorder.Record(audit.EndpointStateChange{Endpoint: id, State: state, Source: requestedBy})
 	}
 }
 
@@ -286,7 +286,7 @@
 	if key == nil || *key == *currentChainKey(r.deploy.Audit) {
 		return true
 	}
-	return r.shipper.Use(*key)
+	return r.shipper.UseKey(*key)
 }
 
 // close records the end of the process and ships the queued records. It returns after flushTimeout at the latest, so
@@ -296,15 +296,15 @@
 		return
 	}
 	r.recorder.End(audit.End{
-		Taken:   counts.Accepted,
-		Served:  counts.Served,
-		Refused: counts.Rejected,
-		Failed:  counts.Failed,
-		Left:    counts.Disconnected,
+		Accepted:     counts.Accepted,
+		Served:       counts.Served,
+		Rejected:     counts.Rejected,
+		Failed:       counts.Failed,
+		Disconnected: counts.Disconnected,
 	})
 	unshipped := r.shipper.Close(r.flushTimeout / 2)
 	r.sender.Close(r.flushTimeout / 2)
 	stats := r.sender.Stats()
-	r.log.Info("audit recording ended", "records", r.recorder.Numbers(),
+	r.log.Info("audit recording ended", "records", r.recorder.LastNumber(),
 		"sent", stats.Sent, "spooled", stats.Spooled, "lost", uint64(unshipped)+stats.Lost)
 }
--- a/cmd/limeladder/audit_recording_bench_test.go
+++ b/cmd/limeladder/audit_recording_bench_test.go
@@ -118,7 +118,7 @@
 			pipeline.close(time.Minute)
 			used := processorTime(b) - before
 			b.StopTimer()
-			if dropped, lost := pipeline.queue.Lost(true); lost || pipeline.sender.Stats().Lost > 0 {
+			if dropped, lost := pipeline.queue.TakeDropped(true); lost || pipeline.sender.Stats().Lost > 0 {
 				b.Fatalf("records lost: queue %+v, sender %+v", dropped, pipeline.sender.Stats())
 			}
 			// Per processor time, because the goroutines sleep between two checks of the queue.
@@ -279,7 +279,7 @@
 					Request: "request-1234", Class: "look", Endpoint: "db-17", Attempts: make([]audit.Attempt, 1),
 				})
 			}
-			pipeline.recorder.Tick()
+			pipeline.recorder.ReportDropped()
 			time.Sleep(100 * time.Millisecond)
 			maxHeap = max(maxHeap, heapInUse()-min(before, heapInUse()))
 		}
--- a/cmd/limeladder/audit_verify.go
+++ b/cmd/limeladder/audit_verify.go
@@ -93,8 +93,8 @@
 	for _, fault := range report.Faults {
 		fmt.Fprintln(out, "fault:", fault)
 	}
-	if report.More > 0 {
-		fmt.Fprintf(out, "and %d more faults\n", report.More)
+	if report.OmittedFaults > 0 {
+		fmt.Fprintf(out, "and %d more faults\n", report.OmittedFaults)
 	}
 }
 
@@ -123,7 +123,7 @@
 	case !report.Clean():
 		fmt.Fprintln(out, "not whole: the first fault is", report.Faults[0])
 		return exitFaultsFound
-	case !report.Proved:
+	case !report.HasKeys:
 		fmt.Fprintf(out, "numbers fit in %d messages; nothing is proved without --keys\n", report.Messages)
 		return exitNotYetProved
 	case report.Open():
--- a/internal/audit/encode_event.go
+++ b/internal/audit/encode_event.go
@@ -26,11 +26,11 @@
 
 // answerSeverities are the severities of answers, indexed by outcome.
 var answerSeverities = [outcomeCount]syslog.Severity{
-	Served:  syslog.Info,
-	Refused: syslog.Warning,
-	Failed:  syslog.Err,
-	Cut:     syslog.Err,
-	Left:    syslog.Notice,
+	Served:       syslog.Info,
+	Rejected:     syslog.Warning,
+	Failed:       syslog.Err,
+	Truncated:    syslog.Err,
+	Disconnected: syslog.Notice,
 }
 
 // severityOf returns the severity of an event's message.
@@ -58,8 +58,8 @@
 	builder := e.builder
 	builder.Element(e.elementIDs[elementEvent], false)
 	switch v := event.(type) {
-	case Drain:
-		return writeDrain(builder, v)
+	case EndpointStateChange:
+		return writeEndpointStateChange(builder, v)
 	case Router:
 		builder.String(rankOutcome, "state", v.State)
 		builder.String(rankDetails, "by", v.Source)
@@ -85,12 +85,12 @@
 	return ""
 }
 
-func writeDrain(builder *syslog.Builder, drain Drain) string {
-	builder.String(rankRequest, "node", drain.Endpoint)
-	builder.Int(rankRequest, "group", drain.Group)
-	builder.String(rankOutcome, "state", drain.State)
-	builder.String(rankDetails, "by", drain.Source)
-	return "db machine " + drain.Endpoint + " is " + drain.State + ", says " + drain.Source
+func writeEndpointStateChange(builder *syslog.Builder, change EndpointStateChange) string {
+	builder.String(rankRequest, "node", change.Endpoint)
+	builder.Int(rankRequest, "group", change.Group)
+	builder.String(rankOutcome, "state", change.State)
+	builder.String(rankDetails, "by", change.Source)
+	return "db machine " + change.Endpoint + " is " + change.State + ", says " + change.Source
 }
 
 func writePrimary(builder *syslog.Builder, primary Primary) string {
@@ -112,7 +112,7 @@
 	builder.String(rankEndpoint, "full", formatFlag(list.Full))
 	builder.Int(rankEndpoint, "ready", int64(list.Ready))
 	builder.Int(rankEndpoint, "draining", int64(list.Draining))
-	builder.Int(rankEndpoint, "gone", int64(list.Going))
+	builder.Int(rankEndpoint, "gone", int64(list.Gone))
 }
 
 func writeReload(builder *syslog.Builder, reload Reload) {
@@ -124,11 +124,11 @@
 }
 
 func writeEnd(builder *syslog.Builder, end End) string {
-	builder.Uint(rankOutcome, "taken", end.Taken)
+	builder.Uint(rankOutcome, "taken", end.Accepted)
 	builder.Uint(rankOutcome, "served", end.Served)
-	builder.Uint(rankOutcome, "refused", end.Refused)
+	builder.Uint(rankOutcome, "refused", end.Rejected)
 	builder.Uint(rankOutcome, "failed", end.Failed)
-	builder.Uint(rankOutcome, "left", end.Left)
+	builder.Uint(rankOutcome, "left", end.Disconnected)
 	return "recording ends"
 }
 
@@ -173,7 +173,7 @@
 // sqlstateOf returns the SQLSTATE that the client got, or an empty string if it got none.
 func (e *Encoder) sqlstateOf(answer *Answer) string {
 	switch {
-	case answer.Outcome == Refused:
+	case answer.Outcome == Rejected:
 		return e.options.RejectedSQLSTATE
 	case answer.Outcome == Failed:
 		return e.options.FailedSQLSTATE
--- a/internal/audit/encoder.go
+++ b/internal/audit/encoder.go
@@ -19,14 +19,14 @@
 	Version          string // the version of the program, for the element origin
 	Start            string // the id of this start of the program
 	StartedAt        time.Time
-	RejectedSQLSTATE string         // the SQLSTATE that a client gets when its request is rejected
-	FailedSQLSTATE   string         // the SQLSTATE that a client gets when its request fails
-	Key              *Key           // nil = no chain
-	Quality          func() Quality // reads the quality of the clock; nil = messages have no element timeQuality
+	RejectedSQLSTATE string              // the SQLSTATE that a client gets when its request is rejected
+	FailedSQLSTATE   string              // the SQLSTATE that a client gets when its request fails
+	Key              *Key                // nil = no chain
+	Quality          func() ClockQuality // reads the quality of the clock; nil = messages have no element timeQuality
 }
 
-// Quality is the quality of the clock, for the element timeQuality (RFC 5424, section 7.1).
-type Quality struct {
+// ClockQuality is the quality of the clock, for the element timeQuality (RFC 5424, section 7.1).
+type ClockQuality struct {
 	Synced   bool
 	Accuracy time.Duration // the maximum error of a synced clock; 0 = unknown
 }
--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -22,7 +22,7 @@
 		Enterprise: 4294967295, MaxMessageBytes: maxBytes, Software: "limeladder", Version: "(devel)",
 		Start: audit.NewStartID(time.Unix(1.8e9, 0), 1), StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: k,
-		Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: time.Second} },
+		Quality: func() audit.ClockQuality { return audit.ClockQuality{Synced: true, Accuracy: time.Second} },
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -51,7 +51,7 @@
 	s := func() string { return hostileText(rng) }
 	switch rng.IntN(10) {
 	case 0:
-		return audit.Drain{Endpoint: s(), Group: rng.Int64() - 1<<62, State: "draining", Source: s()}
+		return audit.EndpointStateChange{Endpoint: s(), Group: rng.Int64() - 1<<62, State: "draining", Source: s()}
 	case 1:
 		return audit.Primary{Group: 7, Endpoint: s(), Believed: rng.IntN(2) == 0, Reason: s()}
 	case 2:
@@ -62,7 +62,7 @@
 			audit.Router{State: s()},
 			audit.Reload{What: s(), Error: s()},
 			audit.Start{Router: s(), Key: s()},
-			audit.End{Taken: rng.Uint64()},
+			audit.End{Accepted: rng.Uint64()},
 			audit.Dropped{Count: rng.Uint64(), First: rng.Uint64(), Last: rng.Uint64()},
 		}[rng.IntN(6)]
 	}
@@ -141,7 +141,7 @@
 		if element := m.Find("answer@4294967295"); !isCut && element != nil {
 			checkAttempts(tb, v, element)
 		}
-	case audit.Drain:
+	case audit.EndpointStateChange:
 		checkParam("event", "node", v.Endpoint)
 		checkParam("event", "by", v.Source)
 	case audit.Note:
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -54,11 +54,11 @@
 
 // The outcomes.
 const (
-	Served  Outcome = iota
-	Refused         // rejected; the client can safely retry
-	Failed          // failed; the request may or may not have been executed
-	Cut             // truncated: the connection broke while the response was forwarded
-	Left            // the client disconnected
+	Served       Outcome = iota
+	Rejected             // the client can safely retry
+	Failed               // the request may or may not have been executed
+	Truncated            // the connection broke while the response was forwarded
+	Disconnected         // the client disconnected before the answer
 	outcomeCount
 )
 
@@ -96,8 +96,8 @@
 	Retry    time.Duration // the retry delay that a rejected client was given; 0 = none
 }
 
-// Drain records that an endpoint no longer gets new requests, or may get them again.
-type Drain struct {
+// EndpointStateChange records that an endpoint no longer gets new requests, or may get them again.
+type EndpointStateChange struct {
 	Endpoint string
 	Group    int64
 	State    string // a state of the endpoint list, or not listed, suspended or resumed
@@ -124,7 +124,7 @@
 	Full     bool // the list is complete, not a change of the previous one
 	Ready    int  // endpoints that are ready
 	Draining int  // endpoints that are draining
-	Going    int  // endpoints in any other state, such as gone
+	Gone     int  // endpoints in any other state, such as gone
 }
 
 // Reload records that the configuration was reloaded.
@@ -141,11 +141,11 @@
 
 // End is the last record of each start; it holds the totals of the start.
 type End struct {
-	Taken   uint64 // accepted requests
-	Served  uint64
-	Refused uint64
-	Failed  uint64
-	Left    uint64
+	Accepted     uint64 // accepted requests
+	Served       uint64
+	Rejected     uint64
+	Failed       uint64
+	Disconnected uint64
 }
 
 // Dropped counts the records that were dropped from the full queue since the previous Dropped record.
@@ -162,35 +162,35 @@
 	Text  string
 }
 
-func (*Answer) kind() Kind { return KindAnswer }
-func (Drain) kind() Kind   { return KindDrain }
-func (Router) kind() Kind  { return KindRouter }
-func (Primary) kind() Kind { return KindPrimary }
-func (List) kind() Kind    { return KindList }
-func (Reload) kind() Kind  { return KindReload }
-func (Start) kind() Kind   { return KindStart }
-func (End) kind() Kind     { return KindEnd }
-func (Dropped) kind() Kind { return KindDropped }
-func (Note) kind() Kind    { return KindNote }
+func (*Answer) kind() Kind             { return KindAnswer }
+func (EndpointStateChange) kind() Kind { return KindDrain }
+func (Router) kind() Kind              { return KindRouter }
+func (Primary) kind() Kind             { return KindPrimary }
+func (List) kind() Kind                { return KindList }
+func (Reload) kind() Kind              { return KindReload }
+func (Start) kind() Kind               { return KindStart }
+func (End) kind() Kind                 { return KindEnd }
+func (Dropped) kind() Kind             { return KindDropped }
+func (Note) kind() Kind                { return KindNote }
 
 func (a *Answer) level() Level {
 	switch {
 	case a.Outcome == Served && !a.Writes:
 		return LevelServedRead
-	case a.Outcome == Served, a.Outcome == Left:
+	case a.Outcome == Served, a.Outcome == Disconnected:
 		return LevelNormal
 	}
 	return LevelUnserved
 }
-func (Drain) level() Level   { return LevelStateChange }
-func (Router) level() Level  { return LevelStateChange }
-func (Primary) level() Level { return LevelStateChange }
-func (List) level() Level    { return LevelNormal }
-func (Reload) level() Level  { return LevelStateChange }
-func (Start) level() Level   { return LevelStateChange }
-func (End) level() Level     { return LevelStateChange }
-func (Dropped) level() Level { return LevelStateChange }
-func (Note) level() Level    { return LevelNormal }
+func (EndpointStateChange) level() Level { return LevelStateChange }
+func (Router) level() Level              { return LevelStateChange }
+func (Primary) level() Level             { return LevelStateChange }
+func (List) level() Level                { return LevelNormal }
+func (Reload) level() Level              { return LevelStateChange }
+func (Start) level() Level               { return LevelStateChange }
+func (End) level() Level                 { return LevelStateChange }
+func (Dropped) level() Level             { return LevelStateChange }
+func (Note) level() Level                { return LevelNormal }
 
 const (
 	// recordOverhead is the memory of a record without its texts, in bytes.
@@ -203,12 +203,12 @@
 	n := recordOverhead + len(a.Request) + len(a.Class) + len(a.Tenant) + len(a.Client) + len(a.Reason)
 	return n + attemptSize*cap(a.Attempts)
 }
-func (d Drain) size() int   { return recordOverhead + len(d.Endpoint) }
-func (r Router) size() int  { return recordOverhead }
-func (p Primary) size() int { return recordOverhead + len(p.Reason) }
-func (l List) size() int    { return recordOverhead }
-func (r Reload) size() int  { return recordOverhead + len(r.What) + len(r.Error) }
-func (s Start) size() int   { return recordOverhead }
-func (e End) size() int     { return recordOverhead }
-func (d Dropped) size() int { return recordOverhead }
-func (n Note) size() int    { return recordOverhead + len(n.Text) }
+func (d EndpointStateChange) size() int { return recordOverhead + len(d.Endpoint) }
+func (r Router) size() int              { return recordOverhead }
+func (p Primary) size() int             { return recordOverhead + len(p.Reason) }
+func (l List) size() int                { return recordOverhead }
+func (r Reload) size() int              { return recordOverhead + len(r.What) + len(r.Error) }
+func (s Start) size() int               { return recordOverhead }
+func (e End) size() int                 { return recordOverhead }
+func (d Dropped) size() int             { return recordOverhead }
+func (n Note) size() int                { return recordOverhead + len(n.Text) }
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -81,7 +81,7 @@
 		},
 		{
 			&audit.Answer{
-				Request: "request-2", Class: "job", Outcome: audit.Refused, Writes: true, Reason: "no \"room\"]\\",
+				Request: "request-2", Class: "job", Outcome: audit.Rejected, Writes: true, Reason: "no \"room\"]\\",
 				Queued: 2 * time.Millisecond, Total: 2 * time.Millisecond, Retry: 1500 * time.Millisecond,
 			},
 			4, "ANSWER",
@@ -105,13 +105,13 @@
 				"request/id=request-3 request/class=job request/group=-1", "job failed after 1000 ms",
 		},
 		{
-			&audit.Answer{Request: "request-4", Class: "view", Outcome: audit.Cut, Code: "57014"}, 3, "ANSWER",
+			&audit.Answer{Request: "request-4", Class: "view", Outcome: audit.Truncated, Code: "57014"}, 3, "ANSWER",
 			"answer/outcome=cut answer/sqlstate=57014 answer/writes=0 answer/may-have-run=0 answer/total-us=0 " +
 				"answer/queued-us=0 answer/worked-us=0 answer/attempts=0 request/id=request-4 request/class=view " +
 				"request/group=0", "view cut after 0 ms",
 		},
 		{
-			&audit.Answer{Request: "request-5", Class: "view", Outcome: audit.Left}, 5, "ANSWER",
+			&audit.Answer{Request: "request-5", Class: "view", Outcome: audit.Disconnected}, 5, "ANSWER",
 			"answer/outcome=left answer/writes=0 answer/may-have-run=0 answer/total-us=0 answer/queued-us=0 " +
 				"answer/worked-us=0 answer/attempts=0 request/id=request-5 request/class=view request/group=0",
 			"view left after 0 ms",
@@ -141,7 +141,7 @@
 			"event/router=router-1 event/key=key-2", "recording begins",
 		},
 		{
-			audit.Drain{Endpoint: "endpoint-1", Group: 3, State: "draining", Source: "list"},
+			audit.EndpointStateChange{Endpoint: "endpoint-1", Group: 3, State: "draining", Source: "list"},
 			5, "DRAIN",
 			"event/node=endpoint-1 event/group=3 event/state=draining event/by=list",
 			"db machine endpoint-1 is draining, says list",
@@ -163,7 +163,7 @@
 			"primary endpoint-2 of group 4 is doubted",
 		},
 		{
-			audit.List{Version: 41, Full: true, Ready: 5, Draining: 6, Going: 7},
+			audit.List{Version: 41, Full: true, Ready: 5, Draining: 6, Gone: 7},
 			6, "LIST",
 			"event/version=41 event/full=1 event/ready=5 event/draining=6 event/gone=7", "",
 		},
@@ -181,7 +181,7 @@
 		},
 		{audit.Note{Topic: "store", Text: "no leader"}, 6, "NOTE", "event/topic=store", "no leader"},
 		{
-			audit.End{Taken: 21, Served: 22, Refused: 23, Failed: 24, Left: 25},
+			audit.End{Accepted: 21, Served: 22, Rejected: 23, Failed: 24, Disconnected: 25},
 			5, "END",
 			"event/taken=21 event/served=22 event/refused=23 event/failed=24 event/left=25", "recording ends",
 		},
@@ -207,7 +207,7 @@
 		Enterprise: 32473, MaxMessageBytes: 2048, Software: "limeladder", Version: "1.0",
 		Start: audit.NewStartID(goldenStart, 0xabcdef), StartedAt: goldenStart,
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[1],
-		Quality: func() audit.Quality { return audit.Quality{Synced: true, Accuracy: 3 * time.Millisecond} },
+		Quality: func() audit.ClockQuality { return audit.ClockQuality{Synced: true, Accuracy: 3 * time.Millisecond} },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/audit/queue.go
+++ b/internal/audit/queue.go
@@ -117,10 +117,10 @@
 	return oldest
 }
 
-// Lost returns and resets the counts of dropped records. ok is false if no record was dropped. Unless end is set, which
-// means that the recording ends, ok is also false while more than half of the queue is used, so that there is room for
-// the record that reports the counts.
-func (q *Queue) Lost(end bool) (losses Dropped, ok bool) {
+// TakeDropped returns and resets the counts of dropped records. ok is false if no record was dropped. Unless end is set,
+// which means that the recording ends, ok is also false while more than half of the queue is used, so that there is room
+// for the record that reports the counts.
+func (q *Queue) TakeDropped(end bool) (losses Dropped, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.dropped.Count == 0 || !end && q.isOverHalfFull() {
--- a/internal/audit/queue_test.go
+++ b/internal/audit/queue_test.go
@@ -30,7 +30,7 @@
 			}
 			seq++
 			events := []Event{
-				newAnswer(Served, false), newAnswer(Served, true), newAnswer(Refused, true), Router{State: "drained"},
+				newAnswer(Served, false), newAnswer(Served, true), newAnswer(Rejected, true), Router{State: "drained"},
 			}
 			event := events[rapid.IntRange(0, 3).Draw(t, "event")]
 			if a, ok := event.(*Answer); ok {
@@ -53,7 +53,7 @@
 			}
 			takenCount += uint64(len(recs))
 		}
-		lost, _ = queue.Lost(true)
+		lost, _ = queue.TakeDropped(true)
 		if takenCount+lost.Count != seq {
 			t.Fatalf("%d records were taken and %d dropped, want a sum of %d", takenCount, lost.Count, seq)
 		}
@@ -102,7 +102,7 @@
 
 // Guards against a queue full of rejected requests that drops the first of them instead of the newest, or that does not
 // report which were dropped.
-func TestQueueFullOfRefused(t *testing.T) {
+func TestQueueFullOfRejected(t *testing.T) {
 	queue := NewQueue(100, 1<<20)
 	policy, err := NewPolicy(Rules{Reads: 1}, nil)
 	if err != nil {
@@ -110,15 +110,15 @@
 	}
 	r := NewRecorder(policy, queue, time.Now)
 	for range 1000 {
-		r.Record(newAnswer(Refused, true))
+		r.Record(newAnswer(Rejected, true))
 	}
-	if r.Tick(); r.Numbers() != 1000 {
+	if r.ReportDropped(); r.LastNumber() != 1000 {
 		t.Fatal("the dropped records were reported while the queue was full, want that only once it is half empty")
 	}
 	if got := queue.Take(nil, 90); len(got) != 90 || got[0].Seq != 1 || got[89].Seq != 90 {
 		t.Fatalf("%d records were taken, want 90 with the numbers 1 to 90", len(got))
 	}
-	r.Tick()
+	r.ReportDropped()
 	got := queue.Take(nil, 99)
 	d, ok := got[len(got)-1].Event.(Dropped)
 	want := Dropped{Count: 900, First: 101, Last: 1000, ByLevel: [levelCount]uint64{LevelUnserved: 900}}
@@ -142,7 +142,7 @@
 			t.Fatalf("record %d is %+v, want a failed request", i, rec.Event)
 		}
 	}
-	if _, ok := left[len(left)-1].Event.(End); !ok || r.Numbers() != left[len(left)-1].Seq {
+	if _, ok := left[len(left)-1].Event.(End); !ok || r.LastNumber() != left[len(left)-1].Seq {
 		t.Fatalf("the last record is %+v, want the end with the last number", left[len(left)-1])
 	}
 }
@@ -169,14 +169,14 @@
 		if a.Writes = true; !policy.Selects(a) {
 			t.Fatal("a served write was not selected, want every write")
 		}
-		if a.Outcome, a.Writes = Refused, false; !policy.Selects(a) {
+		if a.Outcome, a.Writes = Rejected, false; !policy.Selects(a) {
 			t.Fatal("a rejected read was not selected, want every read that was not served")
 		}
 	}
 	if sampledReads < 2300 || sampledReads > 2700 {
 		t.Fatalf("%d of 10000 served reads were selected, want 2300 to 2700", sampledReads)
 	}
-	for _, event := range []Event{newAnswer(Failed, true), newAnswer(Left, true), Drain{}, Note{}} {
+	for _, event := range []Event{newAnswer(Failed, true), newAnswer(Disconnected, true), EndpointStateChange{}, Note{}} {
 		if policy.Selects(event) {
 			t.Errorf("%T %+v was selected, want it excluded by the rules", event, event)
 		}
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -34,9 +34,10 @@
 	r.queue.Push(Record{Seq: r.lastNumber, Time: r.now(), Event: event})
 }
 
-// Tick records how many records were dropped, once the queue has room for that record. It is called periodically.
-func (r *Recorder) Tick() {
-	if losses, ok := r.queue.Lost(false); ok && !r.ended {
+// ReportDropped records how many records were dropped, once the queue has room for that record. It is called
+// periodically.
+func (r *Recorder) ReportDropped() {
+	if losses, ok := r.queue.TakeDropped(false); ok && !r.ended {
 		r.push(losses)
 	}
 }
@@ -46,7 +47,7 @@
 	if r.ended {
 		return
 	}
-	if losses, ok := r.queue.Lost(true); ok {
+	if losses, ok := r.queue.TakeDropped(true); ok {
 		r.push(losses)
 	}
 	r.push(end)
@@ -56,5 +57,5 @@
 // SetPolicy replaces the policy that selects the events recorded from then on.
 func (r *Recorder) SetPolicy(policy *Policy) { r.policy = policy }
 
-// Numbers returns the number of records so far, dropped ones included, which is also the number of the newest record.
-func (r *Recorder) Numbers() uint64 { return r.lastNumber }
+// LastNumber returns the number of the newest record, which is also the count of records so far, dropped ones included.
+func (r *Recorder) LastNumber() uint64 { return r.lastNumber }
--- a/internal/audit/shipper.go
+++ b/internal/audit/shipper.go
@@ -68,9 +68,9 @@
 	return s
 }
 
-// Use changes the key of the chain. A head that is written with the old key first proves the earlier messages. Only one
-// change may be pending: Use returns false if the previous one has not been applied yet.
-func (s *Shipper) Use(key Key) bool {
+// UseKey changes the key of the chain. A head that is written with the old key first proves the earlier messages. Only
+// one change may be pending: UseKey returns false if the previous one has not been applied yet.
+func (s *Shipper) UseKey(key Key) bool {
 	select {
 	case s.keys <- key:
 		return true
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -61,7 +61,7 @@
 	head(next)
 	record(5, audit.Dropped{Count: 2, First: 3, Last: 4, ByLevel: [4]uint64{2}})
 	record(6, audit.Router{State: "drained", Source: "operator"})
-	record(7, audit.End{Taken: 3, Served: 3})
+	record(7, audit.End{Accepted: 3, Served: 3})
 	head(nil)
 	return file.Bytes()
 }
--- a/internal/audit/verify/report.go
+++ b/internal/audit/verify/report.go
@@ -39,17 +39,17 @@
 
 // Report is the result of verifying one or more files.
 type Report struct {
-	Messages int
-	Foreign  int // messages without an audit element, which are ignored
-	Faults   []Fault
-	More     int // faults beyond maxFaults, which are only counted
-	Starts   []*Start
-	Proved   bool // the chain was checked, because there were keys
+	Messages      int
+	Foreign       int // messages without an audit element, which are ignored
+	Faults        []Fault
+	OmittedFaults int // faults beyond maxFaults, which are only counted
+	Starts        []*Start
+	HasKeys       bool // there were keys, so the chain was checked
 }
 
 // Complete reports whether there are no faults and every start is proved from its first record to its last. Records
 // that the router reported as dropped are not faults.
-func (r *Report) Complete() bool { return r.Clean() && r.Proved && !r.Open() }
+func (r *Report) Complete() bool { return r.Clean() && r.HasKeys && !r.Open() }
 
 // Clean reports whether no faults were found in the files.
 func (r *Report) Clean() bool { return len(r.Faults) == 0 }
@@ -68,7 +68,7 @@
 // addFault adds a fault; faults beyond maxFaults are only counted.
 func (r *Report) addFault(fault Fault) {
 	if len(r.Faults) == maxFaults {
-		r.More++
+		r.OmittedFaults++
 		return
 	}
 	r.Faults = append(r.Faults, fault)
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -52,7 +52,7 @@
 		v.keyNames = append(v.keyNames, name)
 	}
 	slices.Sort(v.keyNames)
-	v.report.Proved = len(v.keyNames) > 0
+	v.report.HasKeys = len(v.keyNames) > 0
 	return v
 }
 
@@ -208,7 +208,7 @@
 // checkLink checks that the link of a message matches the previous message of the chain, and reports whether it does.
 // Without keys it returns true, because links cannot be checked.
 func (v *Verifier) checkLink(state *startState, m *message, fault faultFunc) bool {
-	if !v.report.Proved || m.link == state.link || v.matchesOtherKey(state, m.link) {
+	if !v.report.HasKeys || m.link == state.link || v.matchesOtherKey(state, m.link) {
 		return true
 	}
 	state.hasFault = true
@@ -276,7 +276,7 @@
 // checkHead checks a head of the chain, which proves the messages since the previous head.
 func (v *Verifier) checkHead(state *startState, m *message, fault faultFunc) {
 	state.Heads++
-	if !v.report.Proved {
+	if !v.report.HasKeys {
 		return
 	}
 	if _, ok := v.options.Keys[m.key]; !ok {
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("repeated messages: the report is %+v, want a complete one with 5 repeated and 1 foreign message", r)
 	}
 	// Without keys nothing is proved. A wrong key is a fault.
-	if r := verifyFiles(t, verify.Options{}, asLines(msgs)); !r.Clean() || r.Complete() || r.Proved {
+	if r := verifyFiles(t, verify.Options{}, asLines(msgs)); !r.Clean() || r.Complete() || r.HasKeys {
 		t.Errorf("without keys: the report is %+v, want no faults and no proof", r)
 	}
 	if r := verifyFiles(t, verify.Options{Keys: map[string][32]byte{"one": keyTwo.Secret}}, asLines(msgs)); r.Clean() {
@@ -211,7 +211,8 @@
 		}
 		head, _ := e.EncodeHead(time.Unix(1, 0), nil)
 		if r := verifyFiles(t, options(), asLines(append(msgs, head))); r.Complete() != wantComplete {
-			t.Errorf("%d of 3 missing numbers were reported: the faults are %v, want a complete report only for 3", reported, r.Faults)
+			t.Errorf("%d of 3 missing numbers were reported as dropped: the faults are %v, want a complete report only for 3",
+				reported, r.Faults)
 		}
 	}
 }
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -82,7 +82,7 @@
 func (r *Router) RecordRejection(received Request, retryAfter time.Duration) {
 	r.counts.Accepted++
 	r.counts.Rejected++
-	r.auditAnswer(&request{Request: received}, audit.Refused, audit.Answer{Retry: retryAfter})
+	r.auditAnswer(&request{Request: received}, audit.Rejected, audit.Answer{Retry: retryAfter})
 }
 
 // Disconnect handles the disconnect of a request's client. The attempt of an idempotent request is cancelled: its
@@ -95,7 +95,7 @@
 	}
 	r.finish(req)
 	r.counts.Disconnected++
-	r.auditAnswer(req, audit.Left, audit.Answer{})
+	r.auditAnswer(req, audit.Disconnected, audit.Answer{})
 	if !req.queued {
 		r.withdraw(req)
 	}
--- a/internal/router/audit_record.go
+++ b/internal/router/audit_record.go
@@ -66,7 +66,7 @@
 
 // mayHaveRun reports whether a request with this outcome was, may have been or may still be executed.
 func (req *request) mayHaveRun(outcome audit.Outcome) bool {
-	if outcome == audit.Served || outcome == audit.Cut {
+	if outcome == audit.Served || outcome == audit.Truncated {
 		return true
 	}
 	return req.attempts.mayHaveRun || req.attempts.isInFlight()
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -41,7 +41,7 @@
 	r.finish(req)
 	r.counts.Failed++
 	r.log.Debug("response truncated", "request", req.ClientRequestID, "class", req.Class, "elapsed", r.age(req))
-	r.auditAnswer(req, audit.Cut, audit.Answer{Reason: reasonTruncated})
+	r.auditAnswer(req, audit.Truncated, audit.Answer{Reason: reasonTruncated})
 	req.client.ResponseTruncated()
 	r.release(req)
 }
@@ -69,7 +69,7 @@
 	if retryAfter <= 0 {
 		retryAfter = r.limits.Router.DefaultRetryAfter
 	}
-	r.auditAnswer(req, audit.Refused, audit.Answer{Retry: retryAfter, Reason: recordedReason})
+	r.auditAnswer(req, audit.Rejected, audit.Answer{Retry: retryAfter, Reason: recordedReason})
 	req.client.Rejected(retryAfter)
 	r.release(req)
 }
--- a/internal/router/forward_test.go
+++ b/internal/router/forward_test.go
@@ -19,8 +19,8 @@
 		outcome   audit.Outcome
 	}{
 		{"complete", balance.StatusDone, 1, 0, audit.Served},
-		{"connection reset", balance.StatusReset, 0, 1, audit.Cut},
-		{"endpoint failed", balance.StatusError, 0, 1, audit.Cut},
+		{"connection reset", balance.StatusReset, 0, 1, audit.Truncated},
+		{"endpoint failed", balance.StatusError, 0, 1, audit.Truncated},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router, peers, loop := newTestRouter(t)
--- a/internal/router/random_outcomes_test.go
+++ b/internal/router/random_outcomes_test.go
@@ -119,10 +119,10 @@
 	}
 	counts := run.router.Counts()
 	for outcome, counted := range map[audit.Outcome]uint64{
-		audit.Served:  counts.Served,
-		audit.Refused: counts.Rejected,
-		audit.Failed:  counts.Failed,
-		audit.Left:    counts.Disconnected,
+		audit.Served:       counts.Served,
+		audit.Rejected:     counts.Rejected,
+		audit.Failed:       counts.Failed,
+		audit.Disconnected: counts.Disconnected,
 	} {
 		if outcomes[outcome] != counted {
 			t.Errorf("outcome %v: got %d audit records, counter is %d", outcome, outcomes[outcome], counted)
@@ -138,7 +138,7 @@
 		"an effect without an attempt": len(answer.Attempts) == 0 &&
 			(answer.Outcome == audit.Served || answer.MayHaveExecuted),
 		"the wrong kind of class": answer.Writes != write,
-		"a rejection without a Retry-After, or of a request that may have been executed": answer.Outcome == audit.Refused &&
+		"a rejection without a Retry-After, or of a request that may have been executed": answer.Outcome == audit.Rejected &&
 			(answer.Retry <= 0 || answer.MayHaveExecuted),
 		"a failed write that was not executed": answer.Outcome == audit.Failed && write && !answer.MayHaveExecuted,
 		"queued longer than in flight":         answer.Total < answer.Queued,
--- a/internal/router/site_admission_test.go
+++ b/internal/router/site_admission_test.go
@@ -24,7 +24,7 @@
 	}
 	recorded := uint64(0)
 	for _, answer := range run.peers.answers() {
-		if answer.Outcome != audit.Refused || answer.Reason == "" {
+		if answer.Outcome != audit.Rejected || answer.Reason == "" {
 			continue
 		}
 		recorded++
