--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -4,7 +4,7 @@
 //
 // Each kind of event has its own type (Answer, EndpointStateChange, Primary and others). The router and the daemon
 // report events through Recorder.Record, which runs on the event loop's goroutine and never blocks. A Policy selects
-// events, a Queue holds their records, and a Shipper, on its own goroutine, takes them from the queue, encodes them with
-// an Encoder and passes the messages to a Sink. The page docs/syslog.md describes the messages; package verify checks
-// files of them.
+// events, a Queue holds their records, and a Shipper, on its own goroutine, takes them from the queue, encodes them
+// with an Encoder and passes the messages to a Sink. The page docs/syslog.md describes the messages; package verify
+// checks files of them.
 package audit
--- a/internal/audit/queue.go
+++ b/internal/audit/queue.go
@@ -117,9 +117,9 @@
 	return oldest
 }
 
-// TakeDropped returns and resets the counts of dropped records. ok is false if no record was dropped. Unless end is set,
-// which means that the recording ends, ok is also false while more than half of the queue is used, so that there is room
-// for the record that reports the counts.
+// TakeDropped returns and resets the counts of dropped records. ok is false if no record was dropped. Unless end is
+// set, which means that the recording ends, ok is also false while more than half of the queue is used, so that there
+// is room for the record that reports the counts.
 func (q *Queue) TakeDropped(end bool) (losses Dropped, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
