--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -214,7 +214,7 @@
 		fmt.Fprintf(out, "  /* id=1,c=%s,d=%d,cluster=1 */ SELECT 1;\n", k.Name, k.ClientTimeout.Milliseconds())
 	}
 	fmt.Fprintf(out, "\nDb machines, in banks (clusters) of %d:\n\n", s.Config.Members)
-	members := st.host.Members()
+	members := st.host.Addresses()
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		fmt.Fprintf(out, "  %-6s %s\n", id, members[id])
 	}
@@ -231,7 +231,7 @@
 	}
 	defer st.stop()
 	res := &fleet.Result{Seed: seed, Rules: map[string]int{}}
-	res.Names = slices.Sorted(maps.Keys(st.host.Members()))
+	res.Names = slices.Sorted(maps.Keys(st.host.Addresses()))
 	// What the router alone could tell is left out; what reaches the machines, and what clients wait for, is counted there.
 	res.Unseen = []string{"rules", "refusals", "pushed_over"}
 	var open atomic.Int64
@@ -270,11 +270,11 @@
 		return nil, nil, err
 	}
 	res.Worth, res.Whole, res.Window, res.Class, res.Worst = got.Worth, got.Whole, got.Window, got.Class, got.Worst
-	res.Tally, res.Seconds, res.Marks = got.Tally, got.Seconds, st.host.Marks()
+	res.Tally, res.Seconds, res.Marks = got.Tally, got.Seconds, st.host.InjectedFaults()
 	for i := range res.Marks {
 		res.Marks[i].At -= at
 	}
-	res.Changes, _ = st.host.Changes()
+	res.Changes, _ = st.host.PrimaryChangesAndServed()
 	all := got.Latency[""]
 	for _, p := range fleet.Quantiles {
 		res.Latency = append(res.Latency, float64(all.ValueAtQuantile(100*p))/1e6)
@@ -405,12 +405,12 @@
 		if err != nil {
 			return err
 		}
-		if o.Offsets, err = load.Captured(c.From, string(text)); err != nil {
+		if o.Offsets, err = load.ParseDueTimes(c.From, string(text)); err != nil {
 			return err
 		}
 	}
 	if c.Tenants != "" {
-		if o.Tenants, err = load.ReadTenants(c.Tenants); err != nil {
+		if o.Tenants, err = load.ParseTenants(c.Tenants); err != nil {
 			return err
 		}
 	}
--- a/cmd/limeladder/audit_recording_test.go
+++ b/cmd/limeladder/audit_recording_test.go
@@ -78,7 +78,7 @@
 	case strings.HasPrefix(id, "busy"):
 		act.Code = pgwire.TooManyConnections
 	case strings.HasPrefix(id, "lost"):
-		act.Break = true
+		act.CloseConnection = true
 	case strings.HasPrefix(id, "left"):
 		arrived <- true
 		act.Delay = 100 * time.Millisecond
--- a/internal/frontend/extendedquery/session_test.go
+++ b/internal/frontend/extendedquery/session_test.go
@@ -84,7 +84,7 @@
 			return testserver.Act{}
 		}
 		broken = true
-		return testserver.Act{Break: cut == 0, TruncateAt: cut}
+		return testserver.Act{CloseConnection: cut == 0, TruncateAt: cut}
 	})
 	server := start(t, db)
 	client := testserver.Dial(t, server.addr)
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -20,8 +20,8 @@
 	"limeladder/internal/simulation/model"
 )
 
-// Visit is a statement that an endpoint has received completely over one connection.
-type Visit struct {
+// ReceivedStatement is a statement that an endpoint has received completely over one connection.
+type ReceivedStatement struct {
 	Member, Remote string // the endpoint's ID, and the remote address of the connection
 	ID, Class      string // of the request
 	Write          bool
@@ -29,8 +29,8 @@
 	Led            bool          // the endpoint is the primary of its replica group, or was at an earlier time
 }
 
-// Ending is the result of a statement at an endpoint.
-type Ending struct {
+// StatementResult is the result of a statement at an endpoint.
+type StatementResult struct {
 	Outcome  model.Outcome
 	Position time.Duration // the endpoint's replication position
 	Primary  bool          // the endpoint was the primary
@@ -40,10 +40,10 @@
 // not call the Host.
 type Observer interface {
 	// Came is called when an endpoint has received a statement completely.
-	Came(v Visit)
+	Came(v ReceivedStatement)
 	// Ended is called once for each call of Came, with the result of the statement. gone reports that there is none, since
 	// the client disconnected or the host stopped first.
-	Ended(v Visit, e Ending, gone bool)
+	Ended(v ReceivedStatement, e StatementResult, gone bool)
 }
 
 // Host runs a model of replica groups and discovery in real time.
@@ -120,8 +120,8 @@
 	return c
 }
 
-// Pushed returns the IDs of the endpoints that have failed from overload while they were warming up.
-func (h *Host) Pushed() (ids []string) {
+// OverloadedWhileWarmingUp returns the IDs of the endpoints that have failed from overload while they were warming up.
+func (h *Host) OverloadedWhileWarmingUp() (ids []string) {
 	h.withModel(func() { ids = append(ids, h.overloadedWhileWarmingUp...) })
 	return ids
 }
@@ -210,8 +210,8 @@
 // Discovery returns the address of the discovery service.
 func (h *Host) Discovery() string { return h.directory.addr }
 
-// Members returns the endpoints' addresses by endpoint ID.
-func (h *Host) Members() map[string]string {
+// Addresses returns the endpoints' addresses by endpoint ID.
+func (h *Host) Addresses() map[string]string {
 	out := map[string]string{}
 	for _, s := range h.servers {
 		out[s.endpoint.ID] = s.addr
@@ -219,15 +219,15 @@
 	return out
 }
 
-// Marks returns the faults injected so far.
-func (h *Host) Marks() []fleet.Mark {
+// InjectedFaults returns the faults injected so far.
+func (h *Host) InjectedFaults() []fleet.Mark {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]fleet.Mark(nil), h.marks...)
 }
 
-// Befall injects a fault now.
-func (h *Host) Befall(x fleet.Fault) { h.withModel(func() { h.injectFault(x) }) }
+// InjectFault injects a fault now.
+func (h *Host) InjectFault(x fleet.Fault) { h.withModel(func() { h.injectFault(x) }) }
 
 func (h *Host) injectFault(x fleet.Fault) {
 	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.startedAt.UnixNano()), Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
@@ -259,8 +259,8 @@
 	}
 }
 
-// Seat describes a router's place in the emulated environment.
-type Seat struct {
+// RouterPlacement describes a router's place in the emulated environment.
+type RouterPlacement struct {
 	Name, Listen, Operator, Zone string              // Listen and Operator are addresses
 	Discovery                    string              // address of the discovery service
 	Known                        config.EndpointList // the list with which the router starts
@@ -269,7 +269,7 @@
 
 // Settings returns the settings of a router that is the only one in front of the endpoints.
 func (h *Host) Settings(name, listen, operator string, seed uint64) ([]byte, error) {
-	return h.SettingsFor(Seat{Name: name, Listen: listen, Operator: operator, Zone: h.cfg.Zones[0], Discovery: h.Discovery(), Known: h.List(0), Seed: seed})
+	return h.SettingsFor(RouterPlacement{Name: name, Listen: listen, Operator: operator, Zone: h.cfg.Zones[0], Discovery: h.Discovery(), Known: h.List(0), Seed: seed})
 }
 
 // List returns the endpoints that have changed after a version, all of them after version 0. It is empty while
@@ -284,7 +284,7 @@
 }
 
 // SettingsFor returns the settings of one of several routers.
-func (h *Host) SettingsFor(s Seat) ([]byte, error) {
+func (h *Host) SettingsFor(s RouterPlacement) ([]byte, error) {
 	c := h.cfg
 	type lane struct {
 		Name                  string
@@ -390,8 +390,8 @@
 	return s
 }
 
-// Changes returns how often primaries have changed and how many statements the endpoints have served.
-func (h *Host) Changes() (changes int, did uint64) {
+// PrimaryChangesAndServed returns how often primaries have changed and how many statements the endpoints have served.
+func (h *Host) PrimaryChangesAndServed() (changes int, did uint64) {
 	h.withModel(func() {
 		for _, b := range h.world.Groups {
 			changes += b.PrimaryChanges()
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Stop)
-	return h, h.Members()
+	return h, h.Addresses()
 }
 
 // query returns a Query message of a request of the given class, amount of work and minimum position.
@@ -85,7 +85,7 @@
 	if x := b.Until('Z'); x.Types != "12TDCZ" {
 		t.Fatalf("extended query: got %+v, expected message types 12TDCZ", x)
 	}
-	if _, served := h.Changes(); served != 2 {
+	if _, served := h.PrimaryChangesAndServed(); served != 2 {
 		t.Errorf("got %d statements served, expected 2", served)
 	}
 }
@@ -107,7 +107,7 @@
 		t.Errorf("connection above the limit: got %q, expected too many connections", p)
 	}
 	a.Send(query("queue-view", 10*time.Second, 0))
-	h.Befall(fleet.Fault{What: "kill", Who: []string{"primary:1"}, For: 500 * time.Millisecond})
+	h.InjectFault(fleet.Fault{What: "kill", Who: []string{"primary:1"}, For: 500 * time.Millisecond})
 	if x := a.Until('Z'); !x.Ended {
 		t.Errorf("statement at the killed primary: got %+v, expected the connection to end", x)
 	}
@@ -115,7 +115,7 @@
 		c.Close()
 		t.Error("the killed endpoint accepted a connection, expected it to be refused")
 	}
-	waitFor(t, "no replica was promoted within 10 s", func() bool { n, _ := h.Changes(); return n == 1 })
+	waitFor(t, "no replica was promoted within 10 s", func() bool { n, _ := h.PrimaryChangesAndServed(); return n == 1 })
 	waitFor(t, "the killed endpoint did not restart within 10 s", func() bool {
 		c, err := net.Dial("tcp", at["db1a"])
 		if err == nil {
@@ -124,14 +124,14 @@
 		return err == nil
 	})
 	b := testserver.Dial(t, at["db1b"])
-	h.Befall(fleet.Fault{What: "hang", Who: []string{"db1b"}, For: 300 * time.Millisecond})
+	h.InjectFault(fleet.Fault{What: "hang", Who: []string{"db1b"}, For: 300 * time.Millisecond})
 	begin := time.Now()
 	b.Send(query("queue-view", time.Millisecond, 0))
 	if x := b.Until('Z'); x.Code != "" || time.Since(begin) < 200*time.Millisecond {
 		t.Errorf("statement at the hanging endpoint: got %+v after %v, expected no error and at least 200 ms",
 			x, time.Since(begin))
 	}
-	if m := h.Marks(); len(m) != 2 || m[0].Text != "kill primary:1" {
+	if m := h.InjectedFaults(); len(m) != 2 || m[0].Text != "kill primary:1" {
 		t.Errorf("got faults %+v, expected two, the first being kill primary:1", m)
 	}
 }
@@ -159,7 +159,7 @@
 	if same, _ := get("?index=1&wait=50"); same.Version != 1 || len(same.Endpoints) != 0 {
 		t.Fatalf("watch without a change: got %+v, expected version 1 without endpoints", same)
 	}
-	go h.Befall(fleet.Fault{What: "drain", Who: []string{"db1c"}})
+	go h.InjectFault(fleet.Fault{What: "drain", Who: []string{"db1c"}})
 	if l, _ = get("?index=1&wait=5000"); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != "draining" {
 		t.Fatalf("watch of a drain: got %+v, expected one draining endpoint", l)
 	}
@@ -168,7 +168,7 @@
 			t.Errorf("%s: got status %d, expected 400", q, code)
 		}
 	}
-	h.Befall(fleet.Fault{What: "discovery", For: 200 * time.Millisecond})
+	h.InjectFault(fleet.Fault{What: "discovery", For: 200 * time.Millisecond})
 	begin := time.Now()
 	if l, _ := get(""); time.Since(begin) < 180*time.Millisecond || len(l.Endpoints) != 3 {
 		t.Errorf("poll while discovery is down: got %+v after %v, expected 3 endpoints after at least 180 ms",
--- a/internal/simulation/emulator/session.go
+++ b/internal/simulation/emulator/session.go
@@ -270,8 +270,8 @@
 		return false
 	}
 	h, m := x.server.host, x.server.endpoint
-	ch := make(chan Ending, 1)
-	v := Visit{Member: m.ID, Remote: x.conn.RemoteAddr().String(), ID: head.ID, Class: head.Class}
+	ch := make(chan StatementResult, 1)
+	v := ReceivedStatement{Member: m.ID, Remote: x.conn.RemoteAddr().String(), ID: head.ID, Class: head.Class}
 	h.withModel(func() {
 		var k *fleet.Class
 		for i := range h.cfg.Classes {
@@ -293,7 +293,7 @@
 		v.Write, v.See, v.Led = w.Write, see, m.WasPrimary()
 		w.Done = func(o model.Outcome, pos time.Duration, primary bool) {
 			x.current = nil
-			ch <- Ending{o, pos, primary}
+			ch <- StatementResult{o, pos, primary}
 		}
 		h.count.Attempts++
 		if h.observer != nil {
--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -569,8 +569,8 @@
 	}
 }
 
-// ReadTenants parses tenants and their shares, such as a=3,b=1.
-func ReadTenants(text string) (out []Tenant, err error) {
+// ParseTenants parses tenants and their shares, such as a=3,b=1.
+func ParseTenants(text string) (out []Tenant, err error) {
 	for _, part := range strings.Split(text, ",") {
 		name, share, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(share, 64)
@@ -583,9 +583,9 @@
 	return out, nil
 }
 
-// Captured parses the due times in the text of the file name: one per line in ascending order, in seconds from the
+// ParseDueTimes parses the due times in the text of the file name: one per line in ascending order, in seconds from the
 // start of the run. An error names the line.
-func Captured(name, text string) (out []time.Duration, err error) {
+func ParseDueTimes(name, text string) (out []time.Duration, err error) {
 	last := 0.0
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		v, err := strconv.ParseFloat(strings.TrimSpace(line), 64)
--- a/internal/simulation/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Stop)
-	return h, h.Members()["db1a"]
+	return h, h.Addresses()["db1a"]
 }
 
 // Every request is answered and counted, both with simple and with extended queries.
@@ -124,8 +124,8 @@
 		for _, x := range r.Tally {
 			came, served = came+x.Came, served+x.Ends[0]
 		}
-		if _, executed := h.Changes(); came != r.Came || served != came || came < 400 || int(executed) != served ||
-			int(r.Latency[""].TotalCount()) != served || r.Worth < 0.95 || progressCalls == 0 {
+		if _, executed := h.PrimaryChangesAndServed(); came != r.Came || served != came || came < 400 ||
+			int(executed) != served || int(r.Latency[""].TotalCount()) != served || r.Worth < 0.95 || progressCalls == 0 {
 			t.Errorf("%d issued, %d served, %d executed, score %.3f, %d progress calls, errors %v, expected each served once",
 				came, served, executed, r.Worth, progressCalls, r.Codes)
 		}
@@ -139,7 +139,7 @@
 	o := testOptions(addr)
 	o.Arrivals, o.Conns, o.Length = "even", 2, 3*time.Second
 	time.AfterFunc(time.Second,
-		func() { h.Befall(fleet.Fault{What: "hang", Who: []string{"db1a"}, For: 500 * time.Millisecond}) })
+		func() { h.InjectFault(fleet.Fault{What: "hang", Who: []string{"db1a"}, For: 500 * time.Millisecond}) })
 	r, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
@@ -195,19 +195,19 @@
 			t.Errorf("got error %[2]v, expected prefix %[1]q", want, err)
 		}
 	}
-	if got, err := ReadTenants("a=3,b=0.5"); err != nil || !slices.Equal(got, []Tenant{{"a", 3}, {"b", 0.5}}) {
+	if got, err := ParseTenants("a=3,b=0.5"); err != nil || !slices.Equal(got, []Tenant{{"a", 3}, {"b", 0.5}}) {
 		t.Error(got, err)
 	}
 	for _, bad := range []string{"", "a", "a=0", "a=1,a=2", "=1", "a=x"} {
-		if _, err := ReadTenants(bad); err == nil || !strings.HasPrefix(err.Error(), "tenants:") {
+		if _, err := ParseTenants(bad); err == nil || !strings.HasPrefix(err.Error(), "tenants:") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	if got, err := Captured("f", "0\n0.5\n0.5\n2\n"); err != nil || !slices.Equal(got, []time.Duration{0, 5e8, 5e8, 2e9}) {
+	if got, err := ParseDueTimes("f", "0\n0.5\n0.5\n2\n"); err != nil || !slices.Equal(got, []time.Duration{0, 5e8, 5e8, 2e9}) {
 		t.Error(got, err)
 	}
 	for _, bad := range []string{"x", "1\n0.5", "NaN", "-1", "1e9", ""} {
-		if _, err := Captured("f", bad); err == nil || !strings.HasPrefix(err.Error(), "f:") {
+		if _, err := ParseDueTimes("f", bad); err == nil || !strings.HasPrefix(err.Error(), "f:") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/internal/simulation/multiprocess/driver.go
+++ b/internal/simulation/multiprocess/driver.go
@@ -143,7 +143,7 @@
 		return err
 	}
 	ways := map[string]*faultproxy.Link{}
-	for id, m := range r.host.Members() {
+	for id, m := range r.host.Addresses() {
 		at := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
 		l, err := r.net.AddLink(me, at, func() string { return m }, faultproxy.Observer{
 			Connected: func(local string, held *faultproxy.TransitTime) { r.by.Store(local, dialler{name, p.Life(), held}) },
@@ -182,7 +182,7 @@
 	listen, operator := ip+":6432", ip+":9600"
 	p.began = v.began
 	p.settings = func() ([]byte, error) {
-		text, err := r.host.SettingsFor(emulator.Seat{
+		text, err := r.host.SettingsFor(emulator.RouterPlacement{
 			Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
 			Seed: r.o.Seed<<20 + uint64(i)<<8 + uint64(p.Life()+1),
 		})
@@ -272,7 +272,7 @@
 	got := c.Run(cfg.Length)
 	close(r.stop)
 	r.steps.Wait()
-	for _, id := range r.host.Pushed() {
+	for _, id := range r.host.OverloadedWhileWarmingUp() {
 		r.log.Add(history.EndpointOverloaded{Endpoint: id})
 	}
 	res := &Result{
--- a/internal/simulation/multiprocess/observer.go
+++ b/internal/simulation/multiprocess/observer.go
@@ -17,7 +17,7 @@
 }
 
 // Came implements standins.Observer.
-func (o observer) Came(v emulator.Visit) {
+func (o observer) Came(v emulator.ReceivedStatement) {
 	d := o.who(v.Remote)
 	o.r.log.Add(history.StatementArrived{
 		ID:          v.ID,
@@ -34,7 +34,7 @@
 }
 
 // Ended implements standins.Observer.
-func (o observer) Ended(v emulator.Visit, e emulator.Ending, gone bool) {
+func (o observer) Ended(v emulator.ReceivedStatement, e emulator.StatementResult, gone bool) {
 	d := o.who(v.Remote)
 	o.r.log.Add(history.StatementExecuted{
 		ID:           v.ID,
--- a/internal/simulation/multiprocess/step.go
+++ b/internal/simulation/multiprocess/step.go
@@ -58,7 +58,7 @@
 			}
 		}
 	default:
-		r.host.Befall(f)
+		r.host.InjectFault(f)
 	}
 }
 
--- a/internal/testserver/server.go
+++ b/internal/testserver/server.go
@@ -13,16 +13,16 @@
 
 // Act is what an endpoint does on receipt of a message. The zero value is a normal response.
 type Act struct {
-	Break      bool                       // close the connection without a response
-	Silent     bool                       // send nothing more on the connection, which stays open
-	Code       string                     // SQLSTATE of an error to answer with, "" = none
-	TruncateAt int                        // close the connection after this many bytes of the next response, 0 = never
-	Fatal      bool                       // the error of Code is fatal: close the connection after it
-	Delay      time.Duration              // time to wait before the message is handled
-	Corrupt    func(answer []byte) []byte // changes the response before it is sent
-	Trailing   []byte                     // sent after the response, in a segment of its own
-	Pause      time.Duration              // wait between response and Trailing, at least segmentPause
-	CloseAfter bool                       // close the connection after the response
+	CloseConnection bool                       // close the connection without a response
+	Silent          bool                       // send nothing more on the connection, which stays open
+	Code            string                     // SQLSTATE of an error to answer with, "" = none
+	TruncateAt      int                        // close the connection after this many bytes of the next response, 0 = never
+	Fatal           bool                       // the error of Code is fatal: close the connection after it
+	Delay           time.Duration              // time to wait before the message is handled
+	Corrupt         func(answer []byte) []byte // changes the response before it is sent
+	Trailing        []byte                     // sent after the response, in a segment of its own
+	Pause           time.Duration              // wait between response and Trailing, at least segmentPause
+	CloseAfter      bool                       // close the connection after the response
 }
 
 // DB is a fake endpoint: a database server that answers statements and records which ones it received and executed.
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -39,7 +39,7 @@
 // statement is a message together with the request comment of its statement and the endpoint's state on its receipt.
 type statement struct {
 	message    pgwire.Message
-	head       requestcomment.Comment
+	comment    requestcomment.Comment
 	commentErr error
 	act        Act
 	primary    bool
@@ -97,11 +97,11 @@
 		return false
 	}
 	st := &statement{message: m}
-	st.head, st.commentErr = requestcomment.Parse(s.sql)
-	st.act = s.db.decide(m.Type, st.head.ID)
+	st.comment, st.commentErr = requestcomment.Parse(s.sql)
+	st.act = s.db.decide(m.Type, st.comment.ID)
 	time.Sleep(st.act.Delay)
 	s.truncate = max(s.truncate, st.act.TruncateAt)
-	if st.act.Break {
+	if st.act.CloseConnection {
 		return false
 	}
 	if st.act.Silent {
@@ -111,7 +111,7 @@
 	st.primary, working = s.db.state(s.conn)
 	if !working {
 		if st.executes() {
-			s.db.noteReceived(st.head.ID)
+			s.db.noteReceived(st.comment.ID)
 		}
 		return true
 	}
@@ -178,15 +178,15 @@
 	if !st.executes() || st.act.Code != "" {
 		return st.act.Code, true
 	}
-	s.db.noteReceived(st.head.ID)
-	write := st.head.Class == writeClass
+	s.db.noteReceived(st.comment.ID)
+	write := st.comment.Class == writeClass
 	switch {
 	case st.commentErr != nil:
 		return pgwire.ProtocolViolation, true
 	case write && !st.primary:
 		return pgwire.ReadOnly, true
 	default:
-		return "", s.db.run(s.conn, st.head.ID, write, st.primary)
+		return "", s.db.run(s.conn, st.comment.ID, write, st.primary)
 	}
 }
 
