--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -46,14 +46,15 @@
 }
 
 func (d *directory) close() {
-	_ = d.server.Close() // it fails only on a listener that is closed already
+	_ = d.server.Close() // Close fails only on a listener that is closed already
 }
 
 // changesSince returns the endpoints that have changed after a version, all of them after version 0.
 func (d *directory) changesSince(version int64) config.EndpointList {
 	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Group: x.Endpoint.Group.ID, State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
+		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Group: x.Endpoint.Group.ID,
+			State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -42,12 +42,12 @@
 	return pgwire.AppendQuery(nil, Statement("1", class, time.Second, 1, after, false, "s", need))
 }
 
-// waitFor fails the test with the message what if is is not true within 10 s.
-func waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until condition is true. It fails the test with message if that takes more than 10 s.
+func waitFor(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -66,18 +66,18 @@
 // Result is the outcome of a run.
 type Result struct {
 	Worth, Whole, Window, Class float64                            // score and its parts, see fleet.Score
-	Worst                       string                             // the class with the lowest score
+	Worst                       string                             // the class with the lowest score, "" = all have 1
 	Tally                       map[string]*fleet.Tally            // by class
 	Seconds                     []fleet.Second                     // by the second in which a request was due
 	Latency                     map[string]*hdrhistogram.Histogram // by class, "" = all: µs from due time to response
 	Lateness                    *hdrhistogram.Histogram            // of this program: µs from due time to enqueueing
-	Codes                       map[string]int                     // failed requests by SQLSTATE or error text
+	Codes                       map[string]int                     // rejected or failed requests by SQLSTATE or error text
 	Tenants                     map[string]*fleet.Tally            // by tenant
 	Took                        time.Duration
 	Came                        int // requests issued
 }
 
-// Range and precision of the latency histograms.
+// Upper limit and precision of the histograms of latency and lateness.
 const (
 	maxLatencyUs      = 60_000_000
 	significantDigits = 3
@@ -244,7 +244,9 @@
 			break
 		}
 		k := &o.Classes[pickByShare(rng, len(o.Classes), func(i int) float64 { return o.Classes[i].Share })]
-		q := &request{id: r.result.Came, class: k, tenant: pickByShare(rng, len(o.Tenants), func(i int) float64 { return o.Tenants[i].Share }), session: rng.IntN(o.Sessions), work: k.Work.Draw(rng), due: r.startedAt.Add(at)}
+		q := &request{id: r.result.Came, class: k,
+			tenant:  pickByShare(rng, len(o.Tenants), func(i int) float64 { return o.Tenants[i].Share }),
+			session: rng.IntN(o.Sessions), work: k.Work.Draw(rng), due: r.startedAt.Add(at)}
 		waitUntil(q.due)
 		r.recordArrival(q)
 		r.enqueue(q)
@@ -301,7 +303,8 @@
 			return
 		case <-tick.C:
 			r.mu.Lock()
-			p := Progress{At: time.Since(r.startedAt), Came: r.result.Came, Open: r.openRequests, Ends: map[string]int{}, LateMs: float64(r.result.Lateness.ValueAtQuantile(99)) / 1000}
+			p := Progress{At: time.Since(r.startedAt), Came: r.result.Came, Open: r.openRequests, Ends: map[string]int{},
+				LateMs: float64(r.result.Lateness.ValueAtQuantile(99)) / 1000}
 			for _, t := range r.result.Tally {
 				for i, n := range t.Ends {
 					p.Ends[fleet.Endings[i]] += n
@@ -363,8 +366,8 @@
 	timedOut
 )
 
-// recordEnd counts the end of a request with its SQLSTATE or error text. A response after the client timeout counts as
-// timed out.
+// recordEnd counts the end of a request; code is the SQLSTATE or error text, "" = none. A response after the client
+// timeout counts as timed out.
 func (r *runner) recordEnd(q *request, ending int, code string) {
 	took := time.Since(q.due)
 	r.mu.Lock()
--- a/internal/simulation/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -18,7 +18,8 @@
 	for i := range c.Classes {
 		c.Classes[i].Work = model.WorkDistribution{Mean: 200 * time.Microsecond}
 	}
-	return Options{Addr: addr, Rate: 300, Length: 2 * time.Second, Conns: 100, Classes: c.Classes, Banks: 1, Sessions: 10, Retries: 2, Honour: 1, Backoff: 20 * time.Millisecond, Seed: 1}
+	return Options{Addr: addr, Rate: 300, Length: 2 * time.Second, Conns: 100,
+		Classes: c.Classes, Banks: 1, Sessions: 10, Retries: 2, Honour: 1, Backoff: 20 * time.Millisecond, Seed: 1}
 }
 
 // allArrivals returns all due times of a run.
@@ -66,7 +67,8 @@
 				how, cv)
 		}
 	}
-	o.Arrivals, o.Shape = "poisson", []fleet.Step{{At: 5 * time.Second, Part: 3}, {At: 10 * time.Second, Ramp: 5 * time.Second, Part: 0}}
+	o.Arrivals, o.Shape = "poisson", []fleet.Step{{At: 5 * time.Second, Part: 3},
+		{At: 10 * time.Second, Ramp: 5 * time.Second, Part: 0}}
 	got := allArrivals(o)
 	count := func(from, to int) (n int) {
 		for _, at := range got {
@@ -203,7 +205,8 @@
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	if got, err := ParseDueTimes("f", "0\n0.5\n0.5\n2\n"); err != nil || !slices.Equal(got, []time.Duration{0, 5e8, 5e8, 2e9}) {
+	if got, err := ParseDueTimes("f", "0\n0.5\n0.5\n2\n"); err != nil ||
+		!slices.Equal(got, []time.Duration{0, 5e8, 5e8, 2e9}) {
 		t.Error(got, err)
 	}
 	for _, bad := range []string{"x", "1\n0.5", "NaN", "-1", "1e9", ""} {
--- a/internal/testserver/check/check.go
+++ b/internal/testserver/check/check.go
@@ -74,7 +74,9 @@
 
 // Jobs returns a description of each violation: a job that did not get exactly one response in time, was executed
 // twice, was executed although it was rejected, was served without having been executed, failed although no endpoint
-// had received it completely, or was executed by a draining endpoint.
+// had received it completely, was executed by a draining endpoint, was answered by a replica although only a primary
+// may answer it, was rejected without a retry time, or ended with an unknown SQLSTATE. A job that is listed twice and
+// an executed write that no client sent are violations too.
 func Jobs(jobs []Job, logs []Log, drains []Drain) (violations []string) {
 	c := newChecker(drains)
 	for _, log := range logs {
--- a/internal/testserver/check/checker.go
+++ b/internal/testserver/check/checker.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// runs returns how often the job was executed. Reads are not in the logs of writes: a read counts as executed once if
-// it was answered without an error.
+// runs returns how often the job was executed. Reads are not in writeRuns: a read counts as executed once if it was
+// answered without an error.
 func (c *checker) runs(job Job) int {
 	if !job.Fresh {
 		return len(c.writeRuns[job.ID])
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxResponse     = 8 << 20
+	maxResponse     = 8 << 20 // bytes
 	responseTimeout = 20 * time.Second
 	startupTimeout  = 3 * time.Second // from TryDial's startup message to the first byte of the response
-	readBufferSize  = 4096
+	readBufferSize  = 4096            // bytes
 )
 
 // Client is a client connection to a router or to a test server.
@@ -97,7 +97,7 @@
 }
 
 // Until reads until a message of type typ has arrived or the connection has ended. It fails the test if neither happens
-// within responseTimeout.
+// within responseTimeout, and on a malformed message.
 func (c *Client) Until(typ byte) (answer Answer) {
 	c.tb.Helper()
 	buf := make([]byte, readBufferSize)
--- a/internal/testserver/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -39,11 +39,11 @@
 const quietPeriod = 20 * time.Millisecond
 
 const (
-	defaultMaxMessage = 1 << 20
-	maxDatagram       = 64 << 10
+	defaultMaxMessage = 1 << 20  // bytes
+	maxDatagram       = 64 << 10 // bytes
 	// socketBuffer is the receive buffer in bytes that a datagram socket requests, so that the kernel drops no burst.
 	socketBuffer = 8 << 20
-	// closeTimeout is how long a collector that stops gracefully reads what its peers still send.
+	// closeTimeout is how long the collector still reads from a connection whose write side it has closed.
 	closeTimeout = 5 * time.Second
 	// silentInterval is the interval at which a silent connection checks whether the collector has stopped.
 	silentInterval = 5 * time.Millisecond
@@ -80,7 +80,8 @@
 	return c, c.Start()
 }
 
-// Start starts the collector, after a Stop at the same address as before. It does nothing if the collector is running.
+// Start starts the collector. After a Stop, the collector listens at the same address as before. Start does nothing if
+// the collector is running.
 func (c *Collector) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +169,7 @@
 	tcp.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// Hang makes the collector read nothing until the returned function is called.
+// Hang makes the collector read nothing until the returned function is called or the collector is stopped.
 func (c *Collector) Hang() (goOn func()) {
 	paused := make(chan struct{})
 	c.mu.Lock()
@@ -265,7 +266,7 @@
 	if err != nil {
 		return
 	}
-	// It fails only on a closed socket, which has nothing left to read.
+	// Control fails only on a closed socket, which has nothing left to read.
 	_ = raw.Control(func(fd uintptr) {
 		for {
 			n, _, err := syscall.Recvfrom(int(fd), buf, syscall.MSG_DONTWAIT)
@@ -304,7 +305,7 @@
 	if err != nil {
 		return 0
 	}
-	// It fails only on a closed socket, whose drops were counted before it was closed.
+	// Control fails only on a closed socket, whose drops were counted before it was closed.
 	_ = raw.Control(func(fd uintptr) {
 		var info [dropsIndex + 1]uint32
 		size := uint32(unsafe.Sizeof(info))
@@ -407,7 +408,7 @@
 	}
 }
 
-// Write writes the received messages to w with octet counting, as a collector's file has them.
+// Write writes the received messages to w with octet counting, the format of a collector's file.
 func (c *Collector) Write(w io.Writer) error {
 	for _, p := range c.Messages() {
 		if _, err := fmt.Fprintf(w, "%d %s", len(p), p); err != nil {
--- a/internal/testserver/discovery_agent.go
+++ b/internal/testserver/discovery_agent.go
@@ -15,7 +15,7 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// silentRecheck is the interval at which a call to a silent agent checks whether the agent still is silent. A change
+	// silentRecheck is the interval at which a call to a silent agent checks whether the agent is still silent. A change
 	// of the agent's behaviour ends the wait immediately.
 	silentRecheck = time.Hour
 )
@@ -50,7 +50,7 @@
 	return a, a.Start()
 }
 
-// Start starts the agent, after a Stop at the same address as before.
+// Start starts the agent. After a Stop, the agent listens at the same address as before.
 func (a *Agent) Start() error {
 	listener, err := net.Listen("tcp", a.Addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 	a.mu.Lock()
 	server := a.server
 	a.mu.Unlock()
-	_ = server.Close() // it fails only on a listener that is closed already
+	_ = server.Close() // Close fails only on a listener that is closed already
 }
 
 // Push adds or replaces the given endpoints' entries and records the current time as the one at which they were sent.
--- a/internal/testserver/server.go
+++ b/internal/testserver/server.go
@@ -16,7 +16,7 @@
 	CloseConnection bool                       // close the connection without a response
 	Silent          bool                       // send nothing more on the connection, which stays open
 	Code            string                     // SQLSTATE of an error to answer with, "" = none
-	TruncateAt      int                        // close the connection after this many bytes of the next response, 0 = never
+	TruncateAt      int                        // close the connection after so many bytes of the next response, 0 = never
 	Fatal           bool                       // the error of Code is fatal: close the connection after it
 	Delay           time.Duration              // time to wait before the message is handled
 	Corrupt         func(answer []byte) []byte // changes the response before it is sent
@@ -62,7 +62,7 @@
 	return d
 }
 
-// Start starts the endpoint, after a Stop at the same address as before.
+// Start starts the endpoint. After a Stop, the endpoint listens at the same address as before.
 func (d *DB) Start() error {
 	listener, err := net.Listen("tcp", d.Addr)
 	if err != nil {
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxMessage = 1 << 20
-	maxStartup = 1 << 16
+	maxMessage = 1 << 20 // bytes
+	maxStartup = 1 << 16 // bytes
 	// segmentPause is long enough for the peer to read the response before the trailing bytes arrive.
 	segmentPause = 2 * time.Millisecond
 
@@ -36,7 +36,8 @@
 	truncate int    // bytes of the next response after which the connection is closed, 0 = it is sent completely
 }
 
-// statement is a message together with the request comment of its statement and the endpoint's state on its receipt.
+// statement is a message together with the request comment of its statement, what the endpoint is to do on its receipt,
+// and whether the endpoint was the primary then.
 type statement struct {
 	message    pgwire.Message
 	comment    requestcomment.Comment
