--- a/internal/simulation/emulator/directory.go
+++ b/internal/simulation/emulator/directory.go
@@ -53,8 +53,10 @@
 func (d *directory) changesSince(version int64) config.EndpointList {
 	l := config.EndpointList{Version: d.Version, Full: version == 0, Endpoints: []config.EndpointEntry{}}
 	d.Since(version, func(x model.Listing) {
-		e := config.EndpointEntry{ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Group: x.Endpoint.Group.ID,
-			State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only"}
+		e := config.EndpointEntry{
+			ID: x.Endpoint.ID, Zone: x.Endpoint.Zone, Group: x.Endpoint.Group.ID,
+			State: x.State.String(), Weight: 1, StartedMs: x.StartedAt.Milliseconds(), Mode: "read-only",
+		}
 		if x.Primary {
 			e.Mode = "read-write"
 		}
--- a/internal/simulation/emulator/host.go
+++ b/internal/simulation/emulator/host.go
@@ -80,8 +80,10 @@
 		}
 	}
 	begin := time.Now()
-	h := &Host{cfg: cfg, startedAt: begin, rng: rand.New(rand.NewPCG(seed, 5)),
-		rescheduled: make(chan struct{}, 1), done: make(chan struct{})}
+	h := &Host{
+		cfg: cfg, startedAt: begin, rng: rand.New(rand.NewPCG(seed, 5)),
+		rescheduled: make(chan struct{}, 1), done: make(chan struct{}),
+	}
 	// Positions are sent to clients as points in time, so the model's clock starts at the Unix time in nanoseconds.
 	h.clock = event.New(time.Duration(begin.UnixNano()))
 	h.world = model.New(h.clock, seed)
@@ -232,8 +234,10 @@
 func (h *Host) InjectFault(x fleet.Fault) { h.withModel(func() { h.injectFault(x) }) }
 
 func (h *Host) injectFault(x fleet.Fault) {
-	h.marks = append(h.marks, fleet.Mark{At: h.clock.Now() - time.Duration(h.startedAt.UnixNano()),
-		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
+	h.marks = append(h.marks, fleet.Mark{
+		At:   h.clock.Now() - time.Duration(h.startedAt.UnixNano()),
+		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For,
+	})
 	if x.What == "discovery" {
 		h.directory.downUntil = h.clock.Now() + x.For
 		return
@@ -272,8 +276,10 @@
 
 // Settings returns the settings of a router that is the only one in front of the endpoints.
 func (h *Host) Settings(name, listen, operator string, seed uint64) ([]byte, error) {
-	return h.SettingsFor(RouterPlacement{Name: name, Listen: listen, Operator: operator,
-		Zone: h.cfg.Zones[0], Discovery: h.Discovery(), Known: h.List(0), Seed: seed})
+	return h.SettingsFor(RouterPlacement{
+		Name: name, Listen: listen, Operator: operator,
+		Zone: h.cfg.Zones[0], Discovery: h.Discovery(), Known: h.List(0), Seed: seed,
+	})
 }
 
 // List returns the endpoints that have changed after a version, all of them after version 0. It is empty while
--- a/internal/simulation/emulator/host_test.go
+++ b/internal/simulation/emulator/host_test.go
@@ -179,7 +179,8 @@
 		t.Fatal(err)
 	}
 	c, err := config.Parse(p, func(string) string { return "" })
-	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second || c.KnownEndpoints == nil || len(c.KnownEndpoints.Endpoints) != 3 {
+	if err != nil || len(c.Balance.Classes) != 5 || c.Balance.SlowStartWindow != 18*time.Second ||
+		c.KnownEndpoints == nil || len(c.KnownEndpoints.Endpoints) != 3 {
 		t.Fatalf("settings: got error %v and %+v, expected 5 classes, slow start of 18 s and 3 known endpoints", err, c)
 	}
 	if _, err := New(smallConfig(func(c *fleet.Config) { c.Faults = []fleet.Fault{{What: "cut"}} }), 1); err == nil ||
--- a/internal/simulation/load/load.go
+++ b/internal/simulation/load/load.go
@@ -244,9 +244,11 @@
 			break
 		}
 		k := &o.Classes[pickByShare(rng, len(o.Classes), func(i int) float64 { return o.Classes[i].Share })]
-		q := &request{id: r.result.Came, class: k,
+		q := &request{
+			id: r.result.Came, class: k,
 			tenant:  pickByShare(rng, len(o.Tenants), func(i int) float64 { return o.Tenants[i].Share }),
-			session: rng.IntN(o.Sessions), work: k.Work.Draw(rng), due: r.startedAt.Add(at)}
+			session: rng.IntN(o.Sessions), work: k.Work.Draw(rng), due: r.startedAt.Add(at),
+		}
 		waitUntil(q.due)
 		r.recordArrival(q)
 		r.enqueue(q)
@@ -303,8 +305,10 @@
 			return
 		case <-tick.C:
 			r.mu.Lock()
-			p := Progress{At: time.Since(r.startedAt), Came: r.result.Came, Open: r.openRequests, Ends: map[string]int{},
-				LateMs: float64(r.result.Lateness.ValueAtQuantile(99)) / 1000}
+			p := Progress{
+				At: time.Since(r.startedAt), Came: r.result.Came, Open: r.openRequests, Ends: map[string]int{},
+				LateMs: float64(r.result.Lateness.ValueAtQuantile(99)) / 1000,
+			}
 			for _, t := range r.result.Tally {
 				for i, n := range t.Ends {
 					p.Ends[fleet.Endings[i]] += n
--- a/internal/simulation/load/load_test.go
+++ b/internal/simulation/load/load_test.go
@@ -18,8 +18,10 @@
 	for i := range c.Classes {
 		c.Classes[i].Work = model.WorkDistribution{Mean: 200 * time.Microsecond}
 	}
-	return Options{Addr: addr, Rate: 300, Length: 2 * time.Second, Conns: 100,
-		Classes: c.Classes, Banks: 1, Sessions: 10, Retries: 2, Honour: 1, Backoff: 20 * time.Millisecond, Seed: 1}
+	return Options{
+		Addr: addr, Rate: 300, Length: 2 * time.Second, Conns: 100,
+		Classes: c.Classes, Banks: 1, Sessions: 10, Retries: 2, Honour: 1, Backoff: 20 * time.Millisecond, Seed: 1,
+	}
 }
 
 // allArrivals returns all due times of a run.
@@ -67,8 +69,10 @@
 				how, cv)
 		}
 	}
-	o.Arrivals, o.Shape = "poisson", []fleet.Step{{At: 5 * time.Second, Part: 3},
-		{At: 10 * time.Second, Ramp: 5 * time.Second, Part: 0}}
+	o.Arrivals, o.Shape = "poisson", []fleet.Step{
+		{At: 5 * time.Second, Part: 3},
+		{At: 10 * time.Second, Ramp: 5 * time.Second, Part: 0},
+	}
 	got := allArrivals(o)
 	count := func(from, to int) (n int) {
 		for _, at := range got {
