--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -221,7 +221,7 @@
 		fmt.Fprintf(out, "  /* id=1,c=%s,d=%d,cluster=1 */ SELECT 1;\n", class.Name, class.ClientTimeout.Milliseconds())
 	}
 	fmt.Fprintf(out, "\nDb machines, in banks (clusters) of %d:\n\n", s.Config.Members)
-	members := env.host.Members()
+	members := env.host.Addresses()
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		fmt.Fprintf(out, "  %-6s %s\n", id, members[id])
 	}
@@ -241,7 +241,7 @@
 	}
 	defer env.stop()
 	result := &fleet.Result{Seed: seed, Rules: map[string]int{}}
-	result.Names = slices.Sorted(maps.Keys(env.host.Members()))
+	result.Names = slices.Sorted(maps.Keys(env.host.Addresses()))
 	// Statistics that only the router could provide are marked as unseen. Attempts and requests in flight are counted at
 	// the endpoints and the clients.
 	result.Unseen = []string{"rules", "refusals", "pushed_over"}
@@ -288,11 +288,11 @@
 	}
 	result.Worth, result.Whole, result.Window, result.Class, result.Worst = got.Worth, got.Whole, got.Window,
 		got.Class, got.Worst
-	result.Tally, result.Seconds, result.Marks = got.Tally, got.Seconds, env.host.Marks()
+	result.Tally, result.Seconds, result.Marks = got.Tally, got.Seconds, env.host.InjectedFaults()
 	for i := range result.Marks {
 		result.Marks[i].At -= startedAt
 	}
-	result.Changes, _ = env.host.Changes()
+	result.Changes, _ = env.host.PrimaryChangesAndServed()
 	overall := got.Latency[""]
 	for _, quantile := range fleet.Quantiles {
 		result.Latency = append(result.Latency, float64(overall.ValueAtQuantile(100*quantile))/1e6)
@@ -435,12 +435,12 @@
 		if err != nil {
 			return err
 		}
-		if options.Offsets, err = load.Captured(c.From, string(text)); err != nil {
+		if options.Offsets, err = load.ParseDueTimes(c.From, string(text)); err != nil {
 			return err
 		}
 	}
 	if c.Tenants != "" {
-		if options.Tenants, err = load.ReadTenants(c.Tenants); err != nil {
+		if options.Tenants, err = load.ParseTenants(c.Tenants); err != nil {
 			return err
 		}
 	}
--- a/internal/testserver/session.go
+++ b/internal/testserver/session.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxMessage = 1 << 20
-	maxStartup = 1 << 16
+	maxMessage = 1 << 20 // bytes
+	maxStartup = 1 << 16 // bytes
 	// segmentPause is long enough for the peer to read the response before the trailing bytes arrive.
 	segmentPause = 2 * time.Millisecond
 
@@ -36,10 +36,11 @@
 	truncate int    // bytes of the next response after which the connection is closed, 0 = it is sent completely
 }
 
-// statement is a message together with the request comment of its statement and the endpoint's state on its receipt.
+// statement is a message together with the request comment of its statement, what the endpoint is to do on its receipt,
+// and whether the endpoint was the primary then.
 type statement struct {
 	message    pgwire.Message
-	head       requestcomment.Comment
+	comment    requestcomment.Comment
 	commentErr error
 	act        Act
 	primary    bool
@@ -97,11 +98,11 @@
 		return false
 	}
 	st := &statement{message: m}
-	st.head, st.commentErr = requestcomment.Parse(s.sql)
-	st.act = s.db.decide(m.Type, st.head.ID)
+	st.comment, st.commentErr = requestcomment.Parse(s.sql)
+	st.act = s.db.decide(m.Type, st.comment.ID)
 	time.Sleep(st.act.Delay)
 	s.truncate = max(s.truncate, st.act.TruncateAt)
-	if st.act.Break {
+	if st.act.CloseConnection {
 		return false
 	}
 	if st.act.Silent {
@@ -111,7 +112,7 @@
 	st.primary, working = s.db.state(s.conn)
 	if !working {
 		if st.executes() {
-			s.db.noteReceived(st.head.ID)
+			s.db.noteReceived(st.comment.ID)
 		}
 		return true
 	}
@@ -178,15 +179,15 @@
 	if !st.executes() || st.act.Code != "" {
 		return st.act.Code, true
 	}
-	s.db.noteReceived(st.head.ID)
-	write := st.head.Class == writeClass
+	s.db.noteReceived(st.comment.ID)
+	write := st.comment.Class == writeClass
 	switch {
 	case st.commentErr != nil:
 		return pgwire.ProtocolViolation, true
 	case write && !st.primary:
 		return pgwire.ReadOnly, true
 	default:
-		return "", s.db.run(s.conn, st.head.ID, write, st.primary)
+		return "", s.db.run(s.conn, st.comment.ID, write, st.primary)
 	}
 }
 
