--- a/cmd/limeladder/audit_recording.go
+++ b/cmd/limeladder/audit_recording.go
@@ -121,7 +121,7 @@
 	settings config.Syslog, chainKey *audit.Key, startID string, startedAt time.Time,
 ) (*audit.Encoder, error) {
 	return audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{
+		Head: syslog.Header{
 			Facility: settings.FacilityCode,
 			Host:     cmp.Or(settings.Host, syslog.HostName()),
 			App:      softwareName,
@@ -144,24 +144,24 @@
 	settings config.Syslog, bounds limits.Syslog, startID string, seed uint64, log *slog.Logger,
 ) (*syslog.Sender, error) {
 	return syslog.NewSender(syslog.Options{
-		Collectors: settings.ParsedCollectors,
-		TLS:        settings.TLS.Config,
-		Seed:       seed,
-		Window:     max(bounds.WindowBytes, minWindowMessages*settings.Bytes),
-		Repeat:     settings.Repeat,
-		Spool:      settings.Spool.Folder,
-		Name:       startID,
-		Replay:     settings.Spool.Replay,
-		Disk: spool.Options{
-			Segment: bounds.SpoolSegmentBytes,
-			Most:    cmp.Or(settings.Spool.Bytes, int64(bounds.SpoolBytes)),
-			Message: settings.Bytes,
+		Collectors:  settings.ParsedCollectors,
+		TLS:         settings.TLS.Config,
+		Seed:        seed,
+		MemoryBytes: max(bounds.WindowBytes, minWindowMessages*settings.Bytes),
+		RepeatBytes: settings.Repeat,
+		SpoolFolder: settings.Spool.Folder,
+		SpoolName:   startID,
+		ReplayRate:  settings.Spool.Replay,
+		SpoolOptions: spool.Options{
+			SegmentBytes:    bounds.SpoolSegmentBytes,
+			MaxBytes:        cmp.Or(settings.Spool.Bytes, int64(bounds.SpoolBytes)),
+			MaxMessageBytes: settings.Bytes,
 		},
-		Connect: bounds.ConnectTimeout,
-		Stall:   bounds.StallTimeout,
-		First:   bounds.MinBackoff,
-		Last:    bounds.MaxBackoff,
-		Prefer:  bounds.FailbackInterval,
+		ConnectTimeout:   bounds.ConnectTimeout,
+		StallTimeout:     bounds.StallTimeout,
+		MinBackoff:       bounds.MinBackoff,
+		MaxBackoff:       bounds.MaxBackoff,
+		FailbackInterval: bounds.FailbackInterval,
 	}, log)
 }
 
@@ -257,7 +257,7 @@
 		return
 	}
 	r.recorder.SetPolicy(policy)
-	r.sender.Change(deploy.Syslog.ParsedCollectors, deploy.Syslog.TLS.Config)
+	r.sender.SetCollectors(deploy.Syslog.ParsedCollectors, deploy.Syslog.TLS.Config)
 	r.deploy = deploy
 	r.log.Info("audit recording reconfigured", "collectors", fmt.Sprint(deploy.Syslog.ParsedCollectors))
 	r.reloaded(reloadedDeploy, nil)
--- a/cmd/limeladder/audit_recording_bench_test.go
+++ b/cmd/limeladder/audit_recording_bench_test.go
@@ -43,13 +43,13 @@
 		b.Fatal(err)
 	}
 	sender, err := syslog.NewSender(syslog.Options{
-		Collectors: []syslog.Collector{address},
-		Window:     options.window,
-		Connect:    time.Second,
-		Stall:      time.Second,
-		First:      1,
-		Last:       2,
-		Prefer:     time.Hour,
+		Collectors:       []syslog.Collector{address},
+		MemoryBytes:      options.window,
+		ConnectTimeout:   time.Second,
+		StallTimeout:     time.Second,
+		MinBackoff:       1,
+		MaxBackoff:       2,
+		FailbackInterval: time.Hour,
 	}, discardLog())
 	if err != nil {
 		b.Fatal(err)
@@ -101,7 +101,7 @@
 				queueBytes:   6 << 20,
 				gather:       time.Millisecond,
 				encoder: audit.EncoderOptions{
-					Head:            syslog.Head{Host: "host", App: "limeladder", Proc: "1"},
+					Head:            syslog.Header{Host: "host", App: "limeladder", Proc: "1"},
 					Enterprise:      32473,
 					MaxMessageBytes: 2048,
 					Software:        "limeladder",
@@ -267,7 +267,9 @@
 		queueRecords: 1 << 20,
 		queueBytes:   queueBytes,
 		gather:       10 * time.Millisecond,
-		encoder:      audit.EncoderOptions{Head: syslog.Head{Host: "host"}, Enterprise: 1, MaxMessageBytes: 2048, Start: "s"},
+		encoder: audit.EncoderOptions{
+			Head: syslog.Header{Host: "host"}, Enterprise: 1, MaxMessageBytes: 2048, Start: "s",
+		},
 	})
 	maxHeap := uint64(0)
 	recorded := 0
--- a/internal/audit/carry_test.go
+++ b/internal/audit/carry_test.go
@@ -47,8 +47,9 @@
 		t.Fatal(err)
 	}
 	s, err := syslog.NewSender(syslog.Options{
-		Collectors: []syslog.Collector{p}, TLS: &tls.Config{RootCAs: ca.Pool}, Window: 256 << 10, Connect: 5 * time.Second,
-		Stall: 10 * time.Second, First: time.Millisecond, Last: time.Second, Prefer: time.Hour,
+		Collectors: []syslog.Collector{p}, TLS: &tls.Config{RootCAs: ca.Pool}, MemoryBytes: 256 << 10,
+		ConnectTimeout: 5 * time.Second, StallTimeout: 10 * time.Second,
+		MinBackoff: time.Millisecond, MaxBackoff: time.Second, FailbackInterval: time.Hour,
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/audit/encoder.go
+++ b/internal/audit/encoder.go
@@ -12,7 +12,7 @@
 
 // EncoderOptions say how records become messages.
 type EncoderOptions struct {
-	Head             syslog.Head
+	Head             syslog.Header
 	Enterprise       uint32 // the operator's private enterprise number, in the names of the elements
 	MaxMessageBytes  int    // the size limit of a message in bytes
 	Software         string // for origin
@@ -75,7 +75,7 @@
 	for i, name := range [elementCount]string{"audit", "request", "answer", "event"} {
 		encoder.elementIDs[i] = name + "@" + enterprise
 	}
-	encoder.originElement = syslog.Prepared("origin",
+	encoder.originElement = syslog.PrepareElement("origin",
 		"software", options.Software, "swVersion", options.Version, "enterpriseId", enterprise)
 	if options.Key == nil {
 		return encoder, nil
@@ -163,9 +163,9 @@
 	builder.Uint(rankMeta, "sequenceId", e.sequenceID)
 	builder.Int(rankMeta, "sysUpTime", max(0, int64(at.Sub(e.options.StartedAt)/upTimeUnit)))
 	if e.qualityElement != nil {
-		builder.Fixed(rankQuality, e.qualityElement)
+		builder.PreparedElement(rankQuality, e.qualityElement)
 	}
-	builder.Fixed(rankOrigin, e.originElement)
+	builder.PreparedElement(rankOrigin, e.originElement)
 	builder.Text(text)
 	e.messagesSinceHead++
 	return builder.End(e.options.MaxMessageBytes)
@@ -182,7 +182,7 @@
 	if quality.Synced && quality.Accuracy > 0 {
 		pairs = append(pairs, "syncAccuracy", strconv.FormatInt(quality.Accuracy.Microseconds(), 10))
 	}
-	e.qualityElement = syslog.Prepared("timeQuality", pairs...)
+	e.qualityElement = syslog.PrepareElement("timeQuality", pairs...)
 }
 
 // NewStartID returns the id of a start: the moment in hexadecimal, and a random part.
--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -18,7 +18,7 @@
 func encoder(tb testing.TB, most int, k *audit.Key) *audit.Encoder {
 	tb.Helper()
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
-		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
+		Head:       syslog.Header{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
 		Enterprise: 4294967295, MaxMessageBytes: most, Software: "limeladder", Version: "(devel)",
 		Start: audit.NewStartID(time.Unix(1.8e9, 0), 1), StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: k,
@@ -102,10 +102,10 @@
 		tb.Fatalf("parts are missing without a word: %q", msg)
 	}
 	ascii := !slices.ContainsFunc(m.Text, func(c byte) bool { return c >= 0x80 })
-	markIsMissing := !m.Marked && !ascii
-	markIsNeedless := m.Marked && ascii && !isCut
+	markIsMissing := !m.HasByteOrderMark && !ascii
+	markIsNeedless := m.HasByteOrderMark && ascii && !isCut
 	if markIsMissing || markIsNeedless {
-		tb.Fatalf("byte order mark %v before %q", m.Marked, m.Text)
+		tb.Fatalf("byte order mark %v before %q", m.HasByteOrderMark, m.Text)
 	}
 }
 
@@ -121,7 +121,7 @@
 			}
 			return
 		}
-		if got, err := parser.Plain(v); err != nil || got != want {
+		if got, err := parser.DecodePercent(v); err != nil || got != want {
 			tb.Fatalf("%s: %q, %v, given was %q", name, got, err, want)
 		}
 	}
@@ -145,7 +145,7 @@
 	case audit.Note:
 		fits("event", "topic", v.Topic)
 		if !isCut {
-			if text, err := parser.Plain(m.Text); err != nil || text != v.Text {
+			if text, err := parser.DecodePercent(m.Text); err != nil || text != v.Text {
 				tb.Fatalf("MSG %q, given was %q", text, v.Text)
 			}
 		}
@@ -163,7 +163,7 @@
 			continue
 		}
 		part := strings.SplitN(string(p.Value), ",", 3)
-		if node, err := parser.Plain([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
+		if node, err := parser.DecodePercent([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
 			tb.Fatalf("try %d: %q, given was %q", i, node, answer.Attempts[i].Endpoint)
 		}
 		i++
@@ -198,7 +198,7 @@
 	f.Add("\"]\\", "\x00\n", "\xff", "日本 % %zz", 600, uint64(1<<63))
 	f.Add(strings.Repeat("é", 300), "c", "n", strings.Repeat("%", 700), 1000, uint64(7))
 	f.Fuzz(func(t *testing.T, id, class, node, why string, most int, seq uint64) {
-		most = syslog.Smallest + (most&0x7fffffff)%4096
+		most = syslog.MinMessageLimit + (most&0x7fffffff)%4096
 		enc := encoder(t, most, &key)
 		e := &audit.Answer{Request: id, Class: class, Endpoint: node, Reason: why, Outcome: audit.Failed}
 		e.Attempts = []audit.Attempt{{Endpoint: node}, {Endpoint: why, End: audit.InFlight}}
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -203,7 +203,7 @@
 	t.Helper()
 	keys := goldenKeys(t)
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
-		Head:       syslog.Head{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
+		Head:       syslog.Header{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
 		Enterprise: 32473, MaxMessageBytes: 2048, Software: "limeladder", Version: "1.0",
 		Start: audit.NewStartID(goldenStart, 0xabcdef), StartedAt: goldenStart,
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[1],
--- a/internal/audit/verify/golden_test.go
+++ b/internal/audit/verify/golden_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	began := time.Date(2027, 1, 15, 8, 0, 0, 0, time.UTC)
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
-		Head:       syslog.Head{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
+		Head:       syslog.Header{Facility: 3, Host: "site-a", App: "limeladder", Proc: "17"},
 		Enterprise: 32473, MaxMessageBytes: 1024, Software: "limeladder", Version: "1.0", Start: id, StartedAt: began,
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: key,
 	})
--- a/internal/audit/verify/message.go
+++ b/internal/audit/verify/message.go
@@ -184,13 +184,13 @@
 	case "link":
 		ok = m.link.setTo(param.Value)
 	case "seq":
-		m.number, ok = parser.Number(param.Value)
+		m.number, ok = parser.ParseNumber(param.Value)
 	case "count":
-		m.count, ok = parser.Number(param.Value)
+		m.count, ok = parser.ParseNumber(param.Value)
 	case "first":
-		m.first, ok = parser.Number(param.Value)
+		m.first, ok = parser.ParseNumber(param.Value)
 	case "last":
-		m.last, ok = parser.Number(param.Value)
+		m.last, ok = parser.ParseNumber(param.Value)
 	case "key":
 		m.key = r.word(param.Value)
 	case "mac":
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -95,7 +95,8 @@
 
 // isFramingError reports whether the content of a file can't be split into messages.
 func isFramingError(err error) bool {
-	return errors.Is(err, parser.ErrCut) || errors.Is(err, parser.ErrFrame) || errors.Is(err, parser.ErrLong)
+	return errors.Is(err, parser.ErrTruncated) || errors.Is(err, parser.ErrOctetCount) ||
+		errors.Is(err, parser.ErrTooLong)
 }
 
 // splitFile splits the input into blocks until it ends, and hands each to the workers and to the caller of File.
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -17,8 +17,9 @@
 func corpus(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
 	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, MaxMessageBytes: 1024,
-		Software: "limeladder", Version: "1", Start: start, StartedAt: time.Unix(1.8e9, 0),
+		Head: syslog.Header{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473,
+		MaxMessageBytes: 1024,
+		Software:        "limeladder", Version: "1", Start: start, StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[0],
 	})
 	if err != nil {
@@ -196,7 +197,7 @@
 func TestLossesHaveToFit(t *testing.T) {
 	for told, whole := range map[uint64]bool{3: true, 2: false, 1: false} {
 		e, _ := audit.NewEncoder(audit.EncoderOptions{
-			Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
+			Head: syslog.Header{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
 		})
 		var msgs [][]byte
 		for _, r := range []audit.Record{
@@ -262,7 +263,7 @@
 	}
 	const n = 1_000_000
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
+		Head: syslog.Header{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &one,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/syslog.go
+++ b/internal/config/syslog.go
@@ -139,7 +139,7 @@
 	if name == "" {
 		name = defaultFacility
 	}
-	code, err := syslog.Facility(name)
+	code, err := syslog.ParseFacility(name)
 	if err != nil {
 		return &FieldError{Field: "syslog.facility", Reason: err}
 	}
@@ -168,7 +168,7 @@
 	return firstError(
 		s.checkEnterprise(),
 		s.checkHost(),
-		checkRange("syslog.bytes", s.Bytes, syslog.Smallest, maxBytes),
+		checkRange("syslog.bytes", s.Bytes, syslog.MinMessageLimit, maxBytes),
 		checkRange("syslog.repeat", s.Repeat, 0, maxRepeat),
 		s.Queue.check(),
 		s.Spool.check(),
@@ -184,8 +184,8 @@
 }
 
 func (s *Syslog) checkHost() error {
-	if s.Host != "" && s.Host != syslog.Printable(s.Host, syslog.HostMost) {
-		return fieldErrorf("syslog.host", "must consist of 1 to %d printable ASCII characters", syslog.HostMost)
+	if s.Host != "" && s.Host != syslog.Printable(s.Host, syslog.MaxHostBytes) {
+		return fieldErrorf("syslog.host", "must consist of 1 to %d printable ASCII characters", syslog.MaxHostBytes)
 	}
 	return nil
 }
--- a/internal/spool/append.go
+++ b/internal/spool/append.go
@@ -40,10 +40,10 @@
 	segmentSize := s.newestSize()
 	diskSize := s.diskSize()
 	for _, msg := range msgs {
-		if len(p) >= maxWriteSize || segmentSize+int64(len(p)) >= int64(s.options.Segment) {
+		if len(p) >= maxWriteSize || segmentSize+int64(len(p)) >= int64(s.options.SegmentBytes) {
 			break
 		}
-		if diskSize+int64(len(p)+headerSize+len(msg)) > s.options.Most {
+		if diskSize+int64(len(p)+headerSize+len(msg)) > s.options.MaxBytes {
 			break
 		}
 		p = s.appendRecord(p, msg)
@@ -62,7 +62,7 @@
 
 // isNewestFull reports whether the segment that is open for writing has reached its size limit.
 func (s *Spool) isNewestFull() bool {
-	return s.newest != nil && s.newestSize() >= int64(s.options.Segment)
+	return s.newest != nil && s.newestSize() >= int64(s.options.SegmentBytes)
 }
 
 // writeNewest writes records to the newest segment. It begins a new segment if none is open.
@@ -94,7 +94,7 @@
 	if len(s.segments) > 0 {
 		number = s.segments[len(s.segments)-1].number + 1
 	}
-	file, err := s.options.Create(s.path(number))
+	file, err := s.options.CreateFile(s.path(number))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
@@ -172,7 +172,7 @@
 
 // writeSegment writes a complete segment.
 func (s *Spool) writeSegment(number uint64, p []byte) error {
-	file, err := s.options.Create(s.path(number))
+	file, err := s.options.CreateFile(s.path(number))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -21,7 +21,7 @@
 const goldenFolder = "testdata/spool"
 
 func goldenOptions() spool.Options {
-	return spool.Options{Segment: 64, Most: 1 << 20, Message: 100}
+	return spool.Options{SegmentBytes: 64, MaxBytes: 1 << 20, MaxMessageBytes: 100}
 }
 
 // goldenMessages returns the messages that are added to the golden spool, in this order. The first one is delivered,
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -62,8 +62,8 @@
 	return nil, int64(s.nextRecord(p)), nil
 }
 
-// fillBuffer reads the oldest segment from an offset to its end into the buffer. Options.Segment limits the size of a
-// segment.
+// fillBuffer reads the oldest segment from an offset to its end into the buffer. Options.SegmentBytes limits the size
+// of a segment.
 func (s *Spool) fillBuffer(offset int64) error {
 	oldest := s.segments[0]
 	if s.bufferOffset <= offset && s.bufferOffset+int64(len(s.buffer)) >= oldest.size {
--- a/internal/spool/segment.go
+++ b/internal/spool/segment.go
@@ -86,7 +86,7 @@
 		return nil, false
 	}
 	length := int(binary.BigEndian.Uint32(p[lengthAt:]))
-	if length == 0 || length > s.options.Message || headerSize+length > len(p) {
+	if length == 0 || length > s.options.MaxMessageBytes || headerSize+length > len(p) {
 		return nil, false
 	}
 	msg = p[headerSize : headerSize+length]
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -19,11 +19,11 @@
 
 // Options configure a spool.
 type Options struct {
-	Segment int   // the size in bytes at which a segment is full and a new one begins
-	Most    int64 // the size limit of all segments together in bytes
-	Message int   // the size limit of a message in bytes
-	// Create creates the file of a new segment; nil = in the file system. Tests simulate disk failures with it.
-	Create func(path string) (File, error)
+	SegmentBytes    int   // the size in bytes at which a segment is full and a new one begins
+	MaxBytes        int64 // the size limit of all segments together in bytes
+	MaxMessageBytes int   // the size limit of a message in bytes
+	// CreateFile creates the file of a new segment; nil = in the file system. Tests simulate disk failures with it.
+	CreateFile func(path string) (File, error)
 }
 
 // File is the file of a segment that is open for writing.
@@ -133,8 +133,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if opt.Create == nil {
-		opt.Create = createFile
+	if opt.CreateFile == nil {
+		opt.CreateFile = createFile
 	}
 	s := &Spool{dir: dir, options: opt, checksums: checksumTable(), lock: lock}
 	if err := s.findSegments(); err != nil {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -13,7 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-func testOptions() Options { return Options{Segment: 300, Most: 1 << 20, Message: 100} }
+func testOptions() Options {
+	return Options{SegmentBytes: 300, MaxBytes: 1 << 20, MaxMessageBytes: 100}
+}
 
 func testMessage(i int) []byte { return fmt.Appendf(nil, "message %d", i) }
 
@@ -192,7 +194,7 @@
 func TestTruncatedSegment(t *testing.T) {
 	dir := t.TempDir()
 	opt := testOptions()
-	opt.Segment = 1 << 20
+	opt.SegmentBytes = 1 << 20
 	s := createSpool(t, dir, opt)
 	want := testMessages(0, 20)
 	appendAll(t, s, want)
@@ -228,7 +230,7 @@
 // A flipped bit loses the record that it is in, and no other.
 func TestFlippedBits(t *testing.T) {
 	dir := t.TempDir()
-	s := createSpool(t, dir, Options{Segment: 1 << 20, Most: 1 << 20, Message: 100})
+	s := createSpool(t, dir, Options{SegmentBytes: 1 << 20, MaxBytes: 1 << 20, MaxMessageBytes: 100})
 	want := testMessages(0, 12)
 	appendAll(t, s, want)
 	checkNoError(t, s.newest.Close())
@@ -312,7 +314,7 @@
 		for room := range 200 {
 			dir, left := t.TempDir(), room
 			opt := testOptions()
-			opt.Create = func(path string) (File, error) {
+			opt.CreateFile = func(path string) (File, error) {
 				f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o600)
 				return &fullDiskFile{f, &left, keepsPartialWrite}, err
 			}
@@ -337,10 +339,10 @@
 	}
 }
 
-// The size on disk never exceeds Options.Most, and delivering messages makes room for new ones.
+// The size on disk never exceeds Options.MaxBytes, and delivering messages makes room for new ones.
 func TestSizeLimit(t *testing.T) {
 	opt := testOptions()
-	opt.Most = 2000
+	opt.MaxBytes = 2000
 	s := createSpool(t, t.TempDir(), opt)
 	in, out := 0, 0
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -354,8 +356,8 @@
 		for _, g := range s.segments {
 			disk += g.size
 		}
-		if disk > opt.Most {
-			t.Fatalf("%d bytes on disk, want at most Options.Most", disk)
+		if disk > opt.MaxBytes {
+			t.Fatalf("%d bytes on disk, want at most Options.MaxBytes", disk)
 		}
 		msgs, _ := s.Next(nil, rng.IntN(7), 1000)
 		for _, m := range msgs {
@@ -396,7 +398,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	s := createSpool(b, b.TempDir(), Options{Segment: 256 << 10, Most: 1 << 40, Message: 2048})
+	s := createSpool(b, b.TempDir(), Options{SegmentBytes: 256 << 10, MaxBytes: 1 << 40, MaxMessageBytes: 2048})
 	msgs := make([][]byte, 256)
 	for i := range msgs {
 		msgs[i] = make([]byte, 500)
--- a/internal/syslog/carry.go
+++ b/internal/syslog/carry.go
@@ -54,11 +54,11 @@
 			conn = nil
 			continue
 		}
-		if time.Since(conn.connectedAt) > s.opt.Stall {
+		if time.Since(conn.connectedAt) > s.opt.StallTimeout {
 			s.failover.ResetBackoff(s.collectorIndex)
 			s.earlyResets = 0
 		}
-		if s.collectorIndex > 0 && time.Since(conn.connectedAt) > s.opt.Prefer &&
+		if s.collectorIndex > 0 && time.Since(conn.connectedAt) > s.opt.FailbackInterval &&
 			s.failover.CanRetryPreferred(s.collectorIndex, time.Since(s.startedAt)) {
 			s.disconnect(conn, true)
 			conn = nil
@@ -102,7 +102,7 @@
 	return len(s.waiting) == 0 && len(s.unacked) == 0 && (s.ownSpool == nil || s.ownSpool.Empty())
 }
 
-// applyChange applies the collectors set by the last call of Change, and reports whether there was one.
+// applyChange applies the collectors set by the last call of SetCollectors, and reports whether there was one.
 func (s *Sender) applyChange() bool {
 	next := s.pendingChange.Swap(nil)
 	if next == nil {
@@ -110,7 +110,7 @@
 	}
 	s.opt.Collectors = next.collectors
 	s.opt.TLS = next.tls
-	s.failover = *NewFailover(len(s.opt.Collectors), s.opt.Seed, s.opt.First, s.opt.Last)
+	s.failover = *NewFailover(len(s.opt.Collectors), s.opt.Seed, s.opt.MinBackoff, s.opt.MaxBackoff)
 	return true
 }
 
@@ -124,7 +124,7 @@
 		return nil
 	}
 	c := s.opt.Collectors[i]
-	conn, err := dial(s.ctx, c, s.opt.TLS, s.opt.Connect, s.opt.Window)
+	conn, err := dial(s.ctx, c, s.opt.TLS, s.opt.ConnectTimeout, s.opt.MemoryBytes)
 	if err != nil {
 		s.failover.Failed(i, time.Since(s.startedAt))
 		if s.ctx.Err() == nil {
@@ -172,9 +172,9 @@
 	}
 	now := time.Now()
 	limit := 1 << 20
-	if s.opt.Replay > 0 {
-		s.replayTokens = min(float64(s.opt.Replay),
-			s.replayTokens+now.Sub(s.tokensFilledAt).Seconds()*float64(s.opt.Replay))
+	if s.opt.ReplayRate > 0 {
+		s.replayTokens = min(float64(s.opt.ReplayRate),
+			s.replayTokens+now.Sub(s.tokensFilledAt).Seconds()*float64(s.opt.ReplayRate))
 		limit = int(s.replayTokens)
 	}
 	s.tokensFilledAt = now
@@ -238,7 +238,7 @@
 		}
 	}
 	s.unacked = append(s.unacked, *c)
-	timeout := s.opt.Stall
+	timeout := s.opt.StallTimeout
 	if closing, _ := s.closeState(); closing {
 		timeout = min(timeout, time.Until(s.closeDeadline))
 	}
@@ -298,12 +298,12 @@
 		c.source.MarkDelivered(c.sourceOffset)
 	}
 	s.mu.Unlock()
-	if s.opt.Repeat > 0 {
+	if s.opt.RepeatBytes > 0 {
 		for _, m := range c.msgs[:n] {
 			s.recent = append(s.recent, m)
 			s.recentBytes += len(m)
 		}
-		for s.recentBytes > s.opt.Repeat {
+		for s.recentBytes > s.opt.RepeatBytes {
 			s.recentBytes -= len(s.recent[0])
 			s.recent = s.recent[1:]
 		}
@@ -372,7 +372,7 @@
 	}
 	orderly := graceful || conn.closed.Load() && conn.closedCleanly.Load()
 	if orderly {
-		timeout := min(s.opt.Stall, closeAckTimeout)
+		timeout := min(s.opt.StallTimeout, closeAckTimeout)
 		if _, expired := s.closeState(); expired {
 			timeout = closeAckTimeout / 10
 		}
@@ -393,7 +393,7 @@
 		// that resets again and again before it has read the repeated messages would never get to newer ones: each such
 		// reset halves the number of bytes that are repeated.
 		repeat = s.recent
-		for maxRepeat := s.opt.Repeat >> min(s.earlyResets, 30); s.recentBytes > maxRepeat; repeat = repeat[1:] {
+		for maxRepeat := s.opt.RepeatBytes >> min(s.earlyResets, 30); s.recentBytes > maxRepeat; repeat = repeat[1:] {
 			s.recentBytes -= len(repeat[0])
 		}
 		s.earlyResets++
@@ -416,7 +416,7 @@
 	defer s.mu.Unlock()
 	if time.Since(s.adoptedAt) > adoptInterval {
 		s.adoptedAt = time.Now()
-		adopted, err := spool.Adopt(s.opt.Spool, s.opt.Disk)
+		adopted, err := spool.Adopt(s.opt.SpoolFolder, s.opt.SpoolOptions)
 		if err != nil {
 			s.noteSpoolError(err)
 		}
--- a/internal/syslog/message.go
+++ b/internal/syslog/message.go
@@ -26,8 +26,8 @@
 var facilities = strings.Fields("kern user mail daemon auth syslog lpr news uucp cron authpriv ftp ntp audit alert clock " +
 	"local0 local1 local2 local3 local4 local5 local6 local7")
 
-// Facility returns the numerical code of a facility.
-func Facility(name string) (uint8, error) {
+// ParseFacility returns the numerical code of a facility.
+func ParseFacility(name string) (uint8, error) {
 	for i, f := range facilities {
 		if f == name {
 			return uint8(i), nil
@@ -43,21 +43,21 @@
 // Keep is the rank of parameters that are never removed.
 const Keep Rank = 0
 
-// Smallest is the lowest size limit of a message in bytes. RFC 5424, section 6.1, requires receivers to accept messages
-// of this length.
-const Smallest = 480
+// MinMessageLimit is the lowest size limit of a message in bytes. RFC 5424, section 6.1, requires receivers to accept
+// messages of this length.
+const MinMessageLimit = 480
 
-// Head holds the header fields that all messages of a process share.
-type Head struct {
+// Header holds the header fields that all messages of a process share.
+type Header struct {
 	Facility uint8
-	Host     string // HOSTNAME, at most HostMost bytes, so that a header is never truncated
+	Host     string // HOSTNAME, at most MaxHostBytes bytes, so that a header is never truncated
 	App      string // APP-NAME
 	Proc     string // PROCID
 }
 
-// HostMost is the length limit of HOSTNAME in bytes. It is below RFC 5424's 255, so that the header and the parameters
-// of rank Keep fit into Smallest bytes.
-const HostMost = 64
+// MaxHostBytes is the length limit of HOSTNAME in bytes. It is below RFC 5424's 255, so that the header and the
+// parameters of rank Keep fit into MinMessageLimit bytes.
+const MaxHostBytes = 64
 
 // HostName returns the host name of this machine as a valid HOSTNAME, or "-" if it is not known.
 func HostName() string {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return "-"
 	}
-	return Printable(h, HostMost)
+	return Printable(h, MaxHostBytes)
 }
 
 // Printable returns the printable ASCII characters of s (RFC 5424's PRINTUSASCII), truncated to maxBytes, or "-", RFC
@@ -84,9 +84,9 @@
 }
 
 // Builder builds one message after the other in a buffer that it reuses. The order of calls for a message is Begin,
-// then for each element either Element and its parameters or Fixed, then Text, then End.
+// then for each element either Element and its parameters or PreparedElement, then Text, then End.
 type Builder struct {
-	head          Head
+	header        Header
 	buf           []byte // the complete message
 	truncated     []byte // the message that End has truncated
 	spans         []span
@@ -101,28 +101,28 @@
 	from, to  int // offsets in buf
 	element   int // the index of the element
 	rank      Rank
-	isOpening bool // the opening of an element (or all of a Fixed one), not a parameter
+	isOpening bool // the opening of an element (or all of a prepared element), not a parameter
 }
 
 // cutParamBytes is the space in bytes that End reserves for the cut parameter: ` cut="msg+65535"`.
 const cutParamBytes = 16
 
 // NewBuilder returns a Builder for messages with the header fields h.
-func NewBuilder(h Head) *Builder {
-	h.Host, h.App, h.Proc = Printable(h.Host, HostMost), Printable(h.App, 48), Printable(h.Proc, 128)
-	return &Builder{head: h}
+func NewBuilder(h Header) *Builder {
+	h.Host, h.App, h.Proc = Printable(h.Host, MaxHostBytes), Printable(h.App, 48), Printable(h.Proc, 128)
+	return &Builder{header: h}
 }
 
 // Begin starts a message with the TIMESTAMP at, written in UTC to the microsecond, and the MSGID id.
 func (b *Builder) Begin(s Severity, at time.Time, id string) {
 	b.spans, b.elementCount, b.cutElement = b.spans[:0], 0, -1
 	p := append(b.buf[:0], '<')
-	p = strconv.AppendUint(p, uint64(b.head.Facility)*8+uint64(s), 10)
+	p = strconv.AppendUint(p, uint64(b.header.Facility)*8+uint64(s), 10)
 	p = append(p, '>', '1', ' ')
 	p = at.UTC().AppendFormat(p, "2006-01-02T15:04:05.000000Z")
-	p = append(append(p, ' '), b.head.Host...)
-	p = append(append(p, ' '), b.head.App...)
-	p = append(append(p, ' '), b.head.Proc...)
+	p = append(append(p, ' '), b.header.Host...)
+	p = append(append(p, ' '), b.header.App...)
+	p = append(append(p, ' '), b.header.Proc...)
 	p = append(append(p, ' '), id...)
 	b.buf = append(p, ' ')
 	b.elementsStart = len(b.buf)
@@ -161,8 +161,8 @@
 	b.endParam(from, r)
 }
 
-// Fixed adds a complete element that Prepared has returned. It is removed as a whole.
-func (b *Builder) Fixed(r Rank, elem []byte) {
+// PreparedElement adds a complete element that PrepareElement has returned. It is removed as a whole.
+func (b *Builder) PreparedElement(r Rank, elem []byte) {
 	if b.elementCount > 0 {
 		b.buf = append(b.buf, ']')
 	}
@@ -172,8 +172,9 @@
 	b.elementCount++
 }
 
-// Prepared returns an element for Fixed; pairs holds the names and values of its parameters alternately.
-func Prepared(id string, pairs ...string) []byte {
+// PrepareElement returns an element for PreparedElement; pairs holds the names and values of its parameters
+// alternately.
+func PrepareElement(id string, pairs ...string) []byte {
 	p := append([]byte{'['}, id...)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		p = append(append(append(p, ' '), pairs[i]...), '=', '"')
@@ -256,7 +257,7 @@
 			}
 			excess -= s.to - s.from
 			removed++
-			if s.isOpening { // a Fixed element, which ends with a bracket
+			if s.isOpening { // a prepared element, which ends with a bracket
 				s.to = s.from
 				excess--
 				continue
--- a/internal/syslog/parser/frame.go
+++ b/internal/syslog/parser/frame.go
@@ -9,9 +9,9 @@
 
 // The framing errors of a stream.
 var (
-	ErrFrame = errors.New("malformed octet count")
-	ErrLong  = errors.New("message exceeds the size limit")
-	ErrCut   = errors.New("input ends within a message")
+	ErrOctetCount = errors.New("malformed octet count")
+	ErrTooLong    = errors.New("message exceeds the size limit")
+	ErrTruncated  = errors.New("input ends within a message")
 )
 
 // Frames reads messages from a stream or a file. They are framed with octet counts (RFC 6587, section 3.4.1; RFC 5425,
@@ -51,7 +51,7 @@
 		c, err := f.r.ReadByte()
 		if err != nil {
 			if err == io.EOF && digits > 0 {
-				err = ErrCut
+				err = ErrTruncated
 			}
 			return nil, err
 		}
@@ -60,17 +60,17 @@
 			break
 		}
 		if c < '0' || c > '9' || digits == 0 && c == '0' {
-			return nil, ErrFrame
+			return nil, ErrOctetCount
 		}
 		n = n*10 + int(c-'0')
 		if digits++; n > f.maxBytes {
-			return nil, ErrLong
+			return nil, ErrTooLong
 		}
 	}
 	p := f.allocate(n)
 	if _, err := io.ReadFull(f.r, p); err != nil {
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			err = ErrCut
+			err = ErrTruncated
 		}
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 		}
 		p = append(p, part...)
 		if len(p) > f.maxBytes+1 {
-			return nil, ErrLong
+			return nil, ErrTooLong
 		}
 		switch {
 		case err == nil:
@@ -110,7 +110,7 @@
 			return p[:len(p)-1], nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case err == io.EOF && len(p) > 0:
-			return nil, ErrCut
+			return nil, ErrTruncated
 		case err == io.EOF:
 			return nil, io.EOF
 		default:
--- a/internal/syslog/parser/message.go
+++ b/internal/syslog/parser/message.go
@@ -21,7 +21,7 @@
 	ID                 []byte
 	Elements           []Element
 	Text               []byte // without the byte order mark
-	Marked             bool   // MSG starts with the byte order mark: Text is UTF-8
+	HasByteOrderMark   bool   // MSG starts with the byte order mark: Text is UTF-8
 
 	params      []Param // of all elements
 	paramBounds []int   // where in params those of each element start, and the end
@@ -172,7 +172,7 @@
 	}
 	m.Text = p[s.i:]
 	if text, marked := bytes.CutPrefix(m.Text, []byte("\xef\xbb\xbf")); marked {
-		m.Text, m.Marked = text, true
+		m.Text, m.HasByteOrderMark = text, true
 		if !utf8.Valid(text) {
 			return s.errorAt("MSG is not valid UTF-8")
 		}
@@ -430,12 +430,12 @@
 
 // numberUpTo parses a decimal number of at most limit.
 func numberUpTo(p []byte, limit uint64) (uint64, bool) {
-	n, ok := Number(p)
+	n, ok := ParseNumber(p)
 	return n, ok && n <= limit
 }
 
-// Number parses a value as a decimal number without leading zeros. It reports false for any other value.
-func Number(p []byte) (uint64, bool) {
+// ParseNumber parses a value as a decimal number without leading zeros. It reports false for any other value.
+func ParseNumber(p []byte) (uint64, bool) {
 	var n uint64
 	if len(p) == 0 || len(p) > 20 || p[0] == '0' && len(p) > 1 {
 		return 0, false
@@ -450,9 +450,9 @@
 	return n, true
 }
 
-// Plain decodes the percent escapes of syslog.AppendValue, which the router writes for bytes that a value must not
-// hold.
-func Plain(value []byte) (string, error) {
+// DecodePercent decodes the percent escapes of syslog.AppendValue, which the router writes for bytes that a value must
+// not hold.
+func DecodePercent(value []byte) (string, error) {
 	out := make([]byte, 0, len(value))
 	for i := 0; i < len(value); i++ {
 		if value[i] != '%' {
--- a/internal/syslog/parser/message_test.go
+++ b/internal/syslog/parser/message_test.go
@@ -36,7 +36,7 @@
 	if err := m.Read([]byte(validMessages()[2])); err != nil || m.Facility != 20 || m.Severity != 5 ||
 		!m.Time.Equal(time.Date(2003, 10, 11, 22, 14, 15, 3e6, time.UTC)) ||
 		string(m.Host) != "mymachine.example.com" || string(m.App) != "evntslog" || m.Proc != nil || string(m.ID) != "ID47" || len(m.Elements) != 1 ||
-		!m.Marked || string(m.Text) != "An application event log entry..." {
+		!m.HasByteOrderMark || string(m.Text) != "An application event log entry..." {
 		t.Fatalf("Read of example 3 of RFC 5424: got %+v, %v", m, err)
 	}
 	if v, _ := m.Find("exampleSDID@32473").Find("eventID"); string(v) != "1011" {
@@ -125,7 +125,7 @@
 				if len(q.Name) == 0 || len(q.Value) > len(p) {
 					t.Fatalf("empty parameter name, or a value longer than the message %q", p)
 				}
-				_, _ = Plain(q.Value) // an error is allowed, a panic is not
+				_, _ = DecodePercent(q.Value) // an error is allowed, a panic is not
 			}
 		}
 	})
@@ -156,13 +156,14 @@
 		for err == nil {
 			_, err = fr.Next()
 		}
-		if !errors.Is(err, ErrCut) {
-			t.Errorf("%s: truncated input: got %v, want ErrCut", name, err)
+		if !errors.Is(err, ErrTruncated) {
+			t.Errorf("%s: truncated input: got %v, want ErrTruncated", name, err)
 		}
 	}
 	for text, want := range map[string]error{
-		"5 abc": ErrCut, "0 ": ErrFrame, "05 abcde": ErrFrame, "1001 ": ErrLong, "99999999999999999999 ": ErrLong, "5x": ErrFrame, "x": ErrFrame,
-		" ": ErrFrame, "12": ErrCut, "<" + strings.Repeat("x", 5000) + "\n": ErrLong, "<x": ErrCut,
+		"5 abc": ErrTruncated, "0 ": ErrOctetCount, "05 abcde": ErrOctetCount, "1001 ": ErrTooLong,
+		"99999999999999999999 ": ErrTooLong, "5x": ErrOctetCount, "x": ErrOctetCount, " ": ErrOctetCount,
+		"12": ErrTruncated, "<" + strings.Repeat("x", 5000) + "\n": ErrTooLong, "<x": ErrTruncated,
 	} {
 		if _, err := NewFrames(strings.NewReader(text), 1000).Next(); !errors.Is(err, want) {
 			t.Errorf("%.20q: got %v, want %v", text, err, want)
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -18,21 +18,21 @@
 	TLS        *tls.Config // for collectors with the network tls
 	Seed       uint64      // of the jitter of the backoff
 
-	// Window is the size limit in bytes of the messages in memory: those to be sent, and those not yet acknowledged. The
-	// send buffer of a connection has the same size.
-	Window int
-	Repeat int // how many bytes of acknowledged messages are sent again after a connection was reset, 0 = none
-
-	Spool  string // the folder of the spools of all processes; "" = messages are not stored on disk
-	Name   string // the name of this process's own folder in it
-	Disk   spool.Options
-	Replay int // the rate limit for messages from the spool, in messages per second, 0 = none
-
-	Connect time.Duration // the timeout for connecting, TLS handshake included
-	Stall   time.Duration // the timeout for writing a chunk. A connection that lasts longer than this resets the backoff
-	First   time.Duration // the backoff after the first failure of a collector; it doubles with each further one
-	Last    time.Duration // the limit of the backoff
-	Prefer  time.Duration // how long a connection lasts at least before a preferred collector is tried again
+	// MemoryBytes is the size limit in bytes of the messages in memory: those to be sent, and those not yet
+	// acknowledged. The send buffer of a connection has the same size.
+	MemoryBytes int
+	RepeatBytes int // how many bytes of acknowledged messages are sent again after a connection was reset, 0 = none
+
+	SpoolFolder  string // the folder of the spools of all processes; "" = messages are not stored on disk
+	SpoolName    string // the name of this process's own folder in it
+	SpoolOptions spool.Options
+	ReplayRate   int // the rate limit for messages from the spool, in messages per second, 0 = none
+
+	ConnectTimeout   time.Duration // the timeout for connecting, TLS handshake included
+	StallTimeout     time.Duration // the timeout for writing a chunk. A connection that lasts longer resets the backoff
+	MinBackoff       time.Duration // the backoff after the first failure of a collector; each further one doubles it
+	MaxBackoff       time.Duration // the limit of the backoff
+	FailbackInterval time.Duration // how long a connection lasts at least before a preferred collector is tried again
 }
 
 // maxChunkBytes is the size limit of one write in bytes. It is the size limit of a TLS record, which arrives whole or
@@ -50,19 +50,19 @@
 
 // Stats counts what a Sender has done since its start.
 type Stats struct {
-	Sent      uint64 // delivered messages, as far as the transport can tell; repeated ones count again
-	Repeated  uint64 // acknowledged messages that were queued again because the collector may not have read them
-	Connects  uint64 // successful connections
-	Spooled   uint64 // messages that were written to the spool
-	Lost      uint64 // messages that Close could neither send nor store
-	SpoolErrs uint64 // failed operations on the spool
-	Skipped   uint64 // bytes of the spool that were not part of a complete record
-	Connected bool   // there is a connection to a collector
+	Sent         uint64 // delivered messages, as far as the transport can tell; repeated ones count again
+	Repeated     uint64 // acknowledged messages that were queued again because the collector may not have read them
+	Connections  uint64 // successful connections
+	Spooled      uint64 // messages that were written to the spool
+	Lost         uint64 // messages that Close could neither send nor store
+	SpoolErrors  uint64 // failed operations on the spool
+	SkippedBytes uint64 // bytes of the spool that were not part of a complete record
+	Connected    bool   // there is a connection to a collector
 }
 
 // Sender sends messages in order to the most preferred collector that can be reached. Put is called by one goroutine.
-// The messages that it accepts wait in memory and, beyond Options.Window, in the spool; when both are full it accepts
-// none.
+// The messages that it accepts wait in memory and, beyond Options.MemoryBytes, in the spool; when both are full it
+// accepts none.
 type Sender struct {
 	opt       Options
 	log       *slog.Logger
@@ -87,14 +87,14 @@
 
 	// These are used by the goroutine of run only.
 	unacked        []chunk
-	recent         [][]byte // the newest acknowledged messages, at most Options.Repeat bytes
+	recent         [][]byte // the newest acknowledged messages, at most Options.RepeatBytes bytes
 	recentBytes    int
-	earlyResets    int // consecutive connections that broke before Options.Stall had passed
+	earlyResets    int // consecutive connections that broke before Options.StallTimeout had passed
 	idleAckChecks  int // consecutive checks that found no new acknowledgement
 	failover       Failover
 	collectorIndex int // of the current or last connection's collector, -1 = there was none
 	writeBuffer    []byte
-	replayTokens   float64 // the messages that Options.Replay allows to send from the spool now
+	replayTokens   float64 // the messages that Options.ReplayRate allows to send from the spool now
 	tokensFilledAt time.Time
 	syncedAt       time.Time
 	adoptedAt      time.Time
@@ -103,7 +103,7 @@
 	connected                                                             atomic.Bool
 }
 
-// collectorChange holds the arguments of a call of Change that run has not applied yet.
+// collectorChange holds the arguments of a call of SetCollectors that run has not applied yet.
 type collectorChange struct {
 	collectors []Collector
 	tls        *tls.Config
@@ -124,13 +124,13 @@
 		startedAt: time.Now(), collectorIndex: -1, tokensFilledAt: time.Now(), adoptedAt: time.Now(),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.failover = *NewFailover(len(opt.Collectors), opt.Seed, opt.First, opt.Last)
-	if opt.Spool != "" {
+	s.failover = *NewFailover(len(opt.Collectors), opt.Seed, opt.MinBackoff, opt.MaxBackoff)
+	if opt.SpoolFolder != "" {
 		var err error
-		if s.adoptedSpools, err = spool.Adopt(opt.Spool, opt.Disk); err != nil {
+		if s.adoptedSpools, err = spool.Adopt(opt.SpoolFolder, opt.SpoolOptions); err != nil {
 			return nil, err
 		}
-		if s.ownSpool, err = spool.Create(opt.Spool, opt.Name, opt.Disk); err != nil {
+		if s.ownSpool, err = spool.Create(opt.SpoolFolder, opt.SpoolName, opt.SpoolOptions); err != nil {
 			return nil, err
 		}
 	}
@@ -166,7 +166,7 @@
 	if s.ownSpool != nil && (!s.ownSpool.Empty() || s.connection == nil && !s.spoolFailedRecently()) {
 		return 0
 	}
-	for n < len(msgs) && s.memoryBytes+len(msgs[n]) <= s.opt.Window {
+	for n < len(msgs) && s.memoryBytes+len(msgs[n]) <= s.opt.MemoryBytes {
 		s.waiting = append(s.waiting, msgs[n])
 		s.memoryBytes += len(msgs[n])
 		n++
@@ -196,14 +196,15 @@
 // Stats returns the counters. It may be called from any goroutine.
 func (s *Sender) Stats() Stats {
 	return Stats{
-		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connects: s.connections.Load(), Spooled: s.spooled.Load(),
-		Lost: s.lost.Load(), SpoolErrs: s.spoolErrors.Load(), Skipped: s.skippedBytes.Load(), Connected: s.connected.Load(),
+		Sent: s.sent.Load(), Repeated: s.repeated.Load(), Connections: s.connections.Load(), Spooled: s.spooled.Load(),
+		Lost: s.lost.Load(), SpoolErrors: s.spoolErrors.Load(), SkippedBytes: s.skippedBytes.Load(),
+		Connected: s.connected.Load(),
 	}
 }
 
-// Change replaces the collectors. The goroutine of the Sender applies this, and closes the old connection gracefully.
-// Change never blocks, not even while the spool waits for the disk.
-func (s *Sender) Change(collectors []Collector, tlsConfig *tls.Config) {
+// SetCollectors replaces the collectors. The goroutine of the Sender applies this, and closes the old connection
+// gracefully. SetCollectors never blocks, not even while the spool waits for the disk.
+func (s *Sender) SetCollectors(collectors []Collector, tlsConfig *tls.Config) {
 	s.pendingChange.Store(&collectorChange{collectors: collectors, tls: tlsConfig})
 	s.wakeRun()
 }
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -37,9 +37,10 @@
 		t.Fatal(err)
 	}
 	w.options = Options{
-		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, Window: 64 << 10, Name: "mine",
-		Disk:    spool.Options{Segment: 32 << 10, Most: 64 << 20, Message: 4096},
-		Connect: 2 * time.Second, Stall: time.Second, First: 5 * time.Millisecond, Last: 50 * time.Millisecond, Prefer: time.Hour,
+		TLS: &tls.Config{RootCAs: w.ca.Pool}, Seed: 1, MemoryBytes: 64 << 10, SpoolName: "mine",
+		SpoolOptions:   spool.Options{SegmentBytes: 32 << 10, MaxBytes: 64 << 20, MaxMessageBytes: 4096},
+		ConnectTimeout: 2 * time.Second, StallTimeout: time.Second,
+		MinBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, FailbackInterval: time.Hour,
 	}
 	return w
 }
@@ -183,7 +184,7 @@
 	for _, network := range networks {
 		t.Run(network, func(t *testing.T) {
 			w := newSenderTest(t)
-			w.options.Spool = t.TempDir()
+			w.options.SpoolFolder = t.TempDir()
 			c := w.startCollector(collector.Options{Network: network})
 			w.startSender(c)
 			for range 4 {
@@ -214,14 +215,14 @@
 		for _, abrupt := range []bool{false, true} {
 			t.Run(fmt.Sprint(network, " abrupt ", abrupt), func(t *testing.T) {
 				w := newSenderTest(t)
-				w.options.Spool = t.TempDir()
-				w.options.First, w.options.Last = time.Millisecond, 5*time.Millisecond
+				w.options.SpoolFolder = t.TempDir()
+				w.options.MinBackoff, w.options.MaxBackoff = time.Millisecond, 5*time.Millisecond
 				if abrupt {
-					w.options.Repeat = 256 << 10
+					w.options.RepeatBytes = 256 << 10
 				}
 				c := w.startCollector(collector.Options{Network: network, CloseAfter: 397, Abrupt: abrupt})
 				w.startSender(c)
-				if abrupt { // the bytes that the collector has not read when it resets must not exceed Options.Repeat
+				if abrupt { // the bytes that the collector has not read at a reset must not exceed Options.RepeatBytes
 					for w.next < 1500 {
 						w.putMessages(10, true)
 						w.waitDelivered(true, c)
@@ -244,8 +245,8 @@
 	for _, network := range []string{"tcp", "tls"} {
 		t.Run(network, func(t *testing.T) {
 			w := newSenderTest(t)
-			w.options.Spool = t.TempDir()
-			w.options.Stall = 20 * time.Second
+			w.options.SpoolFolder = t.TempDir()
+			w.options.StallTimeout = 20 * time.Second
 			c := w.startCollector(collector.Options{Network: network})
 			resume := c.Hang()
 			w.startSender(c)
@@ -276,12 +277,12 @@
 	})
 	t.Run("failover to the next collector", func(t *testing.T) {
 		w := newSenderTest(t)
-		w.options.Stall = 100 * time.Millisecond
+		w.options.StallTimeout = 100 * time.Millisecond
 		// Messages in the first collector's socket count as delivered. It never completes the TLS handshake, so there are
 		// none.
 		first, second := w.startCollector(collector.Options{Network: "tls", Silent: true}),
 			w.startCollector(collector.Options{Network: "tcp"})
-		w.options.Connect = 100 * time.Millisecond // the timeout of the handshake
+		w.options.ConnectTimeout = 100 * time.Millisecond // the timeout of the handshake
 		w.startSender(first, second)
 		w.putMessages(500, true)
 		w.waitDelivered(false, second)
@@ -292,7 +293,7 @@
 // again.
 func TestFailoverAndFailback(t *testing.T) {
 	w := newSenderTest(t)
-	w.options.Prefer = 30 * time.Millisecond
+	w.options.FailbackInterval = 30 * time.Millisecond
 	a, b := w.startCollector(collector.Options{Network: "tcp"}), w.startCollector(collector.Options{Network: "tls"})
 	w.startSender(a, b)
 	w.putMessages(100, true)
@@ -313,11 +314,11 @@
 		}
 	}
 	w.waitDelivered(false, a, b)
-	// After Change, messages that were written to the old collector still arrive there.
+	// After SetCollectors, messages that were written to the old collector still arrive there.
 	c := w.startCollector(collector.Options{Network: "udp"})
 	p, _ := ParseCollector(c.URL())
 	w.putMessages(100, true)
-	w.sender.Change([]Collector{p}, nil)
+	w.sender.SetCollectors([]Collector{p}, nil)
 	for end := time.Now().Add(20 * time.Second); c.Received() == 0; time.Sleep(10 * time.Millisecond) {
 		w.putMessages(1, true)
 		if time.Now().After(end) {
@@ -332,7 +333,7 @@
 func TestCloseWithUnavailableCollector(t *testing.T) {
 	for _, network := range []string{"tcp", "tls"} {
 		w := newSenderTest(t)
-		w.options.Spool = t.TempDir()
+		w.options.SpoolFolder = t.TempDir()
 		c := w.startCollector(collector.Options{Network: network})
 		c.Stop()
 		w.startSender(c)
@@ -348,7 +349,7 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		w.options.Collectors, w.options.Name = nil, "next"
+		w.options.Collectors, w.options.SpoolName = nil, "next"
 		w.startSender(c)
 		w.waitDelivered(false, c)
 
@@ -363,7 +364,7 @@
 			t.Fatalf("Close took %v, want at most 3 s", took)
 		}
 		resume()
-		w.options.Collectors, w.options.Name = nil, "last"
+		w.options.Collectors, w.options.SpoolName = nil, "last"
 		w.startSender(c)
 		w.waitDelivered(true, c) // messages that are acknowledged only after Close are sent again
 		w.sender.Close(time.Second)
@@ -385,7 +386,7 @@
 // Messages from the spool are sent at the replay rate.
 func TestReplayRate(t *testing.T) {
 	w := newSenderTest(t)
-	w.options.Spool, w.options.Replay, w.options.Window = t.TempDir(), 1000, 1
+	w.options.SpoolFolder, w.options.ReplayRate, w.options.MemoryBytes = t.TempDir(), 1000, 1
 	c := w.startCollector(collector.Options{Network: "tcp"})
 	c.Stop()
 	w.startSender(c)
@@ -438,15 +439,15 @@
 // While the disk fails, messages beyond the memory limit are not accepted. Once a collector is available, all are sent.
 func TestSpoolDiskFailure(t *testing.T) {
 	w := newSenderTest(t)
-	w.options.Spool, w.options.Window = t.TempDir(), 2000
-	w.options.Disk.Create = func(string) (spool.File, error) { return nil, fmt.Errorf("no room") }
+	w.options.SpoolFolder, w.options.MemoryBytes = t.TempDir(), 2000
+	w.options.SpoolOptions.CreateFile = func(string) (spool.File, error) { return nil, fmt.Errorf("no room") }
 	c := w.startCollector(collector.Options{Network: "tcp"})
 	c.Stop()
 	w.startSender(c)
 	if n := w.putMessages(1000, false); n == 0 || n > 50 {
 		t.Fatalf("%d messages accepted, want 1 to 50", n)
 	}
-	if st := w.sender.Stats(); st.SpoolErrs != 1 {
+	if st := w.sender.Stats(); st.SpoolErrors != 1 {
 		t.Fatalf("got %+v, want 1 spool error", st)
 	}
 	if err := c.Start(); err != nil {
@@ -516,7 +517,10 @@
 			}
 			defer c.Stop()
 			p, _ := ParseCollector(c.URL())
-			s, err := NewSender(Options{Collectors: []Collector{p}, Window: 1 << 20, Connect: time.Second, Stall: time.Second, First: 1, Last: 2, Prefer: time.Hour}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			s, err := NewSender(Options{
+				Collectors: []Collector{p}, MemoryBytes: 1 << 20, ConnectTimeout: time.Second,
+				StallTimeout: time.Second, MinBackoff: 1, MaxBackoff: 2, FailbackInterval: time.Hour,
+			}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -538,20 +542,20 @@
 	}
 }
 
-// Change is called on the event loop, so it must not wait for a spool whose disk hangs.
-func TestChangeDoesNotWaitForTheSpool(t *testing.T) {
+// SetCollectors is called on the event loop, so it must not wait for a spool whose disk hangs.
+func TestSetCollectorsDoesNotWaitForTheSpool(t *testing.T) {
 	w := newSenderTest(t)
 	w.startSender(w.startCollector(collector.Options{Network: "tcp"}))
 	w.sender.mu.Lock() // the sender holds it while it writes to the spool
 	defer w.sender.mu.Unlock()
 	changed := make(chan struct{})
 	go func() {
-		w.sender.Change(w.options.Collectors, w.options.TLS)
+		w.sender.SetCollectors(w.options.Collectors, w.options.TLS)
 		close(changed)
 	}()
 	select {
 	case <-changed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("Change has not returned within 5 s")
+		t.Fatal("SetCollectors has not returned within 5 s")
 	}
 }
--- a/internal/testserver/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -395,7 +395,7 @@
 // noteFault keeps the first breach of the framing. A message that the connection's end cuts off is none: it comes again
 // on another connection.
 func (c *Collector) noteFault(err error) {
-	if !errors.Is(err, parser.ErrFrame) && !errors.Is(err, parser.ErrLong) {
+	if !errors.Is(err, parser.ErrOctetCount) && !errors.Is(err, parser.ErrTooLong) {
 		return
 	}
 	c.mu.Lock()
