--- a/internal/spool/append.go
+++ b/internal/spool/append.go
@@ -10,8 +10,8 @@
 const maxWriteSize = 64 << 10
 
 // Append appends messages in order and returns how many. The error is ErrFull if the size limit is reached, ErrDisk if
-// the disk has failed. No complete record of the message at which it stopped is in the file then, so that the message
-// may be appended again.
+// the disk has failed. The messages that were not appended may be appended again. If the disk has failed and the file
+// could not be truncated either, those with a complete record in it are then read twice.
 func (s *Spool) Append(msgs [][]byte) (appended int, err error) {
 	var p []byte
 	for appended < len(msgs) {
@@ -79,8 +79,8 @@
 		s.unsynced = true
 		return nil
 	}
-	// There must not be a part of a record between two complete ones, so what was written is cut off. If this fails, the
-	// reader skips the incomplete record. In both cases the next message begins a new segment.
+	// There must not be a part of a record between two complete ones, so everything that this write has written is cut
+	// off. If this fails, the reader skips the incomplete record. In both cases the next message begins a new segment.
 	if s.newest.Truncate(newest.size) != nil {
 		newest.size += int64(written)
 	}
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -46,10 +46,10 @@
 	}
 	messages := goldenMessages()
 	if appended, err := writer.Append(messages[:4]); err != nil || appended != 4 {
-		t.Fatalf("%d messages appended, %v", appended, err)
+		t.Fatalf("%d messages appended, want 4, %v", appended, err)
 	}
 	if read, err := writer.Next(nil, 1, 1<<20); err != nil || len(read) != 1 {
-		t.Fatalf("%q read, %v", read, err)
+		t.Fatalf("%q read, want one message, %v", read, err)
 	}
 	writer.MarkDelivered(writer.ReadOffset())
 	if err := writer.Prepend(messages[4:]); err != nil {
@@ -57,7 +57,7 @@
 	}
 	// One message of the new oldest segment is delivered, so that the cursor points into the middle of the segment.
 	if read, err := writer.Next(nil, 1, 1<<20); err != nil || len(read) != 1 {
-		t.Fatalf("%q read, %v", read, err)
+		t.Fatalf("%q read, want one message, %v", read, err)
 	}
 	writer.MarkDelivered(writer.ReadOffset())
 	if err := writer.Close(); err != nil {
@@ -121,7 +121,7 @@
 	}
 	left, err := spool.Adopt(root, goldenOptions())
 	if err != nil || len(left) != 1 {
-		t.Fatalf("%d spools adopted, %v", len(left), err)
+		t.Fatalf("%d spools adopted, want 1, %v", len(left), err)
 	}
 	adopted := left[0]
 	messages := goldenMessages()
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -8,7 +8,8 @@
 )
 
 // Next reads the next messages and appends them to out: at most maxMessages, and none after maxBytes are reached, but
-// at least one if there is any. It returns messages of one segment only.
+// at least one if the oldest segment holds any that was not read. It reads the next segment only when the oldest one is
+// delivered.
 func (s *Spool) Next(out [][]byte, maxMessages, maxBytes int) ([][]byte, error) {
 	for len(s.segments) > 0 && maxMessages > 0 && maxBytes > 0 {
 		oldest := s.segments[0]
@@ -63,7 +64,7 @@
 }
 
 // fillBuffer reads the oldest segment from an offset to its end into the buffer. Options.SegmentBytes limits the size
-// of a segment.
+// of the segments that Append writes, and so of the buffer.
 func (s *Spool) fillBuffer(offset int64) error {
 	oldest := s.segments[0]
 	if s.bufferOffset <= offset && s.bufferOffset+int64(len(s.buffer)) >= oldest.size {
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -57,7 +57,7 @@
 )
 
 const (
-	// maxLockAttempts is how often Create retries to lock its folder.
+	// maxLockAttempts is how often Create tries again to lock its folder.
 	maxLockAttempts = 100
 	// lockRetryInterval is the pause between two attempts to lock a folder.
 	lockRetryInterval = 2 * time.Millisecond
@@ -151,7 +151,7 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
-// acquireLock locks a folder; the error is errLocked where another process holds it.
+// acquireLock locks a folder. The error is errLocked if another process holds the lock, or has just removed the folder.
 func acquireLock(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -219,7 +219,7 @@
 			continue
 		}
 		if err != nil || len(left) != 1 {
-			t.Fatalf("cut at byte %d: %d spools adopted, %v", cut, len(left), err)
+			t.Fatalf("cut at byte %d: %d spools adopted, want 1, %v", cut, len(left), err)
 		}
 		checkMessages(t, readAll(t, left[0]), want[:n])
 		checkNoError(t, left[0].lock.Close())
@@ -287,7 +287,7 @@
 type fullDiskFile struct {
 	*os.File
 	remaining         *int
-	keepsPartialWrite bool // what a failed write has written can't be truncated
+	keepsPartialWrite bool // Truncate fails, so that the file keeps the part that a failed write has written
 }
 
 func (f *fullDiskFile) Write(p []byte) (int, error) {
--- a/internal/syslog/carry.go
+++ b/internal/syslog/carry.go
@@ -358,8 +358,8 @@
 	s.disconnect(conn, false)
 }
 
-// disconnect closes a connection and queues undelivered messages again. graceful is set if the connection works: the
-// end waits for acknowledgements of what is written.
+// disconnect closes a connection and queues undelivered messages again. graceful is set if the connection works: it is
+// then closed when all written bytes are acknowledged, or after a timeout.
 func (s *Sender) disconnect(conn *connection, graceful bool) {
 	s.mu.Lock()
 	s.connection = nil
@@ -389,9 +389,9 @@
 	conn.socket.Close()
 	var repeat [][]byte
 	if !orderly {
-		// The collector may never have read what its system has acknowledged, so the newest of it is sent again. A collector
-		// that resets again and again before it has read the repeated messages would never get to newer ones: each such
-		// reset halves the number of bytes that are repeated.
+		// The collector may never have read messages that its system has acknowledged, so the newest of them are sent
+		// again. A collector that resets again and again before it has read the repeated messages would never get to newer
+		// ones, so each such reset halves the number of bytes that are repeated.
 		repeat = s.recent
 		for maxRepeat := s.opt.RepeatBytes >> min(s.earlyResets, 30); s.recentBytes > maxRepeat; repeat = repeat[1:] {
 			s.recentBytes -= len(repeat[0])
--- a/internal/syslog/failover.go
+++ b/internal/syslog/failover.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Failover decides which collector to connect to, and when. It is deterministic: it reads no clock, and its random
-// numbers come from its seed. Earlier collectors are preferred. A collector that fails is not tried again before a
-// backoff has passed, which doubles with each failure and has jitter, so that many routers do not reconnect to it at
-// once.
+// Failover decides which collector to connect to, and when. It is deterministic: it reads no clock, since its callers
+// pass now as the time since a fixed start, and its random numbers come from its seed. Earlier collectors are preferred.
+// A collector that fails is not tried again before a backoff has passed, which doubles with each failure and has
+// jitter, so that many routers do not reconnect to it at once.
 type Failover struct {
 	rng        *rand.Rand
 	minBackoff time.Duration
@@ -18,7 +18,7 @@
 
 type collectorState struct {
 	failures int
-	retryAt  time.Duration // the collector is not tried before this
+	retryAt  time.Duration // the collector is not tried before this time, counted like now
 }
 
 // NewFailover returns a Failover for n collectors, whose backoffs grow from minBackoff to maxBackoff.
--- a/internal/syslog/link.go
+++ b/internal/syslog/link.go
@@ -188,8 +188,9 @@
 	}
 }
 
-// awaitLateAcks waits until no acknowledgement has come for the given time, since acknowledgements may be delayed (RFC
-// 1122, section 4.2.3.2). On a broken connection it returns at once, since no acknowledgement can come.
+// awaitLateAcks waits until everything that was written is acknowledged, or no acknowledgement has come for the given
+// time, since acknowledgements may be delayed (RFC 1122, section 4.2.3.2). On a broken connection it returns at
+// once, since no acknowledgement can come.
 func (conn *connection) awaitLateAcks(timeout time.Duration) {
 	end := time.Now().Add(5 * timeout) // so that a collector that reads slowly does not hold this up
 	for last, since := conn.ackedBytes(), time.Now(); !conn.closed.Load() && time.Since(since) < timeout &&
--- a/internal/syslog/message.go
+++ b/internal/syslog/message.go
@@ -36,8 +36,8 @@
 	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(facilities, ", "))
 }
 
-// Rank says in which order parameters are removed from a message that exceeds its size limit: those of the highest rank
-// first, those of rank Keep never.
+// Rank determines the order in which parameters are removed from a message that exceeds its size limit: those of the
+// highest rank first, those of rank Keep never.
 type Rank uint8
 
 // Keep is the rank of parameters that are never removed.
--- a/internal/syslog/parser/message.go
+++ b/internal/syslog/parser/message.go
@@ -434,7 +434,8 @@
 	return n, ok && n <= limit
 }
 
-// ParseNumber parses a value as a decimal number without leading zeros. It reports false for any other value.
+// ParseNumber parses a value as a decimal number without leading zeros. It reports false for any other value, and for a
+// number that does not fit into 64 bits.
 func ParseNumber(p []byte) (uint64, bool) {
 	var n uint64
 	if len(p) == 0 || len(p) > 20 || p[0] == '0' && len(p) > 1 {
--- a/internal/syslog/sender.go
+++ b/internal/syslog/sender.go
@@ -28,11 +28,13 @@
 	SpoolOptions spool.Options
 	ReplayRate   int // the rate limit for messages from the spool, in messages per second, 0 = none
 
-	ConnectTimeout   time.Duration // the timeout for connecting, TLS handshake included
-	StallTimeout     time.Duration // the timeout for writing a chunk. A connection that lasts longer resets the backoff
-	MinBackoff       time.Duration // the backoff after the first failure of a collector; each further one doubles it
-	MaxBackoff       time.Duration // the limit of the backoff
-	FailbackInterval time.Duration // how long a connection lasts at least before a preferred collector is tried again
+	ConnectTimeout time.Duration // the timeout for connecting, TLS handshake included
+	StallTimeout   time.Duration // the timeout for writing a chunk. A connection that lasts longer resets the backoff
+	MinBackoff     time.Duration // the backoff after the first failure of a collector; each further one doubles it
+	MaxBackoff     time.Duration // the limit of the backoff
+	// FailbackInterval is how long a connection lasts at least before the Sender tries collectors again that are
+	// preferred to the connected one.
+	FailbackInterval time.Duration
 }
 
 // maxChunkBytes is the size limit of one write in bytes. It is the size limit of a TLS record, which arrives whole or
@@ -82,14 +84,14 @@
 	ownSpool      *spool.Spool
 	spoolRetryAt  time.Time // the disk has failed and is not used before this
 	adoptedSpools []*spool.Spool
-	connection    *connection // set for Close, which limits the time of its writes
+	connection    *connection // the current one, nil = none; Close limits the time of its writes
 	closeDeadline time.Time
 
 	// These are used by the goroutine of run only.
 	unacked        []chunk
 	recent         [][]byte // the newest acknowledged messages, at most Options.RepeatBytes bytes
 	recentBytes    int
-	earlyResets    int // consecutive connections that broke before Options.StallTimeout had passed
+	earlyResets    int // how many connections broke since one lasted longer than Options.StallTimeout
 	idleAckChecks  int // consecutive checks that found no new acknowledgement
 	failover       Failover
 	collectorIndex int // of the current or last connection's collector, -1 = there was none
@@ -109,7 +111,8 @@
 	tls        *tls.Config
 }
 
-// chunk is a group of messages that are sent with one write.
+// chunk is a group of messages that are written to a stream with one write, over TLS as one record. Over UDP each of
+// them is a datagram.
 type chunk struct {
 	msgs         [][]byte
 	source       *spool.Spool // the spool that they come from, nil = memory
@@ -160,8 +163,8 @@
 }
 
 // addToMemory adds messages to those in memory as far as there is room, and returns how many. SIGKILL loses the
-// messages in memory. So with a working spool nothing is added while the spool holds messages or there is no
-// connection.
+// messages in memory. So with a spool nothing is added while there is no connection, unless the disk has failed
+// recently. Nothing is added either while the spool holds messages, as these are older.
 func (s *Sender) addToMemory(msgs [][]byte) (n int) {
 	if s.ownSpool != nil && (!s.ownSpool.Empty() || s.connection == nil && !s.spoolFailedRecently()) {
 		return 0
--- a/internal/syslog/sender_test.go
+++ b/internal/syslog/sender_test.go
@@ -278,8 +278,8 @@
 	t.Run("failover to the next collector", func(t *testing.T) {
 		w := newSenderTest(t)
 		w.options.StallTimeout = 100 * time.Millisecond
-		// Messages in the first collector's socket count as delivered. It never completes the TLS handshake, so there are
-		// none.
+		// Messages in the first collector's socket would count as delivered. It never completes the TLS handshake, so no
+		// message gets there.
 		first, second := w.startCollector(collector.Options{Network: "tls", Silent: true}),
 			w.startCollector(collector.Options{Network: "tcp"})
 		w.options.ConnectTimeout = 100 * time.Millisecond // the timeout of the handshake
