--- a/internal/syslog/failover.go
+++ b/internal/syslog/failover.go
@@ -6,9 +6,9 @@
 )
 
 // Failover decides which collector to connect to, and when. It is deterministic: it reads no clock, since its callers
-// pass now as the time since a fixed start, and its random numbers come from its seed. Earlier collectors are preferred.
-// A collector that fails is not tried again before a backoff has passed, which doubles with each failure and has
-// jitter, so that many routers do not reconnect to it at once.
+// pass now as the time since a fixed start, and its random numbers come from its seed. Earlier collectors are
+// preferred. A collector that fails is not tried again before a backoff has passed, which doubles with each failure and
+// has jitter, so that many routers do not reconnect to it at once.
 type Failover struct {
 	rng        *rand.Rand
 	minBackoff time.Duration
