--- a/internal/audit/encoder_test.go
+++ b/internal/audit/encoder_test.go
@@ -18,7 +18,7 @@
 func newEncoder(tb testing.TB, maxBytes int, k *audit.Key) *audit.Encoder {
 	tb.Helper()
 	encoder, err := audit.NewEncoder(audit.EncoderOptions{
-		Head:       syslog.Head{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
+		Head:       syslog.Header{Facility: 16, Host: strings.Repeat("h", 200), App: "limeladder", Proc: "4194304"},
 		Enterprise: 4294967295, MaxMessageBytes: maxBytes, Software: "limeladder", Version: "(devel)",
 		Start: audit.NewStartID(time.Unix(1.8e9, 0), 1), StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: k,
@@ -104,10 +104,10 @@
 		tb.Fatalf("elements are missing though the message is not marked as cut: %q", msg)
 	}
 	ascii := !slices.ContainsFunc(m.Text, func(c byte) bool { return c >= 0x80 })
-	markIsMissing := !m.Marked && !ascii
-	markIsUnneeded := m.Marked && ascii && !isCut
+	markIsMissing := !m.HasByteOrderMark && !ascii
+	markIsUnneeded := m.HasByteOrderMark && ascii && !isCut
 	if markIsMissing || markIsUnneeded {
-		tb.Fatalf("the byte order mark is present: %v, want the opposite before the text %q", m.Marked, m.Text)
+		tb.Fatalf("the byte order mark is present: %v, want the opposite before the text %q", m.HasByteOrderMark, m.Text)
 	}
 }
 
@@ -123,7 +123,7 @@
 			}
 			return
 		}
-		if got, err := parser.Plain(v); err != nil || got != want {
+		if got, err := parser.DecodePercent(v); err != nil || got != want {
 			tb.Fatalf("parameter %s is %q, error %v, want %q", name, got, err, want)
 		}
 	}
@@ -147,7 +147,7 @@
 	case audit.Note:
 		checkParam("event", "topic", v.Topic)
 		if !isCut {
-			if text, err := parser.Plain(m.Text); err != nil || text != v.Text {
+			if text, err := parser.DecodePercent(m.Text); err != nil || text != v.Text {
 				tb.Fatalf("the text of the message is %q, want %q", text, v.Text)
 			}
 		}
@@ -165,7 +165,7 @@
 			continue
 		}
 		part := strings.SplitN(string(p.Value), ",", 3)
-		if node, err := parser.Plain([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
+		if node, err := parser.DecodePercent([]byte(part[2])); err != nil || node != answer.Attempts[i].Endpoint {
 			tb.Fatalf("parameter try %d names endpoint %q, want %q", i, node, answer.Attempts[i].Endpoint)
 		}
 		i++
@@ -201,7 +201,7 @@
 	f.Add("\"]\\", "\x00\n", "\xff", "日本 % %zz", 600, uint64(1<<63))
 	f.Add(strings.Repeat("é", 300), "c", "n", strings.Repeat("%", 700), 1000, uint64(7))
 	f.Fuzz(func(t *testing.T, id, class, node, why string, maxBytes int, seq uint64) {
-		maxBytes = syslog.Smallest + (maxBytes&0x7fffffff)%4096
+		maxBytes = syslog.MinMessageLimit + (maxBytes&0x7fffffff)%4096
 		enc := newEncoder(t, maxBytes, &key)
 		e := &audit.Answer{Request: id, Class: class, Endpoint: node, Reason: why, Outcome: audit.Failed}
 		e.Attempts = []audit.Attempt{{Endpoint: node}, {Endpoint: why, End: audit.InFlight}}
--- a/internal/audit/verify/verify.go
+++ b/internal/audit/verify/verify.go
@@ -96,7 +96,8 @@
 
 // isFramingError reports whether an error means that the rest of a file cannot be split into messages.
 func isFramingError(err error) bool {
-	return errors.Is(err, parser.ErrCut) || errors.Is(err, parser.ErrFrame) || errors.Is(err, parser.ErrLong)
+	return errors.Is(err, parser.ErrTruncated) || errors.Is(err, parser.ErrOctetCount) ||
+		errors.Is(err, parser.ErrTooLong)
 }
 
 // splitFile splits the input into blocks until it ends or reading fails. It sends each block to the workers, and also
--- a/internal/audit/verify/verify_test.go
+++ b/internal/audit/verify/verify_test.go
@@ -17,8 +17,9 @@
 func encodeStart(tb testing.TB, start string, n int, keys ...audit.Key) (msgs [][]byte) {
 	tb.Helper()
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473, MaxMessageBytes: 1024,
-		Software: "limeladder", Version: "1", Start: start, StartedAt: time.Unix(1.8e9, 0),
+		Head: syslog.Header{Facility: 3, Host: "h", App: "limeladder", Proc: "1"}, Enterprise: 32473,
+		MaxMessageBytes: 1024,
+		Software:        "limeladder", Version: "1", Start: start, StartedAt: time.Unix(1.8e9, 0),
 		RejectedSQLSTATE: "53300", FailedSQLSTATE: "08007", Key: &keys[0],
 	})
 	if err != nil {
@@ -199,7 +200,7 @@
 func TestDropCountsMatchMissingNumbers(t *testing.T) {
 	for reported, wantComplete := range map[uint64]bool{3: true, 2: false, 1: false} {
 		e, _ := audit.NewEncoder(audit.EncoderOptions{
-			Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
+			Head: syslog.Header{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
 		})
 		var msgs [][]byte
 		for _, r := range []audit.Record{
@@ -266,7 +267,7 @@
 	}
 	const n = 1_000_000
 	e, err := audit.NewEncoder(audit.EncoderOptions{
-		Head: syslog.Head{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
+		Head: syslog.Header{Host: "h"}, Enterprise: 1, MaxMessageBytes: 1024, Start: "s", Key: &keyOne,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/spool/append.go
+++ b/internal/spool/append.go
@@ -10,8 +10,8 @@
 const maxWriteSize = 64 << 10
 
 // Append appends messages in order and returns how many. The error is ErrFull if the size limit is reached, ErrDisk if
-// the disk has failed. No complete record of the message at which it stopped is in the file then, so that the message
-// may be appended again.
+// the disk has failed. The messages that were not appended may be appended again. If the disk has failed and the file
+// could not be truncated either, those with a complete record in it are then read twice.
 func (s *Spool) Append(msgs [][]byte) (appended int, err error) {
 	var p []byte
 	for appended < len(msgs) {
@@ -40,10 +40,10 @@
 	segmentSize := s.newestSize()
 	diskSize := s.diskSize()
 	for _, msg := range msgs {
-		if len(p) >= maxWriteSize || segmentSize+int64(len(p)) >= int64(s.options.Segment) {
+		if len(p) >= maxWriteSize || segmentSize+int64(len(p)) >= int64(s.options.SegmentBytes) {
 			break
 		}
-		if diskSize+int64(len(p)+headerSize+len(msg)) > s.options.Most {
+		if diskSize+int64(len(p)+headerSize+len(msg)) > s.options.MaxBytes {
 			break
 		}
 		p = s.appendRecord(p, msg)
@@ -62,7 +62,7 @@
 
 // isNewestFull reports whether the segment that is open for writing has reached its size limit.
 func (s *Spool) isNewestFull() bool {
-	return s.newest != nil && s.newestSize() >= int64(s.options.Segment)
+	return s.newest != nil && s.newestSize() >= int64(s.options.SegmentBytes)
 }
 
 // writeNewest writes records to the newest segment. It begins a new segment if none is open.
@@ -79,8 +79,8 @@
 		s.unsynced = true
 		return nil
 	}
-	// There must not be a part of a record between two complete ones, so what was written is cut off. If this fails, the
-	// reader skips the incomplete record. In both cases the next message begins a new segment.
+	// There must not be a part of a record between two complete ones, so everything that this write has written is cut
+	// off. If this fails, the reader skips the incomplete record. In both cases the next message begins a new segment.
 	if s.newest.Truncate(newest.size) != nil {
 		newest.size += int64(written)
 	}
@@ -94,7 +94,7 @@
 	if len(s.segments) > 0 {
 		number = s.segments[len(s.segments)-1].number + 1
 	}
-	file, err := s.options.Create(s.path(number))
+	file, err := s.options.CreateFile(s.path(number))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
@@ -172,7 +172,7 @@
 
 // writeSegment writes a complete segment.
 func (s *Spool) writeSegment(number uint64, p []byte) error {
-	file, err := s.options.Create(s.path(number))
+	file, err := s.options.CreateFile(s.path(number))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -19,11 +19,11 @@
 
 // Options configure a spool.
 type Options struct {
-	Segment int   // the size in bytes at which a segment is full and a new one begins
-	Most    int64 // the size limit of all segments together in bytes
-	Message int   // the size limit of a message in bytes
-	// Create creates the file of a new segment; nil = in the file system. Tests simulate disk failures with it.
-	Create func(path string) (File, error)
+	SegmentBytes    int   // the size in bytes at which a segment is full and a new one begins
+	MaxBytes        int64 // the size limit of all segments together in bytes
+	MaxMessageBytes int   // the size limit of a message in bytes
+	// CreateFile creates the file of a new segment; nil = in the file system. Tests simulate disk failures with it.
+	CreateFile func(path string) (File, error)
 }
 
 // File is the file of a segment that is open for writing.
@@ -57,7 +57,7 @@
 )
 
 const (
-	// maxLockAttempts is how often Create retries to lock its folder.
+	// maxLockAttempts is how often Create tries again to lock its folder.
 	maxLockAttempts = 100
 	// lockRetryInterval is the pause between two attempts to lock a folder.
 	lockRetryInterval = 2 * time.Millisecond
@@ -133,8 +133,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if opt.Create == nil {
-		opt.Create = createFile
+	if opt.CreateFile == nil {
+		opt.CreateFile = createFile
 	}
 	s := &Spool{dir: dir, options: opt, checksums: checksumTable(), lock: lock}
 	if err := s.findSegments(); err != nil {
@@ -151,7 +151,7 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
-// acquireLock locks a folder; the error is errLocked where another process holds it.
+// acquireLock locks a folder. The error is errLocked if another process holds the lock, or has just removed the folder.
 func acquireLock(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/testserver/collector/collector.go
+++ b/internal/testserver/collector/collector.go
@@ -398,7 +398,7 @@
 // noteFault records the first framing error. A message that the end of its connection truncates is not an error: the
 // sender repeats it on another connection.
 func (c *Collector) noteFault(err error) {
-	if !errors.Is(err, parser.ErrFrame) && !errors.Is(err, parser.ErrLong) {
+	if !errors.Is(err, parser.ErrOctetCount) && !errors.Is(err, parser.ErrTooLong) {
 		return
 	}
 	c.mu.Lock()
