--- a/cmd/limeladder-sim/main.go
+++ b/cmd/limeladder-sim/main.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// revision returns the VCS revision recorded in the build, or "unknown".
+// revision returns the first 12 characters of the VCS revision recorded in the build, or "unknown", and the suffix
+// " with changes" if there were uncommitted changes.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/limeladder-sim/main_test.go
+++ b/cmd/limeladder-sim/main_test.go
@@ -45,7 +45,7 @@
 		}
 		if n := strings.Count(string(p), "<svg "); n != 8 || strings.Contains(string(p), "http-equiv") || strings.Contains(string(p), "<script") || strings.Contains(string(p), "src=") ||
 			!strings.Contains(string(p), "kill primary:1") || !strings.Contains(string(p), "submit-job") {
-			t.Errorf("%s: %d plots", name, n)
+			t.Errorf("%s: %d plots, want 8; or the page loads other content, or lacks the fault or a class", name, n)
 		}
 	}
 	// A second run with another number of workers gives identical results.
@@ -86,7 +86,7 @@
 		"/none/r.html: no s": {Scenario: dir + "/s.star", Seeds: 1, Report: dir + "/none/r.html"},
 	} {
 		if err := c.Run(&out); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error of one line that contains %s, got %v", want, err)
 		}
 	}
 	if err := (&compareCommand{A: writeFile(t, dir, "x", "{"), B: dir + "/s.star"}).Run(&out); err == nil ||
--- a/cmd/limeladder-sim/sockets.go
+++ b/cmd/limeladder-sim/sockets.go
@@ -29,9 +29,9 @@
 	host         *emulator.Host
 	cmd          *exec.Cmd
 	dir          string     // temporary folder for settings and log
-	addr         string     // listens for simple queries
-	extendedAddr string     // listens for extended queries
-	operatorAddr string     // listens for operators
+	addr         string     // of the router's listener for simple queries
+	extendedAddr string     // of the router's listener for extended queries
+	operatorAddr string     // of the router's listener for operators
 	exited       chan error // receives the result of cmd.Wait
 }
 
@@ -242,8 +242,8 @@
 	defer env.stop()
 	result := &fleet.Result{Seed: seed, Rules: map[string]int{}}
 	result.Names = slices.Sorted(maps.Keys(env.host.Members()))
-	// Statistics that only the router could provide are marked as unseen. Attempts and requests in flight are counted at
-	// the endpoints and the clients.
+	// Measurements that only the router could provide are marked as unseen. Attempts are counted at the endpoints, and
+	// requests in flight at the clients.
 	result.Unseen = []string{"rules", "refusals", "pushed_over"}
 	var inFlight atomic.Int64
 	before := env.host.Count()
@@ -360,7 +360,8 @@
 	return err
 }
 
-// progressPrinter returns a callback that prints the progress of a run.
+// progressPrinter returns a callback that prints the progress of a run as one line. The load generator calls it once
+// per second.
 func progressPrinter(out io.Writer) func(load.Progress) {
 	return func(p load.Progress) {
 		fmt.Fprintf(out, "%4.0f s  %8d asked  %6d open  %8d served  %6d refused  %5d failed\n", p.At.Seconds(), p.Came, p.Open, p.Ends["served"], p.Ends["refused"], p.Ends["failed"])
@@ -396,7 +397,7 @@
 	Scenario string  `type:"existingfile" help:"Scenario script to take classes, clients and the shape of the load from; by default those of the usual fleet."`
 	Rate     float64 `help:"Requests per second; by default the scenario's."`
 	Length   float64 `help:"Length of the run, in seconds; by default the scenario's."`
-	Bursts   float64 `default:"0.5" help:"Burstiness of bursty arrivals: the spread of the rate between half seconds."`
+	Bursts   float64 `default:"0.5" help:"Bursty arrivals: coefficient of variation of the rate, redrawn every 500 ms."`
 	Conns    int     `default:"500" help:"Maximum number of connections."`
 	Arrivals string  `default:"poisson" enum:"poisson,even,bursty" help:"Arrival process: ${enum}."`
 	From     string  `type:"existingfile" help:"File with arrival times to use instead: one per line, in seconds from the start."`
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -62,7 +62,8 @@
 				t.Errorf("%d pairs, want 10", whole.Pairs)
 			}
 			if harmful != (worth.Significant && worth.MeanDifference < 0) {
-				t.Errorf("worth %.4f (%.4f to %.4f)", worth.MeanDifference, worth.Low, worth.High)
+				t.Errorf("worth changes by %.4f (%.4f to %.4f), want a significant decrease only for a harmful arm",
+					worth.MeanDifference, worth.Low, worth.High)
 			}
 			if !harmful && whole.MeanDifference == 0 {
 				t.Error("the arm with another salt has the same results as the unchanged arm")
@@ -85,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if len(got) != 2 || got[1].Seed != 2 || got[0].Statistics["worth"] != results[""][0].Statistics["worth"] {
-		t.Fatalf("read %+v", got)
+		t.Fatalf("read %+v, want the two results that were written", got)
 	}
 	for text, want := range map[string]string{
 		"":                  "a: no results",
@@ -98,7 +99,7 @@
 	}
 	effects := Compare(results[""], results["salt = 1"][1:], []string{"p99_ms"})
 	if len(effects) != 1 || effects[0].Pairs != 1 || effects[0].Significant {
-		t.Errorf("a single pair has the effects %+v", effects)
+		t.Errorf("a single pair has the effects %+v, want one that is not significant", effects)
 	}
 }
 
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -43,7 +43,7 @@
 	jobs []*job
 
 	mutex   sync.Mutex
-	next    int // the job that the next free worker takes
+	next    int // index of the job that the next free worker takes
 	stopped bool
 }
 
--- a/internal/simulation/model/endpoint_test.go
+++ b/internal/simulation/model/endpoint_test.go
@@ -112,7 +112,7 @@
 	endpoint.Submit(ended.statement("later", time.Second))
 	endpoint.Connect(func(ok, full bool, _ int) {
 		if ok || full {
-			t.Error("endpoint that is down answers a connection attempt with other than ok=false, full=false")
+			t.Error("Connect to an endpoint that is down reports ok or full, want neither")
 		}
 	})
 	ended.check(t, map[string]Outcome{"runs": Disconnected, "waits": Disconnected, "later": Disconnected})
@@ -137,7 +137,7 @@
 	endpoint.Remove()
 	clock.Run(startTime + 100*time.Second)
 	if endpoint.State() != Down || !endpoint.Removed() {
-		t.Error("removed endpoint is not down or no longer reported as removed")
+		t.Error("after Remove the endpoint is not down or not reported as removed")
 	}
 }
 
@@ -269,7 +269,7 @@
 	ask()
 	clock.Run(startTime + 160*time.Millisecond)
 	if len(got) != 3 {
-		t.Fatalf("%d reports, want 3", len(got))
+		t.Fatalf("got %d reports, want 3", len(got))
 	}
 	if got[0].Position != got[1].Position || got[2].Position != startTime+142*time.Millisecond || got[0].Primary {
 		t.Fatalf("want the second report reused and the third made anew: %+v", got)
--- a/internal/simulation/model/overload.go
+++ b/internal/simulation/model/overload.go
@@ -19,7 +19,7 @@
 	offered  [overloadBuckets]float64 // core-seconds by bucket
 	bucket   int                      // index of the current bucket
 	duration time.Duration            // how long the endpoint has been overloaded without interruption
-	tick     *event.Event             // nil if no work was offered in any bucket
+	tick     *event.Event             // the next checkOverload; nil = none is scheduled
 }
 
 // countOffered counts work that the endpoint was offered, whether it was accepted or rejected.
--- a/internal/simulation/model/registry_test.go
+++ b/internal/simulation/model/registry_test.go
@@ -50,7 +50,7 @@
 	t.Run("the list names the first primary", func(t *testing.T) { checkListedRoles(t, false) })
 }
 
-// checkListedRoles kills a primary and checks which one is listed before and after the delay.
+// checkListedRoles kills a primary and checks which endpoint is listed as primary before and after the role delay.
 func checkListedRoles(t *testing.T, followsRoles bool) {
 	t.Helper()
 	clock, world, old := newReplicaGroup(endpointSpec(), 3)
@@ -72,7 +72,8 @@
 	clock.Run(clock.Now() + 2900*time.Millisecond)
 	listed := listedPrimaries(registry)
 	if len(listed) != 1 || listed[0] != old || registry.Version != 1 || changes != 0 {
-		t.Fatalf("before the role delay: %d primaries, version %d, %d changes", len(listed), registry.Version, changes)
+		t.Fatalf("before the role delay: %d primaries, version %d, %d changes; want only the first primary, 1 and 0",
+			len(listed), registry.Version, changes)
 	}
 	clock.Run(clock.Now() + 200*time.Millisecond)
 	want := old
@@ -81,7 +82,8 @@
 	}
 	listed = listedPrimaries(registry)
 	if len(listed) != 1 || listed[0] != want || int64(changes) != registry.Version-1 {
-		t.Fatalf("after the role delay: %d primaries, %d changes, version %d", len(listed), changes, registry.Version)
+		t.Fatalf("after the role delay: %d primaries, %d changes, version %d; want 1, and one change per new version",
+			len(listed), changes, registry.Version)
 	}
 	changedEntries := 0
 	registry.Since(1, func(Listing) { changedEntries++ })
--- a/internal/simulation/model/replica_group.go
+++ b/internal/simulation/model/replica_group.go
@@ -15,7 +15,7 @@
 	world          *World
 	log            []commit      // commits not yet applied by all replicas, and applied ones that aren't trimmed yet
 	firstCommit    int           // the number of log[0]
-	knownLimit     time.Duration // while the primary is lost: replicas know of no later commit; else 0
+	knownLimit     time.Duration // time after which replicas know of no commit while the primary is lost; else 0
 	electing       bool
 	primaryChanges int
 	successor      *Endpoint // preferred by the next election; nil = none
--- a/internal/simulation/report/plots.go
+++ b/internal/simulation/report/plots.go
@@ -122,7 +122,7 @@
 		line.points = append(line.points, point)
 	}
 	return chart{
-		title:  "Latency of what was served",
+		title:  "Latency of served requests",
 		note:   "By quantile, on a scale that stretches the high quantiles.",
 		yLabel: "milliseconds",
 		ticks: plot.ConstantTicks{
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -88,8 +88,9 @@
 	return r.addFaults(c.args[1:], "", at)
 }
 
-// faultsWhen schedules faults for when a condition first holds, or a delay after that. The conditions are "lost:GROUP",
-// "led:GROUP", "down:ENDPOINT" and "up:ENDPOINT".
+// faultsWhen schedules faults for when a condition first holds, or a delay after that. The conditions are "lost:GROUP"
+// (the group has no primary that accepts writes), "led:GROUP" (it has one again after a change of primary),
+// "down:ENDPOINT" (the endpoint is down or hangs) and "up:ENDPOINT" (it is up after a restart).
 func (r *scriptReader) faultsWhen(c call) error {
 	if len(c.args) < 2 {
 		return errors.New("takes a condition and faults")
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -83,7 +83,7 @@
 		t.Fatalf("unmet expectations %q, want two", unmet)
 	}
 	if !strings.HasPrefix(unmet[0], "a:1: seed 1: worth is ") || !strings.Contains(unmet[1], "expected at most 1") {
-		t.Fatalf("unmet expectations %q", unmet)
+		t.Fatalf("unmet expectations %q, want worth for seed 1 at a:1, and an expectation of at most 1", unmet)
 	}
 }
 
@@ -126,7 +126,7 @@
 	} {
 		_, err := Load("x.star", []byte(src))
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", src, err)
+			t.Errorf("%q: error %v, want one line that starts as in the table", src, err)
 		}
 	}
 	if _, err := Load("x.star", make([]byte, maxBytes+1)); err == nil {
@@ -179,7 +179,7 @@
 	f.Fuzz(func(t *testing.T, src []byte) {
 		s, err := Load("f.star", src)
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%q", err)
+			t.Fatalf("error has more than one line: %q", err)
 		}
 		if err == nil && s.Config.Check() != nil {
 			t.Fatal("Load accepts a configuration that its Check rejects")
