--- a/internal/simulation/multiprocess/check/check.go
+++ b/internal/simulation/multiprocess/check/check.go
@@ -1,7 +1,7 @@
 // Package check judges the history of a multi-process test against the router's rules.
 //
 // Each rule is a Check, a function of the recorded entries. The package owns the rules and nothing else: it never
-// drives a test, never knows of a process and keeps no state between two calls. Its functions run on the caller's
+// drives a test, knows no processes and keeps no state between two calls. Its functions run on the caller's
 // goroutine. A new rule is a further function in All.
 package check
 
@@ -12,7 +12,7 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// The rules as a Violation names them.
+// The names of the rules in a Violation.
 const (
 	ruleAnswered          = "answered" // a request gets one answer and nothing after it
 	ruleLost              = "lost"     // a request gets an answer at all
@@ -24,11 +24,11 @@
 	ruleStaleness         = "stale"
 )
 
-// Limits are the times of the contract that the rules allow, with what the test itself can't measure more exactly.
+// Limits are the time limits of the contract, including tolerances for what the test can't measure more exactly.
 type Limits struct {
 	DrainGrace          time.Duration // how long a router may send to an endpoint after it was notified that it drains
 	LateTolerance       time.Duration // how long after its timeout an answer may come
-	NotificationTimeout time.Duration // a notification that an impaired link may hold back counts as made after this
+	NotificationTimeout time.Duration // a notification over an impaired link counts as received after this
 }
 
 // Violation is one breach of a rule.
@@ -70,13 +70,13 @@
 	return Violation{Rule: rule, Time: at, Text: fmt.Sprintf(format, args...)}
 }
 
-// routerIncarnation is one start of a router.
+// routerIncarnation identifies one incarnation of a router.
 type routerIncarnation struct {
 	router      string
 	incarnation int
 }
 
-// routerEndpoint is an endpoint as one start of a router knows it.
+// routerEndpoint identifies an endpoint as seen by one incarnation of a router.
 type routerEndpoint struct {
 	routerIncarnation
 	endpoint string
--- a/internal/simulation/multiprocess/check/check_test.go
+++ b/internal/simulation/multiprocess/check/check_test.go
@@ -11,8 +11,7 @@
 
 var testLimits = Limits{DrainGrace: 500 * ms, LateTolerance: 50 * ms, NotificationTimeout: 6 * time.Second}
 
-// The facts that most cases are made of: a request and its statement, from the first start of router r1 to endpoint
-// db1.
+// The facts that most cases use: a request and its statement, from the first incarnation of router r1 to endpoint db1.
 var (
 	requestSent = history.RequestSent{
 		ID: "q", Class: "view", Site: "n", Router: "r1", Incarnation: 1, Timeout: 100 * ms,
@@ -38,12 +37,12 @@
 	return history.RequestEnded{ID: "q", Outcome: outcome}
 }
 
-// killed says that a start of a router was killed.
+// killed returns the event that an incarnation of a router was killed.
 func killed(router string, incarnation int) history.ProcessEvent {
 	return history.ProcessEvent{Router: router, Incarnation: incarnation, Event: "is killed"}
 }
 
-// frozen says that the first start of r1 was frozen for 100 ms.
+// frozen returns the event that the first incarnation of r1 was frozen for 100 ms.
 func frozen() history.ProcessEvent {
 	return history.ProcessEvent{Router: "r1", Incarnation: 1, Event: "is stopped", Duration: 100 * ms}
 }
@@ -79,7 +78,7 @@
 	return history.ConnectionAbandoned{Connection: connection}
 }
 
-// readWithMinPosition has to see position 100.
+// readWithMinPosition returns a read that has to see at least position 100.
 func readWithMinPosition(wasPrimary bool) history.StatementArrived {
 	return history.StatementArrived{ID: "q", Endpoint: "db1", MinPosition: 100, WasPrimary: wasPrimary}
 }
@@ -88,7 +87,7 @@
 	return history.StatementExecuted{ID: "q", Endpoint: "db1", Served: served, Position: position}
 }
 
-// ruleCase is a history that breaks one rule, or comes close to it and breaks none.
+// ruleCase is a history that violates one rule, or comes close to a violation.
 type ruleCase struct {
 	name     string
 	wantRule string // empty when no rule is broken
--- a/internal/simulation/multiprocess/check/endpoints.go
+++ b/internal/simulation/multiprocess/check/endpoints.go
@@ -6,11 +6,11 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// stateReady is the state in the endpoint list of an endpoint that takes requests.
+// stateReady is the state in the endpoint list of an endpoint that accepts requests.
 const stateReady = "ready"
 
 // DrainingEndpoints checks that nothing is sent to an endpoint later than the grace time after its router was notified
-// that the endpoint drains or is gone. A statement that the proxy has held back was sent when it entered the proxy.
+// that the endpoint drains or is gone. A statement that the proxy has delayed counts as sent when it entered the proxy.
 func DrainingEndpoints(limits Limits, entries []history.Entry) []Violation {
 	var violations []Violation
 	notifiedAt := map[routerEndpoint]time.Duration{}
@@ -31,8 +31,8 @@
 	return violations
 }
 
-// recordNotification keeps the earliest time at which a router is sure to know that an endpoint leaves, until it is
-// notified that the endpoint is ready again.
+// recordNotification keeps the earliest time at which a router must know that an endpoint is draining or gone, until it
+// is notified that the endpoint is ready again.
 func recordNotification(
 	limits Limits, notifiedAt map[routerEndpoint]time.Duration, fact history.EndpointStateNotified, at time.Duration,
 ) {
--- a/internal/simulation/multiprocess/check/request_ends.go
+++ b/internal/simulation/multiprocess/check/request_ends.go
@@ -8,7 +8,7 @@
 )
 
 // RequestEnds checks that each request that a router has accepted is answered once and in time, unless that router was
-// stopped, frozen or cut off from its client meanwhile.
+// stopped, frozen or disconnected from its client in the meantime.
 func RequestEnds(limits Limits, entries []history.Entry) []Violation {
 	checker := requestChecker{
 		limits:  limits,
@@ -30,10 +30,10 @@
 	return checker.violations
 }
 
-// outage is a time in which a start of a router can't be expected to answer.
+// outage is a period in which an incarnation of a router can't be expected to answer.
 type outage struct{ start, end time.Duration }
 
-// collectOutages returns the outages of each start of a router.
+// collectOutages returns the outages of each incarnation of a router.
 func collectOutages(limits Limits, entries []history.Entry) map[routerIncarnation][]outage {
 	outages := map[routerIncarnation][]outage{}
 	for _, entry := range entries {
@@ -104,7 +104,7 @@
 	took := at - request.sentAt
 	switch outcome {
 	case history.ClosedByPeer:
-		// The client may repeat the request safely, so this is no loss unless the router had forwarded it before.
+		// The client may repeat the request safely, so this is not a loss unless the router had forwarded it before.
 		if checker.arrived[request.ID] {
 			checker.report(ruleLost, at, "request %s was sent on by %s.%d, which then closed without an answer",
 				request.ID, request.Router, request.Incarnation)
--- a/internal/simulation/multiprocess/check/staleness.go
+++ b/internal/simulation/multiprocess/check/staleness.go
@@ -4,8 +4,8 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// Staleness checks that no read is answered from a replication position before the one that it has to see. An endpoint
-// that is or was the primary is excused until an answer has shown its router that it is a replica.
+// Staleness checks that no read is answered from a replication position older than the one that it has to see. An
+// endpoint that is or was the primary is excused until an answer has shown its router that it is a replica.
 func Staleness(_ Limits, entries []history.Entry) []Violation {
 	checker := stalenessChecker{
 		isReplica: map[routerEndpoint]bool{},
@@ -22,16 +22,17 @@
 	return checker.violations
 }
 
-// copyKey names the copy of a statement at one endpoint.
+// copyKey identifies the copy of a statement at one endpoint.
 type copyKey struct{ statement, endpoint string }
 
-// inFlightRead is a statement that an endpoint has not ended, and whether the endpoint may be taken for the primary.
+// inFlightRead is a statement that an endpoint has not ended, and whether its router may still take the endpoint for
+// the primary.
 type inFlightRead struct {
 	history.StatementArrived
 	excused bool
 }
 
-// stalenessChecker follows what each router has been shown of the endpoints' roles.
+// stalenessChecker tracks which role of each endpoint its answers have shown to each router.
 type stalenessChecker struct {
 	isReplica  map[routerEndpoint]bool
 	inFlight   map[copyKey]inFlightRead
--- a/internal/simulation/multiprocess/check/statements.go
+++ b/internal/simulation/multiprocess/check/statements.go
@@ -31,7 +31,7 @@
 	return violations
 }
 
-// abandonTolerance is how much later than it happened the test may record that a router has abandoned a connection.
+// abandonTolerance is the longest delay between a router abandoning a connection and the test recording it.
 const abandonTolerance = 100 * time.Millisecond
 
 // OneCopyInFlight checks that no statement arrives at an endpoint while an earlier copy is in flight on a connection
--- a/internal/simulation/multiprocess/clients/attempt.go
+++ b/internal/simulation/multiprocess/clients/attempt.go
@@ -16,8 +16,8 @@
 const (
 	maxDialTimeout = time.Second
 
-	// answerTolerance is how long after a request's timeout its answer is still read, so that a late one is seen as late
-	// and not as missing.
+	// answerTolerance is how long after a request's timeout its answer is still read, so that a late answer is
+	// recorded as late and not as missing.
 	answerTolerance = time.Second
 )
 
@@ -132,8 +132,8 @@
 	target.idleConnections = append(target.idleConnections, used)
 }
 
-// discardConnection closes a connection that has failed. When the router has closed it while it was idle, the other
-// idle ones were closed with it.
+// discardConnection closes a connection that has failed. When the router closed it while it was idle, the other
+// idle ones were closed as well.
 func (clients *Clients) discardConnection(target *target, used *connection, how ending) {
 	used.Close()
 	if how != closedByPeer {
@@ -148,7 +148,7 @@
 }
 
 // minPosition returns the replication position that a request has to see: for session consistency that of the session's
-// newest write, otherwise none.
+// newest write, otherwise 0.
 func (clients *Clients) minPosition(request *request) time.Duration {
 	if request.class.Consistency != balance.ConsistencySession {
 		return 0
@@ -158,7 +158,7 @@
 	return clients.sessionPosition[request.session]
 }
 
-// recordWritePosition keeps the replication position that the answer to a write states behind the endpoint's name.
+// recordWritePosition keeps the replication position that the answer to a write states after the endpoint's name.
 func (clients *Clients) recordWritePosition(request *request, value string) {
 	_, position, found := strings.Cut(value, " ")
 	if !found || !request.isWrite() {
@@ -166,7 +166,7 @@
 	}
 	nanoseconds, err := strconv.ParseInt(position, 10, 64)
 	if err != nil {
-		return // another answer than that of the test's own endpoints
+		return // not an answer of the test's own endpoints
 	}
 	clients.mutex.Lock()
 	defer clients.mutex.Unlock()
--- a/internal/simulation/multiprocess/clients/clients.go
+++ b/internal/simulation/multiprocess/clients/clients.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// drawStream is the second word of the seed, which keeps the clients' draws apart from those of other parts.
+	// drawStream is the second word of the seed, which makes the clients' random numbers independent of those
+	// of other packages.
 	drawStream = 23
 
-	// minRate bounds the pause between two arrivals where a load shape falls to nothing, in requests per second.
+	// minRate limits the pause between two arrivals when a load shape drops to zero, in requests per second.
 	minRate = 0.1
 )
 
-// Options say what the clients send, and to which routers.
+// Options define what the clients send, and to which routers.
 type Options struct {
 	LocalTargets  map[string][]Target // by site: its own routers, which its clients use while one of them is healthy
 	RemoteTargets map[string][]Target // by site: the routers of other sites, used when no local one is healthy
 
 	Rate            float64      // requests per second, all sites together
-	RateShape       []fleet.Step // what Rate is multiplied by over time
+	RateShape       []fleet.Step // the factor of Rate over time
 	Classes         []fleet.Class
 	ReplicaGroups   int
 	Sessions        int
@@ -58,7 +59,7 @@
 	result          Result
 }
 
-// New returns clients that send nothing before Run. Their load balancers check the routers' health from now on.
+// New returns clients that send nothing before Run. Their load balancers start health checks at once.
 func New(options Options, log *history.Log) *Clients {
 	clients := &Clients{
 		options:         options,
--- a/internal/simulation/multiprocess/clients/clients_test.go
+++ b/internal/simulation/multiprocess/clients/clients_test.go
@@ -16,7 +16,7 @@
 )
 
 // fakeRouter speaks enough of the protocol for the clients: it accepts every startup, answers empty queries, and
-// answers other queries as the test says.
+// passes other queries to respond.
 type fakeRouter struct {
 	listener net.Listener
 	respond  func(number int, sql string) (response []byte, keepOpen bool)
@@ -84,7 +84,7 @@
 	}
 }
 
-// answer returns the answer to the startup message and to each query behind it.
+// answer returns the answer to the startup message and to each query after it.
 func (router *fakeRouter) answer(started *bool, reader *pgwire.Reader, message pgwire.Message) ([]byte, bool) {
 	if !*started {
 		*started = true
@@ -120,7 +120,7 @@
 	}
 }
 
-// testOptions are those of one site with one router and a low rate.
+// testOptions returns the options of one site with one router and a low rate.
 func testOptions(router *fakeRouter) Options {
 	return Options{
 		LocalTargets:  map[string][]Target{"n": {router.target("r1")}},
@@ -139,19 +139,19 @@
 	}
 }
 
-// waitHealthy waits until so many routers are in use.
+// waitHealthy waits until the wanted number of routers is healthy.
 func waitHealthy(t *testing.T, clients *Clients, want int) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for clients.HealthyLocalTargets() != want {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d healthy routers, want %d", clients.HealthyLocalTargets(), want)
+			t.Fatalf("got %d healthy routers, want %d", clients.HealthyLocalTargets(), want)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// runFor runs clients for half a second and returns their statistics and how each attempt has ended.
+// runFor runs clients for half a second and returns their statistics and the ending of each attempt.
 func runFor(t *testing.T, options Options) (*fleet.Tally, []history.RequestEnded) {
 	t.Helper()
 	log := history.New()
@@ -159,7 +159,7 @@
 	waitHealthy(t, clients, 1)
 	tally := clients.Run(500 * time.Millisecond).Tally["entry"]
 	if tally.Came == 0 {
-		t.Fatal("no request was sent")
+		t.Fatal("got no request, want at least one")
 	}
 	var ended []history.RequestEnded
 	for _, entry := range log.Entries() {
@@ -213,9 +213,9 @@
 	}
 }
 
-// TestConnectionClosedUnderARequest closes each connection at the second request that it carries, before any answer:
+// TestConnectionClosedBeforeAnswer closes each connection at the second request that it carries, before any answer:
 // the request is sent again on another connection, and no retry is counted.
-func TestConnectionClosedUnderARequest(t *testing.T) {
+func TestConnectionClosedBeforeAnswer(t *testing.T) {
 	router := startFakeRouter(t, func(number int, _ string) ([]byte, bool) {
 		if number%2 == 0 {
 			return nil, false
@@ -243,7 +243,7 @@
 	waitHealthy(t, clients, 0)
 }
 
-// TestRemoteTargetsAreUsedWithoutLocalOnes shows the order in which a load balancer chooses.
+// TestRemoteTargetsAreUsedWithoutLocalOnes checks that a load balancer prefers healthy local routers.
 func TestRemoteTargetsAreUsedWithoutLocalOnes(t *testing.T) {
 	balancer := newLoadBalancer([]Target{{Router: "r1"}, {Router: "r3"}}, []Target{{Router: "r2"}})
 	names := func() string {
--- a/internal/simulation/multiprocess/clients/connection.go
+++ b/internal/simulation/multiprocess/clients/connection.go
@@ -18,14 +18,16 @@
 	startupDatabase = "crm"
 )
 
-// errConnectionEnded says that a read has failed for another reason than its deadline.
-var errConnectionEnded = errors.New("the connection has ended")
+// errConnectionEnded reports that a read failed for another reason than its deadline.
+var errConnectionEnded = errors.New("connection ended")
 
-// startupRejectedError says that a router has answered the startup message with an error.
+// startupRejectedError reports that a router answered the startup message with an error.
 type startupRejectedError struct{ sqlState string }
 
 // Error implements error.
-func (err *startupRejectedError) Error() string { return "turned away: " + err.sqlState }
+func (err *startupRejectedError) Error() string {
+	return "startup rejected with SQLSTATE " + err.sqlState
+}
 
 // connection is one connection to a router. One goroutine uses it at a time.
 type connection struct {
@@ -35,7 +37,7 @@
 	answered bool // an earlier request on it was answered
 }
 
-// reply is what a router has answered up to ReadyForQuery or to the connection's end.
+// reply is the content of a router's answer up to ReadyForQuery or to the connection's end.
 type reply struct {
 	sqlState     string        // of an error
 	retryAfter   time.Duration // that the error asks for
@@ -44,7 +46,7 @@
 	anyReceived  bool          // at least one message was received
 }
 
-// dial connects to a router and completes the startup within a time.
+// dial connects to a router and completes the startup. The timeout applies to connecting, and again to the startup.
 func dial(address string, timeout time.Duration) (*connection, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return connection.readReply()
 }
 
-// readReply reads up to ReadyForQuery. A fatal error ends with the connection, so its reply comes with an error.
+// readReply reads up to ReadyForQuery. The connection ends after a fatal error, so its reply is returned with an error.
 func (connection *connection) readReply() (reply, error) {
 	var answer reply
 	for {
@@ -99,7 +101,7 @@
 	}
 }
 
-// readMore feeds the reader with what one read returns.
+// readMore reads once from the connection and feeds the reader.
 func (connection *connection) readMore() error {
 	count, err := connection.Read(connection.buffer)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// add takes over what a message of the answer says.
+// add records the content of one message of the answer.
 func (answer *reply) add(message pgwire.Message) error {
 	switch message.Type {
 	case 'E': // ErrorResponse
--- a/internal/simulation/multiprocess/clients/doc.go
+++ b/internal/simulation/multiprocess/clients/doc.go
@@ -1,6 +1,6 @@
-// Package clients plays the clients of the routers in a multi-process test. They send requests in an open loop: the
-// arrivals follow a rate and wait for no answer. The clients of a site stand behind a plain load balancer, which sends
-// them to a router once that answers an empty query, and notices only after a while that a router has died.
+// Package clients simulates the clients of the routers in a multi-process test. They send requests in an open loop: the
+// arrivals follow a rate and don't wait for answers. The clients of a site reach the routers through a simple load
+// balancer, which uses a router once it answers an empty query, and detects only after a delay that a router has died.
 //
 // The package owns the connections to the routers and the statistics of the requests, and it records in the history
 // what clients see. It never chooses a router by load or latency, and it never judges an outcome.
--- a/internal/simulation/multiprocess/clients/load_balancer.go
+++ b/internal/simulation/multiprocess/clients/load_balancer.go
@@ -12,14 +12,14 @@
 	healthCheckTimeout  = 500 * time.Millisecond // for connecting, and again for the answer
 )
 
-// errNotReady says that a router has answered a health check with anything but the answer to an empty query.
-var errNotReady = errors.New("not ready")
+// errNotReady reports that a router answered a health check with anything but the answer to an empty query.
+var errNotReady = errors.New("router is not ready")
 
-// Target is a router as the clients of one site reach it.
+// Target is a router and the address at which the clients of one site reach it.
 type Target struct {
 	Router      string
 	Address     string
-	Incarnation func() int // returns which start of the router runs now; called from any goroutine
+	Incarnation func() int // returns the incarnation that runs now; called from any goroutine
 }
 
 // target is a Target with its state, which the mutex of Clients guards.
@@ -29,7 +29,7 @@
 	idleConnections []*connection // the one used last is at the end
 }
 
-// loadBalancer stands before the routers for the clients of one site.
+// loadBalancer selects a router for each request of the clients of one site.
 type loadBalancer struct {
 	local  []*target // of the same site
 	remote []*target
@@ -54,7 +54,7 @@
 	return append(all, balancer.remote...)
 }
 
-// candidates returns the healthy local targets, or the healthy remote ones where there is none. The caller holds the
+// candidates returns the healthy local targets, or the healthy remote ones if there are none. The caller holds the
 // mutex of Clients.
 func (balancer *loadBalancer) candidates() []*target {
 	if local := healthyTargets(balancer.local); len(local) > 0 {
@@ -73,7 +73,7 @@
 	return healthy
 }
 
-// pickTarget returns a random one of the targets that a site's load balancer uses. It reports false when there is none.
+// pickTarget returns a random one of the targets that a site's load balancer uses. It reports false if there are none.
 // The caller holds the mutex.
 func (clients *Clients) pickTarget(site string) (*target, bool) {
 	candidates := clients.loadBalancers[site].candidates()
--- a/internal/simulation/multiprocess/clients/request.go
+++ b/internal/simulation/multiprocess/clients/request.go
@@ -8,7 +8,7 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// minTimeout is the shortest time for which a request is sent, because the request comment states it in milliseconds.
+// minTimeout is the shortest timeout with which a request is sent, because the request comment has it in milliseconds.
 const minTimeout = time.Millisecond
 
 // ending is how an attempt, or a request as a whole, has ended. The values up to expired are indexes of fleet.Endings.
@@ -21,7 +21,7 @@
 	expired
 
 	// closedByPeer is the ending of an attempt on a used connection that was closed before any part of the answer. The
-	// request is sent again at once and this counts as no retry.
+	// request is sent again at once, which does not count as a retry.
 	closedByPeer
 )
 
@@ -30,7 +30,7 @@
 	class            *fleet.Class
 	site             string
 	session          int
-	work             time.Duration // that the endpoint takes for it
+	work             time.Duration // processing time at the endpoint
 	honorsRetryAfter bool
 	due              time.Time
 	number           int
@@ -50,7 +50,7 @@
 
 func (request *request) isWrite() bool { return request.class.Consistency == balance.ConsistencyWrite }
 
-// drawRequest draws the next request. The caller holds the mutex. The order of the draws decides what a seed plays.
+// drawRequest draws the next request. The caller holds the mutex. The order of the draws determines the run of a seed.
 func (clients *Clients) drawRequest(sites []string) *request {
 	class := clients.drawClass()
 	clients.lastNumber++
@@ -68,7 +68,7 @@
 	}
 }
 
-// drawClass draws a class by the classes' shares. The caller holds the mutex.
+// drawClass draws a class with the probabilities of the classes' shares. The caller holds the mutex.
 func (clients *Clients) drawClass() *fleet.Class {
 	classes := clients.options.Classes
 	sum := 0.0
@@ -85,7 +85,7 @@
 	return &classes[len(classes)-1]
 }
 
-// runRequest sends a request until it is answered, may not be repeated or has expired.
+// runRequest sends a request until it is served, may not be retried or has expired.
 func (clients *Clients) runRequest(request *request) {
 	defer clients.requests.Done()
 	for {
@@ -126,7 +126,7 @@
 	return &clients.result.Seconds[min(len(clients.result.Seconds)-1, index)]
 }
 
-// recordArrival counts a request and what it can be worth.
+// recordArrival counts a request and its full priority weight.
 func (clients *Clients) recordArrival(request *request) {
 	clients.mutex.Lock()
 	defer clients.mutex.Unlock()
@@ -138,8 +138,8 @@
 	tally.Could += request.class.PriorityWeight
 }
 
-// recordEnding counts how a request has ended and what it was worth: less after its latency objective, and nothing
-// after its client's timeout.
+// recordEnding counts the ending of a request and the weight that it earned: a share after its latency objective, and
+// nothing after its client timeout.
 func (clients *Clients) recordEnding(request *request, how ending) {
 	took := time.Since(request.due)
 	clients.mutex.Lock()
--- a/internal/simulation/multiprocess/faultproxy/connection.go
+++ b/internal/simulation/multiprocess/faultproxy/connection.go
@@ -10,8 +10,8 @@
 
 const (
 	dialTimeout     = 5 * time.Second // for connecting to the real destination
-	chunkBytes      = 8 << 10         // the most that is read at once
-	chunksInTransit = 32              // for each direction; beyond them nothing more is read, so the sender is slowed down
+	chunkBytes      = 8 << 10         // the most that is read by one call
+	chunksInTransit = 32              // for each direction; when full, reading stops and the sender is slowed down
 )
 
 // direction is one of the two ways in which a connection carries bytes.
@@ -47,7 +47,7 @@
 	}
 	destinationConn, err := net.DialTimeout("tcp", connection.link.targetAddress(), dialTimeout)
 	if err != nil {
-		connection.reset() // as the destination's own system would
+		connection.reset() // as the destination's operating system would
 		return
 	}
 	connection.mutex.Lock()
@@ -82,7 +82,7 @@
 }
 
 // read sends what arrives from one side to chunks, which it closes after the side's end. It goes on reading after the
-// connection was closed, because the end of a side in a black hole is still reported to the observer.
+// connection was closed, because the observer is still notified when a side of a blackholed connection closes it.
 func (connection *proxiedConnection) read(from net.Conn, way direction, chunks chan<- chunk) {
 	defer close(chunks)
 	for {
@@ -107,8 +107,8 @@
 	}
 }
 
-// deliver writes a chunk once its time has come, and passes on how the sending side has ended. It reports whether the
-// direction goes on.
+// deliver writes a chunk when it is due, and passes on a close or reset of the sending side. It reports whether the
+// direction stays open.
 func (connection *proxiedConnection) deliver(received chunk, to net.Conn, way direction) bool {
 	if !connection.awaitDelivery(way, len(received.data), received.receivedAt) {
 		return false
@@ -135,9 +135,9 @@
 	return false
 }
 
-// awaitDelivery waits until size bytes that were received at a time may be delivered: until no cut holds them, and for
-// as long as the direction's delay and rate take. A zero time stands for a connection attempt, whose delay begins now.
-// It reports false when the connection is closed first.
+// awaitDelivery waits until size bytes that were received at a time may be delivered: until the direction is not cut,
+// and for as long as its delay and rate require. A zero time means a connection attempt, whose delay begins now. It
+// reports false when the connection is closed first.
 func (connection *proxiedConnection) awaitDelivery(way direction, size int, receivedAt time.Time) bool {
 	delayed := false
 	for {
@@ -154,7 +154,7 @@
 			}
 		}
 		if !receivedAt.IsZero() && impairment.Rate == 0 {
-			wait -= time.Since(receivedAt) // the delay also ran while the chunk was queued behind others
+			wait -= time.Since(receivedAt) // the time that the chunk spent queued counts towards the delay
 		}
 		if wait <= 0 || delayed {
 			return !connection.isClosed()
@@ -198,7 +198,7 @@
 	connection.closeOnce.Do(func() { close(connection.closed) })
 }
 
-// reset closes both sides with a TCP reset, except those of a connection in a black hole.
+// reset closes both sides with a TCP reset, except those of a blackholed connection.
 func (connection *proxiedConnection) reset() {
 	connection.mutex.Lock()
 	defer connection.mutex.Unlock()
@@ -229,7 +229,7 @@
 	connection.blackholed = false
 }
 
-// release closes a connection that carries nothing any more. One in a black hole stays open and registered, so that
+// release closes a connection that no longer carries data. A blackholed connection stays open and registered, so that
 // Network.Close finds it.
 func (connection *proxiedConnection) release() {
 	connection.mutex.Lock()
--- a/internal/simulation/multiprocess/faultproxy/faultproxy_test.go
+++ b/internal/simulation/multiprocess/faultproxy/faultproxy_test.go
@@ -14,7 +14,8 @@
 	server = Peer{"db1", "s"}
 )
 
-// startEchoServer answers each byte with itself. The channel receives how each of its connections has ended.
+// startEchoServer starts a server that sends back each byte. The channel receives how each of its connections has
+// ended.
 func startEchoServer(t *testing.T) (address string, connectionEnds chan error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 	return conn
 }
 
-// sendByte sends one byte and reads one, within a time, and returns how long that has taken.
+// sendByte sends one byte, reads one with a timeout, and returns the duration of both.
 func sendByte(t *testing.T, conn net.Conn, within time.Duration) (time.Duration, error) {
 	t.Helper()
 	started := time.Now()
@@ -73,7 +74,7 @@
 	return time.Since(started), err
 }
 
-// readByte reads one byte within a time.
+// readByte reads one byte with a timeout.
 func readByte(t *testing.T, conn net.Conn, within time.Duration) error {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(within))
@@ -137,19 +138,19 @@
 	}
 }
 
-// TestDelayAndRate shows that delays of both directions and of several patterns add up, and that a rate limits.
+// TestDelayAndRate shows that delays of both directions and of several patterns add up, and that a rate is enforced.
 func TestDelayAndRate(t *testing.T) {
 	network, conn, _ := dialThroughProxy(t, Observer{})
 	network.SetImpairment("n", "s", Impairment{Delay: 40 * time.Millisecond})
 	network.SetImpairment("r1", "db1", Impairment{Delay: 30 * time.Millisecond})
 	network.SetImpairment("s", "n", Impairment{Delay: 30 * time.Millisecond, Jitter: 5 * time.Millisecond})
 	if took, err := sendByte(t, conn, 5*time.Second); err != nil || took < 99*time.Millisecond {
-		t.Errorf("with delays: %v after %v", err, took)
+		t.Errorf("with delays: got %v after %v, want success after at least 99 ms", err, took)
 	}
 	network.ClearImpairments()
 	network.SetImpairment("r1", "db1", Impairment{Rate: 10})
 	if took, err := sendByte(t, conn, 5*time.Second); err != nil || took < 90*time.Millisecond {
-		t.Errorf("with a rate: %v after %v", err, took)
+		t.Errorf("with a rate: got %v after %v, want success after at least 90 ms", err, took)
 	}
 }
 
@@ -166,7 +167,7 @@
 	}
 }
 
-// TestBlackholedConnectionStaysOpen shows that a connection in a black hole stays open and silent at both sides, that a
+// TestBlackholedConnectionStaysOpen shows that a blackholed connection stays open and silent at both sides, that a
 // new connection works, and that only the observer is notified when the router closes the silent one.
 func TestBlackholedConnectionStaysOpen(t *testing.T) {
 	abandoned := make(chan string, 9)
@@ -175,7 +176,7 @@
 	mustEcho(t, conn)
 	network.BlackholeConnections("n", "s")
 	if _, err := sendByte(t, conn, 100*time.Millisecond); !isTimeout(err) {
-		t.Errorf("in the black hole: %v, want a timeout", err)
+		t.Errorf("on the blackholed connection: %v, want a timeout", err)
 	}
 	if len(connectionEnds) > 0 || len(abandoned) > 0 {
 		t.Error("the server or the observer was notified of the black hole")
@@ -198,7 +199,7 @@
 	connected := make(chan *TransitTime, 1)
 	network, conn, _ := dialThroughProxy(t, Observer{Connected: func(localAddress string, transitTime *TransitTime) {
 		if localAddress == "" {
-			t.Error("no local address")
+			t.Error("got an empty local address, want the connection's")
 		}
 		connected <- transitTime
 	}})
--- a/internal/simulation/multiprocess/faultproxy/link.go
+++ b/internal/simulation/multiprocess/faultproxy/link.go
@@ -30,8 +30,8 @@
 	// Connected is called once the destination is connected, before anything is sent to it.
 	Connected func(localAddress string, transitTime *TransitTime)
 
-	// Abandoned is called once the source has closed the connection or ended its sending, whether or not the destination
-	// can know of it.
+	// Abandoned is called once the source has closed the connection or ended its sending, whether or not the
+	// destination can detect it.
 	Abandoned func(localAddress string)
 }
 
--- a/internal/simulation/multiprocess/faultproxy/network.go
+++ b/internal/simulation/multiprocess/faultproxy/network.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// jitterStream is the second word of the seed of a network's jitter, which keeps it apart from the draws of other
-// parts.
+// jitterStream is the second word of the seed of a network's jitter, which makes it independent of the random numbers
+// of other packages.
 const jitterStream = 17
 
 // Impairment is what happens to the bytes of one direction of a link. The zero value is a healthy direction.
 type Impairment struct {
-	Cut    bool          // what is sent waits until the cut ends, and neither side is notified
+	Cut    bool          // sent bytes are held until the cut ends, and neither side is notified
 	Delay  time.Duration // added to each chunk
 	Jitter time.Duration // the most that is added at random to each chunk on top of Delay
 	Rate   int           // bytes per second; 0 means unlimited
@@ -35,7 +35,7 @@
 	return combined
 }
 
-// Peer is an end of a link: the name of a process or server, and the site in which it stands.
+// Peer is an end of a link: the name of a process or server, and its site.
 type Peer struct{ Name, Site string }
 
 // Matches reports whether a script's pattern names the peer. A pattern is a peer's name, a site, * for every peer, or
@@ -85,7 +85,7 @@
 ) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay %s>%s: %w", source.Name, destination.Name, err)
+		return nil, fmt.Errorf("listen for link %s>%s: %w", source.Name, destination.Name, err)
 	}
 	link := &Link{
 		Source:             source,
@@ -108,7 +108,7 @@
 }
 
 // SetImpairment sets what happens to all directions from a peer that matches the first pattern to a peer that matches
-// the second one, and replaces what the same two patterns have set before. The zero Impairment removes it.
+// the second one, and replaces an earlier impairment with the same two patterns. The zero Impairment removes it.
 func (network *Network) SetImpairment(sourcePattern, destinationPattern string, impairment Impairment) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
@@ -174,8 +174,8 @@
 	}
 }
 
-// BlackholeConnections makes the open connections between the peers that match two patterns silent for good: both sides
-// stay open and nothing is carried, as when a server is lost and another one takes over its address.
+// BlackholeConnections makes the open connections between the peers that match two patterns silent permanently: both
+// sides stay open and nothing is carried, as when a server is lost and another one takes over its address.
 func (network *Network) BlackholeConnections(onePattern, otherPattern string) {
 	for _, connection := range network.connectionsBetween(onePattern, otherPattern) {
 		connection.blackhole()
@@ -198,7 +198,7 @@
 	return connections
 }
 
-// Close stops all links, resets all connections, those in a black hole too, and waits until their goroutines have
+// Close stops all links, resets all connections, including blackholed ones, and waits until their goroutines have
 // ended.
 func (network *Network) Close() {
 	network.mutex.Lock()
--- a/internal/simulation/multiprocess/history/fact.go
+++ b/internal/simulation/multiprocess/history/fact.go
@@ -28,7 +28,7 @@
 // The outcomes of a request.
 const (
 	Served       Outcome = iota // answered with a result
-	Rejected                    // answered with an error that says that it was not executed
+	Rejected                    // answered with an error that guarantees that it was not executed
 	Failed                      // answered with another error
 	Disconnected                // the connection ended without a complete answer
 	Unanswered                  // no answer came in time
@@ -38,7 +38,7 @@
 	ClosedByPeer
 )
 
-// String returns the outcome as it stands in a timeline.
+// String returns the outcome as timelines print it.
 func (outcome Outcome) String() string {
 	texts := [...]string{
 		Served:       "served",
@@ -87,7 +87,7 @@
 }
 
 // ConnectionAbandoned is the fact that a router has closed a connection to an endpoint or ended its sending, whether or
-// not the endpoint can know of it.
+// not the endpoint can detect it.
 type ConnectionAbandoned struct {
 	Router     string
 	Endpoint   string
@@ -100,7 +100,7 @@
 	Router       string
 	Incarnation  int // which start of the router
 	Endpoint     string
-	State        string // as the endpoint list words it
+	State        string // as in the endpoint list
 	LinkImpaired bool   // the list may not have arrived, because the link was impaired
 }
 
@@ -111,14 +111,14 @@
 	Incarnation int // which start of the router
 	Event       string
 	Ready       bool          // it accepts clients from now on
-	Duration    time.Duration // of what was done; 0 means until the end of this incarnation
+	Duration    time.Duration // of the event's effect; 0 means until the end of this incarnation
 }
 
 // ScriptStep is the fact that a step of the script was carried out.
 type ScriptStep struct{ Text string }
 
-// SchedulingDelay is the fact that the machine kept a process from running: a router, or the driver, which plays
-// clients, endpoints and discovery.
+// SchedulingDelay is the fact that a process waited for a processor of the machine: a router, or the driver, which
+// simulates clients, endpoints and discovery.
 type SchedulingDelay struct {
 	Process string
 	Delay   time.Duration
--- a/internal/simulation/multiprocess/history/history_test.go
+++ b/internal/simulation/multiprocess/history/history_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestFactsDescribeThemselvesInOneLine holds the texts that timelines are searched for.
+// TestFactsDescribeThemselvesInOneLine checks the texts, which people search timelines for.
 func TestFactsDescribeThemselvesInOneLine(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -77,7 +77,7 @@
 	writers.Wait()
 	entries := log.Entries()
 	if len(entries) != 800 {
-		t.Fatalf("%d entries, want 800", len(entries))
+		t.Fatalf("got %d entries, want 800", len(entries))
 	}
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Time < entries[i-1].Time {
@@ -86,11 +86,11 @@
 	}
 	entries[0].Fact = nil
 	if log.Entries()[0].Fact == nil {
-		t.Error("a change of the returned entries has changed the log")
+		t.Error("modifying the returned entries changed the log, want an independent copy")
 	}
 }
 
-// TestTimelineIsSortedByTime shows the form of a line, and that lines of the same time keep their order.
+// TestTimelineIsSortedByTime checks the format of a line, and that lines of the same time keep their order.
 func TestTimelineIsSortedByTime(t *testing.T) {
 	var text strings.Builder
 	err := WriteTimeline(&text, []TimelineEntry{
@@ -113,7 +113,7 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errDiskFull }
 
-// TestTimelineReportsAFailedWrite shows that the cause of a failed write stays visible to the caller.
+// TestTimelineReportsAFailedWrite checks that the returned error wraps the cause of a failed write.
 func TestTimelineReportsAFailedWrite(t *testing.T) {
 	if err := WriteTimeline(failingWriter{}, []TimelineEntry{{}}); !errors.Is(err, errDiskFull) {
 		t.Errorf("got %v, want the writer's error", err)
--- a/internal/simulation/multiprocess/history/log.go
+++ b/internal/simulation/multiprocess/history/log.go
@@ -23,7 +23,7 @@
 // New returns an empty Log whose clock starts now.
 func New() *Log { return &Log{started: time.Now()} }
 
-// Started returns the time at which the log's clock has started.
+// Started returns the time at which the log's clock started.
 func (log *Log) Started() time.Time { return log.started }
 
 // Add records a fact with the current time.
--- a/internal/simulation/multiprocess/history/timeline.go
+++ b/internal/simulation/multiprocess/history/timeline.go
@@ -11,7 +11,7 @@
 // TimelineEntry is one line of a timeline: a recorded fact, a broken rule, or a line of a process's own log.
 type TimelineEntry struct {
 	Time   time.Duration // since the start of the Log
-	Origin string        // who says it
+	Origin string        // name of the router and its incarnation, "rig" for a fact, "RULE" for a violation
 	Text   string
 }
 
