--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -9,112 +9,115 @@
 	"limeladder/internal/simulation/model"
 )
 
-// request is what a client wants, over all its tries. It implements router.Client.
+// request is one request of a client with all its retries. It implements router.Client.
 type request struct {
-	f       *Fleet
-	id      int
-	class   *Class
-	bank    int64
-	session *session
-	need    time.Duration
-	born    time.Duration
-	until   time.Duration // its client gives up then
-	see     time.Duration // the position that it has to see, as its client knew it when it asked
-	tries   int
-	at      *instance // who has it now
-	life    int
-	handle  string
-	over    bool
-	left    bool
-	out     int // copies of it at machines
-	runs    int
-	answers int // final answers to this try
-	live    int // attempts of this try that its router has out, whatever the class
-	sent    int // statements of this try that a router has written
-	pos     time.Duration
+	fleet          *Fleet
+	id             int
+	class          *Class
+	group          int64
+	session        *session
+	work           time.Duration
+	arrivedAt      time.Duration
+	deadline       time.Duration // the end of its client timeout
+	minPosition    time.Duration // the replication position that it has to see, as known to its client
+	sends          int
+	router         *instance // the router that received it last; nil while it is on its way
+	incarnation    int       // of router
+	routerID       string    // the router's id of the request
+	ended          bool
+	disconnected   bool // its client has disconnected or timed out
+	copiesInFlight int  // copies at endpoints
+	executions     int  // by endpoints
+	responses      int  // final responses since the client sent it last
+	openAttempts   int  // open attempts of its router since the client sent it last
+	statementsSent int  // statements written by its router since the client sent it last
+	position       time.Duration
 }
 
-// request lets one come.
-func (f *Fleet) request() {
-	f.last++
-	pick, sum := f.rng.Float64(), 0.0
+// startRequest draws the next request and sends it to a router.
+func (f *Fleet) startRequest() {
+	f.lastRequestID++
+	drawn, sum := f.clientRNG.Float64(), 0.0
 	for _, k := range f.cfg.Classes {
 		sum += k.Share
 	}
-	pick *= sum
+	drawn *= sum
 	k := &f.cfg.Classes[len(f.cfg.Classes)-1]
 	for i := range f.cfg.Classes {
-		if pick < f.cfg.Classes[i].Share {
+		if drawn < f.cfg.Classes[i].Share {
 			k = &f.cfg.Classes[i]
 			break
 		}
-		pick -= f.cfg.Classes[i].Share
-	}
-	q := &request{f: f, id: f.last, class: k, session: &f.sessions[f.rng.IntN(len(f.sessions))], need: max(time.Microsecond, k.Work.Draw(f.rng)), born: f.clock.Now()}
-	q.bank = int64(q.session.bank + 1)
-	q.until = q.born + k.ClientTimeout
-	f.inHand++
-	f.obs.came(q)
-	if f.cfg.Leave > 0 && f.rng.Float64() < f.cfg.Leave {
-		f.clock.After(time.Duration(f.rng.Float64()*float64(k.ClientTimeout)/2), q.leave)
-	}
-	f.clock.At(q.until, q.giveUp)
+		drawn -= f.cfg.Classes[i].Share
+	}
+	q := &request{fleet: f, id: f.lastRequestID, class: k, session: &f.sessions[f.clientRNG.IntN(len(f.sessions))],
+		work: max(time.Microsecond, k.Work.Draw(f.clientRNG)), arrivedAt: f.clock.Now()}
+	q.group = int64(q.session.group + 1)
+	q.deadline = q.arrivedAt + k.ClientTimeout
+	f.inFlight++
+	f.observer.requestArrived(q)
+	if f.cfg.Leave > 0 && f.clientRNG.Float64() < f.cfg.Leave {
+		f.clock.After(time.Duration(f.clientRNG.Float64()*float64(k.ClientTimeout)/2), q.disconnect)
+	}
+	f.clock.At(q.deadline, q.timeOut)
 	q.send()
 }
 
-// send hands it to a router: any of them if its session roams.
+// send sends the request to its session's router if that runs, otherwise to a random one.
 func (q *request) send() {
-	f := q.f
-	r := f.routers[f.rng.IntN(len(f.routers))]
-	if home := q.session.home; home >= 0 && f.routers[home].alive {
-		r = f.routers[home]
+	f := q.fleet
+	r := f.routers[f.clientRNG.IntN(len(f.routers))]
+	if homeRouter := q.session.homeRouter; homeRouter >= 0 && f.routers[homeRouter].alive {
+		r = f.routers[homeRouter]
 	}
 	for range 8 {
 		if r.alive {
 			break
 		}
-		r = f.routers[f.rng.IntN(len(f.routers))]
+		r = f.routers[f.clientRNG.IntN(len(f.routers))]
 	}
-	q.tries++
-	q.answers, q.sent, q.live, q.at = 0, 0, 0, nil
-	way := f.jitter(f.cfg.Client)
-	f.clock.After(way, func() {
+	q.sends++
+	q.responses, q.statementsSent, q.openAttempts, q.router = 0, 0, 0, nil
+	delay := f.addJitter(f.cfg.Client)
+	f.clock.After(delay, func() {
 		now := f.clock.Now()
-		if q.over || q.left {
+		if q.ended || q.disconnected {
 			return
 		}
 		if !r.alive {
-			q.again(0)
+			q.retry(0)
 			return
 		}
-		q.at, q.life = r, r.life
-		switch q.see = 0; q.class.Consistency {
+		q.router, q.incarnation = r, r.incarnation
+		switch q.minPosition = 0; q.class.Consistency {
 		case balance.ConsistencySession:
-			q.see = q.session.wrote
+			q.minPosition = q.session.lastWritePosition
 		case balance.ConsistencyLatest:
-			q.see = now
+			q.minPosition = now
 		}
 		x := router.Request{
-			ClientRequestID: fmt.Sprint("q", q.id, ".", q.tries), Class: q.class.Name, Group: q.bank, Session: fmt.Sprint("s", q.id%len(f.sessions)),
-			Deadline: q.until - now - f.cfg.Client, ReceivedAt: now, Retry: q.tries > 1, Job: q,
+			ClientRequestID: fmt.Sprint("q", q.id, ".", q.sends), Class: q.class.Name, Group: q.group,
+			Session:  fmt.Sprint("s", q.id%len(f.sessions)),
+			Deadline: q.deadline - now - f.cfg.Client, ReceivedAt: now, Retry: q.sends > 1, Job: q,
 		}
 		if q.class.Consistency == balance.ConsistencySession {
-			x.MinPosition = q.see
+			x.MinPosition = q.minPosition
 		}
 		id, err := r.core.Accept(x, q)
 		if err != nil {
-			q.again(0)
+			q.retry(0)
 			return
 		}
-		q.handle = id
-		r.turn()
+		q.routerID = id
+		r.run()
 	})
 }
 
-// answered notes a final answer; there is one for each try.
-func (q *request) answered() bool {
-	if q.answers++; q.answers > 1 {
-		q.f.obs.fault("answered", "request %d has %d answers", q.id, q.answers)
+// recordResponse counts a final response. It reports false, and a violation, if the client has had one since it sent
+// the request last.
+func (q *request) recordResponse() bool {
+	if q.responses++; q.responses > 1 {
+		q.fleet.observer.reportViolation("answered", "request %d has %d answers", q.id, q.responses)
 		return false
 	}
 	return true
@@ -122,117 +125,119 @@
 
 // Served implements router.Client.
 func (q *request) Served(a router.Response) {
-	if !q.answered() {
+	if !q.recordResponse() {
 		return
 	}
-	q.pos = a.(time.Duration)
-	q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() {
+	q.position = a.(time.Duration)
+	q.fleet.clock.After(q.fleet.addJitter(q.fleet.cfg.Client), func() {
 		if q.class.Consistency == balance.ConsistencyWrite {
-			q.session.wrote = max(q.session.wrote, q.pos)
+			q.session.lastWritePosition = max(q.session.lastWritePosition, q.position)
 		}
-		q.end(served)
+		q.finish(served)
 	})
 }
 
-// Refused implements router.Client.
+// Rejected implements router.Client.
 func (q *request) Rejected(after time.Duration) {
-	if q.answered() {
-		q.f.obs.refused(q)
-		q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() { q.again(after) })
+	if q.recordResponse() {
+		q.fleet.observer.requestRejected(q)
+		q.fleet.clock.After(q.fleet.addJitter(q.fleet.cfg.Client), func() { q.retry(after) })
 	}
 }
 
 // Failed implements router.Client.
 func (q *request) Failed(string) {
-	if q.answered() {
-		q.f.clock.After(q.f.jitter(q.f.cfg.Client), func() {
+	if q.recordResponse() {
+		q.fleet.clock.After(q.fleet.addJitter(q.fleet.cfg.Client), func() {
 			if q.class.Idempotency == balance.Idempotent {
-				q.again(0)
+				q.retry(0)
 			} else {
-				q.end(failed)
+				q.finish(failed)
 			}
 		})
 	}
 }
 
-// Gone implements router.Client: the model tells at once.
-func (q *request) Disconnected(bool) bool { return q.left }
+// Disconnected implements router.Client. The model knows a disconnect at once.
+func (q *request) Disconnected(bool) bool { return q.disconnected }
 
-// Begun, Part and Cut implement router.Client; answers of the model are short.
+// ResponseStarted implements router.Client. It does nothing, because responses of the model have one part.
 func (q *request) ResponseStarted(router.Response, router.Flow) {}
 func (q *request) ResponsePart([]byte)                          {}
 func (q *request) ResponseTruncated()                           { q.Failed("cut") }
 
-// again asks once more, as clients do.
-func (q *request) again(after time.Duration) {
-	f := q.f
-	if q.over || q.left {
+// retry retries the request after a pause, unless its retries or its time are used up.
+func (q *request) retry(after time.Duration) {
+	f := q.fleet
+	if q.ended || q.disconnected {
 		return
 	}
 	wait := f.cfg.Backoff
-	if f.rng.Float64() < f.cfg.Honour {
+	if f.clientRNG.Float64() < f.cfg.Honour {
 		wait = max(wait, after)
 	}
-	if q.tries > f.cfg.Retries || f.clock.Now()+wait >= q.until {
-		q.end(refusedOnes)
+	if q.sends > f.cfg.Retries || f.clock.Now()+wait >= q.deadline {
+		q.finish(rejected)
 		return
 	}
 	f.clock.After(wait, func() {
-		if !q.over && !q.left {
+		if !q.ended && !q.disconnected {
 			q.send()
 		}
 	})
 }
 
-func (q *request) leave() {
-	if q.over {
+func (q *request) disconnect() {
+	if q.ended {
 		return
 	}
-	q.left = true
-	if q.at != nil && q.at.alive && q.at.life == q.life && q.answers == 0 {
-		q.at.core.Disconnect(q.handle)
-		q.at.turn()
+	q.disconnected = true
+	if q.router != nil && q.router.alive && q.router.incarnation == q.incarnation && q.responses == 0 {
+		q.router.core.Disconnect(q.routerID)
+		q.router.run()
 	}
-	q.end(gone)
+	q.finish(disconnected)
 }
 
-// giveUp ends it when its client's time is over. A router that holds it then has broken the rules.
-func (q *request) giveUp() {
-	if q.over {
+// timeOut ends the request at its client timeout. A router that has not answered by then violates a rule.
+func (q *request) timeOut() {
+	if q.ended {
 		return
 	}
-	if q.at != nil && q.at.alive && q.at.life == q.life && q.answers == 0 {
-		q.f.obs.fault("late", "request %d of %s was not answered in time by %v", q.id, q.class.Name, q.at)
+	if q.router != nil && q.router.alive && q.router.incarnation == q.incarnation && q.responses == 0 {
+		q.fleet.observer.reportViolation("late", "request %d of %s was not answered in time by %v",
+			q.id, q.class.Name, q.router)
 	}
-	q.left = true
-	q.end(expired)
+	q.disconnected = true
+	q.finish(expired)
 }
 
-func (q *request) end(how ending) {
-	if q.over {
+func (q *request) finish(how ending) {
+	if q.ended {
 		return
 	}
-	q.over = true
-	q.f.inHand--
-	q.f.obs.ended(q, how)
+	q.ended = true
+	q.fleet.inFlight--
+	q.fleet.observer.requestEnded(q, how)
 }
 
-// orphans are the requests that a router had when it ended: their clients see the connection close.
-func (f *Fleet) orphans(r *instance) {
-	for _, q := range f.obs.open(r) {
-		q.answers++
-		f.clock.After(f.jitter(f.cfg.Client), func() {
+// endRequestsOf ends the open requests of a router that has stopped: their clients see the connection close.
+func (f *Fleet) endRequestsOf(r *instance) {
+	for _, q := range f.observer.openRequestsOf(r) {
+		q.responses++
+		f.clock.After(f.addJitter(f.cfg.Client), func() {
 			if q.class.Idempotency == balance.Idempotent {
-				q.again(0)
+				q.retry(0)
 			} else {
-				q.end(failed)
+				q.finish(failed)
 			}
 		})
 	}
 }
 
-// ran notes that a machine has run a copy, which had to see a position.
-func (f *Fleet) ran(q *request, m *model.Endpoint, pos, see time.Duration) {
-	q.runs++
-	f.obs.ran(q, m, pos, see)
+// recordExecution counts an execution by an endpoint at replication position pos, which had to see at least position
+// see.
+func (f *Fleet) recordExecution(q *request, m *model.Endpoint, position, minPosition time.Duration) {
+	q.executions++
+	f.observer.checkExecution(q, m, position, minPosition)
 }
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -1,5 +1,5 @@
-// Package fleet is the laboratory's skin in process: the real core and decision module of many routers, in virtual time,
-// before the machines of the model, with clients and an observer that sees all sides.
+// Package fleet runs many routers in one process and in virtual time: the real router core and decision module, with
+// simulated endpoints, discovery and clients, and an observer that checks the rules from all sides.
 package fleet
 
 import (
@@ -13,61 +13,61 @@
 // Class is one kind of request.
 type Class struct {
 	balance.Class
-	Share float64
+	Share float64 // of all requests, relative to the sum of all shares
 	Work  model.WorkDistribution
-	Long  bool // a replica applies nothing while it runs
+	Long  bool // a replica applies nothing of the replication log while it executes one
 }
 
-// Config describes a fleet, its load and what befalls it.
+// Config describes a fleet, its load and its faults.
 type Config struct {
 	Routers int
 	Zones   []string
-	Banks   int
-	Members int // of each bank
-	Spares  int // machines of each bank beside them that are not there until the fault add
+	Banks   int // replica groups
+	Members int // of each replica group
+	Spares  int // further endpoints of each replica group that join with the fault add
 	Kind    model.EndpointSpec
 	Follow  model.Replication
 	Classes []Class
 
-	Use    float64 // part of all machines' capacity that is asked for in the mean
-	Shape  []Step  // of the load over time, empty = steady
+	Use    float64 // mean load, as a share of the capacity of all endpoints
+	Shape  []Step  // of the load over time; empty means steady
 	Length time.Duration
-	Bursts float64 // how uneven arrivals are: 0 = Poisson, otherwise the spread of the rate from one half second to the next
+	Bursts float64 // relative standard deviation of the rate per half second; 0 means Poisson arrivals
 
-	Same, Cross, Client time.Duration // one way, within a zone, between zones, and from a client
-	Jitter              float64
+	Same, Cross, Client time.Duration // one-way network delays: within a zone, between zones, and from a client
+	Jitter              float64       // mean of the exponential jitter, as a share of the delay
 
-	Notice     [2]time.Duration // until discovery tells a change
-	Silent     [2]time.Duration // and that a machine has gone without a word
-	RoleLag    [2]time.Duration // and that another machine leads, 0 = it says who led at the start
-	Pushed     bool             // lists are pushed to an agent of each router, otherwise routers ask discovery
-	Grace      time.Duration    // sends to a machine must have ended so long after a router was told that it leaves
-	Call       time.Duration    // what a call of discovery costs it
-	CallWithin time.Duration    // the longest that a router waits for it
+	Notice     [2]time.Duration // until discovery reports a change; from, to
+	Silent     [2]time.Duration // until it reports an endpoint that died without deregistering
+	RoleLag    [2]time.Duration // until it reports another primary; 0 means never
+	Pushed     bool             // lists are pushed to an agent of each router, otherwise routers poll discovery
+	Grace      time.Duration    // how long a notified router may send to an endpoint that leaves
+	Call       time.Duration    // processing time of a call at discovery
+	CallWithin time.Duration    // how long a router waits for a call
 
-	Retries  int     // of a client that was refused or failed
-	Honour   float64 // share of clients that wait as long as they are told
+	Retries  int     // of a client whose request was rejected or failed
+	Honour   float64 // share of clients that wait for the Retry-After time
 	Backoff  time.Duration
-	Leave    float64 // share that leaves before it has an answer
+	Leave    float64 // share of clients that disconnect before they have an answer
 	Sessions int
-	Roam     float64       // share of sessions that any router may get, the others keep to one while it lives
-	Comeback time.Duration // the longest that a router may tell a client to stay away
+	Roam     float64       // share of sessions that use any router; the others use one router while it runs
+	Comeback time.Duration // the longest Retry-After time of a router
 
 	ConnectWithin, ConnIdle time.Duration
 	MemoryMB, Sockets       int
-	MostTries               int
+	MostTries               int // attempts of a router for one request
 	ProbePrice, HeldBack    float64
 	Cancel                  bool
-	Checks                  balance.FreshnessCheck // what a machine does with a read that it is too far behind for
-	Hold                    []string               // classes whose requests are held through a change of primary
-	Sites                   string                 // what routers do about whole sites: one of SitesOff and so on
-	HarmColdBudget          bool                   // the routers know nothing of cold machines: a change that does harm
-	Salt                    uint64                 // the routers draw otherwise, the world does not: what chance alone does
+	Checks                  balance.FreshnessCheck // what an endpoint does with a read that it is too far behind for
+	Hold                    []string               // classes whose requests are queued during a change of primary
+	Sites                   string                 // site failover: SitesOff, SitesWatch or SitesAct
+	HarmColdBudget          bool                   // a deliberate defect: the routers ignore slow start
+	Salt                    uint64                 // changes the random numbers of the routers only
 
 	Faults []Fault
 }
 
-// Rate is how many requests a second come in the mean.
+// Rate returns the mean number of requests per second.
 func (c *Config) Rate() float64 {
 	work, share := 0.0, 0.0
 	for _, k := range c.Classes {
@@ -77,42 +77,43 @@
 	return c.Use * float64(c.Banks*c.Members*c.Kind.Cores) * c.Kind.Speed * share / work
 }
 
-// What routers do about whole sites: nothing, judge and plan, or refuse and pace returns too.
+// What routers do about site failover: nothing, monitor and plan, or also reject requests and ramp up recovered sites.
 const (
 	SitesOff   = ""
 	SitesWatch = "watch"
 	SitesAct   = "act"
 )
 
-// Update says whether a class is one of writes.
+// Update reports whether the requests of a class are writes.
 func Update(k *Class) bool { return k.Consistency == balance.ConsistencyWrite }
 
-// Step is the load from a moment on, as a part of the usual; Ramp is how long it takes to get there.
+// Step changes the load at a time to Part times the configured load, in a linear ramp of length Ramp.
 type Step struct {
 	At, Ramp time.Duration
 	Part     float64
 }
 
-// Fault is something that befalls the fleet.
+// Fault is a fault that is injected into the fleet.
 type Fault struct {
 	At   time.Duration // from the start, or from On
-	On   string        // what it follows on, "" = nothing: lost:BANK, led:BANK, down:MACHINE or up:MACHINE, the first time
+	On   string        // triggering event, "" for none: first lost:GROUP, led:GROUP, down:ENDPOINT or up:ENDPOINT
 	What string
-	Who  []string // machines; what names a bank's primary or all of a zone is resolved when it is due
+	Who  []string // endpoints; the primary of a replica group or all of a zone are resolved when the fault starts
 	For  time.Duration
 	Part float64
 
-	Delay, Jitter time.Duration // of a way
-	Rate          int           // bytes a second of a way
+	Delay, Jitter time.Duration // of a link
+	Rate          int           // of a link, in bytes per second
 }
 
-// The kinds of faults; those of processes and of ways on sockets can be played by a rig only.
+// The kinds of faults. MultiprocessFaults affect processes or sockets, which only a multi-process test has.
 var (
-	Faults             = []string{"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers", "suspend"}
+	Faults = []string{"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers",
+		"suspend"}
 	MultiprocessFaults = []string{"crash", "freeze", "term", "delay", "trickle", "reset", "lose"}
 )
 
-// Default is brisbane-signing: three routers before banks of three, in its figures.
+// Default returns the figures of the deployment brisbane-signing: three routers and replica groups of three.
 func Default() Config {
 	ms := time.Millisecond
 	return Config{
@@ -156,38 +157,39 @@
 	}
 }
 
-// Check says in one line what is wrong with it.
+// Check returns an error of one line that names the invalid field, or nil.
 func (c *Config) Check() error {
 	bad := func(field, why string) error { return fmt.Errorf("%s: %s", field, why) }
 	switch {
 	case c.Routers < 1 || c.Routers > 2000:
-		return bad("routers", "1 to 2000 are possible")
+		return bad("routers", "must be from 1 to 2000")
 	case len(c.Zones) == 0:
-		return bad("zones", "at least one is needed")
+		return bad("zones", "must not be empty")
 	case c.Banks < 1 || c.Members < 1 || c.Spares < 0 || c.Banks*(c.Members+c.Spares) > 20_000:
-		return bad("banks", "1 to 20,000 machines are possible")
+		return bad("banks", "must have 1 to 20,000 machines in total")
 	case c.Length <= 0 || c.Length > 24*time.Hour:
-		return bad("length", "up to a day is possible")
+		return bad("length", "must be positive and at most 24 hours")
 	case c.Use <= 0 || c.Use > 20:
-		return bad("use", "a part of all capacity is needed")
+		return bad("use", "must be a share of the capacity above 0 and at most 20")
 	case len(c.Classes) == 0:
-		return bad("classes", "at least one is needed")
+		return bad("classes", "must not be empty")
 	case c.Sites != SitesOff && c.Sites != SitesWatch && c.Sites != SitesAct:
 		return bad("sites", c.Sites+" is neither watch nor act")
 	case c.Checks == balance.FreshnessCheckHold:
-		return bad("checks", "machines that wait are not emulated")
+		return bad("checks", "hold is not simulated")
 	case c.Kind.Cores < 1 || c.Kind.Slots < 1 || c.Kind.Speed <= 0:
-		return bad("machine", "cores, slots and speed are needed")
+		return bad("machine", "cores, slots and speed must be positive")
 	}
 	sum := 0.0
 	for _, k := range c.Classes {
 		if k.Share < 0 || k.Work.Mean <= 0 || k.ClientTimeout <= 0 {
-			return bad("classes", k.Name+" needs a share, its work and a deadline")
+			return bad("classes",
+				k.Name+" must have a share of at least 0, positive work and a positive client timeout")
 		}
 		sum += k.Share
 	}
 	if sum <= 0 {
-		return bad("classes", "no share at all")
+		return bad("classes", "the shares must not all be 0")
 	}
 	for _, f := range c.Faults {
 		known := false
@@ -195,14 +197,14 @@
 			known = known || w == f.What
 		}
 		if !known {
-			return bad("faults", "no fault is called "+f.What)
+			return bad("faults", "unknown fault "+f.What)
 		}
 	}
 	return nil
 }
 
-// balance is what each router is told.
-func (c *Config) balance(zone string) balance.Config {
+// balanceConfig returns the decision module's configuration of the routers in a zone.
+func (c *Config) balanceConfig(zone string) balance.Config {
 	b := balance.Config{
 		Instances: c.Routers, Zone: zone, PollDiscovery: !c.Pushed, PollWithin: 5 * time.Second, DrainGrace: c.Grace, TimerResolution: 5 * time.Millisecond, FreshnessCheck: c.Checks, ClientSessionTokens: true,
 		HealthChecks: true, HealthCheckCost: c.ProbePrice, LateRejectCost: c.HeldBack, Cancellation: c.Cancel, RetryAfter: true, MaxRetryAfter: c.Comeback, MaxAttempts: c.MostTries,
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -8,209 +8,214 @@
 	"limeladder/internal/simulation/model"
 )
 
-// directory is discovery: it hears of changes late and tells them to those who watch. Where it is asked it serves one call after
-// the other; where it pushes, each router has an agent that is sent what is new.
+// directory is the simulated discovery, which learns of changes after a delay. Without Config.Pushed it serves the
+// calls of routers one after the other; with it, each router has an agent to which it pushes changes.
 type directory struct {
 	*model.Registry
-	f     *Fleet
-	free  time.Duration // it is busy until then
-	down  time.Duration // and answers nobody until then
-	calls uint64
+	fleet     *Fleet
+	busyUntil time.Duration // when it can serve the next call
+	downUntil time.Duration // it answers no call before this time
+	calls     uint64
 }
 
 func newDirectory(f *Fleet) *directory {
-	d := &directory{f: f}
-	d.Registry = model.NewRegistry(f.world, model.NoticeDelays{Change: f.cfg.Notice, Silent: f.cfg.Silent, Role: f.cfg.RoleLag}, f.span, func(i int) {
-		e := entry(d.Entries[i])
-		for _, r := range f.routers {
-			switch {
-			case f.cfg.Pushed:
-				r.agent.push()
-			case r.alive:
-				r.watch.news(e)
+	d := &directory{fleet: f}
+	d.Registry = model.NewRegistry(f.world, model.NoticeDelays{Change: f.cfg.Notice, Silent: f.cfg.Silent, Role: f.cfg.RoleLag},
+		f.drawDuration, func(i int) {
+			e := endpointEntry(d.Entries[i])
+			for _, r := range f.routers {
+				switch {
+				case f.cfg.Pushed:
+					r.agent.push()
+				case r.alive:
+					r.watch.entryChanged(e)
+				}
 			}
-		}
-	})
+		})
 	return d
 }
 
-// entry is a listing as routers read it.
-func entry(l model.Listing) balance.EndpointEntry {
+// endpointEntry converts a listing to an entry of the endpoint list.
+func endpointEntry(l model.Listing) balance.EndpointEntry {
 	states := map[model.ListingState]balance.EndpointState{model.ListedRemoved: balance.EndpointRemoved, model.ListedReady: balance.EndpointReady, model.ListedDraining: balance.EndpointDraining}
 	return balance.EndpointEntry{Endpoint: l.Endpoint.ID, Zone: l.Endpoint.Zone, Group: l.Endpoint.Group.ID, State: states[l.State], Primary: l.Primary, StartedAt: l.StartedAt}
 }
 
 func (d *directory) list(kind balance.EndpointListKind) balance.EndpointList {
-	l := d.since(0)
+	l := d.changesSince(0)
 	l.Kind = kind
 	return l
 }
 
-// since is what has changed behind a version.
-func (d *directory) since(version int64) (l balance.EndpointList) {
-	d.Since(version, func(e model.Listing) { l.Entries = append(l.Entries, entry(e)) })
+// changesSince returns the entries that have changed after a version.
+func (d *directory) changesSince(version int64) (l balance.EndpointList) {
+	d.Since(version, func(e model.Listing) { l.Entries = append(l.Entries, endpointEntry(e)) })
 	return l
 }
 
-// agent is on a router's own machine; discovery pushes lists to it. What it has counts as notified to the router.
+// agent is the discovery agent on a router's host, to which discovery pushes lists. The router counts as notified of
+// the list that its agent has.
 type agent struct {
-	r       *instance
-	entries []balance.EndpointEntry // as it was sent last
-	version int64
-	waits   bool // something is on its way, or waits until discovery can reach it
+	router      *instance
+	entries     []balance.EndpointEntry // the newest list that it was sent
+	version     int64
+	pushPending bool // a push is on its way, or is retried until discovery can reach the agent
 }
 
-// push sends it what is new, once discovery is there and the way open.
+// push sends the newest list to the agent once discovery runs and the link isn't cut.
 func (a *agent) push() {
-	if a.waits {
+	if a.pushPending {
 		return
 	}
-	a.waits = true
-	f := a.r.f
-	f.clock.After(f.jitter(f.cfg.Cross), a.arrive)
+	a.pushPending = true
+	f := a.router.fleet
+	f.clock.After(f.addJitter(f.cfg.Cross), a.deliver)
 }
 
-func (a *agent) arrive() {
+func (a *agent) deliver() {
 	const again = 50 * time.Millisecond
-	f, d := a.r.f, a.r.f.directory
-	if a.r.watch.cut() || f.clock.Now() < d.down {
-		f.clock.After(again, a.arrive)
+	f, d := a.router.fleet, a.router.fleet.directory
+	if a.router.watch.isCut() || f.clock.Now() < d.downUntil {
+		f.clock.After(again, a.deliver)
 		return
 	}
-	a.waits = false
+	a.pushPending = false
 	a.entries, a.version = d.list(balance.ListFull).Entries, d.Version
-	if r := a.r; r.alive {
-		r.told(balance.EndpointList{Entries: a.entries})
-		r.watch.pushed()
+	if r := a.router; r.alive {
+		r.recordNotification(balance.EndpointList{Entries: a.entries})
+		r.watch.receivePush()
 	}
 }
 
-// watcher is a router's side of it: one call is out at a time.
+// watcher is a router's client of discovery or of its agent. It has at most one open call.
 type watcher struct {
-	r       *instance
-	out     bool
-	follows bool
-	have    int64
-	began   time.Duration // when the watch that is out was asked for
-	lost    bool          // what it had to tell did not arrive
+	router           *instance
+	callOpen         bool
+	watching         bool
+	version          int64
+	startedAt        time.Duration // when the newest answer arrived, after which the current watch started
+	notificationLost bool          // a notification of the current watch was lost on a cut link
 }
 
-// told is how long after a watch's wait what it had to tell counts as notified, whether or not it arrived.
-const told = 2 * time.Second
+// notificationDelay is how long after the end of a watch its notification counts as made, whether or not it arrived.
+const notificationDelay = 2 * time.Second
 
-// cut says whether messages between the router and discovery get lost.
-func (w *watcher) cut() bool { return w.r.f.cuts[w.r.zone+">discovery"] }
+// isCut reports whether the link between the router and discovery is cut.
+func (w *watcher) isCut() bool { return w.router.fleet.cutLinks[w.router.zone+">discovery"] }
 
-// follow starts a watch that goes on by itself, at the agent.
-func (w *watcher) follow() {
-	r := w.r
-	if r.f.clock.Now() < r.f.directory.down { // it says nothing until discovery is back
-		r.later(r.f.directory.down-r.f.clock.Now(), w.follow)
+// watchAgent starts a permanent watch at the agent.
+func (w *watcher) watchAgent() {
+	r := w.router
+	if r.fleet.clock.Now() < r.fleet.directory.downUntil { // the agent answers nothing until discovery is back
+		r.after(r.fleet.directory.downUntil-r.fleet.clock.Now(), w.watchAgent)
 		return
 	}
-	w.follows = true
-	w.pushed()
+	w.watching = true
+	w.receivePush()
 }
 
-// pushed brings the router what its agent has and it has not.
-func (w *watcher) pushed() {
-	r, a := w.r, w.r.agent
-	if !w.follows || w.have == a.version {
+// receivePush passes the agent's list to the router if it is new to the router.
+func (w *watcher) receivePush() {
+	r, a := w.router, w.router.agent
+	if !w.watching || w.version == a.version {
 		return
 	}
 	l := balance.EndpointList{Kind: balance.ListFull, Entries: a.entries}
-	w.have = a.version
-	r.told(l)
+	w.version = a.version
+	r.recordNotification(l)
 	r.core.UpdateEndpoints(l)
-	r.turn()
+	r.run()
 }
 
-func (w *watcher) track() {
-	if w.out || w.follows {
+func (w *watcher) poll() {
+	if w.callOpen || w.watching {
 		return
 	}
 	w.call()
 }
 
-// news wakes the watch that is out. On a cut link it stays silent to the end of its wait and a while more, and the router knows
-// nothing of what counts as notified to it meanwhile.
-func (w *watcher) news(e balance.EndpointEntry) {
-	r := w.r
-	if !w.follows || w.out || w.lost {
+// entryChanged ends the current watch with a changed entry. On a cut link the watch stays silent until its timeout and
+// the slack after it have passed; the router doesn't know the change, though it counts as notified meanwhile.
+func (w *watcher) entryChanged(e balance.EndpointEntry) {
+	r := w.router
+	if !w.watching || w.callOpen || w.notificationLost {
 		return
 	}
-	if !w.cut() {
+	if !w.isCut() {
 		w.call()
 		return
 	}
-	lim := limits.New(r.f.cfg.MemoryMB, r.f.cfg.Sockets, r.f.cfg.ConnectWithin, r.f.cfg.ConnIdle, r.f.longest)
-	now := r.f.clock.Now()
-	end := w.began + ((now-w.began)/lim.Discovery.LongPollTimeout+1)*lim.Discovery.LongPollTimeout // a watch without news was followed by the next one
-	if p := r.peer(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.out {
-		p.out, p.outAt = true, end+told
+	lim := limits.New(r.fleet.cfg.MemoryMB, r.fleet.cfg.Sockets, r.fleet.cfg.ConnectWithin, r.fleet.cfg.ConnIdle,
+		r.fleet.longestTimeout)
+	now := r.fleet.clock.Now()
+	// Each watch without a change was followed by another one.
+	end := w.startedAt + ((now-w.startedAt)/lim.Discovery.LongPollTimeout+1)*lim.Discovery.LongPollTimeout
+	if p := r.backend(e.Endpoint); p != nil && e.State != balance.EndpointReady && !p.leaving {
+		p.leaving, p.leavingSince = true, end+notificationDelay
 	}
-	w.lost = true
-	r.later(end+lim.Discovery.WatchSlack-now, func() {
-		w.lost, w.follows = false, false
+	w.notificationLost = true
+	r.after(end+lim.Discovery.WatchSlack-now, func() {
+		w.notificationLost, w.watching = false, false
 		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 	})
 }
 
 func (w *watcher) call() {
-	r, d := w.r, w.r.f.directory
-	w.out = true
-	life, over := r.life, false
-	if w.cut() {
-		r.later(r.f.cfg.ConnectWithin, func() {
-			w.out, w.follows = false, false
+	r, d := w.router, w.router.fleet.directory
+	w.callOpen = true
+	life, ended := r.incarnation, false
+	if w.isCut() {
+		r.after(r.fleet.cfg.ConnectWithin, func() {
+			w.callOpen, w.watching = false, false
 			r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListSilent})
 		})
 		return
 	}
 	d.calls++
-	limit := r.f.clock.After(r.f.cfg.CallWithin, func() {
-		if r.life != life || over {
+	timeout := r.fleet.clock.After(r.fleet.cfg.CallWithin, func() {
+		if r.incarnation != life || ended {
 			return
 		}
-		over = true
-		w.out, w.follows = false, false
+		ended = true
+		w.callOpen, w.watching = false, false
 		r.core.UpdateEndpoints(balance.EndpointList{Kind: balance.ListFailed})
-		r.turn()
+		r.run()
 	})
-	r.f.clock.After(r.f.jitter(r.f.cfg.Cross), func() {
-		now := r.f.clock.Now()
-		if now < d.down {
+	r.fleet.clock.After(r.fleet.addJitter(r.fleet.cfg.Cross), func() {
+		now := r.fleet.clock.Now()
+		if now < d.downUntil {
 			return
 		}
-		d.free = max(d.free, now) + d.f.cfg.Call
-		r.f.clock.At(d.free+r.f.jitter(r.f.cfg.Cross), func() {
-			if r.life != life || over || !r.alive {
+		d.busyUntil = max(d.busyUntil, now) + d.fleet.cfg.Call
+		r.fleet.clock.At(d.busyUntil+r.fleet.addJitter(r.fleet.cfg.Cross), func() {
+			if r.incarnation != life || ended || !r.alive {
 				return
 			}
-			over = true
-			limit.Stop()
+			ended = true
+			timeout.Stop()
 			l := d.list(balance.ListFull)
-			if w.follows {
-				l = d.since(w.have)
+			if w.watching {
+				l = d.changesSince(w.version)
 			}
-			w.out, w.follows, w.have, w.began = false, true, d.Version, r.f.clock.Now()
-			r.told(l)
+			w.callOpen, w.watching, w.version, w.startedAt = false, true, d.Version, r.fleet.clock.Now()
+			r.recordNotification(l)
 			r.core.UpdateEndpoints(l)
-			r.turn()
+			r.run()
 		})
 	})
 }
 
-// Noticed is how long discovery takes to tell that a machine drains, and that one has died without a word.
+// Noticed returns how long discovery takes to list a draining endpoint, and to remove one that died without
+// deregistering.
 func Noticed(cfg Config, seed uint64) (drain, silent time.Duration, err error) {
 	f, err := build(cfg, seed)
 	if err != nil {
 		return 0, 0, err
 	}
-	a, b := f.world.Endpoints[1], f.world.Endpoints[2]
-	f.clock.Run(start + time.Second)
-	a.Drain()
-	b.Kill("test", 0)
+	drained, killed := f.world.Endpoints[1], f.world.Endpoints[2]
+	f.clock.Run(startTime + time.Second)
+	drained.Drain()
+	killed.Kill("test", 0)
 	for at := f.clock.Now(); (drain == 0 || silent == 0) && f.clock.Now() < at+time.Minute; {
 		f.clock.Run(f.clock.Now() + 10*time.Millisecond)
 		if drain == 0 && f.directory.Entries[1].State == model.ListedDraining {
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -14,32 +14,32 @@
 	"limeladder/internal/sitefailover"
 )
 
-// start is where virtual time begins: times must not be 0, which means none.
-const start = 1000 * time.Second
+// startTime is when virtual time begins. It is not 0, because a time of 0 means none.
+const startTime = 1000 * time.Second
 
-// Fleet is a world with routers, clients and an observer. It is driven by Run, once.
+// Fleet is a simulation of endpoints, routers, clients and an observer. It runs once.
 type Fleet struct {
-	cfg       Config
-	seed      uint64
-	clock     *event.Clock
-	world     *model.World
-	directory *directory
-	routers   []*instance
-	machine   map[string]*model.Endpoint
-	cuts      map[string]bool
-	rng       *rand.Rand // of clients
-	net       *rand.Rand // of ways and waits
-	longest   time.Duration
-	offered   float64 // requests a second in the mean
-	burst     float64
-	sessions  []session
-	last      int
-	inHand    int
-	count     Count
-	obs       observer
+	cfg            Config
+	seed           uint64
+	clock          *event.Clock
+	world          *model.World
+	directory      *directory
+	routers        []*instance
+	endpoints      map[string]*model.Endpoint
+	cutLinks       map[string]bool
+	clientRNG      *rand.Rand // for clients
+	networkRNG     *rand.Rand // for network delays and delays of discovery
+	longestTimeout time.Duration
+	meanRate       float64 // requests per second
+	burstFactor    float64
+	sessions       []session
+	lastRequestID  int
+	inFlight       int
+	count          Count
+	observer       observer
 }
 
-// Count is what was done, over all routers.
+// Count holds the totals of all routers.
 type Count struct {
 	Attempts, Dials, Probes, Calls uint64
 	Ends                           [balance.StatusMiss + 1]uint64
@@ -47,97 +47,100 @@
 }
 
 type session struct {
-	wrote time.Duration // the position of its newest write, 0 = none
-	bank  int
-	home  int // the router that it keeps to, -1 = it roams
+	lastWritePosition time.Duration // the replication position of its newest write; 0 means none
+	group             int
+	homeRouter        int // the router that it uses while that runs; -1 means any
 }
 
-// Run plays a fleet from a seed.
+// Run simulates a fleet with the random numbers of a seed.
 func Run(cfg Config, seed uint64) (*Result, error) {
 	for _, x := range cfg.Faults {
 		if slices.Contains(MultiprocessFaults, x.What) {
-			return nil, fmt.Errorf("faults: %s needs processes: limeladder-sim rig", x.What)
+			return nil, fmt.Errorf("faults: %s needs processes, use limeladder-sim rig", x.What)
 		}
 	}
 	f, err := build(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
-	f.await(cfg.Faults)
+	f.scheduleFaults(cfg.Faults)
 	for _, s := range cfg.Shape {
-		f.clock.At(start+s.At, func() {
-			f.obs.marks = append(f.obs.marks, Mark{At: s.At, Text: fmt.Sprintf("load %g times the usual", s.Part)})
+		f.clock.At(startTime+s.At, func() {
+			f.observer.marks = append(f.observer.marks, Mark{At: s.At, Text: fmt.Sprintf("load %g times the usual", s.Part)})
 		})
 	}
-	f.arrive()
-	f.clock.Run(start + cfg.Length)
-	f.obs.closed = true
-	f.clock.Run(start + cfg.Length + 2*f.longest) // what is owed is answered
+	f.scheduleArrival()
+	f.clock.Run(startTime + cfg.Length)
+	f.observer.closed = true
+	f.clock.Run(startTime + cfg.Length + 2*f.longestTimeout) // open requests end
 	f.count.Calls, f.count.Events = f.directory.calls, f.clock.Executed()
 	return f.result(), nil
 }
 
-// Foresee plays a fleet that loses a site at a moment and does not get it back, and returns what its routers planned for that just before,
-// each for its own part of the work, beside what came.
-func Foresee(cfg Config, seed uint64, site string, at time.Duration) (told []sitefailover.SiteLossPlan, got *Result, err error) {
+// Foresee simulates a fleet that loses a site permanently at a time. It returns the plans for this loss that the
+// routers had just before, each for its own share of the load, and the result of the run.
+func Foresee(cfg Config, seed uint64, site string, at time.Duration) (
+	plans []sitefailover.SiteLossPlan, got *Result, err error,
+) {
 	cfg.Sites = SitesWatch
 	cfg.Faults = append(slices.Clone(cfg.Faults), Fault{At: at, What: "kill", Who: []string{"zone:" + site}, Part: 1})
 	f, err := build(cfg, seed)
 	if err != nil {
 		return nil, nil, err
 	}
-	f.clock.At(start+at-time.Millisecond, func() {
+	f.clock.At(startTime+at-time.Millisecond, func() {
 		for _, r := range f.routers {
 			for _, l := range r.core.SiteLossPlans() {
 				if l.Site == site {
-					told = append(told, l)
+					plans = append(plans, l)
 				}
 			}
 		}
 	})
-	f.await(cfg.Faults)
-	f.arrive()
-	f.clock.Run(start + cfg.Length)
-	f.obs.closed = true
-	f.clock.Run(start + cfg.Length + 2*f.longest)
-	return told, f.result(), nil
+	f.scheduleFaults(cfg.Faults)
+	f.scheduleArrival()
+	f.clock.Run(startTime + cfg.Length)
+	f.observer.closed = true
+	f.clock.Run(startTime + cfg.Length + 2*f.longestTimeout)
+	return plans, f.result(), nil
 }
 
-// build starts a fleet that nobody asks for anything yet.
+// build starts a fleet without requests.
 func build(cfg Config, seed uint64) (*Fleet, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	f := &Fleet{
-		cfg: cfg, seed: seed, clock: event.New(start), machine: map[string]*model.Endpoint{}, cuts: map[string]bool{},
-		rng: rand.New(rand.NewPCG(seed, 2)), net: rand.New(rand.NewPCG(seed, 3)), burst: 1,
+		cfg: cfg, seed: seed, clock: event.New(startTime), endpoints: map[string]*model.Endpoint{},
+		cutLinks:  map[string]bool{},
+		clientRNG: rand.New(rand.NewPCG(seed, 2)), networkRNG: rand.New(rand.NewPCG(seed, 3)), burstFactor: 1,
 	}
 	f.world = model.New(f.clock, seed)
 	for b := range cfg.Banks {
-		bank := f.world.AddReplicaGroup(int64(b+1), cfg.Follow)
+		group := f.world.AddReplicaGroup(int64(b+1), cfg.Follow)
 		for i := range cfg.Members + cfg.Spares {
-			m := f.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, bank)
-			f.machine[m.ID] = m
+			m := f.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, group)
+			f.endpoints[m.ID] = m
 			if i >= cfg.Members {
 				m.Reserve()
 			}
 		}
 	}
 	for _, k := range cfg.Classes {
-		f.longest = max(f.longest, k.ClientTimeout)
+		f.longestTimeout = max(f.longestTimeout, k.ClientTimeout)
 	}
-	f.offered = cfg.Rate()
+	f.meanRate = cfg.Rate()
 	f.sessions = make([]session, max(1, cfg.Sessions))
 	for i := range f.sessions {
-		f.sessions[i].bank, f.sessions[i].home = f.rng.IntN(cfg.Banks), -1
-		if cfg.Roam < 1 && f.rng.Float64() >= cfg.Roam {
-			f.sessions[i].home = f.rng.IntN(cfg.Routers)
+		f.sessions[i].group, f.sessions[i].homeRouter = f.clientRNG.IntN(cfg.Banks), -1
+		if cfg.Roam < 1 && f.clientRNG.Float64() >= cfg.Roam {
+			f.sessions[i].homeRouter = f.clientRNG.IntN(cfg.Routers)
 		}
 	}
 	f.directory = newDirectory(f)
-	f.observe()
+	f.startObserver()
 	for i := range cfg.Routers {
-		r := f.instance(i)
+		r := f.newInstance(i)
 		f.routers = append(f.routers, r)
 		if err := r.start(); err != nil {
 			return nil, err
@@ -146,20 +149,20 @@
 	return f, nil
 }
 
-func (f *Fleet) span(r [2]time.Duration) time.Duration {
-	return r[0] + time.Duration(f.net.Float64()*float64(r[1]-r[0]))
+func (f *Fleet) drawDuration(r [2]time.Duration) time.Duration {
+	return r[0] + time.Duration(f.networkRNG.Float64()*float64(r[1]-r[0]))
 }
 
-func (f *Fleet) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + f.cfg.Jitter*f.net.ExpFloat64()))
+func (f *Fleet) addJitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + f.cfg.Jitter*f.networkRNG.ExpFloat64()))
 }
 
-// cut says whether messages between a router and a machine get lost.
-func (f *Fleet) cut(r *instance, m *model.Endpoint) bool {
-	return len(f.cuts) > 0 && (f.cuts[r.zone+">"+m.Zone] || f.cuts[r.zone+">"+m.ID])
+// isCut reports whether messages from a router to an endpoint, and their answers, are lost.
+func (f *Fleet) isCut(r *instance, m *model.Endpoint) bool {
+	return len(f.cutLinks) > 0 && (f.cutLinks[r.zone+">"+m.Zone] || f.cutLinks[r.zone+">"+m.ID])
 }
 
-// Part is the load at a moment from the start, as a part of the usual.
+// Part returns the factor of the configured load at a time after the start.
 func Part(shape []Step, now time.Duration) float64 {
 	part := 1.0
 	for _, s := range shape {
@@ -175,106 +178,107 @@
 	return part
 }
 
-// arrive lets the next request come.
-func (f *Fleet) arrive() {
-	rate := f.offered * Part(f.cfg.Shape, f.clock.Now()-start) * f.burst
+// scheduleArrival schedules the next arrival of a request.
+func (f *Fleet) scheduleArrival() {
+	rate := f.meanRate * Part(f.cfg.Shape, f.clock.Now()-startTime) * f.burstFactor
 	if rate <= 0 {
-		f.clock.After(50*time.Millisecond, f.arrive)
+		f.clock.After(50*time.Millisecond, f.scheduleArrival)
 		return
 	}
-	// The rate may change: no draw reaches further than this, and where it does it is made anew.
-	const most = 100 * time.Millisecond
-	wait := time.Duration(f.rng.ExpFloat64() / rate * 1e9)
-	come := wait < most
-	f.clock.After(min(wait, most), func() {
-		if f.clock.Now() >= start+f.cfg.Length {
+	// The rate may change, so a longer pause than this is drawn again.
+	const maxWait = 100 * time.Millisecond
+	wait := time.Duration(f.clientRNG.ExpFloat64() / rate * 1e9)
+	arrives := wait < maxWait
+	f.clock.After(min(wait, maxWait), func() {
+		if f.clock.Now() >= startTime+f.cfg.Length {
 			return
 		}
-		if come {
-			f.request()
+		if arrives {
+			f.startRequest()
 		}
-		f.arrive()
+		f.scheduleArrival()
 	})
 }
 
-// bursts draws how the rate goes on.
-func (f *Fleet) bursts() {
-	if s := f.cfg.Bursts; s > 0 {
-		v := math.Log(1 + s*s)
-		f.burst = math.Exp(math.Sqrt(v)*f.rng.NormFloat64() - v/2)
+// drawBurst draws the factor of the rate until the next call.
+func (f *Fleet) drawBurst() {
+	if spread := f.cfg.Bursts; spread > 0 {
+		variance := math.Log(1 + spread*spread)
+		f.burstFactor = math.Exp(math.Sqrt(variance)*f.clientRNG.NormFloat64() - variance/2)
 	}
 }
 
-// await sees to it that faults come when they are due.
-func (f *Fleet) await(faults []Fault) {
-	var on []Fault
+// scheduleFaults schedules faults at their times or after their events.
+func (f *Fleet) scheduleFaults(faults []Fault) {
+	var triggered []Fault
 	for _, x := range faults {
 		if x.On == "" {
-			f.clock.At(start+x.At, func() { f.befall(x) })
+			f.clock.At(startTime+x.At, func() { f.injectFault(x) })
 		} else {
-			on = append(on, x)
+			triggered = append(triggered, x)
 		}
 	}
-	if len(on) == 0 {
+	if len(triggered) == 0 {
 		return
 	}
-	fired := make([]bool, len(on))
+	fired := make([]bool, len(triggered))
 	f.world.Watch(func(m *model.Endpoint) {
-		for i, x := range on {
+		for i, x := range triggered {
 			if fired[i] {
 				continue
 			}
-			bank, is := fmt.Sprint(m.Group.ID), false
-			switch kind, of, _ := strings.Cut(x.On, ":"); kind {
+			group, matches := fmt.Sprint(m.Group.ID), false
+			switch kind, target, _ := strings.Cut(x.On, ":"); kind {
 			case "lost":
-				is = of == bank && !m.Group.AcceptsWrites()
+				matches = target == group && !m.Group.AcceptsWrites()
 			case "led":
-				is = of == bank && m.Group.AcceptsWrites() && m.Group.PrimaryChanges() > 0
+				matches = target == group && m.Group.AcceptsWrites() && m.Group.PrimaryChanges() > 0
 			case "down":
-				is = of == m.ID && m.State() != model.Up
+				matches = target == m.ID && m.State() != model.Up
 			case "up":
-				is = of == m.ID && m.State() == model.Up && m.StartedAt() > 0
+				matches = target == m.ID && m.State() == model.Up && m.StartedAt() > 0
 			}
-			if is {
+			if matches {
 				fired[i] = true
-				f.clock.After(x.At, func() { f.befall(x) })
+				f.clock.After(x.At, func() { f.injectFault(x) })
 			}
 		}
 	})
 }
 
-// befall carries out a fault.
-func (f *Fleet) befall(x Fault) {
-	f.obs.marks = append(f.obs.marks, Mark{At: f.clock.Now() - start, Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
+// injectFault injects a fault.
+func (f *Fleet) injectFault(x Fault) {
+	f.observer.marks = append(f.observer.marks, Mark{At: f.clock.Now() - startTime,
+		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
 	switch x.What {
 	case "discovery":
-		f.directory.down = f.clock.Now() + x.For
+		f.directory.downUntil = f.clock.Now() + x.For
 		return
 	case "routers":
-		n := int(math.Ceil(x.Part * float64(len(f.routers))))
-		for _, r := range f.routers[:min(n, len(f.routers))] {
+		count := int(math.Ceil(x.Part * float64(len(f.routers))))
+		for _, r := range f.routers[:min(count, len(f.routers))] {
 			if !r.alive {
 				continue
 			}
 			r.stop()
-			f.orphans(r)
+			f.endRequestsOf(r)
 			f.clock.After(x.For, func() { f.restart(r) })
 		}
 		return
 	case "cut":
 		for _, link := range x.Who {
-			f.cuts[link] = true
-			f.clock.After(x.For, func() { delete(f.cuts, link) })
+			f.cutLinks[link] = true
+			f.clock.After(x.For, func() { delete(f.cutLinks, link) })
 		}
 		return
 	}
 	if x.What == "suspend" {
-		for _, m := range named(f.world, x.Who) {
+		for _, m := range selectEndpoints(f.world, x.Who) {
 			for _, r := range f.routers {
 				if r.alive {
 					r.core.Suspend(m.ID, true)
-					r.turn()
-					r.later(x.For, func() { r.core.Suspend(m.ID, false) })
+					r.run()
+					r.after(x.For, func() { r.core.Suspend(m.ID, false) })
 				}
 			}
 		}
@@ -283,9 +287,10 @@
 	Befall(f.world, x, f.cfg.Kind.ErrorShare)
 }
 
-// Befall does to machines what a fault says; errors is the share of them that they have otherwise.
+// Befall injects a fault into endpoints. errors is the share of errors to which an endpoint returns after the fault
+// sick.
 func Befall(w *model.World, x Fault, errors float64) {
-	for _, m := range named(w, x.Who) {
+	for _, m := range selectEndpoints(w, x.Who) {
 		switch x.What {
 		case "kill":
 			m.Kill("killed", x.For)
@@ -320,19 +325,20 @@
 	}
 }
 
-// named are machines by name, by bank ("bank:2", "primary:2", "replicas:2") or by zone ("zone:a").
-func named(w *model.World, names []string) (out []*model.Endpoint) {
+// selectEndpoints returns the endpoints selected by id, by replica group ("bank:2", "primary:2", "replicas:2") or by
+// zone ("zone:a").
+func selectEndpoints(w *model.World, names []string) (selected []*model.Endpoint) {
 	for _, name := range names {
-		kind, of, ok := strings.Cut(name, ":")
+		kind, value, ok := strings.Cut(name, ":")
 		for _, m := range w.Endpoints {
-			bank := fmt.Sprint(m.Group.ID)
-			if !ok && m.ID == name || ok && (kind == "zone" && m.Zone == of || kind == "bank" && bank == of ||
-				kind == "primary" && bank == of && m.IsPrimary() || kind == "replicas" && bank == of && !m.IsPrimary()) {
-				if !slices.Contains(out, m) {
-					out = append(out, m)
+			group := fmt.Sprint(m.Group.ID)
+			if !ok && m.ID == name || ok && (kind == "zone" && m.Zone == value || kind == "bank" && group == value ||
+				kind == "primary" && group == value && m.IsPrimary() || kind == "replicas" && group == value && !m.IsPrimary()) {
+				if !slices.Contains(selected, m) {
+					selected = append(selected, m)
 				}
 			}
 		}
 	}
-	return out
+	return selected
 }
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -14,32 +14,33 @@
 	"limeladder/internal/simulation/model"
 )
 
-func shortly(faults ...Fault) Config {
+func shortConfig(faults ...Fault) Config {
 	c := Default()
 	c.Length, c.Faults = 20*time.Second, faults
 	return c
 }
 
-var troubles = map[string]Config{
-	"a primary dies":  shortly(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second}),
-	"a primary hangs": shortly(Fault{At: 8 * time.Second, What: "hang", Who: []string{"primary:2"}, For: 5 * time.Second}),
-	"a zone goes":     shortly(Fault{At: 6 * time.Second, What: "kill", Who: []string{"zone:a"}, For: 5 * time.Second}),
-	"drains":          shortly(Fault{At: 5 * time.Second, What: "drain", Who: []string{"primary:1", "db2b"}, For: 6 * time.Second}),
-	"a cut":           shortly(Fault{At: 5 * time.Second, What: "cut", Who: []string{"a>db1a", "a>b"}, For: 4 * time.Second}),
-	"no discovery":    shortly(Fault{At: 4 * time.Second, What: "discovery", For: 9 * time.Second}, Fault{At: 5 * time.Second, What: "remove", Who: []string{"db3c"}}),
-	"routers restart": shortly(Fault{At: 6 * time.Second, What: "routers", Part: 0.6, For: 2 * time.Second}),
-	"slow and sick":   shortly(Fault{At: 5 * time.Second, What: "slow", Who: []string{"db1b"}, Part: 0.3, For: 8 * time.Second}, Fault{At: 5 * time.Second, What: "sick", Who: []string{"db2c"}, Part: 0.5, For: 8 * time.Second}),
-	"suspended":       shortly(Fault{At: 5 * time.Second, What: "suspend", Who: []string{"db1b", "primary:3"}, For: 6 * time.Second}),
-	"held": func() Config {
-		c := shortly(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second})
+var faultCases = map[string]Config{
+	"a primary dies":             shortConfig(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second}),
+	"a primary hangs":            shortConfig(Fault{At: 8 * time.Second, What: "hang", Who: []string{"primary:2"}, For: 5 * time.Second}),
+	"a zone is lost":             shortConfig(Fault{At: 6 * time.Second, What: "kill", Who: []string{"zone:a"}, For: 5 * time.Second}),
+	"endpoints drain":            shortConfig(Fault{At: 5 * time.Second, What: "drain", Who: []string{"primary:1", "db2b"}, For: 6 * time.Second}),
+	"links are cut":              shortConfig(Fault{At: 5 * time.Second, What: "cut", Who: []string{"a>db1a", "a>b"}, For: 4 * time.Second}),
+	"discovery is down":          shortConfig(Fault{At: 4 * time.Second, What: "discovery", For: 9 * time.Second}, Fault{At: 5 * time.Second, What: "remove", Who: []string{"db3c"}}),
+	"routers restart":            shortConfig(Fault{At: 6 * time.Second, What: "routers", Part: 0.6, For: 2 * time.Second}),
+	"slow and failing endpoints": shortConfig(Fault{At: 5 * time.Second, What: "slow", Who: []string{"db1b"}, Part: 0.3, For: 8 * time.Second}, Fault{At: 5 * time.Second, What: "sick", Who: []string{"db2c"}, Part: 0.5, For: 8 * time.Second}),
+	"endpoints are suspended":    shortConfig(Fault{At: 5 * time.Second, What: "suspend", Who: []string{"db1b", "primary:3"}, For: 6 * time.Second}),
+	"requests queued during failover": func() Config {
+		c := shortConfig(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second})
 		c.Hold = []string{"submit-job", "key-check"}
 		return c
 	}(),
 }
 
-// Whatever befalls them, the routers break no rule, and nearly all is served.
-func TestRules(t *testing.T) {
-	for name, cfg := range troubles {
+// TestRulesHoldUnderFaults checks that routers violate no rule under faults, and earn at least 80 % of the priority
+// weight.
+func TestRulesHoldUnderFaults(t *testing.T) {
+	for name, cfg := range faultCases {
 		for seed := range uint64(3) {
 			r, err := Run(cfg, seed+1)
 			if err != nil {
@@ -49,7 +50,7 @@
 				t.Errorf("%s, seed %d: %v\n%s", name, seed+1, r.Rules, strings.Join(r.Words, "\n"))
 			}
 			if r.Whole < 0.8 {
-				t.Errorf("%s, seed %d: worth %.3f of the whole", name, seed+1, r.Whole)
+				t.Errorf("%s, seed %d: got %.3f of the priority weight, want at least 0.8", name, seed+1, r.Whole)
 			}
 			came, ended := 0, 0
 			for _, x := range r.Tally {
@@ -59,16 +60,18 @@
 				}
 			}
 			if came < 1000 || ended != came {
-				t.Errorf("%s: %d came, %d ended", name, came, ended)
+				t.Errorf("%s: got %d requests and %d endings, want at least 1000 requests and as many endings",
+					name, came, ended)
 			}
 		}
 	}
 }
 
-// The same seed gives the same result, byte for byte, on any number of processors and among any number of goroutines.
+// TestSameSeedSameBytes checks that a seed gives the same result, byte for byte, on any number of processors and while
+// several runs go on at once.
 func TestSameSeedSameBytes(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
-	for name, cfg := range troubles {
+	for name, cfg := range faultCases {
 		var want string
 		for _, procs := range []int{1, 4, 8} {
 			runtime.GOMAXPROCS(procs)
@@ -90,79 +93,82 @@
 					want = g
 				}
 				if g != want {
-					t.Fatalf("%s: another result with %d processors", name, procs)
+					t.Fatalf("%s: got a different result with %d processors, want the same bytes", name, procs)
 				}
 			}
 		}
 		if other, _ := Run(cfg, 8); other != nil {
 			if p, _ := json.Marshal(other); string(p) == want {
-				t.Fatalf("%s: another seed gives the same", name)
+				t.Fatalf("%s: got the same result with another seed, want a different one", name)
 			}
 		}
 	}
 }
 
-// The observer sees what breaks a rule.
-func TestObserver(t *testing.T) {
-	cfg := shortly()
+// TestObserverReportsViolations checks that the observer reports a violation of each rule.
+func TestObserverReportsViolations(t *testing.T) {
+	cfg := shortConfig()
 	cfg.Length = 2 * time.Second
 	r, err := Run(cfg, 1)
 	if err != nil || len(r.Rules) != 0 {
 		t.Fatal(err, r)
 	}
-	// By hand, on a fleet that has come to rest.
-	f := resting(t)
+	// Each rule is violated by calls on an idle fleet.
+	f := idleFleet(t)
 	m, rt := f.world.Endpoints[1], f.routers[0]
-	write := &request{f: f, id: 1, class: &f.cfg.Classes[4], session: &f.sessions[0], out: 1, runs: 1}
-	read := &request{f: f, id: 2, class: &f.cfg.Classes[1], session: &f.sessions[0], see: f.clock.Now(), born: start, at: rt, life: rt.life}
-	p := rt.peer(m.ID)
-	f.seen(rt, write, p)
-	twice := &request{f: f, id: 4, class: &f.cfg.Classes[0], session: &f.sessions[0]}
+	write := &request{fleet: f, id: 1, class: &f.cfg.Classes[4], session: &f.sessions[0],
+		copiesInFlight: 1, executions: 1}
+	read := &request{fleet: f, id: 2, class: &f.cfg.Classes[1], session: &f.sessions[0], minPosition: f.clock.Now(),
+		arrivedAt: startTime, router: rt, incarnation: rt.incarnation}
+	p := rt.backend(m.ID)
+	f.checkSend(rt, write, p)
+	twice := &request{fleet: f, id: 4, class: &f.cfg.Classes[0], session: &f.sessions[0]}
 	for range 2 {
 		rt.Start(router.Attempt{Endpoint: m.ID, Job: twice}, func(router.Result) {})
 	}
-	f.ran(write, m, f.clock.Now(), 0)
-	f.ran(read, m, f.clock.Now()-1, read.see)
-	p.out, p.outAt = true, f.clock.Now()-f.cfg.Grace-1
-	f.seen(rt, read, p)
-	read.answered()
-	read.answered()
-	read.answers = 0
-	read.giveUp()
-	f.obs.ended(&request{f: f, id: 3, class: &f.cfg.Classes[4], born: start}, served)
+	f.recordExecution(write, m, f.clock.Now(), 0)
+	f.recordExecution(read, m, f.clock.Now()-1, read.minPosition)
+	p.leaving, p.leavingSince = true, f.clock.Now()-f.cfg.Grace-1
+	f.checkSend(rt, read, p)
+	read.recordResponse()
+	read.recordResponse()
+	read.responses = 0
+	read.timeOut()
+	f.observer.requestEnded(&request{fleet: f, id: 3, class: &f.cfg.Classes[4], arrivedAt: startTime}, served)
 	for _, rule := range []string{"attempts", "copies", "twice", "stale", "drain", "answered", "late", "lost"} {
-		if f.obs.faults[rule] != 1 {
-			t.Errorf("%s: seen %d times: %v", rule, f.obs.faults[rule], f.obs.samples)
+		if f.observer.violations[rule] != 1 {
+			t.Errorf("%s: got %d violations, want 1: %v", rule, f.observer.violations[rule], f.observer.violationTexts)
 		}
 	}
 	m.Kill("test", time.Second)
 	f.clock.Run(f.clock.Now() + 1500*time.Millisecond)
-	for m.State() == model.Up && f.clock.Now() < start+30*time.Second {
+	for m.State() == model.Up && f.clock.Now() < startTime+30*time.Second {
 		for range 40 {
 			m.Submit(&model.Statement{Work: 50 * time.Millisecond, Done: func(model.Outcome, time.Duration, bool) {}})
 		}
 		f.clock.Run(f.clock.Now() + 50*time.Millisecond)
 	}
-	if f.obs.faults["cold"] != 1 {
-		t.Errorf("a cold one is pushed over: %v", f.obs.samples)
+	if f.observer.violations["cold"] != 1 {
+		t.Errorf("cold: got %d violations of an endpoint overloaded while warming up, want 1: %v",
+			f.observer.violations["cold"], f.observer.violationTexts)
 	}
 }
 
-func resting(t *testing.T) *Fleet {
+func idleFleet(t *testing.T) *Fleet {
 	t.Helper()
-	cfg := shortly()
+	cfg := shortConfig()
 	f, err := build(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.clock.Run(start + time.Second)
+	f.clock.Run(startTime + time.Second)
 	return f
 }
 
-// Eighty routers before sixty machines for five minutes of model time.
+// TestLargeFleet runs 80 routers and 60 endpoints for 20 s of virtual time.
 func TestLargeFleet(t *testing.T) {
-	cfg := large()
-	cfg.Length = 20 * time.Second // of the benchmark's five minutes
+	cfg := largeConfig()
+	cfg.Length = 20 * time.Second // the benchmark runs five minutes
 	begin := time.Now()
 	r, err := Run(cfg, 1)
 	if err != nil || len(r.Rules) > 0 || r.Whole < 0.9 {
@@ -171,10 +177,11 @@
 	t.Logf("%d events in %v", r.Count.Events, time.Since(begin))
 }
 
-// The lists that tell three hundred routers of draining machines are lost on cut links: a zone's routers hear nothing of them,
-// three times. What their watches had to tell counts as notified, and nothing is written to a machine that leaves once the grace
-// behind that is over.
-func TestADrainThatIsNotHeardOfEndsSendsInTime(t *testing.T) {
+// TestSendsEndAfterLostDrainNotification guards against sends to a draining endpoint after the grace time, when the
+// notification was lost. Three times, a cut link loses the lists of draining endpoints for the routers of one zone. The
+// routers count as notified when their watch ends, and must not send to the endpoints once the grace time after that is
+// over.
+func TestSendsEndAfterLostDrainNotification(t *testing.T) {
 	for seed := range uint64(3) {
 		cfg := Default()
 		cfg.Routers, cfg.Banks, cfg.Members, cfg.Length = 300, 10, 5, 30*time.Second
@@ -192,14 +199,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %.3f of the worth, %d calls for the list", seed+1, r.Whole, r.Count.Calls)
+		t.Logf("seed %d: %.3f of the priority weight, %d calls of discovery", seed+1, r.Whole, r.Count.Calls)
 		if n := r.Rules["drain"]; n > 0 {
-			t.Errorf("seed %d: %d sends to machines that leave: %s", seed+1, n, r.Words[0])
+			t.Errorf("seed %d: got %d sends to draining endpoints after the grace time, want none: %s",
+				seed+1, n, r.Words[0])
 		}
 	}
 }
 
-func large() Config {
+func largeConfig() Config {
 	cfg := Default()
 	cfg.Routers, cfg.Banks, cfg.Members, cfg.Length = 80, 10, 6, 300*time.Second
 	return cfg
@@ -208,7 +216,7 @@
 func BenchmarkLargeFleet(b *testing.B) {
 	events, begin := uint64(0), time.Now()
 	for b.Loop() {
-		r, err := Run(large(), 1)
+		r, err := Run(largeConfig(), 1)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -217,8 +225,8 @@
 	b.ReportMetric(float64(events)/time.Since(begin).Seconds(), "events/s")
 }
 
-// What can't be played is named.
-func TestCheck(t *testing.T) {
+// TestInvalidConfigNamesField checks that the error of an invalid configuration starts with the field's name.
+func TestInvalidConfigNamesField(t *testing.T) {
 	for want, f := range map[string]func(*Config){
 		"routers:": func(c *Config) { c.Routers = 0 }, "zones:": func(c *Config) { c.Zones = nil }, "banks:": func(c *Config) { c.Banks = 1 << 20 },
 		"length:": func(c *Config) { c.Length = 0 }, "use:": func(c *Config) { c.Use = 0 }, "classes:": func(c *Config) { c.Classes = nil },
@@ -227,7 +235,7 @@
 		c := Default()
 		f(&c)
 		if _, err := Run(c, 1); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s %v", want, err)
+			t.Errorf("got %[2]v, want an error that starts with %[1]q", want, err)
 		}
 	}
 	c := Default()
@@ -237,49 +245,55 @@
 	}
 }
 
-// What is on a link when it is cut does not arrive, in either direction, and what is sent into a cut is lost: the router hears
-// nothing, and its own time ends the attempt.
+// TestCutInFlight checks that a cut link loses messages that are in transit, in either direction, and messages that are
+// sent during the cut: the attempt doesn't end before its timeout.
 func TestCutInFlight(t *testing.T) {
-	for _, when := range []time.Duration{0, 100 * time.Microsecond, 30 * time.Millisecond} { // before it is sent, on its way, while it runs
-		f := resting(t)
+	// The link is cut before the statement is sent, while it is in transit, and while it is executed.
+	for _, when := range []time.Duration{0, 100 * time.Microsecond, 30 * time.Millisecond} {
+		f := idleFleet(t)
 		f.cfg.Jitter, f.cfg.Client = 0, 0
-		r, m := f.routers[0], f.machine["db1a"] // of the same zone, 200 µs away
-		p := r.peer(m.ID)
+		r, m := f.routers[0], f.endpoints["db1a"] // of the same zone, 200 µs away
+		p := r.backend(m.ID)
 		p.idle = nil
 		m.Connect(func(_, _ bool, epoch int) { p.idle = append(p.idle, conn{epoch, f.clock.Now()}) })
 		f.clock.Run(f.clock.Now() + 50*time.Millisecond)
 		before := m.Served()
-		q := &request{f: f, id: 1 << 20, class: &f.cfg.Classes[0], bank: 1, session: &f.sessions[0], need: 50 * time.Millisecond, born: f.clock.Now(), until: f.clock.Now() + time.Second}
-		f.obs.came(q)
+		q := &request{fleet: f, id: 1 << 20, class: &f.cfg.Classes[0], group: 1, session: &f.sessions[0],
+			work: 50 * time.Millisecond, arrivedAt: f.clock.Now(), deadline: f.clock.Now() + time.Second}
+		f.observer.requestArrived(q)
 		ended := 0
-		f.clock.After(when, func() { f.cuts["a>db1a"] = true })
-		f.clock.After(time.Nanosecond, func() { r.Start(router.Attempt{Endpoint: m.ID, Job: q}, func(router.Result) { ended++ }) })
+		f.clock.After(when, func() { f.cutLinks["a>db1a"] = true })
+		f.clock.After(time.Nanosecond, func() {
+			r.Start(router.Attempt{Endpoint: m.ID, Job: q}, func(router.Result) { ended++ })
+		})
 		f.clock.Run(f.clock.Now() + 500*time.Millisecond)
 		ran := m.Served() - before
 		if ended != 0 || (ran == 1) != (when == 30*time.Millisecond) {
-			t.Errorf("cut after %v: %d ends, %d ran", when, ended, ran)
+			t.Errorf("cut after %v: got %d ends of the attempt and %d executions, want 0 ends and an execution only after 30 ms",
+				when, ended, ran)
 		}
 	}
 }
 
-// second is a fleet of the other kind: lists are pushed, drains bind soon, roles come late, some sessions keep to a router.
-func second(faults ...Fault) Config {
-	c := shortly(faults...)
+// pushedConfig returns the configuration of a fleet with pushed lists, a short grace time after a drain, late
+// notification of roles, and sessions of which half use one router.
+func pushedConfig(faults ...Fault) Config {
+	c := shortConfig(faults...)
 	c.Pushed, c.Grace, c.Roam, c.Zones = true, 500*time.Millisecond, 0.5, []string{"n", "s"}
 	c.RoleLag, c.Notice = [2]time.Duration{1200 * time.Millisecond, 4100 * time.Millisecond}, [2]time.Duration{time.Second, 2 * time.Second}
 	return c
 }
 
-// Where lists are pushed drains are told and kept, whether an agent can be reached or says nothing for a while, and in a router
-// that starts meanwhile.
+// TestPushedLists checks that routers with pushed lists learn of a drain and violate no rule: also if discovery fails,
+// if it can't reach an agent for a while, or if a router restarts meanwhile.
 func TestPushedLists(t *testing.T) {
 	drain := Fault{At: 4 * time.Second, What: "drain", Who: []string{"db1b", "db2c"}, For: 12 * time.Second}
 	for name, cfg := range map[string]Config{
-		"told":    second(drain),
-		"silent":  second(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}),
-		"cut":     second(drain, Fault{At: 3 * time.Second, What: "cut", Who: []string{"n>discovery"}, For: 5 * time.Second}),
-		"restart": second(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}, Fault{At: 5 * time.Second, What: "routers", Part: 0.5, For: time.Second}),
-		"centre":  second(Fault{At: 4 * time.Second, What: "kill", Who: []string{"zone:n"}, For: 6 * time.Second}, Fault{At: 4 * time.Second, What: "routers", Part: 0.5, For: 6 * time.Second}),
+		"notified":                        pushedConfig(drain),
+		"discovery is down for a while":   pushedConfig(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}),
+		"agents are unreachable":          pushedConfig(drain, Fault{At: 3 * time.Second, What: "cut", Who: []string{"n>discovery"}, For: 5 * time.Second}),
+		"routers restart meanwhile":       pushedConfig(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}, Fault{At: 5 * time.Second, What: "routers", Part: 0.5, For: time.Second}),
+		"a zone is lost with its routers": pushedConfig(Fault{At: 4 * time.Second, What: "kill", Who: []string{"zone:n"}, For: 6 * time.Second}, Fault{At: 4 * time.Second, What: "routers", Part: 0.5, For: 6 * time.Second}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -287,65 +301,68 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				f.await(cfg.Faults)
-				f.arrive()
-				knew := 0
-				f.clock.Run(start + 12*time.Second)
+				f.scheduleFaults(cfg.Faults)
+				f.scheduleArrival()
+				informed := 0
+				f.clock.Run(startTime + 12*time.Second)
 				for _, r := range f.routers {
-					if p := r.peers["db1b"]; p != nil && p.out {
-						knew++
+					if p := r.backends["db1b"]; p != nil && p.leaving {
+						informed++
 					}
 				}
-				f.clock.Run(start + cfg.Length)
-				f.obs.closed = true
-				f.clock.Run(start + cfg.Length + 2*f.longest)
+				f.clock.Run(startTime + cfg.Length)
+				f.observer.closed = true
+				f.clock.Run(startTime + cfg.Length + 2*f.longestTimeout)
 				if res := f.result(); len(res.Rules) > 0 || res.Whole < 0.5 {
-					t.Errorf("seed %d: whole %.2f %v", seed, res.Whole, res.Words)
+					t.Errorf("seed %d: got %.2f of the priority weight, want at least 0.5; violations %v",
+						seed, res.Whole, res.Words)
 				}
-				if name != "centre" && knew != len(f.routers) {
-					t.Errorf("seed %d: %d of %d routers know of the drain", seed, knew, len(f.routers))
+				if name != "a zone is lost with its routers" && informed != len(f.routers) {
+					t.Errorf("seed %d: got %d of %d routers that know of the drain, want all",
+						seed, informed, len(f.routers))
 				}
 			}
 		})
 	}
 }
 
-// Sessions that do not roam keep to their router while it lives.
-func TestSessionsKeepToARouter(t *testing.T) {
-	cfg := second()
+// TestSessionsStayWithHomeRouter checks that a session with a home router uses it while it runs.
+func TestSessionsStayWithHomeRouter(t *testing.T) {
+	cfg := pushedConfig()
 	cfg.Roam = 0
 	f, err := build(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range f.sessions {
-		if h := f.sessions[i].home; h < 0 || h >= cfg.Routers {
-			t.Fatalf("session %d is at home at %d", i, h)
+		if h := f.sessions[i].homeRouter; h < 0 || h >= cfg.Routers {
+			t.Fatalf("session %d: got home router %d, want a valid index", i, h)
 		}
 	}
-	f.arrive()
+	f.scheduleArrival()
 	for range 50 {
 		f.clock.Run(f.clock.Now() + 100*time.Millisecond)
-		for _, q := range f.obs.asked {
-			if q.at != nil && q.at.number != q.session.home {
-				t.Fatalf("request %d of a session at home at %d is at %d", q.id, q.session.home, q.at.number)
+		for _, q := range f.observer.openRequests {
+			if q.router != nil && q.router.number != q.session.homeRouter {
+				t.Fatalf("request %d of a session with home router %d: got router %d, want the home router",
+					q.id, q.session.homeRouter, q.router.number)
 			}
 		}
 	}
 }
 
-// What the true state would allow is all of it where nothing befalls, less than that where a bank loses its primary, and never less than
-// what routers get.
-func TestTop(t *testing.T) {
+// TestUpperBound checks the upper bound: about 1 without faults, less after the loss of a primary, and never below what
+// routers earn.
+func TestUpperBound(t *testing.T) {
 	for name, x := range map[string]struct {
 		faults      []Fault
 		least, most float64
 	}{
-		"calm":               {nil, 0.99, 1},
-		"a primary is lost":  {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"primary:1"}}}, 0.85, 0.99},
-		"a bank is lost":     {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"bank:1"}}}, 0.4, 0.85},
-		"all are slow":       {[]Fault{{At: 5 * time.Second, What: "slow", Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2}}, 0.3, 0.8},
-		"a replica too many": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"db1b"}}}, 0.99, 1},
+		"no fault":                {nil, 0.99, 1},
+		"a primary is lost":       {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"primary:1"}}}, 0.85, 0.99},
+		"a replica group is lost": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"bank:1"}}}, 0.4, 0.85},
+		"all endpoints are slow":  {[]Fault{{At: 5 * time.Second, What: "slow", Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2}}, 0.3, 0.8},
+		"a replica is lost":       {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"db1b"}}}, 0.99, 1},
 	} {
 		c := Default()
 		c.Length, c.Faults = 20*time.Second, x.faults
@@ -354,7 +371,8 @@
 			t.Fatal(err)
 		}
 		if t.Logf("%s: %.3f of %.3f", name, r.Worth, r.Top); r.Top < x.least || r.Top > x.most || r.Worth > r.Top+0.005 {
-			t.Errorf("%s: %.3f of %.3f, not within %.2f and %.2f", name, r.Worth, r.Top, x.least, x.most)
+			t.Errorf("%s: got worth %.3f and upper bound %.3f, want a bound from %.2f to %.2f and no worth above it",
+				name, r.Worth, r.Top, x.least, x.most)
 		}
 	}
 }
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -15,54 +15,55 @@
 	"limeladder/internal/sitefailover"
 )
 
-// instance is one router: its core on a loop of virtual time, and its connections.
+// instance is one router: the router core on an event loop in virtual time, and its connections.
 type instance struct {
-	f       *Fleet
-	number  int
-	zone    string
-	loop    *eventloop.Loop
-	core    *router.Router
-	peers   map[string]*peer
-	alive   bool
-	life    int // it has been started so often
-	due     time.Duration
-	timer   *event.Event
-	turning bool
-	again   bool
-	watch   watcher
-	agent   *agent // where lists are pushed
+	fleet       *Fleet
+	number      int
+	zone        string
+	loop        *eventloop.Loop
+	core        *router.Router
+	backends    map[string]*backend
+	alive       bool
+	incarnation int // increased by each start and stop
+	timerDue    time.Duration
+	timer       *event.Event
+	running     bool
+	runAgain    bool
+	watch       watcher
+	agent       *agent // used if lists are pushed
 }
 
-// peer is what a router has of one machine.
-type peer struct {
-	m       *model.Endpoint
-	idle    []conn
-	barred  bool
-	out     bool          // the list says that it drains or is gone,
-	outAt   time.Duration // and was here then
-	replica bool          // its newest answer to this router came from a replica
+// backend is the state of one endpoint at a router.
+type backend struct {
+	endpoint     *model.Endpoint
+	idle         []conn
+	suspended    bool
+	leaving      bool          // by the endpoint list it drains or is removed, or it is suspended
+	leavingSince time.Duration // since when
+	knownReplica bool          // its newest answer to this router showed that it is a replica
 }
 
 type conn struct {
-	epoch int
-	since time.Duration
+	epoch     int
+	idleSince time.Duration
 }
 
-func (f *Fleet) instance(i int) *instance {
-	r := &instance{f: f, number: i, zone: f.cfg.Zones[i%len(f.cfg.Zones)]}
-	r.agent = &agent{r: r, entries: f.directory.list(balance.ListFull).Entries, version: f.directory.Version}
+func (f *Fleet) newInstance(i int) *instance {
+	r := &instance{fleet: f, number: i, zone: f.cfg.Zones[i%len(f.cfg.Zones)]}
+	r.agent = &agent{router: r, entries: f.directory.list(balance.ListFull).Entries, version: f.directory.Version}
 	return r
 }
 
-// start runs it anew, with nothing but the list as it was when discovery told it last.
+// start starts the router without any state but the cached endpoint list.
 func (r *instance) start() error {
-	f := r.f
-	r.life++
+	f := r.fleet
+	r.incarnation++
 	r.loop = eventloop.NewWithClock(f.clock.Now)
-	r.peers = map[string]*peer{}
-	lim := limits.New(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longest)
-	cfg := f.cfg.balance(r.zone)
-	core, err := router.New(r.loop, lim, slog.New(slog.DiscardHandler), cfg, f.seed*1000+uint64(r.number)+uint64(r.life)<<40+f.cfg.Salt<<50, nil)
+	r.backends = map[string]*backend{}
+	lim := limits.New(f.cfg.MemoryMB, f.cfg.Sockets, f.cfg.ConnectWithin, f.cfg.ConnIdle, f.longestTimeout)
+	cfg := f.cfg.balanceConfig(r.zone)
+	core, err := router.New(r.loop, lim, slog.New(slog.DiscardHandler), cfg,
+		f.seed*1000+uint64(r.number)+uint64(r.incarnation)<<40+f.cfg.Salt<<50, nil)
 	if err != nil {
 		return err
 	}
@@ -89,242 +90,245 @@
 		}
 	}
 	r.alive = true
-	r.watch = watcher{r: r}
+	r.watch = watcher{router: r}
 	l := f.directory.list(balance.ListCached)
-	r.told(l)
+	r.recordNotification(l)
 	core.UpdateEndpoints(l)
 	if f.cfg.Pushed {
-		r.watch.follow()
+		r.watch.watchAgent()
 	}
-	r.turn()
+	r.run()
 	return nil
 }
 
-// stop ends it: what it had in hand is lost to its clients.
+// stop stops the router at once. Its open requests are lost.
 func (r *instance) stop() {
 	r.alive = false
-	r.life++
+	r.incarnation++
 	r.timer.Stop()
-	r.timer, r.due = nil, 0
-	for _, m := range r.f.world.Endpoints {
-		if p := r.peers[m.ID]; p != nil {
+	r.timer, r.timerDue = nil, 0
+	for _, m := range r.fleet.world.Endpoints {
+		if p := r.backends[m.ID]; p != nil {
 			for _, c := range p.idle {
 				m.Disconnect(c.epoch)
 			}
 		}
 	}
-	r.peers = map[string]*peer{}
+	r.backends = map[string]*backend{}
 }
 
-// turn lets it do what has come and what is due.
-func (r *instance) turn() {
-	if r.turning {
-		r.again = true
+// run runs the event loop until nothing more is due, and schedules its next timer.
+func (r *instance) run() {
+	if r.running {
+		r.runAgain = true
 		return
 	}
-	r.turning = true
+	r.running = true
 	var next time.Duration
-	for r.again = true; r.again; {
-		r.again = false
+	for r.runAgain = true; r.runAgain; {
+		r.runAgain = false
 		next = r.loop.RunOnce(r.core.Step)
 	}
-	r.turning = false
-	if next == 0 || next == r.due && r.timer != nil {
+	r.running = false
+	if next == 0 || next == r.timerDue && r.timer != nil {
 		return
 	}
 	r.timer.Stop()
-	r.due = next
-	r.timer = r.f.clock.At(next, func() { r.timer = nil; r.turn() })
+	r.timerDue = next
+	r.timer = r.fleet.clock.At(next, func() { r.timer = nil; r.run() })
 }
 
-// later does something at this router after a while, unless it has ended by then.
-func (r *instance) later(d time.Duration, do func()) {
-	life := r.life
-	r.f.clock.After(d, func() {
-		if r.life == life && r.alive {
+// after calls do after a delay, unless the router has stopped by then.
+func (r *instance) after(d time.Duration, do func()) {
+	life := r.incarnation
+	r.fleet.clock.After(d, func() {
+		if r.incarnation == life && r.alive {
 			do()
-			r.turn()
+			r.run()
 		}
 	})
 }
 
-// way is how long a message is on its way to or from a machine.
-func (r *instance) way(m *model.Endpoint) time.Duration {
+// drawDelay draws the network delay of a message to or from an endpoint.
+func (r *instance) drawDelay(m *model.Endpoint) time.Duration {
 	if m.Zone == r.zone {
-		return r.f.jitter(r.f.cfg.Same)
+		return r.fleet.addJitter(r.fleet.cfg.Same)
 	}
-	return r.f.jitter(r.f.cfg.Cross)
+	return r.fleet.addJitter(r.fleet.cfg.Cross)
 }
 
-func (r *instance) peer(node string) *peer {
-	p := r.peers[node]
+func (r *instance) backend(endpoint string) *backend {
+	p := r.backends[endpoint]
 	if p == nil {
-		if m := r.f.machine[node]; m != nil {
-			p = &peer{m: m}
-			r.peers[node] = p
+		if m := r.fleet.endpoints[endpoint]; m != nil {
+			p = &backend{endpoint: m}
+			r.backends[endpoint] = p
 		}
 	}
 	return p
 }
 
-// told notes what a list says of machines, for the observer.
-func (r *instance) told(l balance.EndpointList) {
+// recordNotification records for the observer which endpoints a list has as leaving.
+func (r *instance) recordNotification(l balance.EndpointList) {
 	for _, e := range l.Entries {
-		p := r.peer(e.Endpoint)
-		if out := e.State != balance.EndpointReady; p != nil && out != p.out {
-			p.out, p.outAt = out, r.f.clock.Now()
+		p := r.backend(e.Endpoint)
+		if leaving := e.State != balance.EndpointReady; p != nil && leaving != p.leaving {
+			p.leaving, p.leavingSince = leaving, r.fleet.clock.Now()
 		}
 	}
 }
 
-// call is one attempt. It implements router.Call.
-type call struct {
-	r       *instance
-	p       *peer
-	q       *request
-	done    func(router.Result)
-	by      time.Duration
-	written bool
-	over    bool
-	work    *model.Statement
-	conn    conn
-	timer   *event.Event
+// attempt is one attempt. It implements router.AttemptHandle.
+type attempt struct {
+	router    *instance
+	backend   *backend
+	request   *request
+	done      func(router.Result)
+	notAfter  time.Duration
+	written   bool
+	ended     bool
+	statement *model.Statement
+	conn      conn
+	timer     *event.Event
 }
 
-// Start implements router.Servers.
+// Start implements router.Backends.
 func (r *instance) Start(a router.Attempt, done func(router.Result)) router.AttemptHandle {
-	c := &call{r: r, p: r.peer(a.Endpoint), q: a.Job.(*request), done: done, by: a.NotAfter}
-	r.f.count.Attempts++
-	if c.q.live++; c.q.live > 1 {
-		r.f.obs.fault("attempts", "%v has %d attempts of request %d out", r, c.q.live, c.q.id)
+	c := &attempt{router: r, backend: r.backend(a.Endpoint),
+		request: a.Job.(*request), done: done, notAfter: a.NotAfter}
+	r.fleet.count.Attempts++
+	if c.request.openAttempts++; c.request.openAttempts > 1 {
+		r.fleet.observer.reportViolation("attempts", "%v has %d attempts of request %d out",
+			r, c.request.openAttempts, c.request.id)
 	}
-	if c.p == nil {
-		r.later(0, func() { c.end(router.Result{Status: balance.StatusConnectFailed}) })
+	if c.backend == nil {
+		r.after(0, func() { c.finish(router.Result{Status: balance.StatusConnectFailed}) })
 		return c
 	}
-	now := r.f.clock.Now()
-	for len(c.p.idle) > 0 {
-		last := len(c.p.idle) - 1
-		c.conn = c.p.idle[last]
-		c.p.idle = c.p.idle[:last]
-		if c.conn.epoch != c.p.m.Epoch() {
-			continue // its end has been seen
+	now := r.fleet.clock.Now()
+	for len(c.backend.idle) > 0 {
+		last := len(c.backend.idle) - 1
+		c.conn = c.backend.idle[last]
+		c.backend.idle = c.backend.idle[:last]
+		if c.conn.epoch != c.backend.endpoint.Epoch() {
+			continue // it has ended with an earlier start of the endpoint
 		}
-		if now-c.conn.since < r.f.cfg.ConnIdle*3/4 {
+		if now-c.conn.idleSince < r.fleet.cfg.ConnIdle*3/4 {
 			c.write()
 			return c
 		}
-		r.hang(c.p, c.conn)
+		r.closeConnection(c.backend, c.conn)
 	}
 	c.dial()
 	return c
 }
 
-// hang closes a connection.
-func (r *instance) hang(p *peer, k conn) {
-	r.f.clock.After(r.way(p.m), func() { p.m.Disconnect(k.epoch) })
+// closeConnection closes a connection after the network delay.
+func (r *instance) closeConnection(p *backend, k conn) {
+	r.fleet.clock.After(r.drawDelay(p.endpoint), func() { p.endpoint.Disconnect(k.epoch) })
 }
 
-func (c *call) dial() {
-	r, m := c.r, c.p.m
-	r.f.count.Dials++
-	up := false
-	life := r.life
-	c.timer = r.f.clock.After(r.f.cfg.ConnectWithin, func() {
-		if r.life == life && !c.over && !up {
-			c.end(router.Result{Status: balance.StatusConnectFailed})
-			r.turn()
+func (c *attempt) dial() {
+	r, m := c.router, c.backend.endpoint
+	r.fleet.count.Dials++
+	connected := false
+	life := r.incarnation
+	c.timer = r.fleet.clock.After(r.fleet.cfg.ConnectWithin, func() {
+		if r.incarnation == life && !c.ended && !connected {
+			c.finish(router.Result{Status: balance.StatusConnectFailed})
+			r.run()
 		}
 	})
-	r.f.clock.After(r.way(m), func() {
-		if r.f.cut(r, m) {
+	r.fleet.clock.After(r.drawDelay(m), func() {
+		if r.fleet.isCut(r, m) {
 			return
 		}
 		m.Connect(func(ok, full bool, epoch int) {
-			r.f.clock.After(r.way(m), func() {
-				if r.f.cut(r, m) || r.life != life {
+			r.fleet.clock.After(r.drawDelay(m), func() {
+				if r.fleet.isCut(r, m) || r.incarnation != life {
 					if ok {
 						m.Disconnect(epoch)
 					}
 					return
 				}
-				up = true
+				connected = true
 				switch {
-				case ok && c.over: // nobody waits for it any more
-					c.p.idle = append(c.p.idle, conn{epoch, r.f.clock.Now()})
-				case c.over:
+				case ok && c.ended: // the attempt was cancelled or has timed out
+					c.backend.idle = append(c.backend.idle, conn{epoch, r.fleet.clock.Now()})
+				case c.ended:
 				case ok:
 					c.conn = conn{epoch, 0}
 					c.write()
 				case full:
-					c.end(router.Result{Status: balance.StatusBusy})
+					c.finish(router.Result{Status: balance.StatusBusy})
 				default:
-					c.end(router.Result{Status: balance.StatusConnectFailed})
+					c.finish(router.Result{Status: balance.StatusConnectFailed})
 				}
-				r.turn()
+				r.run()
 			})
 		})
 	})
 }
 
-// write sends the statement, unless it is too late for it.
-func (c *call) write() {
-	r, m, now := c.r, c.p.m, c.r.f.clock.Now()
+// write sends the statement, unless the attempt's NotAfter has passed.
+func (c *attempt) write() {
+	r, m, now := c.router, c.backend.endpoint, c.router.fleet.clock.Now()
 	c.timer.Stop()
-	if c.by > 0 && now > c.by {
-		c.p.idle = append(c.p.idle, conn{c.conn.epoch, now})
-		r.later(0, func() { c.end(router.Result{Status: balance.StatusNotSent}) })
+	if c.notAfter > 0 && now > c.notAfter {
+		c.backend.idle = append(c.backend.idle, conn{c.conn.epoch, now})
+		r.after(0, func() { c.finish(router.Result{Status: balance.StatusNotSent}) })
 		return
 	}
 	c.written = true
-	r.f.seen(r, c.q, c.p)
-	life, q := r.life, c.q
-	see := q.see
+	r.fleet.checkSend(r, c.request, c.backend)
+	life, q := r.incarnation, c.request
+	minPosition := q.minPosition
 	if q.class.Consistency == balance.ConsistencyBounded {
-		see = now - q.class.MaxStaleness // from when it is sent: each attempt has one of its own
+		minPosition = now - q.class.MaxStaleness // counted from when it is sent, for each attempt
 	}
-	must := see
-	if m.WasPrimary() && !c.p.replica {
-		must = 0 // the contract lets it pass: no answer has told this router that it leads no more
+	requiredPosition := minPosition
+	if m.WasPrimary() && !c.backend.knownReplica {
+		requiredPosition = 0 // allowed by the contract: no answer has shown this router that the endpoint is no longer the primary
 	}
-	c.work = &model.Statement{Work: q.need, Write: q.class.Consistency == balance.ConsistencyWrite, BlocksApply: q.class.Long, Deadline: q.until}
-	if r.f.cfg.Checks != balance.FreshnessCheckNone {
-		c.work.MinPosition = see
+	c.statement = &model.Statement{Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite, BlocksApply: q.class.Long,
+		Deadline: q.deadline}
+	if r.fleet.cfg.Checks != balance.FreshnessCheckNone {
+		c.statement.MinPosition = minPosition
 	}
-	c.work.Done = func(o model.Outcome, pos time.Duration, primary bool) {
-		c.q.out--
+	c.statement.Done = func(o model.Outcome, pos time.Duration, primary bool) {
+		c.request.copiesInFlight--
 		if o == model.Served {
-			r.f.ran(q, m, pos, must)
+			r.fleet.recordExecution(q, m, pos, requiredPosition)
 		}
-		r.f.clock.After(r.way(m), func() {
-			if r.f.cut(r, m) || r.life != life {
+		r.fleet.clock.After(r.drawDelay(m), func() {
+			if r.fleet.isCut(r, m) || r.incarnation != life {
 				return
 			}
-			c.answer(o, pos, primary)
-			r.turn()
+			c.handleResponse(o, pos, primary)
+			r.run()
 		})
 	}
-	q.out++
-	q.sent++
-	r.f.clock.After(r.way(m), func() {
-		if r.f.cut(r, m) {
-			q.out--
+	q.copiesInFlight++
+	q.statementsSent++
+	r.fleet.clock.After(r.drawDelay(m), func() {
+		if r.fleet.isCut(r, m) {
+			q.copiesInFlight--
 			return
 		}
 		if c.conn.epoch != m.Epoch() {
-			c.work.Done(model.Disconnected, 0, false)
+			c.statement.Done(model.Disconnected, 0, false)
 			return
 		}
-		m.Submit(c.work)
+		m.Submit(c.statement)
 	})
 }
 
-// answer takes what the machine has said.
-func (c *call) answer(o model.Outcome, pos time.Duration, primary bool) {
-	if c.over {
+// handleResponse ends the attempt with an endpoint's answer.
+func (c *attempt) handleResponse(o model.Outcome, position time.Duration, primary bool) {
+	if c.ended {
 		return
 	}
-	res := router.Result{Position: pos, Role: balance.RoleReplica, Response: pos}
+	res := router.Result{Position: position, Role: balance.RoleReplica, Response: position}
 	if primary {
 		res.Role = balance.RolePrimary
 	}
@@ -341,98 +345,100 @@
 		res.Status = balance.StatusError
 	}
 	if o != model.Disconnected {
-		c.p.replica = !primary
-		c.p.idle = append(c.p.idle, conn{c.conn.epoch, c.r.f.clock.Now()})
+		c.backend.knownReplica = !primary
+		c.backend.idle = append(c.backend.idle, conn{c.conn.epoch, c.router.fleet.clock.Now()})
 	}
-	c.end(res)
+	c.finish(res)
 }
 
-func (c *call) end(res router.Result) {
-	if c.over {
+func (c *attempt) finish(res router.Result) {
+	if c.ended {
 		return
 	}
-	c.over = true
-	c.q.live--
+	c.ended = true
+	c.request.openAttempts--
 	c.timer.Stop()
-	c.r.f.count.Ends[res.Status]++
+	c.router.fleet.count.Ends[res.Status]++
 	c.done(res)
 }
 
-// Waiting implements router.Call.
-func (c *call) NotWritten() bool { return !c.over && !c.written }
+// NotWritten implements router.AttemptHandle.
+func (c *attempt) NotWritten() bool { return !c.ended && !c.written }
 
-// Cancel implements router.Call.
-func (c *call) Cancel() bool {
-	if !c.over {
-		c.q.live--
+// Cancel implements router.AttemptHandle.
+func (c *attempt) Cancel() bool {
+	if !c.ended {
+		c.request.openAttempts--
 	}
-	c.over = true
+	c.ended = true
 	c.timer.Stop()
-	if c.written && c.r.f.cfg.Cancel {
-		r, m := c.r, c.p.m
-		r.f.clock.After(r.way(m), func() {
-			if !r.f.cut(r, m) {
-				m.Cancel(c.work)
+	if c.written && c.router.fleet.cfg.Cancel {
+		r, m := c.router, c.backend.endpoint
+		r.fleet.clock.After(r.drawDelay(m), func() {
+			if !r.fleet.isCut(r, m) {
+				m.Cancel(c.statement)
 				m.Disconnect(c.conn.epoch)
 			}
 		})
 	} else if c.written {
-		c.r.hang(c.p, c.conn)
+		c.router.closeConnection(c.backend, c.conn)
 	}
 	return c.written
 }
 
-// Probe implements router.Servers.
-func (r *instance) HealthCheck(node string, done func(router.Result)) {
-	p := r.peer(node)
-	if p == nil || p.barred {
-		r.later(0, func() { done(router.Result{Status: balance.StatusTimedOut}) })
+// HealthCheck implements router.Backends.
+func (r *instance) HealthCheck(endpoint string, done func(router.Result)) {
+	p := r.backend(endpoint)
+	if p == nil || p.suspended {
+		r.after(0, func() { done(router.Result{Status: balance.StatusTimedOut}) })
 		return
 	}
-	r.f.count.Probes++
-	over, m, life := false, p.m, r.life
-	end := func(res router.Result) {
-		if !over && r.life == life && r.alive {
-			over = true
+	r.fleet.count.Probes++
+	finished, m, life := false, p.endpoint, r.incarnation
+	finish := func(res router.Result) {
+		if !finished && r.incarnation == life && r.alive {
+			finished = true
 			done(res)
-			r.turn()
+			r.run()
 		}
 	}
-	limit := r.f.clock.After(r.f.cfg.ConnectWithin, func() { end(router.Result{Status: balance.StatusTimedOut}) })
-	r.f.clock.After(r.way(m), func() {
-		if r.f.cut(r, m) {
+	timeout := r.fleet.clock.After(r.fleet.cfg.ConnectWithin, func() {
+		finish(router.Result{Status: balance.StatusTimedOut})
+	})
+	r.fleet.clock.After(r.drawDelay(m), func() {
+		if r.fleet.isCut(r, m) {
 			return
 		}
-		m.RequestReport(func(rep model.LoadReport, ok bool) {
-			r.f.clock.After(r.way(m), func() {
-				if r.f.cut(r, m) {
+		m.RequestReport(func(report model.LoadReport, ok bool) {
+			r.fleet.clock.After(r.drawDelay(m), func() {
+				if r.fleet.isCut(r, m) {
 					return
 				}
-				limit.Stop()
+				timeout.Stop()
 				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.StatusDone, Position: rep.Position, Role: balance.RoleReplica, Utilization: rep.Utilization}
-					if rep.Primary {
+					res = router.Result{Status: balance.StatusDone, Position: report.Position, Role: balance.RoleReplica, Utilization: report.Utilization}
+					if report.Primary {
 						res.Role = balance.RolePrimary
 					}
 				}
-				end(res)
+				finish(res)
 			})
 		})
 	})
 }
 
-// Suspend implements router.Servers.
-func (r *instance) Suspend(node string, out bool) {
-	if p := r.peer(node); p != nil {
-		p.barred = out
-		if out != p.out {
-			p.out, p.outAt = out, r.f.clock.Now()
+// Suspend implements router.Backends.
+func (r *instance) Suspend(endpoint string, suspended bool) {
+	if p := r.backend(endpoint); p != nil {
+		p.suspended = suspended
+		if suspended != p.leaving {
+			p.leaving, p.leavingSince = suspended, r.fleet.clock.Now()
 		}
 	}
 }
 
-// Track implements router.Watcher.
-func (r *instance) Poll() { r.watch.track() }
+// Poll implements router.DiscoveryPoller.
+func (r *instance) Poll() { r.watch.poll() }
 
 func (r *instance) String() string { return fmt.Sprintf("router %d", r.number) }
--- a/internal/simulation/fleet/top.go
+++ b/internal/simulation/fleet/top.go
@@ -9,106 +9,106 @@
 	"limeladder/internal/simulation/model"
 )
 
-// top is what a policy could get that sees the true state of every machine at every moment, and moves work about as a fluid: a bound
-// that no router reaches, since it pays for no way, waits for no answer and is never wrong. What lies between it and a run is what there
-// is to win.
-type top struct {
-	waiting map[int64][]cohort // by bank
-	at      time.Duration
-	worth   []float64 // by second in which it came
-	tally   map[string]float64
+// upperBound computes an upper bound of the score: that of a policy which always knows the true state of every endpoint
+// and can divide work like a fluid. No router reaches it, because it has no network delay, waits for no answer and
+// makes no mistake. The difference between it and a run is the room for improvement.
+type upperBound struct {
+	pending       map[int64][]cohort // by replica group
+	lastStep      time.Duration
+	worthBySecond []float64          // by the second of arrival
+	worthByClass  map[string]float64 // worth by class
 }
 
-// cohort is what came in one step of one class, and is not yet served.
+// cohort is the pending work of the requests of one class that arrived in one step.
 type cohort struct {
-	class  *Class
-	born   time.Duration
-	second int
-	work   float64 // seconds
-	worth  float64 // of all of it, in time
+	class     *Class
+	arrivedAt time.Duration
+	second    int
+	work      float64 // seconds
+	worth     float64 // of the pending work, if it is served in time
 }
 
-// came counts a request.
-func (t *top) came(q *request, second int) {
-	all := t.waiting[q.bank]
-	for i := len(all) - 1; i >= 0 && all[i].born > t.at; i-- {
-		if c := &all[i]; c.class == q.class && c.second == second {
-			c.work, c.worth = c.work+q.need.Seconds(), c.worth+q.class.PriorityWeight
+// add adds a request to the pending work.
+func (t *upperBound) add(q *request, second int) {
+	cohorts := t.pending[q.group]
+	for i := len(cohorts) - 1; i >= 0 && cohorts[i].arrivedAt > t.lastStep; i-- {
+		if c := &cohorts[i]; c.class == q.class && c.second == second {
+			c.work, c.worth = c.work+q.work.Seconds(), c.worth+q.class.PriorityWeight
 			return
 		}
 	}
-	t.waiting[q.bank] = append(all, cohort{q.class, q.born, second, q.need.Seconds(), q.class.PriorityWeight})
+	t.pending[q.group] = append(cohorts, cohort{q.class, q.arrivedAt, second, q.work.Seconds(), q.class.PriorityWeight})
 }
 
-// step serves what it can since the last one.
-func (t *top) step(w *model.World, now time.Duration) {
-	span := now - t.at
-	if t.at == 0 {
-		span = 0
+// step serves pending work with the capacity of the time since the last step.
+func (t *upperBound) step(w *model.World, now time.Duration) {
+	elapsed := now - t.lastStep
+	if t.lastStep == 0 {
+		elapsed = 0
 	}
 	for _, b := range w.Groups {
-		t.waiting[b.ID] = t.serve(b, now, span)
+		t.pending[b.ID] = t.serve(b, now, elapsed)
 	}
-	t.at = now
+	t.lastStep = now
 }
 
-func (t *top) serve(b *model.ReplicaGroup, now, span time.Duration) (left []cohort) {
-	room := make([]float64, len(b.Endpoints))
+func (t *upperBound) serve(b *model.ReplicaGroup, now, elapsed time.Duration) (remaining []cohort) {
+	capacity := make([]float64, len(b.Endpoints))
 	for i, m := range b.Endpoints {
-		room[i] = m.Capacity() * span.Seconds()
+		capacity[i] = m.Capacity() * elapsed.Seconds()
 	}
-	all := t.waiting[b.ID]
+	cohorts := t.pending[b.ID]
 	worth := func(c cohort) float64 {
-		// It came on its way through the step: half of the step at least lies behind it.
-		switch age := now - c.born; {
-		case age <= c.class.LatencyObjective+span:
+		// It arrived during a step and may have been served before the end of this one, so it gets a whole step more.
+		switch age := now - c.arrivedAt; {
+		case age <= c.class.LatencyObjective+elapsed:
 			return c.worth
 		case age <= c.class.ClientTimeout:
 			return c.worth * c.class.LateWeightShare
 		}
 		return 0
 	}
-	slices.SortStableFunc(all, func(x, y cohort) int { return cmp.Compare(worth(y)/y.work, worth(x)/x.work) })
-	take := func(c *cohort, i int) {
-		part := min(room[i], c.work)
+	slices.SortStableFunc(cohorts, func(x, y cohort) int { return cmp.Compare(worth(y)/y.work, worth(x)/x.work) })
+	assign := func(c *cohort, i int) {
+		part := min(capacity[i], c.work)
 		if part <= 0 {
 			return
 		}
-		room[i] -= part
-		got := worth(*c) * part / c.work
+		capacity[i] -= part
+		earned := worth(*c) * part / c.work
 		c.worth *= 1 - part/c.work
 		c.work -= part
-		t.worth[c.second] += got
-		t.tally[c.class.Name] += got
+		t.worthBySecond[c.second] += earned
+		t.worthByClass[c.class.Name] += earned
 	}
-	for _, c := range all {
-		strong := c.class.Consistency == balance.ConsistencyWrite || c.class.Consistency == balance.ConsistencyLatest
+	for _, c := range cohorts {
+		needsPrimary := c.class.Consistency == balance.ConsistencyWrite || c.class.Consistency == balance.ConsistencyLatest
 		for i, m := range b.Endpoints {
-			if strong || m.IsPrimary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+span {
+			if needsPrimary || m.IsPrimary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+elapsed {
 				continue
 			}
-			take(&c, i)
+			assign(&c, i)
 		}
 		for i, m := range b.Endpoints {
-			if m.IsPrimary() && (b.AcceptsWrites() || !strong) {
-				take(&c, i)
+			if m.IsPrimary() && (b.AcceptsWrites() || !needsPrimary) {
+				assign(&c, i)
 			}
 		}
-		if c.work > 1e-9 && now-c.born < c.class.ClientTimeout {
-			left = append(left, c)
+		if c.work > 1e-9 && now-c.arrivedAt < c.class.ClientTimeout {
+			remaining = append(remaining, c)
 		}
 	}
-	return left
+	return remaining
 }
 
-// score weighs it as Score does.
-func (t *top) score(seconds []Second, classes map[string]*Tally) float64 {
+// score applies the formula of Result.Worth to the upper bound.
+func (t *upperBound) score(seconds []Second, classes map[string]*Tally) float64 {
 	best, tally := slices.Clone(seconds), map[string]*Tally{}
 	for i := range best {
-		best[i].Worth = t.worth[i]
+		best[i].Worth = t.worthBySecond[i]
 	}
 	for name, k := range classes {
-		tally[name] = &Tally{Came: k.Came, Worth: t.tally[name], Could: k.Could}
+		tally[name] = &Tally{Came: k.Came, Worth: t.worthByClass[name], Could: k.Could}
 	}
 	whole, worst, class, _ := Score(best, tally)
 	return 0.5*whole + 0.3*worst + 0.2*class
