--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -66,7 +66,8 @@
 	f.scheduleFaults(cfg.Faults)
 	for _, s := range cfg.Shape {
 		f.clock.At(startTime+s.At, func() {
-			f.observer.marks = append(f.observer.marks, Mark{At: s.At, Text: fmt.Sprintf("load %g times the usual", s.Part)})
+			f.observer.marks = append(f.observer.marks, Mark{At: s.At,
+				Text: fmt.Sprintf("load %g times the usual", s.Part)})
 		})
 	}
 	f.scheduleArrival()
@@ -119,7 +120,8 @@
 	for b := range cfg.Banks {
 		group := f.world.AddReplicaGroup(int64(b+1), cfg.Follow)
 		for i := range cfg.Members + cfg.Spares {
-			m := f.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)], cfg.Kind, group)
+			m := f.world.AddEndpoint(fmt.Sprintf("db%d%c", b+1, 'a'+i), cfg.Zones[(b+i)%len(cfg.Zones)],
+				cfg.Kind, group)
 			f.endpoints[m.ID] = m
 			if i >= cfg.Members {
 				m.Reserve()
@@ -333,7 +335,8 @@
 		for _, m := range w.Endpoints {
 			group := fmt.Sprint(m.Group.ID)
 			if !ok && m.ID == name || ok && (kind == "zone" && m.Zone == value || kind == "bank" && group == value ||
-				kind == "primary" && group == value && m.IsPrimary() || kind == "replicas" && group == value && !m.IsPrimary()) {
+				kind == "primary" && group == value && m.IsPrimary() ||
+				kind == "replicas" && group == value && !m.IsPrimary()) {
 				if !slices.Contains(selected, m) {
 					selected = append(selected, m)
 				}
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -21,15 +21,26 @@
 }
 
 var faultCases = map[string]Config{
-	"a primary dies":             shortConfig(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second}),
-	"a primary hangs":            shortConfig(Fault{At: 8 * time.Second, What: "hang", Who: []string{"primary:2"}, For: 5 * time.Second}),
-	"a zone is lost":             shortConfig(Fault{At: 6 * time.Second, What: "kill", Who: []string{"zone:a"}, For: 5 * time.Second}),
-	"endpoints drain":            shortConfig(Fault{At: 5 * time.Second, What: "drain", Who: []string{"primary:1", "db2b"}, For: 6 * time.Second}),
-	"links are cut":              shortConfig(Fault{At: 5 * time.Second, What: "cut", Who: []string{"a>db1a", "a>b"}, For: 4 * time.Second}),
-	"discovery is down":          shortConfig(Fault{At: 4 * time.Second, What: "discovery", For: 9 * time.Second}, Fault{At: 5 * time.Second, What: "remove", Who: []string{"db3c"}}),
-	"routers restart":            shortConfig(Fault{At: 6 * time.Second, What: "routers", Part: 0.6, For: 2 * time.Second}),
-	"slow and failing endpoints": shortConfig(Fault{At: 5 * time.Second, What: "slow", Who: []string{"db1b"}, Part: 0.3, For: 8 * time.Second}, Fault{At: 5 * time.Second, What: "sick", Who: []string{"db2c"}, Part: 0.5, For: 8 * time.Second}),
-	"endpoints are suspended":    shortConfig(Fault{At: 5 * time.Second, What: "suspend", Who: []string{"db1b", "primary:3"}, For: 6 * time.Second}),
+	"a primary dies": shortConfig(
+		Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second}),
+	"a primary hangs": shortConfig(
+		Fault{At: 8 * time.Second, What: "hang", Who: []string{"primary:2"}, For: 5 * time.Second}),
+	"a zone is lost": shortConfig(
+		Fault{At: 6 * time.Second, What: "kill", Who: []string{"zone:a"}, For: 5 * time.Second}),
+	"endpoints drain": shortConfig(
+		Fault{At: 5 * time.Second, What: "drain", Who: []string{"primary:1", "db2b"}, For: 6 * time.Second}),
+	"links are cut": shortConfig(
+		Fault{At: 5 * time.Second, What: "cut", Who: []string{"a>db1a", "a>b"}, For: 4 * time.Second}),
+	"discovery is down": shortConfig(
+		Fault{At: 4 * time.Second, What: "discovery", For: 9 * time.Second},
+		Fault{At: 5 * time.Second, What: "remove", Who: []string{"db3c"}}),
+	"routers restart": shortConfig(
+		Fault{At: 6 * time.Second, What: "routers", Part: 0.6, For: 2 * time.Second}),
+	"slow and failing endpoints": shortConfig(
+		Fault{At: 5 * time.Second, What: "slow", Who: []string{"db1b"}, Part: 0.3, For: 8 * time.Second},
+		Fault{At: 5 * time.Second, What: "sick", Who: []string{"db2c"}, Part: 0.5, For: 8 * time.Second}),
+	"endpoints are suspended": shortConfig(
+		Fault{At: 5 * time.Second, What: "suspend", Who: []string{"db1b", "primary:3"}, For: 6 * time.Second}),
 	"requests queued during failover": func() Config {
 		c := shortConfig(Fault{At: 8 * time.Second, What: "kill", Who: []string{"primary:1"}, For: 4 * time.Second})
 		c.Hold = []string{"submit-job", "key-check"}
@@ -149,8 +160,8 @@
 		f.clock.Run(f.clock.Now() + 50*time.Millisecond)
 	}
 	if f.observer.violations["cold"] != 1 {
-		t.Errorf("cold: got %d violations of an endpoint overloaded while warming up, want 1: %v",
-			f.observer.violations["cold"], f.observer.violationTexts)
+		t.Errorf("cold: got violations %v, want one of an endpoint overloaded while warming up",
+			f.observer.violationTexts)
 	}
 }
 
@@ -269,7 +280,7 @@
 		f.clock.Run(f.clock.Now() + 500*time.Millisecond)
 		ran := m.Served() - before
 		if ended != 0 || (ran == 1) != (when == 30*time.Millisecond) {
-			t.Errorf("cut after %v: got %d ends of the attempt and %d executions, want 0 ends and an execution only after 30 ms",
+			t.Errorf("cut after %v: got %d ends of the attempt, %d executions; want no end, an execution only after 30 ms",
 				when, ended, ran)
 		}
 	}
@@ -289,11 +300,17 @@
 func TestPushedLists(t *testing.T) {
 	drain := Fault{At: 4 * time.Second, What: "drain", Who: []string{"db1b", "db2c"}, For: 12 * time.Second}
 	for name, cfg := range map[string]Config{
-		"notified":                        pushedConfig(drain),
-		"discovery is down for a while":   pushedConfig(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}),
-		"agents are unreachable":          pushedConfig(drain, Fault{At: 3 * time.Second, What: "cut", Who: []string{"n>discovery"}, For: 5 * time.Second}),
-		"routers restart meanwhile":       pushedConfig(drain, Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}, Fault{At: 5 * time.Second, What: "routers", Part: 0.5, For: time.Second}),
-		"a zone is lost with its routers": pushedConfig(Fault{At: 4 * time.Second, What: "kill", Who: []string{"zone:n"}, For: 6 * time.Second}, Fault{At: 4 * time.Second, What: "routers", Part: 0.5, For: 6 * time.Second}),
+		"notified": pushedConfig(drain),
+		"discovery is down for a while": pushedConfig(drain,
+			Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second}),
+		"agents are unreachable": pushedConfig(drain,
+			Fault{At: 3 * time.Second, What: "cut", Who: []string{"n>discovery"}, For: 5 * time.Second}),
+		"routers restart meanwhile": pushedConfig(drain,
+			Fault{At: 3 * time.Second, What: "discovery", For: 6 * time.Second},
+			Fault{At: 5 * time.Second, What: "routers", Part: 0.5, For: time.Second}),
+		"a zone is lost with its routers": pushedConfig(
+			Fault{At: 4 * time.Second, What: "kill", Who: []string{"zone:n"}, For: 6 * time.Second},
+			Fault{At: 4 * time.Second, What: "routers", Part: 0.5, For: 6 * time.Second}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -358,11 +375,13 @@
 		faults      []Fault
 		least, most float64
 	}{
-		"no fault":                {nil, 0.99, 1},
-		"a primary is lost":       {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"primary:1"}}}, 0.85, 0.99},
+		"no fault": {nil, 0.99, 1},
+		"a primary is lost": {[]Fault{{At: 5 * time.Second, What: "kill",
+			Who: []string{"primary:1"}}}, 0.85, 0.99},
 		"a replica group is lost": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"bank:1"}}}, 0.4, 0.85},
-		"all endpoints are slow":  {[]Fault{{At: 5 * time.Second, What: "slow", Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2}}, 0.3, 0.8},
-		"a replica is lost":       {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"db1b"}}}, 0.99, 1},
+		"all endpoints are slow": {[]Fault{{At: 5 * time.Second, What: "slow",
+			Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2}}, 0.3, 0.8},
+		"a replica is lost": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"db1b"}}}, 0.99, 1},
 	} {
 		c := Default()
 		c.Length, c.Faults = 20*time.Second, x.faults
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -288,10 +288,10 @@
 	}
 	requiredPosition := minPosition
 	if m.WasPrimary() && !c.backend.knownReplica {
-		requiredPosition = 0 // allowed by the contract: no answer has shown this router that the endpoint is no longer the primary
+		requiredPosition = 0 // allowed by the contract: no answer has shown this router that it is a replica
 	}
-	c.statement = &model.Statement{Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite, BlocksApply: q.class.Long,
-		Deadline: q.deadline}
+	c.statement = &model.Statement{Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite,
+		BlocksApply: q.class.Long, Deadline: q.deadline}
 	if r.fleet.cfg.Checks != balance.FreshnessCheckNone {
 		c.statement.MinPosition = minPosition
 	}
@@ -417,7 +417,8 @@
 				timeout.Stop()
 				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.StatusDone, Position: report.Position, Role: balance.RoleReplica, Utilization: report.Utilization}
+					res = router.Result{Status: balance.StatusDone, Position: report.Position,
+						Role: balance.RoleReplica, Utilization: report.Utilization}
 					if report.Primary {
 						res.Role = balance.RolePrimary
 					}
--- a/internal/simulation/fleet/top.go
+++ b/internal/simulation/fleet/top.go
@@ -82,9 +82,11 @@
 		t.worthByClass[c.class.Name] += earned
 	}
 	for _, c := range cohorts {
-		needsPrimary := c.class.Consistency == balance.ConsistencyWrite || c.class.Consistency == balance.ConsistencyLatest
+		needsPrimary := c.class.Consistency == balance.ConsistencyWrite ||
+			c.class.Consistency == balance.ConsistencyLatest
 		for i, m := range b.Endpoints {
-			if needsPrimary || m.IsPrimary() || c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+elapsed {
+			if needsPrimary || m.IsPrimary() ||
+				c.class.Consistency == balance.ConsistencyBounded && now-m.Position() > c.class.MaxStaleness+elapsed {
 				continue
 			}
 			assign(&c, i)
