--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -280,7 +280,7 @@
 		f.clock.Run(f.clock.Now() + 500*time.Millisecond)
 		ran := m.Served() - before
 		if ended != 0 || (ran == 1) != (when == 30*time.Millisecond) {
-			t.Errorf("cut after %v: got %d ends of the attempt, %d executions; want no end, an execution only after 30 ms",
+			t.Errorf("cut after %v: got %d ends and %d executions; want no end, and an execution only after 30 ms",
 				when, ended, ran)
 		}
 	}
--- a/internal/simulation/multiprocess/discovery_view.go
+++ b/internal/simulation/multiprocess/discovery_view.go
@@ -16,133 +16,137 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// view is discovery as one router meets it: the addresses are those of its own links to the endpoints. Where lists are
-// pushed it is the agent on the router's machine: it has what reached it, and says nothing while discovery is away.
-type view struct {
-	host   *emulator.Host
-	net    *faultproxy.Network
-	log    *history.Log
-	router *process
-	pushed bool
-	addr   func(machine string) string
-	server *http.Server
-	listen string
-	stop   chan struct{}
-
-	mu   sync.Mutex
-	has  config.EndpointList // pushed: what reached the agent
-	deaf bool                // pushed: discovery can't be heard
+// discoveryView serves discovery to one router, with the addresses of the router's own links as those of the endpoints.
+// If lists are pushed it acts as the agent on the router's host: it serves the newest list that has reached it, and
+// answers nothing while discovery is unreachable.
+type discoveryView struct {
+	host          *emulator.Host
+	network       *faultproxy.Network
+	log           *history.Log
+	router        *process
+	pushed        bool
+	linkAddress   func(machine string) string
+	server        *http.Server
+	listenAddress string
+	stopped       chan struct{}
+
+	mutex       sync.Mutex
+	agentList   config.EndpointList // if pushed: the newest list that reached the agent
+	unreachable bool                // if pushed: discovery can't reach the agent
 }
 
-const viewStep = 10 * time.Millisecond
+const viewPollInterval = 10 * time.Millisecond
 
-func (v *view) start() error {
+func (v *discoveryView) start() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	v.listen, v.stop = ln.Addr().String(), make(chan struct{})
+	v.listenAddress, v.stopped = ln.Addr().String(), make(chan struct{})
 	v.server = &http.Server{Handler: v, ReadHeaderTimeout: 5 * time.Second}
-	v.has = v.host.List(0)
-	go func() { _ = v.server.Serve(ln) }() // it ends when the view is closed
+	v.agentList = v.host.List(0)
+	go func() { _ = v.server.Serve(ln) }() // it returns when the view is closed
 	if v.pushed {
-		go v.hear()
+		go v.receivePushes()
 	}
 	return nil
 }
 
-func (v *view) close() {
-	close(v.stop)
-	_ = v.server.Close() // its only error is that of a listener that is closed
+func (v *discoveryView) close() {
+	close(v.stopped)
+	_ = v.server.Close() // its only error is that of closing the listener
 }
 
-// hear takes over what discovery pushes, while it can reach the agent. What the agent has counts as notified.
-func (v *view) hear() {
+// receivePushes copies the pushed lists while discovery can reach the agent. The router counts as notified of the
+// agent's list.
+func (v *discoveryView) receivePushes() {
 	for {
 		select {
-		case <-v.stop:
+		case <-v.stopped:
 			return
-		case <-time.After(viewStep):
+		case <-time.After(viewPollInterval):
 		}
 		l := v.host.List(0)
-		deaf := len(l.Endpoints) == 0 || v.net.Impaired(v.router.Name, discovery.Name)
-		v.mu.Lock()
-		if v.deaf = deaf; !deaf && l.Version > v.has.Version {
-			was := v.has.Version
-			v.has = l
-			for _, e := range v.host.List(was).Endpoints {
-				v.tell(e, false)
+		unreachable := len(l.Endpoints) == 0 || v.network.Impaired(v.router.Name, discovery.Name)
+		v.mutex.Lock()
+		if v.unreachable = unreachable; !unreachable && l.Version > v.agentList.Version {
+			previous := v.agentList.Version
+			v.agentList = l
+			for _, e := range v.host.List(previous).Endpoints {
+				v.recordNotification(e, false)
 			}
 		}
-		v.mu.Unlock()
+		v.mutex.Unlock()
 	}
 }
 
-// began notes what the agent has when its router starts.
-func (v *view) began() {
+// recordInitialList records, when the router starts, the notification of each endpoint that isn't ready in the agent's
+// list.
+func (v *discoveryView) recordInitialList() {
 	if !v.pushed {
 		return
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, e := range v.has.Endpoints {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	for _, e := range v.agentList.Endpoints {
 		if e.State != "ready" {
-			v.tell(e, false)
+			v.recordNotification(e, false)
 		}
 	}
 }
 
-func (v *view) tell(e config.EndpointEntry, cut bool) {
+func (v *discoveryView) recordNotification(e config.EndpointEntry, impaired bool) {
 	v.log.Add(history.EndpointStateNotified{
 		Router:       v.router.Name,
-		Incarnation:  v.router.Life(),
+		Incarnation:  v.router.Incarnation(),
 		Endpoint:     e.ID,
 		State:        e.State,
-		LinkImpaired: cut,
+		LinkImpaired: impaired,
 	})
 }
 
-// list is what it says to a call, and whether it says anything.
-func (v *view) list(since int64) (l config.EndpointList, says bool) {
+// list returns the answer to a call, and whether there is one.
+func (v *discoveryView) list(since int64) (l config.EndpointList, ok bool) {
 	if !v.pushed {
 		l = v.host.List(since)
 		return l, l.Version > 0
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.deaf {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if v.unreachable {
 		return l, false
 	}
-	l = config.EndpointList{Version: v.has.Version, Full: since == 0, Endpoints: []config.EndpointEntry{}}
+	l = config.EndpointList{Version: v.agentList.Version, Full: since == 0, Endpoints: []config.EndpointEntry{}}
 	if since < l.Version {
-		l.Full, l.Endpoints = true, append(l.Endpoints, v.has.Endpoints...) // a whole list is an answer too
+		// A complete list is a valid answer to a watch.
+		l.Full, l.Endpoints = true, append(l.Endpoints, v.agentList.Endpoints...)
 	}
 	return l, true
 }
 
-// known is the list as a router that starts has it.
-func (v *view) known() config.EndpointList {
+// initialList returns the cached list for a router that starts.
+func (v *discoveryView) initialList() config.EndpointList {
 	l := v.host.List(0)
 	if len(l.Endpoints) == 0 {
-		v.mu.Lock()
-		l = v.has
-		v.mu.Unlock()
+		v.mutex.Lock()
+		l = v.agentList
+		v.mutex.Unlock()
 	}
-	return v.mapped(l)
+	return v.withLinkAddresses(l)
 }
 
-func (v *view) mapped(l config.EndpointList) config.EndpointList {
-	out := l
-	out.Endpoints = make([]config.EndpointEntry, len(l.Endpoints))
+func (v *discoveryView) withLinkAddresses(l config.EndpointList) config.EndpointList {
+	mapped := l
+	mapped.Endpoints = make([]config.EndpointEntry, len(l.Endpoints))
 	for i, e := range l.Endpoints {
-		e.Addr = v.addr(e.ID)
-		out.Endpoints[i] = e
+		e.Addr = v.linkAddress(e.ID)
+		mapped.Endpoints[i] = e
 	}
-	return out
+	return mapped
 }
 
 // ServeHTTP implements http.Handler.
-func (v *view) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (v *discoveryView) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
 		return
@@ -154,33 +158,33 @@
 	}
 	watch := r.URL.Query().Has("index")
 	for end := time.Now().Add(wait); ; {
-		l, says := v.list(since)
-		if says && (!watch || l.Version > since || time.Now().After(end)) {
+		l, ok := v.list(since)
+		if ok && (!watch || l.Version > since || time.Now().After(end)) {
 			if watch && l.Version <= since {
 				l.Full, l.Endpoints = false, l.Endpoints[:0]
 			}
 			if !v.pushed {
-				cut := v.net.Impaired(v.router.Name, discovery.Name)
+				impaired := v.network.Impaired(v.router.Name, discovery.Name)
 				for _, e := range l.Endpoints {
-					v.tell(e, cut)
+					v.recordNotification(e, impaired)
 				}
 			}
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(v.mapped(l)) // the caller may have gone meanwhile
+			_ = json.NewEncoder(w).Encode(v.withLinkAddresses(l)) // the caller may have disconnected
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(viewStep):
+		case <-time.After(viewPollInterval):
 		}
 	}
 }
 
-var errInvalidWait = errors.New("no time that a call may wait")
+var errInvalidWait = errors.New("invalid wait time")
 
-// parseWatch reads which version a call knows and how long it may wait. A call for the complete list knows none, and
-// does not wait.
+// parseWatch reads which version a call knows and how long it may wait. A call for the complete list knows none and
+// doesn't wait.
 func parseWatch(query url.Values) (since int64, wait time.Duration, err error) {
 	const longestWait = time.Minute
 	if !query.Has("index") {
--- a/internal/simulation/multiprocess/driver.go
+++ b/internal/simulation/multiprocess/driver.go
@@ -1,7 +1,7 @@
-// Package multiprocess plays a scenario with several real processes of the program. Endpoints, discovery and clients
-// are the simulation's, in sites, and all that goes between them and the routers goes through fault proxies, so that
-// what happens to processes and links is a step of a script. The package drives; what happened is in package history,
-// what it means in package check.
+// Package multiprocess runs a scenario with several real processes of the router. Endpoints, discovery and clients are
+// simulated, in several sites, and their connections to the routers pass through fault proxies, so that a script can
+// inject faults into processes and links. This package drives the run; package history records what happened, and
+// package check judges it.
 package multiprocess
 
 import (
@@ -22,29 +22,29 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// The most that a run starts.
+// The largest numbers that a run starts.
 const (
 	maxRouters   = 12
 	maxEndpoints = 48
 )
 
-// discovery stands in no site.
+// discovery belongs to no site.
 var discovery = faultproxy.Peer{Name: "discovery"}
 
-// Options say what is played, and with what.
+// Options define a run.
 type Options struct {
 	Config  fleet.Config
 	Seed    uint64
-	Program string        // the router
-	Dir     string        // where files and logs go; it has to exist
-	Notice  time.Duration // until a front has noticed that a router has died
-	Deploy  string        // the routers' deploy/limeladder.toml, "" = all of it is off
+	Program string        // path of the router's executable
+	Dir     string        // an existing folder for files and logs
+	Notice  time.Duration // until a load balancer stops using a router that has died; 0 means 2 s
+	Deploy  string        // content of the routers' deploy/limeladder.toml; empty means that every feature in it is off
 
-	// Harm, where not nil, changes the configuration with which routers are started: for trying the rig itself.
+	// Harm, if not nil, changes the configuration with which routers are started, to test the driver's own checks.
 	Harm func(settings []byte) []byte
 }
 
-// Result is what a run has shown.
+// Result holds the statistics of a run.
 type Result struct {
 	Worth, Whole, Window, Class float64
 	Worst                       string
@@ -52,101 +52,105 @@
 	Seconds                     []fleet.Second
 	Broken                      []check.Violation
 	History                     []history.Entry
-	Timeline                    string // its file
+	Timeline                    string // path of its file
 	Delays                      SchedulingDelays
 }
 
-// Driver is what is running.
+// Driver is the state of one run.
 type Driver struct {
-	o       Options
-	log     *history.Log
-	net     *faultproxy.Network
-	host    *emulator.Host
-	routers []*process
-	views   []*view
-	points  map[string]faultproxy.Peer
-	by      sync.Map // a machine's remote address: who dialled
-	begin   time.Time
-	steps   sync.WaitGroup
-	stop    chan struct{}
+	options   Options
+	log       *history.Log
+	network   *faultproxy.Network
+	host      *emulator.Host
+	routers   []*process
+	views     []*discoveryView
+	peers     map[string]faultproxy.Peer
+	dialers   sync.Map // by remote address at an endpoint: the dialer of the connection
+	startedAt time.Time
+	steps     sync.WaitGroup
+	stopped   chan struct{}
 }
 
-// dialler is who is at the other end of a machine's connection.
-type dialler struct {
-	router string
-	life   int
-	held   *faultproxy.TransitTime
+// dialer is the router that opened a connection to an endpoint.
+type dialer struct {
+	router      string
+	incarnation int
+	transitTime *faultproxy.TransitTime
 }
 
-// Run plays a scenario and checks it. An error means that it could not be played.
+// Run runs a scenario and checks the rules. An error means that it could not be run.
 func Run(o Options) (*Result, error) {
 	c := &o.Config
 	switch {
 	case c.Routers > maxRouters:
-		return nil, fmt.Errorf("routers: %d, a rig starts %d at most", c.Routers, maxRouters)
+		return nil, fmt.Errorf("routers: %d exceeds the maximum of %d", c.Routers, maxRouters)
 	case c.Banks*(c.Members+c.Spares) > maxEndpoints:
-		return nil, fmt.Errorf("banks: %d machines, a rig starts %d at most", c.Banks*(c.Members+c.Spares), maxEndpoints)
+		return nil, fmt.Errorf("banks: %d machines exceed the maximum of %d", c.Banks*(c.Members+c.Spares),
+			maxEndpoints)
 	}
 	for _, f := range c.Faults {
 		if f.On != "" {
-			return nil, fmt.Errorf("faults: a rig goes by its clock: when(%q) can't be played", f.On)
+			return nil, fmt.Errorf("faults: when(%q) is not supported here: faults start at fixed times", f.On)
 		}
 		if f.What == "suspend" || f.What == "routers" {
-			return nil, fmt.Errorf("faults: %s is not for a rig: crash, term and freeze name routers", f.What)
+			return nil, fmt.Errorf("faults: %s is not supported here: use crash, term or freeze", f.What)
 		}
 	}
 	if o.Notice == 0 {
 		o.Notice = 2 * time.Second
 	}
 	r := &Driver{
-		o:      o,
-		log:    history.New(),
-		net:    faultproxy.New(o.Seed),
-		points: map[string]faultproxy.Peer{},
-		stop:   make(chan struct{}),
+		options: o,
+		log:     history.New(),
+		network: faultproxy.New(o.Seed),
+		peers:   map[string]faultproxy.Peer{},
+		stopped: make(chan struct{}),
 	}
-	defer r.end()
+	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	return r.play()
+	return r.run()
 }
 
-// start builds the world and starts the routers, each once.
+// start starts the endpoints, discovery and each router.
 func (r *Driver) start() error {
-	cfg := r.o.Config
-	cfg.Faults = nil // they come from here
+	cfg := r.options.Config
+	cfg.Faults = nil // the driver injects them
 	var err error
-	if r.host, err = emulator.New(cfg, r.o.Seed); err != nil {
+	if r.host, err = emulator.New(cfg, r.options.Seed); err != nil {
 		return err
 	}
 	r.host.Observe(observer{r})
 	for i := range cfg.Routers {
 		name, site := fmt.Sprint("r", i+1), cfg.Zones[i%len(cfg.Zones)]
-		if err := r.router(i, name, site); err != nil {
+		if err := r.addRouter(i, name, site); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// router prepares one: its ways, its view of discovery, its files.
-func (r *Driver) router(i int, name, site string) error {
-	cfg := &r.o.Config
-	p := &process{Name: name, Site: site, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, log: r.log}
-	me := faultproxy.Peer{Name: name, Site: site}
-	r.points[name] = me
-	if err := os.MkdirAll(p.dir, 0o700); err != nil {
+// addRouter creates a router's links, discovery view and files, and starts it.
+func (r *Driver) addRouter(i int, name, site string) error {
+	cfg := &r.options.Config
+	process := &process{Name: name, Site: site, dir: filepath.Join(r.options.Dir, name), program: r.options.Program,
+		log: r.log}
+	peer := faultproxy.Peer{Name: name, Site: site}
+	r.peers[name] = peer
+	if err := os.MkdirAll(process.dir, 0o700); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(p.dir, "limeladder.toml"), []byte(r.o.Deploy), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(process.dir, "limeladder.toml"), []byte(r.options.Deploy), 0o600); err != nil {
 		return err
 	}
-	ways := map[string]*faultproxy.Link{}
+	endpointLinks := map[string]*faultproxy.Link{}
 	for id, m := range r.host.Members() {
-		at := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
-		l, err := r.net.AddLink(me, at, func() string { return m }, faultproxy.Observer{
-			Connected: func(local string, held *faultproxy.TransitTime) { r.by.Store(local, dialler{name, p.Life(), held}) },
+		endpoint := faultproxy.Peer{Name: id, Site: r.host.Zone(id)}
+		l, err := r.network.AddLink(peer, endpoint, func() string { return m }, faultproxy.Observer{
+			Connected: func(local string, transitTime *faultproxy.TransitTime) {
+				r.dialers.Store(local, dialer{name, process.Incarnation(), transitTime})
+			},
 			Abandoned: func(local string) {
 				r.log.Add(history.ConnectionAbandoned{Router: name, Endpoint: id, Connection: local})
 			},
@@ -154,51 +158,56 @@
 		if err != nil {
 			return err
 		}
-		ways[id] = l
+		endpointLinks[id] = l
 	}
-	v := &view{host: r.host, net: r.net, log: r.log, router: p, pushed: cfg.Pushed, addr: func(id string) string {
-		if l := ways[id]; l != nil {
-			return l.Address
-		}
-		return ""
-	}}
-	if err := v.start(); err != nil {
+	view := &discoveryView{host: r.host, network: r.network, log: r.log, router: process, pushed: cfg.Pushed,
+		linkAddress: func(id string) string {
+			if l := endpointLinks[id]; l != nil {
+				return l.Address
+			}
+			return ""
+		}}
+	if err := view.start(); err != nil {
 		return err
 	}
-	r.views = append(r.views, v)
-	// An agent is on the router's own machine; this way then stands for discovery's to the agent.
-	way, err := r.net.AddLink(me, discovery, func() string { return v.listen }, faultproxy.Observer{})
+	r.views = append(r.views, view)
+	// An agent runs on the router's own host, so with pushed lists this link represents that from discovery to the
+	// agent.
+	discoveryLink, err := r.network.AddLink(peer, discovery, func() string { return view.listenAddress },
+		faultproxy.Observer{})
 	if err != nil {
 		return err
 	}
-	asks := way.Address
+	discoveryAddress := discoveryLink.Address
 	if cfg.Pushed {
-		asks = v.listen
+		discoveryAddress = view.listenAddress
 	}
-	ip, err := host()
+	ip, err := freeLoopbackIP()
 	if err != nil {
 		return err
 	}
 	listen, operator := ip+":6432", ip+":9600"
-	p.began = v.began
-	p.settings = func() ([]byte, error) {
+	process.onStart = view.recordInitialList
+	process.settings = func() ([]byte, error) {
 		text, err := r.host.SettingsFor(emulator.Seat{
-			Name: name, Listen: listen, Operator: operator, Zone: site, Discovery: asks, Known: v.known(),
-			Seed: r.o.Seed<<20 + uint64(i)<<8 + uint64(p.Life()+1),
+			Name: name, Listen: listen, Operator: operator, Zone: site,
+			Discovery: discoveryAddress, Known: view.initialList(),
+			Seed: r.options.Seed<<20 + uint64(i)<<8 + uint64(process.Incarnation()+1),
 		})
-		if err == nil && r.o.Harm != nil {
-			text = r.o.Harm(text)
+		if err == nil && r.options.Harm != nil {
+			text = r.options.Harm(text)
 		}
 		return text, err
 	}
-	r.routers = append(r.routers, p)
-	r.points["listen:"+name] = faultproxy.Peer{Name: listen}
-	return p.start()
+	r.routers = append(r.routers, process)
+	r.peers["listen:"+name] = faultproxy.Peer{Name: listen}
+	return process.start()
 }
 
-// host is an address of loopback that nobody else listens on. A port that was free a moment ago on an address that all
-// share may be somebody's a moment later, before the router has bound it; here nobody but the router asks for one.
-func host() (string, error) {
+// freeLoopbackIP returns a random loopback address on which the router's port is free. A free port on 127.0.0.1 could
+// be taken by another process before the router binds it; a random address of the loopback network is used by the
+// router only.
+func freeLoopbackIP() (string, error) {
 	var err error
 	for range 100 {
 		ip := fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
@@ -208,45 +217,46 @@
 			return ip, nil
 		}
 	}
-	return "", fmt.Errorf("no address on loopback: %w", err)
+	return "", fmt.Errorf("find a free loopback address: %w", err)
 }
 
-// doors are the ways of each site's clients to the routers of it, and to the others.
-func (r *Driver) doors() (own, others map[string][]clients.Target, err error) {
-	own, others = map[string][]clients.Target{}, map[string][]clients.Target{}
-	for _, site := range r.o.Config.Zones {
+// addClientLinks adds links from the clients of each site to all routers. It returns the targets by site: those of the
+// same site, and the others.
+func (r *Driver) addClientLinks() (local, remote map[string][]clients.Target, err error) {
+	local, remote = map[string][]clients.Target{}, map[string][]clients.Target{}
+	for _, site := range r.options.Config.Zones {
 		from := faultproxy.Peer{Name: "clients:" + site, Site: site}
 		for _, p := range r.routers {
 			to := faultproxy.Peer{Name: p.Name, Site: p.Site}
-			address := func() string { return r.points["listen:"+p.Name].Name }
-			l, err := r.net.AddLink(from, to, address, faultproxy.Observer{})
+			address := func() string { return r.peers["listen:"+p.Name].Name }
+			l, err := r.network.AddLink(from, to, address, faultproxy.Observer{})
 			if err != nil {
 				return nil, nil, err
 			}
-			d := clients.Target{Router: p.Name, Address: l.Address, Incarnation: p.Life}
+			d := clients.Target{Router: p.Name, Address: l.Address, Incarnation: p.Incarnation}
 			if p.Site == site {
-				own[site] = append(own[site], d)
+				local[site] = append(local[site], d)
 			} else {
-				others[site] = append(others[site], d)
+				remote[site] = append(remote[site], d)
 			}
 		}
-		if own[site] == nil {
-			own[site] = []clients.Target{}
+		if local[site] == nil {
+			local[site] = []clients.Target{}
 		}
 	}
-	return own, others, nil
+	return local, remote, nil
 }
 
-// play lets clients ask and the steps come, and judges what happened.
-func (r *Driver) play() (*Result, error) {
-	cfg := &r.o.Config
-	own, others, err := r.doors()
+// run runs the clients and the faults, and checks the rules.
+func (r *Driver) run() (*Result, error) {
+	cfg := &r.options.Config
+	local, remote, err := r.addClientLinks()
 	if err != nil {
 		return nil, err
 	}
 	c := clients.New(clients.Options{
-		LocalTargets:          own,
-		RemoteTargets:         others,
+		LocalTargets:          local,
+		RemoteTargets:         remote,
 		Rate:                  cfg.Rate(),
 		RateShape:             cfg.Shape,
 		Classes:               cfg.Classes,
@@ -255,22 +265,22 @@
 		Retries:               cfg.Retries,
 		RetryAfterShare:       cfg.Honour,
 		Backoff:               cfg.Backoff,
-		FailureDetectionDelay: r.o.Notice,
-		Seed:                  r.o.Seed,
+		FailureDetectionDelay: r.options.Notice,
+		Seed:                  r.options.Seed,
 	}, r.log)
 	if err := r.waitUntilReady(c); err != nil {
 		return nil, err
 	}
 	for _, p := range r.routers {
-		r.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Life(), Ready: true})
+		r.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Incarnation(), Ready: true})
 	}
-	r.begin = time.Now()
+	r.startedAt = time.Now()
 	for _, f := range cfg.Faults {
-		r.later(f.At, func() { r.step(f) })
+		r.schedule(f.At, func() { r.injectFault(f) })
 	}
-	delays := watchScheduling(r.log, r.routers, r.stop)
+	delays := watchScheduling(r.log, r.routers, r.stopped)
 	got := c.Run(cfg.Length)
-	close(r.stop)
+	close(r.stopped)
 	r.steps.Wait()
 	for _, id := range r.host.Pushed() {
 		r.log.Add(history.EndpointOverloaded{Endpoint: id})
@@ -284,58 +294,58 @@
 	res.Whole, res.Window, res.Class, res.Worst = fleet.Score(got.Seconds, got.Tally)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
 	limits := check.Limits{
-		DrainGrace:          cfg.Grace + contractSlack,
-		LateTolerance:       lateness,
+		DrainGrace:          cfg.Grace + socketTolerance,
+		LateTolerance:       lateTolerance,
 		NotificationTimeout: 6 * time.Second,
 	}
 	res.Broken = check.Run(limits, res.History, check.All...)
 	if len(res.Broken) > 0 {
 		res.Worth = 0
 	}
-	return res, r.write(res)
+	return res, r.writeTimeline(res)
 }
 
-// waitUntilReady waits until every router takes clients.
+// waitUntilReady waits until every router accepts clients.
 func (r *Driver) waitUntilReady(c *clients.Clients) error {
 	const longestStart = 30 * time.Second
-	routers := r.o.Config.Routers
+	routers := r.options.Config.Routers
 	for end := time.Now().Add(longestStart); c.HealthyLocalTargets() < routers; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("%d of %d routers are ready after %v; their logs end with %s",
-				c.HealthyLocalTargets(), routers, longestStart, r.lastWords())
+				c.HealthyLocalTargets(), routers, longestStart, r.lastLogLines())
 		}
 	}
 	return nil
 }
 
-// lastWords is the last line of each router's log.
-func (r *Driver) lastWords() string {
-	var out []string
+// lastLogLines returns the last line of each router's log.
+func (r *Driver) lastLogLines() string {
+	var logLines []string
 	for _, p := range r.routers {
-		text, _ := os.ReadFile(filepath.Join(p.dir, fmt.Sprintf("log.%d", p.Life())))
+		text, _ := os.ReadFile(filepath.Join(p.dir, fmt.Sprintf("log.%d", p.Incarnation())))
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-		out = append(out, fmt.Sprintf("%s: %q", p.Name, lines[len(lines)-1]))
+		logLines = append(logLines, fmt.Sprintf("%s: %q", p.Name, lines[len(lines)-1]))
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(logLines, "; ")
 }
 
 const (
-	// contractSlack is by how much each time limit of the rules grows on sockets.
-	contractSlack = 50 * time.Millisecond
-	// lateness is how much later than its time an answer may come: the contract's slack, and what the driver itself may
-	// be late on a busy machine.
-	lateness = 250 * time.Millisecond
+	// socketTolerance is added to each time limit of the rules, for the overhead of real sockets.
+	socketTolerance = 50 * time.Millisecond
+	// lateTolerance is how long after its timeout an answer may arrive: socketTolerance, and the delay of the driver
+	// itself on a busy machine.
+	lateTolerance = 250 * time.Millisecond
 )
 
-// end ends all that was started.
-func (r *Driver) end() {
+// close stops everything that the run has started.
+func (r *Driver) close() {
 	for _, p := range r.routers {
-		p.end()
+		p.cleanUp()
 	}
 	for _, v := range r.views {
 		v.close()
 	}
-	r.net.Close()
+	r.network.Close()
 	if r.host != nil {
 		r.host.Stop()
 	}
--- a/internal/simulation/multiprocess/observer.go
+++ b/internal/simulation/multiprocess/observer.go
@@ -6,40 +6,40 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// observer notes what reaches the machines.
-type observer struct{ r *Driver }
+// observer records the statements that reach the endpoints.
+type observer struct{ driver *Driver }
 
-func (o observer) who(remote string) dialler {
-	if d, ok := o.r.by.Load(remote); ok {
-		return d.(dialler)
+func (o observer) dialerOf(remote string) dialer {
+	if d, ok := o.driver.dialers.Load(remote); ok {
+		return d.(dialer)
 	}
-	return dialler{router: "?", held: &faultproxy.TransitTime{}}
+	return dialer{router: "?", transitTime: &faultproxy.TransitTime{}}
 }
 
-// Came implements standins.Observer.
+// Came implements emulator.Observer.
 func (o observer) Came(v emulator.Visit) {
-	d := o.who(v.Remote)
-	o.r.log.Add(history.StatementArrived{
+	d := o.dialerOf(v.Remote)
+	o.driver.log.Add(history.StatementArrived{
 		ID:          v.ID,
 		Connection:  v.Remote,
 		Class:       v.Class,
 		Router:      d.router,
-		Incarnation: d.life,
+		Incarnation: d.incarnation,
 		Endpoint:    v.Member,
-		TransitTime: d.held.Last(),
+		TransitTime: d.transitTime.Last(),
 		IsWrite:     v.Write,
 		WasPrimary:  v.Led,
 		MinPosition: v.See,
 	})
 }
 
-// Ended implements standins.Observer.
+// Ended implements emulator.Observer.
 func (o observer) Ended(v emulator.Visit, e emulator.Ending, gone bool) {
-	d := o.who(v.Remote)
-	o.r.log.Add(history.StatementExecuted{
+	d := o.dialerOf(v.Remote)
+	o.driver.log.Add(history.StatementExecuted{
 		ID:           v.ID,
 		Router:       d.router,
-		Incarnation:  d.life,
+		Incarnation:  d.incarnation,
 		Endpoint:     v.Member,
 		Served:       !gone && e.Outcome == 0,
 		Disconnected: gone,
--- a/internal/simulation/multiprocess/process.go
+++ b/internal/simulation/multiprocess/process.go
@@ -13,40 +13,40 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// process is one router: its files and addresses stay, its process comes and goes.
+// process is one router. Its files and addresses stay the same over all starts of the program.
 type process struct {
 	Name, Site string
 	dir        string
 	program    string
 	log        *history.Log
 	settings   func() ([]byte, error) // for the next start
-	began      func()
+	onStart    func()                 // called at each start
 
-	life atomic.Int64
-	mu   sync.Mutex // guards what follows
-	cmd  *exec.Cmd  // nil = none runs
-	gone chan struct{}
+	incarnation atomic.Int64
+	mutex       sync.Mutex // guards the fields below
+	cmd         *exec.Cmd  // nil if none runs
+	exited      chan struct{}
 }
 
-// Life is which start of it runs, from 1.
-func (p *process) Life() int { return int(p.life.Load()) }
+// Incarnation returns the current incarnation, counted from 1.
+func (p *process) Incarnation() int { return int(p.incarnation.Load()) }
 
-func (p *process) note(what string, length time.Duration) {
-	p.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Life(), Event: what, Duration: length})
+func (p *process) recordEvent(what string, length time.Duration) {
+	p.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Incarnation(), Event: what, Duration: length})
 }
 
-// start runs the program anew, with nothing of the start before but its name and addresses.
+// start starts the program. Of its earlier incarnation it keeps only the name and the addresses.
 func (p *process) start() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs", p.Name)
+		return fmt.Errorf("%s is already running", p.Name)
 	}
 	text, err := p.settings()
 	if err != nil {
 		return err
 	}
-	life := p.life.Add(1)
+	life := p.incarnation.Add(1)
 	tmp := filepath.Join(p.dir, fmt.Sprint("tmp", life))
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
@@ -67,100 +67,100 @@
 		"LIMELADDER_LOG=debug",
 		"EDGE_NAME=", "EDGE_LISTEN=", "EDGE_OPERATOR=", "EDGE_DISCOVERY=", "EDGE_INHERITED_FD=")
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the rig
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the driver
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.gone = cmd, make(chan struct{})
-	gone := p.gone
-	if p.began != nil {
-		p.began()
+	p.cmd, p.exited = cmd, make(chan struct{})
+	exited := p.exited
+	if p.onStart != nil {
+		p.onStart()
 	}
 	go func() {
 		err := cmd.Wait()
-		p.note(fmt.Sprintf("has ended: %v", ending(err)), 0)
-		p.mu.Lock()
+		p.recordEvent(fmt.Sprintf("has ended: %v", exitText(err)), 0)
+		p.mutex.Lock()
 		p.cmd = nil
-		p.mu.Unlock()
-		close(gone)
+		p.mutex.Unlock()
+		close(exited)
 	}()
 	return nil
 }
 
-func ending(err error) string {
+func exitText(err error) string {
 	if err == nil {
 		return "in order"
 	}
 	return err.Error()
 }
 
-// signal sends one to the process that runs. It says whether there is one.
-func (p *process) signal(s syscall.Signal) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd != nil && p.cmd.Process.Signal(s) == nil
+// signal sends a signal to the running process. It reports whether there is one.
+func (p *process) signal(signal syscall.Signal) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.cmd != nil && p.cmd.Process.Signal(signal) == nil
 }
 
-// pid returns the id of the process that runs. ok is false where none does.
+// pid returns the id of the running process. ok is false if there is none.
 func (p *process) pid() (pid int, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if p.cmd == nil {
 		return 0, false
 	}
 	return p.cmd.Process.Pid, true
 }
 
-// wait waits until the process that runs has ended.
-func (p *process) wait(most time.Duration) bool {
-	p.mu.Lock()
-	gone, runs := p.gone, p.cmd != nil
-	p.mu.Unlock()
-	if !runs {
+// waitForExit waits until the running process has ended. It reports false after the timeout.
+func (p *process) waitForExit(timeout time.Duration) bool {
+	p.mutex.Lock()
+	exited, running := p.exited, p.cmd != nil
+	p.mutex.Unlock()
+	if !running {
 		return true
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// crash kills it.
-func (p *process) crash() {
-	p.note("is killed", 0)
+// kill kills the process.
+func (p *process) kill() {
+	p.recordEvent("is killed", 0)
 	p.signal(syscall.SIGKILL)
-	p.wait(10 * time.Second)
+	p.waitForExit(10 * time.Second)
 }
 
-// freeze stops it for so long.
+// freeze stops the process with SIGSTOP for a time.
 func (p *process) freeze(length time.Duration) {
-	p.note(fmt.Sprintf("is stopped for %v", length), length)
+	p.recordEvent(fmt.Sprintf("is stopped for %v", length), length)
 	if !p.signal(syscall.SIGSTOP) {
 		return
 	}
-	life := p.Life()
+	life := p.Incarnation()
 	time.AfterFunc(length, func() {
-		if p.Life() == life {
+		if p.Incarnation() == life {
 			p.signal(syscall.SIGCONT)
 		}
 	})
 }
 
-// term asks it to end, and kills it where it has not within most.
-func (p *process) term(most time.Duration) {
-	p.note("is asked to end", most)
+// terminate sends SIGTERM, and kills the process if it has not ended within the timeout.
+func (p *process) terminate(timeout time.Duration) {
+	p.recordEvent("is asked to end", timeout)
 	p.signal(syscall.SIGTERM)
-	if !p.wait(most) {
-		p.crash()
+	if !p.waitForExit(timeout) {
+		p.kill()
 	}
 }
 
-// end makes sure that nothing of it runs.
-func (p *process) end() {
+// cleanUp kills the process if one runs.
+func (p *process) cleanUp() {
 	p.signal(syscall.SIGCONT)
 	if p.signal(syscall.SIGKILL) {
-		p.wait(10 * time.Second)
+		p.waitForExit(10 * time.Second)
 	}
 }
--- a/internal/simulation/multiprocess/random.go
+++ b/internal/simulation/multiprocess/random.go
@@ -11,8 +11,8 @@
 	"limeladder/internal/simulation/fleet"
 )
 
-// Base is a small fleet: two or three sites, a router or two in each, replica groups over all of them, and little load,
-// so that a machine with few cores plays it in time.
+// Base returns a small fleet: two or three sites, one or two routers in each, replica groups across all sites, and
+// little load, so that a machine with few cores can run it in real time.
 func Base(sites, routers int) fleet.Config {
 	ms := time.Millisecond
 	c := fleet.Default()
@@ -56,7 +56,7 @@
 	return c
 }
 
-// Random draws a fleet and two to six faults from a seed.
+// Random returns a fleet and two to six faults, all drawn from a seed.
 func Random(seed uint64) fleet.Config {
 	rng := rand.New(rand.NewPCG(seed, 29))
 	sites := 2 + rng.IntN(2)
@@ -65,10 +65,10 @@
 	if !c.Pushed {
 		c.Grace = 2 * time.Second
 	}
-	pick := func(words ...string) string { return words[rng.IntN(len(words))] }
-	site := func() string { return pick(c.Zones...) }
+	choose := func(words ...string) string { return words[rng.IntN(len(words))] }
+	site := func() string { return choose(c.Zones...) }
 	router := func() string { return fmt.Sprint("r", 1+rng.IntN(c.Routers)) }
-	machine := func() string { return fmt.Sprintf("db%d%c", 1+rng.IntN(c.Banks), 'a'+rng.IntN(c.Members)) }
+	endpoint := func() string { return fmt.Sprintf("db%d%c", 1+rng.IntN(c.Banks), 'a'+rng.IntN(c.Members)) }
 	span := func(least, most time.Duration) time.Duration {
 		return (least + time.Duration(rng.Int64N(int64(most-least)))).Round(10 * time.Millisecond)
 	}
@@ -86,20 +86,20 @@
 		case 2:
 			f.What, f.Who, f.For = "term", []string{router()}, span(6*time.Second, 7*time.Second)
 		case 3:
-			f.What, f.Who = "cut", []string{site() + pick("=", ">") + pick("!"+site(), site(), machine())}
+			f.What, f.Who = "cut", []string{site() + choose("=", ">") + choose("!"+site(), site(), endpoint())}
 		case 4:
 			f.What, f.Who = "delay", []string{site() + "=" + site()}
 			f.Delay, f.Jitter = span(5*time.Millisecond, 100*time.Millisecond), 20*time.Millisecond
 		case 5:
-			f.What, f.Who, f.Rate = "trickle", []string{router() + "=" + machine()}, 200+rng.IntN(5000)
+			f.What, f.Who, f.Rate = "trickle", []string{router() + "=" + endpoint()}, 200+rng.IntN(5000)
 		case 6:
-			f.What, f.Who = pick("reset", "lose"), []string{router() + "=" + pick(machine(), site())}
+			f.What, f.Who = choose("reset", "lose"), []string{router() + "=" + choose(endpoint(), site())}
 		case 7:
-			f.What, f.Who = "kill", []string{pick("zone:"+site(), machine(), "primary:1")}
+			f.What, f.Who = "kill", []string{choose("zone:"+site(), endpoint(), "primary:1")}
 		case 8:
-			f.What, f.Who, f.For = "drain", []string{machine()}, span(2*time.Second, 5*time.Second)
+			f.What, f.Who, f.For = "drain", []string{endpoint()}, span(2*time.Second, 5*time.Second)
 		case 9:
-			f.What, f.Who = "hang", []string{machine()}
+			f.What, f.Who = "hang", []string{endpoint()}
 		default:
 			f.What, f.Who = "cut", []string{router() + "=discovery"}
 		}
@@ -108,7 +108,7 @@
 	return c
 }
 
-// Script is the part of a scenario that a rig's random runs differ in.
+// Script returns the part of a scenario file in which the configurations of Random differ.
 func Script(c fleet.Config) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet(routers=%d, banks=%d, members=%d, zones=[\"%s\"], grace_ms=%d)\nnetwork(pushed=%s)\n",
@@ -118,10 +118,10 @@
 		args := []string{"\"" + strings.Join(f.Who, "\", \"") + "\""}
 		switch f.What {
 		case "kill", "crash", "term":
-			args = append(args, "back_s="+secs(f.For))
+			args = append(args, "back_s="+formatSeconds(f.For))
 		case "reset", "lose":
 		default:
-			args = append(args, "length_s="+secs(f.For))
+			args = append(args, "length_s="+formatSeconds(f.For))
 		}
 		if f.Delay > 0 || f.Jitter > 0 {
 			args = append(args, fmt.Sprintf("ms=%d, jitter_ms=%d", f.Delay.Milliseconds(), f.Jitter.Milliseconds()))
@@ -129,32 +129,32 @@
 		if f.Rate > 0 {
 			args = append(args, fmt.Sprintf("rate=%d", f.Rate))
 		}
-		fmt.Fprintf(&b, "at(%s, %s(%s))\n", secs(f.At), f.What, strings.Join(args, ", "))
+		fmt.Fprintf(&b, "at(%s, %s(%s))\n", formatSeconds(f.At), f.What, strings.Join(args, ", "))
 	}
 	return b.String()
 }
 
-// secs is a time of whole milliseconds in seconds, as short as it goes.
-func secs(d time.Duration) string {
+// formatSeconds formats a time as seconds with at most three decimals, without trailing zeros.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d.Milliseconds())/1000, 'g', -1, 64)
 }
 
-// Shrink leaves out faults one after the other while a rule is still broken, in so many runs at most.
-func Shrink(o Options, runs int, play func(Options) (*Result, error)) (fleet.Config, error) {
-	small := o.Config
-	for i := 0; i < len(small.Faults) && runs > 0; {
-		try := small
-		try.Faults = append(append([]fleet.Fault{}, small.Faults[:i]...), small.Faults[i+1:]...)
-		runs--
-		res, err := play(Options{Config: try, Seed: o.Seed, Notice: o.Notice})
+// Shrink removes each fault without which a rule is still broken. It calls play at most maxRuns times.
+func Shrink(o Options, maxRuns int, play func(Options) (*Result, error)) (fleet.Config, error) {
+	shrunk := o.Config
+	for i := 0; i < len(shrunk.Faults) && maxRuns > 0; {
+		candidate := shrunk
+		candidate.Faults = append(append([]fleet.Fault{}, shrunk.Faults[:i]...), shrunk.Faults[i+1:]...)
+		maxRuns--
+		res, err := play(Options{Config: candidate, Seed: o.Seed, Notice: o.Notice})
 		if err != nil {
-			return small, err
+			return shrunk, err
 		}
 		if len(res.Broken) > 0 {
-			small = try
+			shrunk = candidate
 		} else {
 			i++
 		}
 	}
-	return small, nil
+	return shrunk, nil
 }
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -18,7 +18,7 @@
 	"limeladder/internal/simulation/scenario"
 )
 
-// program is the router, built once for all tests.
+// program is the path of the router's executable, built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,8 @@
 	if err == nil {
 		program = filepath.Join(dir, "limeladder")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", program, "limeladder/cmd/limeladder").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", program,
+			"limeladder/cmd/limeladder").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -41,48 +42,59 @@
 	os.Exit(code)
 }
 
-// played plays a fleet with some faults and shows what was broken.
-func played(t *testing.T, c fleet.Config, harm func([]byte) []byte) *Result {
+// runFleet runs a fleet and returns its result.
+func runFleet(t *testing.T, c fleet.Config, harm func([]byte) []byte) *Result {
 	t.Helper()
-	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond, Harm: harm})
+	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
+		Harm: harm})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return res
 }
 
-// small is a fleet that is played in a few seconds.
-func small(sites, routers int, faults ...fleet.Fault) fleet.Config {
+// smallFleet returns a fleet whose run takes a few seconds.
+func smallFleet(sites, routers int, faults ...fleet.Fault) fleet.Config {
 	c := Base(sites, routers)
 	c.Length, c.Use, c.Faults = 9*time.Second, 0.15, faults
 	c.Notice = [2]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
 	return c
 }
 
-func fault(at time.Duration, what string, length time.Duration, who ...string) fleet.Fault {
+func newFault(at time.Duration, what string, length time.Duration, who ...string) fleet.Fault {
 	return fleet.Fault{At: at, What: what, For: length, Who: who, Part: 1}
 }
 
 const sec = time.Second
 
-// Several processes keep the rules while some of them, their ways and whole sites fail.
-func TestProcessesKeepTheRules(t *testing.T) {
-	asked := small(3, 6, fault(sec, "drain", 3*sec, "db1b"), fault(2*sec, "cut", 3*sec, "n=s"), fault(3*sec, "cut", 2*sec, "w>discovery"), fault(4*sec, "drain", 3*sec, "db2c"))
-	asked.Pushed, asked.Grace = false, 2*sec
+// TestRulesHoldUnderProcessAndLinkFaults checks that several routers violate no rule while processes, links and whole
+// sites fail.
+func TestRulesHoldUnderProcessAndLinkFaults(t *testing.T) {
+	polled := smallFleet(3, 6, newFault(sec, "drain", 3*sec, "db1b"), newFault(2*sec, "cut", 3*sec, "n=s"),
+		newFault(3*sec, "cut", 2*sec, "w>discovery"), newFault(4*sec, "drain", 3*sec, "db2c"))
+	polled.Pushed, polled.Grace = false, 2*sec
 	for name, c := range map[string]fleet.Config{
-		"a site is lost with its routers":  small(2, 4, fault(2*sec, "kill", 3*sec, "zone:s"), fault(2*sec, "crash", 3*sec, "routers:s")),
-		"two of three sites are parted":    asked,
-		"processes stop, end and start":    small(2, 4, fault(sec, "drain", 4*sec, "db1c"), fault(1500*time.Millisecond, "freeze", 1200*time.Millisecond, "r1"), fault(2*sec, "term", 6*sec, "r2"), fault(3*sec, "crash", sec, "r3")),
-		"ways are slow, reset and lost":    small(2, 4, fleet.Fault{At: sec, What: "delay", For: 3 * sec, Who: []string{"n=s"}, Delay: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}, fleet.Fault{At: 2 * sec, What: "trickle", For: 3 * sec, Who: []string{"r1=db1a"}, Rate: 3000}, fault(3*sec, "reset", 0, "r2=s"), fault(4*sec, "lose", 0, "r3=n")),
-		"a drain while agents are cut off": small(2, 4, fault(sec, "cut", 3*sec, "n=discovery"), fault(1500*time.Millisecond, "drain", 5*sec, "db1b"), fault(2*sec, "crash", sec, "r1")),
+		"a site is lost with its routers": smallFleet(2, 4, newFault(2*sec, "kill", 3*sec, "zone:s"),
+			newFault(2*sec, "crash", 3*sec, "routers:s")),
+		"two of three sites are partitioned": polled,
+		"processes stop, end and start": smallFleet(2, 4, newFault(sec, "drain", 4*sec, "db1c"),
+			newFault(1500*time.Millisecond, "freeze", 1200*time.Millisecond, "r1"),
+			newFault(2*sec, "term", 6*sec, "r2"), newFault(3*sec, "crash", sec, "r3")),
+		"links are slow, reset and blackholed": smallFleet(2, 4,
+			fleet.Fault{At: sec, What: "delay", For: 3 * sec, Who: []string{"n=s"}, Delay: 30 * time.Millisecond,
+				Jitter: 20 * time.Millisecond},
+			fleet.Fault{At: 2 * sec, What: "trickle", For: 3 * sec, Who: []string{"r1=db1a"}, Rate: 3000},
+			newFault(3*sec, "reset", 0, "r2=s"), newFault(4*sec, "lose", 0, "r3=n")),
+		"a drain while agents are cut off": smallFleet(2, 4, newFault(sec, "cut", 3*sec, "n=discovery"),
+			newFault(1500*time.Millisecond, "drain", 5*sec, "db1b"), newFault(2*sec, "crash", sec, "r1")),
 	} {
 		t.Run(name, func(t *testing.T) {
-			res := played(t, c, nil)
+			res := runFleet(t, c, nil)
 			for _, b := range res.Broken {
 				t.Error(b)
 			}
 			if res.Whole < 0.5 {
-				t.Errorf("whole %.2f", res.Whole)
+				t.Errorf("got %.2f of the priority weight, want at least 0.5", res.Whole)
 			}
 			steps := 0
 			for _, e := range res.History {
@@ -91,35 +103,38 @@
 				}
 			}
 			if steps < len(c.Faults) {
-				t.Errorf("%d steps of %d faults", steps, len(c.Faults))
+				t.Errorf("got %d steps, want at least one for each of %d faults", steps, len(c.Faults))
 			}
-			if p, err := os.ReadFile(res.Timeline); err != nil || !bytes.Contains(p, []byte("r1.1 ")) || !bytes.Contains(p, []byte(" rig ")) {
-				t.Errorf("the timeline: %v", err)
+			if p, err := os.ReadFile(res.Timeline); err != nil || !bytes.Contains(p, []byte("r1.1 ")) ||
+				!bytes.Contains(p, []byte(" rig ")) {
+				t.Errorf("timeline: got error %v or no lines of r1 or rig, want lines of both", err)
 			}
 			if t.Failed() {
-				keep(t, res.Timeline)
+				logTimeline(t, res.Timeline)
 			}
 		})
 	}
 }
 
-// keep shows the end of a timeline that broke a rule.
-func keep(t *testing.T, file string) {
+// logTimeline logs the lines of a timeline about steps, violations, sites and scheduling delays.
+func logTimeline(t *testing.T, file string) {
 	t.Helper()
 	p, _ := os.ReadFile(file)
 	for _, line := range strings.Split(string(p), "\n") {
-		if strings.Contains(line, "step:") || strings.Contains(line, "RULE") || strings.Contains(line, `msg="site`) || strings.Contains(line, "longest waits") {
+		if strings.Contains(line, "step:") || strings.Contains(line, "RULE") || strings.Contains(line, `msg="site`) ||
+			strings.Contains(line, "longest waits") {
 			t.Log(line)
 		}
 	}
 }
 
-// Each router that is left takes a site for lost that is, and for returning once it is back; those that are parted from it take it for
-// unreachable, and none takes its own site, or a third one, for lost.
-func TestSurvivorsJudgeSites(t *testing.T) {
-	c := small(3, 6, fault(2*sec, "kill", 3*sec, "zone:s"), fault(2*sec, "crash", 0, "routers:s"))
+// TestRoutersDetectSiteLossAndReturn checks that after the loss of a site each router of the other sites reports it as
+// lost, and as returning once it is back, and that no router reports another site as lost.
+func TestRoutersDetectSiteLossAndReturn(t *testing.T) {
+	c := smallFleet(3, 6, newFault(2*sec, "kill", 3*sec, "zone:s"), newFault(2*sec, "crash", 0, "routers:s"))
 	c.Banks, c.Use, c.Length = 3, 0.3, 11*sec
-	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond, Deploy: "[sites]\nwatch = true\n"})
+	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
+		Deploy: "[sites]\nwatch = true\n"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,41 +146,43 @@
 		t.Fatal(err)
 	}
 	line := regexp.MustCompile(`(?m)^ *([0-9.]+)  (r[0-9])\.1 .* msg="site state changed" .*site=(\w+) from=(\w+) to=(\w+)`)
-	lost, back := map[string]string{}, map[string]bool{}
+	lostAt, returned := map[string]string{}, map[string]bool{}
 	for _, m := range line.FindAllStringSubmatch(string(p), -1) {
 		at, router, site, to := m[1], m[2], m[3], m[5]
 		if site != "s" && to == "lost" {
-			t.Errorf("%s takes %s for lost at %s s", router, site, at)
+			t.Errorf("got %s reporting %s as lost at %s s, want only s", router, site, at)
 		}
-		if to == "lost" && lost[router] == "" {
-			lost[router] = at
+		if to == "lost" && lostAt[router] == "" {
+			lostAt[router] = at
 		}
-		back[router] = back[router] || to == "returning"
+		returned[router] = returned[router] || to == "returning"
 	}
-	for _, r := range []string{"r1", "r3", "r4", "r6"} { // r2 and r5 stood in s
-		if lost[r] == "" || !back[r] {
-			t.Errorf("%s: lost at %q s, returning %v", r, lost[r], back[r])
+	for _, r := range []string{"r1", "r3", "r4", "r6"} { // r2 and r5 are in s
+		if lostAt[r] == "" || !returned[r] {
+			t.Errorf("%s: got lost at %q s, returning %v; want both", r, lostAt[r], returned[r])
 		}
 	}
-	t.Logf("lost at %v", lost)
+	t.Logf("lost at %v", lostAt)
 	if t.Failed() {
-		keep(t, res.Timeline)
+		logTimeline(t, res.Timeline)
 	}
 }
 
-// A rule that processes break is seen: routers that hear of no list go on sending to a machine that drains.
-func TestRigSeesABrokenRule(t *testing.T) {
+// TestDriverReportsViolations checks that the driver reports a violation: routers that can't reach discovery go on
+// sending to draining endpoints.
+func TestDriverReportsViolations(t *testing.T) {
 	address := regexp.MustCompile(`"discovery": "[^"]*"`)
-	c := small(2, 4, fault(sec, "drain", 0, "db1b", "db2c"))
+	c := smallFleet(2, 4, newFault(sec, "drain", 0, "db1b", "db2c"))
 	c.Length = 5 * sec
-	res := played(t, c, func(p []byte) []byte { return address.ReplaceAll(p, []byte(`"discovery": "127.0.0.1:1"`)) })
+	res := runFleet(t, c, func(p []byte) []byte { return address.ReplaceAll(p, []byte(`"discovery": "127.0.0.1:1"`)) })
 	if !slices.ContainsFunc(res.Broken, func(b check.Violation) bool { return b.Rule == "drain" }) || res.Worth != 0 {
-		t.Fatalf("worth %.2f, %v", res.Worth, res.Broken)
+		t.Fatalf("got worth %.2f and violations %v, want 0 and one of the rule drain", res.Worth, res.Broken)
 	}
 }
 
-// What a rig can't play is said in one line that names it.
-func TestRigRefuses(t *testing.T) {
+// TestUnsupportedConfigNamesField checks that the error of an unsupported configuration is one line that names the
+// field.
+func TestUnsupportedConfigNamesField(t *testing.T) {
 	for field, set := range map[string]func(c *fleet.Config){
 		"routers:": func(c *fleet.Config) { c.Routers = 13 },
 		"banks:":   func(c *fleet.Config) { c.Banks = 50 },
@@ -175,38 +192,42 @@
 	} {
 		c := Base(2, 2)
 		set(&c)
-		if _, err := Run(Options{Config: c, Program: program, Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
+		if _, err := Run(Options{Config: c, Program: program, Dir: t.TempDir()}); err == nil ||
+			!strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("got %[2]v, want an error of one line that names %[1]q", field, err)
 		}
 	}
-	if _, err := fleet.Run(small(2, 2, fault(sec, "freeze", sec, "r1")), 1); err == nil || !strings.Contains(err.Error(), "freeze") {
+	if _, err := fleet.Run(smallFleet(2, 2, newFault(sec, "freeze", sec, "r1")), 1); err == nil ||
+		!strings.Contains(err.Error(), "freeze") {
 		t.Error(err)
 	}
 }
 
-// A random script is the same for the same seed, and says itself as a scenario that reads back to the same.
-func TestRandomScripts(t *testing.T) {
+// TestRandomScriptsLoadAndRepeat checks that a seed always gives the same script, and that the script is a valid
+// scenario which gives the same script again.
+func TestRandomScriptsLoadAndRepeat(t *testing.T) {
 	for seed := range uint64(200) {
 		c := Random(seed)
 		text := Script(c)
 		if text != Script(Random(seed)) {
-			t.Fatalf("seed %d is drawn in two ways", seed)
+			t.Fatalf("seed %d: got two different scripts, want the same", seed)
 		}
 		s, err := scenario.Load("x.star", []byte(text))
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, text)
 		}
 		if got := Script(s.Config); got != text {
-			t.Fatalf("seed %d reads back as\n%s\nnot\n%s", seed, got, text)
+			t.Fatalf("seed %d: got after loading\n%s\nwant\n%s", seed, got, text)
 		}
 	}
 }
 
-// The scripts that are shipped for a rig can be read, say what they expect, and stay within what it plays.
+// TestShippedScripts checks that each scenario in scenarios/rig loads, has expectations and stays within the limits of
+// the driver.
 func TestShippedScripts(t *testing.T) {
 	files, _ := filepath.Glob("../../../scenarios/rig/*.star")
 	if len(files) == 0 {
-		t.Fatal("none")
+		t.Fatal("found no scenario in scenarios/rig")
 	}
 	for _, file := range files {
 		src, err := os.ReadFile(file)
@@ -217,17 +238,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c := s.Config; s.About == "" || len(s.Expectations) == 0 || len(c.Faults) == 0 || c.Routers > maxRouters || c.Banks*c.Members > maxEndpoints {
-			t.Errorf("%s: %+v", file, s.Expectations)
+		if c := s.Config; s.About == "" || len(s.Expectations) == 0 || len(c.Faults) == 0 || c.Routers > maxRouters ||
+			c.Banks*c.Members > maxEndpoints {
+			t.Errorf("%s: got expectations %+v; want a description, expectations, faults and a supported size", file,
+				s.Expectations)
 		}
 	}
 }
 
-// Shrinking leaves the faults without which no rule is broken, in no more runs than allowed.
+// TestShrink checks that only the faults remain without which no rule is broken, and that the limit of runs is kept.
 func TestShrink(t *testing.T) {
 	c := Base(2, 4)
 	for i := range 6 {
-		c.Faults = append(c.Faults, fault(time.Duration(i)*sec, "drain", sec, fmt.Sprintf("db1%c", 'a'+i%3)))
+		c.Faults = append(c.Faults, newFault(time.Duration(i)*sec, "drain", sec, fmt.Sprintf("db1%c", 'a'+i%3)))
 	}
 	runs := 0
 	play := func(o Options) (*Result, error) {
@@ -241,14 +264,15 @@
 		return &Result{}, nil
 	}
 	got, err := Shrink(Options{Config: c}, 12, play)
-	if err != nil || len(got.Faults) != 2 || got.Faults[0].At != sec || got.Faults[1].At != 4*sec || len(c.Faults) != 6 {
-		t.Fatalf("%v %v", got.Faults, err)
+	if err != nil || len(got.Faults) != 2 || got.Faults[0].At != sec || got.Faults[1].At != 4*sec ||
+		len(c.Faults) != 6 {
+		t.Fatalf("got faults %v and error %v, want the faults at 1 s and 4 s and an unchanged input", got.Faults, err)
 	}
 	runs = 0
 	if _, err := Shrink(Options{Config: c}, 2, play); err != nil {
 		t.Fatal(err)
 	}
 	if runs != 2 {
-		t.Errorf("%d runs", runs)
+		t.Errorf("got %d runs, want 2", runs)
 	}
 }
--- a/internal/simulation/multiprocess/scheduling.go
+++ b/internal/simulation/multiprocess/scheduling.go
@@ -14,13 +14,12 @@
 
 const (
 	schedulingInterval = 100 * time.Millisecond // between two measurements
-	notableDelay       = 50 * time.Millisecond  // of a process in one interval: shorter ones are not noted
-	driverName         = "driver"               // the process of clients, proxies, endpoints and discovery
+	notableDelay       = 50 * time.Millisecond  // per process and interval; shorter ones are not in the history
+	driverName         = "driver"               // the process that simulates clients, proxies, endpoints and discovery
 )
 
-// SchedulingDelays are the longest times for which the machine kept each process waiting for a processor in a run: the
-// routers by their names, and the driver. A run in which they are long says little of the routers: the driver was late
-// as well.
+// SchedulingDelays holds the longest time for which each process waited for a processor in a run: the routers by their
+// names, and the driver. A run with long delays shows little about the routers, because the driver was late as well.
 type SchedulingDelays map[string]time.Duration
 
 // String lists the delays by name.
@@ -32,8 +31,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// note keeps a delay if it is the longest of the process.
-func (d SchedulingDelays) note(process string, delay time.Duration) {
+// update records a delay if it is the longest of the process.
+func (d SchedulingDelays) update(process string, delay time.Duration) {
 	d[process] = max(d[process], delay)
 }
 
@@ -42,10 +41,10 @@
 	log     *history.Log
 	routers []*process
 	delays  SchedulingDelays
-	waits   map[string]time.Duration // of each thread since its start, by the folder in /proc that tells it
+	waits   map[string]time.Duration // total of each thread since its start, by its folder in /proc
 }
 
-// watchScheduling measures until stop is closed, and then hands over the longest delays.
+// watchScheduling measures until stop is closed, and then sends the longest delays.
 func watchScheduling(log *history.Log, routers []*process, stop <-chan struct{}) <-chan SchedulingDelays {
 	result := make(chan SchedulingDelays, 1)
 	m := &schedulingMonitor{log: log, routers: routers, delays: SchedulingDelays{}, waits: map[string]time.Duration{}}
@@ -64,25 +63,25 @@
 			return
 		case <-time.After(schedulingInterval):
 		}
-		m.note(driverName, time.Since(due))
+		m.record(driverName, time.Since(due))
 		for _, router := range m.routers {
 			if pid, ok := router.pid(); ok {
-				m.note(router.Name, m.longestWait(pid))
+				m.record(router.Name, m.longestWait(pid))
 			}
 		}
 	}
 }
 
-// note adds a notable delay to the history.
-func (m *schedulingMonitor) note(process string, delay time.Duration) {
-	m.delays.note(process, delay)
+// record records a delay, and adds it to the history if it is notable.
+func (m *schedulingMonitor) record(process string, delay time.Duration) {
+	m.delays.update(process, delay)
 	if delay >= notableDelay {
 		m.log.Add(history.SchedulingDelay{Process: process, Delay: delay})
 	}
 }
 
 // longestWait returns how long the thread of a process that waited longest has waited for a processor since the last
-// call. It is 0 where the system does not tell.
+// call. It is 0 if the system doesn't provide the figures.
 func (m *schedulingMonitor) longestWait(pid int) time.Duration {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
--- a/internal/simulation/multiprocess/timeline.go
+++ b/internal/simulation/multiprocess/timeline.go
@@ -11,8 +11,8 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// write leaves one timeline of the history and of each process's own log.
-func (r *Driver) write(res *Result) error {
+// writeTimeline writes one timeline of the history, the violations and the logs of all processes.
+func (r *Driver) writeTimeline(res *Result) error {
 	var lines []history.TimelineEntry
 	for _, e := range res.History {
 		lines = append(lines, history.TimelineEntry{Time: e.Time, Origin: "rig", Text: e.Fact.String()})
@@ -25,7 +25,7 @@
 	for _, b := range res.Broken {
 		lines = append(lines, history.TimelineEntry{Time: b.Time, Origin: "RULE", Text: b.String()})
 	}
-	logs, err := filepath.Glob(filepath.Join(r.o.Dir, "r*", "log.*"))
+	logs, err := filepath.Glob(filepath.Join(r.options.Dir, "r*", "log.*"))
 	if err != nil {
 		return err
 	}
@@ -37,13 +37,14 @@
 		}
 		from := filepath.Base(filepath.Dir(name)) + "." + strings.TrimPrefix(filepath.Base(name), "log.")
 		for s := bufio.NewScanner(f); s.Scan(); {
-			if at, ok := stamp(s.Text()); ok {
-				lines = append(lines, history.TimelineEntry{Time: at.Sub(r.log.Started()), Origin: from, Text: s.Text()})
+			if at, ok := logTime(s.Text()); ok {
+				lines = append(lines, history.TimelineEntry{Time: at.Sub(r.log.Started()), Origin: from,
+					Text: s.Text()})
 			}
 		}
 		_ = f.Close() // it was only read
 	}
-	res.Timeline = filepath.Join(r.o.Dir, "timeline.txt")
+	res.Timeline = filepath.Join(r.options.Dir, "timeline.txt")
 	f, err := os.Create(res.Timeline)
 	if err != nil {
 		return err
@@ -55,8 +56,8 @@
 	return err
 }
 
-// stamp is the time of a line of the program's log.
-func stamp(line string) (time.Time, bool) {
+// logTime returns the time of a line of the router's log.
+func logTime(line string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(line, "time=")
 	if !ok {
 		return time.Time{}, false
