--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -68,8 +68,10 @@
 		want balance.Status
 		also balance.Status // a second acceptable status, StatusDone = none
 	}{
-		{name: "during the startup", at: startup, act: testserver.Act{CloseConnection: true},
-			want: balance.StatusConnectFailed},
+		{
+			name: "during the startup", at: startup, act: testserver.Act{CloseConnection: true},
+			want: balance.StatusConnectFailed,
+		},
 		{name: "silent startup", at: startup, act: testserver.Act{Silent: true}, want: balance.StatusConnectFailed},
 		{name: "before the response", at: 'Q', act: testserver.Act{CloseConnection: true}, want: balance.StatusReset},
 		{name: "within the response", at: 'Q', act: testserver.Act{TruncateAt: 30}, want: balance.StatusReset},
