--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -50,8 +50,10 @@
 		}
 		drawn -= f.cfg.Classes[i].Share
 	}
-	q := &request{fleet: f, id: f.lastRequestID, class: k, session: &f.sessions[f.clientRNG.IntN(len(f.sessions))],
-		work: max(time.Microsecond, k.Work.Draw(f.clientRNG)), arrivedAt: f.clock.Now()}
+	q := &request{
+		fleet: f, id: f.lastRequestID, class: k, session: &f.sessions[f.clientRNG.IntN(len(f.sessions))],
+		work: max(time.Microsecond, k.Work.Draw(f.clientRNG)), arrivedAt: f.clock.Now(),
+	}
 	q.group = int64(q.session.group + 1)
 	q.deadline = q.arrivedAt + k.ClientTimeout
 	f.inFlight++
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -108,8 +108,10 @@
 
 // The kinds of faults. MultiprocessFaults affect processes or sockets, which only a multi-process test has.
 var (
-	Faults = []string{"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers",
-		"suspend"}
+	Faults = []string{
+		"kill", "hang", "drain", "slow", "sick", "remove", "add", "cut", "discovery", "routers",
+		"suspend",
+	}
 	MultiprocessFaults = []string{"crash", "freeze", "term", "delay", "trickle", "reset", "lose"}
 )
 
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -20,8 +20,10 @@
 
 func newDirectory(f *Fleet) *directory {
 	d := &directory{fleet: f}
-	d.Registry = model.NewRegistry(f.world, model.NoticeDelays{Change: f.cfg.Notice,
-		Silent: f.cfg.Silent, Role: f.cfg.RoleLag},
+	d.Registry = model.NewRegistry(f.world, model.NoticeDelays{
+		Change: f.cfg.Notice,
+		Silent: f.cfg.Silent, Role: f.cfg.RoleLag,
+	},
 		f.drawDuration, func(i int) {
 			e := endpointEntry(d.Entries[i])
 			for _, r := range f.routers {
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -66,8 +66,10 @@
 	f.scheduleFaults(cfg.Faults)
 	for _, s := range cfg.Shape {
 		f.clock.At(startTime+s.At, func() {
-			f.observer.marks = append(f.observer.marks, Mark{At: s.At,
-				Text: fmt.Sprintf("load %g times the usual", s.Part)})
+			f.observer.marks = append(f.observer.marks, Mark{
+				At:   s.At,
+				Text: fmt.Sprintf("load %g times the usual", s.Part),
+			})
 		})
 	}
 	f.scheduleArrival()
@@ -250,8 +252,10 @@
 
 // injectFault injects a fault.
 func (f *Fleet) injectFault(x Fault) {
-	f.observer.marks = append(f.observer.marks, Mark{At: f.clock.Now() - startTime,
-		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For})
+	f.observer.marks = append(f.observer.marks, Mark{
+		At:   f.clock.Now() - startTime,
+		Text: strings.TrimSpace(x.What + " " + strings.Join(x.Who, " ")), For: x.For,
+	})
 	switch x.What {
 	case "discovery":
 		f.directory.downUntil = f.clock.Now() + x.For
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -127,10 +127,14 @@
 	// Each rule is violated by calls on an idle fleet.
 	f := idleFleet(t)
 	m, rt := f.world.Endpoints[1], f.routers[0]
-	write := &request{fleet: f, id: 1, class: &f.cfg.Classes[4], session: &f.sessions[0],
-		copiesInFlight: 1, executions: 1}
-	read := &request{fleet: f, id: 2, class: &f.cfg.Classes[1], session: &f.sessions[0], minPosition: f.clock.Now(),
-		arrivedAt: startTime, router: rt, incarnation: rt.incarnation}
+	write := &request{
+		fleet: f, id: 1, class: &f.cfg.Classes[4], session: &f.sessions[0],
+		copiesInFlight: 1, executions: 1,
+	}
+	read := &request{
+		fleet: f, id: 2, class: &f.cfg.Classes[1], session: &f.sessions[0], minPosition: f.clock.Now(),
+		arrivedAt: startTime, router: rt, incarnation: rt.incarnation,
+	}
 	p := rt.backend(m.ID)
 	f.checkSend(rt, write, p)
 	twice := &request{fleet: f, id: 4, class: &f.cfg.Classes[0], session: &f.sessions[0]}
@@ -269,8 +273,10 @@
 		m.Connect(func(_, _ bool, epoch int) { p.idle = append(p.idle, conn{epoch, f.clock.Now()}) })
 		f.clock.Run(f.clock.Now() + 50*time.Millisecond)
 		before := m.Served()
-		q := &request{fleet: f, id: 1 << 20, class: &f.cfg.Classes[0], group: 1, session: &f.sessions[0],
-			work: 50 * time.Millisecond, arrivedAt: f.clock.Now(), deadline: f.clock.Now() + time.Second}
+		q := &request{
+			fleet: f, id: 1 << 20, class: &f.cfg.Classes[0], group: 1, session: &f.sessions[0],
+			work: 50 * time.Millisecond, arrivedAt: f.clock.Now(), deadline: f.clock.Now() + time.Second,
+		}
 		f.observer.requestArrived(q)
 		ended := 0
 		f.clock.After(when, func() { f.cutLinks["a>db1a"] = true })
@@ -376,11 +382,15 @@
 		least, most float64
 	}{
 		"no fault": {nil, 0.99, 1},
-		"a primary is lost": {[]Fault{{At: 5 * time.Second, What: "kill",
-			Who: []string{"primary:1"}}}, 0.85, 0.99},
+		"a primary is lost": {[]Fault{{
+			At: 5 * time.Second, What: "kill",
+			Who: []string{"primary:1"},
+		}}, 0.85, 0.99},
 		"a replica group is lost": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"bank:1"}}}, 0.4, 0.85},
-		"all endpoints are slow": {[]Fault{{At: 5 * time.Second, What: "slow",
-			Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2}}, 0.3, 0.8},
+		"all endpoints are slow": {[]Fault{{
+			At: 5 * time.Second, What: "slow",
+			Who: []string{"bank:1", "bank:2", "bank:3", "bank:4"}, Part: 0.2,
+		}}, 0.3, 0.8},
 		"a replica is lost": {[]Fault{{At: 5 * time.Second, What: "kill", Who: []string{"db1b"}}}, 0.99, 1},
 	} {
 		c := Default()
--- a/internal/simulation/fleet/observe.go
+++ b/internal/simulation/fleet/observe.go
@@ -94,12 +94,16 @@
 }
 
 func (f *Fleet) startObserver() {
-	f.observer = observer{fleet: f, openRequests: map[int]*request{},
-		violations: map[string]int{}, classes: map[string]*Tally{}}
+	f.observer = observer{
+		fleet: f, openRequests: map[int]*request{},
+		violations: map[string]int{}, classes: map[string]*Tally{},
+	}
 	f.observer.seconds = make([]Second, int((f.cfg.Length+time.Second-1)/time.Second))
-	f.observer.bound = upperBound{pending: map[int64][]cohort{},
+	f.observer.bound = upperBound{
+		pending:       map[int64][]cohort{},
 		worthBySecond: make([]float64, len(f.observer.seconds)),
-		worthByClass:  map[string]float64{}}
+		worthByClass:  map[string]float64{},
+	}
 	for _, k := range f.cfg.Classes {
 		f.observer.classes[k.Name] = &Tally{}
 	}
@@ -109,8 +113,10 @@
 			down[m] = isDown
 			if isDown && strings.HasPrefix(m.Cause(), "pushed over") {
 				f.observer.overloads++
-				f.observer.marks = append(f.observer.marks, Mark{At: f.clock.Now() - startTime,
-					Text: m.ID + " " + m.Cause()})
+				f.observer.marks = append(f.observer.marks, Mark{
+					At:   f.clock.Now() - startTime,
+					Text: m.ID + " " + m.Cause(),
+				})
 				if m.WarmingUp() {
 					f.observer.reportViolation("cold", "%s was %s", m.ID, m.Cause())
 				}
@@ -272,8 +278,10 @@
 	for _, q := range o.unanswered() {
 		o.reportViolation("lost", "request %d of %s has no answer", q.id, q.class.Name)
 	}
-	res := &Result{Seed: f.seed, Count: f.count, Tally: o.classes, Rules: o.violations,
-		Words: o.violationTexts, Seconds: o.seconds, Series: o.series, Marks: o.marks, Pushed: o.overloads}
+	res := &Result{
+		Seed: f.seed, Count: f.count, Tally: o.classes, Rules: o.violations,
+		Words: o.violationTexts, Seconds: o.seconds, Series: o.series, Marks: o.marks, Pushed: o.overloads,
+	}
 	res.Whole, res.Window, res.Class, res.Worst = Score(o.seconds, o.classes)
 	res.Worth = 0.5*res.Whole + 0.3*res.Window + 0.2*res.Class
 	res.Tops = o.bound.worthBySecond
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -194,8 +194,10 @@
 
 // Start implements router.Backends.
 func (r *instance) Start(a router.Attempt, done func(router.Result)) router.AttemptHandle {
-	c := &attempt{router: r, backend: r.backend(a.Endpoint),
-		request: a.Job.(*request), done: done, notAfter: a.NotAfter}
+	c := &attempt{
+		router: r, backend: r.backend(a.Endpoint),
+		request: a.Job.(*request), done: done, notAfter: a.NotAfter,
+	}
 	r.fleet.count.Attempts++
 	if c.request.openAttempts++; c.request.openAttempts > 1 {
 		r.fleet.observer.reportViolation("attempts", "%v has %d attempts of request %d out",
@@ -290,8 +292,10 @@
 	if m.WasPrimary() && !c.backend.knownReplica {
 		requiredPosition = 0 // allowed by the contract: no answer has shown this router that it is a replica
 	}
-	c.statement = &model.Statement{Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite,
-		BlocksApply: q.class.Long, Deadline: q.deadline}
+	c.statement = &model.Statement{
+		Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite,
+		BlocksApply: q.class.Long, Deadline: q.deadline,
+	}
 	if r.fleet.cfg.Checks != balance.FreshnessCheckNone {
 		c.statement.MinPosition = minPosition
 	}
@@ -417,8 +421,10 @@
 				timeout.Stop()
 				res := router.Result{Status: balance.StatusConnectFailed}
 				if ok {
-					res = router.Result{Status: balance.StatusDone, Position: report.Position,
-						Role: balance.RoleReplica, Utilization: report.Utilization}
+					res = router.Result{
+						Status: balance.StatusDone, Position: report.Position,
+						Role: balance.RoleReplica, Utilization: report.Utilization,
+					}
 					if report.Primary {
 						res.Role = balance.RolePrimary
 					}
--- a/internal/simulation/multiprocess/driver.go
+++ b/internal/simulation/multiprocess/driver.go
@@ -134,8 +134,10 @@
 // addRouter creates a router's links, discovery view and files, and starts it.
 func (r *Driver) addRouter(i int, name, site string) error {
 	cfg := &r.options.Config
-	process := &process{Name: name, Site: site, dir: filepath.Join(r.options.Dir, name), program: r.options.Program,
-		log: r.log}
+	process := &process{
+		Name: name, Site: site, dir: filepath.Join(r.options.Dir, name), program: r.options.Program,
+		log: r.log,
+	}
 	peer := faultproxy.Peer{Name: name, Site: site}
 	r.peers[name] = peer
 	if err := os.MkdirAll(process.dir, 0o700); err != nil {
@@ -160,13 +162,15 @@
 		}
 		endpointLinks[id] = l
 	}
-	view := &discoveryView{host: r.host, network: r.network, log: r.log, router: process, pushed: cfg.Pushed,
+	view := &discoveryView{
+		host: r.host, network: r.network, log: r.log, router: process, pushed: cfg.Pushed,
 		linkAddress: func(id string) string {
 			if l := endpointLinks[id]; l != nil {
 				return l.Address
 			}
 			return ""
-		}}
+		},
+	}
 	if err := view.start(); err != nil {
 		return err
 	}
--- a/internal/simulation/multiprocess/rig_test.go
+++ b/internal/simulation/multiprocess/rig_test.go
@@ -45,8 +45,10 @@
 // runFleet runs a fleet and returns its result.
 func runFleet(t *testing.T, c fleet.Config, harm func([]byte) []byte) *Result {
 	t.Helper()
-	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
-		Harm: harm})
+	res, err := Run(Options{
+		Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
+		Harm: harm,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +83,10 @@
 			newFault(1500*time.Millisecond, "freeze", 1200*time.Millisecond, "r1"),
 			newFault(2*sec, "term", 6*sec, "r2"), newFault(3*sec, "crash", sec, "r3")),
 		"links are slow, reset and blackholed": smallFleet(2, 4,
-			fleet.Fault{At: sec, What: "delay", For: 3 * sec, Who: []string{"n=s"}, Delay: 30 * time.Millisecond,
-				Jitter: 20 * time.Millisecond},
+			fleet.Fault{
+				At: sec, What: "delay", For: 3 * sec, Who: []string{"n=s"}, Delay: 30 * time.Millisecond,
+				Jitter: 20 * time.Millisecond,
+			},
 			fleet.Fault{At: 2 * sec, What: "trickle", For: 3 * sec, Who: []string{"r1=db1a"}, Rate: 3000},
 			newFault(3*sec, "reset", 0, "r2=s"), newFault(4*sec, "lose", 0, "r3=n")),
 		"a drain while agents are cut off": smallFleet(2, 4, newFault(sec, "cut", 3*sec, "n=discovery"),
@@ -133,8 +137,10 @@
 func TestRoutersDetectSiteLossAndReturn(t *testing.T) {
 	c := smallFleet(3, 6, newFault(2*sec, "kill", 3*sec, "zone:s"), newFault(2*sec, "crash", 0, "routers:s"))
 	c.Banks, c.Use, c.Length = 3, 0.3, 11*sec
-	res, err := Run(Options{Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
-		Deploy: "[sites]\nwatch = true\n"})
+	res, err := Run(Options{
+		Config: c, Seed: 1, Program: program, Dir: t.TempDir(), Notice: 500 * time.Millisecond,
+		Deploy: "[sites]\nwatch = true\n",
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/multiprocess/scheduling_test.go
+++ b/internal/simulation/multiprocess/scheduling_test.go
@@ -19,14 +19,14 @@
 	m.record("driver", 2*time.Second)
 	m.record("driver", notableDelay)
 	if text := m.delays.String(); text != "driver 2s, r1 25ms" {
-		t.Errorf("got delays %q, want the longest of each process", text)
+		t.Error(text)
 	}
 	var noted []string
 	for _, entry := range log.Entries() {
 		noted = append(noted, entry.Fact.String())
 	}
 	if got := strings.Join(noted, "; "); got != "driver waited 2s for a processor; driver waited 50ms for a processor" {
-		t.Errorf("got history %q, want only the notable delays", got)
+		t.Error(got)
 	}
 }
 
--- a/internal/simulation/multiprocess/sites_test.go
+++ b/internal/simulation/multiprocess/sites_test.go
@@ -164,9 +164,12 @@
 			}
 			return faults
 		}, ""},
-		"a cut in one direction": {use(smallFleet(3, 6, newFault(2*sec, "cut", 4*sec, "s>n")), 3, 0.25, 10*sec), 0.3,
-			noSiteLost("w"), ""},
-		"a router is partitioned from all others": {isolated, 0.3,
+		"a cut in one direction": {
+			use(smallFleet(3, 6, newFault(2*sec, "cut", 4*sec, "s>n")), 3, 0.25, 10*sec), 0.3,
+			noSiteLost("w"), "",
+		},
+		"a router is partitioned from all others": {
+			isolated, 0.3,
 			func(all []siteTransition, _ string) (faults []string) {
 				for _, m := range all {
 					if m.to == "lost" && m.router != "r1" {
@@ -174,7 +177,8 @@
 					}
 				}
 				return faults
-			}, ""},
+			}, "",
+		},
 		"site loss during a deployment": {deployment, 0.3, noSiteLost("w", "n"), ""},
 		"site loss during a burst":      {burst, 0.3, onlySiteLost("s", "r1", "r3", "r4", "r6"), ""},
 		"all sites are slow": {use(smallFleet(3, 6,
@@ -212,8 +216,10 @@
 			if c.config.Routers < 4 {
 				t.Fatalf("got %d routers, want at least 4", c.config.Routers)
 			}
-			res, err := Run(Options{Config: c.config, Seed: 1, Program: program, Dir: t.TempDir(),
-				Notice: 500 * time.Millisecond, Deploy: siteFailoverDeploy + c.extraDeploy})
+			res, err := Run(Options{
+				Config: c.config, Seed: 1, Program: program, Dir: t.TempDir(),
+				Notice: 500 * time.Millisecond, Deploy: siteFailoverDeploy + c.extraDeploy,
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/multiprocess/timeline.go
+++ b/internal/simulation/multiprocess/timeline.go
@@ -38,8 +38,10 @@
 		from := filepath.Base(filepath.Dir(name)) + "." + strings.TrimPrefix(filepath.Base(name), "log.")
 		for s := bufio.NewScanner(f); s.Scan(); {
 			if at, ok := logTime(s.Text()); ok {
-				lines = append(lines, history.TimelineEntry{Time: at.Sub(r.log.Started()), Origin: from,
-					Text: s.Text()})
+				lines = append(lines, history.TimelineEntry{
+					Time: at.Sub(r.log.Started()), Origin: from,
+					Text: s.Text(),
+				})
 			}
 		}
 		_ = f.Close() // it was only read
