--- a/internal/simulation/multiprocess/discovery_view.go
+++ b/internal/simulation/multiprocess/discovery_view.go
@@ -25,7 +25,7 @@
 	log           *history.Log
 	router        *process
 	pushed        bool
-	linkAddress   func(machine string) string
+	linkAddress   func(endpoint string) string
 	server        *http.Server
 	listenAddress string
 	stopped       chan struct{}
--- a/internal/simulation/multiprocess/driver.go
+++ b/internal/simulation/multiprocess/driver.go
@@ -22,7 +22,7 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// The largest numbers that a run starts.
+// The maximum numbers of routers and endpoints in a run.
 const (
 	maxRouters   = 12
 	maxEndpoints = 48
@@ -46,6 +46,8 @@
 
 // Result holds the statistics of a run.
 type Result struct {
+	// Whole, Window and Class are the earned share of the priority weight: of the whole run, of its worst 10 s, and of
+	// its worst class, which Worst names. Worth is their weighted sum, or 0 if a rule was broken.
 	Worth, Whole, Window, Class float64
 	Worst                       string
 	Tally                       map[string]*fleet.Tally
@@ -64,8 +66,8 @@
 	host      *emulator.Host
 	routers   []*process
 	views     []*discoveryView
-	peers     map[string]faultproxy.Peer
-	dialers   sync.Map // by remote address at an endpoint: the dialer of the connection
+	peers     map[string]faultproxy.Peer // by router; under "listen:" and a router, Name is its client address
+	dialers   sync.Map                   // by remote address at an endpoint: the dialer of the connection
 	startedAt time.Time
 	steps     sync.WaitGroup
 	stopped   chan struct{}
@@ -85,7 +87,7 @@
 	case c.Routers > maxRouters:
 		return nil, fmt.Errorf("routers: %d exceeds the maximum of %d", c.Routers, maxRouters)
 	case c.Banks*(c.Members+c.Spares) > maxEndpoints:
-		return nil, fmt.Errorf("banks: %d machines exceed the maximum of %d", c.Banks*(c.Members+c.Spares),
+		return nil, fmt.Errorf("banks: %d endpoints exceed the maximum of %d", c.Banks*(c.Members+c.Spares),
 			maxEndpoints)
 	}
 	for _, f := range c.Faults {
--- a/internal/simulation/multiprocess/process.go
+++ b/internal/simulation/multiprocess/process.go
@@ -35,7 +35,7 @@
 	p.log.Add(history.ProcessEvent{Router: p.Name, Incarnation: p.Incarnation(), Event: what, Duration: length})
 }
 
-// start starts the program. Of its earlier incarnation it keeps only the name and the addresses.
+// start starts the program as a new incarnation, which keeps only the name and the addresses of the earlier one.
 func (p *process) start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -46,15 +46,15 @@
 	if err != nil {
 		return err
 	}
-	life := p.incarnation.Add(1)
-	tmp := filepath.Join(p.dir, fmt.Sprint("tmp", life))
+	incarnation := p.incarnation.Add(1)
+	tmp := filepath.Join(p.dir, fmt.Sprint("tmp", incarnation))
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(p.dir, "config.json"), text, 0o600); err != nil {
 		return err
 	}
-	out, err := os.Create(filepath.Join(p.dir, fmt.Sprintf("log.%d", life)))
+	out, err := os.Create(filepath.Join(p.dir, fmt.Sprintf("log.%d", incarnation)))
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 
 func exitText(err error) string {
 	if err == nil {
-		return "in order"
+		return "exit status 0"
 	}
 	return err.Error()
 }
@@ -140,9 +140,9 @@
 	if !p.signal(syscall.SIGSTOP) {
 		return
 	}
-	life := p.Incarnation()
+	incarnation := p.Incarnation()
 	time.AfterFunc(length, func() {
-		if p.Incarnation() == life {
+		if p.Incarnation() == incarnation {
 			p.signal(syscall.SIGCONT)
 		}
 	})
@@ -150,7 +150,7 @@
 
 // terminate sends SIGTERM, and kills the process if it has not ended within the timeout.
 func (p *process) terminate(timeout time.Duration) {
-	p.recordEvent("is asked to end", timeout)
+	p.recordEvent("gets SIGTERM", timeout)
 	p.signal(syscall.SIGTERM)
 	if !p.waitForExit(timeout) {
 		p.kill()
--- a/internal/simulation/multiprocess/random.go
+++ b/internal/simulation/multiprocess/random.go
@@ -139,7 +139,8 @@
 	return strconv.FormatFloat(float64(d.Milliseconds())/1000, 'g', -1, 64)
 }
 
-// Shrink removes each fault without which a rule is still broken. It calls play at most maxRuns times.
+// Shrink tries to remove the faults one after the other, and removes each without which a rule is still broken. It
+// calls play at most maxRuns times.
 func Shrink(o Options, maxRuns int, play func(Options) (*Result, error)) (fleet.Config, error) {
 	shrunk := o.Config
 	for i := 0; i < len(shrunk.Faults) && maxRuns > 0; {
--- a/internal/simulation/multiprocess/scheduling.go
+++ b/internal/simulation/multiprocess/scheduling.go
@@ -44,7 +44,7 @@
 	waits   map[string]time.Duration // total of each thread since its start, by its folder in /proc
 }
 
-// watchScheduling measures until stop is closed, and then sends the longest delays.
+// watchScheduling measures scheduling delays until stop is closed, and then sends the longest delays.
 func watchScheduling(log *history.Log, routers []*process, stop <-chan struct{}) <-chan SchedulingDelays {
 	result := make(chan SchedulingDelays, 1)
 	m := &schedulingMonitor{log: log, routers: routers, delays: SchedulingDelays{}, waits: map[string]time.Duration{}}
@@ -80,7 +80,7 @@
 	}
 }
 
-// longestWait returns how long the thread of a process that waited longest has waited for a processor since the last
+// longestWait returns the longest time for which any thread of a process has waited for a processor since the last
 // call. It is 0 if the system doesn't provide the figures.
 func (m *schedulingMonitor) longestWait(pid int) time.Duration {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
--- a/internal/simulation/multiprocess/sites_test.go
+++ b/internal/simulation/multiprocess/sites_test.go
@@ -129,7 +129,7 @@
 				}
 			}
 			if got := routersReporting(all, "s", "returning"); len(got) < 3 {
-				faults = append(faults, fmt.Sprintf("only %v report its return", got))
+				faults = append(faults, fmt.Sprintf("only %v report the return of s", got))
 			}
 			return faults
 		}, ""},
@@ -193,7 +193,7 @@
 				"zone:s")), 3, 0.25, 13*sec), 0.3, func(all []siteTransition, log string) []string {
 			faults := onlySiteLost("s", "r1", "r3")(all, log)
 			if !strings.Contains(log, `msg="site recovery ramp changed" router=r1 site=s`) {
-				faults = append(faults, "no recovery ramp is seen at its return")
+				faults = append(faults, "r1 reports no recovery ramp when s returns")
 			}
 			return faults
 		}, ""},
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestSiteFailoverCases checks that in each case routers detect the loss of a site, shed load and ramp up its
-// return, and violate no rule.
+// TestSiteFailoverCases checks that in each case the routers violate no rule, earn the least share of the priority
+// weight, and report the site states that the case expects. All features of site failover are enabled.
 func TestSiteFailoverCases(t *testing.T) {
 	slots := make(chan bool, 3) // limits concurrent runs, which would overload the test machine
 	for name, c := range siteCases() {
--- a/internal/simulation/multiprocess/step.go
+++ b/internal/simulation/multiprocess/step.go
@@ -22,7 +22,7 @@
 	}()
 }
 
-// injectFault injects a fault.
+// injectFault injects a fault: into processes and links itself, any other through the emulator.
 func (r *Driver) injectFault(f fleet.Fault) {
 	text := strings.TrimSpace(f.What + " " + strings.Join(f.Who, " "))
 	r.log.Add(history.ScriptStep{Text: text})
@@ -95,14 +95,14 @@
 		for _, site := range r.options.Config.Zones {
 			c := faultproxy.Peer{Name: "clients:" + site, Site: site}
 			if matchDirection(from, to, c, router) || matchDirection(from, to, router, c) {
-				p.recordEvent("its way to "+c.Name+": "+what, length)
+				p.recordEvent("its link to "+c.Name+": "+what, length)
 				break
 			}
 		}
 	}
 }
 
-// matchDirection reports whether the patterns of a link match the direction from one peer to another.
+// matchDirection reports whether the patterns from and to match the direction from peer a to peer b.
 func matchDirection(from, to string, a, b faultproxy.Peer) bool {
 	return a.Matches(from) && b.Matches(to)
 }
--- a/internal/simulation/multiprocess/timeline.go
+++ b/internal/simulation/multiprocess/timeline.go
@@ -11,7 +11,8 @@
 	"limeladder/internal/simulation/multiprocess/history"
 )
 
-// writeTimeline writes one timeline of the history, the violations and the logs of all processes.
+// writeTimeline writes one timeline of the history, the violations and the logs of all processes. Log lines without a
+// time are left out.
 func (r *Driver) writeTimeline(res *Result) error {
 	var lines []history.TimelineEntry
 	for _, e := range res.History {
@@ -58,7 +59,7 @@
 	return err
 }
 
-// logTime returns the time of a line of the router's log.
+// logTime returns the time of a line of a router's log. It reports false if the line has none.
 func logTime(line string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(line, "time=")
 	if !ok {
