--- a/internal/simulation/multiprocess/check/check.go
+++ b/internal/simulation/multiprocess/check/check.go
@@ -24,7 +24,7 @@
 	ruleStaleness         = "stale"
 )
 
-// Limits are the time limits of the contract, including tolerances for what the test can't measure more exactly.
+// Limits are the time limits of the rules, including tolerances for what the test can't measure more exactly.
 type Limits struct {
 	DrainGrace          time.Duration // how long a router may send to an endpoint after it was notified that it drains
 	LateTolerance       time.Duration // how long after its timeout an answer may come
@@ -46,7 +46,7 @@
 // Check returns the violations of one rule in a complete history.
 type Check func(limits Limits, entries []history.Entry) []Violation
 
-// All are the rules of the contract.
+// All lists the checks of all rules.
 var All = []Check{
 	RequestEnds,
 	WritesExecutedOnce,
--- a/internal/simulation/multiprocess/check/endpoints.go
+++ b/internal/simulation/multiprocess/check/endpoints.go
@@ -23,7 +23,7 @@
 			sentAt := entry.Time - fact.TransitTime
 			if leaves && sentAt > notified+limits.DrainGrace {
 				violations = append(violations, violationf(ruleDraining, entry.Time,
-					"%s.%d sends %s to %s %v after it was told that it leaves",
+					"%s.%d sends %s to %s %v after it was notified that the endpoint is draining or gone",
 					fact.Router, fact.Incarnation, fact.ID, fact.Endpoint, sentAt-notified))
 			}
 		}
--- a/internal/simulation/multiprocess/check/request_ends.go
+++ b/internal/simulation/multiprocess/check/request_ends.go
@@ -77,12 +77,12 @@
 func (checker *requestChecker) requestEnded(ended history.RequestEnded, at time.Duration) {
 	request, ok := checker.open[ended.ID]
 	if !ok {
-		checker.report(ruleAnswered, at, "request %s is answered and was not asked, or is answered again", ended.ID)
+		checker.report(ruleAnswered, at, "request %s is answered but was not sent, or is answered twice", ended.ID)
 		return
 	}
 	delete(checker.open, ended.ID)
 	if ended.ExtraBytes > 0 {
-		checker.report(ruleAnswered, at, "request %s gets %d messages behind its answer", ended.ID, ended.ExtraBytes)
+		checker.report(ruleAnswered, at, "request %s gets %d bytes after its answer", ended.ID, ended.ExtraBytes)
 	}
 	if !checker.isExcused(request, at) {
 		checker.checkOutcome(request, ended.Outcome, at)
@@ -106,7 +106,7 @@
 	case history.ClosedByPeer:
 		// The client may repeat the request safely, so this is not a loss unless the router had forwarded it before.
 		if checker.arrived[request.ID] {
-			checker.report(ruleLost, at, "request %s was sent on by %s.%d, which then closed without an answer",
+			checker.report(ruleLost, at, "request %s was forwarded by %s.%d, which then closed its connection unanswered",
 				request.ID, request.Router, request.Incarnation)
 		}
 	case history.Disconnected, history.Unanswered:
@@ -114,7 +114,7 @@
 			request.ID, request.Class, request.Router, request.Incarnation, outcome, took)
 	default:
 		if took > request.Timeout+checker.limits.LateTolerance {
-			checker.report(ruleLate, at, "request %s (%s) at %s.%d is %v after %v of %v",
+			checker.report(ruleLate, at, "request %s (%s) at %s.%d is %v after %v, with a timeout of %v",
 				request.ID, request.Class, request.Router, request.Incarnation, outcome, took, request.Timeout)
 		}
 	}
@@ -123,6 +123,6 @@
 // reportOpenRequests reports the requests that have no outcome at the end of the history.
 func (checker *requestChecker) reportOpenRequests() {
 	for id, request := range checker.open {
-		checker.report(ruleLost, request.sentAt, "request %s has no end", id)
+		checker.report(ruleLost, request.sentAt, "request %s has no outcome", id)
 	}
 }
--- a/internal/simulation/multiprocess/check/staleness.go
+++ b/internal/simulation/multiprocess/check/staleness.go
@@ -52,7 +52,7 @@
 	isTooOld := statement.MinPosition > fact.Position
 	if isServedRead && isTooOld && !statement.excused {
 		checker.violations = append(checker.violations, violationf(ruleStaleness, entry.Time,
-			"%s is answered by %s from %v before what it has to see",
+			"%s is answered by %s from a replication position %v older than the one that it has to see",
 			fact.ID, fact.Endpoint, statement.MinPosition-fact.Position))
 	}
 	if !fact.Disconnected {
--- a/internal/simulation/multiprocess/check/statements.go
+++ b/internal/simulation/multiprocess/check/statements.go
@@ -23,7 +23,7 @@
 			}
 			if first := executedAt[fact.ID]; first != "" {
 				violations = append(violations, violationf(ruleWriteExecutedOnce, entry.Time,
-					"write %s has run at %s and at %s", fact.ID, first, fact.Endpoint))
+					"write %s was executed at %s and at %s", fact.ID, first, fact.Endpoint))
 			}
 			executedAt[fact.ID] = fact.Endpoint
 		}
@@ -47,7 +47,7 @@
 			abandonedAt, isAbandoned := abandoned[earlier.Connection]
 			if hasEarlier && (!isAbandoned || abandonedAt > entry.Time+abandonTolerance) {
 				violations = append(violations, violationf(ruleOneCopyInFlight, entry.Time,
-					"%s comes to %s while it is out at %s", fact.ID, fact.Endpoint, earlier.Endpoint))
+					"%s arrives at %s while a copy is in flight at %s", fact.ID, fact.Endpoint, earlier.Endpoint))
 			}
 			inFlight[fact.ID] = fact
 		case history.StatementExecuted:
