--- a/internal/simulation/multiprocess/history/fact.go
+++ b/internal/simulation/multiprocess/history/fact.go
@@ -56,7 +56,7 @@
 	ID         string
 	Outcome    Outcome
 	SQLState   string // of an error
-	Value      string // of a result: the endpoint that executed it first
+	Value      string // the first column of a result, which starts with the name of the endpoint that executed it
 	ExtraBytes int    // that followed a complete answer
 }
 
@@ -94,8 +94,8 @@
 	Connection string // the address by which the endpoint sees it
 }
 
-// EndpointStateNotified is the fact that a list with the state of an endpoint was handed to a router, or to the
-// discovery agent on its host.
+// EndpointStateNotified is the fact that a list with the state of an endpoint was sent to a router, or has reached
+// the discovery agent on its host.
 type EndpointStateNotified struct {
 	Router       string
 	Incarnation  int // which start of the router
