--- a/internal/simulation/multiprocess/clients/clients_test.go
+++ b/internal/simulation/multiprocess/clients/clients_test.go
@@ -20,7 +20,7 @@
 type fakeRouter struct {
 	listener net.Listener
 	respond  func(number int, sql string) (response []byte, keepOpen bool)
-	queries  atomic.Int64 // that were not empty
+	queries  atomic.Int64 // number of queries that were not empty
 
 	mutex       sync.Mutex // guards connections
 	connections []net.Conn
@@ -230,7 +230,7 @@
 		}
 	}
 	if tally.Ends[served]+tally.Ends[failed] != tally.Came || closed == 0 {
-		t.Errorf("tally %+v, %d attempts closed by the router, want some", tally, closed)
+		t.Errorf("got tally %+v and %d closed attempts; want all requests served or failed, and a closed attempt", tally, closed)
 	}
 }
 
@@ -254,7 +254,7 @@
 		return strings.Join(all, " ")
 	}
 	if got := names(); got != "" {
-		t.Errorf("none healthy: got %q", got)
+		t.Errorf("none healthy: got %q, want no router", got)
 	}
 	balancer.remote[0].healthy = true
 	if got := names(); got != "r2" {
--- a/internal/simulation/multiprocess/clients/doc.go
+++ b/internal/simulation/multiprocess/clients/doc.go
@@ -6,5 +6,5 @@
 // what clients see. It never chooses a router by load or latency, and it never judges an outcome.
 //
 // New starts a health-check goroutine for each target. Run draws the arrivals on the caller's goroutine and starts one
-// goroutine for each request; it stops them all before it returns.
+// goroutine for each request. Before it returns, it waits for the requests and tells the health checks to stop.
 package clients
