--- a/internal/simulation/multiprocess/faultproxy/faultproxy_test.go
+++ b/internal/simulation/multiprocess/faultproxy/faultproxy_test.go
@@ -119,7 +119,7 @@
 			}
 			network.SetImpairment(test.source, test.destination, Impairment{})
 			if err := readByte(t, conn, 5*time.Second); err != nil {
-				t.Errorf("after the cut: %v", err)
+				t.Errorf("after the cut: got error %v, want the byte that was sent", err)
 			}
 		})
 	}
