--- a/internal/simulation/multiprocess/clients/clients_test.go
+++ b/internal/simulation/multiprocess/clients/clients_test.go
@@ -230,7 +230,7 @@
 		}
 	}
 	if tally.Ends[served]+tally.Ends[failed] != tally.Came || closed == 0 {
-		t.Errorf("got tally %+v, %d closed attempts; want all requests served or failed, at least 1", tally, closed)
+		t.Errorf("got tally %+v, %d closed attempts; want all served or failed, 1 or more closed", tally, closed)
 	}
 }
 
