--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -19,7 +19,7 @@
 	work           time.Duration
 	arrivedAt      time.Duration
 	deadline       time.Duration // the end of its client timeout
-	minPosition    time.Duration // the replication position that it has to see, as known to its client
+	minPosition    time.Duration // the replication position that it has to see, as known to its client when it was sent
 	sends          int
 	router         *instance // the router that received it last; nil while it is on its way
 	incarnation    int       // of router
@@ -29,7 +29,7 @@
 	copiesInFlight int  // copies at endpoints
 	executions     int  // by endpoints
 	responses      int  // final responses since the client sent it last
-	openAttempts   int  // open attempts of its router since the client sent it last
+	openAttempts   int  // open attempts of its router since the client sent it last, whatever its class
 	statementsSent int  // statements written by its router since the client sent it last
 	position       time.Duration
 }
@@ -237,8 +237,7 @@
 	}
 }
 
-// recordExecution counts an execution by an endpoint at replication position pos, which had to see at least position
-// see.
+// recordExecution counts an execution by an endpoint at a replication position, which had to be at least minPosition.
 func (f *Fleet) recordExecution(q *request, m *model.Endpoint, position, minPosition time.Duration) {
 	q.executions++
 	f.observer.checkExecution(q, m, position, minPosition)
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -38,8 +38,8 @@
 	Jitter              float64       // mean of the exponential jitter, as a share of the delay
 
 	Notice     [2]time.Duration // until discovery reports a change; from, to
-	Silent     [2]time.Duration // until it reports an endpoint that died without deregistering
-	RoleLag    [2]time.Duration // until it reports another primary; 0 means never
+	Silent     [2]time.Duration // until it reports an endpoint that hangs or died without deregistering
+	RoleLag    [2]time.Duration // until it reports another primary; 0 means it keeps listing the initial primary
 	Pushed     bool             // lists are pushed to an agent of each router, otherwise routers poll discovery
 	Grace      time.Duration    // how long a notified router may send to an endpoint that leaves
 	Call       time.Duration    // processing time of a call at discovery
@@ -62,7 +62,7 @@
 	Hold                    []string               // classes whose requests are queued during a change of primary
 	Sites                   string                 // site failover: SitesOff, SitesWatch or SitesAct
 	HarmColdBudget          bool                   // a deliberate defect: the routers ignore slow start
-	Salt                    uint64                 // changes the random numbers of the routers only
+	Salt                    uint64                 // changes only the routers' random numbers, to show the effect of chance
 
 	Faults []Fault
 }
@@ -96,11 +96,11 @@
 // Fault is a fault that is injected into the fleet.
 type Fault struct {
 	At   time.Duration // from the start, or from On
-	On   string        // triggering event, "" for none: first lost:GROUP, led:GROUP, down:ENDPOINT or up:ENDPOINT
+	On   string        // trigger, when it first occurs: lost:GROUP, led:GROUP, down:ENDPOINT, up:ENDPOINT; "" for none
 	What string
-	Who  []string // endpoints; the primary of a replica group or all of a zone are resolved when the fault starts
+	Who  []string // endpoints, for cut links; primaries, replicas, groups and zones are resolved when the fault starts
 	For  time.Duration
-	Part float64
+	Part float64 // for slow the speed factor, for sick the share of errors, for routers the share of routers
 
 	Delay, Jitter time.Duration // of a link
 	Rate          int           // of a link, in bytes per second
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -180,7 +180,8 @@
 	return f
 }
 
-// TestLargeFleet runs 80 routers and 60 endpoints for 20 s of virtual time.
+// TestLargeFleet checks that 80 routers with 60 endpoints violate no rule in 20 s of virtual time, and earn at least
+// 90 % of the priority weight.
 func TestLargeFleet(t *testing.T) {
 	cfg := largeConfig()
 	cfg.Length = 20 * time.Second // the benchmark runs five minutes
@@ -261,7 +262,7 @@
 }
 
 // TestCutInFlight checks that a cut link loses messages that are in transit, in either direction, and messages that are
-// sent during the cut: the attempt doesn't end before its timeout.
+// sent during the cut: the router gets no answer, and only its own timeout can end the attempt.
 func TestCutInFlight(t *testing.T) {
 	// The link is cut before the statement is sent, while it is in transit, and while it is executed.
 	for _, when := range []time.Duration{0, 100 * time.Microsecond, 30 * time.Millisecond} {
@@ -286,7 +287,7 @@
 		f.clock.Run(f.clock.Now() + 500*time.Millisecond)
 		ran := m.Served() - before
 		if ended != 0 || (ran == 1) != (when == 30*time.Millisecond) {
-			t.Errorf("cut after %v: got %d ends and %d executions; want no end, and an execution only after 30 ms",
+			t.Errorf("cut after %v: got %d ends and %d executions; want no end, and 1 execution only after 30 ms",
 				when, ended, ran)
 		}
 	}
@@ -400,7 +401,7 @@
 			t.Fatal(err)
 		}
 		if t.Logf("%s: %.3f of %.3f", name, r.Worth, r.Top); r.Top < x.least || r.Top > x.most || r.Worth > r.Top+0.005 {
-			t.Errorf("%s: got worth %.3f and upper bound %.3f, want a bound from %.2f to %.2f and no worth above it",
+			t.Errorf("%s: got worth %.3f and upper bound %.3f, want a bound from %.2f to %.2f and worth <= bound+0.005",
 				name, r.Worth, r.Top, x.least, x.most)
 		}
 	}
--- a/internal/simulation/fleet/observe.go
+++ b/internal/simulation/fleet/observe.go
@@ -64,7 +64,8 @@
 	Worth float64 // priority weight that was earned
 	Could float64 // priority weight of all requests
 
-	// Rejections by routers in this second: of requests that were never sent to an endpoint, and of others.
+	// Rejections by routers in this second: of requests of which no statement was written to an endpoint since the
+	// client sent them last, and of others.
 	Unsent, Tried int
 }
 
@@ -297,7 +298,7 @@
 		}
 		res.Latency = append(res.Latency, v)
 	}
-	for i := range 81 { // down to 1 - 10^-4
+	for i := range 81 { // quantiles from 0 to 1 - 10^-4
 		part := Step20(i)
 		if n := len(o.latencies); float64(n)*(1-part) >= 1 {
 			res.Curve = append(res.Curve, Quantile{part, o.latencies[min(n-1, int(part*float64(n)))]})
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -38,8 +38,8 @@
 	endpoint     *model.Endpoint
 	idle         []conn
 	suspended    bool
-	leaving      bool          // by the endpoint list it drains or is removed, or it is suspended
-	leavingSince time.Duration // since when
+	leaving      bool          // it is suspended, or the endpoint list shows that it drains or is removed
+	leavingSince time.Duration // since when; in the future after a lost notification
 	knownReplica bool          // its newest answer to this router showed that it is a replica
 }
 
@@ -168,7 +168,7 @@
 	return p
 }
 
-// recordNotification records for the observer which endpoints a list has as leaving.
+// recordNotification records for the observer which endpoints a list shows as leaving.
 func (r *instance) recordNotification(l balance.EndpointList) {
 	for _, e := range l.Entries {
 		p := r.backend(e.Endpoint)
@@ -213,7 +213,7 @@
 		c.conn = c.backend.idle[last]
 		c.backend.idle = c.backend.idle[:last]
 		if c.conn.epoch != c.backend.endpoint.Epoch() {
-			continue // it has ended with an earlier start of the endpoint
+			continue // the endpoint has been down since, which ended the connection
 		}
 		if now-c.conn.idleSince < r.fleet.cfg.ConnIdle*3/4 {
 			c.write()
@@ -286,11 +286,11 @@
 	life, q := r.incarnation, c.request
 	minPosition := q.minPosition
 	if q.class.Consistency == balance.ConsistencyBounded {
-		minPosition = now - q.class.MaxStaleness // counted from when it is sent, for each attempt
+		minPosition = now - q.class.MaxStaleness // counted from the time at which each attempt is sent
 	}
 	requiredPosition := minPosition
 	if m.WasPrimary() && !c.backend.knownReplica {
-		requiredPosition = 0 // allowed by the contract: no answer has shown this router that it is a replica
+		requiredPosition = 0 // allowed by the contract: no answer has shown this router that the endpoint is a replica
 	}
 	c.statement = &model.Statement{
 		Work: q.work, Write: q.class.Consistency == balance.ConsistencyWrite,
--- a/internal/simulation/fleet/top.go
+++ b/internal/simulation/fleet/top.go
@@ -10,13 +10,13 @@
 )
 
 // upperBound computes an upper bound of the score: that of a policy which always knows the true state of every endpoint
-// and can divide work like a fluid. No router reaches it, because it has no network delay, waits for no answer and
-// makes no mistake. The difference between it and a run is the room for improvement.
+// and can divide work like a fluid. No router reaches the bound, because this policy has no network delay, waits for
+// no answer and makes no mistake. The difference between the bound and a run's score is the room for improvement.
 type upperBound struct {
 	pending       map[int64][]cohort // by replica group
 	lastStep      time.Duration
 	worthBySecond []float64          // by the second of arrival
-	worthByClass  map[string]float64 // worth by class
+	worthByClass  map[string]float64 // by class name
 }
 
 // cohort is the pending work of the requests of one class that arrived in one step.
@@ -59,7 +59,8 @@
 	}
 	cohorts := t.pending[b.ID]
 	worth := func(c cohort) float64 {
-		// It arrived during a step and may have been served before the end of this one, so it gets a whole step more.
+		// The cohort arrived during a step and may have been served before the end of the current one, so it may take
+		// one step longer than its latency objective.
 		switch age := now - c.arrivedAt; {
 		case age <= c.class.LatencyObjective+elapsed:
 			return c.worth
