--- a/internal/simulation/fleet/client.go
+++ b/internal/simulation/fleet/client.go
@@ -25,13 +25,13 @@
 	incarnation    int       // of router
 	routerID       string    // the router's id of the request
 	ended          bool
-	disconnected   bool // its client has disconnected or timed out
-	copiesInFlight int  // copies at endpoints
-	executions     int  // by endpoints
-	responses      int  // final responses since the client sent it last
-	openAttempts   int  // open attempts of its router since the client sent it last, whatever its class
-	statementsSent int  // statements written by its router since the client sent it last
-	position       time.Duration
+	disconnected   bool          // its client has disconnected or timed out
+	copiesInFlight int           // copies at endpoints
+	executions     int           // by endpoints
+	responses      int           // final responses since the client sent it last
+	openAttempts   int           // open attempts of its router since the client sent it last, whatever its class
+	statementsSent int           // statements written by its router since the client sent it last
+	position       time.Duration // the replication position in its response
 }
 
 // startRequest draws the next request and sends it to a router.
--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -55,8 +55,8 @@
 
 	ConnectWithin, ConnIdle time.Duration
 	MemoryMB, Sockets       int
-	MostTries               int // attempts of a router for one request
-	ProbePrice, HeldBack    float64
+	MostTries               int     // attempts of a router for one request
+	ProbePrice, HeldBack    float64 // HealthCheckCost and LateRejectCost of balance.Config
 	Cancel                  bool
 	Checks                  balance.FreshnessCheck // what an endpoint does with a read that it is too far behind for
 	Hold                    []string               // classes whose requests are queued during a change of primary
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -303,7 +303,8 @@
 }
 
 // TestPushedLists checks that routers with pushed lists learn of a drain and violate no rule: also if discovery fails,
-// if it can't reach an agent for a while, or if a router restarts meanwhile.
+// if it can't reach an agent for a while, or if a router restarts meanwhile. A last case loses a zone and half of the
+// routers, without a drain.
 func TestPushedLists(t *testing.T) {
 	drain := Fault{At: 4 * time.Second, What: "drain", Who: []string{"db1b", "db2c"}, For: 12 * time.Second}
 	for name, cfg := range map[string]Config{
