--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -13,7 +13,7 @@
 // Class is one kind of request.
 type Class struct {
 	balance.Class
-	Share float64 // of all requests, relative to the sum of all shares
+	Share float64 // relative frequency; the shares of all classes need not add up to 1
 	Work  model.WorkDistribution
 	Long  bool // a replica applies nothing of the replication log while it executes one
 }
@@ -22,11 +22,11 @@
 type Config struct {
 	Routers int
 	Zones   []string
-	Banks   int // replica groups
-	Members int // of each replica group
-	Spares  int // further endpoints of each replica group that join with the fault add
-	Kind    model.EndpointSpec
-	Follow  model.Replication
+	Banks   int                // replica groups
+	Members int                // of each replica group
+	Spares  int                // further endpoints of each replica group that join with the fault add
+	Kind    model.EndpointSpec // of every endpoint
+	Follow  model.Replication  // of every replica group
 	Classes []Class
 
 	Use    float64 // mean load, as a share of the capacity of all endpoints
@@ -55,8 +55,8 @@
 
 	ConnectWithin, ConnIdle time.Duration
 	MemoryMB, Sockets       int
-	MostTries               int // attempts of a router for one request
-	ProbePrice, HeldBack    float64
+	MostTries               int     // attempts of a router for one request
+	ProbePrice, HeldBack    float64 // costs of a health check and of a late rejection, as shares of a weight
 	Cancel                  bool
 	Checks                  balance.FreshnessCheck // what an endpoint does with a read that it is too far behind for
 	Hold                    []string               // classes whose requests are queued during a change of primary
--- a/internal/simulation/fleet/directory.go
+++ b/internal/simulation/fleet/directory.go
@@ -14,7 +14,7 @@
 	*model.Registry
 	fleet     *Fleet
 	busyUntil time.Duration // when it can serve the next call
-	downUntil time.Duration // it answers no call before this time
+	downUntil time.Duration // it answers no calls before this time
 	calls     uint64
 }
 
@@ -166,7 +166,7 @@
 func (w *watcher) call() {
 	r, d := w.router, w.router.fleet.directory
 	w.callOpen = true
-	life, ended := r.incarnation, false
+	incarnation, ended := r.incarnation, false
 	if w.isCut() {
 		r.after(r.fleet.cfg.ConnectWithin, func() {
 			w.callOpen, w.watching = false, false
@@ -176,7 +176,7 @@
 	}
 	d.calls++
 	timeout := r.fleet.clock.After(r.fleet.cfg.CallWithin, func() {
-		if r.incarnation != life || ended {
+		if r.incarnation != incarnation || ended {
 			return
 		}
 		ended = true
@@ -191,7 +191,7 @@
 		}
 		d.busyUntil = max(d.busyUntil, now) + d.fleet.cfg.Call
 		r.fleet.clock.At(d.busyUntil+r.fleet.addJitter(r.fleet.cfg.Cross), func() {
-			if r.incarnation != life || ended || !r.alive {
+			if r.incarnation != incarnation || ended || !r.alive {
 				return
 			}
 			ended = true
--- a/internal/simulation/fleet/router.go
+++ b/internal/simulation/fleet/router.go
@@ -140,9 +140,9 @@
 
 // after calls do after a delay, unless the router has stopped by then.
 func (r *instance) after(d time.Duration, do func()) {
-	life := r.incarnation
+	incarnation := r.incarnation
 	r.fleet.clock.After(d, func() {
-		if r.incarnation == life && r.alive {
+		if r.incarnation == incarnation && r.alive {
 			do()
 			r.run()
 		}
@@ -234,9 +234,9 @@
 	r, m := c.router, c.backend.endpoint
 	r.fleet.count.Dials++
 	connected := false
-	life := r.incarnation
+	incarnation := r.incarnation
 	c.timer = r.fleet.clock.After(r.fleet.cfg.ConnectWithin, func() {
-		if r.incarnation == life && !c.ended && !connected {
+		if r.incarnation == incarnation && !c.ended && !connected {
 			c.finish(router.Result{Status: balance.StatusConnectFailed})
 			r.run()
 		}
@@ -247,7 +247,7 @@
 		}
 		m.Connect(func(ok, full bool, epoch int) {
 			r.fleet.clock.After(r.drawDelay(m), func() {
-				if r.fleet.isCut(r, m) || r.incarnation != life {
+				if r.fleet.isCut(r, m) || r.incarnation != incarnation {
 					if ok {
 						m.Disconnect(epoch)
 					}
@@ -283,7 +283,7 @@
 	}
 	c.written = true
 	r.fleet.checkSend(r, c.request, c.backend)
-	life, q := r.incarnation, c.request
+	incarnation, q := r.incarnation, c.request
 	minPosition := q.minPosition
 	if q.class.Consistency == balance.ConsistencyBounded {
 		minPosition = now - q.class.MaxStaleness // counted from when it is sent, for each attempt
@@ -305,7 +305,7 @@
 			r.fleet.recordExecution(q, m, pos, requiredPosition)
 		}
 		r.fleet.clock.After(r.drawDelay(m), func() {
-			if r.fleet.isCut(r, m) || r.incarnation != life {
+			if r.fleet.isCut(r, m) || r.incarnation != incarnation {
 				return
 			}
 			c.handleResponse(o, pos, primary)
@@ -398,9 +398,9 @@
 		return
 	}
 	r.fleet.count.Probes++
-	finished, m, life := false, p.endpoint, r.incarnation
+	finished, m, incarnation := false, p.endpoint, r.incarnation
 	finish := func(res router.Result) {
-		if !finished && r.incarnation == life && r.alive {
+		if !finished && r.incarnation == incarnation && r.alive {
 			finished = true
 			done(res)
 			r.run()
--- a/internal/simulation/multiprocess/process.go
+++ b/internal/simulation/multiprocess/process.go
@@ -46,15 +46,15 @@
 	if err != nil {
 		return err
 	}
-	life := p.incarnation.Add(1)
-	tmp := filepath.Join(p.dir, fmt.Sprint("tmp", life))
+	incarnation := p.incarnation.Add(1)
+	tmp := filepath.Join(p.dir, fmt.Sprint("tmp", incarnation))
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(p.dir, "config.json"), text, 0o600); err != nil {
 		return err
 	}
-	out, err := os.Create(filepath.Join(p.dir, fmt.Sprintf("log.%d", life)))
+	out, err := os.Create(filepath.Join(p.dir, fmt.Sprintf("log.%d", incarnation)))
 	if err != nil {
 		return err
 	}
@@ -140,9 +140,9 @@
 	if !p.signal(syscall.SIGSTOP) {
 		return
 	}
-	life := p.Incarnation()
+	incarnation := p.Incarnation()
 	time.AfterFunc(length, func() {
-		if p.Incarnation() == life {
+		if p.Incarnation() == incarnation {
 			p.signal(syscall.SIGCONT)
 		}
 	})
