--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -168,7 +168,7 @@
 	case len(c.Zones) == 0:
 		return bad("zones", "must not be empty")
 	case c.Banks < 1 || c.Members < 1 || c.Spares < 0 || c.Banks*(c.Members+c.Spares) > 20_000:
-		return bad("banks", "must have 1 to 20,000 machines in total")
+		return bad("banks", "1 to 20,000 machines are possible")
 	case c.Length <= 0 || c.Length > 24*time.Hour:
 		return bad("length", "must be positive and at most 24 hours")
 	case c.Use <= 0 || c.Use > 20:
