--- a/internal/simulation/fleet/config.go
+++ b/internal/simulation/fleet/config.go
@@ -13,7 +13,7 @@
 // Class is one kind of request.
 type Class struct {
 	balance.Class
-	Share float64 // of all requests, relative to the sum of all shares
+	Share float64 // relative frequency; the shares of all classes need not add up to 1
 	Work  model.WorkDistribution
 	Long  bool // a replica applies nothing of the replication log while it executes one
 }
@@ -22,11 +22,11 @@
 type Config struct {
 	Routers int
 	Zones   []string
-	Banks   int // replica groups
-	Members int // of each replica group
-	Spares  int // further endpoints of each replica group that join with the fault add
-	Kind    model.EndpointSpec
-	Follow  model.Replication
+	Banks   int                // replica groups
+	Members int                // of each replica group
+	Spares  int                // further endpoints of each replica group that join with the fault add
+	Kind    model.EndpointSpec // of every endpoint
+	Follow  model.Replication  // of every replica group
 	Classes []Class
 
 	Use    float64 // mean load, as a share of the capacity of all endpoints
@@ -168,7 +168,7 @@
 	case len(c.Zones) == 0:
 		return bad("zones", "must not be empty")
 	case c.Banks < 1 || c.Members < 1 || c.Spares < 0 || c.Banks*(c.Members+c.Spares) > 20_000:
-		return bad("banks", "must have 1 to 20,000 machines in total")
+		return bad("banks", "1 to 20,000 machines are possible")
 	case c.Length <= 0 || c.Length > 24*time.Hour:
 		return bad("length", "must be positive and at most 24 hours")
 	case c.Use <= 0 || c.Use > 20:
